--- a/internal/gateway/backend/load.go
+++ b/internal/gateway/backend/load.go
@@ -7,15 +7,16 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// Counts is what a gateway, or several, have at a backend server.
+// Counts holds how many requests and prompt tokens one or more gateways have in progress at a
+// backend server.
 type Counts struct {
-	// Running counts requests whose first byte has come.
+	// Running is the number of requests whose first response byte has arrived.
 	Running int
-	// Pending is what still waits for it, by urgency.
+	// Pending holds the requests still waiting for their first response byte, by urgency.
 	Pending policy.Ahead
 }
 
-// Add adds other counts, or takes them away where sign is -1.
+// Add adds other to c, or subtracts it if sign is -1.
 func (c *Counts) Add(other *Counts, sign int) {
 	c.Running += sign * other.Running
 	for i := range c.Pending {
@@ -24,68 +25,69 @@
 	}
 }
 
-// Load counts what this process has at a server. All methods may be called
-// concurrently.
+// Load tracks the requests that this process has in flight at one backend server. All methods are
+// safe for concurrent use.
 type Load struct {
-	// mu guards what follows; nothing is locked while it is held.
+	// mu guards the fields below. No other lock is acquired while it is held.
 	mu      sync.Mutex
 	running int
-	// pending holds the requests whose first byte hasn't come.
-	pending map[*Stay]struct{}
+	// pending holds the requests whose first response byte has not arrived.
+	pending map[*InFlight]struct{}
 }
 
-// Counts returns the counts; of prompts that are being read it counts what is
-// expected to be left.
+// Counts returns the current counts. For prompts that the server is processing, it counts only the
+// tokens expected to remain at now.
 func (l *Load) Counts(now time.Time) Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := Counts{Running: l.running}
-	for s := range l.pending {
-		level := &c.Pending[s.urgency]
+	for f := range l.pending {
+		level := &c.Pending[f.urgency]
 		level.Requests++
-		level.Tokens += s.plan.Left(now)
+		level.Tokens += f.plan.Left(now)
 	}
 	return c
 }
 
-// Enter counts a request that was sent, with when the server is expected to
-// read its prompt.
-func (l *Load) Enter(urgency int, plan policy.PrefillPlan) *Stay {
-	s := &Stay{load: l, urgency: urgency, plan: plan}
+// Track adds a request that is being sent to the server. The plan says when the server is expected
+// to process its prompt. The caller must call Finish on the result.
+func (l *Load) Track(urgency int, plan policy.PrefillPlan) *InFlight {
+	f := &InFlight{load: l, urgency: urgency, plan: plan}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.pending == nil {
-		l.pending = map[*Stay]struct{}{}
+		l.pending = map[*InFlight]struct{}{}
 	}
-	l.pending[s] = struct{}{}
-	return s
+	l.pending[f] = struct{}{}
+	return f
 }
 
-// Stay is one request's part of a Load. It is used by one goroutine.
-type Stay struct {
+// InFlight is one request in a Load. It must be used by one goroutine only.
+type InFlight struct {
 	load    *Load
 	urgency int
 	plan    policy.PrefillPlan
-	begun   bool
+	started bool
 }
 
-// Begun notes that the answer has begun; it reports whether that is news.
-func (s *Stay) Begun() bool {
-	if s.begun {
+// MarkStarted moves the request from pending to running, because its response has started. It
+// reports whether this was the first call.
+func (f *InFlight) MarkStarted() bool {
+	if f.started {
 		return false
 	}
-	s.begun = true
-	s.load.mu.Lock()
-	defer s.load.mu.Unlock()
-	delete(s.load.pending, s)
-	s.load.running++
+	f.started = true
+	f.load.mu.Lock()
+	defer f.load.mu.Unlock()
+	delete(f.load.pending, f)
+	f.load.running++
 	return true
 }
 
-// Leave ends the stay.
-func (s *Stay) Leave() {
-	s.Begun()
-	s.load.mu.Lock()
-	defer s.load.mu.Unlock()
-	s.load.running--
+// Finish removes the request from the Load.
+func (f *InFlight) Finish() {
+	f.MarkStarted()
+	f.load.mu.Lock()
+	defer f.load.mu.Unlock()
+	f.load.running--
 }
--- a/internal/gateway/backend/registry.go
+++ b/internal/gateway/backend/registry.go
@@ -1,5 +1,5 @@
-// Package backend keeps which backend servers there are, and what this process
-// has running at each. Start reading at Registry.
+// Package backend maintains the list of backend servers and counts the requests that this process
+// has in flight at each. Start reading at Registry.
 package backend
 
 import (
@@ -10,59 +10,62 @@
 	"time"
 )
 
-// lapseGrace is for how long after the list's store is back a server is still
-// trusted whose entry lapsed while the store was away: live ones are back in
-// about two seconds, and what is missing then is gone.
-const lapseGrace = 2 * time.Second
+// expiryGrace is how long servers whose entries expired during a store outage stay in use after the
+// store is back. Live servers renew their entries within about two seconds, so an entry still
+// missing after that belongs to a server that is gone.
+const expiryGrace = 2 * time.Second
 
-// Registry follows the list of backend servers. Readers take snapshots without
-// a lock. It implements the sink of a follower.
+// Registry holds the backend servers listed in the store. Servers, All and CountUsable read a
+// snapshot without locking. The gateway's follower of the list feeds it through ReplaceAll,
+// ApplyChanges and the MarkStore methods. All methods are safe for concurrent use.
 type Registry struct {
 	byService atomic.Pointer[map[string][]*Server]
-	known     atomic.Bool
-	// Gone is told of each server that isn't listed any more; may be nil. It
-	// is called with the lock held, so it must not call the Registry.
+	loaded    atomic.Bool
+	// OnRemove, if not nil, is called with the id of each server removed from the list. It runs
+	// with the Registry's lock held, so it must not call the Registry.
 	Gone func(id string)
 
-	// mu guards what follows; Gone may lock what comes after it in order.
+	// mu guards the fields below. OnRemove may acquire locks that come after mu in the lock order.
 	mu      sync.Mutex
 	servers map[string]*Server
-	// lapsed holds the servers whose entries went while the store was away,
-	// with when they count as gone.
-	lapsed map[string]time.Time
-	// away says that the store didn't answer last; back is when it last did
-	// again after that.
-	away bool
-	back time.Time
-	// settled is until when the list may be an older copy's, after a return of the store.
-	settled time.Time
-	// tombstones hold the last entries of servers that are gone.
+	// expiring holds the servers whose entries expired during a store outage, with the time at
+	// which each is removed.
+	expiring map[string]time.Time
+	// storeDown is set while the store does not answer. storeRecoveredAt is when it last answered
+	// again after an outage, or was restored from an older copy.
+	storeDown        bool
+	storeRecoveredAt time.Time
+	// restoreGraceEnd is until when the list may still show the state of the older copy from which
+	// the store was restored.
+	restoreGraceEnd time.Time
+	// tombstones holds the last entries of removed servers.
 	tombstones tombstones
 }
 
-// NewRegistry returns a Registry that knows no server.
+// NewRegistry returns an empty Registry.
 func NewRegistry() *Registry {
-	r := &Registry{servers: map[string]*Server{}, lapsed: map[string]time.Time{}, tombstones: tombstones{}}
-	r.publish()
+	r := &Registry{servers: map[string]*Server{}, expiring: map[string]time.Time{}, tombstones: tombstones{}}
+	r.publishSnapshot()
 	return r
 }
 
-// Servers returns the servers of a service, ordered by id; not to be changed.
+// Servers returns the servers of a service, sorted by id, without those that were replaced and
+// earlier instances at an address. The caller must not modify the slice.
 func (r *Registry) Servers(service string) []*Server {
 	return (*r.byService.Load())[service]
 }
 
-// Known reports whether the list has ever been read.
-func (r *Registry) Known() bool { return r.known.Load() }
+// Loaded reports whether the list has been read at least once.
+func (r *Registry) Known() bool { return r.loaded.Load() }
 
-// Server returns a listed server, or nil.
+// Server returns a listed server, or nil if the id is not listed.
 func (r *Registry) Server(id string) *Server {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.servers[id]
 }
 
-// All returns all listed servers.
+// All returns the servers of all services, as Servers does.
 func (r *Registry) All() []*Server {
 	var all []*Server
 	for _, list := range *r.byService.Load() {
@@ -71,7 +74,7 @@
 	return all
 }
 
-// Usable counts the listed servers that aren't leaving.
+// CountUsable returns the number of servers in All that are not draining.
 func (r *Registry) Usable() int {
 	n := 0
 	for _, s := range r.All() {
@@ -82,82 +85,82 @@
 	return n
 }
 
-// Reset takes the whole list. Unreadable entries name no server to use.
-func (r *Registry) Reset(now time.Time, all []Info, unreadable []string) {
+// ReplaceAll sets the whole list. Servers whose entries are unreadable are removed.
+func (r *Registry) Reset(now time.Time, entries []Info, unreadable []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.answered(now)
-	listed := make(map[string]bool, len(all))
-	r.dropAll(now, unreadable)
-	for _, info := range all {
+	r.storeAnswered(now)
+	listed := make(map[string]bool, len(entries))
+	r.deleteAll(now, unreadable)
+	for _, info := range entries {
 		listed[info.ID] = true
-		r.putListed(now, info)
+		r.applyFromStore(now, info)
 	}
 	for id := range r.servers {
 		if !listed[id] {
-			r.remove(now, id)
+			r.removeOrDefer(now, id)
 		}
 	}
-	r.publish()
-	r.known.Store(true)
+	r.publishSnapshot()
+	r.loaded.Store(true)
 }
 
-// Adopt takes the list from elsewhere as long as the store hasn't told any; it
-// reports whether it did.
-func (r *Registry) Adopt(all []Info) bool {
+// SeedFromPeer sets the list as received from another gateway, unless a list has already been
+// loaded. It reports whether it did.
+func (r *Registry) Adopt(entries []Info) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.known.Load() {
+	if r.loaded.Load() {
 		return false
 	}
-	for _, info := range all {
-		r.put(time.Now(), info)
+	for _, info := range entries {
+		r.apply(time.Now(), info)
 	}
-	r.publish()
-	r.known.Store(true)
+	r.publishSnapshot()
+	r.loaded.Store(true)
 	return true
 }
 
-// Change takes what has changed in the list. Entries that have become unreadable
-// name no server to use.
+// ApplyChanges applies a change of the list. Servers whose entries have become unreadable are
+// removed.
 func (r *Registry) Change(now time.Time, changed []Info, removed, unreadable []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.answered(now)
-	r.dropAll(now, unreadable)
+	r.storeAnswered(now)
+	r.deleteAll(now, unreadable)
 	for _, info := range changed {
-		r.putListed(now, info)
+		r.applyFromStore(now, info)
 	}
 	for _, id := range removed {
-		r.remove(now, id)
+		r.removeOrDefer(now, id)
 	}
 	if len(changed)+len(removed)+len(unreadable) > 0 {
-		r.publish()
+		r.publishSnapshot()
 	}
 }
 
-// Unavailable notes that the list's store doesn't answer, whatever it was asked
-// for.
+// MarkStoreUnavailable records that the store did not answer a request, which need not have been
+// for this list.
 func (r *Registry) Unavailable() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.away = true
+	r.storeDown = true
 }
 
-// Restored notes that the list's store was restored from an older copy: until servers have
-// written their entries again, an entry older than one that was read is no news, and one
-// that lacks has not lapsed.
+// MarkStoreRestored records that the store was restored from an older copy. For expiryGrace after
+// now, until servers have rewritten their entries, entries older than the known ones are ignored,
+// and servers missing from the list are kept.
 func (r *Registry) Restored(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.back = now
-	r.settled = now.Add(lapseGrace)
+	r.storeRecoveredAt = now
+	r.restoreGraceEnd = now.Add(expiryGrace)
 }
 
-// Replaced notes that another start answers at a server's address: the server is
-// gone for good, whatever the list says of it for some time to come. It reports
-// whether that is news.
-func (r *Registry) Replaced(id string) bool {
+// MarkReplaced records that another instance answered at a server's address. The server is gone for
+// good, although the list may still contain it for some time. It reports whether the server is
+// listed and was not yet marked.
+func (r *Registry) MarkReplaced(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.servers[id]
@@ -165,64 +168,66 @@
 		return false
 	}
 	s.replaced = true
-	r.publish()
+	r.publishSnapshot()
 	return true
 }
 
-// Sweep removes what has lapsed and isn't back. It is to be called a few times
-// a second.
+// Sweep removes the servers whose grace period has ended without a renewed entry, unless the store
+// is down again. It should be called a few times a second.
 func (r *Registry) Sweep(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	removed := false
-	for id, gone := range r.lapsed {
-		if !now.Before(gone) && !r.away {
-			r.drop(now, id)
+	for id, removeAt := range r.expiring {
+		if !now.Before(removeAt) && !r.storeDown {
+			r.delete(now, id)
 			removed = true
 		}
 	}
 	if removed {
-		r.publish()
+		r.publishSnapshot()
 	}
 }
 
-// Available notes that the list's store answers, whatever it was asked for.
+// MarkStoreAvailable records that the store answered a request, which need not have been for this
+// list.
 func (r *Registry) Available(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.answered(now)
+	r.storeAnswered(now)
 }
 
-func (r *Registry) answered(now time.Time) {
-	if r.away {
-		r.away = false
-		r.back = now
+func (r *Registry) storeAnswered(now time.Time) {
+	if r.storeDown {
+		r.storeDown = false
+		r.storeRecoveredAt = now
 	}
 }
 
-// putListed takes an entry of the store's list; r.mu is held.
-func (r *Registry) putListed(now time.Time, info Info) {
-	if now.Before(r.settled) {
-		if s := r.servers[info.ID]; s != nil && info.olderThan(s.Info()) || r.tombstones.has(now, &info) {
+// applyFromStore applies an entry read from the store, unless it is older than what is known and
+// the store was restored just before. r.mu must be held.
+func (r *Registry) applyFromStore(now time.Time, info Info) {
+	if now.Before(r.restoreGraceEnd) {
+		if s := r.servers[info.ID]; s != nil && info.olderThan(s.Info()) || r.tombstones.supersedes(now, &info) {
 			return
 		}
 	}
-	r.put(now, info)
+	r.apply(now, info)
 }
 
-// put takes an entry; r.mu is held. A server that has started again under its id
-// holds and knows nothing of before: what was counted and learned goes.
-func (r *Registry) put(now time.Time, info Info) {
+// apply sets a server's entry. r.mu must be held. If the server has restarted under the same id, a
+// new Server replaces the old one: its counts, and what was learned about it, no longer apply.
+func (r *Registry) apply(now time.Time, info Info) {
 	s := r.servers[info.ID]
 	if s != nil && info.Born != 0 && info.Born < s.Info().Born {
-		// Old news of the start before.
+		// A late entry of an earlier instance.
 		return
 	}
-	if s != nil && !s.Info().sameStart(&info) {
-		r.drop(now, info.ID)
+	if s != nil && !s.Info().sameInstance(&info) {
+		r.delete(now, info.ID)
 		s = nil
 	}
-	delete(r.lapsed, info.ID)
+	delete(r.expiring, info.ID)
 	if s == nil {
 		s = &Server{}
 		r.servers[info.ID] = s
@@ -230,35 +235,36 @@
 	s.info.Store(&info)
 }
 
-// remove takes a server out, at once unless its entry may have lapsed since it
-// could not be renewed.
-func (r *Registry) remove(now time.Time, id string) {
+// removeOrDefer removes a server at once, or after expiryGrace if its entry may have expired only
+// because it could not be renewed during a store outage. Draining servers are removed at once. r.mu
+// must be held.
+func (r *Registry) removeOrDefer(now time.Time, id string) {
 	s := r.servers[id]
 	if s == nil {
 		return
 	}
-	gone := r.back.Add(lapseGrace)
-	if now.Before(gone) && !s.Info().Leaving {
-		if _, ok := r.lapsed[id]; !ok {
-			r.lapsed[id] = gone
+	removeAt := r.storeRecoveredAt.Add(expiryGrace)
+	if now.Before(removeAt) && !s.Info().Leaving {
+		if _, ok := r.expiring[id]; !ok {
+			r.expiring[id] = removeAt
 		}
 		return
 	}
-	r.drop(now, id)
+	r.delete(now, id)
 }
 
-// dropAll forgets servers; r.mu is held.
-func (r *Registry) dropAll(now time.Time, ids []string) {
+// deleteAll removes those of the servers that are listed. r.mu must be held.
+func (r *Registry) deleteAll(now time.Time, ids []string) {
 	for _, id := range ids {
 		if r.servers[id] != nil {
-			r.drop(now, id)
+			r.delete(now, id)
 		}
 	}
 }
 
-// drop forgets a server; r.mu is held.
-func (r *Registry) drop(now time.Time, id string) {
-	delete(r.lapsed, id)
+// delete removes a server and keeps its entry as a tombstone. r.mu must be held.
+func (r *Registry) delete(now time.Time, id string) {
+	delete(r.expiring, id)
 	if s := r.servers[id]; s != nil {
 		r.tombstones.add(now, s.Info())
 	}
@@ -268,10 +274,10 @@
 	}
 }
 
-// publish makes the snapshot that readers take.
-func (r *Registry) publish() {
+// publishSnapshot rebuilds the snapshot that Servers and All read. r.mu must be held.
+func (r *Registry) publishSnapshot() {
 	snapshot := map[string][]*Server{}
-	newest := r.newestStarts()
+	newest := r.newestStartByAddr()
 	for _, s := range r.servers {
 		if info := s.Info(); s.replaced || info.Born != 0 && info.Born < newest[info.Addr] {
 			continue
@@ -285,10 +291,10 @@
 	r.byService.Store(&snapshot)
 }
 
-// newestStarts is when the newest start at each address began, of those that say
-// so and weren't replaced. A server that crashed starts again at its address under
-// another id, while its entry of before is listed until it lapses.
-func (r *Registry) newestStarts() map[string]int64 {
+// newestStartByAddr returns the latest start time at each address, in Unix milliseconds, over the
+// servers that report one and were not replaced. A crashed server restarts at its address under
+// another id while its old entry stays listed until it expires.
+func (r *Registry) newestStartByAddr() map[string]int64 {
 	newest := make(map[string]int64, len(r.servers))
 	for _, s := range r.servers {
 		if info := s.Info(); !s.replaced && info.Born > newest[info.Addr] {
--- a/internal/gateway/backend/registry_test.go
+++ b/internal/gateway/backend/registry_test.go
@@ -8,9 +8,9 @@
 	"github.com/applepier/applepier/policy"
 )
 
-var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var testStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func infos(ids ...string) []Info {
+func testEntries(ids ...string) []Info {
 	var all []Info
 	for _, id := range ids {
 		all = append(all, Info{ID: id, Service: "s", Addr: id + ":1"})
@@ -18,7 +18,7 @@
 	return all
 }
 
-func listed(r *Registry) string {
+func listedIDs(r *Registry) string {
 	var ids []string
 	for _, s := range r.Servers("s") {
 		ids = append(ids, s.Info().ID)
@@ -26,219 +26,220 @@
 	return strings.Join(ids, " ")
 }
 
-func expect(t *testing.T, r *Registry, want string) {
+func expectListed(t *testing.T, r *Registry, want string) {
 	t.Helper()
-	if got := listed(r); got != want {
+	if got := listedIDs(r); got != want {
 		t.Errorf("listed %q, want %q", got, want)
 	}
 }
 
-func TestWhatLeavesIsGoneAtOnce(t *testing.T) {
+func TestRemovedEntriesDisappearImmediately(t *testing.T) {
 	r := NewRegistry()
 	if r.Known() {
-		t.Error("known before it was read")
+		t.Error("loaded before the list was read")
 	}
-	r.Reset(start, infos("a", "b", "c"), nil)
-	gone := ""
-	r.Gone = func(id string) { gone += id }
-	r.Change(start.Add(time.Second), infos("d"), []string{"b", "unheard of"}, nil)
-	expect(t, r, "a c d")
-	if gone != "b" {
-		t.Errorf("told that %q is gone", gone)
+	r.Reset(testStart, testEntries("a", "b", "c"), nil)
+	removed := ""
+	r.Gone = func(id string) { removed += id }
+	r.Change(testStart.Add(time.Second), testEntries("d"), []string{"b", "unheard of"}, nil)
+	expectListed(t, r, "a c d")
+	if removed != "b" {
+		t.Errorf("OnRemove called for %q", removed)
 	}
 	r.Gone = nil
-	// An entry that can't be read names no server.
-	r.Reset(start.Add(2*time.Second), infos("a", "e"), []string{"c"})
-	expect(t, r, "a e")
+	// A server whose entry is unreadable is removed.
+	r.Reset(testStart.Add(2*time.Second), testEntries("a", "e"), []string{"c"})
+	expectListed(t, r, "a e")
 }
 
-func TestCountsOutliveChanges(t *testing.T) {
+func TestLoadCountsSurviveEntryChanges(t *testing.T) {
 	r := NewRegistry()
-	r.Reset(start, infos("a"), nil)
-	stay := r.Server("a").Load.Enter(3, (&policy.PrefillRate{}).Plan(start, 100, 100))
-	leaving := infos("a")
-	leaving[0].Leaving = true
-	r.Change(start, leaving, nil, nil)
-	if s := r.Server("a"); !s.Info().Leaving || s.Load.Counts(start).Pending[3].Tokens != 100 {
-		t.Errorf("after a change: %+v, %+v", s.Info(), s.Load.Counts(start))
+	r.Reset(testStart, testEntries("a"), nil)
+	inFlight := r.Server("a").Load.Track(3, (&policy.PrefillRate{}).Plan(testStart, 100, 100))
+	draining := testEntries("a")
+	draining[0].Leaving = true
+	r.Change(testStart, draining, nil, nil)
+	if s := r.Server("a"); !s.Info().Leaving || s.Load.Counts(testStart).Pending[3].Tokens != 100 {
+		t.Errorf("after a change: %+v, %+v", s.Info(), s.Load.Counts(testStart))
 	}
-	if !stay.Begun() || stay.Begun() {
-		t.Error("an answer begins once")
+	if !inFlight.MarkStarted() || inFlight.MarkStarted() {
+		t.Error("MarkStarted is true on the first call only")
 	}
-	if c := r.Server("a").Load.Counts(start); c.Running != 1 || c.Pending[3].Requests != 0 || c.Pending[3].Tokens != 0 {
-		t.Errorf("running: %+v", c)
+	if c := r.Server("a").Load.Counts(testStart); c.Running != 1 || c.Pending[3].Requests != 0 || c.Pending[3].Tokens != 0 {
+		t.Errorf("after the response started: %+v", c)
 	}
-	stay.Leave()
-	if c := r.Server("a").Load.Counts(start); c != (Counts{}) {
-		t.Errorf("left behind: %+v", c)
+	inFlight.Finish()
+	if c := r.Server("a").Load.Counts(testStart); c != (Counts{}) {
+		t.Errorf("counts after Finish: %+v", c)
 	}
 }
 
-// Entries lapse while the store is away; those of live servers are back two
-// seconds after it.
-func TestLapsedEntriesAreTrustedForAMoment(t *testing.T) {
+// Guards against dropping live servers after a store outage. Their entries expire during the outage
+// and are renewed within two seconds after it.
+func TestExpiredEntriesKeptDuringGracePeriod(t *testing.T) {
 	r := NewRegistry()
-	r.Reset(start, infos("a", "b", "c"), nil)
+	r.Reset(testStart, testEntries("a", "b", "c"), nil)
 	r.Unavailable()
-	r.Sweep(start.Add(time.Minute))
-	expect(t, r, "a b c")
-	back := start.Add(time.Minute)
-	r.Reset(back, infos("a"), nil)
-	expect(t, r, "a b c")
-	r.Change(back.Add(time.Second), infos("b"), nil, nil)
-	r.Sweep(back.Add(lapseGrace - time.Millisecond))
-	expect(t, r, "a b c")
-	r.Sweep(back.Add(lapseGrace))
-	expect(t, r, "a b")
-	r.Change(back.Add(lapseGrace+time.Second), nil, []string{"a"}, nil)
-	expect(t, r, "b")
-}
-
-// A server that said it leaves and is then gone has left, whatever the store
-// went through.
-func TestLeavingServersDoNotLapse(t *testing.T) {
+	r.Sweep(testStart.Add(time.Minute))
+	expectListed(t, r, "a b c")
+	storeBack := testStart.Add(time.Minute)
+	r.Reset(storeBack, testEntries("a"), nil)
+	expectListed(t, r, "a b c")
+	r.Change(storeBack.Add(time.Second), testEntries("b"), nil, nil)
+	r.Sweep(storeBack.Add(expiryGrace - time.Millisecond))
+	expectListed(t, r, "a b c")
+	r.Sweep(storeBack.Add(expiryGrace))
+	expectListed(t, r, "a b")
+	r.Change(storeBack.Add(expiryGrace+time.Second), nil, []string{"a"}, nil)
+	expectListed(t, r, "b")
+}
+
+// Guards against keeping a server that announced its shutdown: when its entry disappears, it is
+// removed at once, even after a store outage.
+func TestDrainingServersGetNoGracePeriod(t *testing.T) {
 	r := NewRegistry()
-	all := infos("a", "b")
-	all[0].Leaving = true
-	r.Reset(start, all, nil)
+	entries := testEntries("a", "b")
+	entries[0].Leaving = true
+	r.Reset(testStart, entries, nil)
 	r.Unavailable()
-	r.Reset(start.Add(time.Second), nil, nil)
-	expect(t, r, "b")
+	r.Reset(testStart.Add(time.Second), nil, nil)
+	expectListed(t, r, "b")
 }
 
-// Its entry may be read again until the list has noticed.
-func TestReplacedServersStayOut(t *testing.T) {
+// Guards against using a replaced server again: its entry may be read again until the list catches
+// up.
+func TestReplacedServersStayExcluded(t *testing.T) {
 	r := NewRegistry()
-	r.Reset(start, infos("a", "b"), nil)
-	r.Replaced("a")
-	r.Replaced("unheard of")
-	expect(t, r, "b")
-	r.Change(start, infos("a"), nil, nil)
-	r.Reset(start, infos("a", "b", "c"), nil)
-	expect(t, r, "b c")
-	r.Change(start, nil, []string{"a"}, nil)
-	r.Change(start, infos("a"), nil, nil)
-	expect(t, r, "a b c")
-}
-
-// A server that starts again under its id holds nothing of before: what is counted
-// there and what was learned of it goes, whichever of its fields tells.
-func TestServerThatStartsAgainIsAnother(t *testing.T) {
+	r.Reset(testStart, testEntries("a", "b"), nil)
+	r.MarkReplaced("a")
+	r.MarkReplaced("unheard of")
+	expectListed(t, r, "b")
+	r.Change(testStart, testEntries("a"), nil, nil)
+	r.Reset(testStart, testEntries("a", "b", "c"), nil)
+	expectListed(t, r, "b c")
+	r.Change(testStart, nil, []string{"a"}, nil)
+	r.Change(testStart, testEntries("a"), nil, nil)
+	expectListed(t, r, "a b c")
+}
+
+// Guards against carrying counts and learned data over to a server that restarted under the same
+// id, whichever field of its entry shows the restart.
+func TestRestartedServerIsNewInstance(t *testing.T) {
 	first := Info{ID: "a", Addr: "127.0.0.1:1", Service: "s", Slots: 4, Born: 1000, Sequence: 7}
 	for name, c := range map[string]struct {
-		was, is Info
-		anew    bool
+		before, after Info
+		isNew         bool
 	}{
-		"a later entry":             {first, with(first, func(i *Info) { i.Sequence, i.Leaving = 8, true }), false},
-		"born later":                {first, with(first, func(i *Info) { i.Born, i.Sequence = 2000, 9 }), true},
-		"counts anew, says no date": {with(first, func(i *Info) { i.Born = 0 }), with(first, func(i *Info) { i.Born, i.Sequence = 0, 1 }), true},
-		"elsewhere, says no date":   {with(first, func(i *Info) { i.Born = 0 }), with(first, func(i *Info) { i.Born, i.Sequence, i.Addr = 0, 9, "127.0.0.1:2" }), true},
-		"begins to say its date":    {with(first, func(i *Info) { i.Born = 0 }), with(first, func(i *Info) { i.Sequence = 8 }), false},
+		"later entry":                   {first, modified(first, func(i *Info) { i.Sequence, i.Leaving = 8, true }), false},
+		"later start time":              {first, modified(first, func(i *Info) { i.Born, i.Sequence = 2000, 9 }), true},
+		"lower sequence, no start time": {modified(first, func(i *Info) { i.Born = 0 }), modified(first, func(i *Info) { i.Born, i.Sequence = 0, 1 }), true},
+		"other address, no start time":  {modified(first, func(i *Info) { i.Born = 0 }), modified(first, func(i *Info) { i.Born, i.Sequence, i.Addr = 0, 9, "127.0.0.1:2" }), true},
+		"start time appears":            {modified(first, func(i *Info) { i.Born = 0 }), modified(first, func(i *Info) { i.Sequence = 8 }), false},
 	} {
 		r := NewRegistry()
-		gone := ""
-		r.Gone = func(id string) { gone += id }
-		r.Reset(start, []Info{c.was}, nil)
+		removed := ""
+		r.Gone = func(id string) { removed += id }
+		r.Reset(testStart, []Info{c.before}, nil)
 		before := r.Server("a")
-		stay := before.Load.Enter(3, policy.PrefillPlan{})
-		r.Change(start.Add(time.Second), []Info{c.is}, nil, nil)
+		inFlight := before.Load.Track(3, policy.PrefillPlan{})
+		r.Change(testStart.Add(time.Second), []Info{c.after}, nil, nil)
 		after := r.Server("a")
-		if anew := after != before; anew != c.anew || anew != (gone == "a") {
-			t.Errorf("%s: another server %v, forgotten %q", name, anew, gone)
+		if isNew := after != before; isNew != c.isNew || isNew != (removed == "a") {
+			t.Errorf("%s: new server %v, removed %q", name, isNew, removed)
 		}
-		counts := after.Load.Counts(start.Add(time.Second))
-		if left := counts.Pending[3].Requests; (left == 0) != c.anew {
-			t.Errorf("%s: %d requests counted", name, left)
+		counts := after.Load.Counts(testStart.Add(time.Second))
+		if left := counts.Pending[3].Requests; (left == 0) != c.isNew {
+			t.Errorf("%s: %d pending requests", name, left)
 		}
-		// What still runs at the start before ends there.
-		stay.Leave()
-		if *after.Info() != c.is {
+		// Requests still running at the earlier instance finish on its own Load.
+		inFlight.Finish()
+		if *after.Info() != c.after {
 			t.Errorf("%s: %+v", name, after.Info())
 		}
 	}
 }
 
-// News of an earlier start that comes late changes nothing.
-func TestOldNewsOfAStartBefore(t *testing.T) {
+// Guards against a late entry of an earlier instance overwriting the current one.
+func TestEntryOfEarlierInstanceIsIgnored(t *testing.T) {
 	r := NewRegistry()
-	is := Info{ID: "a", Addr: "127.0.0.1:1", Service: "s", Born: 2000, Sequence: 1}
-	r.Reset(start, []Info{is}, nil)
-	r.Change(start, []Info{with(is, func(i *Info) { i.Born, i.Sequence, i.Leaving = 1000, 9, true })}, nil, nil)
-	if got := *r.Server("a").Info(); got != is {
+	current := Info{ID: "a", Addr: "127.0.0.1:1", Service: "s", Born: 2000, Sequence: 1}
+	r.Reset(testStart, []Info{current}, nil)
+	r.Change(testStart, []Info{modified(current, func(i *Info) { i.Born, i.Sequence, i.Leaving = 1000, 9, true })}, nil, nil)
+	if got := *r.Server("a").Info(); got != current {
 		t.Errorf("%+v", got)
 	}
 }
 
-// A replaced server that starts again under its id is used again.
-func TestReplacedServerStartsAgain(t *testing.T) {
+// Guards against excluding a replaced server after it has restarted under the same id.
+func TestReplacedServerReturnsAfterRestart(t *testing.T) {
 	r := NewRegistry()
-	was := Info{ID: "a", Addr: "127.0.0.1:1", Service: "s", Born: 1000, Sequence: 7}
-	r.Reset(start, []Info{was}, nil)
-	r.Replaced("a")
-	r.Change(start, []Info{with(was, func(i *Info) { i.Born, i.Sequence = 2000, 1 })}, nil, nil)
+	before := Info{ID: "a", Addr: "127.0.0.1:1", Service: "s", Born: 1000, Sequence: 7}
+	r.Reset(testStart, []Info{before}, nil)
+	r.MarkReplaced("a")
+	r.Change(testStart, []Info{modified(before, func(i *Info) { i.Born, i.Sequence = 2000, 1 })}, nil, nil)
 	if got := len(r.Servers("s")); got != 1 {
 		t.Errorf("%d servers", got)
 	}
 }
 
-func TestUnreadableEntriesNameNoServer(t *testing.T) {
+func TestUnreadableEntriesRemoveServers(t *testing.T) {
 	r := NewRegistry()
-	r.Reset(start, infos("a", "b", "c"), nil)
-	r.Change(start.Add(time.Second), nil, nil, []string{"b", "unheard of"})
+	r.Reset(testStart, testEntries("a", "b", "c"), nil)
+	r.Change(testStart.Add(time.Second), nil, nil, []string{"b", "unheard of"})
 	if got := r.Usable(); got != 2 || r.Server("b") != nil {
 		t.Errorf("%d servers are usable after one entry of three became unreadable", got)
 	}
-	r.Reset(start.Add(2*time.Second), infos("a"), []string{"c"})
+	r.Reset(testStart.Add(2*time.Second), testEntries("a"), []string{"c"})
 	if got := r.Usable(); got != 1 || r.Server("a") == nil {
 		t.Errorf("%d servers are usable, one of two entries is readable", got)
 	}
-	r.Change(start.Add(3*time.Second), infos("b"), nil, nil)
+	r.Change(testStart.Add(3*time.Second), testEntries("b"), nil, nil)
 	if r.Server("b") == nil {
-		t.Error("an entry that is readable again names no server")
+		t.Error("the server of an entry that is readable again is not listed")
 	}
 }
 
-func with(i Info, change func(*Info)) Info {
+func modified(i Info, change func(*Info)) Info {
 	change(&i)
 	return i
 }
 
-// atAddr is an entry of a start at an address.
-func atAddr(id, addr string, born int64) Info {
-	return Info{ID: id, Addr: addr, Service: "s", Born: born}
+// entryAt returns the entry of an instance at an address.
+func entryAt(id, addr string, startMillis int64) Info {
+	return Info{ID: id, Addr: addr, Service: "s", Born: startMillis}
 }
 
-// Servers that crash start again at their addresses long before their entries
-// lapse: each gateway would send a request to each of them to find out.
-func TestAddressBelongsToItsNewestStart(t *testing.T) {
+// Guards against sending requests to crashed servers: they restart at their addresses long before
+// their old entries expire, and each gateway would send one request to each old entry to find out.
+func TestNewestInstanceOwnsAddress(t *testing.T) {
 	r := NewRegistry()
-	r.Reset(start, []Info{atAddr("a", "10.0.0.1:1", 1000), atAddr("b", "10.0.0.2:1", 1000)}, nil)
-	r.Change(start, []Info{atAddr("c", "10.0.0.1:1", 2000)}, nil, nil)
-	expect(t, r, "b c")
+	r.Reset(testStart, []Info{entryAt("a", "10.0.0.1:1", 1000), entryAt("b", "10.0.0.2:1", 1000)}, nil)
+	r.Change(testStart, []Info{entryAt("c", "10.0.0.1:1", 2000)}, nil, nil)
+	expectListed(t, r, "b c")
 	if r.Server("a") == nil {
-		t.Error("the start before is forgotten, though it is still listed")
+		t.Error("the earlier instance is removed, though it is still listed")
 	}
-	// Entries in any order, all at once.
+	// All entries at once, the newest first.
 	r = NewRegistry()
-	r.Reset(start, []Info{atAddr("c", "10.0.0.1:1", 2000), atAddr("a", "10.0.0.1:1", 1000)}, nil)
-	expect(t, r, "c")
-	// The address may go to another service.
-	other := atAddr("d", "10.0.0.1:1", 3000)
+	r.Reset(testStart, []Info{entryAt("c", "10.0.0.1:1", 2000), entryAt("a", "10.0.0.1:1", 1000)}, nil)
+	expectListed(t, r, "c")
+	// The address may move to another service.
+	other := entryAt("d", "10.0.0.1:1", 3000)
 	other.Service = "other"
-	r.Change(start, []Info{other}, nil, nil)
-	expect(t, r, "")
-	// Whose start isn't told takes nobody's address, and loses its own to nobody.
-	r.Change(start, []Info{atAddr("e", "10.0.0.2:1", 0), atAddr("f", "10.0.0.2:1", 4000)}, nil, nil)
-	expect(t, r, "e f")
+	r.Change(testStart, []Info{other}, nil, nil)
+	expectListed(t, r, "")
+	// An instance without a start time takes over no address and loses its own to none.
+	r.Change(testStart, []Info{entryAt("e", "10.0.0.2:1", 0), entryAt("f", "10.0.0.2:1", 4000)}, nil, nil)
+	expectListed(t, r, "e f")
 }
 
-// An entry that claims another server's address, and isn't met there, doesn't
-// keep that one out.
-func TestFalseClaimOfAnAddress(t *testing.T) {
+// Guards against an entry with a wrong address shutting out the server at that address once no such
+// instance is found there.
+func TestFalseAddressClaim(t *testing.T) {
 	r := NewRegistry()
-	r.Reset(start, []Info{atAddr("a", "10.0.0.1:1", 1000)}, nil)
-	r.Change(start, []Info{atAddr("false", "10.0.0.1:1", 2000)}, nil, nil)
-	expect(t, r, "false")
-	r.Replaced("false")
-	expect(t, r, "a")
+	r.Reset(testStart, []Info{entryAt("a", "10.0.0.1:1", 1000)}, nil)
+	r.Change(testStart, []Info{entryAt("false", "10.0.0.1:1", 2000)}, nil, nil)
+	expectListed(t, r, "false")
+	r.MarkReplaced("false")
+	expectListed(t, r, "a")
 }
--- a/internal/gateway/backend/server.go
+++ b/internal/gateway/backend/server.go
@@ -8,42 +8,44 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// Info is what the list of backend servers says of one start of a server.
+// Info is the list entry of one instance of a backend server. An instance is one run of the server
+// process; a restart makes a new one. Gateways exchange it as CBOR under its field names.
 type Info struct {
-	// ID identifies the server. A later start may have the same one.
+	// ID identifies the server. A restarted server may keep it.
 	ID string
-	// Born is the Unix millisecond of the start, 0 where servers don't say, and
-	// Sequence counts its entries from then on.
-	Born     int64
+	// StartUnixMilli is the time of the instance's start in Unix milliseconds, 0 if the server does
+	// not report it. Sequence is the number of the entry among those that the instance wrote.
+	Born     int64 `cbor:"Born"`
 	Sequence int64
 	Addr     string
 	Service  string
 	Zone     string
-	// Slots is how many requests it runs at once.
+	// Slots is how many requests the server runs concurrently.
 	Slots int
-	// Leaving servers take no new work.
-	Leaving bool
-	// WarmupLeft is how much longer it is slow after its start, as of when the
+	// Draining servers take no new requests.
+	Leaving bool `cbor:"Leaving"`
+	// WarmupLeft is how much longer the server will be slow after its start, at the time when the
 	// list was read.
 	WarmupLeft time.Duration
 }
 
-// Start identifies the start, also where a later one has the same id.
-func (i *Info) Start() policy.Key {
-	const spread = 0x9e3779b97f4a7c15
-	return policy.KeyOf(i.ID) ^ policy.Key(uint64(i.Born)*spread>>32)
+// InstanceKey returns a key that identifies the instance, even if a later one has the same ID.
+func (i *Info) InstanceKey() policy.Key {
+	const mixer = 0x9e3779b97f4a7c15
+	return policy.KeyOf(i.ID) ^ policy.Key(uint64(i.Born)*mixer>>32)
 }
 
-// sameStart reports whether a later entry under the same id is of the same start:
-// one that begins to count anew isn't, whether it says when it began or not.
-func (i *Info) sameStart(later *Info) bool {
+// sameInstance reports whether a later entry under the same ID belongs to the same instance. An
+// entry with another start time does not; where start times are missing, neither does one with a
+// lower sequence number or another address.
+func (i *Info) sameInstance(later *Info) bool {
 	if i.Born != 0 && later.Born != 0 {
 		return i.Born == later.Born
 	}
 	return later.Sequence >= i.Sequence && i.Addr == later.Addr
 }
 
-// olderThan reports whether an entry was written before another one under the same id.
+// olderThan reports whether an entry was written before another one under the same ID.
 func (i *Info) olderThan(other *Info) bool {
 	if i.Born != other.Born {
 		return i.Born < other.Born
@@ -51,30 +53,30 @@
 	return i.Sequence < other.Sequence
 }
 
-// Server is one start of a backend server and what this process has there. Info is
-// replaced as the list changes; the counts last as long as the start is listed.
+// Server is one instance of a backend server and the load that this process has there. Its Info is
+// replaced as the list changes; its Load lasts as long as the instance is listed.
 type Server struct {
 	info atomic.Pointer[Info]
-	// replaced says that another start was met at its address. The Registry's
-	// lock guards it.
+	// replaced is set when another instance answered at the server's address. The Registry's lock
+	// guards it.
 	replaced bool
-	// ended says that nothing listens at its address any more.
+	// ended is set when nothing listens at the server's address any more.
 	ended atomic.Bool
-	// Load is what this process has there.
+	// Load tracks this process's requests at the server.
 	Load Load
 }
 
-// Info is what the list says of the server. It is not to be changed.
+// Info returns the server's current list entry. The caller must not modify it.
 func (s *Server) Info() *Info { return s.info.Load() }
 
-// Peer is the server as connections know it.
+// Peer returns the identity of the server for the connection pool.
 func (s *Server) Peer() exchange.Peer {
 	info := s.Info()
 	return exchange.Peer{Addr: info.Addr, Instance: info.ID, Born: info.Born}
 }
 
-// Ended notes that the start has ended; it reports whether that is news.
-func (s *Server) Ended() bool { return s.ended.CompareAndSwap(false, true) }
+// MarkEnded records that the instance has ended. It reports whether this was the first call.
+func (s *Server) MarkEnded() bool { return s.ended.CompareAndSwap(false, true) }
 
-// HasEnded reports whether the start is known to have ended.
+// HasEnded reports whether the instance is known to have ended.
 func (s *Server) HasEnded() bool { return s.ended.Load() }
--- a/internal/gateway/backend/tombstones.go
+++ b/internal/gateway/backend/tombstones.go
@@ -3,43 +3,44 @@
 import "time"
 
 const (
-	// tombstoneLife is for how long the last entry of a server that is gone is kept: a copy from
-	// which the store comes back is seconds old.
-	tombstoneLife = time.Minute
-	// maxTombstones bounds the entries: each server replaced a few times within that minute.
+	// tombstoneTTL is how long the last entry of a removed server is kept. A copy from which the
+	// store is restored is only seconds old.
+	tombstoneTTL = time.Minute
+	// maxTombstones leaves room for each server to be replaced a few times within tombstoneTTL.
 	maxTombstones = 4096
 )
 
-// tombstones hold the last entries of servers that are gone, by id, so that an older copy of
-// the list doesn't bring them back.
+// tombstones holds the last entries of removed servers by id, so that a store restored from an
+// older copy does not bring them back.
 type tombstones map[string]tombstone
 
 type tombstone struct {
-	info Info
-	at   time.Time
+	info      Info
+	removedAt time.Time
 }
 
-// add keeps an entry.
-func (p tombstones) add(now time.Time, info *Info) {
-	if len(p) >= maxTombstones {
-		p.expire(now)
+// add records the last entry of a removed server. It does nothing if there are maxTombstones that
+// have not expired.
+func (ts tombstones) add(now time.Time, info *Info) {
+	if len(ts) >= maxTombstones {
+		ts.expire(now)
 	}
-	if len(p) < maxTombstones {
-		p[info.ID] = tombstone{info: *info, at: now}
+	if len(ts) < maxTombstones {
+		ts[info.ID] = tombstone{info: *info, removedAt: now}
 	}
 }
 
-// expire drops what was kept for long enough.
-func (p tombstones) expire(now time.Time) {
-	for id, e := range p {
-		if now.Sub(e.at) > tombstoneLife {
-			delete(p, id)
+// expire deletes the tombstones older than tombstoneTTL.
+func (ts tombstones) expire(now time.Time) {
+	for id, t := range ts {
+		if now.Sub(t.removedAt) > tombstoneTTL {
+			delete(ts, id)
 		}
 	}
 }
 
-// has reports whether a server was gone after it wrote an entry.
-func (p tombstones) has(now time.Time, info *Info) bool {
-	e, ok := p[info.ID]
-	return ok && now.Sub(e.at) <= tombstoneLife && !e.info.olderThan(info)
+// supersedes reports whether the server was removed with an entry at least as new as info.
+func (ts tombstones) supersedes(now time.Time, info *Info) bool {
+	t, ok := ts[info.ID]
+	return ok && now.Sub(t.removedAt) <= tombstoneTTL && !t.info.olderThan(info)
 }
--- a/internal/gateway/router/attempt.go
+++ b/internal/gateway/router/attempt.go
@@ -16,101 +16,101 @@
 )
 
 // verdict is what came of one attempt.
-type verdict int
+type attemptResult int
 
 const (
 	// done: the request has had its final answer, or its caller has left.
-	done verdict = iota
+	resultFinal attemptResult = iota
 	// notSent: the server wasn't reached.
-	notSent
+	resultNotSent
 	// notRun: the server said that it didn't run the request.
-	notRun
+	resultNotRun
 	// unclear: the request may have run.
-	unclear
+	resultUnknown
 	// failed: the server ran the request and failed; the failure is kept.
-	failed
+	resultServerFailed
 	// cutOff: the caller has a part of an answer that can't be completed.
-	cutOff
+	resultTruncated
 )
 
 // attempt sends the request to a server and passes on what comes.
-func (c *call) attempt(ctx context.Context, server *backend.Server, choice policy.Choice) verdict {
+func (c *call) attempt(ctx context.Context, server *backend.Server, choice policy.Choice) attemptResult {
 	info := server.Info()
-	c.tried = append(c.tried, info.ID)
-	left := time.Until(c.end)
-	if left <= 0 {
-		return unclear
+	c.triedServers = append(c.triedServers, info.ID)
+	remaining := time.Until(c.deadline)
+	if remaining <= 0 {
+		return resultUnknown
 	}
-	stay := &visit{Stay: server.Load.Enter(c.urgency, c.router.plan(c, choice)), call: c, ahead: choice.Ahead, sent: time.Now()}
-	defer stay.Leave()
-	defer c.watchRun(info.ID)()
-	answer, err := c.router.Pool.Do(ctx, server.Peer(), c.request(info, left))
+	tracked := &trackedRequest{InFlight: server.Load.Track(c.urgency, c.router.planPrefill(c, choice)), call: c, tokensAhead: choice.Ahead, sentAt: time.Now()}
+	defer tracked.Finish()
+	defer c.trackSuspectRun(info.ID)()
+	response, err := c.router.Pool.Do(ctx, server.Peer(), c.buildRequest(info, remaining))
 	if errors.Is(err, exchange.ErrNotSent) {
 		if ctx.Err() == nil {
-			c.noteUnreached(info.ID)
-			c.router.unreachable(info.ID)
+			c.recordUnreachable(info.ID)
+			c.router.recordUnreachable(info.ID)
 		}
-		return notSent
+		return resultNotSent
 	}
 	c.sends++
 	if err != nil {
-		c.serverEnded = errors.Is(err, exchange.ErrBroken) && c.hasEnded(server)
-		c.judge(server)
-		return c.broken(ctx, info.ID)
+		c.serverEnded = errors.Is(err, exchange.ErrBroken) && c.serverHasEnded(server)
+		c.recordCrashEvidence(server)
+		return c.handleSendError(ctx, info.ID)
 	}
-	defer answer.Abandon()
-	reply := c.router.Dialect.Reply(answer.Status, answer.Header)
-	c.learnLimit(server, stay.sent, reply)
-	v := c.take(ctx, answer, reply, stay)
-	c.serverEnded = answer.Broken() && c.hasEnded(server)
-	c.judge(server)
-	c.router.observe(info.ID, c.outcome(ctx, v))
-	return v
+	defer response.Abandon()
+	reply := c.router.Dialect.Reply(response.Status, response.Header)
+	c.updateServerLimit(server, tracked.sentAt, reply)
+	result := c.handleResponse(ctx, response, reply, tracked)
+	c.serverEnded = response.Broken() && c.serverHasEnded(server)
+	c.recordCrashEvidence(server)
+	c.router.observeOutcome(info.ID, c.policyOutcome(ctx, result))
+	return result
 }
 
 // broken judges an attempt whose answer ended in an error.
-func (c *call) broken(ctx context.Context, server string) verdict {
+func (c *call) handleSendError(ctx context.Context, server string) attemptResult {
 	c.mayHaveRun = true
-	if c.callerLeft() {
-		return done
+	if c.checkCallerLeft() {
+		return resultFinal
 	}
 	if ctx.Err() == nil {
-		c.router.unanswered(server)
+		c.router.recordUnanswered(server)
 	}
-	return unclear
+	return resultUnknown
 }
 
 // take reads an answer and passes it on if it is to be the final one.
-func (c *call) take(ctx context.Context, answer *exchange.Answer, reply protocol.Reply, stay *visit) verdict {
+func (c *call) handleResponse(ctx context.Context, response *exchange.Answer, reply protocol.Reply, tracked *trackedRequest) attemptResult {
 	switch {
 	case reply.NotRun:
-		if reply.OtherServer && c.router.Registry.Replaced(c.server) {
-			c.router.Observer.Replaced(c.server)
+		if reply.OtherServer && c.router.Registry.MarkReplaced(c.serverID) {
+			c.router.Observer.Replaced(c.serverID)
 		}
 		// The body is read so that the connection can be kept.
-		_, _ = readLimited(answer, maxRefusal)
-		return notRun
-	case reply.Encoded, isSuccess(answer.Status) && !reply.Signed:
+		_, _ = readLimited(response, maxRejectionBody)
+		return resultNotRun
+	case reply.Encoded, isSuccess(response.Status) && !reply.Signed:
 		c.mayHaveRun = true
-		return unclear
-	case isSuccess(answer.Status) && c.route.Kind == routes.KindStream:
+		return resultUnknown
+	case isSuccess(response.Status) && c.route.Kind == routes.KindStream:
 		c.mayHaveRun = true
-		return c.relay(ctx, answer, stay)
+		return c.relayEvents(ctx, response, tracked)
 	default:
 		c.mayHaveRun = true
-		return c.passOn(ctx, answer, stay)
+		return c.forwardBuffered(ctx, response, tracked)
 	}
 }
 
 // request is the request as it goes to a server.
-func (c *call) request(info *backend.Info, left time.Duration) *exchange.Request {
-	send := protocol.Send{Instance: info.ID, Customer: c.customer, Urgency: c.urgency, Left: left, After: c.ask.After, FetchFrom: c.fetchFrom}
-	if c.stream.numbered {
-		send.After = strconv.FormatInt(c.stream.last, 10)
+func (c *call) buildRequest(info *backend.Info, remaining time.Duration) *exchange.Request {
+	send := protocol.Send{Instance: info.ID, Customer: c.customer, Urgency: c.urgency, Left: remaining, After: c.params.After, FetchFrom: c.fetchFrom}
+	if c.stream.hasLastID {
+		send.After = strconv.FormatInt(c.stream.lastID, 10)
 	}
-	young := time.Hour
+	maxIdle := time.Hour
 	if !c.route.Idempotent() {
-		young = youngest
+		maxIdle = maxIdleForUnsafe
 	}
 	return &exchange.Request{
 		Method: c.req.Method,
@@ -118,17 +118,17 @@
 		Host:   c.req.Host,
 		Header: c.router.Dialect.Request(c.req.Header, send),
 		Body:   c.body,
-		Young:  young,
-		Mine:   func(h http.Header) bool { return c.router.Dialect.Reply(0, h).ID == c.ask.ID },
+		Young:  maxIdle,
+		Mine:   func(h http.Header) bool { return c.router.Dialect.Reply(0, h).ID == c.params.ID },
 	}
 }
 
 // outcome is what an attempt's end says of its server.
-func (c *call) outcome(ctx context.Context, v verdict) policy.Outcome {
+func (c *call) policyOutcome(ctx context.Context, result attemptResult) policy.Outcome {
 	switch {
 	case c.served:
 		return policy.OutcomeWhole
-	case v == notRun, ctx.Err() != nil:
+	case result == resultNotRun, ctx.Err() != nil:
 		return policy.OutcomeCancelled
 	default:
 		return policy.OutcomeFailed
--- a/internal/gateway/router/call_test.go
+++ b/internal/gateway/router/call_test.go
@@ -11,13 +11,13 @@
 
 // A caller may claim any lengths: no part ends beyond the prompt, so that nothing
 // is counted as less than nothing to read.
-func TestSharedPartsEndWithinThePrompt(t *testing.T) {
+func TestSharedPartsClampedToPrompt(t *testing.T) {
 	parts := []protocol.Part{{ID: 1, Tokens: 500}, {ID: 2, Tokens: math.MaxInt - 600}, {ID: 3, Tokens: math.MaxInt}, {ID: 4, Tokens: 10}}
 	want := []policy.Part{{ID: 1, Upto: 500}, {ID: 2, Upto: 2000}, {ID: 3, Upto: 2000}}
-	if got := shared(parts, 2000); !reflect.DeepEqual(got, want) {
+	if got := clampSharedParts(parts, 2000); !reflect.DeepEqual(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
-	if got := shared(parts[:1], 2000); got != nil {
+	if got := clampSharedParts(parts[:1], 2000); got != nil {
 		t.Errorf("a prompt of its own shares %v", got)
 	}
 }
--- a/internal/gateway/router/config.go
+++ b/internal/gateway/router/config.go
@@ -34,7 +34,7 @@
 	Registry *backend.Registry
 	Pool     *exchange.Pool
 	// Others tells what other gateways have at a server.
-	Others Others
+	Others Peers
 	// Gateways counts the gateways that share the retry budget and servers' limits.
 	Gateways func() int
 	Chooser  *policy.Chooser
@@ -46,7 +46,7 @@
 }
 
 // Others tells what other gateways have at a backend server.
-type Others interface {
+type Peers interface {
 	At(server string) backend.Counts
 	// Shortage is what they were short of lately at a service's servers.
 	Shortage(service string) policy.Shortage
@@ -114,9 +114,9 @@
 	ProofAge time.Duration
 	// Target is the route's latency target, First how long the first byte of
 	// the answer took, and Took how long all of it did.
-	Target time.Duration
-	First  time.Duration
-	Took   time.Duration
+	LatencyTarget time.Duration
+	First         time.Duration
+	Took          time.Duration
 	// PauseTarget is the longest pause between events that the route allows,
 	// and Pause the longest that there was.
 	PauseTarget time.Duration
@@ -127,7 +127,7 @@
 
 // Late reports whether a target of the route was missed.
 func (e *End) Late() bool {
-	return e.Target > 0 && e.First > e.Target || e.PauseTarget > 0 && e.Pause > e.PauseTarget
+	return e.LatencyTarget > 0 && e.First > e.LatencyTarget || e.PauseTarget > 0 && e.Pause > e.PauseTarget
 }
 
 // Reason is why a request ended as it did.
@@ -135,28 +135,28 @@
 
 // Reasons.
 const (
-	ReasonServed         Reason = "served"
-	ReasonPassedOn       Reason = "backend_failure"
-	ReasonCallerLeft     Reason = "caller_left"
-	ReasonNoState        Reason = "no_desired_state"
-	ReasonNotFresh       Reason = "state_not_proved_fresh"
-	ReasonNoRoute        Reason = "no_route"
-	ReasonNoKey          Reason = "unknown_key"
-	ReasonNoID           Reason = "no_request_id"
-	ReasonTooLarge       Reason = "body_too_large"
-	ReasonHeaderTooLarge Reason = "header_too_large"
-	ReasonMemory         Reason = "too_much_held"
-	ReasonBodyCut        Reason = "body_not_read"
-	ReasonBodyLate       Reason = "body_late"
-	ReasonNoServer       Reason = "no_server"
-	ReasonUnreachable    Reason = "servers_unreachable"
-	ReasonNotRun         Reason = "servers_refused"
-	ReasonUnknown        Reason = "outcome_unknown"
-	ReasonTimeUp         Reason = "time_up"
-	ReasonNotStarted     Reason = "time_up_not_sent"
-	ReasonStreamBroken   Reason = "stream_broken"
-	ReasonCrowded        Reason = "no_room_in_time"
-	ReasonNoSlot         Reason = "no_slot_free"
-	ReasonLimits         Reason = "server_limits"
-	ReasonQuarantined    Reason = "crashes_servers"
+	ReasonServed             Reason = "served"
+	ReasonServerFailure      Reason = "backend_failure"
+	ReasonCallerLeft         Reason = "caller_left"
+	ReasonNoState            Reason = "no_desired_state"
+	ReasonStateNotFresh      Reason = "state_not_proved_fresh"
+	ReasonNoRoute            Reason = "no_route"
+	ReasonNoKey              Reason = "unknown_key"
+	ReasonNoID               Reason = "no_request_id"
+	ReasonTooLarge           Reason = "body_too_large"
+	ReasonHeaderTooLarge     Reason = "header_too_large"
+	ReasonMemoryLimit        Reason = "too_much_held"
+	ReasonBodyIncomplete     Reason = "body_not_read"
+	ReasonBodyTimeout        Reason = "body_late"
+	ReasonNoServer           Reason = "no_server"
+	ReasonServersUnreachable Reason = "servers_unreachable"
+	ReasonServersRefused     Reason = "servers_refused"
+	ReasonUnknown            Reason = "outcome_unknown"
+	ReasonTimeUp             Reason = "time_up"
+	ReasonTimeoutNotSent     Reason = "time_up_not_sent"
+	ReasonStreamBroken       Reason = "stream_broken"
+	ReasonCrowded            Reason = "no_room_in_time"
+	ReasonNoFreeSlot         Reason = "no_slot_free"
+	ReasonServerLimits       Reason = "server_limits"
+	ReasonQuarantined        Reason = "crashes_servers"
 )
--- a/internal/gateway/router/config_test.go
+++ b/internal/gateway/router/config_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-func TestLateByEitherTarget(t *testing.T) {
-	const target, pause = 500 * time.Millisecond, 200 * time.Millisecond
+func TestLateForEitherTarget(t *testing.T) {
+	const target, pauseTarget = 500 * time.Millisecond, 200 * time.Millisecond
 	cases := map[string]struct {
 		end  End
 		late bool
 	}{
-		"in time":         {End{Target: target, First: target, PauseTarget: pause, Pause: pause}, false},
-		"late first":      {End{Target: target, First: target + 1, PauseTarget: pause}, true},
-		"long pause":      {End{Target: target, First: 1, PauseTarget: pause, Pause: pause + 1}, true},
+		"in time":         {End{LatencyTarget: target, First: target, PauseTarget: pauseTarget, Pause: pauseTarget}, false},
+		"late first":      {End{LatencyTarget: target, First: target + 1, PauseTarget: pauseTarget}, true},
+		"long pause":      {End{LatencyTarget: target, First: 1, PauseTarget: pauseTarget, Pause: pauseTarget + 1}, true},
 		"without targets": {End{First: time.Hour, Pause: time.Hour}, false},
 	}
 	for name, c := range cases {
--- a/internal/gateway/router/events.go
+++ b/internal/gateway/router/event_splitter.go
@@ -6,38 +6,38 @@
 )
 
 // maxEvent bounds one event in bytes; a longer one is no event of a model.
-const maxEvent = 256 << 10
+const maxEventBytes = 256 << 10
 
 // events cuts a stream of server-sent events into whole events, so that what a
 // caller got always ends between two of them.
-type events struct {
+type eventSplitter struct {
 	pending []byte
 }
 
 // add takes bytes as they came and returns the whole events among them. The
 // result is valid until the next call.
-func (e *events) add(p []byte) []byte {
-	e.pending = append(e.pending, p...)
-	end := lastEnd(e.pending)
-	return e.pending[:end]
+func (s *eventSplitter) add(p []byte) []byte {
+	s.pending = append(s.pending, p...)
+	end := lastEventEnd(s.pending)
+	return s.pending[:end]
 }
 
 // taken drops n bytes that have been passed on.
-func (e *events) taken(n int) {
-	e.pending = e.pending[:copy(e.pending, e.pending[n:])]
+func (s *eventSplitter) consume(n int) {
+	s.pending = s.pending[:copy(s.pending, s.pending[n:])]
 }
 
 // rest counts the bytes of an event that isn't whole yet.
-func (e *events) rest() int { return len(e.pending) }
+func (s *eventSplitter) pendingBytes() int { return len(s.pending) }
 
 // lastEnd is the end of the last whole event: after an empty line.
-func lastEnd(p []byte) int {
+func lastEventEnd(p []byte) int {
 	end := 0
-	if at := bytes.LastIndex(p, []byte("\n\n")); at >= 0 {
-		end = at + 2
+	if index := bytes.LastIndex(p, []byte("\n\n")); index >= 0 {
+		end = index + 2
 	}
-	if at := bytes.LastIndex(p, []byte("\r\n\r\n")); at >= 0 {
-		end = max(end, at+4)
+	if index := bytes.LastIndex(p, []byte("\r\n\r\n")); index >= 0 {
+		end = max(end, index+4)
 	}
 	return end
 }
@@ -45,11 +45,11 @@
 // nextEvent cuts the first whole event off.
 func nextEvent(p []byte) (event, rest []byte) {
 	end := len(p)
-	if at := bytes.Index(p, []byte("\n\n")); at >= 0 {
-		end = at + 2
+	if index := bytes.Index(p, []byte("\n\n")); index >= 0 {
+		end = index + 2
 	}
-	if at := bytes.Index(p, []byte("\r\n\r\n")); at >= 0 {
-		end = min(end, at+4)
+	if index := bytes.Index(p, []byte("\r\n\r\n")); index >= 0 {
+		end = min(end, index+4)
 	}
 	return p[:end], p[end:]
 }
--- a/internal/gateway/router/shared.go
+++ b/internal/gateway/router/policy_state.go
@@ -8,7 +8,7 @@
 )
 
 // loads are the servers as the policy sees them.
-func (r *Router) loads(servers []*backend.Server, conns int) []policy.Server {
+func (r *Router) serverLoads(servers []*backend.Server, maxConns int) []policy.Server {
 	loads := make([]policy.Server, len(servers))
 	now := time.Now()
 	for i, s := range servers {
@@ -17,7 +17,7 @@
 		own := s.Load.Counts(now)
 		counts.Add(&own, 1)
 		loads[i] = policy.Server{
-			Name: info.ID, Start: info.Start(), Zone: info.Zone, Slots: info.Slots, Conns: conns,
+			Name: info.ID, Start: info.InstanceKey(), Zone: info.Zone, Slots: info.Slots, Conns: maxConns,
 			Leaving: info.Leaving, Warming: info.WarmupLeft > 0,
 			Running: counts.Running, Pending: counts.Pending,
 		}
@@ -27,13 +27,13 @@
 
 // meanTokens is the prompt length by which a request is admitted that has just come: about the
 // mean of its route's. The request counts for those that come after it.
-func (r *Router) meanTokens(service, route string, tokens int) float64 {
+func (r *Router) observePromptSize(service, route string, tokens int) float64 {
 	if tokens == 0 {
 		return 0
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	sizes := &r.service(service).sizes
+	sizes := &r.serviceFor(service).promptSizes
 	mean := sizes.Mean(route, tokens)
 	sizes.Observe(route, tokens)
 	return mean
@@ -41,44 +41,44 @@
 
 // plan is when a server of a service is expected to read a prompt that goes
 // there now.
-func (r *Router) plan(c *call, choice policy.Choice) policy.PrefillPlan {
+func (r *Router) planPrefill(c *call, choice policy.Choice) policy.PrefillPlan {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s, now := r.service(c.service), time.Now()
-	s.sends.Sent(now, c.urgency, choice.Prefill)
-	r.Index.Sent(now, policy.KeyOf(c.server), c.shared)
-	return s.rates[c.urgency].Plan(now, choice.Prefill, choice.Ahead)
+	s, now := r.serviceFor(c.service), time.Now()
+	s.sendRate.Sent(now, c.urgency, choice.Prefill)
+	r.Index.Sent(now, policy.KeyOf(c.serverID), c.sharedParts)
+	return s.prefillRates[c.urgency].Plan(now, choice.Prefill, choice.Ahead)
 }
 
 // pick has the policy choose a server. First says that it is the request's first
 // choice: only that counts as offered; pause is the target for its pauses.
-func (r *Router) pick(service string, job policy.Job, pause time.Duration, loads []policy.Server, first bool) policy.Choice {
-	lacking := r.Others.Shortage(service)
-	now, others := time.Now(), float64(r.Others.Gateways()-1)
+func (r *Router) runChooser(service string, job policy.Job, pauseTarget time.Duration, loads []policy.Server, firstChoice bool) policy.Choice {
+	shortage := r.Others.Shortage(service)
+	now, otherGateways := time.Now(), float64(r.Others.Gateways()-1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	// Others have as many callers as this gateway, as far as it can know.
-	s := r.service(service)
-	requests, tokens := s.sends.Within(now, r.Others.Unseen(), job.Urgency)
+	s := r.serviceFor(service)
+	requests, tokens := s.sendRate.Within(now, r.Others.Unseen(), job.Urgency)
 	// News is half as old as it can be at the mean.
-	job.Unseen, job.UnseenTokens, job.NewsAge = others*requests, others*tokens/2, r.Others.Unseen()/2
-	job.UnseenOffers, job.OtherSenders = lacking.Within(r.Others.Unseen()), others
+	job.Unseen, job.UnseenTokens, job.NewsAge = otherGateways*requests, otherGateways*tokens/2, r.Others.Unseen()/2
+	job.UnseenOffers, job.OtherSenders = shortage.Within(r.Others.Unseen()), otherGateways
 	own := s.shortage.Counts(now)
-	lacking.Add(&own, 1)
-	r.allowances(now, loads)
+	shortage.Add(&own, 1)
+	r.setAllowances(now, loads)
 	for i := range loads {
 		server := policy.KeyOf(loads[i].Name)
-		loads[i].LatePause = s.pauses.Worse(now, server, job.Urgency, pause)
+		loads[i].LatePause = s.pauses.Worse(now, server, job.Urgency, pauseTarget)
 		loads[i].Unresponsive = r.unresponsive.LeftOut(now, server)
 	}
-	job.Headroom = s.yielding.Share(now, &lacking, policy.SlotsInUse(loads), job.Urgency)
+	job.Headroom = s.headroom.Share(now, &shortage, policy.SlotsInUse(loads), job.Urgency)
 	r.limits.Draw(now, r.Random, &job, loads)
-	choice := r.Chooser.Choose(now, job, loads, &s.rates[job.Urgency])
-	if first {
+	choice := r.Chooser.Choose(now, job, loads, &s.prefillRates[job.Urgency])
+	if firstChoice {
 		s.shortage.Offered(now, job.Urgency, choice.OnlySlots || choice.Limited)
 	}
-	if choice.Found && (choice.InTime || !first || job.Tokens == 0 && choice.Room) {
-		r.countLimited(now, &loads[choice.At])
+	if choice.Found && (choice.InTime || !firstChoice || job.Tokens == 0 && choice.Room) {
+		r.countLimitedSend(now, &loads[choice.At])
 	}
 	return choice
 }
@@ -97,49 +97,49 @@
 
 // observeFirst takes how long a first token took with so much to be read
 // before it; the server holds the prompt's parts from now on.
-func (r *Router) observeFirst(c *call, ahead float64, took time.Duration) {
+func (r *Router) observeFirstToken(c *call, tokensAhead float64, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	r.service(c.service).rates[c.urgency].Observe(now, ahead, took)
-	r.outbox.first(policy.FirstToken{Service: policy.KeyOf(c.service), Server: policy.KeyOf(c.server), Urgency: c.urgency, Ahead: ahead, Took: took})
-	r.Index.Read(now, policy.KeyOf(c.server), c.shared)
-	r.unresponsive.Answered(policy.KeyOf(c.server))
+	r.serviceFor(c.service).prefillRates[c.urgency].Observe(now, tokensAhead, took)
+	r.updates.addFirstToken(policy.FirstToken{Service: policy.KeyOf(c.service), Server: policy.KeyOf(c.serverID), Urgency: c.urgency, Ahead: tokensAhead, Took: took})
+	r.Index.Read(now, policy.KeyOf(c.serverID), c.sharedParts)
+	r.unresponsive.Answered(policy.KeyOf(c.serverID))
 }
 
 // observePause takes the longest pause of a stream that one server made whole.
 func (r *Router) observePause(c *call) {
-	if c.route.Pause == 0 || c.sends > 1 || c.stream.pauses < leastPauses {
+	if c.route.Pause == 0 || c.sends > 1 || c.stream.pauseCount < minPauses {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	pause := policy.Pause{
-		Service: policy.KeyOf(c.service), Server: policy.KeyOf(c.server), Urgency: c.urgency, Longest: c.stream.pause,
+		Service: policy.KeyOf(c.service), Server: policy.KeyOf(c.serverID), Urgency: c.urgency, Longest: c.stream.longestPause,
 	}
-	r.service(c.service).pauses.Observe(time.Now(), pause)
-	r.outbox.pause(pause)
+	r.serviceFor(c.service).pauses.Observe(time.Now(), pause)
+	r.updates.addPause(pause)
 }
 
 // Merge merges another gateway's updates.
-func (r *Router) Merge(news policy.News) {
+func (r *Router) Merge(updates policy.News) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	r.Index.Merge(now, news.Uses)
-	r.quarantine.Merge(now, news.Suspicions)
-	r.limits.Merge(news.Limits)
-	for _, f := range news.Firsts {
+	r.Index.Merge(now, updates.Uses)
+	r.quarantine.Merge(now, updates.Suspicions)
+	r.limits.Merge(updates.Limits)
+	for _, f := range updates.Firsts {
 		r.unresponsive.Answered(f.Server)
-		if s := r.known(f.Service); s != nil {
-			s.rates[f.Urgency].Observe(now, f.Ahead, f.Took)
+		if s := r.serviceByKey(f.Service); s != nil {
+			s.prefillRates[f.Urgency].Observe(now, f.Ahead, f.Took)
 		}
 	}
-	for _, server := range news.Unanswered {
+	for _, server := range updates.Unanswered {
 		r.unresponsive.Unanswered(now, server)
 	}
-	for _, p := range news.Pauses {
-		if s := r.known(p.Service); s != nil {
+	for _, p := range updates.Pauses {
+		if s := r.serviceByKey(p.Service); s != nil {
 			s.pauses.Observe(now, p)
 		}
 	}
@@ -147,7 +147,7 @@
 
 // known returns a service by its key; nil for one that hasn't been asked for
 // here.
-func (r *Router) known(key policy.Key) *service {
+func (r *Router) serviceByKey(key policy.Key) *serviceState {
 	for name, s := range r.services {
 		if policy.KeyOf(name) == key {
 			return s
@@ -160,42 +160,42 @@
 func (r *Router) News() policy.News {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	samples, now := r.outbox.take(), time.Now()
+	samples, now := r.updates.takeAll(), time.Now()
 	return policy.News{
-		Uses: r.Index.News(now), Firsts: samples.firsts, Pauses: samples.pauses, Unanswered: samples.unanswered,
+		Uses: r.Index.News(now), Firsts: samples.firstTokens, Pauses: samples.pauses, Unanswered: samples.unanswered,
 		Suspicions: r.quarantine.News(now), Limits: r.limits.News(now),
 	}
 }
 
 // unreachable notes that a server can't be connected to: it may have crashed, and
 // then holds nothing when it is back.
-func (r *Router) unreachable(server string) {
+func (r *Router) recordUnreachable(server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Ejector.Observe(time.Now(), server, policy.OutcomeFailed)
 	r.Index.Forget(policy.KeyOf(server))
-	r.noAnswer(server)
+	r.recordNoAnswer(server)
 }
 
 // unanswered notes that a server left a request without an answer.
-func (r *Router) unanswered(server string) {
+func (r *Router) recordUnanswered(server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Ejector.Observe(time.Now(), server, policy.OutcomeFailed)
-	r.noAnswer(server)
+	r.recordNoAnswer(server)
 }
 
 // noAnswer notes, here and for others, that a server didn't answer; r.mu is held.
-func (r *Router) noAnswer(server string) {
+func (r *Router) recordNoAnswer(server string) {
 	key := policy.KeyOf(server)
 	r.unresponsive.Unanswered(time.Now(), key)
-	r.outbox.noAnswer(key)
+	r.updates.addUnanswered(key)
 }
 
-func (r *Router) observe(server string, o policy.Outcome) {
+func (r *Router) observeOutcome(server string, outcome policy.Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Ejector.Observe(time.Now(), server, o)
+	r.Ejector.Observe(time.Now(), server, outcome)
 }
 
 // Forget drops what is known of a server that isn't listed any more.
@@ -213,11 +213,11 @@
 func (r *Router) countRequest(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.budget(service).Request(time.Now())
+	r.retryBudget(service).Request(time.Now())
 }
 
-func (r *Router) allowRepeat(service string) bool {
+func (r *Router) allowRetry(service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.budget(service).Allow(time.Now())
+	return r.retryBudget(service).Allow(time.Now())
 }
--- a/internal/gateway/router/shared_test.go
+++ b/internal/gateway/router/policy_state_test.go
@@ -11,52 +11,52 @@
 )
 
 // alone is a gateway that hears of no other.
-type alone struct{}
+type noPeers struct{}
 
-func (alone) At(string) backend.Counts        { return backend.Counts{} }
-func (alone) Shortage(string) policy.Shortage { return policy.Shortage{} }
-func (alone) LimitedSends(policy.Key) float64 { return 0 }
-func (alone) Gateways() int                   { return 1 }
-func (alone) Unseen() time.Duration           { return 100 * time.Millisecond }
+func (noPeers) At(string) backend.Counts        { return backend.Counts{} }
+func (noPeers) Shortage(string) policy.Shortage { return policy.Shortage{} }
+func (noPeers) LimitedSends(policy.Key) float64 { return 0 }
+func (noPeers) Gateways() int                   { return 1 }
+func (noPeers) Unseen() time.Duration           { return 100 * time.Millisecond }
 
 func newTestRouter() *Router {
 	ejector, index := policy.NewEjector(), policy.NewPrefixIndex()
 	return New(Config{
-		Holder: &routes.Holder{}, Others: alone{}, Gateways: func() int { return 1 }, Ejector: ejector, Index: index,
+		Holder: &routes.Holder{}, Others: noPeers{}, Gateways: func() int { return 1 }, Ejector: ejector, Index: index,
 		Chooser: policy.NewChooser(rand.New(rand.NewPCG(1, 2)), ejector, index),
 	}, Bounds{}, func() bool { return false })
 }
 
 // chosen counts where requests of a service go.
-func chosen(r *Router, pause time.Duration) map[string]int {
-	at := map[string]int{}
+func countChoices(r *Router, pauseTarget time.Duration) map[string]int {
+	counts := map[string]int{}
 	for range 60 {
 		loads := []policy.Server{{Name: "a", Slots: 8}, {Name: "b", Slots: 8}, {Name: "c", Slots: 8}}
 		job := policy.Job{Urgency: 3, Target: 250 * time.Millisecond, Tokens: 800}
-		if choice := r.pick("s", job, pause, loads, true); choice.InTime {
-			at[loads[choice.At].Name]++
+		if choice := r.runChooser("s", job, pauseTarget, loads, true); choice.InTime {
+			counts[loads[choice.At].Name]++
 		}
 	}
-	return at
+	return counts
 }
 
 // What other gateways tell of a server that answers nobody keeps this one's requests
 // away, until one of them tells of an answer.
-func TestOthersTellOfUnresponsive(t *testing.T) {
+func TestUnresponsiveServerReportedByPeers(t *testing.T) {
 	r := newTestRouter()
 	unresponsive := policy.KeyOf("b")
 	for range 5 {
 		r.Merge(policy.News{Unanswered: []policy.Key{unresponsive, unresponsive}})
 	}
-	if at := chosen(r, 0); at["b"] != 0 || at["a"] == 0 || at["c"] == 0 {
-		t.Errorf("chosen %v, b answers nobody", at)
+	if counts := countChoices(r, 0); counts["b"] != 0 || counts["a"] == 0 || counts["c"] == 0 {
+		t.Errorf("chosen %v, b answers nobody", counts)
 	}
 	r.Merge(policy.News{Firsts: []policy.FirstToken{{Service: policy.KeyOf("s"), Server: unresponsive, Urgency: 3, Ahead: 800, Took: 100 * time.Millisecond}}})
-	if at := chosen(r, 0); at["b"] == 0 {
-		t.Errorf("chosen %v, b has answered another gateway", at)
+	if counts := countChoices(r, 0); counts["b"] == 0 {
+		t.Errorf("chosen %v, b has answered another gateway", counts)
 	}
 	// What this gateway learns itself it tells others.
-	r.unanswered("c")
+	r.recordUnanswered("c")
 	if news := r.News(); len(news.Unanswered) != 1 || news.Unanswered[0] != policy.KeyOf("c") {
 		t.Errorf("told %v of a request without an answer from c", news.Unanswered)
 	}
@@ -67,38 +67,38 @@
 
 // Streams with a target for their pauses go where these are short, by what other
 // gateways tell; a route without one goes anywhere.
-func TestOthersTellOfPauses(t *testing.T) {
+func TestPausesReportedByPeers(t *testing.T) {
 	r := newTestRouter()
-	chosen(r, 0)
-	tell := func(server string, longest time.Duration) {
+	countChoices(r, 0)
+	reportPause := func(server string, longest time.Duration) {
 		r.Merge(policy.News{Pauses: []policy.Pause{{Service: policy.KeyOf("s"), Server: policy.KeyOf(server), Urgency: 3, Longest: longest}}})
 	}
 	for range 20 {
-		tell("a", 90*time.Millisecond)
-		tell("b", 150*time.Millisecond)
-		tell("c", 92*time.Millisecond)
+		reportPause("a", 90*time.Millisecond)
+		reportPause("b", 150*time.Millisecond)
+		reportPause("c", 92*time.Millisecond)
 	}
 	// A prompt that shares nothing looks at three servers that are drawn, which may be
 	// one and the same.
-	if at := chosen(r, 120*time.Millisecond); 6*at["b"] > at["a"]+at["b"]+at["c"] {
-		t.Errorf("chosen %v, pauses at b are too long", at)
+	if counts := countChoices(r, 120*time.Millisecond); 6*counts["b"] > counts["a"]+counts["b"]+counts["c"] {
+		t.Errorf("chosen %v, pauses at b are too long", counts)
 	}
-	if at := chosen(r, 0); at["b"] == 0 {
-		t.Errorf("chosen %v without a target for pauses", at)
+	if counts := countChoices(r, 0); counts["b"] == 0 {
+		t.Errorf("chosen %v without a target for pauses", counts)
 	}
 	// A server that starts anew is as any other.
 	r.Forget("b")
-	if at := chosen(r, 120*time.Millisecond); at["b"] == 0 {
-		t.Errorf("chosen %v, b has started anew", at)
+	if counts := countChoices(r, 120*time.Millisecond); counts["b"] == 0 {
+		t.Errorf("chosen %v, b has started anew", counts)
 	}
 }
 
 // Guards against long prompts being starved under load: where a prompt of the class's mean
 // length would be in time, a long one is admitted too.
-func TestLongPromptsAreAdmittedLikeOthersOfTheirRoute(t *testing.T) {
+func TestLongPromptsAdmittedByRouteMean(t *testing.T) {
 	r := newTestRouter()
 	for range 100 {
-		r.meanTokens("s", "summary", 4000)
+		r.observePromptSize("s", "summary", 4000)
 	}
 	admitted := func(tokens int, mean float64) bool {
 		loads := []policy.Server{{Name: "a", Slots: 8}, {Name: "b", Slots: 8}}
@@ -106,13 +106,13 @@
 			loads[i].Pending[3].Requests, loads[i].Pending[3].Tokens = 2, 6000
 		}
 		job := policy.Job{Urgency: 3, Target: 500 * time.Millisecond, Tokens: tokens, MeanTokens: mean}
-		return r.pick("s", job, 0, loads, true).InTime
+		return r.runChooser("s", job, 0, loads, true).InTime
 	}
-	const long = 20_000
-	if !admitted(4000, 0) || admitted(long, 0) {
+	const longPrompt = 20_000
+	if !admitted(4000, 0) || admitted(longPrompt, 0) {
 		t.Fatal("judged by their own length the short prompt is to be admitted and the long one isn't")
 	}
-	if !admitted(long, r.meanTokens("s", "summary", long)) {
+	if !admitted(longPrompt, r.observePromptSize("s", "summary", longPrompt)) {
 		t.Error("a long prompt is refused where one of the mean length is admitted")
 	}
 }
--- a/internal/gateway/router/quarantine.go
+++ b/internal/gateway/router/quarantine.go
@@ -18,25 +18,25 @@
 // has another id and as much time as its caller then gives it. The hash is one for which
 // nobody can make a request with the fingerprint of somebody else's.
 func (c *call) fingerprint() policy.Fingerprint {
-	if !c.printed {
+	if !c.fingerprintCached {
 		hash := sha256.New()
 		for _, part := range []string{c.req.Method, c.req.Host, c.req.RequestURI, c.customer} {
 			// Writing to a hash doesn't fail. No part holds a zero byte.
 			_, _ = io.WriteString(hash, part+"\x00")
 		}
 		_, _ = hash.Write(c.body)
-		c.print, c.printed = policy.Fingerprint(binary.BigEndian.Uint64(hash.Sum(nil))), true
+		c.cachedFingerprint, c.fingerprintCached = policy.Fingerprint(binary.BigEndian.Uint64(hash.Sum(nil))), true
 	}
-	return c.print
+	return c.cachedFingerprint
 }
 
 // quarantined answers a request that is quarantined; false if it isn't.
-func (c *call) quarantined() bool {
-	if !c.router.suspects() || !c.router.holds(c.fingerprint()) {
+func (c *call) refuseIfQuarantined() bool {
+	if !c.router.hasSuspects() || !c.router.isQuarantined(c.fingerprint()) {
 		return false
 	}
 	if c.sends > 0 {
-		c.giveUp()
+		c.respondFinalFailure()
 	} else {
 		c.refuse(ReasonQuarantined, quarantineRetryAfter)
 	}
@@ -44,17 +44,17 @@
 }
 
 // judge takes from an attempt's end whether the request crashed the server.
-func (c *call) judge(server *backend.Server) {
+func (c *call) recordCrashEvidence(server *backend.Server) {
 	switch {
 	case c.serverEnded:
-		c.router.crashed(c.fingerprint(), server.Info().Start())
+		c.router.recordCrash(c.fingerprint(), server.Info().InstanceKey())
 	case c.served:
-		c.router.answered(c.fingerprint())
+		c.router.recordServed(c.fingerprint())
 	}
 }
 
 // suspects reports whether any request is suspected, so that fingerprints are needed.
-func (r *Router) suspects() bool {
+func (r *Router) hasSuspects() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.quarantine.Empty()
@@ -62,8 +62,8 @@
 
 // avoided names the servers that the request stays away from, so that its next crash
 // distinguishes it from other suspects.
-func (c *call) avoided(servers []policy.Server) []string {
-	if !c.router.suspects() {
+func (c *call) serversToAvoid(servers []policy.Server) []string {
+	if !c.router.hasSuspects() {
 		return nil
 	}
 	fingerprint := c.fingerprint()
@@ -74,8 +74,8 @@
 
 // watchRun notes that the request runs at a server until the function that is returned is called,
 // while there are suspects.
-func (c *call) watchRun(server string) (ended func()) {
-	if !c.router.suspects() {
+func (c *call) trackSuspectRun(server string) (finished func()) {
+	if !c.router.hasSuspects() {
 		return func() {}
 	}
 	r, fingerprint := c.router, c.fingerprint()
@@ -89,7 +89,7 @@
 	}
 }
 
-func (r *Router) holds(f policy.Fingerprint) bool {
+func (r *Router) isQuarantined(f policy.Fingerprint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.quarantine.Quarantined(time.Now(), f)
@@ -103,28 +103,28 @@
 }
 
 // Suspect takes what is known of requests from elsewhere.
-func (r *Router) Suspect(known []policy.Suspicion) {
+func (r *Router) Suspect(suspicions []policy.Suspicion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.quarantine.Merge(time.Now(), known)
+	r.quarantine.Merge(time.Now(), suspicions)
 }
 
-func (r *Router) answered(f policy.Fingerprint) {
+func (r *Router) recordServed(f policy.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.quarantine.Answered(time.Now(), f)
 }
 
-func (r *Router) crashed(f policy.Fingerprint, start policy.Key) {
-	if held, why := r.noteCrash(f, start); held {
+func (r *Router) recordCrash(f policy.Fingerprint, instance policy.Key) {
+	if quarantined, why := r.addCrash(f, instance); quarantined {
 		r.Observer.Quarantined(why)
 	}
 }
 
 // noteCrash reports whether a request is quarantined from now on, and why.
-func (r *Router) noteCrash(f policy.Fingerprint, start policy.Key) (bool, policy.Suspicion) {
+func (r *Router) addCrash(f policy.Fingerprint, instance policy.Key) (bool, policy.Suspicion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	held := r.quarantine.Crashed(time.Now(), f, start)
-	return held, r.quarantine.Suspicion(f)
+	quarantined := r.quarantine.Crashed(time.Now(), f, instance)
+	return quarantined, r.quarantine.Suspicion(f)
 }
--- a/internal/gateway/router/router.go
+++ b/internal/gateway/router/router.go
@@ -22,11 +22,11 @@
 
 const (
 	// defaultPatience bounds a request whose caller and route both don't.
-	defaultPatience = 60 * time.Second
+	defaultTimeout = 60 * time.Second
 	// takeTime is how long after its answer is due a caller may still take it: a
 	// few times what a lost packet costs. One that reads no more would keep its
 	// part of the memory, and hold up a graceful stop, for as long as it likes.
-	takeTime = 2 * time.Second
+	writeGrace = 2 * time.Second
 )
 
 // Router serves callers. It implements http.Handler.
@@ -34,24 +34,24 @@
 	Config
 	// mu guards the policy's parts: the Chooser, the Ejector, the index and services. It
 	// comes after the Registry's lock; nothing is locked while it is held.
-	mu           sync.Mutex
-	services     map[string]*service
-	unresponsive *policy.Unresponsive
-	quarantine   *policy.Quarantine
-	limits       *policy.ServerLimits
-	outbox       outbox
-	limitedSends atomic.Int64
-	bounds       atomic.Pointer[Bounds]
-	held         held
-	elsewhere    func() bool
+	mu               sync.Mutex
+	services         map[string]*serviceState
+	unresponsive     *policy.Unresponsive
+	quarantine       *policy.Quarantine
+	limits           *policy.ServerLimits
+	updates          updateBuffer
+	limitedSends     atomic.Int64
+	bounds           atomic.Pointer[Bounds]
+	memory           memoryLimiter
+	closeConnections func() bool
 }
 
 // New returns a Router. Elsewhere reports whether callers are to go to another
 // gateway: connections are closed after their answer.
-func New(c Config, bounds Bounds, elsewhere func() bool) *Router {
+func New(c Config, bounds Bounds, closeConnections func() bool) *Router {
 	r := &Router{
-		Config: c, services: map[string]*service{}, unresponsive: policy.NewUnresponsive(), quarantine: policy.NewQuarantine(),
-		limits: policy.NewServerLimits(), elsewhere: elsewhere,
+		Config: c, services: map[string]*serviceState{}, unresponsive: policy.NewUnresponsive(), quarantine: policy.NewQuarantine(),
+		limits: policy.NewServerLimits(), closeConnections: closeConnections,
 	}
 	r.SetBounds(bounds)
 	return r
@@ -65,28 +65,28 @@
 
 // ServeHTTP carries one request.
 func (r *Router) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	c := &call{router: r, w: w, req: req, arrived: time.Now(), ask: r.Dialect.Ask(req)}
-	if r.elsewhere() {
+	c := &call{router: r, w: w, req: req, arrivedAt: time.Now(), params: r.Dialect.Ask(req)}
+	if r.closeConnections() {
 		w.Header().Set("Connection", "close")
 	}
 	if !c.admit() {
 		return
 	}
-	taken, ok := r.held.take(req.ContentLength, r.Bounds().Held)
+	reserved, ok := r.memory.acquire(req.ContentLength, r.Bounds().Held)
 	if !ok {
-		c.refuse(ReasonMemory, refusedHint)
+		c.refuse(ReasonMemoryLimit, refusedRetryAfter)
 		return
 	}
-	defer r.held.give(taken)
+	defer r.memory.release(reserved)
 	if !c.readBody() {
 		return
 	}
 	// Where it can't be set the connection is gone.
-	_ = http.NewResponseController(w).SetWriteDeadline(c.end.Add(takeTime))
-	ctx, cancel := context.WithDeadline(req.Context(), c.end)
+	_ = http.NewResponseController(w).SetWriteDeadline(c.deadline.Add(writeGrace))
+	ctx, cancel := context.WithDeadline(req.Context(), c.deadline)
 	defer cancel()
 	c.run(ctx)
-	if c.left {
+	if c.callerGone {
 		// Without an answer net/http would give one of its own, a success, to a
 		// caller that closed only its sending side.
 		panic(http.ErrAbortHandler)
@@ -98,65 +98,65 @@
 	r := c.router
 	set := r.Holder.Current()
 	if set == nil {
-		c.refuse(ReasonNoState, stateHint)
+		c.refuse(ReasonNoState, stateRetryAfter)
 		return false
 	}
-	c.version = set.Version
+	c.stateVersion = set.Version
 	fresh := r.Fresh()
 	c.route = set.Match(c.req.Host, c.req.URL.Path)
 	switch {
 	case c.route == nil && !fresh:
-		c.refuse(ReasonNotFresh, stateHint)
+		c.refuse(ReasonStateNotFresh, stateRetryAfter)
 		return false
 	case c.route == nil:
-		c.fail(http.StatusNotFound, ReasonNoRoute)
+		c.respondError(http.StatusNotFound, ReasonNoRoute)
 		return false
-	case c.ask.ID == "":
-		c.fail(http.StatusBadRequest, ReasonNoID)
+	case c.params.ID == "":
+		c.respondError(http.StatusBadRequest, ReasonNoID)
 		return false
 	}
-	if limit := set.Limits.HeaderBytes; limit > 0 && headerBytes(c.req) > limit {
-		c.fail(http.StatusRequestHeaderFieldsTooLarge, ReasonHeaderTooLarge)
+	if limit := set.Limits.HeaderBytes; limit > 0 && requestHeaderSize(c.req) > limit {
+		c.respondError(http.StatusRequestHeaderFieldsTooLarge, ReasonHeaderTooLarge)
 		return false
 	}
-	c.limit = set.Limits.BodyBytes
-	c.bound()
-	customer, known := set.Customer(c.ask.Key)
+	c.bodyLimit = set.Limits.BodyBytes
+	c.setDeadline()
+	customer, known := set.CustomerByKey(c.params.Key)
 	if known {
 		c.customer = customer.Name
 	}
 	c.urgency = set.Urgency(c.route, customer, protocol.Levels)
-	if !set.NeedsKey(c.route) || known && fresh {
+	if !set.RequiresKey(c.route) || known && fresh {
 		return true
 	}
 	if !fresh {
 		// The key may have been taken away, or added, since.
-		c.refuse(ReasonNotFresh, stateHint)
+		c.refuse(ReasonStateNotFresh, stateRetryAfter)
 		return false
 	}
-	c.fail(http.StatusUnauthorized, ReasonNoKey)
+	c.respondError(http.StatusUnauthorized, ReasonNoKey)
 	return false
 }
 
 // bound sets when the final answer is due.
-func (c *call) bound() {
-	patience := defaultPatience
+func (c *call) setDeadline() {
+	timeout := defaultTimeout
 	if c.route.Timeout > 0 {
-		patience = c.route.Timeout
+		timeout = c.route.Timeout
 	}
-	if c.ask.Patience > 0 {
-		patience = min(patience, c.ask.Patience)
+	if c.params.Patience > 0 {
+		timeout = min(timeout, c.params.Patience)
 	}
-	c.end = c.arrived.Add(patience)
+	c.deadline = c.arrivedAt.Add(timeout)
 }
 
 // headerBytes is the size of a request's head.
-func headerBytes(req *http.Request) int {
-	const lineEnds = 4
-	n := len(req.Method) + len(req.RequestURI) + len(req.Proto) + len("Host") + len(req.Host) + 2*lineEnds
+func requestHeaderSize(req *http.Request) int {
+	const lineOverhead = 4
+	n := len(req.Method) + len(req.RequestURI) + len(req.Proto) + len("Host") + len(req.Host) + 2*lineOverhead
 	for name, values := range req.Header {
 		for _, value := range values {
-			n += len(name) + len(value) + lineEnds
+			n += len(name) + len(value) + lineOverhead
 		}
 	}
 	return n
@@ -175,12 +175,12 @@
 		return true
 	}
 	body := io.Reader(c.req.Body)
-	if c.limit > 0 {
-		body = http.MaxBytesReader(c.w, c.req.Body, c.limit)
+	if c.bodyLimit > 0 {
+		body = http.MaxBytesReader(c.w, c.req.Body, c.bodyLimit)
 	}
 	c.bodyRead = true
 	// net/http takes the deadline away when the body's end has been read.
-	_ = http.NewResponseController(c.w).SetReadDeadline(c.end)
+	_ = http.NewResponseController(c.w).SetReadDeadline(c.deadline)
 	var err error
 	c.body, err = readAll(body, c.req.ContentLength)
 	var tooLarge *http.MaxBytesError
@@ -188,12 +188,12 @@
 	case err == nil:
 		return true
 	case errors.As(err, &tooLarge):
-		c.fail(http.StatusRequestEntityTooLarge, ReasonTooLarge)
+		c.respondError(http.StatusRequestEntityTooLarge, ReasonTooLarge)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		c.bodyLate = true
-		c.fail(http.StatusRequestTimeout, ReasonBodyLate)
+		c.respondError(http.StatusRequestTimeout, ReasonBodyTimeout)
 	default:
-		c.note(0, ReasonBodyCut)
+		c.reportEnd(0, ReasonBodyIncomplete)
 		panic(http.ErrAbortHandler)
 	}
 	return false
@@ -202,12 +202,12 @@
 // readAll reads a body whose length is known, or -1, without growing a buffer
 // step by step where that can be helped.
 func readAll(body io.Reader, length int64) ([]byte, error) {
-	const trusted = 1 << 20
-	if length < 0 || length > trusted {
+	const maxPreallocated = 1 << 20
+	if length < 0 || length > maxPreallocated {
 		return io.ReadAll(body)
 	}
-	whole := make([]byte, length)
-	_, err := io.ReadFull(body, whole)
+	buffer := make([]byte, length)
+	_, err := io.ReadFull(body, buffer)
 	if err != nil {
 		return nil, err
 	}
@@ -216,5 +216,5 @@
 	if _, err := body.Read(make([]byte, 1)); err != nil && !errors.Is(err, io.EOF) {
 		return nil, err
 	}
-	return whole, nil
+	return buffer, nil
 }
--- a/internal/gateway/router/ended.go
+++ b/internal/gateway/router/server_ended.go
@@ -9,7 +9,7 @@
 // hasEnded finds out whether a server that broke an answer off has ended: then its host
 // refuses connections. What it had is lost with it, whereas an answer that a server
 // breaks off which goes on tells of that answer alone.
-func (c *call) hasEnded(server *backend.Server) bool {
+func (c *call) serverHasEnded(server *backend.Server) bool {
 	if server.HasEnded() {
 		return true
 	}
@@ -17,7 +17,7 @@
 	if !c.router.Pool.Refuses(context.WithoutCancel(c.req.Context()), server.Peer()) {
 		return false
 	}
-	if server.Ended() {
+	if server.MarkEnded() {
 		c.router.Observer.ServerEnded(server.Info().ID)
 	}
 	return true
--- a/internal/gateway/router/limits.go
+++ b/internal/gateway/router/server_limits.go
@@ -10,7 +10,7 @@
 
 // learnLimit takes from a server's answer how many requests it takes. An answer of another
 // server at its address tells nothing of it.
-func (c *call) learnLimit(server *backend.Server, sent time.Time, reply protocol.Reply) {
+func (c *call) updateServerLimit(server *backend.Server, sent time.Time, reply protocol.Reply) {
 	switch {
 	case reply.OtherServer:
 	case reply.Limit.Unreadable, c.router.setLimit(server, sent, reply.Limit):
@@ -23,13 +23,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if limit.Named {
-		return r.limits.Named(time.Now(), server.Info().Start(), limit.Rate)
+		return r.limits.Named(time.Now(), server.Info().InstanceKey(), limit.Rate)
 	}
-	return r.limits.Unnamed(sent, server.Info().Start())
+	return r.limits.Unnamed(sent, server.Info().InstanceKey())
 }
 
 // allowances says what each server's limit still allows this gateway; r.mu is held.
-func (r *Router) allowances(now time.Time, loads []policy.Server) {
+func (r *Router) setAllowances(now time.Time, loads []policy.Server) {
 	if r.limits.Empty() {
 		return
 	}
@@ -43,7 +43,7 @@
 
 // countLimited counts a request that is about to be sent to a server; r.mu is held. It is
 // counted with the choice, so that no other request takes the same place.
-func (r *Router) countLimited(now time.Time, server *policy.Server) {
+func (r *Router) countLimitedSend(now time.Time, server *policy.Server) {
 	if server.Limited {
 		r.limits.Sent(now, server.Start)
 		r.limitedSends.Add(1)
--- a/internal/gateway/router/hash.go
+++ b/internal/gateway/router/service_hash.go
@@ -3,4 +3,4 @@
 import "github.com/cespare/xxhash/v2"
 
 // hashID spreads requests evenly over a route's services.
-func hashID(id string) uint64 { return xxhash.Sum64String(id) }
+func serviceHash(id string) uint64 { return xxhash.Sum64String(id) }
--- a/internal/gateway/router/stream.go
+++ b/internal/gateway/router/stream.go
@@ -11,54 +11,54 @@
 )
 
 // streamBuffer is the size of the reads of a stream, in bytes: a few events.
-const streamBuffer = 2 << 10
+const streamBufferSize = 2 << 10
 
 // leastPauses is how many pauses a stream has to have for the longest of them to
 // tell of its server: of a few the longest is chance.
-const leastPauses = 16
+const minPauses = 16
 
 // relay passes a stream's events on as they come, each whole.
-func (c *call) relay(ctx context.Context, answer *exchange.Answer, stay *visit) verdict {
-	if !c.stream.begun {
-		c.stream.resume(c.ask.After)
+func (c *call) relayEvents(ctx context.Context, response *exchange.Answer, tracked *trackedRequest) attemptResult {
+	if !c.stream.headerSent {
+		c.stream.setResumePoint(c.params.After)
 	}
-	var cut events
-	buffer := make([]byte, streamBuffer)
+	var splitter eventSplitter
+	buffer := make([]byte, streamBufferSize)
 	for {
-		n, err := answer.Read(buffer)
+		n, err := response.Read(buffer)
 		if n > 0 {
-			if whole := cut.add(buffer[:n]); len(whole) > 0 {
-				stay.begun()
-				if !c.sendEvents(answer, whole) {
-					return c.unclearOrLeft()
+			if events := splitter.add(buffer[:n]); len(events) > 0 {
+				tracked.responseStarted()
+				if !c.sendEvents(response, events) {
+					return c.resultAfterReadError()
 				}
-				cut.taken(len(whole))
+				splitter.consume(len(events))
 			}
-			if cut.rest() > maxEvent {
-				return unclear
+			if splitter.pendingBytes() > maxEventBytes {
+				return resultUnknown
 			}
 		}
 		switch {
 		case err == nil:
-		case errors.Is(err, io.EOF) && cut.rest() == 0:
-			return c.endStream(answer)
+		case errors.Is(err, io.EOF) && splitter.pendingBytes() == 0:
+			return c.finishStream(response)
 		case errors.Is(err, io.EOF):
-			return unclear
+			return resultUnknown
 		default:
-			return c.unclearOrLeft()
+			return c.resultAfterReadError()
 		}
 	}
 }
 
 // sendEvents passes on those of the whole events that the caller doesn't have;
 // false if the stream can't go on so.
-func (c *call) sendEvents(answer *exchange.Answer, whole []byte) bool {
-	out, ok := c.stream.next(whole)
+func (c *call) sendEvents(response *exchange.Answer, events []byte) bool {
+	out, ok := c.stream.newEvents(events)
 	if len(out) == 0 {
 		return ok
 	}
-	c.begin(answer)
-	c.stream.passed(time.Now())
+	c.writeStreamHeader(response)
+	c.stream.recordSend(time.Now())
 	if _, err := c.w.Write(out); err != nil {
 		return false
 	}
@@ -66,21 +66,21 @@
 }
 
 // begin sends the head of the first server's answer, once.
-func (c *call) begin(answer *exchange.Answer) {
-	if c.stream.begun {
+func (c *call) writeStreamHeader(response *exchange.Answer) {
+	if c.stream.headerSent {
 		return
 	}
-	c.stream.begun = true
-	c.first = time.Since(c.arrived)
-	c.copyHeader(c.router.Dialect.Answer(answer.Header))
-	c.w.WriteHeader(answer.Status)
+	c.stream.headerSent = true
+	c.firstByteLatency = time.Since(c.arrivedAt)
+	c.copyHeader(c.router.Dialect.Answer(response.Header))
+	c.w.WriteHeader(response.Status)
 }
 
 // endStream ends a stream that is whole.
-func (c *call) endStream(answer *exchange.Answer) verdict {
-	c.begin(answer)
+func (c *call) finishStream(response *exchange.Answer) attemptResult {
+	c.writeStreamHeader(response)
 	c.served = true
 	c.router.observePause(c)
-	c.note(answer.Status, ReasonServed)
-	return done
+	c.reportEnd(response.Status, ReasonServed)
+	return resultFinal
 }
--- a/internal/gateway/router/streamed_test.go
+++ b/internal/gateway/router/stream_state_test.go
@@ -3,13 +3,13 @@
 import "testing"
 
 // What a caller gets of events that come in several reads, by what it has.
-func TestEventsComeOnceAndInOrder(t *testing.T) {
+func TestEventsDeliveredOnceInOrder(t *testing.T) {
 	cases := map[string]struct {
-		after   string
-		reads   []string
-		want    string
-		broken  bool
-		mayGoOn bool
+		after     string
+		reads     []string
+		want      string
+		gap       bool
+		resumable bool
 	}{
 		"from the first":               {"", []string{"id: 1\n\n", "id: 2\n\nid: 3\n\n"}, "id: 1\n\nid: 2\n\nid: 3\n\n", false, true},
 		"from nought":                  {"", []string{"id: 0\n\nid: 1\n\n"}, "id: 0\n\nid: 1\n\n", false, true},
@@ -25,15 +25,15 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var s streamed
-			s.resume(c.after)
-			got, broken := "", false
+			var s streamState
+			s.setResumePoint(c.after)
+			got, gap := "", false
 			for _, read := range c.reads {
-				out, ok := s.next([]byte(read))
-				got, broken = got+string(out), broken || !ok
+				out, ok := s.newEvents([]byte(read))
+				got, gap = got+string(out), gap || !ok
 			}
-			if got != c.want || broken != c.broken || s.mayGoOn() != c.mayGoOn {
-				t.Errorf("%q, broken %v, may go on %v; want %q, %v, %v", got, broken, s.mayGoOn(), c.want, c.broken, c.mayGoOn)
+			if got != c.want || gap != c.gap || s.resumable() != c.resumable {
+				t.Errorf("%q, gap %v, resumable %v; want %q, %v, %v", got, gap, s.resumable(), c.want, c.gap, c.resumable)
 			}
 		})
 	}
--- a/internal/gateway/router/visit.go
+++ b/internal/gateway/router/tracked_request.go
@@ -7,19 +7,19 @@
 )
 
 // visit is a request's stay at a server.
-type visit struct {
-	*backend.Stay
+type trackedRequest struct {
+	*backend.InFlight
 	call *call
 	// ahead is what was to be read before the first token, in tokens, when
 	// the request was sent.
-	ahead float64
-	sent  time.Time
+	tokensAhead float64
+	sentAt      time.Time
 }
 
 // begun notes that the answer has begun.
-func (v *visit) begun() {
-	if v.Begun() {
-		v.call.router.Observer.Began(v.call.customer)
-		v.call.router.observeFirst(v.call, v.ahead, time.Since(v.sent))
+func (t *trackedRequest) responseStarted() {
+	if t.MarkStarted() {
+		t.call.router.Observer.Began(t.call.customer)
+		t.call.router.observeFirstToken(t.call, t.tokensAhead, time.Since(t.sentAt))
 	}
 }
--- a/internal/gateway/routes/holder.go
+++ b/internal/gateway/routes/holder.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Holder keeps the newest Set that this process has seen. It never goes back
-// to an older version. All methods may be called concurrently.
+// Holder holds the newest Snapshot that this process has seen. It never goes back to an older
+// version. All methods are safe for concurrent use.
 type Holder struct {
 	current atomic.Pointer[Set]
-	// provenAt is the moment, in nanoseconds of the clock that the callers
-	// use, at which the current Set was the newest; 0 when it never was.
-	provenAt atomic.Int64
-	// mu makes a change of version and its proof one step.
+	// confirmedAt is the latest time at which the current Snapshot was known to be the newest, in
+	// nanoseconds of the clock that the callers use; 0 if there is none.
+	confirmedAt atomic.Int64
+	// mu makes a change of the version and its confirmation one step.
 	mu sync.Mutex
 }
 
-// Current returns the newest Set, or nil while none is known.
+// Current returns the newest Snapshot, or nil if none is known.
 func (h *Holder) Current() *Set { return h.current.Load() }
 
-// Version is the current Set's version; 0 while none is known.
+// Version returns the version of the current Snapshot, or 0 if none is known.
 func (h *Holder) Version() uint64 {
 	if s := h.Current(); s != nil {
 		return s.Version
@@ -28,9 +28,10 @@
 	return 0
 }
 
-// Offer adopts s when it is newer than the current Set, and reports whether it
-// did. The moment is one at which no newer version than s was in force.
-func (h *Holder) Offer(s *Set, moment time.Duration) bool {
+// Update makes s the current Snapshot if it is newer, and reports whether it did. No newer version
+// than s was in force at confirmedAt. For the current version it only records the confirmation, and for
+// an older one it does nothing.
+func (h *Holder) Offer(s *Set, confirmedAt time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	version := h.Version()
@@ -40,26 +41,26 @@
 	if s.Version > version {
 		h.current.Store(s)
 	}
-	h.prove(moment)
+	h.confirm(confirmedAt)
 	return s.Version > version
 }
 
-// Prove notes that no newer version than the given one was in force at the
-// moment; it counts only if that version is the current one.
-func (h *Holder) Prove(version uint64, moment time.Duration) {
+// Confirm records that no newer version than the given one was in force at confirmedAt. It does
+// nothing if that version is not the current one.
+func (h *Holder) Prove(version uint64, confirmedAt time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if version != 0 && version == h.Version() {
-		h.prove(moment)
+		h.confirm(confirmedAt)
 	}
 }
 
-func (h *Holder) prove(moment time.Duration) {
-	if int64(moment) > h.provenAt.Load() {
-		h.provenAt.Store(int64(moment))
+func (h *Holder) confirm(confirmedAt time.Duration) {
+	if int64(confirmedAt) > h.confirmedAt.Load() {
+		h.confirmedAt.Store(int64(confirmedAt))
 	}
 }
 
-// ProvenAt is the latest moment at which the current Set is known to have been
-// the newest.
-func (h *Holder) ProvenAt() time.Duration { return time.Duration(h.provenAt.Load()) }
+// ConfirmedAt returns the latest time at which the current Snapshot was known to be the newest, or
+// 0 if there is none.
+func (h *Holder) ProvenAt() time.Duration { return time.Duration(h.confirmedAt.Load()) }
--- a/internal/gateway/routes/route.go
+++ b/internal/gateway/routes/route.go
@@ -2,50 +2,52 @@
 
 import "time"
 
-// Kind says what may be repeated of a route's requests.
+// Kind says whether a route's requests may run more than once.
 type Kind int
 
 // Kinds of requests.
 const (
-	// KindUnsafe requests run once at most.
+	// KindUnsafe requests run at most once.
 	KindUnsafe Kind = iota
 	// KindSafe requests may run more than once.
 	KindSafe
-	// KindStream requests are answered with events that have increasing ids;
-	// they run once at most, unless the route is Resumable.
+	// KindStream requests are answered with server-sent events that have increasing ids. They run
+	// at most once, unless the route is Resumable.
 	KindStream
 )
 
-// Share is a service's share of a route's requests.
+// Share is the share of a route's requests that one service gets.
 type Share struct {
 	Service string
-	// Weight is in relation to the other shares' weights.
+	// Weight is relative to the weights of the route's other shares.
 	Weight int
 }
 
-// Route is one class of work: which requests it takes, what it promises them
-// and which services may run them.
+// Route is one request class: which requests it matches, its latency targets and the services that
+// run it.
 type Route struct {
 	Name string
-	// Host and Prefix choose the requests; Prefix begins and ends with a slash.
+	// Host and Prefix select the requests. Prefix begins and ends with a slash.
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Resumable streams may go on at another backend server.
+	// Resumable streams may continue at another backend server.
 	Resumable bool
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout bounds the time from a request's arrival to the end of its response; 0 if the route
+	// sets none.
 	Timeout time.Duration
-	// Target is the latency target: to the whole answer, or to the first event.
+	// LatencyTarget is the target for the time to the whole response or, for streams, to the first
+	// event.
 	Target time.Duration
-	// Pause is the longest pause between events for which an answer is on time.
+	// PauseTarget is the longest pause between events with which a stream is still on time.
 	Pause time.Duration
-	// Tier is the priority; 0 is the most urgent.
+	// Tier is the route's priority; 0 is the most urgent.
 	Tier int
-	// Attempts is to how many backend servers one request may be sent.
+	// MaxAttempts is the maximum number of backend servers to which one request is sent.
 	Attempts int
-	// Public routes need no key.
+	// Public routes require no API key.
 	Public bool
-	// Shares are the services that run the requests; at least one.
+	// Shares lists the services that run the requests. It has at least one element.
 	Shares []Share
 }
 
@@ -54,22 +56,22 @@
 	return r.Kind == KindSafe || r.Kind == KindStream && r.Resumable
 }
 
-// Service picks the service of a request by a number that is drawn evenly, so
-// that a share's weight is its part of all requests.
-func (r *Route) Service(drawn uint64) string {
-	sum := 0
+// PickService returns the service for a request. The hash must be evenly distributed, so that each
+// service gets requests in proportion to its weight.
+func (r *Route) PickService(hash uint64) string {
+	totalWeight := 0
 	for _, s := range r.Shares {
-		sum += max(s.Weight, 0)
+		totalWeight += max(s.Weight, 0)
 	}
-	if sum == 0 {
+	if totalWeight == 0 {
 		return r.Shares[0].Service
 	}
-	at := int(drawn % uint64(sum))
+	offset := int(hash % uint64(totalWeight))
 	for _, s := range r.Shares {
-		if at < max(s.Weight, 0) {
+		if offset < max(s.Weight, 0) {
 			return s.Service
 		}
-		at -= max(s.Weight, 0)
+		offset -= max(s.Weight, 0)
 	}
 	return r.Shares[0].Service
 }
--- /dev/null
+++ b/internal/gateway/routes/snapshot.go
@@ -0,0 +1,123 @@
+// Package routes models the desired state that a gateway serves by: routes, services, customers and
+// limits under one version. A Snapshot is immutable. A Holder keeps the newest one and the time at
+// which it was last confirmed to be the newest. Start reading at Snapshot.
+package routes
+
+import (
+	"strings"
+	"time"
+)
+
+// Service is a group of backend servers that run the same requests.
+type Service struct {
+	Name string
+	// MaxConns is how many connections one of its servers accepts from all callers together; 0 if
+	// unknown.
+	MaxConns int
+	// FetchRate is how fast one of its servers fetches the cached prompt prefix of another, in
+	// tokens per millisecond; 0 if the servers cannot or the rate is unknown.
+	FetchRate float64
+}
+
+// Customer is an owner of API keys.
+type Customer struct {
+	Name string
+	// Tier is the customer's priority among requests of routes with the same tier; 0 is the most
+	// urgent. It is nil if only the route's tier counts.
+	Tier *int
+	Keys []string
+}
+
+// Limits bounds what a caller may send, and how long its connection may stay idle. Zero means no
+// limit. The time for sending headers is bounded by the gateway itself.
+type Limits struct {
+	HeaderBytes int
+	BodyBytes   int64
+	IdleTime    time.Duration
+}
+
+// Snapshot is one version of the desired state. It is immutable after NewSnapshot, except that
+// Document is set before it is shared.
+type Set struct {
+	Version  uint64
+	Limits   Limits
+	Services map[string]*Service
+	// Document is this version as the platform wrote it, for handing it to other gateways. It is
+	// set before the Snapshot is shared.
+	Document       []byte
+	routesByHost   map[string]map[string]*Route
+	customersByKey map[string]*Customer
+	// keysRequired is set if requests of routes that are not public require an API key.
+	keysRequired bool
+	ranks        []rank
+}
+
+// NewSnapshot returns a Snapshot with its indexes built. If customers is nil, no route requires an
+// API key.
+func NewSet(version uint64, limits Limits, allRoutes []*Route, services []*Service, customers []*Customer) *Set {
+	s := &Set{
+		Version:        version,
+		Limits:         limits,
+		Services:       make(map[string]*Service, len(services)),
+		routesByHost:   map[string]map[string]*Route{},
+		customersByKey: map[string]*Customer{},
+		keysRequired:   customers != nil,
+		ranks:          distinctRanks(allRoutes, customers),
+	}
+	for _, service := range services {
+		s.Services[service.Name] = service
+	}
+	for _, r := range allRoutes {
+		host := strings.ToLower(r.Host)
+		if s.routesByHost[host] == nil {
+			s.routesByHost[host] = map[string]*Route{}
+		}
+		s.routesByHost[host][r.Prefix] = r
+	}
+	for _, c := range customers {
+		for _, key := range c.Keys {
+			s.customersByKey[key] = c
+		}
+	}
+	return s
+}
+
+// Match returns the route of the host with the longest prefix of the path, or nil if there is none.
+// Prefixes end with a slash, so it makes at most one look-up for each slash in the path.
+func (s *Set) Match(host, path string) *Route {
+	routesByPrefix := s.routesByHost[strings.ToLower(hostWithoutPort(host))]
+	if routesByPrefix == nil {
+		return nil
+	}
+	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
+		if r := routesByPrefix[path[:end+1]]; r != nil {
+			return r
+		}
+	}
+	return nil
+}
+
+// RequiresKey reports whether requests of a route require an API key.
+func (s *Set) RequiresKey(r *Route) bool { return s.keysRequired && !r.Public }
+
+// CustomerByKey returns the customer that owns an API key.
+func (s *Set) CustomerByKey(key string) (*Customer, bool) {
+	c, ok := s.customersByKey[key]
+	return c, ok
+}
+
+// RouteCount returns the number of routes.
+func (s *Set) Routes() int {
+	n := 0
+	for _, routesByPrefix := range s.routesByHost {
+		n += len(routesByPrefix)
+	}
+	return n
+}
+
+func hostWithoutPort(host string) string {
+	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
+		return host[:colon]
+	}
+	return host
+}
--- a/internal/gateway/routes/urgency.go
+++ b/internal/gateway/routes/urgency.go
@@ -5,21 +5,20 @@
 	"slices"
 )
 
-// rank is how urgent a request is: its route's tier goes first, and among requests of
-// equal routes the customer's decides. A customer's tier puts none of its requests before
-// those of a more urgent class: servers preempt the least urgent, and summaries of one
-// customer would preempt another's alarms.
+// rank is the priority of a request: its route's tier, then its customer's. The customer's tier
+// must not put a request before one of a more urgent class: servers preempt the least urgent
+// requests, so one customer's summaries would preempt another's alarms.
 type rank struct{ route, customer int }
 
 func compareRanks(a, b rank) int {
 	return cmp.Or(cmp.Compare(a.route, b.route), cmp.Compare(a.customer, b.customer))
 }
 
-// ranksOf are all that can occur under a desired state, the most urgent first.
-func ranksOf(all []*Route, customers []*Customer) []rank {
+// distinctRanks returns all ranks that can occur under a desired state, the most urgent first.
+func distinctRanks(allRoutes []*Route, customers []*Customer) []rank {
 	var ranks []rank
-	for _, r := range all {
-		// Requests without a customer, or whose customer has no tier.
+	for _, r := range allRoutes {
+		// The rank of requests without a customer, or whose customer has no tier.
 		ranks = append(ranks, rank{r.Tier, r.Tier})
 		for _, c := range customers {
 			if c.Tier != nil {
@@ -31,39 +30,39 @@
 	return slices.Compact(ranks)
 }
 
-// Urgency is a request's place among all ranks of this desired state, from 0,
-// the most urgent, to below levels. Where there are more ranks than levels,
-// neighbours share one: customers of a route first, and routes only where these alone are
-// more than levels. Customer is nil for a request without.
+// Urgency returns the position of a request's rank among all ranks of this desired state, from 0,
+// the most urgent, to levels-1. If there are more ranks than levels, neighbouring ranks share a
+// level: customers of the same route tier first, and route tiers only if there are more tiers than
+// levels. The customer is nil if the request has none.
 func (s *Set) Urgency(r *Route, c *Customer, levels int) int {
-	wanted := rank{r.Tier, r.Tier}
+	requestRank := rank{r.Tier, r.Tier}
 	if c != nil && c.Tier != nil {
-		wanted.customer = *c.Tier
+		requestRank.customer = *c.Tier
 	}
-	at, _ := slices.BinarySearchFunc(s.ranks, wanted, compareRanks)
+	index, _ := slices.BinarySearchFunc(s.ranks, requestRank, compareRanks)
 	if len(s.ranks) > levels {
-		at = levelOf(s.ranks, at, levels)
+		index = urgencyLevel(s.ranks, index, levels)
 	}
-	return min(at, levels-1)
+	return min(index, levels-1)
 }
 
-// levelOf is the level of the rank at a place where there are more ranks than levels. Each
-// route's tier has one level, and of the rest as many as it has ranks, in proportion.
-func levelOf(ranks []rank, at, levels int) int {
-	at = min(at, len(ranks)-1)
-	tiers, before := 1, 0
+// urgencyLevel returns the level of the rank at index if there are more ranks than levels. Each
+// route tier gets one level, and the remaining levels are spread over the ranks in proportion.
+func urgencyLevel(ranks []rank, index, levels int) int {
+	index = min(index, len(ranks)-1)
+	tierCount, tiersBefore := 1, 0
 	for i := 1; i < len(ranks); i++ {
 		if ranks[i].route != ranks[i-1].route {
-			tiers++
-			if i <= at {
-				before++
+			tierCount++
+			if i <= index {
+				tiersBefore++
 			}
 		}
 	}
-	if tiers > levels {
-		return at * levels / len(ranks)
+	if tierCount > levels {
+		return index * levels / len(ranks)
 	}
-	// Of the ranks but one of each tier, those before the place take their part of the
-	// levels but one of each tier.
-	return before + (at-before)*(levels-tiers)/max(len(ranks)-tiers, 1)
+	// Leaving out one rank and one level for each tier, the ranks before index take a proportional
+	// part of the levels.
+	return tiersBefore + (index-tiersBefore)*(levels-tierCount)/max(len(ranks)-tierCount, 1)
 }
