--- a/internal/gateway/backend/registry.go
+++ b/internal/gateway/backend/registry.go
@@ -197,6 +197,7 @@
 	r.storeAnswered(now)
 }
 
+// storeAnswered ends an outage of the store. r.mu must be held.
 func (r *Registry) storeAnswered(now time.Time) {
 	if r.storeDown {
 		r.storeDown = false
--- a/internal/gateway/router/attempt.go
+++ b/internal/gateway/router/attempt.go
@@ -15,25 +15,26 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// verdict is what came of one attempt.
+// attemptResult is the result of sending a request to one server.
 type attemptResult int
 
 const (
-	// done: the request has had its final answer, or its caller has left.
+	// resultFinal: the final response has been written, or the caller has disconnected.
 	resultFinal attemptResult = iota
-	// notSent: the server wasn't reached.
+	// resultNotSent: no connection to the server could be opened.
 	resultNotSent
-	// notRun: the server said that it didn't run the request.
+	// resultNotRun: the server reported that it did not run the request.
 	resultNotRun
-	// unclear: the request may have run.
+	// resultUnknown: the request may have run.
 	resultUnknown
-	// failed: the server ran the request and failed; the failure is kept.
+	// resultServerFailed: the server ran the request and failed. Its response is kept in
+	// call.serverFailure.
 	resultServerFailed
-	// cutOff: the caller has a part of an answer that can't be completed.
+	// resultTruncated: the caller has received a part of a response that cannot be completed.
 	resultTruncated
 )
 
-// attempt sends the request to a server and passes on what comes.
+// attempt sends the request to a server and forwards the response.
 func (c *call) attempt(ctx context.Context, server *backend.Server, choice policy.Choice) attemptResult {
 	info := server.Info()
 	c.triedServers = append(c.triedServers, info.ID)
@@ -68,7 +69,7 @@
 	return result
 }
 
-// broken judges an attempt whose answer ended in an error.
+// handleSendError returns the result of an attempt that got no response after the request was sent.
 func (c *call) handleSendError(ctx context.Context, server string) attemptResult {
 	c.mayHaveRun = true
 	if c.checkCallerLeft() {
@@ -80,14 +81,15 @@
 	return resultUnknown
 }
 
-// take reads an answer and passes it on if it is to be the final one.
+// handleResponse reads a response and forwards it to the caller, unless another server should be
+// tried.
 func (c *call) handleResponse(ctx context.Context, response *exchange.Answer, reply protocol.Reply, tracked *trackedRequest) attemptResult {
 	switch {
 	case reply.NotRun:
 		if reply.OtherServer && c.router.Registry.MarkReplaced(c.serverID) {
 			c.router.Observer.Replaced(c.serverID)
 		}
-		// The body is read so that the connection can be kept.
+		// Read the body so that the connection can be reused.
 		_, _ = readLimited(response, maxRejectionBody)
 		return resultNotRun
 	case reply.Encoded, isSuccess(response.Status) && !reply.Signed:
@@ -102,7 +104,8 @@
 	}
 }
 
-// request is the request as it goes to a server.
+// buildRequest returns the request as it is sent to a server, which has the remaining time to
+// answer it.
 func (c *call) buildRequest(info *backend.Info, remaining time.Duration) *exchange.Request {
 	send := protocol.Send{Instance: info.ID, Customer: c.customer, Urgency: c.urgency, Left: remaining, After: c.params.After, FetchFrom: c.fetchFrom}
 	if c.stream.hasLastID {
@@ -123,7 +126,7 @@
 	}
 }
 
-// outcome is what an attempt's end says of its server.
+// policyOutcome returns what an attempt says about the health of its server.
 func (c *call) policyOutcome(ctx context.Context, result attemptResult) policy.Outcome {
 	switch {
 	case c.served:
--- a/internal/gateway/router/buffered_response.go
+++ b/internal/gateway/router/buffered_response.go
@@ -11,27 +11,28 @@
 )
 
 const (
-	// maxHeld is up to which size an answer is read whole before it is passed
-	// on, so that one that is broken off can be had from another server, or
-	// be told as what it is. Longer ones are passed on as they come.
+	// maxBufferedResponse is the largest response body, in bytes, that is read completely before it
+	// is forwarded. If such a response breaks off, the request can be sent to another server, or
+	// the caller gets the right status. Longer responses are forwarded as they arrive.
 	maxBufferedResponse = 256 << 10
-	// maxRefusal bounds what is read of a refusal's body.
+	// maxRejectionBody bounds how much is read of the body of a response that says that the request
+	// did not run, in bytes.
 	maxRejectionBody = 16 << 10
-	// copyBuffer is the size of the pieces in which longer answers are passed
-	// on, in bytes.
+	// copyBufferSize is the size of the buffer with which longer responses are copied, in bytes.
 	copyBufferSize = 32 << 10
 )
 
-// heldAnswer is a server's whole answer.
+// bufferedResponse is a server's complete response.
 type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
-	// length is the body's as the server told it; empty where it didn't.
+	// contentLength is the server's Content-Length header; empty if it sent none.
 	contentLength string
 }
 
-// passOn passes a server's answer on, whole or not at all.
+// forwardBuffered forwards a response that is not an event stream. Up to maxBufferedResponse it
+// forwards either the whole response or nothing.
 func (c *call) forwardBuffered(ctx context.Context, response *exchange.Answer, tracked *trackedRequest) attemptResult {
 	tracked.responseStarted()
 	body, err := readLimited(response, maxBufferedResponse)
@@ -42,11 +43,11 @@
 	c.firstByteLatency = time.Since(c.arrivedAt)
 	switch {
 	case impliesNotRun(response.Status):
-		// The server doesn't say that the request didn't run; its status
-		// would.
+		// The server did not report that the request did not run, but callers would take this
+		// status to mean that.
 		return resultUnknown
 	case c.stream.headerSent:
-		// A failure can't be put into a stream that has begun.
+		// A failure status cannot be sent once the stream has started.
 		return resultUnknown
 	case len(body) > maxBufferedResponse:
 		return c.forwardLong(buffered, response)
@@ -64,7 +65,7 @@
 	}
 }
 
-// unclearOrLeft judges an answer that broke off.
+// resultAfterReadError returns the result of an attempt whose response broke off.
 func (c *call) resultAfterReadError() attemptResult {
 	if c.checkCallerLeft() {
 		return resultFinal
@@ -72,7 +73,8 @@
 	return resultUnknown
 }
 
-// callerLeft notes the request's end if its caller has left.
+// checkCallerLeft reports whether the caller has disconnected, and if so, reports the end of the
+// request.
 func (c *call) checkCallerLeft() bool {
 	if c.req.Context().Err() == nil {
 		return false
@@ -82,8 +84,7 @@
 	return true
 }
 
-// promisesNotRun reports whether a status tells the caller that the request
-// did not run and never will.
+// impliesNotRun reports whether a status tells callers that the request did not run and will not.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -92,19 +93,19 @@
 	return false
 }
 
-// write gives the caller a whole answer.
+// writeBuffered sends a complete response to the caller.
 func (c *call) writeBuffered(buffered *bufferedResponse) {
 	c.copyHeader(buffered.header)
 	length := strconv.Itoa(len(buffered.body))
 	if c.req.Method == http.MethodHead {
-		// The length is that of the body that a GET would have had.
+		// The length is that of the body that a GET would have returned.
 		length = buffered.contentLength
 	}
 	if length != "" {
 		c.w.Header().Set("Content-Length", length)
 	}
 	c.w.WriteHeader(buffered.status)
-	// A caller that doesn't take the answer has left; nothing is lost by it.
+	// If the write fails, the caller has disconnected, and nothing else is lost.
 	_, _ = c.w.Write(buffered.body)
 }
 
@@ -115,7 +116,8 @@
 	}
 }
 
-// passOnLong passes on an answer that is too long to be held.
+// forwardLong forwards a response that is too long to be buffered. The argument buffered holds its
+// beginning.
 func (c *call) forwardLong(buffered *bufferedResponse, response *exchange.Answer) attemptResult {
 	c.copyHeader(buffered.header)
 	if response.Length >= 0 {
@@ -134,14 +136,14 @@
 	return resultFinal
 }
 
-// readLimited reads a body to its end, or one byte more than limit of it.
+// readLimited reads the body up to its end, or up to limit+1 bytes.
 func readLimited(response *exchange.Answer, limit int) ([]byte, error) {
 	if response.Length >= 0 && response.Length <= int64(limit) {
 		body := make([]byte, response.Length)
 		if _, err := io.ReadFull(response, body); err != nil {
 			return nil, err
 		}
-		// The end has to be read, which gives the connection back.
+		// Reading the end of the body returns the connection to the pool.
 		_, err := io.ReadAll(response)
 		return body, err
 	}
--- a/internal/gateway/router/call.go
+++ b/internal/gateway/router/call.go
@@ -12,86 +12,88 @@
 )
 
 const (
-	// stateHint is when to come back to a gateway that doesn't know the
-	// desired state, or not for certain: another one may know it already.
+	// stateRetryAfter is the Retry-After of a gateway that has no desired state, or cannot confirm
+	// that it is current. Another gateway may have it already.
 	stateRetryAfter = 150 * time.Millisecond
-	// refusedHint is when to come back after the backend servers had no room.
+	// refusedRetryAfter is the Retry-After if the backend servers had no capacity.
 	refusedRetryAfter = 300 * time.Millisecond
-	// youngest bounds how long a connection may have been idle that carries a
-	// request which runs once at most: on a longer one the request may cross
-	// the backend server's close, and then nobody can say whether it ran.
+	// maxIdleForUnsafe bounds how long a connection may have been idle to carry a request that runs
+	// at most once. After a longer time, the backend server may close the connection while the
+	// request is on its way, and then it is unknown whether the request ran.
 	maxIdleForUnsafe = time.Second
-	// mostDials bounds the servers that can't be reached before a request is
-	// refused; each takes up to the time-out of a new connection.
+	// maxFailedDials is the number of failed connection attempts after which a request is refused.
+	// Each takes up to the dial timeout.
 	maxFailedDials = 4
 )
 
-// call is one request and its answer.
+// call is one request and its response.
 type call struct {
 	router *Router
 	w      http.ResponseWriter
 	req    *http.Request
 
 	arrivedAt time.Time
-	// end is when the final answer is due.
+	// deadline is when the response must be complete.
 	deadline time.Time
 	params   protocol.Ask
 	route    *routes.Route
 	customer string
-	// urgency is from 0, the most urgent, to below protocol.Levels.
+	// urgency ranges from 0, the most urgent, to protocol.Levels-1.
 	urgency   int
 	bodyLimit int64
-	// version is the desired state's that the request is served by.
+	// stateVersion is the version of the desired state under which the request is served.
 	stateVersion uint64
-	// server is the last one that was chosen, and expected when the first
-	// token was expected there.
+	// serverID is the server that was chosen last. At that time its first token was expected after
+	// expectedFirstToken.
 	serverID           string
 	expectedFirstToken time.Duration
-	// prefill is how many tokens of the prompt that server was expected to compute, and
-	// ahead how many of other requests before it.
+	// prefillTokens is how many tokens of the prompt that server was expected to compute, after
+	// tokensAhead tokens of other requests.
 	prefillTokens, tokensAhead int
-	// meanTokens is the prompt length by which the request is admitted.
+	// meanTokens is the prompt length by which the request is admitted: about the mean of its
+	// route.
 	meanTokens float64
 	body       []byte
-	// bodyRead says that the body has been read, as far as it is to be.
+	// bodyRead is set once the body has been read, or reading it has failed.
 	bodyRead bool
-	// bodyLate says that the body didn't come whole in time.
+	// bodyLate is set if the body was not complete by the deadline.
 	bodyLate bool
-	// left says that the caller left before it had its answer.
+	// callerGone is set if the caller disconnected before it got a response.
 	callerGone bool
 	service    string
 
-	// shared are the parts of the prompt that other requests share, and
-	// fetchFrom where the chosen server is to fetch what it lacks of them;
-	// empty for nowhere.
+	// sharedParts are the parts of the prompt that other requests share. fetchFrom is the address
+	// from which the chosen server should fetch those that it has not cached; empty for none.
 	sharedParts []policy.Part
 	fetchFrom   string
-	// tried names the servers that got it or couldn't be reached; sends counts
-	// the former, dials the latter.
+	// triedServers lists the servers that the request was sent to, counted in sends, and those to
+	// which no connection could be opened, counted in failedDials.
 	triedServers []string
 	sends        int
 	failedDials  int
-	// unreached names those of tried that couldn't be reached, once.
+	// unreachable lists those of triedServers that may be tried again because only one connection
+	// attempt has failed.
 	unreachable []string
-	// redialed says that these were tried again.
+	// retriedUnreachable is set once the servers in unreachable have been made available for a
+	// second attempt.
 	retriedUnreachable bool
-	// mayHaveRun says that some backend server may have run it.
+	// mayHaveRun is set if a backend server may have run the request.
 	mayHaveRun bool
-	// failure is a backend server's own failure, to be passed on if no other
-	// server does better.
+	// serverFailure is a backend server's failure response. It is forwarded if no other server
+	// answers better.
 	serverFailure *bufferedResponse
 	stream        streamState
-	// serverEnded says that the server which had it last ended meanwhile.
+	// serverEnded is set if the server of the last attempt ended while it had the request.
 	serverEnded bool
-	// print is the request's fingerprint once it has been printed.
+	// cachedFingerprint is the result of fingerprint. It is valid if fingerprintCached is set.
 	cachedFingerprint policy.Fingerprint
 	fingerprintCached bool
-	// served says that a whole answer of a server was passed on.
+	// served is set once a server's complete response has been forwarded.
 	served           bool
 	firstByteLatency time.Duration
 }
 
-// run sends the request until it has an answer or no other send is allowed.
+// run sends the request to servers until it has a final response or must not be sent again.
 func (c *call) run(ctx context.Context) {
 	c.service = c.route.PickService(serviceHash(c.params.ID))
 	c.router.countRequest(c.service)
@@ -126,9 +128,9 @@
 	}
 }
 
-// retryUnreached reports whether servers that couldn't be reached may be tried again, once
-// each. A connection that isn't opened in time says little of a server: a host that is
-// busy for a moment loses the opening packet. It is for requests that no other server can take.
+// retryUnreachable makes the unreachable servers available for one more attempt, and reports
+// whether there are any. It is called when no other server can take the request. A connection
+// timeout says little about a server, since a host that is busy for a moment loses SYN packets.
 func (c *call) retryUnreachable() bool {
 	if len(c.unreachable) == 0 {
 		return false
@@ -138,7 +140,8 @@
 	return true
 }
 
-// noteUnreached notes that a server couldn't be reached; the second time is final.
+// recordUnreachable records that no connection to the server could be opened. After
+// retryUnreachable, a failure is final.
 func (c *call) recordUnreachable(server string) {
 	c.failedDials++
 	if !c.retriedUnreachable {
@@ -146,8 +149,8 @@
 	}
 }
 
-// mayGoOn reports whether the request may be sent to another server after an
-// attempt that came to v, and takes that from the retry budget.
+// mayRetry reports whether the request may be sent to another server after an attempt with the
+// given result. Unless the request was not sent, it takes an allowed retry from the retry budget.
 func (c *call) mayRetry(ctx context.Context, result attemptResult) bool {
 	if ctx.Err() != nil {
 		return false
@@ -164,8 +167,8 @@
 	return c.sends < max(c.route.Attempts, 1) && c.router.allowRetry(c.service)
 }
 
-// shared are the parts of a prompt that other requests share: all but the last.
-// Parts that claim more than the whole prompt are cut at its end.
+// clampSharedParts returns the parts of a prompt that other requests share, which are all but the
+// last. Parts that extend beyond the prompt end at its end.
 func clampSharedParts(parts []protocol.Part, promptTokens int) []policy.Part {
 	if len(parts) < 2 {
 		return nil
--- a/internal/gateway/router/call_test.go
+++ b/internal/gateway/router/call_test.go
@@ -9,8 +9,8 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// A caller may claim any lengths: no part ends beyond the prompt, so that nothing
-// is counted as less than nothing to read.
+// Guards against callers that send wrong part lengths: a part that ended beyond the prompt would
+// make the number of remaining tokens negative.
 func TestSharedPartsClampedToPrompt(t *testing.T) {
 	parts := []protocol.Part{{ID: 1, Tokens: 500}, {ID: 2, Tokens: math.MaxInt - 600}, {ID: 3, Tokens: math.MaxInt}, {ID: 4, Tokens: 10}}
 	want := []policy.Part{{ID: 1, Upto: 500}, {ID: 2, Upto: 2000}, {ID: 3, Upto: 2000}}
@@ -18,6 +18,6 @@
 		t.Errorf("%v, want %v", got, want)
 	}
 	if got := clampSharedParts(parts[:1], 2000); got != nil {
-		t.Errorf("a prompt of its own shares %v", got)
+		t.Errorf("a prompt with one part shares %v", got)
 	}
 }
--- a/internal/gateway/router/choose.go
+++ b/internal/gateway/router/choose.go
@@ -6,7 +6,7 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// choose has the policy choose a server; nil when there is none to be used.
+// chooseServer has the policy choose a server. It returns nil if no server is usable.
 func (c *call) chooseServer() (*backend.Server, policy.Choice) {
 	servers, service := c.router.Registry.Servers(c.service), c.serviceConfig()
 	c.sharedParts = clampSharedParts(c.params.Parts, c.params.PromptTokens)
@@ -31,8 +31,8 @@
 	return servers[choice.At], choice
 }
 
-// pick has the policy choose among the servers that the request doesn't avoid, and where none
-// of these admits it, among all.
+// chooseWithAvoidance chooses among the servers that the request does not have to avoid. If none of
+// these admits it, it chooses among all servers.
 func (c *call) chooseWithAvoidance(job policy.Job, loads []policy.Server, firstChoice bool) policy.Choice {
 	if avoided := c.serversToAvoid(loads); len(avoided) > 0 {
 		avoiding := job
@@ -40,14 +40,14 @@
 		if choice := c.router.runChooser(c.service, avoiding, c.route.Pause, loads, firstChoice); choice.Found && c.admitted(choice) {
 			return choice
 		}
-		// It has been counted as offered.
+		// The first call has already counted the request as offered.
 		firstChoice = false
 	}
 	return c.router.runChooser(c.service, job, c.route.Pause, loads, firstChoice)
 }
 
-// facts is what operators say of the service; of one that they don't list
-// nothing is known.
+// serviceConfig returns the service's entry in the desired state, or a zero Service if there is
+// none.
 func (c *call) serviceConfig() routes.Service {
 	if set := c.router.Holder.Current(); set != nil && set.Services[c.service] != nil {
 		return *set.Services[c.service]
@@ -55,13 +55,14 @@
 	return routes.Service{}
 }
 
-// letIn reports whether the request is let in at the chosen server. What was
-// sent before is: it has used up time and work that would be lost.
+// admitted reports whether the request is admitted at the chosen server. A request that was sent
+// before always is: rejecting it would waste the time and work already spent.
 func (c *call) admitted(choice policy.Choice) bool {
 	return choice.InTime || c.sends > 0 || c.params.PromptTokens == 0 && choice.Room
 }
 
-// crowded refuses a request that isn't let in, and says what is lacking.
+// refuseNoCapacity refuses a request that is not admitted. The reason says whether slots or time
+// are short.
 func (c *call) refuseNoCapacity(choice policy.Choice) {
 	reason := ReasonCrowded
 	if choice.OnlySlots {
@@ -70,7 +71,7 @@
 	c.refuse(reason, policy.ComeBack(c.route.Target))
 }
 
-// beyondLimits refuses a request for which no server's limit has room left.
+// refuseServerLimits refuses a request because all servers have reached their rate limits.
 func (c *call) refuseServerLimits(choice policy.Choice) {
 	c.refuse(ReasonServerLimits, max(policy.ComeBack(c.route.Target), choice.FreeIn))
 }
--- a/internal/gateway/router/config.go
+++ b/internal/gateway/router/config.go
@@ -12,128 +12,134 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// Bounds are what the operators of a platform bound a gateway by.
+// Bounds holds the operator's bounds on a gateway.
 type Bounds struct {
-	// Proof is how old the proof may be that the desired state in force here
-	// is the newest, for requests with a key; 0 is no bound.
+	// MaxStateAge is how long ago the desired state may have been confirmed to be the newest for
+	// requests with an API key to be served; 0 means no bound.
 	Proof time.Duration
-	// RetryRatio and RetryExtra bound sends beyond the first for a service
-	// within RetryWindow, over all gateways.
+	// RetryRatio and RetryExtra bound the retries of a service within RetryWindow, over all
+	// gateways: RetryRatio for each request, plus RetryExtra.
 	RetryRatio  float64
 	RetryExtra  float64
 	RetryWindow time.Duration
-	// Held bounds the memory of requests in progress, in bytes; 0 is no bound.
+	// MaxRequestMemory bounds the memory of the requests in progress, in bytes; 0 means no bound.
 	Held int64
 }
 
-// Config is what a Router needs.
+// Config holds the dependencies of a Router.
 type Config struct {
 	Zone     string
 	Dialect  protocol.Dialect
 	Holder   *routes.Holder
 	Registry *backend.Registry
 	Pool     *exchange.Pool
-	// Others tells what other gateways have at a server.
+	// Peers reports the load and the limits that other gateways have seen.
 	Others Peers
-	// Gateways counts the gateways that share the retry budget and servers' limits.
+	// ListedGateways returns the number of gateways that share the retry budget and the servers'
+	// rate limits.
 	Gateways func() int
 	Chooser  *policy.Chooser
-	// Random is the Chooser's.
+	// Random is the random source that the Chooser uses too. The Router's lock guards it.
 	Random   *rand.Rand
 	Ejector  *policy.Ejector
 	Index    *policy.PrefixIndex
 	Observer Observer
 }
 
-// Others tells what other gateways have at a backend server.
+// Peers reports what other gateways have told this one.
 type Peers interface {
 	At(server string) backend.Counts
-	// Shortage is what they were short of lately at a service's servers.
+	// Shortage returns the recent capacity shortage of the other gateways for a service.
 	Shortage(service string) policy.Shortage
-	// LimitedSends is how many requests they sent lately to a server's start that has
-	// named a limit, as policy.ServerLimits counts them.
+	// LimitedSends returns the recent number of requests that they sent to a server instance with a
+	// rate limit, as policy.ServerLimits counts them.
 	LimitedSends(start policy.Key) float64
-	// Gateways counts those that are heard of, this one included, and Unseen is
-	// for how long what they send may go unseen here.
+	// LiveGateways returns the number of gateways from which updates arrive, including this one.
+	// UpdateDelay is the longest time until requests that they send are visible here.
 	Gateways() int
 	Unseen() time.Duration
 }
 
-// Observer counts requests.
+// Observer receives events about requests and servers, for metrics and logs.
 type Observer interface {
-	// Began is told of each request that a backend server has begun to answer, with the
-	// customer; empty for none.
+	// ResponseStarted is called when a backend server starts to answer a request. The customer is
+	// empty if the request has none.
 	Began(customer string)
-	// Ended is told of the end of each request.
+	// RequestEnded is called once for each request when it has ended.
 	Ended(e End)
-	// Replaced is told of each server at whose address another start was met.
+	// ServerReplaced is called when another instance answers at a server's address, once for each
+	// server.
 	Replaced(server string)
-	// ServerEnded is told of each server that ended while it had requests.
+	// ServerEnded is called when a server has ended while it had requests, once for each instance.
 	ServerEnded(server string)
-	// ServerLimited is told of each change of a server's limit that an answer told, and of
-	// each limit that can't be read.
+	// ServerLimitChanged is called when a response changes a server's rate limit, and for each
+	// response with an unreadable limit.
 	ServerLimited(server string, limit protocol.Limit)
-	// Quarantined is told of each request that is quarantined from now on, and why.
+	// RequestQuarantined is called when a request is quarantined, with the evidence.
 	Quarantined(why policy.Suspicion)
 }
 
-// End is how a request ended.
+// RequestResult describes how a request ended.
 type End struct {
 	ID      string
 	Route   string
 	Service string
-	// Customer is who asked, and Urgency how urgent that made it.
+	// Customer is the owner of the request's API key; empty if there is none. Urgency follows from
+	// the route's tier and the customer's.
 	Customer string
 	Urgency  int
-	// Fingerprint is the same for requests that ask for the same thing.
+	// Fingerprint is equal for requests with the same method, host, target, customer and body. It
+	// is zero for served requests.
 	Fingerprint policy.Fingerprint
-	// Status is what the caller was answered with; 0 when it left.
+	// Status is the HTTP status of the response; 0 if the caller disconnected or the response was
+	// broken off.
 	Status int
-	// Reason is why, in a fixed word.
+	// Reason is why the request ended with this status.
 	Reason Reason
-	// Sends counts the backend servers that it was sent to, and Unreached the connections
-	// to servers that weren't opened.
+	// Sends is how often the request was sent to a backend server, and FailedDials how many
+	// connection attempts to servers failed.
 	Sends     int
 	Unreached int
-	// Server is the last backend server that was chosen; empty for none.
+	// Server is the backend server that was chosen last; empty for none.
 	Server string
-	// ServerEnded says that the server ended while it had the request.
+	// ServerEnded is set if that server ended while it had the request. It is not set for served
+	// requests.
 	ServerEnded bool
-	// Expected is when the first token was expected there when it was chosen.
+	// ExpectedFirstToken is the time to the first token that was expected when Server was chosen.
 	Expected time.Duration
-	// PromptTokens is the length of the prompt; 0 for a plain service. It was admitted as one
-	// of MeanTokens. Of it Prefill was expected to be computed at that server, behind Ahead
-	// tokens of other requests.
+	// PromptTokens is the length of the prompt; 0 for services without prompts. The request was
+	// admitted by MeanTokens, the mean length of its route's prompts. Server was expected to
+	// compute PrefillTokens of the prompt, after TokensAhead tokens of other requests.
 	PromptTokens int
 	MeanTokens   int
 	Prefill      int
 	Ahead        int
-	// Version is the desired state's that decided, and ProofAge how old the
-	// proof was that it is the newest.
+	// StateVersion is the version of the desired state that applied, and StateAge how long ago it
+	// was confirmed to be the newest.
 	Version  uint64
 	ProofAge time.Duration
-	// Target is the route's latency target, First how long the first byte of
-	// the answer took, and Took how long all of it did.
+	// LatencyTarget is the route's target for FirstByteLatency, the time from the request's arrival
+	// to the first byte of the response. Duration is the time to its end.
 	LatencyTarget time.Duration
 	First         time.Duration
 	Took          time.Duration
-	// PauseTarget is the longest pause between events that the route allows,
-	// and Pause the longest that there was.
+	// PauseTarget is the route's target for LongestPause, the longest pause between events.
 	PauseTarget time.Duration
 	Pause       time.Duration
-	// Caller is how the caller's connection stands.
+	// Connection is the state of the caller's connection.
 	Caller callers.End
 }
 
-// Late reports whether a target of the route was missed.
+// Late reports whether the request missed one of its route's targets.
 func (e *End) Late() bool {
 	return e.LatencyTarget > 0 && e.First > e.LatencyTarget || e.PauseTarget > 0 && e.Pause > e.PauseTarget
 }
 
-// Reason is why a request ended as it did.
+// Reason is why a request ended as it did. It appears in error responses, logs and metrics.
 type Reason string
 
-// Reasons.
+// Reasons. Apart from ReasonServed, ReasonServerFailure, ReasonCallerLeft, ReasonBodyIncomplete and
+// ReasonStreamBroken, each is the body of an error response.
 const (
 	ReasonServed             Reason = "served"
 	ReasonServerFailure      Reason = "backend_failure"
--- a/internal/gateway/router/config_test.go
+++ b/internal/gateway/router/config_test.go
@@ -12,7 +12,7 @@
 		late bool
 	}{
 		"in time":         {End{LatencyTarget: target, First: target, PauseTarget: pauseTarget, Pause: pauseTarget}, false},
-		"late first":      {End{LatencyTarget: target, First: target + 1, PauseTarget: pauseTarget}, true},
+		"late first byte": {End{LatencyTarget: target, First: target + 1, PauseTarget: pauseTarget}, true},
 		"long pause":      {End{LatencyTarget: target, First: 1, PauseTarget: pauseTarget, Pause: pauseTarget + 1}, true},
 		"without targets": {End{First: time.Hour, Pause: time.Hour}, false},
 	}
--- a/internal/gateway/router/event_splitter.go
+++ b/internal/gateway/router/event_splitter.go
@@ -5,32 +5,34 @@
 	"strconv"
 )
 
-// maxEvent bounds one event in bytes; a longer one is no event of a model.
+// maxEventBytes bounds the size of one event in bytes. No model sends longer ones, so a stream with
+// a longer event counts as broken.
 const maxEventBytes = 256 << 10
 
-// events cuts a stream of server-sent events into whole events, so that what a
-// caller got always ends between two of them.
+// eventSplitter splits a stream of server-sent events into complete events, so that what the caller
+// has received always ends at an event boundary.
 type eventSplitter struct {
 	pending []byte
 }
 
-// add takes bytes as they came and returns the whole events among them. The
-// result is valid until the next call.
+// add appends bytes as they were read and returns all complete events that are not yet consumed.
+// The result is valid until the next call of add or consume.
 func (s *eventSplitter) add(p []byte) []byte {
 	s.pending = append(s.pending, p...)
 	end := lastEventEnd(s.pending)
 	return s.pending[:end]
 }
 
-// taken drops n bytes that have been passed on.
+// consume removes n bytes that have been forwarded.
 func (s *eventSplitter) consume(n int) {
 	s.pending = s.pending[:copy(s.pending, s.pending[n:])]
 }
 
-// rest counts the bytes of an event that isn't whole yet.
+// pendingBytes returns the number of bytes that are not yet consumed.
 func (s *eventSplitter) pendingBytes() int { return len(s.pending) }
 
-// lastEnd is the end of the last whole event: after an empty line.
+// lastEventEnd returns the end of the last complete event, which is after an empty line, or 0 if
+// there is none.
 func lastEventEnd(p []byte) int {
 	end := 0
 	if index := bytes.LastIndex(p, []byte("\n\n")); index >= 0 {
@@ -42,7 +44,7 @@
 	return end
 }
 
-// nextEvent cuts the first whole event off.
+// nextEvent splits off the first event.
 func nextEvent(p []byte) (event, rest []byte) {
 	end := len(p)
 	if index := bytes.Index(p, []byte("\n\n")); index >= 0 {
@@ -54,7 +56,7 @@
 	return p[:end], p[end:]
 }
 
-// eventID reads the id of an event; false when it has none that is a number.
+// eventID returns the id of an event. It reports false if the event has no numeric id.
 func eventID(event []byte) (int64, bool) {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		value, ok := bytes.CutPrefix(line, []byte("id:"))
@@ -67,8 +69,7 @@
 	return 0, false
 }
 
-// isComment reports whether an event has nothing but comments, which callers
-// pass over.
+// isComment reports whether an event consists of comment lines only, which callers ignore.
 func isComment(event []byte) bool {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		if line = bytes.TrimSpace(line); len(line) > 0 && line[0] != ':' {
--- a/internal/gateway/router/memory_limiter.go
+++ b/internal/gateway/router/memory_limiter.go
@@ -3,23 +3,22 @@
 import "sync/atomic"
 
 const (
-	// heldBase is what a request in progress takes beside its body, in bytes:
-	// its goroutine's stack, buffers of both connections and headers.
+	// requestOverhead is the memory of a request in progress without its body, in bytes: the
+	// goroutine's stack, the buffers of both connections and the headers.
 	requestOverhead = 32 << 10
-	// unknownBody is what a body of unknown length is counted for until it has
-	// been read.
+	// unknownBodySize is the size in bytes that is assumed for a body of unknown length.
 	unknownBodySize = 64 << 10
 )
 
-// held bounds the memory of the requests in progress. Callers that send large
-// bodies at once would otherwise end the process, and with it all others'
-// requests.
+// memoryLimiter bounds the memory of the requests in progress. Without a bound, callers that send
+// large bodies at the same time could exhaust the memory of the process, and all other requests
+// would fail with it.
 type memoryLimiter struct {
 	bytes atomic.Int64
 }
 
-// take counts a request with a body of a length, -1 where that isn't known;
-// false if there is no room for it below limit, 0 for none.
+// acquire reserves memory for a request with a body of the given length, -1 if unknown. It reports
+// false if the total would exceed limit; a limit of 0 means none. All sizes are in bytes.
 func (m *memoryLimiter) acquire(length, limit int64) (size int64, ok bool) {
 	if length < 0 {
 		length = unknownBodySize
@@ -32,5 +31,5 @@
 	return size, true
 }
 
-// give takes back what was counted.
+// release returns memory that acquire reserved.
 func (m *memoryLimiter) release(size int64) { m.bytes.Add(-size) }
--- a/internal/gateway/router/policy_state.go
+++ b/internal/gateway/router/policy_state.go
@@ -7,7 +7,8 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// loads are the servers as the policy sees them.
+// serverLoads returns the servers with the load of all gateways, as the policy takes them. The
+// bound on connections for each server is maxConns.
 func (r *Router) serverLoads(servers []*backend.Server, maxConns int) []policy.Server {
 	loads := make([]policy.Server, len(servers))
 	now := time.Now()
@@ -25,8 +26,9 @@
 	return loads
 }
 
-// meanTokens is the prompt length by which a request is admitted that has just come: about the
-// mean of its route's. The request counts for those that come after it.
+// observePromptSize returns the prompt length by which a new request is admitted, which is about
+// the mean of its route, or 0 without a prompt. It then includes the request's own length in that
+// mean.
 func (r *Router) observePromptSize(service, route string, tokens int) float64 {
 	if tokens == 0 {
 		return 0
@@ -39,8 +41,8 @@
 	return mean
 }
 
-// plan is when a server of a service is expected to read a prompt that goes
-// there now.
+// planPrefill records that the request is sent to the chosen server, and returns when that server
+// is expected to process its prompt.
 func (r *Router) planPrefill(c *call, choice policy.Choice) policy.PrefillPlan {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -50,17 +52,19 @@
 	return s.prefillRates[c.urgency].Plan(now, choice.Prefill, choice.Ahead)
 }
 
-// pick has the policy choose a server. First says that it is the request's first
-// choice: only that counts as offered; pause is the target for its pauses.
+// runChooser has the policy choose a server. Only the first choice for a request counts as an offer
+// and must be marked by firstChoice. pauseTarget is the route's target for pauses between events; 0
+// means none.
 func (r *Router) runChooser(service string, job policy.Job, pauseTarget time.Duration, loads []policy.Server, firstChoice bool) policy.Choice {
 	shortage := r.Others.Shortage(service)
 	now, otherGateways := time.Now(), float64(r.Others.Gateways()-1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// Others have as many callers as this gateway, as far as it can know.
+	// Other gateways are assumed to receive as many requests as this one, which has no better
+	// estimate.
 	s := r.serviceFor(service)
 	requests, tokens := s.sendRate.Within(now, r.Others.Unseen(), job.Urgency)
-	// News is half as old as it can be at the mean.
+	// On average, updates from other gateways are half as old as they can be.
 	job.Unseen, job.UnseenTokens, job.NewsAge = otherGateways*requests, otherGateways*tokens/2, r.Others.Unseen()/2
 	job.UnseenOffers, job.OtherSenders = shortage.Within(r.Others.Unseen()), otherGateways
 	own := s.shortage.Counts(now)
@@ -83,7 +87,7 @@
 	return choice
 }
 
-// Shortages are what this gateway was short of lately, by service.
+// Shortages returns this gateway's recent capacity shortage by service.
 func (r *Router) Shortages() map[string]policy.Shortage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,8 +99,8 @@
 	return shortages
 }
 
-// observeFirst takes how long a first token took with so much to be read
-// before it; the server holds the prompt's parts from now on.
+// observeFirstToken records the time to the first token, with tokensAhead tokens to process before
+// it. From now on the server counts as holding the shared parts of the prompt.
 func (r *Router) observeFirstToken(c *call, tokensAhead float64, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -107,7 +111,7 @@
 	r.unresponsive.Answered(policy.KeyOf(c.serverID))
 }
 
-// observePause takes the longest pause of a stream that one server made whole.
+// observePause records the longest pause of a stream that came completely from one server.
 func (r *Router) observePause(c *call) {
 	if c.route.Pause == 0 || c.sends > 1 || c.stream.pauseCount < minPauses {
 		return
@@ -121,7 +125,7 @@
 	r.updates.addPause(pause)
 }
 
-// Merge merges another gateway's updates.
+// MergeUpdates applies the updates of another gateway.
 func (r *Router) Merge(updates policy.News) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -145,8 +149,8 @@
 	}
 }
 
-// known returns a service by its key; nil for one that hasn't been asked for
-// here.
+// serviceByKey returns the state of a service by its key, or nil if this gateway has had no request
+// for it. r.mu must be held.
 func (r *Router) serviceByKey(key policy.Key) *serviceState {
 	for name, s := range r.services {
 		if policy.KeyOf(name) == key {
@@ -156,7 +160,8 @@
 	return nil
 }
 
-// News is what others have to be told.
+// TakeUpdates returns the updates to send to other gateways. It removes the samples that it
+// returns.
 func (r *Router) News() policy.News {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -167,8 +172,8 @@
 	}
 }
 
-// unreachable notes that a server can't be connected to: it may have crashed, and
-// then holds nothing when it is back.
+// recordUnreachable records that no connection to a server could be opened. The server may have
+// crashed, and then its prefix cache is empty after the restart.
 func (r *Router) recordUnreachable(server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -177,7 +182,7 @@
 	r.recordNoAnswer(server)
 }
 
-// unanswered notes that a server left a request without an answer.
+// recordUnanswered records that a server did not answer a request.
 func (r *Router) recordUnanswered(server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -185,20 +190,22 @@
 	r.recordNoAnswer(server)
 }
 
-// noAnswer notes, here and for others, that a server didn't answer; r.mu is held.
+// recordNoAnswer records, for this gateway and for the next update to others, that a server did not
+// answer. r.mu must be held.
 func (r *Router) recordNoAnswer(server string) {
 	key := policy.KeyOf(server)
 	r.unresponsive.Unanswered(time.Now(), key)
 	r.updates.addUnanswered(key)
 }
 
+// observeOutcome records the outcome of an attempt for ejection.
 func (r *Router) observeOutcome(server string, outcome policy.Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Ejector.Observe(time.Now(), server, outcome)
 }
 
-// Forget drops what is known of a server that isn't listed any more.
+// ForgetServer discards what was learned about a server that is no longer listed.
 func (r *Router) Forget(server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -210,12 +217,14 @@
 	}
 }
 
+// countRequest adds a request to the base of the service's retry budget.
 func (r *Router) countRequest(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.retryBudget(service).Request(time.Now())
 }
 
+// allowRetry takes one retry from the service's retry budget, and reports whether it could.
 func (r *Router) allowRetry(service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/router/policy_state_test.go
+++ b/internal/gateway/router/policy_state_test.go
@@ -10,7 +10,7 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// alone is a gateway that hears of no other.
+// noPeers is the Peers of a gateway that receives no updates.
 type noPeers struct{}
 
 func (noPeers) At(string) backend.Counts        { return backend.Counts{} }
@@ -27,7 +27,7 @@
 	}, Bounds{}, func() bool { return false })
 }
 
-// chosen counts where requests of a service go.
+// countChoices returns how many of 60 requests are admitted at each server.
 func countChoices(r *Router, pauseTarget time.Duration) map[string]int {
 	counts := map[string]int{}
 	for range 60 {
@@ -40,8 +40,8 @@
 	return counts
 }
 
-// What other gateways tell of a server that answers nobody keeps this one's requests
-// away, until one of them tells of an answer.
+// Guards against sending requests to a server that other gateways report as unresponsive, until one
+// of them reports a response from it.
 func TestUnresponsiveServerReportedByPeers(t *testing.T) {
 	r := newTestRouter()
 	unresponsive := policy.KeyOf("b")
@@ -49,24 +49,24 @@
 		r.Merge(policy.News{Unanswered: []policy.Key{unresponsive, unresponsive}})
 	}
 	if counts := countChoices(r, 0); counts["b"] != 0 || counts["a"] == 0 || counts["c"] == 0 {
-		t.Errorf("chosen %v, b answers nobody", counts)
+		t.Errorf("chosen %v, but b is unresponsive", counts)
 	}
 	r.Merge(policy.News{Firsts: []policy.FirstToken{{Service: policy.KeyOf("s"), Server: unresponsive, Urgency: 3, Ahead: 800, Took: 100 * time.Millisecond}}})
 	if counts := countChoices(r, 0); counts["b"] == 0 {
-		t.Errorf("chosen %v, b has answered another gateway", counts)
+		t.Errorf("chosen %v, but b has answered a request of another gateway", counts)
 	}
-	// What this gateway learns itself it tells others.
+	// Observations of this gateway are sent to the others.
 	r.recordUnanswered("c")
 	if news := r.News(); len(news.Unanswered) != 1 || news.Unanswered[0] != policy.KeyOf("c") {
-		t.Errorf("told %v of a request without an answer from c", news.Unanswered)
+		t.Errorf("updates name %v after c did not answer a request", news.Unanswered)
 	}
 	if news := r.News(); len(news.Unanswered) != 0 {
-		t.Errorf("told %v again", news.Unanswered)
+		t.Errorf("updates name %v a second time", news.Unanswered)
 	}
 }
 
-// Streams with a target for their pauses go where these are short, by what other
-// gateways tell; a route without one goes anywhere.
+// Guards against sending streams with a pause target to a server at which other gateways report
+// long pauses. Streams without a pause target may go to any server.
 func TestPausesReportedByPeers(t *testing.T) {
 	r := newTestRouter()
 	countChoices(r, 0)
@@ -78,23 +78,23 @@
 		reportPause("b", 150*time.Millisecond)
 		reportPause("c", 92*time.Millisecond)
 	}
-	// A prompt that shares nothing looks at three servers that are drawn, which may be
-	// one and the same.
+	// For a prompt without shared parts, the chooser samples three servers with replacement, so
+	// sometimes it samples only b.
 	if counts := countChoices(r, 120*time.Millisecond); 6*counts["b"] > counts["a"]+counts["b"]+counts["c"] {
-		t.Errorf("chosen %v, pauses at b are too long", counts)
+		t.Errorf("chosen %v, but the pauses at b are too long", counts)
 	}
 	if counts := countChoices(r, 0); counts["b"] == 0 {
-		t.Errorf("chosen %v without a target for pauses", counts)
+		t.Errorf("chosen %v without a pause target", counts)
 	}
-	// A server that starts anew is as any other.
+	// After a restart, the server has no history.
 	r.Forget("b")
 	if counts := countChoices(r, 120*time.Millisecond); counts["b"] == 0 {
-		t.Errorf("chosen %v, b has started anew", counts)
+		t.Errorf("chosen %v, but b has restarted", counts)
 	}
 }
 
-// Guards against long prompts being starved under load: where a prompt of the class's mean
-// length would be in time, a long one is admitted too.
+// Guards against long prompts being starved under load: where a prompt of the route's mean length
+// would be in time, a long one is admitted too.
 func TestLongPromptsAdmittedByRouteMean(t *testing.T) {
 	r := newTestRouter()
 	for range 100 {
@@ -110,9 +110,9 @@
 	}
 	const longPrompt = 20_000
 	if !admitted(4000, 0) || admitted(longPrompt, 0) {
-		t.Fatal("judged by their own length the short prompt is to be admitted and the long one isn't")
+		t.Fatal("admitted by their own lengths, the short prompt must pass and the long one must not")
 	}
 	if !admitted(longPrompt, r.observePromptSize("s", "summary", longPrompt)) {
-		t.Error("a long prompt is refused where one of the mean length is admitted")
+		t.Error("a long prompt is refused although one of the mean length is admitted")
 	}
 }
--- a/internal/gateway/router/quarantine.go
+++ b/internal/gateway/router/quarantine.go
@@ -10,18 +10,18 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// quarantineRetryAfter is when to come back with a request that crashes servers: it isn't let in
-// before it has stayed away for long.
+// quarantineRetryAfter is the Retry-After for a quarantined request. It is long because a request
+// that crashes servers is not admitted again until it has been absent for a long time.
 const quarantineRetryAfter = time.Minute
 
-// fingerprint is the same for requests that ask for the same thing: one that comes again
-// has another id and as much time as its caller then gives it. The hash is one for which
-// nobody can make a request with the fingerprint of somebody else's.
+// fingerprint identifies requests for the same work. It leaves out the request id and the timeout,
+// which differ when a caller sends the same request again. The hash is cryptographic so that nobody
+// can construct a request with the fingerprint of another customer's.
 func (c *call) fingerprint() policy.Fingerprint {
 	if !c.fingerprintCached {
 		hash := sha256.New()
 		for _, part := range []string{c.req.Method, c.req.Host, c.req.RequestURI, c.customer} {
-			// Writing to a hash doesn't fail. No part holds a zero byte.
+			// Writing to a hash never fails. None of the parts contains a zero byte.
 			_, _ = io.WriteString(hash, part+"\x00")
 		}
 		_, _ = hash.Write(c.body)
@@ -30,7 +30,8 @@
 	return c.cachedFingerprint
 }
 
-// quarantined answers a request that is quarantined; false if it isn't.
+// refuseIfQuarantined reports whether the request is quarantined, and if so, sends the final
+// response.
 func (c *call) refuseIfQuarantined() bool {
 	if !c.router.hasSuspects() || !c.router.isQuarantined(c.fingerprint()) {
 		return false
@@ -43,7 +44,8 @@
 	return true
 }
 
-// judge takes from an attempt's end whether the request crashed the server.
+// recordCrashEvidence records, after an attempt, whether the request may have crashed the server or
+// was served.
 func (c *call) recordCrashEvidence(server *backend.Server) {
 	switch {
 	case c.serverEnded:
@@ -53,15 +55,16 @@
 	}
 }
 
-// suspects reports whether any request is suspected, so that fingerprints are needed.
+// hasSuspects reports whether any request is suspected of crashing servers. If not, no fingerprints
+// are computed.
 func (r *Router) hasSuspects() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.quarantine.Empty()
 }
 
-// avoided names the servers that the request stays away from, so that its next crash
-// distinguishes it from other suspects.
+// serversToAvoid returns the names of the servers that the request should avoid, so that its next
+// crash distinguishes it from other suspects.
 func (c *call) serversToAvoid(servers []policy.Server) []string {
 	if !c.router.hasSuspects() {
 		return nil
@@ -72,8 +75,8 @@
 	return c.router.quarantine.Avoided(fingerprint, servers)
 }
 
-// watchRun notes that the request runs at a server until the function that is returned is called,
-// while there are suspects.
+// trackSuspectRun records that the request runs at a server, until the returned function is called.
+// It does nothing if there are no suspects.
 func (c *call) trackSuspectRun(server string) (finished func()) {
 	if !c.router.hasSuspects() {
 		return func() {}
@@ -89,39 +92,43 @@
 	}
 }
 
+// isQuarantined reports whether a request is quarantined now.
 func (r *Router) isQuarantined(f policy.Fingerprint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.quarantine.Quarantined(time.Now(), f)
 }
 
-// Quarantined counts the requests that are quarantined.
+// QuarantinedCount returns the number of quarantined requests.
 func (r *Router) Quarantined() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.quarantine.Len()
 }
 
-// Suspect takes what is known of requests from elsewhere.
+// MergeSuspicions adds suspicions from another source, such as the store.
 func (r *Router) Suspect(suspicions []policy.Suspicion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.quarantine.Merge(time.Now(), suspicions)
 }
 
+// recordServed records that a request got a complete response, which counts against suspicion.
 func (r *Router) recordServed(f policy.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.quarantine.Answered(time.Now(), f)
 }
 
+// recordCrash records that a server instance ended while it had the request.
 func (r *Router) recordCrash(f policy.Fingerprint, instance policy.Key) {
 	if quarantined, why := r.addCrash(f, instance); quarantined {
 		r.Observer.Quarantined(why)
 	}
 }
 
-// noteCrash reports whether a request is quarantined from now on, and why.
+// addCrash records a crash. It reports whether the request is quarantined from now on, and returns
+// the evidence.
 func (r *Router) addCrash(f policy.Fingerprint, instance policy.Key) (bool, policy.Suspicion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/router/refuse.go
+++ b/internal/gateway/router/refuse.go
@@ -10,9 +10,9 @@
 	"github.com/applepier/applepier/internal/unread"
 )
 
-// giveUp gives the final answer when no other send is allowed: a server's own
-// failure if there is one, a refusal if the request certainly didn't run, and
-// otherwise that nobody can say.
+// respondFinalFailure sends the final response when the request must not be sent again: a server's
+// failure response if there is one, a refusal if the request certainly did not run, or otherwise an
+// error that leaves open whether it ran.
 func (c *call) respondFinalFailure() {
 	switch {
 	case c.checkCallerLeft():
@@ -36,9 +36,9 @@
 	}
 }
 
-// refuse answers that the request didn't run and won't, and when to come back.
-// A gateway that isn't certain of its desired state sends the caller to another
-// one: a connection that is kept stays with its gateway.
+// refuse responds that the request did not and will not run, and when to retry. A gateway without a
+// confirmed desired state also closes the connection, since a caller that keeps it would reach the
+// same gateway again.
 func (c *call) refuse(reason Reason, retryAfter time.Duration) {
 	if reason == ReasonStateNotFresh || reason == ReasonNoState {
 		c.w.Header().Set("Connection", "close")
@@ -47,14 +47,14 @@
 	c.respondError(http.StatusServiceUnavailable, reason)
 }
 
-// fail gives an answer of the gateway's own.
+// respondError sends an error response of the gateway itself, with the reason as its body.
 func (c *call) respondError(status int, reason Reason) {
 	writeResponse := func() {
 		h := c.w.Header()
 		h.Set("Content-Type", "text/plain; charset=utf-8")
 		h.Set("Content-Length", strconv.Itoa(len(reason)+1))
 		c.w.WriteHeader(status)
-		// A caller that doesn't take the answer has left.
+		// If the write fails, the caller has disconnected.
 		_, _ = c.w.Write([]byte(string(reason) + "\n"))
 		c.reportEnd(status, reason)
 	}
@@ -65,18 +65,19 @@
 	unread.Answer(c.w, c.req, c.bodyLate, writeResponse)
 }
 
-// breakOff ends a stream that can't be completed, such that it doesn't look
-// complete.
+// abortStream closes the connection of a stream that cannot be completed, so that the caller does
+// not take it for complete.
 func (c *call) abortStream() {
 	c.reportEnd(0, ReasonStreamBroken)
 	if !c.req.ProtoAtLeast(1, 1) {
-		// There an answer without a length ends with its connection.
+		// In HTTP/1.0, a normal close of the connection is the end of a response without a length,
+		// so the connection must be reset.
 		callers.Reset(c.req.Context())
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// note tells the observer how the request ended.
+// reportEnd tells the Observer how the request ended.
 func (c *call) reportEnd(status int, reason Reason) {
 	end := End{
 		ID: c.params.ID, Service: c.service, Customer: c.customer, Urgency: c.urgency,
--- a/internal/gateway/router/router.go
+++ b/internal/gateway/router/router.go
@@ -1,7 +1,7 @@
-// Package router carries callers' requests to backend servers and their
-// answers back: it finds the route and the customer, has the policy choose a
-// server, sends, and sends again where that is certain to do no harm. It
-// doesn't know how headers are called. Start reading at Router.ServeHTTP.
+// Package router proxies callers' requests to backend servers. It matches the route and the
+// customer, has the policy choose a server, sends the request, and retries it where that is certain
+// to do no harm. The names of HTTP headers are left to protocol.Dialect. Start reading at
+// Router.ServeHTTP.
 package router
 
 import (
@@ -21,19 +21,21 @@
 )
 
 const (
-	// defaultPatience bounds a request whose caller and route both don't.
+	// defaultTimeout applies to requests whose route sets no timeout. A caller can shorten either.
 	defaultTimeout = 60 * time.Second
-	// takeTime is how long after its answer is due a caller may still take it: a
-	// few times what a lost packet costs. One that reads no more would keep its
-	// part of the memory, and hold up a graceful stop, for as long as it likes.
+	// writeGrace is how long after its deadline a response may still be written: a few times the
+	// delay caused by a lost packet. Without it, a caller that stops reading could hold its share
+	// of the memory, and delay a graceful shutdown, for as long as it likes.
 	writeGrace = 2 * time.Second
 )
 
-// Router serves callers. It implements http.Handler.
+// Router is an http.Handler that proxies requests to backend servers.
 type Router struct {
 	Config
-	// mu guards the policy's parts: the Chooser, the Ejector, the index and services. It
-	// comes after the Registry's lock; nothing is locked while it is held.
+	// mu guards the Chooser, the Ejector, the prefix index, Random and the policy state below:
+	// services, unresponsive, quarantine, limits and updates. It comes after the Registry's lock in
+	// the lock order. Peers and ListedGateways may be called, and lock, while it is held; no other
+	// lock is acquired then.
 	mu               sync.Mutex
 	services         map[string]*serviceState
 	unresponsive     *policy.Unresponsive
@@ -46,8 +48,8 @@
 	closeConnections func() bool
 }
 
-// New returns a Router. Elsewhere reports whether callers are to go to another
-// gateway: connections are closed after their answer.
+// New returns a Router. closeConnections reports whether callers should move to another gateway; if
+// so, their connections are closed after the response.
 func New(c Config, bounds Bounds, closeConnections func() bool) *Router {
 	r := &Router{
 		Config: c, services: map[string]*serviceState{}, unresponsive: policy.NewUnresponsive(), quarantine: policy.NewQuarantine(),
@@ -57,13 +59,13 @@
 	return r
 }
 
-// SetBounds puts other bounds in force.
+// SetBounds replaces the bounds. It is safe for concurrent use.
 func (r *Router) SetBounds(b Bounds) { r.bounds.Store(&b) }
 
-// Bounds are those in force.
+// Bounds returns the current bounds.
 func (r *Router) Bounds() Bounds { return *r.bounds.Load() }
 
-// ServeHTTP carries one request.
+// ServeHTTP proxies one request.
 func (r *Router) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	c := &call{router: r, w: w, req: req, arrivedAt: time.Now(), params: r.Dialect.Ask(req)}
 	if r.closeConnections() {
@@ -81,19 +83,20 @@
 	if !c.readBody() {
 		return
 	}
-	// Where it can't be set the connection is gone.
+	// This fails only if the connection is gone.
 	_ = http.NewResponseController(w).SetWriteDeadline(c.deadline.Add(writeGrace))
 	ctx, cancel := context.WithDeadline(req.Context(), c.deadline)
 	defer cancel()
 	c.run(ctx)
 	if c.callerGone {
-		// Without an answer net/http would give one of its own, a success, to a
-		// caller that closed only its sending side.
+		// If the handler returned without a response, net/http would send a 200 to a caller that
+		// has closed only its sending side.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// admit finds the request's route and customer, or answers it.
+// admit finds the request's route and customer. If the request cannot be served, it responds and
+// reports false.
 func (c *call) admit() bool {
 	r := c.router
 	set := r.Holder.Current()
@@ -130,7 +133,7 @@
 		return true
 	}
 	if !fresh {
-		// The key may have been taken away, or added, since.
+		// The key may have been revoked, or added, since the last confirmation.
 		c.refuse(ReasonStateNotFresh, stateRetryAfter)
 		return false
 	}
@@ -138,7 +141,7 @@
 	return false
 }
 
-// bound sets when the final answer is due.
+// setDeadline sets when the response must be complete.
 func (c *call) setDeadline() {
 	timeout := defaultTimeout
 	if c.route.Timeout > 0 {
@@ -150,7 +153,7 @@
 	c.deadline = c.arrivedAt.Add(timeout)
 }
 
-// headerBytes is the size of a request's head.
+// requestHeaderSize returns the size of the request line and the headers in bytes.
 func requestHeaderSize(req *http.Request) int {
 	const lineOverhead = 4
 	n := len(req.Method) + len(req.RequestURI) + len(req.Proto) + len("Host") + len(req.Host) + 2*lineOverhead
@@ -162,14 +165,14 @@
 	return n
 }
 
-// Fresh reports whether the desired state is proved to be new enough for
-// requests whose keys may be taken away.
+// StateFresh reports whether the desired state was confirmed recently enough to serve requests
+// whose API keys may have been revoked.
 func (r *Router) Fresh() bool {
 	bound := r.Bounds().Proof
 	return bound == 0 || boottime.Now()-r.Holder.ProvenAt() <= bound
 }
 
-// readBody reads the whole body, or answers the request.
+// readBody reads the whole body. If that fails, it responds and reports false.
 func (c *call) readBody() bool {
 	if c.req.Body == nil || c.req.Body == http.NoBody {
 		return true
@@ -179,7 +182,7 @@
 		body = http.MaxBytesReader(c.w, c.req.Body, c.bodyLimit)
 	}
 	c.bodyRead = true
-	// net/http takes the deadline away when the body's end has been read.
+	// net/http clears the read deadline when the end of the body has been read.
 	_ = http.NewResponseController(c.w).SetReadDeadline(c.deadline)
 	var err error
 	c.body, err = readAll(body, c.req.ContentLength)
@@ -199,8 +202,8 @@
 	return false
 }
 
-// readAll reads a body whose length is known, or -1, without growing a buffer
-// step by step where that can be helped.
+// readAll reads a body of the given length, -1 if unknown. It allocates the buffer at once if the
+// length is known and at most 1 MiB.
 func readAll(body io.Reader, length int64) ([]byte, error) {
 	const maxPreallocated = 1 << 20
 	if length < 0 || length > maxPreallocated {
@@ -211,8 +214,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// The end has to be read too, before net/http watches for callers that
-	// leave.
+	// Also read the end of the body, because only then net/http starts to detect a disconnect of
+	// the caller.
 	if _, err := body.Read(make([]byte, 1)); err != nil && !errors.Is(err, io.EOF) {
 		return nil, err
 	}
--- a/internal/gateway/router/server_ended.go
+++ b/internal/gateway/router/server_ended.go
@@ -6,14 +6,14 @@
 	"github.com/applepier/applepier/internal/gateway/backend"
 )
 
-// hasEnded finds out whether a server that broke an answer off has ended: then its host
-// refuses connections. What it had is lost with it, whereas an answer that a server
-// breaks off which goes on tells of that answer alone.
+// serverHasEnded reports whether a server that broke off a response has ended, which shows in its
+// host refusing connections. If it has, all its requests are lost; if not, only this response is
+// affected.
 func (c *call) serverHasEnded(server *backend.Server) bool {
 	if server.HasEnded() {
 		return true
 	}
-	// The caller may have left; others want to know all the same.
+	// Probe even if the caller has disconnected, because the result matters to other requests.
 	if !c.router.Pool.Refuses(context.WithoutCancel(c.req.Context()), server.Peer()) {
 		return false
 	}
--- a/internal/gateway/router/server_limits.go
+++ b/internal/gateway/router/server_limits.go
@@ -8,8 +8,8 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// learnLimit takes from a server's answer how many requests it takes. An answer of another
-// server at its address tells nothing of it.
+// updateServerLimit takes over the rate limit that a response names. A response from another
+// instance at the address says nothing about the server.
 func (c *call) updateServerLimit(server *backend.Server, sent time.Time, reply protocol.Reply) {
 	switch {
 	case reply.OtherServer:
@@ -18,7 +18,8 @@
 	}
 }
 
-// setLimit reports whether a server's limit is another one than before.
+// setLimit records a server's rate limit, or that a response to a request of the time sent named
+// none. It reports whether the limit has changed.
 func (r *Router) setLimit(server *backend.Server, sent time.Time, limit protocol.Limit) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -28,7 +29,8 @@
 	return r.limits.Unnamed(sent, server.Info().InstanceKey())
 }
 
-// allowances says what each server's limit still allows this gateway; r.mu is held.
+// setAllowances sets in loads how much of each server's rate limit is left to this gateway. r.mu
+// must be held.
 func (r *Router) setAllowances(now time.Time, loads []policy.Server) {
 	if r.limits.Empty() {
 		return
@@ -41,8 +43,9 @@
 	}
 }
 
-// countLimited counts a request that is about to be sent to a server; r.mu is held. It is
-// counted with the choice, so that no other request takes the same place.
+// countLimitedSend counts a request that is about to be sent to a server with a rate limit. It is
+// called under the same lock as the choice, so that no other request uses the same allowance. r.mu
+// must be held.
 func (r *Router) countLimitedSend(now time.Time, server *policy.Server) {
 	if server.Limited {
 		r.limits.Sent(now, server.Start)
@@ -50,10 +53,10 @@
 	}
 }
 
-// LimitedSends counts the requests that were sent to servers while they had a limit.
+// LimitedSendCount returns the number of requests sent to servers with a rate limit.
 func (r *Router) LimitedSends() int64 { return r.limitedSends.Load() }
 
-// Limited counts the servers that have named a limit.
+// LimitedServerCount returns the number of servers with a rate limit.
 func (r *Router) Limited() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/router/service_state.go
+++ b/internal/gateway/router/service_state.go
@@ -2,25 +2,25 @@
 
 import "github.com/applepier/applepier/policy"
 
-// budgetUse is the part of the shared retry budget that is spent: gateways
-// count in windows of their own, and one may not know all others.
+// retryBudgetShare is the part of the shared retry budget that is used. The rest is a margin,
+// because each gateway counts in its own window and may not know all others.
 const retryBudgetShare = 0.75
 
-// service is what a Router has learned of one service.
+// serviceState is what a Router has learned about one service.
 type serviceState struct {
 	retryBudget policy.WindowBudget
-	// rates are by urgency: what is less urgent waits for all that comes after it
-	// and is more so, which its rate includes.
+	// prefillRates holds the prefill rates by urgency. Less urgent requests also wait for more
+	// urgent ones that arrive later, and their rate includes that wait.
 	prefillRates [policy.UrgencyLevels]policy.PrefillRate
 	sendRate     policy.SendRate
 	pauses       policy.Pauses
 	shortage     policy.ShortageCount
 	headroom     policy.Yielding
-	// sizes are of prompts, by route.
+	// promptSizes holds the prompt lengths by route.
 	promptSizes policy.ClassSizes
 }
 
-// service returns what is known of a service; r.mu is held.
+// serviceFor returns the state of a service and creates it if needed. r.mu must be held.
 func (r *Router) serviceFor(name string) *serviceState {
 	s := r.services[name]
 	if s == nil {
@@ -30,8 +30,7 @@
 	return s
 }
 
-// budget returns a service's retry budget as the bounds in force make it; r.mu
-// is held.
+// retryBudget returns a service's retry budget, set to the current bounds. r.mu must be held.
 func (r *Router) retryBudget(name string) *policy.WindowBudget {
 	bounds := r.Bounds()
 	budget := &r.serviceFor(name).retryBudget
--- a/internal/gateway/router/stream.go
+++ b/internal/gateway/router/stream.go
@@ -10,14 +10,14 @@
 	"github.com/applepier/applepier/internal/gateway/exchange"
 )
 
-// streamBuffer is the size of the reads of a stream, in bytes: a few events.
+// streamBufferSize is the size of the buffer for reading a stream, in bytes. It holds a few events.
 const streamBufferSize = 2 << 10
 
-// leastPauses is how many pauses a stream has to have for the longest of them to
-// tell of its server: of a few the longest is chance.
+// minPauses is the minimum number of pauses in a stream for its longest one to count for the
+// server. With fewer, the longest is mostly chance.
 const minPauses = 16
 
-// relay passes a stream's events on as they come, each whole.
+// relayEvents forwards the events of a stream as they arrive, each as a whole.
 func (c *call) relayEvents(ctx context.Context, response *exchange.Answer, tracked *trackedRequest) attemptResult {
 	if !c.stream.headerSent {
 		c.stream.setResumePoint(c.params.After)
@@ -50,8 +50,8 @@
 	}
 }
 
-// sendEvents passes on those of the whole events that the caller doesn't have;
-// false if the stream can't go on so.
+// sendEvents forwards those of the events that the caller does not have yet. It reports false if
+// the stream cannot continue, because events are missing or the caller cannot be written to.
 func (c *call) sendEvents(response *exchange.Answer, events []byte) bool {
 	out, ok := c.stream.newEvents(events)
 	if len(out) == 0 {
@@ -65,7 +65,7 @@
 	return http.NewResponseController(c.w).Flush() == nil && ok
 }
 
-// begin sends the head of the first server's answer, once.
+// writeStreamHeader sends the status and headers of the response, unless they were sent before.
 func (c *call) writeStreamHeader(response *exchange.Answer) {
 	if c.stream.headerSent {
 		return
@@ -76,7 +76,7 @@
 	c.w.WriteHeader(response.Status)
 }
 
-// endStream ends a stream that is whole.
+// finishStream ends a complete stream.
 func (c *call) finishStream(response *exchange.Answer) attemptResult {
 	c.writeStreamHeader(response)
 	c.served = true
--- a/internal/gateway/router/stream_state.go
+++ b/internal/gateway/router/stream_state.go
@@ -5,34 +5,33 @@
 	"time"
 )
 
-// streamed is what a caller has of a stream.
+// streamState tracks what the caller has received of a stream.
 type streamState struct {
-	// begun says that the head has been sent.
+	// headerSent is set once the status and headers have been sent.
 	headerSent bool
-	// last is the id of the last event that the caller has; it means something
-	// only if numbered.
+	// lastID is the id of the last event that the caller has. It is valid if hasLastID is set.
 	lastID    int64
 	hasLastID bool
-	// unnumbered says that the caller has events without an id.
+	// sentWithoutID is set if the caller has received events without an id.
 	sentWithoutID bool
-	// sentAt is when events were passed on last, and pause the longest time
-	// between two such moments.
+	// lastSentAt is when events were last forwarded, and longestPause the longest time between two
+	// such moments.
 	lastSentAt   time.Time
 	longestPause time.Duration
-	// pauses counts the times between two such moments.
+	// pauseCount is the number of pauses measured.
 	pauseCount int
 }
 
-// resume notes that a caller has the events up to the one that it names; what
-// is no number names none.
+// setResumePoint records that the caller already has the events up to the given id. It ignores an
+// id that is not a number.
 func (s *streamState) setResumePoint(after string) {
 	if id, err := strconv.ParseInt(after, 10, 64); err == nil {
 		s.lastID, s.hasLastID = id, true
 	}
 }
 
-// next returns those of the whole events that the caller doesn't have yet, and
-// notes that it has them; false if there is a gap after them.
+// newEvents returns those of the events that the caller does not have yet, and records them as
+// received. It reports false if an event is missing after the returned ones.
 func (s *streamState) newEvents(events []byte) ([]byte, bool) {
 	out := events[:0:0]
 	for len(events) > 0 {
@@ -54,11 +53,11 @@
 	return out, true
 }
 
-// mayGoOn reports whether the stream can go on at another server: nobody can say
-// which events without an id the caller has, and none may come twice.
+// resumable reports whether the stream can continue at another server. It cannot after events
+// without an id: it is unknown which of them the caller has, and none may be sent twice.
 func (s *streamState) resumable() bool { return !s.sentWithoutID }
 
-// passed notes that events were passed on.
+// recordSend records that events were forwarded at the given time.
 func (s *streamState) recordSend(now time.Time) {
 	if !s.lastSentAt.IsZero() {
 		s.longestPause = max(s.longestPause, now.Sub(s.lastSentAt))
--- a/internal/gateway/router/tracked_request.go
+++ b/internal/gateway/router/tracked_request.go
@@ -6,17 +6,18 @@
 	"github.com/applepier/applepier/internal/gateway/backend"
 )
 
-// visit is a request's stay at a server.
+// trackedRequest is a request in flight at a server, with what is needed to learn from its first
+// token.
 type trackedRequest struct {
 	*backend.InFlight
 	call *call
-	// ahead is what was to be read before the first token, in tokens, when
-	// the request was sent.
+	// tokensAhead is how many tokens the server was expected to process before the first token, at
+	// the time of sending.
 	tokensAhead float64
 	sentAt      time.Time
 }
 
-// begun notes that the answer has begun.
+// responseStarted records the first byte of the response. Further calls do nothing.
 func (t *trackedRequest) responseStarted() {
 	if t.MarkStarted() {
 		t.call.router.Observer.Began(t.call.customer)
--- a/internal/gateway/router/update_buffer.go
+++ b/internal/gateway/router/update_buffer.go
@@ -4,37 +4,41 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// mostUnsent bounds the samples of one kind that wait to be told: what nobody
-// takes isn't kept.
+// maxBufferedSamples bounds the samples of each kind that wait to be sent. More are dropped, so
+// that the buffer stays small if nothing takes them.
 const maxBufferedSamples = 256
 
-// outbox gathers the first tokens and pauses that came, and the requests that got no
-// answer, since others were told last. A datagram that is lost loses its own, which is
-// as if fewer had been sent.
+// updateBuffer collects the samples since the last update to other gateways: times to the first
+// token, pauses, and servers that did not answer. If a datagram is lost, its samples are lost,
+// which only makes the sample smaller.
 type updateBuffer struct {
 	firstTokens []policy.FirstToken
 	pauses      []policy.Pause
 	unanswered  []policy.Key
 }
 
+// addFirstToken adds a time to the first token.
 func (b *updateBuffer) addFirstToken(sample policy.FirstToken) {
 	if len(b.firstTokens) < maxBufferedSamples {
 		b.firstTokens = append(b.firstTokens, sample)
 	}
 }
 
+// addPause adds the longest pause of a stream.
 func (b *updateBuffer) addPause(sample policy.Pause) {
 	if len(b.pauses) < maxBufferedSamples {
 		b.pauses = append(b.pauses, sample)
 	}
 }
 
+// addUnanswered adds a server that did not answer a request.
 func (b *updateBuffer) addUnanswered(server policy.Key) {
 	if len(b.unanswered) < maxBufferedSamples {
 		b.unanswered = append(b.unanswered, server)
 	}
 }
 
+// takeAll returns the samples and empties the buffer.
 func (b *updateBuffer) takeAll() updateBuffer {
 	buffered := *b
 	*b = updateBuffer{}
--- a/internal/gateway/routes/holder.go
+++ b/internal/gateway/routes/holder.go
@@ -29,8 +29,8 @@
 }
 
 // Update makes s the current Snapshot if it is newer, and reports whether it did. No newer version
-// than s was in force at confirmedAt. For the current version it only records the confirmation, and for
-// an older one it does nothing.
+// than s was in force at confirmedAt. For the current version it only records the confirmation, and
+// for an older one it does nothing.
 func (h *Holder) Offer(s *Set, confirmedAt time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -55,6 +55,7 @@
 	}
 }
 
+// confirm raises confirmedAt, which never goes back. h.mu must be held.
 func (h *Holder) confirm(confirmedAt time.Duration) {
 	if int64(confirmedAt) > h.confirmedAt.Load() {
 		h.confirmedAt.Store(int64(confirmedAt))
--- a/internal/gateway/routes/urgency.go
+++ b/internal/gateway/routes/urgency.go
@@ -10,6 +10,7 @@
 // requests, so one customer's summaries would preempt another's alarms.
 type rank struct{ route, customer int }
 
+// compareRanks orders ranks from the most to the least urgent.
 func compareRanks(a, b rank) int {
 	return cmp.Or(cmp.Compare(a.route, b.route), cmp.Compare(a.customer, b.customer))
 }
