--- a/internal/gateway/router/choose.go
+++ b/internal/gateway/router/choose.go
@@ -49,8 +49,8 @@
 // serviceConfig returns the service's entry in the desired state, or a zero Service if there is
 // none.
 func (c *call) serviceConfig() routes.Service {
-	if set := c.router.Holder.Current(); set != nil && set.Services[c.service] != nil {
-		return *set.Services[c.service]
+	if snapshot := c.router.Holder.Current(); snapshot != nil && snapshot.Services[c.service] != nil {
+		return *snapshot.Services[c.service]
 	}
 	return routes.Service{}
 }
--- a/internal/gateway/router/config.go
+++ b/internal/gateway/router/config.go
@@ -53,7 +53,7 @@
 	Shortage(service string) policy.Shortage
 	// LimitedSends returns the recent number of requests that they sent to a server instance with a
 	// rate limit, as policy.ServerLimits counts them.
-	LimitedSends(start policy.Key) float64
+	LimitedSends(instance policy.Key) float64
 	// LiveGateways returns the number of gateways from which updates arrive, including this one.
 	// UpdateDelay is the longest time until requests that they send are visible here.
 	Gateways() int
@@ -66,7 +66,7 @@
 	// empty if the request has none.
 	Began(customer string)
 	// RequestEnded is called once for each request when it has ended.
-	Ended(e End)
+	Ended(result End)
 	// ServerReplaced is called when another instance answers at a server's address, once for each
 	// server.
 	Replaced(server string)
@@ -76,7 +76,7 @@
 	// response with an unreadable limit.
 	ServerLimited(server string, limit protocol.Limit)
 	// RequestQuarantined is called when a request is quarantined, with the evidence.
-	Quarantined(why policy.Suspicion)
+	Quarantined(evidence policy.Suspicion)
 }
 
 // RequestResult describes how a request ended.
@@ -119,7 +119,8 @@
 	Version  uint64
 	ProofAge time.Duration
 	// LatencyTarget is the route's target for FirstByteLatency, the time from the request's arrival
-	// to the first byte of the response. Duration is the time to its end.
+	// until the gateway could start to forward a response: its first event, or a buffered body.
+	// Duration is the time to the end of the request.
 	LatencyTarget time.Duration
 	First         time.Duration
 	Took          time.Duration
--- a/internal/gateway/router/policy_state.go
+++ b/internal/gateway/router/policy_state.go
@@ -15,8 +15,8 @@
 	for i, s := range servers {
 		info := s.Info()
 		counts := r.Others.At(info.ID)
-		own := s.Load.Counts(now)
-		counts.Add(&own, 1)
+		ownCounts := s.Load.Counts(now)
+		counts.Add(&ownCounts, 1)
 		loads[i] = policy.Server{
 			Name: info.ID, Start: info.InstanceKey(), Zone: info.Zone, Slots: info.Slots, Conns: maxConns,
 			Leaving: info.Leaving, Warming: info.WarmupLeft > 0,
@@ -67,8 +67,8 @@
 	// On average, updates from other gateways are half as old as they can be.
 	job.Unseen, job.UnseenTokens, job.NewsAge = otherGateways*requests, otherGateways*tokens/2, r.Others.Unseen()/2
 	job.UnseenOffers, job.OtherSenders = shortage.Within(r.Others.Unseen()), otherGateways
-	own := s.shortage.Counts(now)
-	shortage.Add(&own, 1)
+	ownShortage := s.shortage.Counts(now)
+	shortage.Add(&ownShortage, 1)
 	r.setAllowances(now, loads)
 	for i := range loads {
 		server := policy.KeyOf(loads[i].Name)
@@ -101,12 +101,12 @@
 
 // observeFirstToken records the time to the first token, with tokensAhead tokens to process before
 // it. From now on the server counts as holding the shared parts of the prompt.
-func (r *Router) observeFirstToken(c *call, tokensAhead float64, took time.Duration) {
+func (r *Router) observeFirstToken(c *call, tokensAhead float64, elapsed time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	r.serviceFor(c.service).prefillRates[c.urgency].Observe(now, tokensAhead, took)
-	r.updates.addFirstToken(policy.FirstToken{Service: policy.KeyOf(c.service), Server: policy.KeyOf(c.serverID), Urgency: c.urgency, Ahead: tokensAhead, Took: took})
+	r.serviceFor(c.service).prefillRates[c.urgency].Observe(now, tokensAhead, elapsed)
+	r.updates.addFirstToken(policy.FirstToken{Service: policy.KeyOf(c.service), Server: policy.KeyOf(c.serverID), Urgency: c.urgency, Ahead: tokensAhead, Took: elapsed})
 	r.Index.Read(now, policy.KeyOf(c.serverID), c.sharedParts)
 	r.unresponsive.Answered(policy.KeyOf(c.serverID))
 }
--- a/internal/gateway/router/policy_state_test.go
+++ b/internal/gateway/router/policy_state_test.go
@@ -20,10 +20,10 @@
 func (noPeers) Unseen() time.Duration           { return 100 * time.Millisecond }
 
 func newTestRouter() *Router {
-	ejector, index := policy.NewEjector(), policy.NewPrefixIndex()
+	ejector, prefixIndex := policy.NewEjector(), policy.NewPrefixIndex()
 	return New(Config{
-		Holder: &routes.Holder{}, Others: noPeers{}, Gateways: func() int { return 1 }, Ejector: ejector, Index: index,
-		Chooser: policy.NewChooser(rand.New(rand.NewPCG(1, 2)), ejector, index),
+		Holder: &routes.Holder{}, Others: noPeers{}, Gateways: func() int { return 1 }, Ejector: ejector, Index: prefixIndex,
+		Chooser: policy.NewChooser(rand.New(rand.NewPCG(1, 2)), ejector, prefixIndex),
 	}, Bounds{}, func() bool { return false })
 }
 
--- a/internal/gateway/router/quarantine.go
+++ b/internal/gateway/router/quarantine.go
@@ -122,8 +122,8 @@
 
 // recordCrash records that a server instance ended while it had the request.
 func (r *Router) recordCrash(f policy.Fingerprint, instance policy.Key) {
-	if quarantined, why := r.addCrash(f, instance); quarantined {
-		r.Observer.Quarantined(why)
+	if quarantined, evidence := r.addCrash(f, instance); quarantined {
+		r.Observer.Quarantined(evidence)
 	}
 }
 
--- a/internal/gateway/router/refuse.go
+++ b/internal/gateway/router/refuse.go
@@ -79,7 +79,7 @@
 
 // reportEnd tells the Observer how the request ended.
 func (c *call) reportEnd(status int, reason Reason) {
-	end := End{
+	result := End{
 		ID: c.params.ID, Service: c.service, Customer: c.customer, Urgency: c.urgency,
 		Status: status, Reason: reason, Sends: c.sends, Unreached: c.failedDials, Server: c.serverID, Expected: c.expectedFirstToken,
 		PromptTokens: c.params.PromptTokens, MeanTokens: int(c.meanTokens), Prefill: c.prefillTokens, Ahead: c.tokensAhead,
@@ -88,10 +88,10 @@
 		Caller: callers.EndOf(c.req.Context()),
 	}
 	if reason != ReasonServed {
-		end.Fingerprint, end.ServerEnded = c.fingerprint(), c.serverEnded
+		result.Fingerprint, result.ServerEnded = c.fingerprint(), c.serverEnded
 	}
 	if c.route != nil {
-		end.Route, end.LatencyTarget, end.PauseTarget = c.route.Name, c.route.Target, c.route.Pause
+		result.Route, result.LatencyTarget, result.PauseTarget = c.route.Name, c.route.Target, c.route.Pause
 	}
-	c.router.Observer.Ended(end)
+	c.router.Observer.Ended(result)
 }
--- a/internal/gateway/router/router.go
+++ b/internal/gateway/router/router.go
@@ -99,14 +99,14 @@
 // reports false.
 func (c *call) admit() bool {
 	r := c.router
-	set := r.Holder.Current()
-	if set == nil {
+	snapshot := r.Holder.Current()
+	if snapshot == nil {
 		c.refuse(ReasonNoState, stateRetryAfter)
 		return false
 	}
-	c.stateVersion = set.Version
+	c.stateVersion = snapshot.Version
 	fresh := r.Fresh()
-	c.route = set.Match(c.req.Host, c.req.URL.Path)
+	c.route = snapshot.Match(c.req.Host, c.req.URL.Path)
 	switch {
 	case c.route == nil && !fresh:
 		c.refuse(ReasonStateNotFresh, stateRetryAfter)
@@ -118,18 +118,18 @@
 		c.respondError(http.StatusBadRequest, ReasonNoID)
 		return false
 	}
-	if limit := set.Limits.HeaderBytes; limit > 0 && requestHeaderSize(c.req) > limit {
+	if limit := snapshot.Limits.HeaderBytes; limit > 0 && requestHeaderSize(c.req) > limit {
 		c.respondError(http.StatusRequestHeaderFieldsTooLarge, ReasonHeaderTooLarge)
 		return false
 	}
-	c.bodyLimit = set.Limits.BodyBytes
+	c.bodyLimit = snapshot.Limits.BodyBytes
 	c.setDeadline()
-	customer, known := set.CustomerByKey(c.params.Key)
+	customer, known := snapshot.CustomerByKey(c.params.Key)
 	if known {
 		c.customer = customer.Name
 	}
-	c.urgency = set.Urgency(c.route, customer, protocol.Levels)
-	if !set.RequiresKey(c.route) || known && fresh {
+	c.urgency = snapshot.Urgency(c.route, customer, protocol.Levels)
+	if !snapshot.RequiresKey(c.route) || known && fresh {
 		return true
 	}
 	if !fresh {
--- a/internal/gateway/routes/holder.go
+++ b/internal/gateway/routes/holder.go
@@ -62,6 +62,6 @@
 	}
 }
 
-// ConfirmedAt returns the latest time at which the current Snapshot was known to be the newest, or
-// 0 if there is none.
+// ConfirmedAt returns the latest time, on the clock of those who call Update and Confirm, at which
+// the current Snapshot was known to be the newest, or 0 if there is none.
 func (h *Holder) ProvenAt() time.Duration { return time.Duration(h.confirmedAt.Load()) }
