--- a/internal/gateway/router/config.go
+++ b/internal/gateway/router/config.go
@@ -48,14 +48,15 @@
 
 // Peers reports what other gateways have told this one.
 type Peers interface {
+	// At returns the requests that the other gateways have in progress at a backend server.
 	At(server string) backend.Counts
 	// Shortage returns the recent capacity shortage of the other gateways for a service.
 	Shortage(service string) policy.Shortage
 	// LimitedSends returns the recent number of requests that they sent to a server instance with a
 	// rate limit, as policy.ServerLimits counts them.
 	LimitedSends(instance policy.Key) float64
-	// LiveGateways returns the number of gateways from which updates arrive, including this one.
-	// UpdateDelay is the longest time until requests that they send are visible here.
+	// Gateways returns the number of gateways from which updates arrive, including this one. Unseen
+	// returns the longest time until requests that they send are visible here.
 	Gateways() int
 	Unseen() time.Duration
 }
