--- /dev/null
+++ b/internal/gateway/router/buffered_response.go
@@ -0,0 +1,151 @@
+package router
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/applepier/applepier/internal/gateway/exchange"
+)
+
+const (
+	// maxBufferedResponse is the largest response body, in bytes, that is read completely before it
+	// is forwarded. If such a response breaks off, the request can be sent to another server, or
+	// the caller gets the right status. Longer responses are forwarded as they arrive.
+	maxBufferedResponse = 256 << 10
+	// maxRejectionBody bounds how much is read of the body of a response that says that the request
+	// did not run, in bytes.
+	maxRejectionBody = 16 << 10
+	// copyBufferSize is the size of the buffer with which longer responses are copied, in bytes.
+	copyBufferSize = 32 << 10
+)
+
+// bufferedResponse is a server's complete response.
+type bufferedResponse struct {
+	status int
+	header http.Header
+	body   []byte
+	// contentLength is the server's Content-Length header; empty if it sent none.
+	contentLength string
+}
+
+// forwardBuffered forwards a response that is not an event stream. Up to maxBufferedResponse it
+// forwards either the whole response or nothing.
+func (c *call) forwardBuffered(ctx context.Context, response *exchange.Answer, tracked *trackedRequest) attemptResult {
+	tracked.responseStarted()
+	body, err := readLimited(response, maxBufferedResponse)
+	if err != nil {
+		return c.resultAfterReadError()
+	}
+	buffered := &bufferedResponse{status: response.Status, header: c.router.Dialect.Answer(response.Header), body: body, contentLength: response.Header.Get("Content-Length")}
+	c.firstByteLatency = time.Since(c.arrivedAt)
+	switch {
+	case impliesNotRun(response.Status):
+		// The server did not report that the request did not run, but callers would take this
+		// status to mean that.
+		return resultUnknown
+	case c.stream.headerSent:
+		// A failure status cannot be sent once the stream has started.
+		return resultUnknown
+	case len(body) > maxBufferedResponse:
+		return c.forwardLong(buffered, response)
+	case isSuccess(response.Status):
+		c.served = true
+		c.writeBuffered(buffered)
+		c.reportEnd(buffered.status, ReasonServed)
+		return resultFinal
+	default:
+		c.serverFailure = buffered
+		if ctx.Err() != nil {
+			return resultUnknown
+		}
+		return resultServerFailed
+	}
+}
+
+// resultAfterReadError returns the result of an attempt whose response broke off.
+func (c *call) resultAfterReadError() attemptResult {
+	if c.checkCallerLeft() {
+		return resultFinal
+	}
+	return resultUnknown
+}
+
+// checkCallerLeft reports whether the caller has disconnected, and if so, reports the end of the
+// request.
+func (c *call) checkCallerLeft() bool {
+	if c.req.Context().Err() == nil {
+		return false
+	}
+	c.callerGone = true
+	c.reportEnd(0, ReasonCallerLeft)
+	return true
+}
+
+// impliesNotRun reports whether a status tells callers that the request did not run and will not.
+func impliesNotRun(status int) bool {
+	switch status {
+	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		return true
+	}
+	return false
+}
+
+// writeBuffered sends a complete response to the caller.
+func (c *call) writeBuffered(buffered *bufferedResponse) {
+	c.copyHeader(buffered.header)
+	length := strconv.Itoa(len(buffered.body))
+	if c.req.Method == http.MethodHead {
+		// The length is that of the body that a GET would have returned.
+		length = buffered.contentLength
+	}
+	if length != "" {
+		c.w.Header().Set("Content-Length", length)
+	}
+	c.w.WriteHeader(buffered.status)
+	// If the write fails, the caller has disconnected, and nothing else is lost.
+	_, _ = c.w.Write(buffered.body)
+}
+
+func (c *call) copyHeader(from http.Header) {
+	h := c.w.Header()
+	for name, values := range from {
+		h[name] = values
+	}
+}
+
+// forwardLong forwards a response that is too long to be buffered. The argument buffered holds its
+// beginning.
+func (c *call) forwardLong(buffered *bufferedResponse, response *exchange.Answer) attemptResult {
+	c.copyHeader(buffered.header)
+	if response.Length >= 0 {
+		c.w.Header().Set("Content-Length", strconv.FormatInt(response.Length, 10))
+	}
+	c.w.WriteHeader(buffered.status)
+	_, err := c.w.Write(buffered.body)
+	if err == nil {
+		_, err = io.CopyBuffer(struct{ io.Writer }{c.w}, response, make([]byte, copyBufferSize))
+	}
+	if err != nil {
+		return resultTruncated
+	}
+	c.served = true
+	c.reportEnd(buffered.status, ReasonServed)
+	return resultFinal
+}
+
+// readLimited reads the body up to its end, or up to limit+1 bytes.
+func readLimited(response *exchange.Answer, limit int) ([]byte, error) {
+	if response.Length >= 0 && response.Length <= int64(limit) {
+		body := make([]byte, response.Length)
+		if _, err := io.ReadFull(response, body); err != nil {
+			return nil, err
+		}
+		// Reading the end of the body returns the connection to the pool.
+		_, err := io.ReadAll(response)
+		return body, err
+	}
+	return io.ReadAll(io.LimitReader(response, int64(limit)+1))
+}
--- /dev/null
+++ b/internal/gateway/router/memory_limiter.go
@@ -0,0 +1,35 @@
+package router
+
+import "sync/atomic"
+
+const (
+	// requestOverhead is the memory of a request in progress without its body, in bytes: the
+	// goroutine's stack, the buffers of both connections and the headers.
+	requestOverhead = 32 << 10
+	// unknownBodySize is the size in bytes that is assumed for a body of unknown length.
+	unknownBodySize = 64 << 10
+)
+
+// memoryLimiter bounds the memory of the requests in progress. Without a bound, callers that send
+// large bodies at the same time could exhaust the memory of the process, and all other requests
+// would fail with it.
+type memoryLimiter struct {
+	bytes atomic.Int64
+}
+
+// acquire reserves memory for a request with a body of the given length, -1 if unknown. It reports
+// false if the total would exceed limit; a limit of 0 means none. All sizes are in bytes.
+func (m *memoryLimiter) acquire(length, limit int64) (size int64, ok bool) {
+	if length < 0 {
+		length = unknownBodySize
+	}
+	size = requestOverhead + length
+	if m.bytes.Add(size) > limit && limit > 0 {
+		m.bytes.Add(-size)
+		return 0, false
+	}
+	return size, true
+}
+
+// release returns memory that acquire reserved.
+func (m *memoryLimiter) release(size int64) { m.bytes.Add(-size) }
--- /dev/null
+++ b/internal/gateway/router/policy_state.go
@@ -0,0 +1,232 @@
+package router
+
+import (
+	"time"
+
+	"github.com/applepier/applepier/internal/gateway/backend"
+	"github.com/applepier/applepier/policy"
+)
+
+// serverLoads returns the servers with the load of all gateways, as the policy takes them. The
+// bound on connections for each server is maxConns.
+func (r *Router) serverLoads(servers []*backend.Server, maxConns int) []policy.Server {
+	loads := make([]policy.Server, len(servers))
+	now := time.Now()
+	for i, s := range servers {
+		info := s.Info()
+		counts := r.Others.At(info.ID)
+		ownCounts := s.Load.Counts(now)
+		counts.Add(&ownCounts, 1)
+		loads[i] = policy.Server{
+			Name: info.ID, Start: info.InstanceKey(), Zone: info.Zone, Slots: info.Slots, Conns: maxConns,
+			Leaving: info.Leaving, Warming: info.WarmupLeft > 0,
+			Running: counts.Running, Pending: counts.Pending,
+		}
+	}
+	return loads
+}
+
+// observePromptSize returns the prompt length by which a new request is admitted, which is about
+// the mean of its route, or 0 without a prompt. It then includes the request's own length in that
+// mean.
+func (r *Router) observePromptSize(service, route string, tokens int) float64 {
+	if tokens == 0 {
+		return 0
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	sizes := &r.serviceFor(service).promptSizes
+	mean := sizes.Mean(route, tokens)
+	sizes.Observe(route, tokens)
+	return mean
+}
+
+// planPrefill records that the request is sent to the chosen server, and returns when that server
+// is expected to process its prompt.
+func (r *Router) planPrefill(c *call, choice policy.Choice) policy.PrefillPlan {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	s, now := r.serviceFor(c.service), time.Now()
+	s.sendRate.Sent(now, c.urgency, choice.Prefill)
+	r.Index.Sent(now, policy.KeyOf(c.serverID), c.sharedParts)
+	return s.prefillRates[c.urgency].Plan(now, choice.Prefill, choice.Ahead)
+}
+
+// runChooser has the policy choose a server. Only the first choice for a request counts as an offer
+// and must be marked by firstChoice. pauseTarget is the route's target for pauses between events; 0
+// means none.
+func (r *Router) runChooser(service string, job policy.Job, pauseTarget time.Duration, loads []policy.Server, firstChoice bool) policy.Choice {
+	shortage := r.Others.Shortage(service)
+	now, otherGateways := time.Now(), float64(r.Others.Gateways()-1)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	// Other gateways are assumed to receive as many requests as this one, which has no better
+	// estimate.
+	s := r.serviceFor(service)
+	requests, tokens := s.sendRate.Within(now, r.Others.Unseen(), job.Urgency)
+	// On average, updates from other gateways are half as old as they can be.
+	job.Unseen, job.UnseenTokens, job.NewsAge = otherGateways*requests, otherGateways*tokens/2, r.Others.Unseen()/2
+	job.UnseenOffers, job.OtherSenders = shortage.Within(r.Others.Unseen()), otherGateways
+	ownShortage := s.shortage.Counts(now)
+	shortage.Add(&ownShortage, 1)
+	r.setAllowances(now, loads)
+	for i := range loads {
+		server := policy.KeyOf(loads[i].Name)
+		loads[i].LatePause = s.pauses.Worse(now, server, job.Urgency, pauseTarget)
+		loads[i].Unresponsive = r.unresponsive.LeftOut(now, server)
+	}
+	job.Headroom = s.headroom.Share(now, &shortage, policy.SlotsInUse(loads), job.Urgency)
+	r.limits.Draw(now, r.Random, &job, loads)
+	choice := r.Chooser.Choose(now, job, loads, &s.prefillRates[job.Urgency])
+	if firstChoice {
+		s.shortage.Offered(now, job.Urgency, choice.OnlySlots || choice.Limited)
+	}
+	if choice.Found && (choice.InTime || !firstChoice || job.Tokens == 0 && choice.Room) {
+		r.countLimitedSend(now, &loads[choice.At])
+	}
+	return choice
+}
+
+// Shortages returns this gateway's recent capacity shortage by service.
+func (r *Router) Shortages() map[string]policy.Shortage {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := time.Now()
+	shortages := make(map[string]policy.Shortage, len(r.services))
+	for name, s := range r.services {
+		shortages[name] = s.shortage.Counts(now)
+	}
+	return shortages
+}
+
+// observeFirstToken records the time to the first token, with tokensAhead tokens to process before
+// it. From now on the server counts as holding the shared parts of the prompt.
+func (r *Router) observeFirstToken(c *call, tokensAhead float64, elapsed time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := time.Now()
+	r.serviceFor(c.service).prefillRates[c.urgency].Observe(now, tokensAhead, elapsed)
+	r.updates.addFirstToken(policy.FirstToken{Service: policy.KeyOf(c.service), Server: policy.KeyOf(c.serverID), Urgency: c.urgency, Ahead: tokensAhead, Took: elapsed})
+	r.Index.Read(now, policy.KeyOf(c.serverID), c.sharedParts)
+	r.unresponsive.Answered(policy.KeyOf(c.serverID))
+}
+
+// observePause records the longest pause of a stream that came completely from one server.
+func (r *Router) observePause(c *call) {
+	if c.route.Pause == 0 || c.sends > 1 || c.stream.pauseCount < minPauses {
+		return
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	pause := policy.Pause{
+		Service: policy.KeyOf(c.service), Server: policy.KeyOf(c.serverID), Urgency: c.urgency, Longest: c.stream.longestPause,
+	}
+	r.serviceFor(c.service).pauses.Observe(time.Now(), pause)
+	r.updates.addPause(pause)
+}
+
+// MergeUpdates applies the updates of another gateway.
+func (r *Router) Merge(updates policy.News) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := time.Now()
+	r.Index.Merge(now, updates.Uses)
+	r.quarantine.Merge(now, updates.Suspicions)
+	r.limits.Merge(updates.Limits)
+	for _, f := range updates.Firsts {
+		r.unresponsive.Answered(f.Server)
+		if s := r.serviceByKey(f.Service); s != nil {
+			s.prefillRates[f.Urgency].Observe(now, f.Ahead, f.Took)
+		}
+	}
+	for _, server := range updates.Unanswered {
+		r.unresponsive.Unanswered(now, server)
+	}
+	for _, p := range updates.Pauses {
+		if s := r.serviceByKey(p.Service); s != nil {
+			s.pauses.Observe(now, p)
+		}
+	}
+}
+
+// serviceByKey returns the state of a service by its key, or nil if this gateway has had no request
+// for it. r.mu must be held.
+func (r *Router) serviceByKey(key policy.Key) *serviceState {
+	for name, s := range r.services {
+		if policy.KeyOf(name) == key {
+			return s
+		}
+	}
+	return nil
+}
+
+// TakeUpdates returns the updates to send to other gateways. It removes the samples that it
+// returns.
+func (r *Router) News() policy.News {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	samples, now := r.updates.takeAll(), time.Now()
+	return policy.News{
+		Uses: r.Index.News(now), Firsts: samples.firstTokens, Pauses: samples.pauses, Unanswered: samples.unanswered,
+		Suspicions: r.quarantine.News(now), Limits: r.limits.News(now),
+	}
+}
+
+// recordUnreachable records that no connection to a server could be opened. The server may have
+// crashed, and then its prefix cache is empty after the restart.
+func (r *Router) recordUnreachable(server string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.Ejector.Observe(time.Now(), server, policy.OutcomeFailed)
+	r.Index.Forget(policy.KeyOf(server))
+	r.recordNoAnswer(server)
+}
+
+// recordUnanswered records that a server did not answer a request.
+func (r *Router) recordUnanswered(server string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.Ejector.Observe(time.Now(), server, policy.OutcomeFailed)
+	r.recordNoAnswer(server)
+}
+
+// recordNoAnswer records, for this gateway and for the next update to others, that a server did not
+// answer. r.mu must be held.
+func (r *Router) recordNoAnswer(server string) {
+	key := policy.KeyOf(server)
+	r.unresponsive.Unanswered(time.Now(), key)
+	r.updates.addUnanswered(key)
+}
+
+// observeOutcome records the outcome of an attempt for ejection.
+func (r *Router) observeOutcome(server string, outcome policy.Outcome) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.Ejector.Observe(time.Now(), server, outcome)
+}
+
+// ForgetServer discards what was learned about a server that is no longer listed.
+func (r *Router) Forget(server string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.Ejector.Forget(server)
+	r.unresponsive.Forget(policy.KeyOf(server))
+	r.Index.Forget(policy.KeyOf(server))
+	for _, s := range r.services {
+		s.pauses.Forget(policy.KeyOf(server))
+	}
+}
+
+// countRequest adds a request to the base of the service's retry budget.
+func (r *Router) countRequest(service string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.retryBudget(service).Request(time.Now())
+}
+
+// allowRetry takes one retry from the service's retry budget, and reports whether it could.
+func (r *Router) allowRetry(service string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.retryBudget(service).Allow(time.Now())
+}
--- a/internal/gateway/router/quarantine.go
+++ b/internal/gateway/router/quarantine.go
@@ -10,60 +10,63 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// quarantineRetryAfter is when to come back with a request that crashes servers: it isn't let in
-// before it has stayed away for long.
+// quarantineRetryAfter is the Retry-After for a quarantined request. It is long because a request
+// that crashes servers is not admitted again until it has been absent for a long time.
 const quarantineRetryAfter = time.Minute
 
-// fingerprint is the same for requests that ask for the same thing: one that comes again
-// has another id and as much time as its caller then gives it. The hash is one for which
-// nobody can make a request with the fingerprint of somebody else's.
+// fingerprint identifies requests for the same work. It leaves out the request id and the timeout,
+// which differ when a caller sends the same request again. The hash is cryptographic so that nobody
+// can construct a request with the fingerprint of another customer's.
 func (c *call) fingerprint() policy.Fingerprint {
-	if !c.printed {
+	if !c.fingerprintCached {
 		hash := sha256.New()
 		for _, part := range []string{c.req.Method, c.req.Host, c.req.RequestURI, c.customer} {
-			// Writing to a hash doesn't fail. No part holds a zero byte.
+			// Writing to a hash never fails. None of the parts contains a zero byte.
 			_, _ = io.WriteString(hash, part+"\x00")
 		}
 		_, _ = hash.Write(c.body)
-		c.print, c.printed = policy.Fingerprint(binary.BigEndian.Uint64(hash.Sum(nil))), true
+		c.cachedFingerprint, c.fingerprintCached = policy.Fingerprint(binary.BigEndian.Uint64(hash.Sum(nil))), true
 	}
-	return c.print
+	return c.cachedFingerprint
 }
 
-// quarantined answers a request that is quarantined; false if it isn't.
-func (c *call) quarantined() bool {
-	if !c.router.suspects() || !c.router.holds(c.fingerprint()) {
+// refuseIfQuarantined reports whether the request is quarantined, and if so, sends the final
+// response.
+func (c *call) refuseIfQuarantined() bool {
+	if !c.router.hasSuspects() || !c.router.isQuarantined(c.fingerprint()) {
 		return false
 	}
 	if c.sends > 0 {
-		c.giveUp()
+		c.respondFinalFailure()
 	} else {
 		c.refuse(ReasonQuarantined, quarantineRetryAfter)
 	}
 	return true
 }
 
-// judge takes from an attempt's end whether the request crashed the server.
-func (c *call) judge(server *backend.Server) {
+// recordCrashEvidence records, after an attempt, whether the request may have crashed the server or
+// was served.
+func (c *call) recordCrashEvidence(server *backend.Server) {
 	switch {
 	case c.serverEnded:
-		c.router.crashed(c.fingerprint(), server.Info().Start())
+		c.router.recordCrash(c.fingerprint(), server.Info().InstanceKey())
 	case c.served:
-		c.router.answered(c.fingerprint())
+		c.router.recordServed(c.fingerprint())
 	}
 }
 
-// suspects reports whether any request is suspected, so that fingerprints are needed.
-func (r *Router) suspects() bool {
+// hasSuspects reports whether any request is suspected of crashing servers. If not, no fingerprints
+// are computed.
+func (r *Router) hasSuspects() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.quarantine.Empty()
 }
 
-// avoided names the servers that the request stays away from, so that its next crash
-// distinguishes it from other suspects.
-func (c *call) avoided(servers []policy.Server) []string {
-	if !c.router.suspects() {
+// serversToAvoid returns the names of the servers that the request should avoid, so that its next
+// crash distinguishes it from other suspects.
+func (c *call) serversToAvoid(servers []policy.Server) []string {
+	if !c.router.hasSuspects() {
 		return nil
 	}
 	fingerprint := c.fingerprint()
@@ -72,10 +75,10 @@
 	return c.router.quarantine.Avoided(fingerprint, servers)
 }
 
-// watchRun notes that the request runs at a server until the function that is returned is called,
-// while there are suspects.
-func (c *call) watchRun(server string) (ended func()) {
-	if !c.router.suspects() {
+// trackSuspectRun records that the request runs at a server, until the returned function is called.
+// It does nothing if there are no suspects.
+func (c *call) trackSuspectRun(server string) (finished func()) {
+	if !c.router.hasSuspects() {
 		return func() {}
 	}
 	r, fingerprint := c.router, c.fingerprint()
@@ -89,42 +92,46 @@
 	}
 }
 
-func (r *Router) holds(f policy.Fingerprint) bool {
+// isQuarantined reports whether a request is quarantined now.
+func (r *Router) isQuarantined(f policy.Fingerprint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.quarantine.Quarantined(time.Now(), f)
 }
 
-// Quarantined counts the requests that are quarantined.
+// QuarantinedCount returns the number of quarantined requests.
 func (r *Router) Quarantined() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.quarantine.Len()
 }
 
-// Suspect takes what is known of requests from elsewhere.
-func (r *Router) Suspect(known []policy.Suspicion) {
+// MergeSuspicions adds suspicions from another source, such as the store.
+func (r *Router) Suspect(suspicions []policy.Suspicion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.quarantine.Merge(time.Now(), known)
+	r.quarantine.Merge(time.Now(), suspicions)
 }
 
-func (r *Router) answered(f policy.Fingerprint) {
+// recordServed records that a request got a complete response, which counts against suspicion.
+func (r *Router) recordServed(f policy.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.quarantine.Answered(time.Now(), f)
 }
 
-func (r *Router) crashed(f policy.Fingerprint, start policy.Key) {
-	if held, why := r.noteCrash(f, start); held {
-		r.Observer.Quarantined(why)
+// recordCrash records that a server instance ended while it had the request.
+func (r *Router) recordCrash(f policy.Fingerprint, instance policy.Key) {
+	if quarantined, evidence := r.addCrash(f, instance); quarantined {
+		r.Observer.Quarantined(evidence)
 	}
 }
 
-// noteCrash reports whether a request is quarantined from now on, and why.
-func (r *Router) noteCrash(f policy.Fingerprint, start policy.Key) (bool, policy.Suspicion) {
+// addCrash records a crash. It reports whether the request is quarantined from now on, and returns
+// the evidence.
+func (r *Router) addCrash(f policy.Fingerprint, instance policy.Key) (bool, policy.Suspicion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	held := r.quarantine.Crashed(time.Now(), f, start)
-	return held, r.quarantine.Suspicion(f)
+	quarantined := r.quarantine.Crashed(time.Now(), f, instance)
+	return quarantined, r.quarantine.Suspicion(f)
 }
--- a/internal/gateway/router/router.go
+++ b/internal/gateway/router/router.go
@@ -1,7 +1,7 @@
-// Package router carries callers' requests to backend servers and their
-// answers back: it finds the route and the customer, has the policy choose a
-// server, sends, and sends again where that is certain to do no harm. It
-// doesn't know how headers are called. Start reading at Router.ServeHTTP.
+// Package router proxies callers' requests to backend servers. It matches the route and the
+// customer, has the policy choose a server, sends the request, and retries it where that is certain
+// to do no harm. The names of HTTP headers are left to protocol.Dialect. Start reading at
+// Router.ServeHTTP.
 package router
 
 import (
@@ -21,166 +21,169 @@
 )
 
 const (
-	// defaultPatience bounds a request whose caller and route both don't.
-	defaultPatience = 60 * time.Second
-	// takeTime is how long after its answer is due a caller may still take it: a
-	// few times what a lost packet costs. One that reads no more would keep its
-	// part of the memory, and hold up a graceful stop, for as long as it likes.
-	takeTime = 2 * time.Second
+	// defaultTimeout applies to requests whose route sets no timeout. A caller can shorten either.
+	defaultTimeout = 60 * time.Second
+	// writeGrace is how long after its deadline a response may still be written: a few times the
+	// delay caused by a lost packet. Without it, a caller that stops reading could hold its share
+	// of the memory, and delay a graceful shutdown, for as long as it likes.
+	writeGrace = 2 * time.Second
 )
 
-// Router serves callers. It implements http.Handler.
+// Router is an http.Handler that proxies requests to backend servers.
 type Router struct {
 	Config
-	// mu guards the policy's parts: the Chooser, the Ejector, the index and services. It
-	// comes after the Registry's lock; nothing is locked while it is held.
-	mu           sync.Mutex
-	services     map[string]*service
-	unresponsive *policy.Unresponsive
-	quarantine   *policy.Quarantine
-	limits       *policy.ServerLimits
-	outbox       outbox
-	limitedSends atomic.Int64
-	bounds       atomic.Pointer[Bounds]
-	held         held
-	elsewhere    func() bool
+	// mu guards the Chooser, the Ejector, the prefix index, Random and the policy state below:
+	// services, unresponsive, quarantine, limits and updates. It comes after the Registry's lock in
+	// the lock order. Peers and ListedGateways may be called, and lock, while it is held; no other
+	// lock is acquired then.
+	mu               sync.Mutex
+	services         map[string]*serviceState
+	unresponsive     *policy.Unresponsive
+	quarantine       *policy.Quarantine
+	limits           *policy.ServerLimits
+	updates          updateBuffer
+	limitedSends     atomic.Int64
+	bounds           atomic.Pointer[Bounds]
+	memory           memoryLimiter
+	closeConnections func() bool
 }
 
-// New returns a Router. Elsewhere reports whether callers are to go to another
-// gateway: connections are closed after their answer.
-func New(c Config, bounds Bounds, elsewhere func() bool) *Router {
+// New returns a Router. closeConnections reports whether callers should move to another gateway; if
+// so, their connections are closed after the response.
+func New(c Config, bounds Bounds, closeConnections func() bool) *Router {
 	r := &Router{
-		Config: c, services: map[string]*service{}, unresponsive: policy.NewUnresponsive(), quarantine: policy.NewQuarantine(),
-		limits: policy.NewServerLimits(), elsewhere: elsewhere,
+		Config: c, services: map[string]*serviceState{}, unresponsive: policy.NewUnresponsive(), quarantine: policy.NewQuarantine(),
+		limits: policy.NewServerLimits(), closeConnections: closeConnections,
 	}
 	r.SetBounds(bounds)
 	return r
 }
 
-// SetBounds puts other bounds in force.
+// SetBounds replaces the bounds. It is safe for concurrent use.
 func (r *Router) SetBounds(b Bounds) { r.bounds.Store(&b) }
 
-// Bounds are those in force.
+// Bounds returns the current bounds.
 func (r *Router) Bounds() Bounds { return *r.bounds.Load() }
 
-// ServeHTTP carries one request.
+// ServeHTTP proxies one request.
 func (r *Router) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	c := &call{router: r, w: w, req: req, arrived: time.Now(), ask: r.Dialect.Ask(req)}
-	if r.elsewhere() {
+	c := &call{router: r, w: w, req: req, arrivedAt: time.Now(), params: r.Dialect.Ask(req)}
+	if r.closeConnections() {
 		w.Header().Set("Connection", "close")
 	}
 	if !c.admit() {
 		return
 	}
-	taken, ok := r.held.take(req.ContentLength, r.Bounds().Held)
+	reserved, ok := r.memory.acquire(req.ContentLength, r.Bounds().Held)
 	if !ok {
-		c.refuse(ReasonMemory, refusedHint)
+		c.refuse(ReasonMemoryLimit, refusedRetryAfter)
 		return
 	}
-	defer r.held.give(taken)
+	defer r.memory.release(reserved)
 	if !c.readBody() {
 		return
 	}
-	// Where it can't be set the connection is gone.
-	_ = http.NewResponseController(w).SetWriteDeadline(c.end.Add(takeTime))
-	ctx, cancel := context.WithDeadline(req.Context(), c.end)
+	// This fails only if the connection is gone.
+	_ = http.NewResponseController(w).SetWriteDeadline(c.deadline.Add(writeGrace))
+	ctx, cancel := context.WithDeadline(req.Context(), c.deadline)
 	defer cancel()
 	c.run(ctx)
-	if c.left {
-		// Without an answer net/http would give one of its own, a success, to a
-		// caller that closed only its sending side.
+	if c.callerGone {
+		// If the handler returned without a response, net/http would send a 200 to a caller that
+		// has closed only its sending side.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// admit finds the request's route and customer, or answers it.
+// admit finds the request's route and customer. If the request cannot be served, it responds and
+// reports false.
 func (c *call) admit() bool {
 	r := c.router
-	set := r.Holder.Current()
-	if set == nil {
-		c.refuse(ReasonNoState, stateHint)
+	snapshot := r.Holder.Current()
+	if snapshot == nil {
+		c.refuse(ReasonNoState, stateRetryAfter)
 		return false
 	}
-	c.version = set.Version
+	c.stateVersion = snapshot.Version
 	fresh := r.Fresh()
-	c.route = set.Match(c.req.Host, c.req.URL.Path)
+	c.route = snapshot.Match(c.req.Host, c.req.URL.Path)
 	switch {
 	case c.route == nil && !fresh:
-		c.refuse(ReasonNotFresh, stateHint)
+		c.refuse(ReasonStateNotFresh, stateRetryAfter)
 		return false
 	case c.route == nil:
-		c.fail(http.StatusNotFound, ReasonNoRoute)
+		c.respondError(http.StatusNotFound, ReasonNoRoute)
 		return false
-	case c.ask.ID == "":
-		c.fail(http.StatusBadRequest, ReasonNoID)
+	case c.params.ID == "":
+		c.respondError(http.StatusBadRequest, ReasonNoID)
 		return false
 	}
-	if limit := set.Limits.HeaderBytes; limit > 0 && headerBytes(c.req) > limit {
-		c.fail(http.StatusRequestHeaderFieldsTooLarge, ReasonHeaderTooLarge)
+	if limit := snapshot.Limits.HeaderBytes; limit > 0 && requestHeaderSize(c.req) > limit {
+		c.respondError(http.StatusRequestHeaderFieldsTooLarge, ReasonHeaderTooLarge)
 		return false
 	}
-	c.limit = set.Limits.BodyBytes
-	c.bound()
-	customer, known := set.Customer(c.ask.Key)
+	c.bodyLimit = snapshot.Limits.BodyBytes
+	c.setDeadline()
+	customer, known := snapshot.CustomerByKey(c.params.Key)
 	if known {
 		c.customer = customer.Name
 	}
-	c.urgency = set.Urgency(c.route, customer, protocol.Levels)
-	if !set.NeedsKey(c.route) || known && fresh {
+	c.urgency = snapshot.Urgency(c.route, customer, protocol.Levels)
+	if !snapshot.RequiresKey(c.route) || known && fresh {
 		return true
 	}
 	if !fresh {
-		// The key may have been taken away, or added, since.
-		c.refuse(ReasonNotFresh, stateHint)
+		// The key may have been revoked, or added, since the last confirmation.
+		c.refuse(ReasonStateNotFresh, stateRetryAfter)
 		return false
 	}
-	c.fail(http.StatusUnauthorized, ReasonNoKey)
+	c.respondError(http.StatusUnauthorized, ReasonNoKey)
 	return false
 }
 
-// bound sets when the final answer is due.
-func (c *call) bound() {
-	patience := defaultPatience
+// setDeadline sets when the response must be complete.
+func (c *call) setDeadline() {
+	timeout := defaultTimeout
 	if c.route.Timeout > 0 {
-		patience = c.route.Timeout
+		timeout = c.route.Timeout
 	}
-	if c.ask.Patience > 0 {
-		patience = min(patience, c.ask.Patience)
+	if c.params.Patience > 0 {
+		timeout = min(timeout, c.params.Patience)
 	}
-	c.end = c.arrived.Add(patience)
+	c.deadline = c.arrivedAt.Add(timeout)
 }
 
-// headerBytes is the size of a request's head.
-func headerBytes(req *http.Request) int {
-	const lineEnds = 4
-	n := len(req.Method) + len(req.RequestURI) + len(req.Proto) + len("Host") + len(req.Host) + 2*lineEnds
+// requestHeaderSize returns the size of the request line and the headers in bytes.
+func requestHeaderSize(req *http.Request) int {
+	const lineOverhead = 4
+	n := len(req.Method) + len(req.RequestURI) + len(req.Proto) + len("Host") + len(req.Host) + 2*lineOverhead
 	for name, values := range req.Header {
 		for _, value := range values {
-			n += len(name) + len(value) + lineEnds
+			n += len(name) + len(value) + lineOverhead
 		}
 	}
 	return n
 }
 
-// Fresh reports whether the desired state is proved to be new enough for
-// requests whose keys may be taken away.
+// StateFresh reports whether the desired state was confirmed recently enough to serve requests
+// whose API keys may have been revoked.
 func (r *Router) Fresh() bool {
 	bound := r.Bounds().Proof
 	return bound == 0 || boottime.Now()-r.Holder.ProvenAt() <= bound
 }
 
-// readBody reads the whole body, or answers the request.
+// readBody reads the whole body. If that fails, it responds and reports false.
 func (c *call) readBody() bool {
 	if c.req.Body == nil || c.req.Body == http.NoBody {
 		return true
 	}
 	body := io.Reader(c.req.Body)
-	if c.limit > 0 {
-		body = http.MaxBytesReader(c.w, c.req.Body, c.limit)
+	if c.bodyLimit > 0 {
+		body = http.MaxBytesReader(c.w, c.req.Body, c.bodyLimit)
 	}
 	c.bodyRead = true
-	// net/http takes the deadline away when the body's end has been read.
-	_ = http.NewResponseController(c.w).SetReadDeadline(c.end)
+	// net/http clears the read deadline when the end of the body has been read.
+	_ = http.NewResponseController(c.w).SetReadDeadline(c.deadline)
 	var err error
 	c.body, err = readAll(body, c.req.ContentLength)
 	var tooLarge *http.MaxBytesError
@@ -188,33 +191,33 @@
 	case err == nil:
 		return true
 	case errors.As(err, &tooLarge):
-		c.fail(http.StatusRequestEntityTooLarge, ReasonTooLarge)
+		c.respondError(http.StatusRequestEntityTooLarge, ReasonTooLarge)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		c.bodyLate = true
-		c.fail(http.StatusRequestTimeout, ReasonBodyLate)
+		c.respondError(http.StatusRequestTimeout, ReasonBodyTimeout)
 	default:
-		c.note(0, ReasonBodyCut)
+		c.reportEnd(0, ReasonBodyIncomplete)
 		panic(http.ErrAbortHandler)
 	}
 	return false
 }
 
-// readAll reads a body whose length is known, or -1, without growing a buffer
-// step by step where that can be helped.
+// readAll reads a body of the given length, -1 if unknown. It allocates the buffer at once if the
+// length is known and at most 1 MiB.
 func readAll(body io.Reader, length int64) ([]byte, error) {
-	const trusted = 1 << 20
-	if length < 0 || length > trusted {
+	const maxPreallocated = 1 << 20
+	if length < 0 || length > maxPreallocated {
 		return io.ReadAll(body)
 	}
-	whole := make([]byte, length)
-	_, err := io.ReadFull(body, whole)
+	buffer := make([]byte, length)
+	_, err := io.ReadFull(body, buffer)
 	if err != nil {
 		return nil, err
 	}
-	// The end has to be read too, before net/http watches for callers that
-	// leave.
+	// Also read the end of the body, because only then net/http starts to detect a disconnect of
+	// the caller.
 	if _, err := body.Read(make([]byte, 1)); err != nil && !errors.Is(err, io.EOF) {
 		return nil, err
 	}
-	return whole, nil
+	return buffer, nil
 }
--- /dev/null
+++ b/internal/gateway/router/service_state.go
@@ -0,0 +1,41 @@
+package router
+
+import "github.com/applepier/applepier/policy"
+
+// retryBudgetShare is the part of the shared retry budget that is used. The rest is a margin,
+// because each gateway counts in its own window and may not know all others.
+const retryBudgetShare = 0.75
+
+// serviceState is what a Router has learned about one service.
+type serviceState struct {
+	retryBudget policy.WindowBudget
+	// prefillRates holds the prefill rates by urgency. Less urgent requests also wait for more
+	// urgent ones that arrive later, and their rate includes that wait.
+	prefillRates [policy.UrgencyLevels]policy.PrefillRate
+	sendRate     policy.SendRate
+	pauses       policy.Pauses
+	shortage     policy.ShortageCount
+	headroom     policy.Yielding
+	// promptSizes holds the prompt lengths by route.
+	promptSizes policy.ClassSizes
+}
+
+// serviceFor returns the state of a service and creates it if needed. r.mu must be held.
+func (r *Router) serviceFor(name string) *serviceState {
+	s := r.services[name]
+	if s == nil {
+		s = &serviceState{}
+		r.services[name] = s
+	}
+	return s
+}
+
+// retryBudget returns a service's retry budget, set to the current bounds. r.mu must be held.
+func (r *Router) retryBudget(name string) *policy.WindowBudget {
+	bounds := r.Bounds()
+	budget := &r.serviceFor(name).retryBudget
+	budget.Window = bounds.RetryWindow
+	budget.Ratio = retryBudgetShare * bounds.RetryRatio
+	budget.Extra = retryBudgetShare * bounds.RetryExtra / float64(max(r.Gateways(), 1))
+	return budget
+}
--- a/internal/gateway/router/stream.go
+++ b/internal/gateway/router/stream.go
@@ -10,77 +10,77 @@
 	"github.com/applepier/applepier/internal/gateway/exchange"
 )
 
-// streamBuffer is the size of the reads of a stream, in bytes: a few events.
-const streamBuffer = 2 << 10
+// streamBufferSize is the size of the buffer for reading a stream, in bytes. It holds a few events.
+const streamBufferSize = 2 << 10
 
-// leastPauses is how many pauses a stream has to have for the longest of them to
-// tell of its server: of a few the longest is chance.
-const leastPauses = 16
+// minPauses is the minimum number of pauses in a stream for its longest one to count for the
+// server. With fewer, the longest is mostly chance.
+const minPauses = 16
 
-// relay passes a stream's events on as they come, each whole.
-func (c *call) relay(ctx context.Context, answer *exchange.Answer, stay *visit) verdict {
-	if !c.stream.begun {
-		c.stream.resume(c.ask.After)
+// relayEvents forwards the events of a stream as they arrive, each as a whole.
+func (c *call) relayEvents(ctx context.Context, response *exchange.Answer, tracked *trackedRequest) attemptResult {
+	if !c.stream.headerSent {
+		c.stream.setResumePoint(c.params.After)
 	}
-	var cut events
-	buffer := make([]byte, streamBuffer)
+	var splitter eventSplitter
+	buffer := make([]byte, streamBufferSize)
 	for {
-		n, err := answer.Read(buffer)
+		n, err := response.Read(buffer)
 		if n > 0 {
-			if whole := cut.add(buffer[:n]); len(whole) > 0 {
-				stay.begun()
-				if !c.sendEvents(answer, whole) {
-					return c.unclearOrLeft()
+			if events := splitter.add(buffer[:n]); len(events) > 0 {
+				tracked.responseStarted()
+				if !c.sendEvents(response, events) {
+					return c.resultAfterReadError()
 				}
-				cut.taken(len(whole))
+				splitter.consume(len(events))
 			}
-			if cut.rest() > maxEvent {
-				return unclear
+			if splitter.pendingBytes() > maxEventBytes {
+				return resultUnknown
 			}
 		}
 		switch {
 		case err == nil:
-		case errors.Is(err, io.EOF) && cut.rest() == 0:
-			return c.endStream(answer)
+		case errors.Is(err, io.EOF) && splitter.pendingBytes() == 0:
+			return c.finishStream(response)
 		case errors.Is(err, io.EOF):
-			return unclear
+			return resultUnknown
 		default:
-			return c.unclearOrLeft()
+			return c.resultAfterReadError()
 		}
 	}
 }
 
-// sendEvents passes on those of the whole events that the caller doesn't have;
-// false if the stream can't go on so.
-func (c *call) sendEvents(answer *exchange.Answer, whole []byte) bool {
-	out, ok := c.stream.next(whole)
+// sendEvents forwards those of the events that the caller does not have yet. It reports false if
+// the stream cannot continue, because events are missing or the caller cannot be written to.
+func (c *call) sendEvents(response *exchange.Answer, events []byte) bool {
+	out, ok := c.stream.newEvents(events)
 	if len(out) == 0 {
 		return ok
 	}
-	c.begin(answer)
-	c.stream.passed(time.Now())
+	c.writeStreamHeader(response)
+	c.stream.recordSend(time.Now())
 	if _, err := c.w.Write(out); err != nil {
 		return false
 	}
 	return http.NewResponseController(c.w).Flush() == nil && ok
 }
 
-// begin sends the head of the first server's answer, once.
-func (c *call) begin(answer *exchange.Answer) {
-	if c.stream.begun {
+// writeStreamHeader sends the status and headers of the response, unless they were sent before.
+func (c *call) writeStreamHeader(response *exchange.Answer) {
+	if c.stream.headerSent {
 		return
 	}
-	c.stream.begun = true
-	c.first = time.Since(c.arrived)
-	c.copyHeader(c.router.Dialect.Answer(answer.Header))
-	c.w.WriteHeader(answer.Status)
+	c.stream.headerSent = true
+	c.firstByteLatency = time.Since(c.arrivedAt)
+	c.copyHeader(c.router.Dialect.Answer(response.Header))
+	c.w.WriteHeader(response.Status)
 }
 
-// endStream ends a stream that is whole.
-func (c *call) endStream(answer *exchange.Answer) verdict {
-	c.begin(answer)
+// finishStream ends a complete stream.
+func (c *call) finishStream(response *exchange.Answer) attemptResult {
+	c.writeStreamHeader(response)
 	c.served = true
 	c.router.observePause(c)
-	c.note(answer.Status, ReasonServed)
-	return done
+	c.reportEnd(response.Status, ReasonServed)
+	return resultFinal
 }
--- /dev/null
+++ b/internal/gateway/router/stream_state.go
@@ -0,0 +1,67 @@
+package router
+
+import (
+	"strconv"
+	"time"
+)
+
+// streamState tracks what the caller has received of a stream.
+type streamState struct {
+	// headerSent is set once the status and headers have been sent.
+	headerSent bool
+	// lastID is the id of the last event that the caller has. It is valid if hasLastID is set.
+	lastID    int64
+	hasLastID bool
+	// sentWithoutID is set if the caller has received events without an id.
+	sentWithoutID bool
+	// lastSentAt is when events were last forwarded, and longestPause the longest time between two
+	// such moments.
+	lastSentAt   time.Time
+	longestPause time.Duration
+	// pauseCount is the number of pauses measured.
+	pauseCount int
+}
+
+// setResumePoint records that the caller already has the events up to the given id. It ignores an
+// id that is not a number.
+func (s *streamState) setResumePoint(after string) {
+	if id, err := strconv.ParseInt(after, 10, 64); err == nil {
+		s.lastID, s.hasLastID = id, true
+	}
+}
+
+// newEvents returns those of the events that the caller does not have yet, and records them as
+// received. It reports false if an event is missing after the returned ones.
+func (s *streamState) newEvents(events []byte) ([]byte, bool) {
+	out := events[:0:0]
+	for len(events) > 0 {
+		var event []byte
+		event, events = nextEvent(events)
+		id, ok := eventID(event)
+		switch {
+		case !ok:
+			s.sentWithoutID = s.sentWithoutID || !isComment(event)
+		case s.hasLastID && id <= s.lastID:
+			continue
+		case s.hasLastID && id != s.lastID+1:
+			return out, false
+		default:
+			s.lastID, s.hasLastID = id, true
+		}
+		out = append(out, event...)
+	}
+	return out, true
+}
+
+// resumable reports whether the stream can continue at another server. It cannot after events
+// without an id: it is unknown which of them the caller has, and none may be sent twice.
+func (s *streamState) resumable() bool { return !s.sentWithoutID }
+
+// recordSend records that events were forwarded at the given time.
+func (s *streamState) recordSend(now time.Time) {
+	if !s.lastSentAt.IsZero() {
+		s.longestPause = max(s.longestPause, now.Sub(s.lastSentAt))
+		s.pauseCount++
+	}
+	s.lastSentAt = now
+}
--- /dev/null
+++ b/internal/gateway/router/tracked_request.go
@@ -0,0 +1,26 @@
+package router
+
+import (
+	"time"
+
+	"github.com/applepier/applepier/internal/gateway/backend"
+)
+
+// trackedRequest is a request in flight at a server, with what is needed to learn from its first
+// token.
+type trackedRequest struct {
+	*backend.InFlight
+	call *call
+	// tokensAhead is how many tokens the server was expected to process before the first token, at
+	// the time of sending.
+	tokensAhead float64
+	sentAt      time.Time
+}
+
+// responseStarted records the first byte of the response. Further calls do nothing.
+func (t *trackedRequest) responseStarted() {
+	if t.MarkStarted() {
+		t.call.router.Observer.Began(t.call.customer)
+		t.call.router.observeFirstToken(t.call, t.tokensAhead, time.Since(t.sentAt))
+	}
+}
