--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,89 +2,95 @@
 
 import "time"
 
-// coldWaiting is how many tickets an engine that was never seen busy takes
-// per slot: two rounds of runs. Nothing is known of its rate, and a wait of
-// one round is seen at its end.
-const coldWaiting = 2
+// coldQueuePerSlot is how many tickets per slot an engine admits before its
+// service rate is known: two rounds of runs. Nothing is known about the rate
+// until a round has ended, and by then a wait of one round has been observed.
+const coldQueuePerSlot = 2
 
-// offer decides whether a ticket is admitted.
+// admit decides whether a ticket enters the queue.
 //
-// It answers demand beyond capacity: without it the queue grows until every
-// ticket waits past its target and all of the engine's work is late. A ticket
-// is admitted when the work before it, at the engine's true rate, leaves it in
-// time. It is judged by the mean size of its class; see ClassSizes. The top
-// tier is admitted whatever the estimate. So is one ticket of a class that has
-// nothing waiting and got nothing for starvedAfter, since each class is to be
-// served eventually; it may be late.
-func (s *Scheduler) offer(now time.Time, t Ticket) Decision {
+// Admission control handles demand beyond capacity. Without it the queue would
+// grow until every ticket misses its target and all work of the engine is late. A
+// ticket is admitted if the work ahead of it, at the measured service rate,
+// leaves it enough time. It is judged by the mean size of its class; see
+// ClassSizes.
+//
+// The top tier is always admitted. So is one ticket of a class that has nothing
+// waiting and no grant within starvedAfter, because every class must be served
+// eventually; this ticket may be late.
+func (s *Scheduler) admit(now time.Time, t Ticket) Decision {
 	size := ticketSize(t)
-	mean := s.sizes.Mean(t.Class, size)
-	s.sizes.Observe(t.Class, size)
-	startBy := s.startBy(now, t, int(mean))
-	wait := s.estimate(now, t, mean/float64(size))
-	owed := s.owed(now, t)
-	if t.Tier != TopTier && !owed {
-		late := lateness(now, startBy, wait)
-		if late > 0 {
-			return s.refuse(t, late)
+	mean := s.classSizes.Mean(t.Class, size)
+	s.classSizes.Observe(t.Class, size)
+	latestStart := s.latestStart(now, t, int(mean))
+	wait := s.estimateWait(now, t, mean/float64(size))
+	guaranteed := s.guaranteedAdmission(now, t)
+	if t.Tier != TopTier && !guaranteed {
+		lateBy := lateness(now, latestStart, wait)
+		if lateBy > 0 {
+			return s.refuse(t, lateBy)
 		}
 	}
-	return s.enqueue(now, newWaiting(t, s.copies.work(t), startBy, false), wait, owed)
+	return s.enqueue(now, newWaiting(t, s.copyShare.work(t), latestStart, false), wait, guaranteed)
 }
 
-// lateness is by how much a ticket would start too late after a wait.
-func lateness(now, startBy time.Time, wait time.Duration) time.Duration {
-	if startBy.IsZero() {
+// lateness returns how far past its latest start a ticket would start after the
+// wait, negative if it would start earlier; zero if it has no latest start.
+func lateness(now, latestStart time.Time, wait time.Duration) time.Duration {
+	if latestStart.IsZero() {
 		return 0
 	}
-	return now.Add(wait).Sub(startBy)
+	return now.Add(wait).Sub(latestStart)
 }
 
-// owed reports whether t's class is to get a ticket in whatever the wait.
-func (s *Scheduler) owed(now time.Time, t Ticket) bool {
-	return s.queue.tiers[t.Tier].class(t.Class) == nil && !s.lately.has(now, t.Class)
+// guaranteedAdmission reports whether t is admitted whatever its wait, because
+// its class has nothing waiting and no recent grant.
+func (s *Scheduler) guaranteedAdmission(now time.Time, t Ticket) bool {
+	return s.queue.tiers[t.Tier].onTimeClass(t.Class) == nil && !s.recentGrants.has(now, t.Class)
 }
 
 const (
-	// firstTokenPart and completionPart are the largest parts of the time
-	// left that are set aside for the run itself. Without a bound an engine
-	// that was slow for a while would refuse all, and with nothing running
-	// it would never be seen to be fast again.
-	firstTokenPart = 1.0 / 4
-	completionPart = 1.0 / 2
+	// maxFirstTokenFraction and maxCompletionFraction limit the fraction of the
+	// remaining time that is reserved for the run itself. Without a limit an
+	// engine that was slow for a while would refuse everything and, with nothing
+	// running, could never be observed to be fast again.
+	maxFirstTokenFraction = 1.0 / 4
+	maxCompletionFraction = 1.0 / 2
 )
 
-// startBy is when t must start here: its deadline, less the time that this
-// engine takes for a run of a size from the start to what the deadline is for.
-func (s *Scheduler) startBy(now time.Time, t Ticket, size int) time.Time {
+// latestStart returns when t must start on this engine: its deadline minus the
+// expected time from the start of a run of the given size in tokens to the
+// milestone of the deadline. It returns the zero time if t has no deadline.
+func (s *Scheduler) latestStart(now time.Time, t Ticket, size int) time.Time {
 	if t.Deadline.IsZero() {
 		return time.Time{}
 	}
-	left := float64(t.Deadline.Sub(now))
+	remaining := float64(t.Deadline.Sub(now))
 	switch t.Due {
 	case MilestoneFirstToken:
 		needed := float64(s.first.of(size))
-		return t.Deadline.Add(-time.Duration(min(needed, firstTokenPart*left)))
+		return t.Deadline.Add(-time.Duration(min(needed, maxFirstTokenFraction*remaining)))
 	case MilestoneCompletion:
-		needed := float64(s.rate.runTime(size))
-		return t.Deadline.Add(-time.Duration(min(needed, completionPart*left)))
+		needed := float64(s.serviceRate.runTime(size))
+		return t.Deadline.Add(-time.Duration(min(needed, maxCompletionFraction*remaining)))
 	default:
 		return t.Deadline
 	}
 }
 
-// enqueue takes t in if the bounded queue has room or something gives way.
-// What is owed goes past the bound if need be: that is one ticket of each
-// class at most. So does the top tier while the queue is not full of its own.
-func (s *Scheduler) enqueue(now time.Time, w *waiting, wait time.Duration, owed bool) Decision {
+// enqueue adds a ticket if the queue has room or another ticket can be displaced.
+// A ticket with guaranteed admission may exceed the limit of the queue, which
+// adds at most one ticket per class. A top-tier ticket may exceed it until the
+// top tier alone fills the queue.
+func (s *Scheduler) enqueue(now time.Time, w *waiting, wait time.Duration, guaranteed bool) Decision {
 	decision, t := Decision{Admitted: true}, w.ticket
-	if s.queue.Len() >= maxWaiting {
+	if s.queue.Len() >= maxQueuedTickets {
 		id, ok := s.queue.displace(t, w.work)
 		switch {
 		case ok:
 			decision.Displaced = []string{id}
-		case owed:
-		case t.Tier == TopTier && s.queue.tiers[TopTier].count < maxWaiting:
+		case guaranteed:
+		case t.Tier == TopTier && s.queue.tiers[TopTier].count < maxQueuedTickets:
 		default:
 			decision = s.refuse(t, wait)
 			decision.Full = true
@@ -96,22 +102,24 @@
 	return decision
 }
 
-// refuse turns t away; late is how much earlier it would have had to come.
-func (s *Scheduler) refuse(t Ticket, late time.Duration) Decision {
-	s.promises.refused[t.Tier].observe(s.now, true)
+// refuse rejects t; lateBy is how much too late it would have started.
+func (s *Scheduler) refuse(t Ticket, lateBy time.Duration) Decision {
+	s.promises.refused[t.Tier].observe(s.lastCall, true)
 	work := float64(ticketSize(t)) / float64(t.asks())
-	hint := s.promises.next(s.now, t.Tier, work, late, s.rateFor(t.Tier))
-	return Decision{RetryAfter: hint}
+	retryAfter := s.promises.next(s.lastCall, t.Tier, work, lateBy, s.tierRate(t.Tier))
+	return Decision{RetryAfter: retryAfter}
 }
 
-// estimate is how long t would wait if its size were scaled.
-func (s *Scheduler) estimate(now time.Time, t Ticket, scale float64) time.Duration {
-	work := scale * s.copies.work(t)
-	ahead := s.workAbove(t.Tier) + s.queue.tiers[t.Tier].workAhead(t, work)
-	return s.waitFor(now, t.Tier, ahead)
+// estimateWait returns the expected wait of t, with its size multiplied by scale.
+func (s *Scheduler) estimateWait(now time.Time, t Ticket, scale float64) time.Duration {
+	work := scale * s.copyShare.work(t)
+	ahead := s.queuedWorkAbove(t.Tier) + s.queue.tiers[t.Tier].workAhead(t, work)
+	return s.waitForSlot(now, t.Tier, ahead)
 }
 
-func (s *Scheduler) workAbove(t Tier) float64 {
+// queuedWorkAbove returns the queued work of all tiers more urgent than t, in
+// tokens.
+func (s *Scheduler) queuedWorkAbove(t Tier) float64 {
 	sum := 0.0
 	for _, tier := range s.queue.tiers[:t] {
 		sum += tier.work
@@ -119,37 +127,39 @@
 	return sum
 }
 
-// waitFor is how long it takes until the engine has room for a ticket of a
-// tier after the work ahead of it.
-func (s *Scheduler) waitFor(now time.Time, t Tier, ahead float64) time.Duration {
+// waitForSlot returns the expected time until the engine has a free slot for a
+// ticket of tier t with the given work ahead of it, in tokens.
+func (s *Scheduler) waitForSlot(now time.Time, t Tier, ahead float64) time.Duration {
 	free := s.slots(t) - len(s.running.byID)
 	if free > s.queue.Len() {
 		return 0
 	}
-	if !s.rate.known() {
-		return s.coldWait()
+	if !s.serviceRate.known() {
+		return s.coldWaitEstimate()
 	}
-	rate := s.rate.stalled(now, s.rateFor(t))
+	rate := s.serviceRate.stalled(now, s.tierRate(t))
 	if free <= 0 {
-		ahead += s.rate.meanSize
+		ahead += s.serviceRate.meanSize
 	}
 	return seconds(ahead / rate)
 }
 
-// coldWait is the estimate for an engine that was never seen busy: none while
-// few wait, and no hope beyond that.
-func (s *Scheduler) coldWait() time.Duration {
-	if s.queue.Len() < coldWaiting*s.limiter.limit {
+// coldWaitEstimate returns the expected wait on an engine with unknown service
+// rate: zero while few tickets wait, otherwise longest, with which a ticket that
+// has a deadline is refused.
+func (s *Scheduler) coldWaitEstimate() time.Duration {
+	if s.queue.Len() < coldQueuePerSlot*s.limiter.limit {
 		return 0
 	}
 	return longest
 }
 
-// rateFor is the work per second that the engine does for a tier and those
-// below it: what the more urgent tiers leave of the true rate, and at least a
-// part in the guaranteed share, which all starved classes divide.
-func (s *Scheduler) rateFor(t Tier) float64 {
-	rate := s.rate.at(s.slots(t))
-	guaranteed := guaranteedShare * rate / float64(s.queue.starved(s.now))
-	return max(guaranteed, rate-s.demand.above(s.now, t))
+// tierRate returns the rate, in tokens per second, at which the engine serves
+// tier t and those below it: the service rate minus the demand of the more urgent
+// tiers, but at least an equal part of the guaranteed share, which is divided
+// among all starved classes.
+func (s *Scheduler) tierRate(t Tier) float64 {
+	rate := s.serviceRate.at(s.slots(t))
+	guaranteed := guaranteedShare * rate / float64(s.queue.starvedClasses(s.lastCall))
+	return max(guaranteed, rate-s.demand.above(s.lastCall, t))
 }
--- a/policy/baseline.go
+++ b/policy/baseline.go
@@ -6,37 +6,40 @@
 )
 
 const (
-	// baselineWindow is how long a minimum counts: it is replaced after one
-	// to two windows. It is longer than runs wait inside an engine that
-	// others fill, which would else become the engine's usual time; an
-	// engine that got slower for good is judged by its new speed after it.
+	// baselineWindow is how long a minimum is valid: it is replaced after one to
+	// two windows. The window is longer than runs wait inside an engine that is
+	// filled by other load, because that wait would otherwise become the
+	// baseline. An engine that becomes permanently slower is judged by its new
+	// speed once the old minimum has been replaced.
 	baselineWindow = 5 * time.Minute
-	// sizeBuckets are the powers of two of ticket size that are told apart.
+	// sizeBuckets is the number of ticket size buckets, one per power of two.
 	sizeBuckets = 24
 )
 
-// baseline is the least recent time to the first token by size of ticket. A
-// long prompt takes long to read on an idle engine too; only what is above
-// the baseline shows that runs wait inside the engine.
+// baseline tracks the recent minimum of the time to the first token, by ticket
+// size. Long prompts take long on an idle engine too; only the time above the
+// baseline shows that runs wait inside the engine.
 type baseline struct {
-	current  [sizeBuckets]time.Duration
-	previous [sizeBuckets]time.Duration
-	since    time.Time
+	// current and previous are the minimums of the current and the previous
+	// window; zero means no sample.
+	current     [sizeBuckets]time.Duration
+	previous    [sizeBuckets]time.Duration
+	windowStart time.Time
 }
 
-// observe takes a time to the first token and returns the baseline of its
-// size, this one included.
+// observe adds a time to the first token and returns the baseline of its size,
+// including this sample.
 func (b *baseline) observe(now time.Time, size int, d time.Duration) time.Duration {
-	b.turn(now)
+	b.rotate(now)
 	i := sizeBucket(size)
 	if b.current[i] == 0 || d < b.current[i] {
 		b.current[i] = d
 	}
-	return b.of(size)
+	return b.forSize(size)
 }
 
-// of is the baseline of a size; zero when nothing is known.
-func (b *baseline) of(size int) time.Duration {
+// forSize returns the baseline of a ticket size; zero if there is no sample.
+func (b *baseline) forSize(size int) time.Duration {
 	i := sizeBucket(size)
 	if b.current[i] == 0 {
 		return b.previous[i]
@@ -47,11 +50,13 @@
 	return min(b.current[i], b.previous[i])
 }
 
-func (b *baseline) turn(now time.Time) {
-	if now.Sub(b.since) < baselineWindow {
+// rotate starts a new window when the current one has ended. A bucket without a
+// new sample keeps its previous minimum.
+func (b *baseline) rotate(now time.Time) {
+	if now.Sub(b.windowStart) < baselineWindow {
 		return
 	}
-	b.since = now
+	b.windowStart = now
 	for i, d := range b.current {
 		if d != 0 {
 			b.previous[i] = d
@@ -60,6 +65,7 @@
 	}
 }
 
+// sizeBucket returns the bucket of a ticket size.
 func sizeBucket(size int) int {
 	return min(bits.Len(uint(max(size, 1)))-1, sizeBuckets-1)
 }
--- a/policy/class_key.go
+++ b/policy/class_key.go
@@ -1,21 +1,23 @@
 package policy
 
-// lateCost is what a grant to a late top-tier ticket counts for beside one
-// that can still be on time: the late ones get one grant in 65 while both
-// wait. How long they wait is set by the end of the burst. It is not
-// nothing, so that their line moves however long a burst lasts.
-const lateCost = 64
+// lateCostFactor multiplies the fair-queueing cost of a top-tier ticket that can
+// no longer meet its target, relative to one that can. While both kinds wait,
+// late tickets get one grant in 65. Their wait is determined by the end of the
+// burst; the share is above zero so that their queue advances however long the
+// burst lasts.
+const lateCostFactor = 64
 
-// classKey names the line of a class. The top tier's tickets that can't be on
-// time any more wait in a line of their own.
+// classKey identifies the queue of a class. Top-tier tickets that can no longer
+// meet their target wait in a separate queue with late set.
 type classKey struct {
 	name string
 	late bool
 }
 
-func (k classKey) cost() float64 {
+// costFactor returns the factor by which a grant to the queue is charged.
+func (k classKey) costFactor() float64 {
 	if k.late {
-		return lateCost
+		return lateCostFactor
 	}
 	return 1
 }
--- a/policy/class_queue.go
+++ b/policy/class_queue.go
@@ -5,118 +5,135 @@
 	"time"
 )
 
-// classQueue holds the waiting tickets of one class and is fair over its
-// customers. It exists only while a ticket waits in it.
+// classQueue holds the waiting tickets of one class and is fair among its
+// customers. It exists only while it holds a ticket.
 //
-// It answers the large customer that sends most of a class's load: in plain
-// arrival order everyone else would wait behind that customer's backlog.
-// Start-time fair queueing (Goyal et al., 1996) gives each customer that has
-// something waiting the same work, in tokens. Deficit round robin does the
-// same only when its quantum is at least the largest ticket, and then one
-// round over 400 customers is long; the heap costs log(customers) instead and
-// has no quantum to choose.
+// Fairness keeps a large customer that sends most of the load of a class from
+// delaying the others; in arrival order they would wait behind its backlog.
+// Start-time fair queueing (Goyal et al., 1996) gives each customer with waiting
+// tickets the same amount of work, in tokens. Deficit round robin achieves this
+// only if its quantum is at least the size of the largest ticket, and then one
+// round over 400 customers takes long; the heap costs O(log customers) and needs
+// no quantum.
 type classQueue struct {
 	classKey
 	tier *tierQueue
-	// byKey and order hold the customers that have a waiting ticket.
-	byKey map[customerKey]*customerQueue
-	order orderedHeap[*customerQueue]
-	// virtual is the start tag of the ticket granted last.
-	virtual float64
-	// arrivals numbers the customers' arrivals.
-	arrivals uint64
-	// tag is the class's own start tag within its tier.
-	tag   float64
+	// customers and customerHeap hold the customers with waiting tickets.
+	customers    map[customerKey]*customerQueue
+	customerHeap orderedHeap[*customerQueue]
+	// virtualTime is the start tag of the ticket that was granted last, in
+	// tokens.
+	virtualTime float64
+	// arrivalCount is the number of customer queues created so far; it numbers
+	// them in order of arrival.
+	arrivalCount uint64
+	// startTag is the start tag of the class within its tier, in tokens.
+	startTag float64
+	// count is the number of waiting tickets, and work their expected work on
+	// this engine in tokens.
 	count int
 	work  float64
-	// since is when the class was last granted anything, or began to wait.
-	since time.Time
-	// kept is the one ticket that stays beyond its deadline since the class
-	// has got nothing for long; see Queue.expire.
-	kept *waiting
+	// waitingSince is when the class was last granted a slot or, if later, when
+	// it began to wait.
+	waitingSince time.Time
+	// retained is the ticket that stays past its deadline because the class has
+	// had no recent grant; see Queue.expire.
+	retained *waiting
 }
 
+// newClassQueue returns an empty queue whose start tag is the virtual time of its
+// tier.
 func newClassQueue(key classKey, tier *tierQueue, now time.Time) *classQueue {
 	return &classQueue{
-		classKey: key,
-		tier:     tier,
-		byKey:    map[customerKey]*customerQueue{},
-		tag:      tier.virtual,
-		since:    now,
+		classKey:     key,
+		tier:         tier,
+		customers:    map[customerKey]*customerQueue{},
+		startTag:     tier.virtualTime,
+		waitingSince: now,
 	}
 }
 
-// head is the ticket that goes next.
+// head returns the ticket that is served next; the queue must not be empty.
 func (q *classQueue) head() *waiting {
-	return q.order[0].first
+	return q.customerHeap[0].head
 }
 
+// push adds a ticket to the queue of its customer.
 func (q *classQueue) push(w *waiting) {
 	key := w.customerKey()
-	customer := q.byKey[key]
+	customer := q.customers[key]
 	if customer == nil {
-		q.arrivals++
-		customer = &customerQueue{customerKey: key, class: q, tag: q.firstTag(key), arrival: q.arrivals}
-		q.byKey[key] = customer
-		heap.Push(&q.order, customer)
+		q.arrivalCount++
+		customer = &customerQueue{
+			customerKey:   key,
+			class:         q,
+			startTag:      q.initialStartTag(key),
+			arrivalNumber: q.arrivalCount,
+		}
+		q.customers[key] = customer
+		heap.Push(&q.customerHeap, customer)
 	}
 	customer.push(w)
 	q.count++
 	q.work += w.work
 }
 
-// firstTag is the tag of a customer that begins to wait. Resumed runs go
-// before all others: they were counted when they ran first.
-func (q *classQueue) firstTag(key customerKey) float64 {
+// initialStartTag returns the start tag of a customer that begins to wait.
+// Resumed runs go before all others, because they were charged when they first
+// ran.
+func (q *classQueue) initialStartTag(key customerKey) float64 {
 	if key.resumed {
-		return resumedTag
+		return resumedStartTag
 	}
-	return q.virtual
+	return q.virtualTime
 }
 
+// remove deletes a ticket, and its customer if that was the last one.
 func (q *classQueue) remove(w *waiting) {
 	customer := w.customer
 	customer.remove(w)
 	q.count--
 	q.work -= w.work
-	if q.kept == w {
-		q.kept = nil
+	if q.retained == w {
+		q.retained = nil
 	}
 	if customer.count == 0 {
-		heap.Remove(&q.order, customer.index)
-		delete(q.byKey, customer.customerKey)
+		heap.Remove(&q.customerHeap, customer.heapIndex)
+		delete(q.customers, customer.customerKey)
 	}
 }
 
-// charge counts the grant of w to its customer and its class.
+// charge charges the grant of w to its customer and its class. Resumed runs are
+// free, because they were charged when they first ran.
 func (q *classQueue) charge(now time.Time, w *waiting) {
-	q.since = now
+	q.waitingSince = now
 	if w.resumed {
 		return
 	}
 	customer := w.customer
-	q.virtual = max(q.virtual, customer.tag)
-	customer.tag += float64(ticketSize(w.ticket))
-	heap.Fix(&q.order, customer.index)
+	q.virtualTime = max(q.virtualTime, customer.startTag)
+	customer.startTag += float64(ticketSize(w.ticket))
+	heap.Fix(&q.customerHeap, customer.heapIndex)
 	q.tier.charge(q, w)
 }
 
-// keeps reports whether w may be kept beyond its time: it is the next to be
-// granted and no other is kept.
-func (q *classQueue) keeps(w *waiting) bool {
-	return q.kept == nil && q.head() == w
+// mayRetain reports whether w may stay past its deadline: it is next in the
+// class, and no other ticket is retained.
+func (q *classQueue) mayRetain(w *waiting) bool {
+	return q.retained == nil && q.head() == w
 }
 
-// workAhead is how much of the class's waiting work goes before a new ticket
-// of a customer: all of that customer's own, and of each other customer no
-// more than the same amount.
+// workAhead returns the queued work of the class, in tokens, that is served
+// before a new ticket of the customer. The customer's own work counts in full;
+// each other customer counts with at most the same amount, the new ticket
+// included.
 func (q *classQueue) workAhead(customer string, work float64) float64 {
 	own := 0.0
-	others := len(q.byKey)
-	if c := q.byKey[customerKey{name: customer}]; c != nil {
+	others := len(q.customers)
+	if c := q.customers[customerKey{name: customer}]; c != nil {
 		own = c.work
 		others--
 	}
-	fair := own + (own+work)*float64(others)
-	return min(q.work, fair)
+	fairShare := own + (own+work)*float64(others)
+	return min(q.work, fairShare)
 }
--- a/policy/customer_key.go
+++ b/policy/customer_key.go
@@ -1,10 +1,11 @@
 package policy
 
-// resumedTag is a start tag before that of any customer.
-const resumedTag = -1
+// resumedStartTag is the start tag of the queue of resumed runs; it is below
+// the start tag of every customer.
+const resumedStartTag = -1
 
-// customerKey names a line within a class: that of a customer, or the one of
-// all runs that are to be resumed.
+// customerKey identifies a queue within a class: the queue of one customer, or
+// the common queue of all resumed runs.
 type customerKey struct {
 	name    string
 	resumed bool
--- a/policy/customer_queue.go
+++ b/policy/customer_queue.go
@@ -1,60 +1,63 @@
 package policy
 
-// customerQueue is one customer's line within a class, first in, first out.
-// It exists only while a ticket waits in it.
+// customerQueue is the FIFO queue of one customer within a class. It exists only
+// while it holds a ticket.
 type customerQueue struct {
 	customerKey
 	class *classQueue
-	// first and last are the ends of the line.
-	first *waiting
-	last  *waiting
+	// head and tail are the ends of a doubly linked list.
+	head  *waiting
+	tail  *waiting
 	count int
-	// work is the sum over the waiting tickets.
+	// work is the sum of the expected work of the waiting tickets, in tokens.
 	work float64
-	// tag is the start tag of fair queueing, in tokens of the class's
-	// virtual time; the smallest goes next.
-	tag float64
-	// arrival breaks ties between equal tags.
-	arrival uint64
-	// index is its place in the class's heap.
-	index int
+	// startTag is the start tag of fair queueing, in tokens of the virtual time
+	// of the class; the smallest is served next.
+	startTag float64
+	// arrivalNumber breaks ties between equal start tags.
+	arrivalNumber uint64
+	// heapIndex is the position in the heap of the class.
+	heapIndex int
 }
 
-// goesBefore orders a class's customers by start tag.
-func (q *customerQueue) goesBefore(other *customerQueue) bool {
-	if q.tag != other.tag {
-		return q.tag < other.tag
+// less orders the customers of a class by start tag.
+func (q *customerQueue) less(other *customerQueue) bool {
+	if q.startTag != other.startTag {
+		return q.startTag < other.startTag
 	}
-	return q.arrival < other.arrival
+	return q.arrivalNumber < other.arrivalNumber
 }
 
-func (q *customerQueue) place() *int { return &q.index }
+// position implements heapItem.
+func (q *customerQueue) position() *int { return &q.heapIndex }
 
+// push appends w to the list.
 func (q *customerQueue) push(w *waiting) {
 	w.customer = q
-	w.before = q.last
-	if q.last == nil {
-		q.first = w
+	w.prev = q.tail
+	if q.tail == nil {
+		q.head = w
 	} else {
-		q.last.behind = w
+		q.tail.next = w
 	}
-	q.last = w
+	q.tail = w
 	q.count++
 	q.work += w.work
 }
 
+// remove unlinks w from the list.
 func (q *customerQueue) remove(w *waiting) {
-	if w.before == nil {
-		q.first = w.behind
+	if w.prev == nil {
+		q.head = w.next
 	} else {
-		w.before.behind = w.behind
+		w.prev.next = w.next
 	}
-	if w.behind == nil {
-		q.last = w.before
+	if w.next == nil {
+		q.tail = w.prev
 	} else {
-		w.behind.before = w.before
+		w.next.prev = w.prev
 	}
-	w.before, w.behind = nil, nil
+	w.prev, w.next = nil, nil
 	q.count--
 	q.work -= w.work
 }
--- a/policy/displacement.go
+++ b/policy/displacement.go
@@ -1,42 +1,44 @@
 package policy
 
-// displaceable finds the ticket of this tier that gives way to t when the
-// queue is full; nil when none may. It is the newest ticket of the customer
-// with the most work. A ticket of a less urgent tier always gives way. Within
-// t's own tier that customer must have at least twice as much waiting as t's
-// would have: otherwise a large customer that filled the queue first would
-// shut the others out, and with less than twice the two would take turns at
-// displacing each other.
-func (q *tierQueue) displaceable(t Ticket, work float64) *waiting {
-	var found *waiting
+// displacementVictim returns the ticket of this tier that is displaced for t when
+// the queue is full; nil if none may be displaced. It is the newest ticket of the
+// customer with the most queued work in a class.
+//
+// Tickets of a less urgent tier can always be displaced. Within the tier of t the
+// customer must have at least twice the queued work that the customer of t would
+// have. Without this rule a large customer that filled the queue first would lock
+// the others out; with a factor below two the two customers would displace each
+// other in turn.
+func (q *tierQueue) displacementVictim(t Ticket, work float64) *waiting {
+	var victim *waiting
 	for _, class := range q.classes {
 		if class.count == 1 {
-			// The guarantee needs one to serve.
+			// The starvation guarantee needs a ticket of the class to serve.
 			continue
 		}
-		for _, customer := range class.order {
-			if found != nil && customer.work <= found.customer.work {
+		for _, customer := range class.customerHeap {
+			if victim != nil && customer.work <= victim.customer.work {
 				continue
 			}
 			if newest := customer.newestDisplaceable(); newest != nil {
-				found = newest
+				victim = newest
 			}
 		}
 	}
-	if found == nil {
+	if victim == nil {
 		return nil
 	}
-	sameTier := found.ticket.Tier == t.Tier
-	if sameTier && found.customer.work < 2*q.workWith(t, work) {
+	sameTier := victim.ticket.Tier == t.Tier
+	if sameTier && victim.customer.work < 2*q.customerWorkWith(t, work) {
 		return nil
 	}
-	return found
+	return victim
 }
 
-// newestDisplaceable passes over tickets whose caller holds a part of the
-// answer.
+// newestDisplaceable returns the newest ticket that isn't resumed, because the
+// caller of a resumed one already has a part of the answer; nil if there is none.
 func (q *customerQueue) newestDisplaceable() *waiting {
-	for w := q.last; w != nil; w = w.before {
+	for w := q.tail; w != nil; w = w.prev {
 		if !w.resumed {
 			return w
 		}
@@ -44,13 +46,14 @@
 	return nil
 }
 
-// workWith is what t's customer would have waiting in t's class.
-func (q *tierQueue) workWith(t Ticket, work float64) float64 {
-	class := q.class(t.Class)
+// customerWorkWith returns the work, in tokens, that the customer of t would have
+// queued in the class of t with t included.
+func (q *tierQueue) customerWorkWith(t Ticket, work float64) float64 {
+	class := q.onTimeClass(t.Class)
 	if class == nil {
 		return work
 	}
-	if customer := class.byKey[customerKey{name: t.Customer}]; customer != nil {
+	if customer := class.customers[customerKey{name: t.Customer}]; customer != nil {
 		work += customer.work
 	}
 	return work
--- a/policy/job.go
+++ b/policy/job.go
@@ -6,56 +6,60 @@
 )
 
 const (
-	// againWeight is by how much more a shared part counts that is read again when
-	// what waits takes the whole target. Under load each part that is read away
-	// from where it is held delays what is at home there, which then goes
-	// elsewhere in turn.
-	againWeight = 15.0
-	// shortestWait is the part of the target that any request may wait for
-	// others, so that classes of very long prompts are admitted where next to nothing is
-	// before them, a model's first step not counted. More of it delays all others.
-	shortestWait = 0.04
+	// maxRereadPenalty is the additional weight of prefilling a shared part again
+	// when the wait takes the whole target. Under load, prefilling a part on a
+	// server other than the one that caches it delays the requests whose parts
+	// that server caches; these then move elsewhere in turn.
+	maxRereadPenalty = 15.0
+	// minWaitFraction is the fraction of the target that any request may wait for
+	// others, not counting the model's first step. It lets classes of very long
+	// prompts in where almost nothing is queued. A larger value delays all other
+	// requests.
+	minWaitFraction = 0.04
 )
 
-// Job is what is to be sent to a server.
+// Job describes a request that is to be sent to a backend server.
 type Job struct {
-	// Zone is the sender's availability zone.
+	// Zone is the availability zone of the sender.
 	Zone string
-	// Urgency is from 0, the most urgent, to below UrgencyLevels.
+	// Urgency ranges from 0, the most urgent, to UrgencyLevels-1.
 	Urgency int
-	// Target is within what time the first token is wanted; 0 for none.
+	// Target is the target for the time to the first token; 0 means none.
 	Target time.Duration
-	// Tokens is the length of the prompt; 0 for a plain service.
+	// Tokens is the length of the prompt; 0 for a service that isn't a model.
 	Tokens int
-	// MeanTokens is the mean length of its class's prompts, by which it is admitted; 0 where
-	// that isn't known.
+	// MeanTokens is the mean prompt length of the class, by which the request is
+	// admitted; 0 if unknown.
 	MeanTokens float64
-	// Shared are the parts that the prompt begins with and others share, in
-	// order; its own rest isn't among them.
+	// SharedParts are the parts at the beginning of the prompt that other prompts
+	// share, in order. They don't include the remainder that is specific to this
+	// prompt.
 	Shared []Part
-	// FetchRate is at how many tokens a millisecond a server fetches what
-	// another one has read; 0 where it can't.
+	// FetchRate is the rate, in tokens per millisecond, at which a server fetches
+	// what another one has prefilled; 0 if it can't.
 	FetchRate float64
-	// Unseen is how many requests other senders are expected to have sent to the
-	// servers since their last update.
+	// UnreportedRequests is the expected number of requests that other senders
+	// have sent to the servers since their last update.
 	Unseen float64
-	// UnseenTokens is what is read for those of them that are at least as urgent
-	// and were sent within the mean age of news, NewsAge.
+	// UnreportedTokens is the expected number of tokens to prefill for those of
+	// them that are at least as urgent and were sent within ReportAge, the mean
+	// age of the updates.
 	UnseenTokens float64
 	NewsAge      time.Duration
-	// UnseenOffers is how many requests others are expected to have had for the service,
-	// sent or not, since their last update, and OtherSenders how many of them there are.
+	// UnreportedOffers is the expected number of requests, sent or not, that
+	// other senders have received for the service since their last update, and
+	// OtherSenders the number of these senders.
 	UnseenOffers float64
 	OtherSenders float64
-	// Headroom is the part of each server's slots that is reserved for what is more
-	// urgent, beside what always is.
+	// Headroom is the fraction of each server's slots that is reserved for more
+	// urgent requests, in addition to the fixed reservation.
 	Headroom float64
-	// Tried names the servers that aren't to be used again.
+	// Tried lists the servers that must not be used again.
 	Tried []string
 }
 
-// prefix is the last shared part, which all requests with the same shared parts
-// have in common; its ID is 0 where there is none.
+// sharedPrefix returns the last shared part, which identifies the complete shared
+// prefix; its ID is 0 if there is none.
 func (j *Job) prefix() Part {
 	if len(j.Shared) == 0 {
 		return Part{}
@@ -63,8 +67,8 @@
 	return j.Shared[len(j.Shared)-1]
 }
 
-// atMeanLength is what a number of the prompt's tokens comes to in a prompt of its class's mean
-// length.
+// scaleToMeanLength scales a number of the prompt's tokens to a prompt of the
+// mean length of the class.
 func (j *Job) atMeanLength(tokens float64) float64 {
 	if j.MeanTokens == 0 || j.Tokens == 0 {
 		return tokens
@@ -72,14 +76,15 @@
 	return tokens * j.MeanTokens / float64(j.Tokens)
 }
 
+// tried reports whether the server must not be used again.
 func (j *Job) tried(name string) bool {
 	return slices.Contains(j.Tried, name)
 }
 
-// priceOfRereading is what a token of a shared part counts for that is read again,
-// from one, while most servers have time to spare, upwards with the share of
-// the target that what waits takes at the server in the middle: one hot home
-// among idle servers makes none dear.
+// rereadCost returns the weight of a token of a shared part that is prefilled
+// again. It is 1 while most servers are idle and grows with the fraction of the
+// target that the queue of the median server takes. The median keeps a single
+// overloaded server among idle ones from raising the cost for all.
 func (j *Job) priceOfRereading(servers []Server, usable func(*Server) bool, rate *PrefillRate) float64 {
 	if j.Target == 0 || len(j.Shared) == 0 {
 		return 1
@@ -94,32 +99,35 @@
 		return 1
 	}
 	slices.Sort(waits)
-	middle := waits[len(waits)/2] / rate.rate() * float64(time.Millisecond)
-	return 1 + againWeight*min(middle/float64(j.Target), 1)
+	medianWait := waits[len(waits)/2] / rate.rate() * float64(time.Millisecond)
+	return 1 + maxRereadPenalty*min(medianWait/float64(j.Target), 1)
 }
 
-// inTime reports whether a request is admitted where others' prompts wait before
-// it and a shared part has to be read again. It is judged as a prompt of its class's
-// mean length of which the same part is cached, so that prompts of every length find
-// a server equally often; see ClassSizes. It may be sent anyway where next to
-// nothing waits, so that a class is served whose prompts take the whole target.
-func (j *Job) inTime(rate *PrefillRate, others float64, need need, rereadPrice float64) bool {
+// meetsTarget reports whether a request is admitted behind queuedTokens of other
+// prompts, with shared parts to be prefilled again. It is judged as a prompt of
+// the mean length of its class with the same fraction cached, so that prompts of
+// all lengths find a server equally often; see ClassSizes. Where almost nothing
+// is queued it is admitted anyway, so that classes are served whose prompts take
+// the whole target.
+func (j *Job) inTime(rate *PrefillRate, queuedTokens float64, need need, rereadCost float64) bool {
 	if j.Target == 0 {
 		return true
 	}
-	own := float64(j.Tokens - j.prefix().Upto)
-	own += need.transfer
-	again := need.again
+	ownTokens := float64(j.Tokens - j.prefix().Upto)
+	ownTokens += need.transfer
+	rereadTokens := need.again
 	if need.home || need.second {
-		own += need.first
+		ownTokens += need.first
 	} else {
-		// Others may read it at one of its homes meanwhile.
-		again += need.first
+		// Other requests may prefill it on one of its home servers in the meantime.
+		rereadTokens += need.first
 	}
-	own, again = j.atMeanLength(own), j.atMeanLength(again)
-	return rate.likely(others+rereadPrice*again, own) <= j.Target ||
-		rate.takes(others+again) <= part(shortestWait, j.Target)
+	ownTokens, rereadTokens = j.atMeanLength(ownTokens), j.atMeanLength(rereadTokens)
+	return rate.likely(queuedTokens+rereadCost*rereadTokens, ownTokens) <= j.Target ||
+		rate.takes(queuedTokens+rereadTokens) <= scaleDuration(minWaitFraction, j.Target)
 }
 
-// part is a share of a time.
-func part(share float64, of time.Duration) time.Duration { return time.Duration(share * float64(of)) }
+// scaleDuration returns the given fraction of a duration.
+func scaleDuration(fraction float64, d time.Duration) time.Duration {
+	return time.Duration(fraction * float64(d))
+}
--- a/policy/milestone.go
+++ b/policy/milestone.go
@@ -1,15 +1,15 @@
 package policy
 
-// Milestone is a moment in a request's life that a deadline may be for.
+// Milestone is the event in the life of a request that its deadline applies to.
 type Milestone int
 
-// Milestones. A Scheduler takes off the time that its own engine needs from
-// the start to the milestone, which an entry can't know.
+// The milestones. A Scheduler subtracts the time that its own engine needs from
+// the start of a run to the milestone; an entry doesn't know that time.
 const (
-	// MilestoneStart: work has started.
+	// MilestoneStart is the start of the run.
 	MilestoneStart Milestone = iota
-	// MilestoneFirstToken: the first token has come.
+	// MilestoneFirstToken is the arrival of the first token.
 	MilestoneFirstToken
-	// MilestoneCompletion: the whole answer has come.
+	// MilestoneCompletion is the arrival of the complete answer.
 	MilestoneCompletion
 )
--- a/policy/model_move_test.go
+++ b/policy/model_move_test.go
@@ -5,43 +5,43 @@
 	"time"
 )
 
-func TestModelWithoutAnEngineGetsOne(t *testing.T) {
+func TestAbsentModelIsLoaded(t *testing.T) {
 	start := time.Now()
 	m := NewModelMover()
 	engines := []ModelEngine{{"a", "large", 3}, {"b", "large", 1}, {"c", "small", 0}}
 	wanted := []string{"large", "lost", "small"}
 	if move, ok := m.Next(start, wanted, engines); ok {
-		t.Fatalf("moved at once: %+v", move)
+		t.Fatalf("engine moved without waiting for absenceThreshold: %+v", move)
 	}
-	move, ok := m.Next(start.Add(absentFor), wanted, engines)
+	move, ok := m.Next(start.Add(absenceThreshold), wanted, engines)
 	if want := (ModelMove{Engine: "b", Model: "lost"}); !ok || move != want {
 		t.Fatalf("got %+v, %v; want %+v", move, ok, want)
 	}
-	if move, ok := m.Next(start.Add(absentFor+time.Second), wanted, engines); ok {
-		t.Fatalf("moved again within a minute: %+v", move)
+	if move, ok := m.Next(start.Add(absenceThreshold+time.Second), wanted, engines); ok {
+		t.Fatalf("engine moved again within minMoveInterval: %+v", move)
 	}
 }
 
-func TestModelThatComesBackIsLeftAlone(t *testing.T) {
+func TestReturnOfModelResetsAbsence(t *testing.T) {
 	start := time.Now()
 	m := NewModelMover()
 	lost := []ModelEngine{{"a", "large", 0}, {"b", "large", 0}}
 	back := append([]ModelEngine{{"c", "small", 0}}, lost...)
 	wanted := []string{"small"}
 	m.Next(start, wanted, lost)
-	m.Next(start.Add(absentFor/2), wanted, back)
-	if move, ok := m.Next(start.Add(absentFor), wanted, lost); ok {
-		t.Fatalf("absence was counted across its return: %+v", move)
+	m.Next(start.Add(absenceThreshold/2), wanted, back)
+	if move, ok := m.Next(start.Add(absenceThreshold), wanted, lost); ok {
+		t.Fatalf("absence counted from before the return of the model: %+v", move)
 	}
 }
 
-func TestLastEngineOfAModelStays(t *testing.T) {
+func TestLastEngineOfModelIsKept(t *testing.T) {
 	start := time.Now()
 	m := NewModelMover()
 	engines := []ModelEngine{{"a", "large", 0}, {"b", "small", 0}}
 	wanted := []string{"lost"}
 	m.Next(start, wanted, engines)
 	if move, ok := m.Next(start.Add(time.Hour), wanted, engines); ok {
-		t.Fatalf("took a model's last engine: %+v", move)
+		t.Fatalf("last engine of a model was reassigned: %+v", move)
 	}
 }
--- /dev/null
+++ b/policy/placement_request.go
@@ -0,0 +1,20 @@
+package policy
+
+import "slices"
+
+// PlacementRequest describes the request for which a Placer selects engines.
+type Placement struct {
+	Tier Tier
+	// Zone is the availability zone of the entry.
+	Zone string
+	// Prefix is a hash of the beginning of the prompt; zero means none.
+	Prefix uint64
+	// Exclude lists the engines that were already tried.
+	Exclude []string
+}
+
+// excludes reports whether the candidate can't be used: it is leaving,
+// unreachable or already tried.
+func (p Placement) excludes(c Candidate) bool {
+	return c.Leaving || c.Down || slices.Contains(p.Exclude, c.Name)
+}
--- a/policy/placer.go
+++ b/policy/placer.go
@@ -5,90 +5,94 @@
 	"time"
 )
 
-// sampleSize is how many candidates are drawn for each ticket; the cheapest
-// gets it. All entries hear the same stale reports: if each took the cheapest
-// of all, they would crowd on the same engine until the next report. Two
-// choices are enough to even out load (Mitzenmacher, 2001); the third makes
-// up for engines of other zones in the draw.
+// sampleSize is how many candidates are drawn at random for each ticket; the one
+// with the lowest cost is used. All entries see the same stale load reports: if
+// each chose the cheapest of all engines, they would overload the same one until
+// the next report. Two choices suffice to balance load (Mitzenmacher, 2001); the
+// third compensates for engines of other zones in the sample.
 const sampleSize = 3
 
-// Placer decides for one entry at which engines a request's tickets are
-// placed: filters leave out what may not be used, scorers say what speaks
-// against the rest, and the cheapest of a few drawn at random are picked. The
-// engine that has the prompt's beginning in its cache comes first while it
+// Placer selects, for one entry, the engines at which the tickets of a request
+// are placed. Filters exclude engines that can't be used, scorers add up the
+// costs of the others, and the cheapest of a few drawn at random are picked. The
+// engine that has the beginning of the prompt in its cache is preferred while it
 // has room.
 //
-// It answers unequal load that is only known late, and prefixes that take
-// most of the load. A ticket is no binding choice, the engine that has room
-// first gets the work; so the picks need only be good on the whole. It keeps
-// no state of its own; not safe for concurrent use.
+// The design handles load that is unevenly distributed and reported late, and
+// prefixes that attract most of the load. A ticket isn't a binding choice,
+// because the first engine with a free slot runs the request; picks need to be
+// good only on average. A Placer keeps no state between requests, apart from its
+// random number generator, and isn't safe for concurrent use.
 type Placer struct {
-	random   *rand.Rand
+	rng      *rand.Rand
 	filters  []filter
 	scorers  []scorer
 	affinity affinity
 }
 
-// NewPlacer returns a Placer that leaves out what ejector ejected. The caller
-// hands in the randomness, so that a run can be repeated.
-func NewPlacer(random *rand.Rand, ejector *Ejector) *Placer {
+// NewPlacer returns a Placer that excludes the engines ejected by ejector. The
+// caller passes in the random number generator, so that runs are reproducible.
+func NewPlacer(rng *rand.Rand, ejector *Ejector) *Placer {
 	return &Placer{
-		random:  random,
+		rng:     rng,
 		filters: []filter{usableFilter{}, ejectionFilter{ejector: ejector}},
 		scorers: []scorer{loadScorer{}, zoneScorer{}},
 	}
 }
 
-// Pick names up to n of the candidates, fewer when fewer may be used.
-func (p *Placer) Pick(now time.Time, want Placement, candidates []Candidate, n int) []string {
-	kept := make([]int, len(candidates))
-	for i := range kept {
-		kept[i] = i
+// Pick returns the names of up to n candidates; fewer if fewer are usable.
+func (p *Placer) Pick(now time.Time, request Placement, candidates []Candidate, n int) []string {
+	eligible := make([]int, len(candidates))
+	for i := range eligible {
+		eligible[i] = i
 	}
 	for _, f := range p.filters {
-		kept = f.keep(now, want, candidates, kept)
+		eligible = f.keep(now, request, candidates, eligible)
 	}
-	mean := meanLoad(candidates, kept)
+	mean := meanLoad(candidates, eligible)
 	names := make([]string, 0, n)
-	if at, ok := p.affinity.choose(now, want, candidates, kept, mean); ok && n > 0 {
-		names = append(names, candidates[kept[at]].Name)
-		kept = without(kept, at)
+	if at, ok := p.affinity.choose(now, request, candidates, eligible, mean); ok && n > 0 {
+		names = append(names, candidates[eligible[at]].Name)
+		eligible = swapRemove(eligible, at)
 	}
-	for len(names) < n && len(kept) > 0 {
-		at := p.cheapest(now, want, candidates, kept, mean)
-		names = append(names, candidates[kept[at]].Name)
-		kept = without(kept, at)
+	for len(names) < n && len(eligible) > 0 {
+		at := p.cheapestOfSample(now, request, candidates, eligible, mean)
+		names = append(names, candidates[eligible[at]].Name)
+		eligible = swapRemove(eligible, at)
 	}
 	return names
 }
 
-// cheapest draws a few of kept and returns the place of the cheapest there.
-func (p *Placer) cheapest(now time.Time, want Placement, candidates []Candidate, kept []int, mean float64) int {
-	best, least := 0, 0.0
-	for draw := range min(sampleSize, len(kept)) {
-		// A draw moves to the front, so that none is drawn twice.
-		at := draw + p.random.IntN(len(kept)-draw)
-		kept[draw], kept[at] = kept[at], kept[draw]
-		cost := p.cost(now, want, &candidates[kept[draw]], mean)
-		if draw == 0 || cost < least {
-			best, least = draw, cost
+// cheapestOfSample draws up to sampleSize elements of eligible and returns the
+// index in eligible of the cheapest. It reorders eligible.
+func (p *Placer) cheapestOfSample(now time.Time, request Placement, candidates []Candidate, eligible []int, mean float64) int {
+	best, lowestCost := 0, 0.0
+	for draw := range min(sampleSize, len(eligible)) {
+		// Drawn candidates move to the front, so that none is drawn twice.
+		at := draw + p.rng.IntN(len(eligible)-draw)
+		eligible[draw], eligible[at] = eligible[at], eligible[draw]
+		cost := p.cost(now, request, &candidates[eligible[draw]], mean)
+		if draw == 0 || cost < lowestCost {
+			best, lowestCost = draw, cost
 		}
 	}
 	return best
 }
 
-func (p *Placer) cost(now time.Time, want Placement, c *Candidate, mean float64) float64 {
+// cost returns the sum of all scores of a candidate.
+func (p *Placer) cost(now time.Time, request Placement, c *Candidate, mean float64) float64 {
 	sum := 0.0
 	for _, s := range p.scorers {
-		sum += s.cost(now, want, c, mean)
+		sum += s.cost(now, request, c, mean)
 	}
 	return sum
 }
 
-// meanLoad is the mean over the candidates that were ever heard of.
-func meanLoad(candidates []Candidate, kept []int) float64 {
+// meanLoad returns the mean load of the eligible candidates that have reported at
+// least once; zero if none has.
+func meanLoad(candidates []Candidate, eligible []int) float64 {
 	sum, n := 0.0, 0
-	for _, i := range kept {
+	for _, i := range eligible {
 		if !candidates[i].Seen.IsZero() {
 			sum += candidates[i].load()
 			n++
@@ -97,9 +101,9 @@
 	return sum / float64(max(n, 1))
 }
 
-// without removes the element at a place; the order is not kept.
-func without(kept []int, at int) []int {
-	last := len(kept) - 1
-	kept[at] = kept[last]
-	return kept[:last]
+// swapRemove removes the element at an index without keeping the order.
+func swapRemove(indexes []int, at int) []int {
+	last := len(indexes) - 1
+	indexes[at] = indexes[last]
+	return indexes[:last]
 }
--- a/policy/placer_test.go
+++ b/policy/placer_test.go
@@ -24,7 +24,7 @@
 	return NewPlacer(rand.New(rand.NewPCG(1, 2)), ejector), ejector
 }
 
-func TestPickLeavesOut(t *testing.T) {
+func TestPickSkipsUnusableEngines(t *testing.T) {
 	p, ejector := newTestPlacer()
 	list := candidates(6)
 	list[0].Leaving = true
@@ -39,7 +39,7 @@
 		t.Errorf("picked %v", got)
 	}
 	if got := p.Pick(testStart, Placement{}, nil, 2); len(got) != 0 {
-		t.Errorf("picked %v of none", got)
+		t.Errorf("picked %v without candidates", got)
 	}
 }
 
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestPrefixStaysWhileThereIsRoom(t *testing.T) {
+func TestPrefixAffinityWhileEngineHasRoom(t *testing.T) {
 	p, _ := newTestPlacer()
 	list := candidates(16)
 	for i := range list {
@@ -66,7 +66,7 @@
 	home := p.Pick(testStart, want, list, 2)[0]
 	for range 20 {
 		if got := p.Pick(testStart, want, list, 2)[0]; got != home {
-			t.Fatalf("moved from %s to %s", home, got)
+			t.Fatalf("prefix moved from %s to %s while its engine has room", home, got)
 		}
 	}
 	for i := range list {
@@ -75,11 +75,11 @@
 		}
 	}
 	if got := p.Pick(testStart, want, list, 2); slices.Contains(got, home) {
-		t.Errorf("a hot prefix keeps its full engine: %v", got)
+		t.Errorf("prefix still goes to its full engine: picked %v", got)
 	}
 }
 
-func TestPickPrefersOwnZoneAndRoom(t *testing.T) {
+func TestPickPrefersOwnZoneAndLowLoad(t *testing.T) {
 	p, _ := newTestPlacer()
 	list := candidates(3)
 	list[0].Zone, list[0].Running = "own", 4
--- a/policy/preemption.go
+++ b/policy/preemption.go
@@ -5,58 +5,62 @@
 	"time"
 )
 
-// preemptRisk is the chance of a late urgent run that calls for a preemption:
-// the top tier is to be on time in 999 of 1,000.
-const preemptRisk = 0.001
+// maxLateProbability is the probability of an urgent run being late above which a
+// run is preempted: the top tier must be in time for 999 of 1,000 requests.
+const maxLateProbability = 0.001
 
-// preemptProgress is how long a run that was resumed is left alone, so that
-// each time it is started it gets on by more than the reading of its prompt.
-const preemptProgress = 2 * time.Second
+// minResumedRunTime is how long a resumed run is protected from another
+// preemption, so that each resumption makes progress beyond prefilling its prompt
+// again.
+const minResumedRunTime = 2 * time.Second
 
-// Preempt names a lower-tier run to cancel for a waiting urgent ticket. It is
-// called until it reports false; the cancelled runs end with Finished as
-// usual, and their requests come back by Resume.
+// Preempt returns the ID of a less urgent run that the caller must cancel for a
+// waiting urgent ticket. The caller repeats the call until it reports false. A
+// cancelled run ends with Finished as usual, and its request comes back through
+// Resume.
 //
-// It answers a burst of urgent requests that meets engines full of long answers:
-// more of them than slots kept back would wait for an answer to end, which
-// takes longer than their whole target. A run is cancelled when the chance
-// that another one ends in time is below 999 in 1,000, taking ends as a
-// Poisson process at the engine's true rate; and when an urgent run is held up
-// inside the engine, since the limit was too high. Only runs that say so are
-// cancelled, and none that the guarantee has granted.
+// Preemption handles a burst of urgent requests on engines that are full of long
+// answers: once the reserved slots are used up, waiting for an answer to end
+// takes longer than the whole target. A run is cancelled if the probability that
+// another one ends in time is below 999 in 1,000, with run ends modelled as a
+// Poisson process at the measured service rate. One is also cancelled when an
+// urgent run is delayed inside the engine because the limit was too high. Only
+// runs marked as preemptible are cancelled, and none that was granted under the
+// starvation guarantee.
 //
-// It lets the slots that are kept back be lent meanwhile. Its price is the slot time
-// of reading the prompt again; the answer is resumed where it was cut.
+// With preemption the reserved slots can be lent to other runs in the meantime.
+// Its cost is the slot time for prefilling the prompt again; the answer continues
+// where it was interrupted.
 func (s *Scheduler) Preempt(now time.Time) (id string, ok bool) {
 	s.advance(now)
-	stuck := s.urgentRunStuck()
-	if !stuck && !s.urgentTicketLate(now) {
+	delayed := s.claimDelayedUrgentRun()
+	if !delayed && !s.urgentTicketAtRisk(now) {
 		return "", false
 	}
-	victim := s.running.preemptible(now, stuck)
+	victim := s.running.preemptionVictim(now, delayed)
 	if victim == nil {
 		return "", false
 	}
-	s.running.preempt(victim)
+	s.running.markPreempted(victim)
 	return victim.ticket.ID, true
 }
 
-// urgentRunStuck reports, once for each such run, whether an urgent run is held
-// up inside the engine.
-func (s *Scheduler) urgentRunStuck() bool {
-	for _, r := range s.running.pending {
-		if r.ticket.Tier <= urgentTier && r.overdue && !r.helped {
-			r.helped = true
+// claimDelayedUrgentRun reports whether an urgent run is delayed inside the
+// engine. It marks the run, so that each run is reported once.
+func (s *Scheduler) claimDelayedUrgentRun() bool {
+	for _, r := range s.running.awaitingFirstToken {
+		if r.ticket.Tier <= urgentTier && r.overdue && !r.preemptionAttempted {
+			r.preemptionAttempted = true
 			return true
 		}
 	}
 	return false
 }
 
-// urgentTicketLate reports whether a ticket of the urgent tiers that waits is
+// urgentTicketAtRisk reports whether a waiting ticket of the urgent tiers is
 // likely to be late.
-func (s *Scheduler) urgentTicketLate(now time.Time) bool {
-	if s.running.staying()+s.queue.urgent() <= s.limiter.limit {
+func (s *Scheduler) urgentTicketAtRisk(now time.Time) bool {
+	if s.running.notPreempted()+s.queue.urgentCount() <= s.limiter.limit {
 		return false
 	}
 	for _, tier := range s.queue.tiers[:urgentTier+1] {
@@ -65,51 +69,54 @@
 			continue
 		}
 		w := class.head()
-		return now.Sub(w.ticket.Arrived) >= overflowAfter && s.risky(now, w)
+		return now.Sub(w.ticket.Arrived) >= overflowAfter && s.likelyLate(now, w)
 	}
 	return false
 }
 
-// risky reports whether w is likely to be late if it waits for a run to end.
-func (s *Scheduler) risky(now time.Time, w *waiting) bool {
-	if w.startBy.IsZero() {
+// likelyLate reports whether w is likely to be late if it waits for a run to end.
+func (s *Scheduler) likelyLate(now time.Time, w *waiting) bool {
+	if w.latestStart.IsZero() {
 		return false
 	}
-	rate := s.rate.at(s.limiter.limit)
+	rate := s.serviceRate.at(s.limiter.limit)
 	if rate <= 0 {
 		return true
 	}
-	gap := s.rate.meanSize / rate
-	slack := w.startBy.Sub(now).Seconds()
-	return math.Exp(-slack/gap) > preemptRisk
+	meanGap := s.serviceRate.meanSize / rate
+	slack := w.latestStart.Sub(now).Seconds()
+	return math.Exp(-slack/meanGap) > maxLateProbability
 }
 
-// preemptible is the run that loses least: the newest of the lowest tier. A
-// guaranteed run is left alone, so that its class is served. With streaming
-// only runs that give tokens count: others may wait inside the engine, where
-// cancelling them makes no room.
-func (r *running) preemptible(now time.Time, streaming bool) *run {
+// preemptionVictim returns the run whose cancellation loses the least work: the
+// newest of the least urgent tier; nil if none is preemptible. Runs granted under
+// the guarantee are excluded, so that their classes are served. With
+// streamingOnly set, only runs that have produced a token count: the others may
+// wait inside the engine, where cancelling them frees no capacity.
+func (r *activeRuns) preemptionVictim(now time.Time, streamingOnly bool) *run {
 	var best *run
-	for _, x := range r.byID {
-		if !x.mayGiveWay(now) || streaming && x.lastToken.IsZero() {
+	for _, candidate := range r.byID {
+		if !candidate.preemptible(now) || streamingOnly && candidate.lastToken.IsZero() {
 			continue
 		}
-		if best == nil || losesLess(x, best) {
-			best = x
+		if best == nil || cheaperToPreempt(candidate, best) {
+			best = candidate
 		}
 	}
 	return best
 }
 
-// mayGiveWay reports whether a run may be cancelled for an urgent one.
-func (r *run) mayGiveWay(now time.Time) bool {
+// preemptible reports whether the run may be cancelled for an urgent one.
+func (r *run) preemptible(now time.Time) bool {
 	if !r.ticket.Preemptible || r.ticket.Tier <= urgentTier || r.guaranteed || r.preempted {
 		return false
 	}
-	return !r.resumed || now.Sub(r.granted) >= preemptProgress
+	return !r.resumed || now.Sub(r.granted) >= minResumedRunTime
 }
 
-func losesLess(a, b *run) bool {
+// cheaperToPreempt reports whether a is preempted before b: by tier, then by time
+// of the grant, then by ID.
+func cheaperToPreempt(a, b *run) bool {
 	if a.ticket.Tier != b.ticket.Tier {
 		return a.ticket.Tier > b.ticket.Tier
 	}
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -5,27 +5,29 @@
 	"time"
 )
 
-// maxWaiting bounds the tickets that wait at one engine. An engine that
-// finishes ten requests a second works off 2,048 in over three minutes, which
-// is longer than any target that admission lets wait; the bound is there for
-// tickets without a deadline and for the top tier, and keeps the state of an
-// agent below a few megabytes.
-const maxWaiting = 2048
-
-// maxLateWait is how long a top-tier ticket waits that can't be on time any
-// more, before its caller is told that it was not run. In a burst that lasts
-// the line of late ones would otherwise be as old as the burst.
+// maxQueuedTickets limits the tickets that wait at one engine. An engine that
+// finishes ten requests per second takes over three minutes to work off 2,048,
+// which is longer than any target that admission allows to wait. The limit
+// therefore matters only for tickets without a deadline and for the top tier, and
+// it keeps the state of an agent below a few megabytes.
+const maxQueuedTickets = 2048
+
+// maxLateWait is how long a late top-tier ticket waits before its caller is told
+// that the request was not run. Without this limit the oldest late tickets would
+// be as old as the burst.
 const maxLateWait = 2 * time.Minute
 
-// Queue orders the waiting tickets of one engine: tier first; within a tier
-// by slack, with no class far ahead of the others; within a class fair over
-// the customers. Classes and customers with nothing waiting leave no state.
+// Queue orders the waiting tickets of one engine: by tier; within a tier by least
+// slack, with a limit on how far one class may get ahead of the others; within a
+// class by fair queueing over the customers. Classes and customers without
+// waiting tickets take no memory.
 //
-// It answers a burst of one class, or of one customer, that swamps the rest.
-// In arrival order an urgent ticket would wait behind the whole burst.
+// The order protects urgent tickets against a burst of one class or one customer:
+// in arrival order they would wait behind the whole burst.
 type Queue struct {
-	tiers     [tierCount]*tierQueue
-	byID      map[string]*waiting
+	tiers [tierCount]*tierQueue
+	byID  map[string]*waiting
+	// deadlines holds the tickets that may expire, the earliest first.
 	deadlines orderedHeap[*waiting]
 }
 
@@ -38,13 +40,13 @@
 	return q
 }
 
-// Len is the number of waiting tickets.
+// Len returns the number of waiting tickets.
 func (q *Queue) Len() int {
 	return len(q.byID)
 }
 
-// urgent is the number of waiting tickets of the urgent tiers.
-func (q *Queue) urgent() int {
+// urgentCount returns the number of waiting tickets of the urgent tiers.
+func (q *Queue) urgentCount() int {
 	n := 0
 	for _, tier := range q.tiers[:urgentTier+1] {
 		n += tier.count
@@ -52,12 +54,13 @@
 	return n
 }
 
-// starved is how many classes have waited for long, and one at least.
-func (q *Queue) starved(now time.Time) int {
+// starvedClasses returns the number of classes below the top tier that have
+// waited for starvedAfter without a grant, at least 1.
+func (q *Queue) starvedClasses(now time.Time) int {
 	n := 0
 	for _, tier := range q.tiers[TopTier+1:] {
 		for _, c := range tier.classes {
-			if now.Sub(c.since) >= starvedAfter {
+			if now.Sub(c.waitingSince) >= starvedAfter {
 				n++
 			}
 		}
@@ -65,27 +68,29 @@
 	return max(n, 1)
 }
 
-// push adds a ticket; one with the same id is replaced.
+// push adds a ticket; it replaces a ticket with the same ID.
 func (q *Queue) push(now time.Time, w *waiting) {
 	if old := q.byID[w.ticket.ID]; old != nil {
 		q.remove(old)
 	}
 	q.byID[w.ticket.ID] = w
 	q.tiers[w.ticket.Tier].push(now, w)
-	if w.timed() {
+	if w.mayExpire() {
 		heap.Push(&q.deadlines, w)
 	}
 }
 
+// remove deletes a waiting ticket from all indexes of the queue.
 func (q *Queue) remove(w *waiting) {
 	delete(q.byID, w.ticket.ID)
 	q.tiers[w.ticket.Tier].remove(w)
-	if w.deadlineIndex != noIndex {
+	if w.deadlineIndex != notInHeap {
 		heap.Remove(&q.deadlines, w.deadlineIndex)
 	}
 }
 
-// grant removes the head of a class and counts it to its customer and class.
+// grant removes the first ticket of a class and charges it to its customer and
+// class.
 func (q *Queue) grant(now time.Time, class *classQueue) Ticket {
 	w := class.head()
 	class.charge(now, w)
@@ -93,7 +98,8 @@
 	return w.ticket
 }
 
-// next is the class to be granted by the normal order; nil when none waits.
+// next returns the class that is served next in the regular order; nil if the
+// queue is empty.
 func (q *Queue) next() *classQueue {
 	for _, tier := range q.tiers {
 		if class := tier.next(); class != nil {
@@ -103,13 +109,14 @@
 	return nil
 }
 
-// longestWaiting is the class that has gone longest without a grant. The line
-// of late top-tier tickets is none: it has its own share.
-func (q *Queue) longestWaiting() *classQueue {
+// longestWaitingClass returns the class that has gone longest without a grant;
+// nil if none waits. It skips the queue of late top-tier tickets, which has a
+// share of its own.
+func (q *Queue) longestWaitingClass() *classQueue {
 	var longest *classQueue
 	for _, tier := range q.tiers {
 		for _, c := range tier.classes {
-			if !c.late && (longest == nil || c.since.Before(longest.since)) {
+			if !c.late && (longest == nil || c.waitingSince.Before(longest.waitingSince)) {
 				longest = c
 			}
 		}
@@ -117,19 +124,22 @@
 	return longest
 }
 
-// expire removes the tickets that can't start in time any more. The top
-// tier's wait on for maxLateWait, behind those that can, since a late warning
-// is worth more than none. And a class that has got nothing lately keeps the
-// ticket that it would be granted next, so that something of it runs, if late.
-func (q *Queue) expire(now time.Time, lately func(class string) bool) []string {
+// expire removes the tickets that can no longer start in time and returns their
+// IDs. There are two exceptions:
+//
+//   - Top-tier tickets wait for up to maxLateWait behind those that can still be
+//     in time, because a late warning is better than none.
+//   - A class without a recent grant keeps the ticket that is next in its order,
+//     so that some of its work runs, even if late.
+func (q *Queue) expire(now time.Time, recentlyGranted func(class string) bool) []string {
 	var expired []string
-	for len(q.deadlines) > 0 && q.deadlines[0].due.Before(now) {
+	for len(q.deadlines) > 0 && q.deadlines[0].expiresAt.Before(now) {
 		w := q.deadlines[0]
 		switch {
 		case w.ticket.Tier == TopTier && !w.late:
-			q.demote(now, w)
-		case !w.late && w.customer.class.keeps(w) && !lately(w.ticket.Class):
-			w.customer.class.kept = w
+			q.markLate(now, w)
+		case !w.late && w.customer.class.mayRetain(w) && !recentlyGranted(w.ticket.Class):
+			w.customer.class.retained = w
 			heap.Remove(&q.deadlines, w.deadlineIndex)
 		default:
 			q.remove(w)
@@ -139,20 +149,21 @@
 	return expired
 }
 
-// demote moves a ticket to the line of the late ones.
-func (q *Queue) demote(now time.Time, w *waiting) {
+// markLate moves a ticket to the queue of late tickets.
+func (q *Queue) markLate(now time.Time, w *waiting) {
 	q.remove(w)
 	w.late = true
-	w.due = w.ticket.Arrived.Add(maxLateWait)
+	w.expiresAt = w.ticket.Arrived.Add(maxLateWait)
 	q.push(now, w)
 }
 
-// displace removes a waiting ticket so that t finds room: the newest of the
-// customer with the most work, in the heaviest class of the lowest tier. It
-// reports false when nothing may give way to t.
+// displace removes a waiting ticket to make room for t and returns its ID: the
+// newest ticket of the customer with the most queued work, in the least urgent
+// tier that has such a ticket. It reports false if no ticket may be displaced for
+// t.
 func (q *Queue) displace(t Ticket, work float64) (string, bool) {
 	for tier := BottomTier; tier >= t.Tier; tier-- {
-		victim := q.tiers[tier].displaceable(t, work)
+		victim := q.tiers[tier].displacementVictim(t, work)
 		if victim != nil {
 			q.remove(victim)
 			return victim.ticket.ID, true
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -8,18 +8,19 @@
 
 var testStart = time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 
-// fill offers tickets of a class until the queue is full.
-func fill(t *testing.T, s *Scheduler, class string, tier Tier) {
+// fillQueue offers tickets of a class until the queue is full.
+func fillQueue(t *testing.T, s *Scheduler, class string, tier Tier) {
 	t.Helper()
-	for i := 0; s.Load().Waiting < maxWaiting; i++ {
+	for i := 0; s.Load().Waiting < maxQueuedTickets; i++ {
 		id := fmt.Sprintf("%s-%d", class, i)
 		if !s.Offer(testStart, Ticket{ID: id, Class: class, Customer: "large", Tier: tier}).Admitted {
-			t.Fatalf("%s refused with %d waiting", id, s.Load().Waiting)
+			t.Fatalf("ticket %s was refused with %d waiting", id, s.Load().Waiting)
 		}
 	}
 }
 
-// warm lets a Scheduler see a few runs, so that it knows its engine's rate.
+// warmUp completes a few runs, so that the Scheduler knows the service rate of
+// its engine.
 func warm(s *Scheduler) {
 	for i := range 20 {
 		id := fmt.Sprintf("warm-%d", i)
@@ -30,39 +31,39 @@
 	}
 }
 
-func TestFullQueueGivesWayToUrgent(t *testing.T) {
+func TestFullQueueDisplacesForUrgentTicket(t *testing.T) {
 	s := NewScheduler()
 	warm(s)
-	fill(t, s, "summary", 4)
+	fillQueue(t, s, "summary", 4)
 	d := s.Offer(testStart, Ticket{ID: "flag", Class: "flag", Tier: TopTier})
-	if !d.Admitted || len(d.Displaced) != 1 || d.Displaced[0] != fmt.Sprintf("summary-%d", maxWaiting-1) {
-		t.Fatalf("got %+v", d)
+	if !d.Admitted || len(d.Displaced) != 1 || d.Displaced[0] != fmt.Sprintf("summary-%d", maxQueuedTickets-1) {
+		t.Fatalf("decision %+v, want the newest ticket displaced", d)
 	}
 }
 
 func TestFullQueueOfTopTier(t *testing.T) {
 	s := NewScheduler()
 	warm(s)
-	fill(t, s, "flag", TopTier)
+	fillQueue(t, s, "flag", TopTier)
 	if d := s.Offer(testStart, Ticket{ID: "f", Class: "flag", Customer: "large", Tier: TopTier}); d.Admitted || !d.Full {
-		t.Errorf("the same customer: got %+v", d)
+		t.Errorf("ticket of the customer that fills the queue: decision %+v, want refused as full", d)
 	}
 	if d := s.Offer(testStart, Ticket{ID: "g", Class: "flag", Customer: "small", Tier: TopTier}); !d.Admitted {
-		t.Errorf("a customer with nothing waiting: got %+v", d)
+		t.Errorf("ticket of a customer with nothing waiting: decision %+v, want admitted", d)
 	}
 	if d := s.Offer(testStart, Ticket{ID: "s", Class: "summary", Tier: 4}); !d.Admitted || len(d.Displaced) > 0 {
-		t.Errorf("the only ticket of a class that got nothing: got %+v", d)
+		t.Errorf("only ticket of a class without a grant: decision %+v, want admitted without displacement", d)
 	}
 	s.Resume(testStart, Ticket{ID: "r", Class: "query", Tier: 3})
-	if s.Load().Waiting != maxWaiting+2 {
-		t.Errorf("%d waiting", s.Load().Waiting)
+	if s.Load().Waiting != maxQueuedTickets+2 {
+		t.Errorf("%d tickets waiting, want %d", s.Load().Waiting, maxQueuedTickets+2)
 	}
 }
 
-func TestRefusalStatesTime(t *testing.T) {
+func TestRetryAfterGrowsWithRefusals(t *testing.T) {
 	s := NewScheduler()
 	warm(s)
-	last := time.Duration(0)
+	previous := time.Duration(0)
 	for i := range 400 {
 		d := s.Offer(testStart.Add(time.Second), Ticket{
 			ID: fmt.Sprint(i), Class: "question", Tier: 2, Size: 100,
@@ -71,13 +72,13 @@
 		if d.Admitted {
 			continue
 		}
-		if d.RetryAfter < last {
-			t.Fatalf("refusal %d is told %v, the one before %v", i, d.RetryAfter, last)
+		if d.RetryAfter < previous {
+			t.Fatalf("refusal %d has RetryAfter %v, the previous one %v", i, d.RetryAfter, previous)
 		}
-		last = d.RetryAfter
+		previous = d.RetryAfter
 	}
-	if last < 10*time.Second {
-		t.Errorf("the last is told %v", last)
+	if previous < 10*time.Second {
+		t.Errorf("last refusal has RetryAfter %v, want at least 10s", previous)
 	}
 }
 
@@ -94,10 +95,10 @@
 	}
 }
 
-// TestSlowEngineIsTriedAgain: an engine that was slow refuses nothing while
-// it is idle, or it would never be seen to be fast again.
-func TestSlowEngineIsTriedAgain(t *testing.T) {
-	for _, due := range []Milestone{MilestoneFirstToken, MilestoneCompletion} {
+// TestIdleSlowEngineAdmitsTickets guards against an engine that refuses all
+// tickets after a slow period: idle, it would never be observed to be fast again.
+func TestIdleSlowEngineAdmitsTickets(t *testing.T) {
+	for _, milestone := range []Milestone{MilestoneFirstToken, MilestoneCompletion} {
 		s := NewScheduler()
 		now := testStart
 		for i := range 20 {
@@ -113,10 +114,10 @@
 		for i := range 5 {
 			d := s.Offer(now, Ticket{
 				ID: fmt.Sprint("new", i), Class: "question", Tier: 2, Size: 100,
-				Deadline: now.Add(10 * time.Second), Due: due,
+				Deadline: now.Add(10 * time.Second), Due: milestone,
 			})
 			if !d.Admitted {
-				t.Errorf("milestone %d: ticket %d refused on an idle engine: %+v", due, i, d)
+				t.Errorf("milestone %d: ticket %d refused on an idle engine: %+v", milestone, i, d)
 			}
 			s.Next(now)
 		}
--- /dev/null
+++ b/policy/queued_ticket.go
@@ -0,0 +1,82 @@
+package policy
+
+import "time"
+
+// notInHeap is the heap index of an element that is in no heap.
+const notInHeap = -1
+
+// queuedTicket is a waiting ticket with its position in the queue.
+type waiting struct {
+	ticket Ticket
+	// work is the work that the ticket is expected to bring to this engine, in
+	// tokens; see copyShare.
+	work float64
+	// latestStart is when the run must start to meet its target; zero means no
+	// target.
+	latestStart time.Time
+	// expiresAt is when Queue.expire handles the ticket: at latestStart, or for a
+	// late ticket when it is given up.
+	expiresAt time.Time
+	// resumed tickets neither expire nor are displaced, because their caller
+	// already has a part of the answer.
+	resumed bool
+	// late marks top-tier tickets that can no longer start in time and continue
+	// to wait.
+	late bool
+	// customer is the queue that holds the ticket; prev and next are its
+	// neighbours there.
+	customer *customerQueue
+	prev     *waiting
+	next     *waiting
+	// deadlineIndex is the position in Queue.deadlines.
+	deadlineIndex int
+}
+
+// newQueuedTicket returns a ticket that isn't in a queue yet and expires at its
+// latest start.
+func newWaiting(t Ticket, work float64, latestStart time.Time, resumed bool) *waiting {
+	return &waiting{
+		ticket:        t,
+		latestStart:   latestStart,
+		expiresAt:     latestStart,
+		work:          work,
+		resumed:       resumed,
+		deadlineIndex: notInHeap,
+	}
+}
+
+// less orders tickets by the time at which they expire.
+func (w *waiting) less(other *waiting) bool { return w.expiresAt.Before(other.expiresAt) }
+
+// position implements heapItem.
+func (w *waiting) position() *int { return &w.deadlineIndex }
+
+// mayExpire reports whether the ticket expires or becomes late as time passes.
+func (w *waiting) mayExpire() bool {
+	return !w.resumed && !w.expiresAt.IsZero()
+}
+
+// hasNoLatestStart reports whether the ticket has no latest start that can still
+// be met.
+func (w *waiting) hasNoLatestStart() bool {
+	return w.late || w.latestStart.IsZero()
+}
+
+// classKey identifies the class queue of the ticket.
+func (w *waiting) classKey() classKey {
+	return classKey{name: w.ticket.Class, late: w.late}
+}
+
+// customerKey identifies the queue of the ticket within its class.
+func (w *waiting) customerKey() customerKey {
+	if w.resumed {
+		return customerKey{resumed: true}
+	}
+	return customerKey{name: w.ticket.Customer}
+}
+
+// ticketSize returns the work of the ticket in tokens, at least 1, so that every
+// grant has a cost.
+func ticketSize(t Ticket) int {
+	return max(t.Size, 1)
+}
--- a/policy/run.go
+++ b/policy/run.go
@@ -8,25 +8,27 @@
 	granted time.Time
 	// started is zero until the grant is taken up.
 	started time.Time
-	// lastToken is zero until the first token came.
+	// lastToken is when the last tokens arrived; zero before the first one.
 	lastToken time.Time
-	// depth is how many runs were on the engine when it started, itself too.
+	// depth is the number of runs on the engine when this one started, itself
+	// included.
 	depth int
-	// guaranteed runs were granted out of the guaranteed share.
+	// guaranteed marks runs that were granted under the starvation guarantee.
 	guaranteed bool
-	// resumed runs ran in part before.
+	// resumed marks runs that were partially executed before.
 	resumed bool
-	// helped says that another run was cancelled since this one is overdue.
-	helped bool
-	// preempted runs were named by Preempt and are about to end.
+	// preemptionAttempted is set once Preempt has looked for a run to cancel
+	// because this one is overdue, whether it found one or not.
+	preemptionAttempted bool
+	// preempted marks runs that Preempt has returned and that are about to end.
 	preempted bool
-	// overdue says that its late first token was counted already.
+	// overdue is set once the late first token has been reported to the limiter.
 	overdue bool
 }
 
-// tokens takes n tokens after the first ones and returns the time between
-// them.
-func (r *run) tokens(now time.Time, n int) time.Duration {
+// observeTokens records the arrival of n tokens after the first and returns the
+// mean time between them.
+func (r *run) observeTokens(now time.Time, n int) time.Duration {
 	d := now.Sub(r.lastToken) / time.Duration(max(n, 1))
 	r.lastToken = now
 	return d
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -2,86 +2,87 @@
 
 import "time"
 
-// Scheduler decides for one engine: what is let in, what waits, what runs
-// next and how much runs at once. Its agent calls it under the agent's lock;
-// it is not safe for concurrent use.
+// Scheduler decides for one engine which requests are admitted, in which order
+// they run, and how many run concurrently. It isn't safe for concurrent use; the
+// agent calls it while it holds its own lock.
 type Scheduler struct {
-	queue     *Queue
-	running   running
-	limiter   limiter
-	rate      serviceRate
-	demand    demand
-	promises  promises
-	guarantee guarantee
-	lately    grantedLately
-	urgent    urgentUse
-	first     firstTokenTime
-	copies    copyShare
-	sizes     ClassSizes
-	// now is the time of the last call.
-	now time.Time
-}
-
-// NewScheduler returns a Scheduler for an engine of which nothing is known.
+	queue        *Queue
+	running      activeRuns
+	limiter      concurrencyLimiter
+	serviceRate  serviceRate
+	demand       demand
+	promises     promises
+	guarantee    guarantee
+	recentGrants grantedLately
+	urgent       urgentUse
+	first        firstTokenTime
+	copyShare    copyShare
+	classSizes   ClassSizes
+	// lastCall is the latest time passed to advance.
+	lastCall time.Time
+}
+
+// NewScheduler returns a Scheduler for an engine without any measurements.
 func NewScheduler() *Scheduler {
 	return &Scheduler{
-		queue:   NewQueue(),
-		running: newRunning(),
-		limiter: newLimiter(),
-		lately:  newGrantedLately(),
+		queue:        NewQueue(),
+		running:      newActiveRuns(),
+		limiter:      newConcurrencyLimiter(),
+		recentGrants: newGrantedLately(),
 	}
 }
 
-// advance brings the accounts of time up to now.
+// advance updates all time-based accounting to now; earlier times are ignored.
 func (s *Scheduler) advance(now time.Time) {
-	if now.Before(s.now) {
+	if now.Before(s.lastCall) {
 		return
 	}
-	s.now = now
+	s.lastCall = now
 	s.guarantee.advance(now, s.limiter.limit)
-	s.urgent.advance(now, s.running.urgent()+s.queue.urgent())
-	s.countOverdue(now)
+	s.urgent.advance(now, s.running.urgentCount()+s.queue.urgentCount())
+	s.reportOverdueRuns(now)
 }
 
-// countOverdue tells the limiter of runs whose first token is late.
-func (s *Scheduler) countOverdue(now time.Time) {
-	for _, r := range s.running.pending {
+// reportOverdueRuns reports runs whose first token is late to the limiter, each
+// once.
+func (s *Scheduler) reportOverdueRuns(now time.Time) {
+	for _, r := range s.running.awaitingFirstToken {
 		if !r.overdue && s.limiter.delayed(r.ticket, now.Sub(r.started)) {
 			r.overdue = true
-			s.limiter.overdue(now, r)
+			s.limiter.observeOverdue(now, r)
 		}
 	}
 }
 
-// Offer takes a ticket in, or refuses it; a refused one is not run.
+// Offer admits or refuses a ticket; a refused ticket is never run.
 func (s *Scheduler) Offer(now time.Time, t Ticket) Decision {
 	s.advance(now)
 	t.Arrived = now
-	return s.offer(now, t)
+	return s.admit(now, t)
 }
 
-// Resume takes in a retry of a request that ran in part. It is never refused,
-// whatever the estimate and the bound of the queue, since its caller holds a
-// part of the answer; its order is that of its tier.
+// Resume queues a retry of a request that was partially executed. It is never
+// refused, whatever the estimated wait and the length of the queue, because its
+// caller already has a part of the answer. It is ordered by its tier.
 func (s *Scheduler) Resume(now time.Time, t Ticket) {
 	s.advance(now)
 	t.Arrived = now
-	s.queue.push(now, newWaiting(t, s.copies.work(t), s.startBy(now, t, ticketSize(t)), true))
+	s.queue.push(now, newWaiting(t, s.copyShare.work(t), s.latestStart(now, t, ticketSize(t)), true))
 }
 
-// Withdraw removes a waiting ticket and reports whether there was one.
+// Withdraw removes a waiting ticket and reports whether it was present.
 func (s *Scheduler) Withdraw(id string) bool {
 	w := s.queue.byID[id]
 	if w == nil {
 		return false
 	}
 	s.queue.remove(w)
-	s.copies.observe(w.ticket, false)
+	s.copyShare.observe(w.ticket, false)
 	return true
 }
 
-// Next returns the ticket to grant now, if there is room for one. The ticket
-// holds its slot until Finished.
+// Next grants a slot to the next ticket and returns it; it reports false if no
+// ticket may start now. The ticket holds its slot until Finished.
 func (s *Scheduler) Next(now time.Time) (Ticket, bool) {
 	s.advance(now)
 	class := s.queue.next()
@@ -90,9 +91,9 @@
 	}
 	full := !s.hasRoom(now, class.head())
 	if full {
-		s.limiter.full(now)
+		s.limiter.slotsExhausted(now)
 	}
-	if starved := s.starved(now); starved != nil && (full || starved != class) {
+	if starved := s.starvedClass(now); starved != nil && (full || starved != class) {
 		return s.grant(now, starved, true), true
 	}
 	if full || !s.heldUntil(now, class.head()).IsZero() {
@@ -101,31 +102,34 @@
 	return s.grant(now, class, false), true
 }
 
-// guaranteeRoom reports whether the guarantee may use a slot. It leaves those
-// that are kept back to the urgent tiers while these don't use them.
-func (s *Scheduler) guaranteeRoom() bool {
+// guaranteeHasRoom reports whether a slot is available to the starvation
+// guarantee. The slots reserved for the urgent tiers aren't, even if they are
+// free.
+func (s *Scheduler) guaranteeHasRoom() bool {
 	limit := s.limiter.limit
 	return len(s.running.byID) < limit && s.running.lower < limit-reserveOf(limit)
 }
 
-// starved is the class that the guarantee serves now, if any.
-func (s *Scheduler) starved(now time.Time) *classQueue {
-	if !s.guaranteeRoom() || !s.guarantee.allows(s.limiter.limit) {
+// starvedClass returns the class that the starvation guarantee serves now; nil if
+// there is none.
+func (s *Scheduler) starvedClass(now time.Time) *classQueue {
+	if !s.guaranteeHasRoom() || !s.guarantee.canGrant(s.limiter.limit) {
 		return nil
 	}
-	class := s.queue.longestWaiting()
-	if class == nil || now.Sub(class.since) < starvedAfter {
+	class := s.queue.longestWaitingClass()
+	if class == nil || now.Sub(class.waitingSince) < starvedAfter {
 		return nil
 	}
 	return class
 }
 
+// grant moves the first ticket of a class to the active runs.
 func (s *Scheduler) grant(now time.Time, class *classQueue, guaranteed bool) Ticket {
 	resumed := class.head().resumed
 	t := s.queue.grant(now, class)
-	s.copies.observe(t, true)
+	s.copyShare.observe(t, true)
 	s.running.add(&run{ticket: t, granted: now, guaranteed: guaranteed, resumed: resumed})
-	s.lately.add(now, t.Class)
+	s.recentGrants.add(now, t.Class)
 	if guaranteed {
 		s.guarantee.running++
 	} else {
@@ -134,18 +138,19 @@
 	return t
 }
 
-// Started says that a grant was taken up.
+// Started records that a granted ticket has started to run. Unknown IDs and
+// repeated calls are ignored.
 func (s *Scheduler) Started(now time.Time, id string) {
 	s.advance(now)
 	r := s.running.byID[id]
 	if r == nil || !r.started.IsZero() {
 		return
 	}
-	s.running.start(now, r)
+	s.running.markStarted(now, r)
 }
 
-// Tokens says that n tokens came; the first call is the first token, after
-// which there may be room for another run.
+// Tokens records the arrival of n tokens. The first call reports the first token,
+// after which a slot may be free for another run.
 func (s *Scheduler) Tokens(now time.Time, id string, n int) {
 	s.advance(now)
 	r := s.running.byID[id]
@@ -154,18 +159,18 @@
 	}
 	if r.lastToken.IsZero() {
 		r.lastToken = now
-		s.running.dropPending(r)
+		s.running.removeAwaiting(r)
 		s.first.observe(ticketSize(r.ticket), now.Sub(r.started))
-		s.limiter.firstToken(now, r, len(s.running.pending))
+		s.limiter.observeFirstToken(now, r, len(s.running.awaitingFirstToken))
 		return
 	}
-	interval := r.tokens(now, n)
+	interval := r.observeTokens(now, n)
 	if len(s.running.byID) <= s.limiter.limit+s.limiter.trial() {
-		s.limiter.interval(now, r.ticket, interval)
+		s.limiter.observeInterval(now, r.ticket, interval)
 	}
 }
 
-// Finished frees the slot of a granted ticket.
+// Finished frees the slot of a granted ticket. Unknown IDs are ignored.
 func (s *Scheduler) Finished(now time.Time, id string, o Outcome) {
 	s.advance(now)
 	r := s.running.byID[id]
@@ -177,30 +182,30 @@
 		s.guarantee.running--
 	}
 	if !r.lastToken.IsZero() {
-		s.limiter.ended()
+		s.limiter.streamEnded()
 	}
 	if o == OutcomeWhole && !r.started.IsZero() {
-		s.rate.observe(now, ticketSize(r.ticket), now.Sub(r.started))
+		s.serviceRate.observe(now, ticketSize(r.ticket), now.Sub(r.started))
 	}
 }
 
-// Expire removes and returns the waiting tickets that can't meet their target
-// any more; their callers are told at once that they were not run. NextWake
-// says when to call it.
+// Expire removes the waiting tickets that can no longer meet their target and
+// returns their IDs. Their callers must be told at once that the requests were
+// not run. NextWake returns when to call it.
 func (s *Scheduler) Expire(now time.Time) []string {
 	s.advance(now)
-	return s.queue.expire(now, func(class string) bool { return s.lately.has(now, class) })
+	return s.queue.expire(now, func(class string) bool { return s.recentGrants.has(now, class) })
 }
 
-// RetryAfter is the time to come back for a ticket of a tier that was
-// displaced or has expired.
+// RetryAfter returns when a caller whose ticket was displaced or has expired
+// should retry.
 func (s *Scheduler) RetryAfter(now time.Time, tier Tier) time.Duration {
 	s.advance(now)
-	wait := s.waitFor(now, tier, s.workAbove(tier+1))
-	return s.promises.next(now, tier, s.rate.meanSize, wait, s.rateFor(tier))
+	wait := s.waitForSlot(now, tier, s.queuedWorkAbove(tier+1))
+	return s.promises.next(now, tier, s.serviceRate.meanSize, wait, s.tierRate(tier))
 }
 
-// Load describes the queue as of the last call.
+// Load returns the state of the queue as of the last call.
 func (s *Scheduler) Load() Load {
 	load := Load{
 		Waiting: s.queue.Len(),
@@ -208,7 +213,7 @@
 		Limit:   s.limiter.limit,
 	}
 	for t := range load.EstimatedWait {
-		load.EstimatedWait[t] = s.waitFor(s.now, Tier(t), s.workAbove(Tier(t)+1))
+		load.EstimatedWait[t] = s.waitForSlot(s.lastCall, Tier(t), s.queuedWorkAbove(Tier(t)+1))
 	}
 	return load
 }
--- a/policy/ticket.go
+++ b/policy/ticket.go
@@ -2,40 +2,47 @@
 
 import "time"
 
-// Ticket is a request that waits for an engine to have room. It is small; the
-// request's body stays at the entry.
+// Ticket represents a request that waits for a slot on an engine. It is small:
+// the body of the request stays at the entry.
 type Ticket struct {
-	// ID is unique among the tickets of one engine: request and attempt.
+	// ID identifies the request and the attempt; it is unique among the tickets
+	// of one engine.
 	ID string
-	// Class and Customer name whom the work is for.
+	// Class and Customer are the class of the request and the customer that sent
+	// it.
 	Class    string
 	Customer string
-	// Tier is the class's priority.
+	// Tier is the priority of the class.
 	Tier Tier
-	// Arrived is when this engine's queue took the ticket.
+	// Arrived is when the ticket entered the queue of this engine.
 	Arrived time.Time
-	// Deadline is when the class's target requires Due to be reached.
+	// Deadline is when the milestone must be reached to meet the target of the
+	// class; zero means no target.
 	Deadline time.Time
-	// Due is what Deadline is for; when unset, that work has started.
+	// DeadlineMilestone is the milestone that Deadline applies to; the zero value
+	// is MilestoneStart.
 	Due Milestone
 	// Size is the estimated work in tokens, prompt and answer together.
 	Size int
-	// Copies is at how many engines the request holds a ticket; it will run
-	// on one of them.
+	// Copies is the number of engines that hold a ticket for the request at the
+	// same time; the request runs on one of them.
 	Copies int
-	// Asks is at how many engines, one after the other, the request gets a
-	// ticket before it is refused for good; zero when that is as many as
-	// Copies. Each promises its part of the work to the caller.
+	// MaxEngines is the number of engines that are offered a ticket, in parallel
+	// or one after the other, before the request is finally refused; zero means
+	// Copies. Each of them accounts for its share of the work when it computes
+	// RetryAfter.
 	Asks int
-	// Preemptible says that the run may be cancelled for an urgent one and
-	// resumed later; never set for work that may not be repeated.
+	// Preemptible allows the run to be cancelled for an urgent request and
+	// resumed later. It is never set for work that must not be repeated.
 	Preemptible bool
-	// FirstToken and BetweenTokens are the class's targets; zero means none.
+	// FirstToken and BetweenTokens are the targets of the class for the time to
+	// the first token and the time between tokens; zero means none.
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
 }
 
-// asks is at how many engines the request gets a ticket in all.
+// engineCount returns the number of engines that are offered a ticket for the
+// request, at least 1.
 func (t *Ticket) asks() int {
 	if t.Asks > 0 {
 		return t.Asks
--- a/policy/tier_queue.go
+++ b/policy/tier_queue.go
@@ -6,39 +6,46 @@
 )
 
 const (
-	// classLead is how far, in grants of mean size, a class may run ahead of
-	// the one of its tier that got least. Within this lead the least slack
-	// goes first, so that mixed targets are met; beyond it the classes share
-	// equally, so that a burst with a short target can't hold back a class
-	// with a longer one for good. 8 is about one batch of an engine: enough
-	// room to reorder what one batch takes in.
-	classLead = 8
-	// sizeMemory is the weight of the newest grant in the mean size.
-	sizeMemory = 1.0 / 16
+	// maxClassLead is how far, in grants of mean size, a class may run ahead of
+	// the class of its tier that was served least. Within this lead the ticket
+	// with the least slack goes first, so that classes with different targets
+	// meet them. Beyond it the classes share equally, so that a burst with a
+	// short target can't hold back a class with a longer one indefinitely. 8 is
+	// about one batch of an engine, which is enough to reorder the tickets of one
+	// batch.
+	maxClassLead = 8
+	// meanSizeWeight is the weight of the newest grant in the moving average of
+	// the ticket size.
+	meanSizeWeight = 1.0 / 16
 )
 
-// tierQueue holds the classes of one tier that have a waiting ticket.
+// tierQueue holds the classes of one tier that have waiting tickets.
 //
-// It answers a burst of one class beside others of its tier. Least slack
-// alone would serve a bursting class with a short target before all others;
-// equal shares alone would let a ticket with seconds to go wait behind one
-// with minutes.
+// It combines least slack first with fair queueing, to handle a burst of one
+// class. Least slack alone would serve a bursting class with a short target
+// before all others; equal shares alone would let a ticket with seconds left wait
+// behind one with minutes left.
 type tierQueue struct {
 	classes []*classQueue
 	byKey   map[classKey]*classQueue
-	// virtual is the start tag of the class granted last.
-	virtual  float64
+	// virtualTime is the start tag of the class that was granted last, in tokens.
+	virtualTime float64
+	// meanSize is the moving average of the size of granted tickets, in tokens.
 	meanSize float64
-	count    int
-	work     float64
+	// count is the number of waiting tickets, and work their expected work on
+	// this engine in tokens.
+	count int
+	work  float64
 }
 
+// newTierQueue returns an empty tierQueue.
 func newTierQueue() *tierQueue {
 	return &tierQueue{byKey: map[classKey]*classQueue{}}
 }
 
+// push adds a ticket to the queue of its class.
 func (q *tierQueue) push(now time.Time, w *waiting) {
-	key := w.key()
+	key := w.classKey()
 	class := q.byKey[key]
 	if class == nil {
 		class = newClassQueue(key, q, now)
@@ -50,6 +57,7 @@
 	q.work += w.work
 }
 
+// remove deletes a ticket, and its class if that was the last one.
 func (q *tierQueue) remove(w *waiting) {
 	class := w.customer.class
 	class.remove(w)
@@ -63,67 +71,72 @@
 	q.classes = slices.Delete(q.classes, i, i+1)
 }
 
-// class is the line of a class's tickets that can still be on time; nil when
-// none waits.
-func (q *tierQueue) class(name string) *classQueue {
+// onTimeClass returns the queue of the tickets of a class that can still be in
+// time; nil if none waits.
+func (q *tierQueue) onTimeClass(name string) *classQueue {
 	return q.byKey[classKey{name: name}]
 }
 
-// next is the class whose head goes next; nil when nothing waits.
+// next returns the class whose first ticket is served next; nil if none waits.
 func (q *tierQueue) next() *classQueue {
 	if len(q.classes) == 0 {
 		return nil
 	}
-	limit := q.leastTag() + classLead*q.meanSize
+	limit := q.minStartTag() + maxClassLead*q.meanSize
 	var best *classQueue
 	for _, c := range q.classes {
-		if c.tag <= limit && (best == nil || earlier(c.head(), best.head())) {
+		if c.startTag <= limit && (best == nil || lessSlack(c.head(), best.head())) {
 			best = c
 		}
 	}
 	return best
 }
 
-func (q *tierQueue) leastTag() float64 {
-	least := q.classes[0].tag
+// minStartTag returns the smallest start tag of the waiting classes; at least one
+// must wait.
+func (q *tierQueue) minStartTag() float64 {
+	lowest := q.classes[0].startTag
 	for _, c := range q.classes[1:] {
-		least = min(least, c.tag)
+		lowest = min(lowest, c.startTag)
 	}
-	return least
+	return lowest
 }
 
+// charge advances the start tag of a class by the cost of granting w and updates
+// the mean size.
 func (q *tierQueue) charge(class *classQueue, w *waiting) {
 	size := float64(ticketSize(w.ticket))
-	q.virtual = max(q.virtual, q.leastTag())
-	class.tag += size * class.cost()
+	q.virtualTime = max(q.virtualTime, q.minStartTag())
+	class.startTag += size * class.costFactor()
 	if q.meanSize == 0 {
 		q.meanSize = size
 		return
 	}
-	q.meanSize += sizeMemory * (size - q.meanSize)
+	q.meanSize += meanSizeWeight * (size - q.meanSize)
 }
 
-// workAhead is how much of the tier's waiting work goes before a new ticket:
-// of each other class no more than what its own class has ahead.
+// workAhead returns the queued work of the tier, in tokens, that is served before
+// a new ticket. Each other class counts with at most what the ticket's own class
+// has ahead of it.
 func (q *tierQueue) workAhead(t Ticket, work float64) float64 {
-	ahead := 0.0
-	if own := q.class(t.Class); own != nil {
-		ahead = own.workAhead(t.Customer, work)
+	ownAhead := 0.0
+	if own := q.onTimeClass(t.Class); own != nil {
+		ownAhead = own.workAhead(t.Customer, work)
 	}
-	sum := ahead
+	sum := ownAhead
 	for _, c := range q.classes {
 		if c.name != t.Class {
-			sum += min(c.work, ahead+work+classLead*q.meanSize)
+			sum += min(c.work, ownAhead+work+maxClassLead*q.meanSize)
 		}
 	}
 	return sum
 }
 
-// earlier reports whether a has less slack than b. A ticket without a target
-// has endless slack.
-func earlier(a, b *waiting) bool {
-	if a.timeless() || b.timeless() {
-		return !a.timeless()
+// lessSlack reports whether a has less slack than b. A ticket without a latest
+// start has infinite slack.
+func lessSlack(a, b *waiting) bool {
+	if a.hasNoLatestStart() || b.hasNoLatestStart() {
+		return !a.hasNoLatestStart()
 	}
-	return a.startBy.Before(b.startBy)
+	return a.latestStart.Before(b.latestStart)
 }
--- a/policy/tier_test.go
+++ b/policy/tier_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-func TestSixTiers(t *testing.T) {
+func TestTierCount(t *testing.T) {
 	if tierCount != 6 {
-		t.Fatalf("tiers: got %d, want 6", tierCount)
+		t.Fatalf("%d tiers, want 6", tierCount)
 	}
 }
--- a/policy/wait_bound_test.go
+++ b/policy/wait_bound_test.go
@@ -15,7 +15,7 @@
 		{4, 1, 4 * time.Second, 22 * time.Second},
 	} {
 		if got := WaitBound(c.slots, c.classes, c.longest); got != c.want {
-			t.Errorf("%d slots, %d classes, runs of %s: %s, want %s", c.slots, c.classes, c.longest, got, c.want)
+			t.Errorf("WaitBound(%d, %d, %s) = %s, want %s", c.slots, c.classes, c.longest, got, c.want)
 		}
 	}
 }
--- a/policy/wake.go
+++ b/policy/wake.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// NextWake says when a decision is due that no other call brings about: then
-// Expire, Preempt and Next are to be called.
+// NextWake returns the time of the next decision that no other call triggers, and
+// false if there is none. At that time the caller must call Expire, Preempt and
+// Next.
 func (s *Scheduler) NextWake(now time.Time) (time.Time, bool) {
 	var wake earliest
 	if len(s.queue.deadlines) > 0 {
-		wake.add(s.queue.deadlines[0].due.Add(time.Nanosecond))
+		wake.add(s.queue.deadlines[0].expiresAt.Add(time.Nanosecond))
 	}
-	if due, ok := s.guaranteeDue(now); ok {
+	if due, ok := s.nextGuaranteedGrant(now); ok {
 		wake.add(due)
 	}
-	if due, ok := s.overflowDue(now); ok {
+	if due, ok := s.nextOverflow(now); ok {
 		wake.add(due)
 	}
 	if due, ok := s.holdDue(now); ok {
 		wake.add(due)
 	}
-	if due, ok := s.overdueAt(); ok {
+	if due, ok := s.nextOverdue(); ok {
 		wake.add(due)
 	}
 	return wake.at, !wake.at.IsZero()
 }
 
-// overdueAt is when the first of the urgent runs without a first token is
-// late inside the engine.
-func (s *Scheduler) overdueAt() (time.Time, bool) {
+// nextOverdue returns when the first urgent run without a first token exceeds the
+// delay that is normal for the engine.
+func (s *Scheduler) nextOverdue() (time.Time, bool) {
 	var first earliest
-	for _, r := range s.running.pending {
+	for _, r := range s.running.awaitingFirstToken {
 		bound := s.limiter.delayBound(r.ticket)
 		if r.ticket.Tier <= urgentTier && !r.overdue && bound > 0 {
 			first.add(r.started.Add(bound + time.Nanosecond))
@@ -37,24 +38,24 @@
 	return first.at, !first.at.IsZero()
 }
 
-// guaranteeDue is when the guarantee will serve a class out of a slot that is
-// free now.
-func (s *Scheduler) guaranteeDue(now time.Time) (time.Time, bool) {
+// nextGuaranteedGrant returns when the starvation guarantee may grant a currently
+// free slot to a class.
+func (s *Scheduler) nextGuaranteedGrant(now time.Time) (time.Time, bool) {
 	limit := s.limiter.limit
-	class := s.queue.longestWaiting()
-	if !s.guaranteeRoom() || class == nil || s.guarantee.running >= guaranteedSlots(limit) {
+	class := s.queue.longestWaitingClass()
+	if !s.guaranteeHasRoom() || class == nil || s.guarantee.running >= guaranteedSlots(limit) {
 		return time.Time{}, false
 	}
-	due := class.since.Add(starvedAfter)
-	if credit := s.guarantee.due(now, limit); credit.After(due) {
-		due = credit
+	due := class.waitingSince.Add(starvedAfter)
+	if creditRestored := s.guarantee.creditRestoredAt(now, limit); creditRestored.After(due) {
+		due = creditRestored
 	}
 	return due, true
 }
 
-// overflowDue is when the next urgent ticket may go past the limit, or have a
-// run cancelled.
-func (s *Scheduler) overflowDue(now time.Time) (time.Time, bool) {
+// nextOverflow returns when the next waiting urgent ticket may exceed the
+// concurrency limit or preempt a run.
+func (s *Scheduler) nextOverflow(now time.Time) (time.Time, bool) {
 	var first earliest
 	for _, tier := range s.queue.tiers[:urgentTier+1] {
 		class := tier.next()
