--- a/policy/queue.go
+++ b/policy/queue.go
@@ -12,9 +12,9 @@
 // it keeps the state of an agent below a few megabytes.
 const maxQueuedTickets = 2048
 
-// maxLateWait is how long a late top-tier ticket waits before its caller is told
-// that the request was not run. Without this limit the oldest late tickets would
-// be as old as the burst.
+// maxLateWait is how long after its arrival a late top-tier ticket is given up and
+// its caller is told that the request was not run. Without this limit the oldest
+// late tickets would be as old as the burst.
 const maxLateWait = 2 * time.Minute
 
 // Queue orders the waiting tickets of one engine: by tier; within a tier by least
@@ -127,8 +127,9 @@
 // expire removes the tickets that can no longer start in time and returns their
 // IDs. There are two exceptions:
 //
-//   - Top-tier tickets wait for up to maxLateWait behind those that can still be
-//     in time, because a late warning is better than none.
+//   - Top-tier tickets continue to wait, behind those that can still be in time,
+//     until maxLateWait after their arrival, because a late warning is better than
+//     none.
 //   - A class without a recent grant keeps the ticket that is next in its order,
 //     so that some of its work runs, even if late.
 func (q *Queue) expire(now time.Time, recentlyGranted func(class string) bool) []string {
