--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// benchTicket spreads tickets over classes, tiers and customers.
+// benchTicket returns ticket i; successive ones are spread over classes, tiers and
+// customers.
 func benchTicket(i, customers int) Ticket {
 	class := i % 12
 	return Ticket{
@@ -17,8 +18,8 @@
 	}
 }
 
-// loaded returns a Queue with n tickets.
-func loaded(n, customers int) *Queue {
+// filledQueue returns a Queue with n waiting tickets.
+func filledQueue(n, customers int) *Queue {
 	q := NewQueue()
 	for i := range n {
 		t := benchTicket(i, customers)
@@ -27,28 +28,28 @@
 	return q
 }
 
-// BenchmarkQueue grants the next ticket and takes in another, with that many
-// waiting; B/waiting is the memory of each.
+// BenchmarkQueue grants the next ticket and pushes it back. B/waiting is the memory in
+// bytes per waiting ticket.
 func BenchmarkQueue(b *testing.B) {
 	for _, waiting := range []int{100, 1_000, 10_000} {
 		for _, customers := range []int{10, 400} {
 			b.Run(fmt.Sprintf("waiting=%d/customers=%d", waiting, customers), func(b *testing.B) {
-				before := heapBytes()
-				q := loaded(waiting, customers)
-				size := heapBytes() - before
+				heapBefore := heapBytes()
+				q := filledQueue(waiting, customers)
+				heapGrowth := heapBytes() - heapBefore
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					t := q.grant(testStart, q.next())
 					q.push(testStart, newWaiting(t, float64(t.Size), testStart.Add(time.Duration(i)*time.Second), false))
 				}
-				b.ReportMetric(float64(size)/float64(waiting), "B/waiting")
+				b.ReportMetric(float64(heapGrowth)/float64(waiting), "B/waiting")
 			})
 		}
 	}
 }
 
-// BenchmarkScheduler takes a ticket through its whole life, with 20 tokens,
-// on an engine with that many waiting.
+// BenchmarkScheduler offers, grants and finishes a ticket with 20 tokens while others
+// wait.
 func BenchmarkScheduler(b *testing.B) {
 	for _, waiting := range []int{10, 1_000} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
@@ -78,7 +79,8 @@
 	}
 }
 
-// BenchmarkOffer refuses or takes in and withdraws a ticket.
+// BenchmarkOffer offers a ticket beside 1,000 waiting ones and withdraws it if it is
+// admitted.
 func BenchmarkOffer(b *testing.B) {
 	s := NewScheduler()
 	warm(s)
@@ -94,40 +96,42 @@
 	}
 }
 
-// BenchmarkPick places a ticket with that many engines known.
+// BenchmarkPick picks two of the known engines, with and without a prompt prefix.
 func BenchmarkPick(b *testing.B) {
 	for _, engines := range []int{12, 100, 1_200} {
 		for _, prefix := range []uint64{0, 42} {
 			b.Run(fmt.Sprintf("engines=%d/prefix=%t", engines, prefix > 0), func(b *testing.B) {
 				p := NewPlacer(rand.New(rand.NewPCG(1, 2)), NewEjector())
-				list := candidates(engines)
-				want := Placement{Tier: 2, Zone: "zone-1", Prefix: prefix}
+				known := candidates(engines)
+				placement := Placement{Tier: 2, Zone: "zone-1", Prefix: prefix}
 				b.ReportAllocs()
 				for b.Loop() {
-					p.Pick(testStart, want, list, 2)
+					p.Pick(testStart, placement, known, 2)
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkEjector observes outcomes with that many engines failing.
+// BenchmarkEjector observes failures of 1,200 engines. B/failing is the memory in bytes
+// per failing engine.
 func BenchmarkEjector(b *testing.B) {
 	e := NewEjector()
 	names := make([]string, 1_200)
-	before := heapBytes()
+	heapBefore := heapBytes()
 	for i := range names {
 		names[i] = fmt.Sprintf("engine-%04d", i)
 		e.Observe(testStart, names[i], OutcomeFailed)
 	}
-	size := heapBytes() - before
+	heapGrowth := heapBytes() - heapBefore
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		e.Observe(testStart, names[i%len(names)], OutcomeFailed)
 	}
-	b.ReportMetric(float64(size)/float64(len(names)), "B/failing")
+	b.ReportMetric(float64(heapGrowth)/float64(len(names)), "B/failing")
 }
 
+// heapBytes returns the heap in use after a garbage collection.
 func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/policy/burst_test.go
+++ b/policy/burst_test.go
@@ -6,80 +6,83 @@
 	"time"
 )
 
-// slotSeconds is how long a run of w holds a slot of a full batch.
+// slotSeconds returns how long a run of w holds a slot of a full batch, in seconds.
 func slotSeconds(e *fakeEngine, w workload) float64 {
 	return float64(e.batch) / e.capacity(w)
 }
 
-// TestBurstOfLowerClass plays a burst of planner questions at several times
-// capacity, beside hazard flags and summaries.
-func TestBurstOfLowerClass(t *testing.T) {
+// TestBurstOfLowerTier simulates a burst of planner questions at several times capacity
+// beside hazard flags and summaries: goodput must stay near capacity and hazard flags
+// on time.
+func TestBurstOfLowerTier(t *testing.T) {
 	t.Parallel()
 	for _, factor := range []float64{2, 4, 8} {
 		t.Run(fmt.Sprintf("x%v", factor), func(t *testing.T) {
 			t.Parallel()
-			playBurstOfLowerClass(t, factor)
+			simulateBurstOfLowerTier(t, factor)
 		})
 	}
 }
 
-func playBurstOfLowerClass(t *testing.T, factor float64) {
+// simulateBurstOfLowerTier runs three seeds of a burst at a multiple of capacity.
+func simulateBurstOfLowerTier(t *testing.T, factor float64) {
 	offeredFlags, lateFlags := 0, 0
 	goodput, capacity := 0.0, 0.0
 	for seed := range uint64(3) {
-		p := newPlay(seed, fleet(4, 8)...)
+		sim := newPlay(seed, fleet(4, 8)...)
 		e := newFakeEngine(8)
 		fleetCapacity := 4 * e.capacity(questions(nil))
 		capacity += fleetCapacity
 		q := questions(burst(0.2*fleetCapacity, factor*fleetCapacity, 30*time.Second, time.Minute))
-		f, s := flags(steady(2)), summaries(steady(0.3))
-		p.run(2*time.Minute, 10*time.Minute, f, q, s)
-		t.Logf("%v x %.1f/s, seed %d:%s", factor, fleetCapacity, seed, p.report(f, q, s))
+		f, s := flags(steady(2)), summaryWorkload(steady(0.3))
+		sim.run(2*time.Minute, 10*time.Minute, f, q, s)
+		t.Logf("%v x %.1f/s, seed %d:%s", factor, fleetCapacity, seed, sim.report(f, q, s))
 
-		offeredFlags += p.tally("flag").offered
-		lateFlags += p.tally("flag").offered - p.tally("flag").onTime
-		unit := slotSeconds(e, q)
-		goodput += p.tally("question").goodput()
-		goodput += p.tally("flag").goodput() * slotSeconds(e, f) / unit
-		goodput += p.tally("summary").goodput() * slotSeconds(e, s) / unit
-		if share := p.tally("question").honest(); share < 0.8 {
-			t.Errorf("of those that came back as told %.2f succeeded", share)
+		offeredFlags += sim.tally("flag").offered
+		lateFlags += sim.tally("flag").offered - sim.tally("flag").onTime
+		questionSlotSeconds := slotSeconds(e, q)
+		goodput += sim.tally("question").goodput()
+		goodput += sim.tally("flag").goodput() * slotSeconds(e, f) / questionSlotSeconds
+		goodput += sim.tally("summary").goodput() * slotSeconds(e, s) / questionSlotSeconds
+		if share := sim.tally("question").honest(); share < 0.8 {
+			t.Errorf("%.2f of the retries were on time", share)
 		}
-		if p.wasted() > 0.02 {
-			t.Errorf("wasted %.3f of slot time", p.wasted())
+		if sim.wastedShare() > 0.02 {
+			t.Errorf("wasted %.3f of slot time", sim.wastedShare())
 		}
 	}
-	// Over 25 s, with summaries of 10 s in the sum, one sequence varies by
-	// some 4%; the bound is on the mean of three.
-	t.Logf("%v x capacity: goodput %.3f of what full batches do", factor, goodput/capacity)
+	// With summaries that run for 10 s, the goodput of 25 s varies by about 4%
+	// between seeds; the bound is on the mean of three seeds.
+	t.Logf("%v x capacity: goodput %.3f of the capacity of full batches", factor, goodput/capacity)
 	if goodput < 0.95*capacity {
-		t.Errorf("goodput at %v x capacity: %.3f of what full batches do", factor, goodput/capacity)
+		t.Errorf("goodput at %v x capacity: %.3f of the capacity of full batches", factor, goodput/capacity)
 	}
 	if lateFlags*1000 > offeredFlags {
 		t.Errorf("%d of %d hazard flags not on time at %v x capacity", lateFlags, offeredFlags, factor)
 	}
 }
 
-// TestBurstOfTopTier plays hazard flags beyond what the engines can do, beside
-// more summaries than fit: goodput may not fall as more are offered.
+// TestBurstOfTopTier simulates hazard flags up to and beyond capacity, beside more
+// summaries than fit: goodput must not fall as more flags are offered.
 func TestBurstOfTopTier(t *testing.T) {
 	t.Parallel()
 	for _, factor := range []float64{0.4, 2, 8} {
 		t.Run(fmt.Sprintf("x%v", factor), func(t *testing.T) {
 			t.Parallel()
-			playBurstOfTopTier(t, factor)
+			simulateBurstOfTopTier(t, factor)
 		})
 	}
 }
 
-func playBurstOfTopTier(t *testing.T, factor float64) {
+// simulateBurstOfTopTier simulates a burst of hazard flags at a multiple of capacity.
+func simulateBurstOfTopTier(t *testing.T, factor float64) {
 	capacity := 4 * newFakeEngine(8).capacity(flags(nil))
-	p := newPlay(1, fleet(4, 8)...)
+	sim := newPlay(1, fleet(4, 8)...)
 	f := flags(burst(1, factor*capacity, 30*time.Second, time.Minute))
-	s := summaries(steady(4))
-	p.run(2*time.Minute, 10*time.Minute, f, s)
-	t.Logf("flags %v x %.1f/s:%s", factor, capacity, p.report(f, s))
-	if least := min(0.95*factor, 0.8) * capacity; p.tally("flag").goodput() < least {
-		t.Errorf("goodput at %v x capacity: %.1f/s, want %.1f/s", factor, p.tally("flag").goodput(), least)
+	s := summaryWorkload(steady(4))
+	sim.run(2*time.Minute, 10*time.Minute, f, s)
+	t.Logf("flags %v x %.1f/s:%s", factor, capacity, sim.report(f, s))
+	if minGoodput := min(0.95*factor, 0.8) * capacity; sim.tally("flag").goodput() < minGoodput {
+		t.Errorf("goodput at %v x capacity: %.1f/s, want %.1f/s", factor, sim.tally("flag").goodput(), minGoodput)
 	}
 }
--- a/policy/clock_test.go
+++ b/policy/clock_test.go
@@ -5,28 +5,31 @@
 	"time"
 )
 
-// virtualClock runs callbacks in order of their time.
+// virtualClock runs callbacks in the order of their times, without waiting.
 type virtualClock struct {
 	now    time.Time
 	events eventHeap
 	seq    uint64
 }
 
+// event is a callback to be run at a time.
 type event struct {
-	// at is in nanoseconds since the clock's start: comparing it is cheaper
-	// than comparing times, which counts under the race detector.
-	at  int64
-	seq uint64
-	run func()
+	// offset is in nanoseconds since testStart. Comparing integers is cheaper than
+	// comparing times, which matters under the race detector.
+	offset int64
+	// seq keeps events of the same time in the order they were added.
+	seq      uint64
+	callback func()
 }
 
+// eventHeap is a min-heap by time.
 type eventHeap []*event
 
 func (h eventHeap) Len() int { return len(h) }
 func (h eventHeap) Less(i, j int) bool {
 	a, b := h[i], h[j]
-	if a.at != b.at {
-		return a.at < b.at
+	if a.offset != b.offset {
+		return a.offset < b.offset
 	}
 	return a.seq < b.seq
 }
@@ -43,19 +46,20 @@
 	return &virtualClock{now: testStart}
 }
 
-func (c *virtualClock) after(d time.Duration, run func()) {
+// afterFunc runs a callback after d, or at the current time if d is negative.
+func (c *virtualClock) afterFunc(d time.Duration, callback func()) {
 	c.seq++
-	at := c.now.Sub(testStart) + max(d, 0)
-	heap.Push(&c.events, &event{at: int64(at), seq: c.seq, run: run})
+	offset := c.now.Sub(testStart) + max(d, 0)
+	heap.Push(&c.events, &event{offset: int64(offset), seq: c.seq, callback: callback})
 }
 
-// runUntil plays all that is due up to a time.
+// runUntil runs all events up to and including a time, and sets the clock to it.
 func (c *virtualClock) runUntil(end time.Time) {
-	last := int64(end.Sub(testStart))
-	for len(c.events) > 0 && c.events[0].at <= last {
+	endOffset := int64(end.Sub(testStart))
+	for len(c.events) > 0 && c.events[0].offset <= endOffset {
 		e := heap.Pop(&c.events).(*event)
-		c.now = testStart.Add(time.Duration(e.at))
-		e.run()
+		c.now = testStart.Add(time.Duration(e.offset))
+		e.callback()
 	}
 	c.now = end
 }
--- a/policy/fake_engine_test.go
+++ b/policy/fake_engine_test.go
@@ -5,90 +5,99 @@
 	"time"
 )
 
-// fakeEngine batches a bounded number of streams; the time between tokens
-// grows with each. What doesn't fit waits inside, by priority.
+// fakeEngine runs a bounded number of streams in a batch. The inter-token latency
+// grows with each stream. Runs beyond the batch queue inside the engine, by tier.
 type fakeEngine struct {
 	batch int
-	// foreign streams of others take places in the batch.
-	foreign int
-	// slow stretches all times; 1 is normal.
-	slow float64
-	// uneven stretches the reading of a prompt, each time anew.
-	uneven func() float64
+	// externalStreams is how many places in the batch other clients' streams take.
+	externalStreams int
+	// slowdown multiplies all times; 1 is normal speed.
+	slowdown float64
+	// prefillFactor returns a factor for the time to prefill the next prompt; nil for
+	// none.
+	prefillFactor func() float64
 
-	promptToken time.Duration
-	interval    time.Duration
-	perStream   time.Duration
+	// prefillPerToken is the time to prefill a token on an idle engine. The
+	// inter-token latency is baseInterval and intervalPerStream for each stream.
+	prefillPerToken   time.Duration
+	baseInterval      time.Duration
+	intervalPerStream time.Duration
 
 	streams int
-	line    []lineEntry
+	queue   []queuedRun
 }
 
-// lineEntry is a run that waits inside the engine.
-type lineEntry struct {
-	tier Tier
-	run  func() bool
+// queuedRun is a run that waits for a place in the batch.
+type queuedRun struct {
+	tier  Tier
+	begin func() bool
 }
 
+// newFakeEngine returns an idle engine of normal speed.
 func newFakeEngine(batch int) *fakeEngine {
 	return &fakeEngine{
-		batch:       batch,
-		slow:        1,
-		promptToken: 100 * time.Microsecond,
-		interval:    20 * time.Millisecond,
-		perStream:   time.Millisecond,
+		batch:             batch,
+		slowdown:          1,
+		prefillPerToken:   100 * time.Microsecond,
+		baseInterval:      20 * time.Millisecond,
+		intervalPerStream: time.Millisecond,
 	}
 }
 
-// enter calls run when the batch has a place; run reports whether it takes it.
-func (e *fakeEngine) enter(tier Tier, run func() bool) {
-	if e.streams+e.foreign < e.batch {
-		if run() {
+// start calls begin as soon as the batch has a place; begin reports whether the run
+// takes it.
+func (e *fakeEngine) start(tier Tier, begin func() bool) {
+	if e.streams+e.externalStreams < e.batch {
+		if begin() {
 			e.streams++
 		}
 		return
 	}
-	at := len(e.line)
-	for at > 0 && e.line[at-1].tier > tier {
-		at--
+	position := len(e.queue)
+	for position > 0 && e.queue[position-1].tier > tier {
+		position--
 	}
-	e.line = slices.Insert(e.line, at, lineEntry{tier: tier, run: run})
+	e.queue = slices.Insert(e.queue, position, queuedRun{tier: tier, begin: begin})
 }
 
-// leave frees a place.
-func (e *fakeEngine) leave() {
+// release frees a place and gives it to the next queued run.
+func (e *fakeEngine) release() {
 	e.streams--
-	e.fill()
+	e.startQueued()
 }
 
-// fill lets in what waits inside while the batch has a place.
-func (e *fakeEngine) fill() {
-	for len(e.line) > 0 && e.streams+e.foreign < e.batch {
-		run := e.line[0].run
-		e.line = e.line[1:]
-		if run() {
+// startQueued starts queued runs while the batch has a place.
+func (e *fakeEngine) startQueued() {
+	for len(e.queue) > 0 && e.streams+e.externalStreams < e.batch {
+		begin := e.queue[0].begin
+		e.queue = e.queue[1:]
+		if begin() {
 			e.streams++
 		}
 	}
 }
 
-func (e *fakeEngine) prefill(prompt int) time.Duration {
-	load := 1 + float64(e.streams+e.foreign)/float64(e.batch)
-	if e.uneven != nil {
-		load *= e.uneven()
+// prefillTime returns the time to prefill a prompt, which grows with the load up to
+// twice the time on an idle engine.
+func (e *fakeEngine) prefillTime(promptTokens int) time.Duration {
+	factor := 1 + float64(e.streams+e.externalStreams)/float64(e.batch)
+	if e.prefillFactor != nil {
+		factor *= e.prefillFactor()
 	}
-	return time.Duration(float64(prompt) * float64(e.promptToken) * load * e.slow)
+	return time.Duration(float64(promptTokens) * float64(e.prefillPerToken) * factor * e.slowdown)
 }
 
-func (e *fakeEngine) between() time.Duration {
-	d := e.interval + time.Duration(e.streams+e.foreign)*e.perStream
-	return time.Duration(float64(d) * e.slow)
+// tokenInterval returns the time between two tokens of a stream.
+func (e *fakeEngine) tokenInterval() time.Duration {
+	interval := e.baseInterval + time.Duration(e.streams+e.externalStreams)*e.intervalPerStream
+	return time.Duration(float64(interval) * e.slowdown)
 }
 
-// capacity is how many requests of a kind a full batch completes per second.
+// capacity returns how many requests of a workload a full batch completes per
+// second.
 func (e *fakeEngine) capacity(w workload) float64 {
 	full := *e
-	full.streams = e.batch - e.foreign
-	run := full.prefill(w.prompt) + time.Duration(w.answer)*full.between()
-	return float64(full.streams) / run.Seconds()
+	full.streams = e.batch - e.externalStreams
+	runTime := full.prefillTime(w.promptTokens) + time.Duration(w.answerTokens)*full.tokenInterval()
+	return float64(full.streams) / runTime.Seconds()
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -5,12 +5,13 @@
 	"slices"
 )
 
+// sortedIDs returns the keys in order, so that draws from them can be repeated.
 func sortedIDs(tickets map[string]Ticket) []string {
 	return slices.Sorted(maps.Keys(tickets))
 }
 
-// classes counts the classes that hold state.
-func (q *Queue) classes() int {
+// classEntries counts the entries that the queue holds for classes.
+func (q *Queue) classEntries() int {
 	n := 0
 	for _, tier := range q.tiers {
 		n += len(tier.classes) + len(tier.byKey)
--- a/policy/trial_test.go
+++ b/policy/limit_probe_test.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// TestTrialKeepsTimeBetweenTokens gives tokens that are just in time with
-// eight streams and late with more: no trial may count as proven.
-func TestTrialKeepsTimeBetweenTokens(t *testing.T) {
+// TestProbeKeepsInterTokenLatency simulates inter-token latencies that just meet the
+// target with eight streams and miss it with more: no probe of a higher limit may
+// succeed.
+func TestProbeKeepsInterTokenLatency(t *testing.T) {
 	const target = 48 * time.Millisecond
 	s := NewScheduler()
 	s.limiter.ramping = false
 	now := testStart
 	var streams []string
-	serve := func(offered int) {
-		s.Offer(now, Ticket{ID: fmt.Sprint(offered), Class: "question", Tier: 2, Preemptible: true, BetweenTokens: target})
+	offerAndGrant := func(ticketNumber int) {
+		s.Offer(now, Ticket{ID: fmt.Sprint(ticketNumber), Class: "question", Tier: 2, Preemptible: true, BetweenTokens: target})
 		for next, ok := s.Next(now); ok; next, ok = s.Next(now) {
 			s.Started(now, next.ID)
 			streams = append(streams, next.ID)
 		}
 	}
-	for offered := range 400 {
-		serve(offered)
+	for round := range 400 {
+		offerAndGrant(round)
 		now = now.Add(time.Duration(len(streams)) * target / coldLimit)
 		for _, id := range streams {
 			s.Tokens(now, id, 1)
 		}
-		if offered > 2*coldLimit {
+		if round > 2*coldLimit {
 			s.Finished(now, streams[0], OutcomeWhole)
 			streams = streams[1:]
 		}
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -2,55 +2,59 @@
 
 import "time"
 
-// request is one caller's request in a play.
+// request is one caller's request in a simulation.
 type request struct {
-	w        workload
+	workload workload
 	id       string
 	customer string
-	// prompt is its length.
-	prompt int
-	// answer is the length, given how much of it came.
-	answer int
-	given  int
+	// promptTokens is the length of the prompt.
+	promptTokens int
+	// answerTokens is the length of the answer; generated is how many of its
+	// tokens have been generated.
+	answerTokens int
+	generated    int
 
-	arrived   time.Time
-	began     time.Time
-	first     time.Time
-	cancelled time.Time
+	// arrived is when the request was sent, or sent again after a refusal. runStart
+	// is the start of the last run and preempted its last preemption.
+	arrived      time.Time
+	runStart     time.Time
+	firstTokenAt time.Time
+	preempted    time.Time
 
-	// holders are the engines at which a ticket waits.
-	holders  map[*playEngine]bool
-	refusals []Decision
-	// tried are the engines that were asked.
+	// ticketsAt are the engines at which a ticket of the request waits.
+	ticketsAt map[*simulatedEngine]bool
+	refusals  []Decision
+	// tried names the engines that were offered a ticket.
 	tried []string
-	// soon says that the caller came back while the burst went on.
-	soon    bool
-	granted bool
-	// served says that the answer was whole, late or not.
-	served bool
-	// again says that the caller came back after a refusal.
-	again bool
-	// run counts runs, so that events of a cancelled one are dropped.
+	// retriedInBurst says that the retry came before the end of the burst.
+	retriedInBurst bool
+	granted        bool
+	// completed says that the whole answer was generated, on time or late.
+	completed bool
+	// retried says that the request was refused and sent again.
+	retried bool
+	// run is the number of the current run; events of earlier ones are dropped.
 	run int
-	// inLine says that the run waits inside the engine.
-	inLine bool
+	// queuedInEngine says that the run waits for a place in the engine's batch.
+	queuedInEngine bool
 }
 
+// ticket returns the ticket that the request offers to an engine.
 func (r *request) ticket(copies, asks int) Ticket {
-	due, target := r.w.due()
+	due, target := r.workload.due()
 	return Ticket{
-		ID: r.id, Class: r.w.class, Customer: r.customer, Tier: r.w.tier,
+		ID: r.id, Class: r.workload.class, Customer: r.customer, Tier: r.workload.tier,
 		Deadline: r.arrived.Add(target), Due: due,
-		Size: r.prompt + r.w.answer, Copies: copies, Asks: asks, Preemptible: true,
-		FirstToken: r.w.firstToken, BetweenTokens: r.w.betweenTokens,
+		Size: r.promptTokens + r.workload.answerTokens, Copies: copies, Asks: asks, Preemptible: true,
+		FirstToken: r.workload.firstToken, BetweenTokens: r.workload.betweenTokens,
 	}
 }
 
-// late reports whether the answer that ends now missed its target.
+// late reports whether an answer that ends now misses one of its targets.
 func (r *request) late(now time.Time) bool {
-	mean := now.Sub(r.first) / time.Duration(max(r.answer-1, 1))
-	missed := func(d, target time.Duration) bool { return target > 0 && d > target }
-	return missed(r.first.Sub(r.arrived), r.w.firstToken) ||
-		missed(now.Sub(r.arrived), r.w.completion) ||
-		missed(mean, r.w.betweenTokens)
+	meanInterval := now.Sub(r.firstTokenAt) / time.Duration(max(r.answerTokens-1, 1))
+	exceeds := func(latency, target time.Duration) bool { return target > 0 && latency > target }
+	return exceeds(r.firstTokenAt.Sub(r.arrived), r.workload.firstToken) ||
+		exceeds(now.Sub(r.arrived), r.workload.completion) ||
+		exceeds(meanInterval, r.workload.betweenTokens)
 }
--- a/policy/scheduler_property_test.go
+++ b/policy/scheduler_property_test.go
@@ -8,22 +8,25 @@
 	"pgregory.net/rapid"
 )
 
-// machine drives a Scheduler with any calls and keeps what they imply.
-type machine struct {
+// schedulerModel calls a Scheduler in random order and tracks the state that the
+// calls must lead to.
+type schedulerModel struct {
 	*Scheduler
-	now     time.Time
-	serial  int
-	waiting map[string]Ticket
-	running map[string]Ticket
-	// ended tickets were refused, expired, displaced, withdrawn or finished.
+	now         time.Time
+	ticketCount int
+	waiting     map[string]Ticket
+	running     map[string]Ticket
+	// ended holds the tickets that were refused, expired, displaced, withdrawn or
+	// finished.
 	ended map[string]bool
 }
 
-func (m *machine) newTicket(t *rapid.T) Ticket {
-	m.serial++
+// drawTicket returns a random ticket.
+func (m *schedulerModel) drawTicket(t *rapid.T) Ticket {
+	m.ticketCount++
 	tier := Tier(rapid.IntRange(0, int(BottomTier)).Draw(t, "tier"))
 	ticket := Ticket{
-		ID:          fmt.Sprintf("t%d", m.serial),
+		ID:          fmt.Sprintf("t%d", m.ticketCount),
 		Class:       fmt.Sprintf("%d-%d", tier, rapid.IntRange(0, 1).Draw(t, "class")),
 		Customer:    fmt.Sprintf("c%d", rapid.IntRange(0, 3).Draw(t, "customer")),
 		Tier:        tier,
@@ -39,59 +42,64 @@
 	return ticket
 }
 
-// end moves a waiting ticket to the ended ones; it may not have run.
-func (m *machine) end(t *rapid.T, id string) {
+// endWaiting ends a ticket, which must be waiting.
+func (m *schedulerModel) endWaiting(t *rapid.T, id string) {
 	if _, ok := m.waiting[id]; !ok || m.ended[id] {
-		t.Fatalf("%s refused, and it does not wait", id)
+		t.Fatalf("%s ended, but was not waiting", id)
 	}
 	delete(m.waiting, id)
 	m.ended[id] = true
 }
 
-func (m *machine) offer(t *rapid.T) {
-	ticket := m.newTicket(t)
-	d := m.Offer(m.now, ticket)
-	for _, id := range d.Displaced {
-		m.end(t, id)
+// offer offers a ticket. The top tier is never refused, and a refusal must state a
+// Retry-After within its bounds.
+func (m *schedulerModel) offer(t *rapid.T) {
+	ticket := m.drawTicket(t)
+	decision := m.Offer(m.now, ticket)
+	for _, id := range decision.Displaced {
+		m.endWaiting(t, id)
 	}
-	if d.Admitted {
+	if decision.Admitted {
 		m.waiting[ticket.ID] = ticket
 		return
 	}
 	m.ended[ticket.ID] = true
 	if ticket.Tier == TopTier {
-		t.Fatalf("top tier refused")
+		t.Fatalf("ticket of the top tier refused")
 	}
-	if d.RetryAfter < minRetryAfter || d.RetryAfter > maxRetryAfter {
-		t.Fatalf("retry after %v", d.RetryAfter)
+	if decision.RetryAfter < minRetryAfter || decision.RetryAfter > maxRetryAfter {
+		t.Fatalf("Retry-After %v is out of bounds", decision.RetryAfter)
 	}
 }
 
-func (m *machine) resume(t *rapid.T) {
-	ticket := m.newTicket(t)
+// resume hands in a request that ran in part before.
+func (m *schedulerModel) resume(t *rapid.T) {
+	ticket := m.drawTicket(t)
 	m.Resume(m.now, ticket)
 	m.waiting[ticket.ID] = ticket
 }
 
-func (m *machine) withdraw(t *rapid.T) {
+// withdraw withdraws a waiting ticket, which must succeed once only.
+func (m *schedulerModel) withdraw(t *rapid.T) {
 	if len(m.waiting) == 0 {
 		return
 	}
 	id := rapid.SampledFrom(sortedIDs(m.waiting)).Draw(t, "withdraw")
 	if !m.Withdraw(id) || m.Withdraw(id) {
-		t.Fatalf("%s was not withdrawn once", id)
+		t.Fatalf("%s was not withdrawn exactly once", id)
 	}
-	m.end(t, id)
+	m.endWaiting(t, id)
 }
 
-func (m *machine) finish(t *rapid.T) {
+// finish ends a granted run, with or without tokens before.
+func (m *schedulerModel) finish(t *rapid.T) {
 	if len(m.running) == 0 {
 		return
 	}
 	id := rapid.SampledFrom(sortedIDs(m.running)).Draw(t, "finish")
 	if rapid.Bool().Draw(t, "stream") {
 		m.Started(m.now, id)
-		m.pass(t)
+		m.sleep(t)
 		m.Tokens(m.now, id, 1)
 		m.Tokens(m.now, id, 3)
 	}
@@ -100,14 +108,15 @@
 	m.ended[id] = true
 }
 
-func (m *machine) pass(t *rapid.T) {
+// sleep moves the clock on by up to five seconds.
+func (m *schedulerModel) sleep(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond)
 }
 
-// serve does what an agent does after each event.
-func (m *machine) serve(t *rapid.T) {
+// runScheduler carries out all due decisions, as an agent does after each event.
+func (m *schedulerModel) runScheduler(t *rapid.T) {
 	for _, id := range m.Expire(m.now) {
-		m.end(t, id)
+		m.endWaiting(t, id)
 	}
 	for {
 		id, ok := m.Preempt(m.now)
@@ -115,126 +124,131 @@
 			break
 		}
 		if victim := m.running[id]; victim.Tier <= urgentTier || !victim.Preemptible {
-			t.Fatalf("preempted %+v", victim)
+			t.Fatalf("preempted a run that may not be preempted: %+v", victim)
 		}
 		m.Finished(m.now, id, OutcomeCancelled)
 		delete(m.running, id)
 		m.ended[id] = true
 	}
-	for m.grant(t) {
+	for m.grantNext(t) {
 	}
 }
 
-func (m *machine) grant(t *rapid.T) bool {
-	guaranteed := m.guarantee.running
+// grantNext grants the next ticket, if there is one, and checks the order of tiers
+// and the bound on guaranteed runs.
+func (m *schedulerModel) grantNext(t *rapid.T) bool {
+	guaranteedBefore := m.guarantee.running
 	ticket, ok := m.Next(m.now)
 	if !ok {
 		return false
 	}
-	if _, waits := m.waiting[ticket.ID]; !waits || m.ended[ticket.ID] {
-		t.Fatalf("%s granted, and it does not wait", ticket.ID)
+	if _, isWaiting := m.waiting[ticket.ID]; !isWaiting || m.ended[ticket.ID] {
+		t.Fatalf("%s granted, but was not waiting", ticket.ID)
 	}
 	delete(m.waiting, ticket.ID)
 	m.running[ticket.ID] = ticket
-	out := m.guarantee.running > guaranteed
+	asGuaranteed := m.guarantee.running > guaranteedBefore
 	for _, other := range m.waiting {
-		if other.Tier < ticket.Tier && !out {
+		if other.Tier < ticket.Tier && !asGuaranteed {
 			t.Fatalf("tier %d granted before tier %d", ticket.Tier, other.Tier)
 		}
 	}
 	if m.guarantee.running > guaranteedSlots(m.Load().Limit) {
-		t.Fatalf("%d guaranteed runs", m.guarantee.running)
+		t.Fatalf("%d guaranteed runs exceed the bound", m.guarantee.running)
 	}
 	return true
 }
 
-func (m *machine) check(t *rapid.T) {
+// checkInvariants compares the Scheduler with the model, and checks that slots don't
+// idle, that no decision is overdue and that an empty queue holds no state.
+func (m *schedulerModel) checkInvariants(t *rapid.T) {
 	load := m.Load()
 	if load.Waiting != len(m.waiting) || load.Running != len(m.running) {
 		t.Fatalf("load %+v, want %d waiting and %d running", load, len(m.waiting), len(m.running))
 	}
-	kept := max(reserveOf(load.Limit), m.urgent.slots())
-	if load.Waiting > 0 && load.Running < load.Limit-kept && !m.held() {
-		t.Fatalf("%d wait while %d of %d run", load.Waiting, load.Running, load.Limit)
+	reserved := max(reserveOf(load.Limit), m.urgent.slots())
+	if load.Waiting > 0 && load.Running < load.Limit-reserved && !m.heldBack() {
+		t.Fatalf("%d tickets wait while %d runs use a limit of %d", load.Waiting, load.Running, load.Limit)
 	}
 	if wake, ok := m.NextWake(m.now); ok && !wake.After(m.now) {
-		t.Fatalf("a decision is due that was not made")
+		t.Fatalf("NextWake is not after now")
 	}
-	if load.Waiting == 0 && (m.queue.deadlines.Len() > 0 || m.queue.classes() > 0) {
-		t.Fatalf("state is left behind")
+	if load.Waiting == 0 && (m.queue.deadlines.Len() > 0 || m.queue.classEntries() > 0) {
+		t.Fatalf("the empty queue still holds state")
 	}
 }
 
-// held reports whether the next ticket is left to other engines: for a moment
-// only, and only when there are others.
-func (m *machine) held() bool {
+// heldBack reports whether the next ticket is held back for other engines that have
+// a copy of it, which is allowed for less than holdHopeless.
+func (m *schedulerModel) heldBack() bool {
 	_, held := m.holdDue(m.now)
 	w := m.queue.next().head()
 	return held && w.ticket.Copies > 1 && m.now.Sub(w.ticket.Arrived) < holdHopeless
 }
 
-// TestSchedulerProperties: no ticket is both granted and refused, no tier is
-// passed by a lower one but for the guarantee, the top tier is never refused,
-// slots don't idle while tickets wait, and no state is left behind.
+// TestSchedulerProperties checks, for random calls, that no ticket is both granted and
+// refused, that only guaranteed runs are granted before waiting tickets of a more
+// urgent tier, that the top tier is never refused, that slots don't idle while tickets
+// wait, and that an empty queue holds no state.
 func TestSchedulerProperties(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{
+		m := &schedulerModel{
 			Scheduler: NewScheduler(),
 			now:       time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC),
 			waiting:   map[string]Ticket{},
 			running:   map[string]Ticket{},
 			ended:     map[string]bool{},
 		}
-		actions := []func(*rapid.T){m.offer, m.offer, m.offer, m.resume, m.withdraw, m.finish, m.finish, m.pass}
+		actions := []func(*rapid.T){m.offer, m.offer, m.offer, m.resume, m.withdraw, m.finish, m.finish, m.sleep}
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			actions[rapid.IntRange(0, len(actions)-1).Draw(t, "action")](t)
-			m.serve(t)
-			m.check(t)
+			m.runScheduler(t)
+			m.checkInvariants(t)
 		}
 	})
 }
 
-// TestBoundedWait: each class that has a ticket waiting is granted within the
-// bound that guarantee states, whatever the length of runs up to the longest.
+// TestBoundedWait checks the bound that guarantee states: a class with a waiting ticket
+// is granted within it, for random run times up to the longest.
 func TestBoundedWait(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		classes := rapid.IntRange(2, 6).Draw(t, "classes")
-		longest := time.Duration(rapid.IntRange(1, 20).Draw(t, "longest")) * time.Second
-		bound := starvedAfter + time.Duration(classes)*longest
+		longestRun := time.Duration(rapid.IntRange(1, 20).Draw(t, "longest")) * time.Second
+		bound := starvedAfter + time.Duration(classes)*longestRun
 		clock, s := newVirtualClock(), NewScheduler()
-		granted := map[string]time.Time{}
-		serial := 0
+		lastGrant := map[string]time.Time{}
+		ticketCount := 0
 		offer := func(class int) {
-			serial++
-			s.Offer(clock.now, Ticket{ID: fmt.Sprint(serial), Class: fmt.Sprint(class), Tier: Tier(class)})
+			ticketCount++
+			s.Offer(clock.now, Ticket{ID: fmt.Sprint(ticketCount), Class: fmt.Sprint(class), Tier: Tier(class)})
 		}
-		var serve func()
-		serve = func() {
+		var grantAll func()
+		grantAll = func() {
 			for ticket, ok := s.Next(clock.now); ok; ticket, ok = s.Next(clock.now) {
-				if gap := clock.now.Sub(granted[ticket.Class]); gap > bound {
-					t.Fatalf("class %s of %d waited %v, runs up to %v", ticket.Class, classes, gap, longest)
+				if wait := clock.now.Sub(lastGrant[ticket.Class]); wait > bound {
+					t.Fatalf("class %s of %d waited %v, with runs of up to %v", ticket.Class, classes, wait, longestRun)
 				}
-				granted[ticket.Class] = clock.now
+				lastGrant[ticket.Class] = clock.now
 				offer(int(ticket.Tier))
-				d := time.Duration(rapid.Int64Range(1, int64(longest)).Draw(t, "run"))
+				runTime := time.Duration(rapid.Int64Range(1, int64(longestRun)).Draw(t, "run"))
 				id := ticket.ID
 				s.Started(clock.now, id)
-				clock.after(d, func() { s.Finished(clock.now, id, OutcomeWhole); serve() })
+				clock.afterFunc(runTime, func() { s.Finished(clock.now, id, OutcomeWhole); grantAll() })
 			}
 		}
 		for class := range classes {
-			granted[fmt.Sprint(class)] = clock.now
+			lastGrant[fmt.Sprint(class)] = clock.now
 			for range 12 {
 				offer(class)
 			}
 		}
-		serve()
+		grantAll()
 		clock.runUntil(clock.now.Add(2 * bound))
-		for class, at := range granted {
-			if gap := clock.now.Sub(at); gap > bound {
-				t.Fatalf("class %s of %d has waited %v, runs up to %v", class, classes, gap, longest)
+		for class, grantedAt := range lastGrant {
+			if wait := clock.now.Sub(grantedAt); wait > bound {
+				t.Fatalf("class %s of %d has waited %v, with runs of up to %v", class, classes, wait, longestRun)
 			}
 		}
 	})
--- a/policy/straggler_test.go
+++ b/policy/straggler_test.go
@@ -6,41 +6,44 @@
 	"time"
 )
 
-// TestStraggler plays eight engines at 0.6 of what they can do, one of which is
-// five and ten times slower than the others, from the start or from the middle
-// on: it has room at once, and its first tokens miss the target.
+// TestStraggler simulates eight engines at 0.6 of their capacity, one of which is five
+// or ten times slower, from the start or after a minute. Guards against late hazard
+// flags: the slow engine often has a free slot first, but its first tokens miss the
+// target.
 func TestStraggler(t *testing.T) {
 	t.Parallel()
-	for _, slow := range []float64{5, 10} {
-		for _, from := range []time.Duration{0, time.Minute} {
-			t.Run(fmt.Sprintf("x%v after %v", slow, from), func(t *testing.T) {
+	for _, slowdown := range []float64{5, 10} {
+		for _, slowAfter := range []time.Duration{0, time.Minute} {
+			t.Run(fmt.Sprintf("x%v after %v", slowdown, slowAfter), func(t *testing.T) {
 				t.Parallel()
-				playStraggler(t, slow, from)
+				simulateStraggler(t, slowdown, slowAfter)
 			})
 		}
 	}
 }
 
-func playStraggler(t *testing.T, slow float64, from time.Duration) {
+// simulateStraggler runs two seeds; at most one hazard flag in 200 may be late.
+func simulateStraggler(t *testing.T, slowdown float64, slowAfter time.Duration) {
 	offered, late := 0, 0
 	for seed := range uint64(2) {
 		engines := fleet(8, 4)
-		p := newPlay(seed, engines...)
-		p.clock.after(from, func() { engines[0].slow = slow })
+		sim := newPlay(seed, engines...)
+		sim.clock.afterFunc(slowAfter, func() { engines[0].slowdown = slowdown })
 		f, q := flags(steady(12)), questions(steady(0.5*7*engines[1].capacity(questions(nil))))
-		f.prompt, f.firstToken = 300, 300*time.Millisecond
-		p.run(3*time.Minute, time.Second*10, f, q)
-		got := p.tally("flag")
-		offered, late = offered+got.offered, late+got.offered-got.onTime
+		f.promptTokens, f.firstToken = 300, 300*time.Millisecond
+		sim.run(3*time.Minute, time.Second*10, f, q)
+		stats := sim.tally("flag")
+		offered, late = offered+stats.offered, late+stats.offered-stats.onTime
 	}
-	t.Logf("slow %v from %v: %d of %d hazard flags late", slow, from, late, offered)
+	t.Logf("slowdown %v after %v: %d of %d hazard flags late", slowdown, slowAfter, late, offered)
 	if late*200 > offered {
-		t.Errorf("slow %v from %v: %d of %d hazard flags late", slow, from, late, offered)
+		t.Errorf("slowdown %v after %v: %d of %d hazard flags late", slowdown, slowAfter, late, offered)
 	}
 }
 
-// slowScheduler is that of an engine whose first tokens take a while.
-func slowScheduler(firstToken time.Duration) (*Scheduler, time.Time) {
+// schedulerWithFirstToken returns the scheduler of an engine on which four first
+// tokens took a time, and the time after them.
+func schedulerWithFirstToken(firstToken time.Duration) (*Scheduler, time.Time) {
 	s, now := NewScheduler(), testStart
 	for range 4 {
 		s.Offer(now, Ticket{ID: "slow", Class: "flag"})
@@ -53,6 +56,8 @@
 	return s, now
 }
 
+// TestHoldBack checks for how long an engine that is likely to miss a ticket's target
+// leaves it to the other engines with a copy.
 func TestHoldBack(t *testing.T) {
 	for name, c := range map[string]struct {
 		firstToken time.Duration
@@ -65,7 +70,7 @@
 		"usually late":  {400 * time.Millisecond, 3, holdHopeless},
 		"the only copy": {400 * time.Millisecond, 1, 0},
 	} {
-		s, now := slowScheduler(c.firstToken)
+		s, now := schedulerWithFirstToken(c.firstToken)
 		flag := Ticket{ID: "f", Class: "flag", Deadline: now.Add(300 * time.Millisecond), Due: MilestoneFirstToken, Copies: c.copies}
 		s.Offer(now, flag)
 		_, ok := s.Next(now)
--- a/policy/workload_test.go
+++ b/policy/workload_test.go
@@ -2,43 +2,51 @@
 
 import "time"
 
-// workload is one class's arrivals in a play.
+// workload describes the requests of one class in a simulation.
 type workload struct {
-	class  string
-	tier   Tier
-	prompt int
-	// spread is the standard deviation of the logarithm of prompts' lengths; 0 where all are
-	// of the same length.
-	spread float64
-	// answer is the mean length; real lengths are spread around it.
-	answer        int
+	class string
+	tier  Tier
+	// promptTokens is the mean length of prompts, and promptSigma the standard deviation
+	// of the logarithm of their lengths; 0 if all have the same length.
+	promptTokens int
+	promptSigma  float64
+	// answerTokens is the mean length of answers; lengths are uniform between a quarter of
+	// it and 1.75 times as much.
+	answerTokens int
+	// firstToken, betweenTokens and completion are the latency targets; 0 means none.
 	firstToken    time.Duration
 	betweenTokens time.Duration
 	completion    time.Duration
-	// rate is arrivals per second at a time since the start.
+	// rate returns the arrivals per second at a time since the start.
 	rate func(time.Duration) float64
-	// customers is how many there are; hot is the share of the first.
+	// customers is the number of customers; hotShare is the share of requests that the
+	// first of them sends.
 	customers int
-	hot       float64
+	hotShare  float64
 }
 
+// flagWorkload returns the hazard-flag class: top tier, short prompts and answers.
 func flags(rate func(time.Duration) float64) workload {
-	return workload{class: "flag", tier: 0, prompt: 100, answer: 10, firstToken: 500 * time.Millisecond, rate: rate}
+	return workload{class: "flag", tier: 0, promptTokens: 100, answerTokens: 10, firstToken: 500 * time.Millisecond, rate: rate}
 }
 
+// questionWorkload returns the planner-question class: ten customers with equal shares.
 func questions(rate func(time.Duration) float64) workload {
-	return workload{class: "question", tier: 2, prompt: 200, answer: 60, firstToken: 2 * time.Second, rate: rate, customers: 10, hot: 0.1}
+	return workload{class: "question", tier: 2, promptTokens: 200, answerTokens: 60, firstToken: 2 * time.Second, rate: rate, customers: 10, hotShare: 0.1}
 }
 
-func summaries(rate func(time.Duration) float64) workload {
-	return workload{class: "summary", tier: 4, prompt: 3000, answer: 300, completion: time.Minute, rate: rate}
+// summaryWorkload returns the summary class: low tier, long prompts and answers.
+func summaryWorkload(rate func(time.Duration) float64) workload {
+	return workload{class: "summary", tier: 4, promptTokens: 3000, answerTokens: 300, completion: time.Minute, rate: rate}
 }
 
+// constantRate returns an arrival rate that doesn't change.
 func steady(rate float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return rate }
 }
 
-// burst is a rate that is higher between two times.
+// burstRate returns an arrival rate that is high between two times and base
+// otherwise.
 func burst(base, high float64, from, to time.Duration) func(time.Duration) float64 {
 	return func(t time.Duration) float64 {
 		if t >= from && t < to {
@@ -48,6 +56,7 @@
 	}
 }
 
+// due returns what the tickets' deadline is for, and the target for it.
 func (w workload) due() (Milestone, time.Duration) {
 	if w.firstToken > 0 {
 		return MilestoneFirstToken, w.firstToken
