--- a/policy/affinity.go
+++ b/policy/affinity.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	// affinityBound is how far above the mean load the engine that a prefix
+	// affinityLoadFactor is how far above the mean load the engine that a prefix
 	// belongs to may be and still be used: a quarter, as in consistent
 	// hashing with bounded loads (Mirrokni et al., 2018). Without a bound a
 	// prefix that takes most of the load would take it all to one engine.
-	affinityBound = 1.25
-	// affinityFloor is a load below which an engine has room whatever the
+	affinityLoadFactor = 1.25
+	// affinityMinLoad is a load below which an engine has room whatever the
 	// mean is.
-	affinityFloor = 0.75
+	affinityMinLoad = 0.75
 )
 
 // affinity finds the engine that a prompt's beginning belongs to, so that its
@@ -30,7 +30,7 @@
 		}
 	}
 	load := candidates[kept[best]].expectedLoad(now, mean)
-	return best, load <= max(affinityFloor, affinityBound*mean)
+	return best, load <= max(affinityMinLoad, affinityLoadFactor*mean)
 }
 
 // hashName is FNV-1a.
--- a/policy/candidate.go
+++ b/policy/candidate.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// freshness is over how long a report of load loses its worth: an engine
+// loadReportTimeConstant is over how long a report of load loses its worth: an engine
 // turns over its batch in about that time.
-const freshness = 2 * time.Second
+const loadReportTimeConstant = 2 * time.Second
 
 // Candidate is an engine as an entry last heard of it. The numbers may be
 // stale, or absent when Seen is zero.
@@ -36,6 +36,6 @@
 	if c.Seen.IsZero() {
 		return mean
 	}
-	trust := math.Exp(-now.Sub(c.Seen).Seconds() / freshness.Seconds())
+	trust := math.Exp(-now.Sub(c.Seen).Seconds() / loadReportTimeConstant.Seconds())
 	return mean + trust*(c.load()-mean)
 }
--- a/policy/chooser.go
+++ b/policy/chooser.go
@@ -6,30 +6,30 @@
 )
 
 const (
-	// runningTokens is what a request that is generating counts for, in
+	// runningRequestTokens is what a request that is generating counts for, in
 	// tokens of prompt that it delays a new one by: a step of a batch grows
 	// by about a tenth of a millisecond a request, while some 60 to 90 tokens
 	// of prompt are read in a millisecond, and a new prompt takes a few steps.
-	runningTokens = 48
-	// pendingTokens is the least that a request counts for that hasn't begun
+	runningRequestTokens = 48
+	// minPendingTokens is the least that a request counts for that hasn't begun
 	// to answer: a prompt of a few tokens still waits for a step.
-	pendingTokens = 128
-	// otherZoneTokens is what another availability zone counts for: the way
+	minPendingTokens = 128
+	// crossZoneTokens is what another availability zone counts for: the way
 	// there and back takes one to three milliseconds, some 150 tokens.
-	otherZoneTokens = 150
-	// warmingTokens is what a server counts for that is slow after its start:
+	crossZoneTokens = 150
+	// warmupTokens is what a server counts for that is slow after its start:
 	// a long prompt, so that it gets work but not its full share.
-	warmingTokens = 4000
-	// rereadWeight is what reading a shared part again that another server has
+	warmupTokens = 4000
+	// recomputeWeight is what reading a shared part again that another server has
 	// counts for against waiting: the reading delays all that come to that
 	// server later, the wait this request alone.
-	rereadWeight = 8.0
+	recomputeWeight = 8.0
 	// drawn is how many servers a prompt that shares nothing looks at: with old
 	// news of the load two or three serve best (Mitzenmacher, How useful is old
 	// information, 2000). unknownCost is what the rest count for, in tokens: more
 	// than any of the few that is in time.
 	drawn       = 3
-	unknownCost = 1e6
+	unsampledCost = 1e6
 )
 
 // Chooser decides to which backend server a request is sent straight away.
@@ -52,8 +52,8 @@
 	random  *rand.Rand
 	ejector *Ejector
 	index   *PrefixIndex
-	// all is kept for the next choice's use.
-	all []weighed
+	// scored is kept for the next choice's use.
+	scored []weighed
 }
 
 // NewChooser returns a Chooser that leaves out what ejector ejected and looks up
@@ -82,42 +82,42 @@
 		}
 	}
 	candidate := usable
-	if float64(failed) <= ejectPanic*float64(all) {
+	if float64(failed) <= panicThreshold*float64(all) {
 		candidate = func(s *Server) bool { return usable(s) && !failing(s) }
 	}
-	choice := c.choose(now, job, servers, rate, func(s *Server) bool { return candidate(s) && !s.Beyond })
+	choice := c.chooseFrom(now, job, servers, rate, func(s *Server) bool { return candidate(s) && !s.Beyond })
 	if !choice.Found {
 		choice.FreeIn, choice.Limited = soonestFree(servers, candidate)
 	}
 	return choice
 }
 
-func (c *Chooser) choose(now time.Time, job Job, servers []Server, rate *PrefillRate, usable func(*Server) bool) Choice {
-	shared := c.lookUp(now, &job, servers, usable)
+func (c *Chooser) chooseFrom(now time.Time, job Job, servers []Server, rate *PrefillRate, usable func(*Server) bool) Choice {
+	shared := c.lookUpPrefix(now, &job, servers, usable)
 	rereadPrice := job.priceOfRereading(servers, usable, rate)
-	known := c.known(servers, usable, &shared)
-	c.all = c.all[:0]
+	known := c.preferred(servers, usable, &shared)
+	c.scored = c.scored[:0]
 	soon := 0
 	for i := range servers {
 		if !usable(&servers[i]) {
 			continue
 		}
-		w := c.weigh(job, &servers[i], shared.at(i, &job, rate), rereadPrice, rate)
+		w := c.scoreServer(job, &servers[i], shared.missAt(i, &job, rate), rereadPrice, rate)
 		w.choice.At = i
 		if w.choice.soon {
 			soon++
 		}
 		if !known[i] {
-			w.cost += unknownCost * (1 + c.random.Float64())
+			w.cost += unsampledCost * (1 + c.random.Float64())
 		}
-		c.all = append(c.all, w)
+		c.scored = append(c.scored, w)
 	}
-	c.shareSlots(job.Unseen, c.all)
+	c.shareSlots(job.Unseen, c.scored)
 	var best Choice
 	// What is late is worth no more than what has waited for its whole target.
 	least, late := 0.0, rate.during(job.Target)
-	for i := range c.all {
-		choice, cost := c.all[i].outcome(late)
+	for i := range c.scored {
+		choice, cost := c.scored[i].finalScore(late)
 		if !best.Found || choice.InTime && !best.InTime || choice.InTime == best.InTime && cost < least {
 			best, least = choice, cost
 		}
@@ -127,7 +127,7 @@
 	return best
 }
 
-// known are the places that a sender considers first: who holds the prompt's
+// preferred are the places that a sender considers first: who holds the prompt's
 // beginning, and its homes; for a prompt without one a few that are drawn at
 // random. The rest come after them, in random order.
 //
@@ -135,16 +135,16 @@
 // one server that waits for nothing is the best one for all of them, and gets
 // what all send until they have heard. That senders agree on the homes keeps the
 // copies of a part few that they make before they hear of each other's.
-func (c *Chooser) known(servers []Server, usable func(*Server) bool, shared *sharedParts) []bool {
+func (c *Chooser) preferred(servers []Server, usable func(*Server) bool, shared *prefixLookup) []bool {
 	known := make([]bool, len(servers))
-	if shared.held == nil {
+	if shared.cached == nil {
 		for range drawn {
 			known[c.random.IntN(len(servers))] = true
 		}
 		return known
 	}
 	for i := range servers {
-		if usable(&servers[i]) && 2*shared.held[i].tokens > shared.length {
+		if usable(&servers[i]) && 2*shared.cached[i].expected > shared.length {
 			known[i] = true
 		}
 	}
@@ -156,25 +156,25 @@
 	return known
 }
 
-// weigh says what sending to a server would come to. Where the first token would
+// scoreServer says what sending to a server would come to. Where the first token would
 // be late anyway only the time counts.
-func (c *Chooser) weigh(job Job, s *Server, need need, rereadPrice float64, rate *PrefillRate) weighed {
+func (c *Chooser) scoreServer(job Job, s *Server, need need, rereadPrice float64, rate *PrefillRate) weighed {
 	own := job.Tokens - job.prefix().Upto
-	choice := Choice{Found: true, Prefill: own + need.reading(), From: need.from, Fetches: need.fetched > 0}
+	choice := Choice{Found: true, Prefill: own + need.prefillTokens(), From: need.source, Fetches: need.fetched > 0}
 	others := s.ahead(job.Urgency)
 	choice.Ahead = others + float64(choice.Prefill)
 	left := s.slotsLeft(job)
 	choice.Room = left > 0 && !s.outOfConns()
 	choice.soon = job.inTime(rate, others, need, rereadPrice)
-	choice.Expected = rate.firstToken(choice.Ahead)
-	cost := choice.Ahead + float64(s.Running*runningTokens)
+	choice.Expected = rate.expectedTTFT(choice.Ahead)
+	cost := choice.Ahead + float64(s.Running*runningRequestTokens)
 	if s.Zone != job.Zone {
-		cost += otherZoneTokens
+		cost += crossZoneTokens
 	}
 	// A stream that is late by a pause is worth no more than one that has waited
 	// for its whole target.
 	cost += s.LatePause * rate.during(job.Target)
 	// Equals are drawn from, so that senders don't all go the same way.
-	cost += c.random.Float64() * pendingTokens / 2
-	return weighed{choice: choice, cost: cost, reading: need.cost(), left: left, latePause: s.LatePause}
+	cost += c.random.Float64() * minPendingTokens / 2
+	return weighed{choice: choice, cost: cost, prefillPenalty: need.penalty(), left: left, pauseRisk: s.LatePause}
 }
--- a/policy/copies.go
+++ b/policy/copies.go
@@ -2,8 +2,8 @@
 
 // Copies at several agents, by tier.
 const (
-	topCopies   = 3
-	otherCopies = 2
+	topTierCopies   = 3
+	defaultCopies = 2
 )
 
 // Copies is at how many agents a request of a tier gets a ticket.
@@ -13,7 +13,7 @@
 // others' load holds its tickets. Each copy costs a ticket and a withdrawal.
 func Copies(t Tier) int {
 	if t == TopTier {
-		return topCopies
+		return topTierCopies
 	}
-	return otherCopies
+	return defaultCopies
 }
--- a/policy/copy_share.go
+++ b/policy/copy_share.go
@@ -1,7 +1,7 @@
 package policy
 
-// copyMemory is the weight of the newest ticket in the share.
-const copyMemory = 1.0 / 32
+// copyShareGain is the weight of the newest ticket in the share.
+const copyShareGain = 1.0 / 32
 
 // copyShare measures how many of the tickets that wait at several engines run
 // on this one. It is one in as many as there are copies while all engines
@@ -10,7 +10,7 @@
 // copies would let in up to twice of what can start in time.
 type copyShare struct {
 	share float64
-	seen  bool
+	initialized  bool
 }
 
 // observe takes that a ticket with copies left the queue, to run here or not.
@@ -18,15 +18,15 @@
 	if t.Copies < 2 {
 		return
 	}
-	if !c.seen {
-		c.seen = true
+	if !c.initialized {
+		c.initialized = true
 		c.share = 1 / float64(t.Copies)
 	}
 	x := 0.0
 	if here {
 		x = 1
 	}
-	c.share += copyMemory * (x - c.share)
+	c.share += copyShareGain * (x - c.share)
 }
 
 // work is the work in tokens that a ticket is expected to bring to this
--- a/policy/direct_engine_test.go
+++ b/policy/direct_engine_test.go
@@ -71,7 +71,7 @@
 	r.left -= tokens
 	takes := time.Duration(float64(tokens) / directRate * float64(time.Millisecond))
 	if r.left == 0 {
-		takes += firstStep / 4
+		takes += initialFixedTime / 4
 	}
 	if e.slower > 0 {
 		takes = time.Duration(e.slower * float64(takes))
--- a/policy/filter.go
+++ b/policy/filter.go
@@ -20,10 +20,10 @@
 	return usable
 }
 
-// ejectPanic is the share of ejected engines beyond which ejection is
+// panicThreshold is the share of ejected engines beyond which ejection is
 // ignored: when half of them fail, the fault is more likely theirs all or in
 // the entry, and the rest can't carry the load.
-const ejectPanic = 0.5
+const panicThreshold = 0.5
 
 // ejectionFilter leaves out what the Ejector ejected.
 type ejectionFilter struct {
@@ -40,7 +40,7 @@
 			healthy = append(healthy, i)
 		}
 	}
-	if float64(len(healthy)) < ejectPanic*float64(len(kept)) {
+	if float64(len(healthy)) < panicThreshold*float64(len(kept)) {
 		return kept
 	}
 	return healthy
--- a/policy/need.go
+++ b/policy/need.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// newElsewhere is what a part that nobody holds counts for at another server
+	// nonHomeWeight is what a part that nobody holds counts for at another server
 	// than its home, as a part of its length: senders go there mostly where
 	// the home isn't in time, since others don't hear of it for a tenth of a
 	// second and read the part at home.
-	newElsewhere = 5.0
+	nonHomeWeight = 5.0
 	// homeCount is how many servers a part belongs to, in order: what is asked for
 	// more often than one can bear is copied to the next.
 	homeCount = 3
-	// copyWeight is what a part that is fetched counts for, as a part of its
+	// fetchWeight is what a part that is fetched counts for, as a part of its
 	// length: it takes memory twice, and a link's time. A wait as long as reading
 	// it is borne first.
-	copyWeight = 1.0
+	fetchWeight = 1.0
 	// fetchSetup is how long it takes until a part that is fetched begins to
 	// arrive; the fastest links take 2 ms and the slowest 8.
 	fetchSetup = 8 * time.Millisecond
-	// fetchLeast is the least that is worth being fetched, in tokens: less is
+	// minFetchTokens is the least that is worth being fetched, in tokens: less is
 	// read in about the time of the setup.
-	fetchLeast = 1000
+	minFetchTokens = 1000
 )
 
 // need is what a server lacks of a prompt's shared parts, in tokens.
@@ -33,82 +33,82 @@
 	// transfer what could be read in the time that takes.
 	fetched  float64
 	transfer float64
-	from     int
+	source     int
 	// home says that the server is the one that first is to be read at, and second
 	// that it is the next one.
 	home, second bool
 }
 
-// reading is what the server reads, or could while it fetches.
-func (n *need) reading() int { return int(n.first + n.again + n.transfer) }
+// prefillTokens is what the server reads, or could while it fetches.
+func (n *need) prefillTokens() int { return int(n.first + n.again + n.transfer) }
 
-// cost is what it counts for against waiting, beside the reading itself.
-func (n *need) cost() float64 {
-	cost := (rereadWeight-1)*n.again + copyWeight*n.fetched
+// penalty is what it counts for against waiting, beside the reading itself.
+func (n *need) penalty() float64 {
+	cost := (recomputeWeight-1)*n.again + fetchWeight*n.fetched
 	if !n.home {
-		cost += newElsewhere * n.first
+		cost += nonHomeWeight * n.first
 	}
 	return cost
 }
 
-// sharedParts is who holds what of a prompt's shared parts.
-type sharedParts struct {
+// prefixLookup is who holds what of a prompt's shared parts.
+type prefixLookup struct {
 	length int
 	// homes are the places that the parts belong to, in order.
 	homes [homeCount]int
-	// most is the longest beginning that a usable server has been sent.
-	most int
-	held []held
+	// longestCached is the longest beginning that a usable server has been sent.
+	longestCached int
+	cached []cachedPrefix
 	// source is the place of the server that has read most; -1 for none.
 	source int
 }
 
-// lookUp finds who holds what.
-func (c *Chooser) lookUp(now time.Time, job *Job, servers []Server, usable func(*Server) bool) sharedParts {
+// lookUpPrefix finds who holds what.
+func (c *Chooser) lookUpPrefix(now time.Time, job *Job, servers []Server, usable func(*Server) bool) prefixLookup {
 	prefix := job.prefix()
-	shared := sharedParts{length: prefix.Upto, homes: homesOf(prefix.ID, servers, usable), source: -1}
+	shared := prefixLookup{length: prefix.Upto, homes: homeServers(prefix.ID, servers, usable), source: -1}
 	if prefix.ID == 0 {
 		return shared
 	}
-	shared.held = make([]held, len(servers))
-	if !c.index.knows(job.Shared) {
+	shared.cached = make([]cachedPrefix, len(servers))
+	if !c.index.hasAny(job.Shared) {
 		return shared
 	}
 	for i := range servers {
 		if !usable(&servers[i]) {
 			continue
 		}
-		h := c.index.at(now, KeyOf(servers[i].Name), job.Shared)
-		shared.held[i] = h
-		shared.most = max(shared.most, h.tokens)
-		if h.read > 0 && (shared.source < 0 || h.read > shared.held[shared.source].read || h.read == shared.held[shared.source].read && servers[i].inFlight() < servers[shared.source].inFlight()) {
+		h := c.index.cachedAt(now, KeyOf(servers[i].Name), job.Shared)
+		shared.cached[i] = h
+		shared.longestCached = max(shared.longestCached, h.expected)
+		if h.prefilled > 0 && (shared.source < 0 || h.prefilled > shared.cached[shared.source].prefilled || h.prefilled == shared.cached[shared.source].prefilled && servers[i].inFlight() < servers[shared.source].inFlight()) {
 			shared.source = i
 		}
 	}
 	return shared
 }
 
-// at is what the server at a place lacks.
-func (p *sharedParts) at(i int, job *Job, rate *PrefillRate) need {
-	if p.held == nil {
+// missAt is what the server missAt a place lacks.
+func (p *prefixLookup) missAt(i int, job *Job, rate *PrefillRate) need {
+	if p.cached == nil {
 		return need{}
 	}
-	n := need{home: i == p.homes[0], second: i == p.homes[1], first: float64(p.length - p.most), again: float64(p.most - p.held[i].tokens)}
+	n := need{home: i == p.homes[0], second: i == p.homes[1], first: float64(p.length - p.longestCached), again: float64(p.longestCached - p.cached[i].expected)}
 	if p.source < 0 || p.source == i || job.FetchRate == 0 {
 		return n
 	}
-	fetched := float64(p.held[p.source].read - p.held[i].tokens)
+	fetched := float64(p.cached[p.source].prefilled - p.cached[i].expected)
 	transfer := rate.during(fetchSetup) + fetched*rate.rate()/job.FetchRate
-	if fetched >= fetchLeast && transfer < fetched {
-		n.fetched, n.transfer, n.from = fetched, transfer, p.source
+	if fetched >= minFetchTokens && transfer < fetched {
+		n.fetched, n.transfer, n.source = fetched, transfer, p.source
 		n.again -= fetched
 	}
 	return n
 }
 
-// homesOf are the places of the usable servers with the highest hashes, the
+// homeServers are the places of the usable servers with the highest hashes, the
 // highest first; -1 where there are fewer, or no prefix.
-func homesOf(prefix uint64, servers []Server, usable func(*Server) bool) [homeCount]int {
+func homeServers(prefix uint64, servers []Server, usable func(*Server) bool) [homeCount]int {
 	var hashes [homeCount]uint64
 	places := [homeCount]int{-1, -1, -1}
 	if prefix == 0 {
--- a/policy/need_test.go
+++ b/policy/need_test.go
@@ -53,7 +53,7 @@
 // Short parts are read sooner than they are fetched.
 func TestShortPartsAreRead(t *testing.T) {
 	c, servers := newTestChooser(), serversOf(8)
-	job := Job{Zone: "z", Urgency: 4, Target: time.Second, Tokens: 1500, Shared: []Part{{ID: 5, Upto: fetchLeast - 1}}, FetchRate: 600}
+	job := Job{Zone: "z", Urgency: 4, Target: time.Second, Tokens: 1500, Shared: []Part{{ID: 5, Upto: minFetchTokens - 1}}, FetchRate: 600}
 	holder := c.Choose(testStart, job, servers, nil).At
 	c.index.Read(testStart, KeyOf(servers[holder].Name), job.Shared)
 	servers[holder].Pending[4].Tokens = 60_000
--- a/policy/pauses.go
+++ b/policy/pauses.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// leastPauses is how many streams of an urgency have to be known before their
+	// minPauseSamples is how many streams of an urgency have to be known before their
 	// pauses decide anything, and longestPauses bounds the weight of older ones.
-	leastPauses   = 16.0
-	longestPauses = 256.0
-	// normalDeviation is the standard deviation by the mean one, of pauses that are
+	minPauseSamples   = 16.0
+	maxPauseSamples = 256.0
+	// stddevPerMeanDeviation is the standard deviation by the mean one, of pauses that are
 	// distributed normally.
-	normalDeviation = 1.25
-	// unclear is the difference between two chances that some twenty samples of each
-	// server leave unclear.
-	unclear = 0.2
+	stddevPerMeanDeviation = 1.25
+	// noiseMargin is the difference between two chances that some twenty samples of each
+	// server leave noiseMargin.
+	noiseMargin = 0.2
 )
 
 // Pause is the longest pause between the events of one stream at a server.
@@ -38,33 +38,33 @@
 //
 // Not safe for concurrent use.
 type Pauses struct {
-	levels [UrgencyLevels]pauseLevel
-	paces  paces
+	levels [UrgencyLevels]pauseStats
+	slowdowns  slowdowns
 }
 
-// pauseLevel is how long the longest pauses of one urgency's streams are.
-type pauseLevel struct {
-	// count is how many streams are known, up to longestPauses.
-	count float64
-	// millis is their mean and deviation the mean deviation from what was
+// pauseStats is how long the longest pauses of one urgency's streams are.
+type pauseStats struct {
+	// samples is how many streams are known, up to longestPauses.
+	samples float64
+	// meanMillis is their mean and deviation the mean deviation from what was
 	// expected, as a part of it.
-	millis, deviation float64
+	meanMillis, deviation float64
 }
 
 // Observe takes the longest pause of one stream.
 func (p *Pauses) Observe(now time.Time, one Pause) {
 	level := &p.levels[one.Urgency]
-	millis := inMillis(one.Longest)
-	if level.count == 0 {
-		level.millis = millis
+	millis := toMillis(one.Longest)
+	if level.samples == 0 {
+		level.meanMillis = millis
 	}
-	millis = min(millis, mostPace*level.millis)
-	level.count = min(level.count+1, longestPauses)
-	if expected := level.millis * p.paces.of(now, one.Server); expected > 0 {
-		level.deviation += (math.Abs(millis-expected)/expected - level.deviation) / level.count
-		p.paces.observe(now, one.Server, millis/level.millis)
+	millis = min(millis, maxSlowdown*level.meanMillis)
+	level.samples = min(level.samples+1, maxPauseSamples)
+	if expected := level.meanMillis * p.slowdowns.factor(now, one.Server); expected > 0 {
+		level.deviation += (math.Abs(millis-expected)/expected - level.deviation) / level.samples
+		p.slowdowns.observe(now, one.Server, millis/level.meanMillis)
 	}
-	level.millis += (millis - level.millis) / level.count
+	level.meanMillis += (millis - level.meanMillis) / level.samples
 }
 
 // Worse is by how much the chance of a longer pause than the target is higher at a
@@ -75,20 +75,20 @@
 // the same few, by chance, and fill them.
 func (p *Pauses) Worse(now time.Time, server Key, urgency int, target time.Duration) float64 {
 	const meanPace = 1
-	at, mean := p.late(p.paces.of(now, server), urgency, target), p.late(meanPace, urgency, target)
-	return max(at-mean-unclear, 0)
+	at, mean := p.lateProbability(p.slowdowns.factor(now, server), urgency, target), p.lateProbability(meanPace, urgency, target)
+	return max(at-mean-noiseMargin, 0)
 }
 
-// late is the chance that a stream has a longer pause than its target at a server of
+// lateProbability is the chance that a stream has a longer pause than its target at a server of
 // a pace; 0 where there is no target or too little is known.
-func (p *Pauses) late(pace float64, urgency int, target time.Duration) float64 {
+func (p *Pauses) lateProbability(pace float64, urgency int, target time.Duration) float64 {
 	level := &p.levels[urgency]
-	if target == 0 || level.count < leastPauses {
+	if target == 0 || level.samples < minPauseSamples {
 		return 0
 	}
-	expected := level.millis * pace
-	left := inMillis(target) - expected
-	deviation := normalDeviation * level.deviation * expected
+	expected := level.meanMillis * pace
+	left := toMillis(target) - expected
+	deviation := stddevPerMeanDeviation * level.deviation * expected
 	if deviation == 0 {
 		return math.Round(min(max(0.5-left, 0), 1))
 	}
@@ -96,4 +96,4 @@
 }
 
 // Forget drops what is known of a server.
-func (p *Pauses) Forget(server Key) { p.paces.forget(server) }
+func (p *Pauses) Forget(server Key) { p.slowdowns.remove(server) }
--- a/policy/pauses_test.go
+++ b/policy/pauses_test.go
@@ -30,17 +30,17 @@
 func TestSlowServersPausesAreLikelyLate(t *testing.T) {
 	p, now := learnedPauses(), testStart.Add(2*time.Second)
 	for server, bounds := range map[string][2]float64{"a": {0, 0.05}, "b": {0.4, 1}, "c": {0, 0.05}} {
-		if got := p.late(p.paces.of(now, KeyOf(server)), 3, tightPause); got < bounds[0] || got > bounds[1] {
+		if got := p.lateProbability(p.slowdowns.factor(now, KeyOf(server)), 3, tightPause); got < bounds[0] || got > bounds[1] {
 			t.Errorf("%s is late by %.2f, want %v", server, got, bounds)
 		}
 	}
-	if got := p.late(p.paces.of(now, KeyOf("b")), 3, 0); got != 0 {
+	if got := p.lateProbability(p.slowdowns.factor(now, KeyOf("b")), 3, 0); got != 0 {
 		t.Errorf("without a target %.2f are late", got)
 	}
-	if got := p.late(p.paces.of(now, KeyOf("b")), 3, 10*tightPause); got != 0 {
+	if got := p.lateProbability(p.slowdowns.factor(now, KeyOf("b")), 3, 10*tightPause); got != 0 {
 		t.Errorf("with a slack target %.2f are late", got)
 	}
-	if got := p.late(p.paces.of(now, KeyOf("a")), 3, time.Millisecond); got != 1 {
+	if got := p.lateProbability(p.slowdowns.factor(now, KeyOf("a")), 3, time.Millisecond); got != 1 {
 		t.Errorf("with a target that nobody meets %.2f are late", got)
 	}
 }
@@ -52,7 +52,7 @@
 		observe(p, now, "a", 4, 2, 180*time.Millisecond)
 		observe(p, now, "c", 4, 2, 180*time.Millisecond)
 	}
-	if slow, fast := p.late(p.paces.of(now, KeyOf("b")), 4, 200*time.Millisecond), p.late(p.paces.of(now, KeyOf("a")), 4, 200*time.Millisecond); slow <= fast {
+	if slow, fast := p.lateProbability(p.slowdowns.factor(now, KeyOf("b")), 4, 200*time.Millisecond), p.lateProbability(p.slowdowns.factor(now, KeyOf("a")), 4, 200*time.Millisecond); slow <= fast {
 		t.Errorf("late at the slow server %.2f, at a fast one %.2f", slow, fast)
 	}
 }
@@ -60,7 +60,7 @@
 func TestPausesFadeAndAreForgotten(t *testing.T) {
 	p := learnedPauses()
 	late := func(after time.Duration) float64 {
-		return p.late(p.paces.of(testStart.Add(after), KeyOf("b")), 3, tightPause)
+		return p.lateProbability(p.slowdowns.factor(testStart.Add(after), KeyOf("b")), 3, tightPause)
 	}
 	soon, later := late(2*time.Second), late(time.Minute)
 	if later >= soon || later > 0.3 {
@@ -74,18 +74,18 @@
 
 func TestFewPausesDecideNothing(t *testing.T) {
 	p := &Pauses{}
-	if got := p.late(p.paces.of(testStart, KeyOf("a")), 3, tightPause); got != 0 {
+	if got := p.lateProbability(p.slowdowns.factor(testStart, KeyOf("a")), 3, tightPause); got != 0 {
 		t.Errorf("late by %.2f before anything is known", got)
 	}
-	observe(p, testStart, "a", 3, leastPauses-1, time.Second)
-	if got := p.late(p.paces.of(testStart, KeyOf("a")), 3, tightPause); got != 0 {
+	observe(p, testStart, "a", 3, minPauseSamples-1, time.Second)
+	if got := p.lateProbability(p.slowdowns.factor(testStart, KeyOf("a")), 3, tightPause); got != 0 {
 		t.Errorf("late by %.2f after a few streams", got)
 	}
 	// Pauses that are all zero, as whole answers have, must not lead to a division
 	// by nothing.
 	q := &Pauses{}
-	observe(q, testStart, "a", 3, 2*leastPauses, 0)
-	if got := q.late(q.paces.of(testStart, KeyOf("a")), 3, tightPause); got != 0 {
+	observe(q, testStart, "a", 3, 2*minPauseSamples, 0)
+	if got := q.lateProbability(q.slowdowns.factor(testStart, KeyOf("a")), 3, tightPause); got != 0 {
 		t.Errorf("late by %.2f without any pause", got)
 	}
 }
@@ -95,7 +95,7 @@
 func TestOneLongPauseIsBounded(t *testing.T) {
 	p, now := learnedPauses(), testStart.Add(2*time.Second)
 	observe(p, now, "a", 3, 1, time.Minute)
-	if got := p.late(p.paces.of(now, KeyOf("a")), 3, tightPause); got > 0.5 {
+	if got := p.lateProbability(p.slowdowns.factor(now, KeyOf("a")), 3, tightPause); got > 0.5 {
 		t.Errorf("late by %.2f after one pause of a minute", got)
 	}
 }
--- a/policy/prefill_plan.go
+++ b/policy/prefill_plan.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// leastLeft is the part of a prompt that counts as left once its first
+// minRemainingShare is the part of a prompt that counts as left once its first
 // token is overdue: it isn't prefilled yet, since nothing came, but how much is
 // left nobody can say.
-const leastLeft = 0.25
+const minRemainingShare = 0.25
 
 // PrefillPlan is when a server is expected to prefill a prompt that was sent to
 // it, so that others that are to be sent there don't wait, on paper, for what
@@ -16,8 +16,8 @@
 // what comes next is refused although it would have been in time.
 type PrefillPlan struct {
 	tokens int
-	from   time.Time
-	until  time.Time
+	start   time.Time
+	end  time.Time
 }
 
 // Plan expects that a prompt of so many tokens, sent now, is prefilled after what is
@@ -25,17 +25,17 @@
 // only the way there counts: while a model makes its first step it prefills
 // the next prompt already.
 func (r *PrefillRate) Plan(now time.Time, tokens int, ahead float64) PrefillPlan {
-	until := now.Add(firstStep + r.takes(ahead))
-	return PrefillPlan{tokens: tokens, from: until.Add(-r.takes(float64(tokens))), until: until}
+	until := now.Add(initialFixedTime + r.takes(ahead))
+	return PrefillPlan{tokens: tokens, start: until.Add(-r.takes(float64(tokens))), end: until}
 }
 
 // Left is how many tokens are expected to be left.
 func (p PrefillPlan) Left(now time.Time) int {
-	switch prefill := p.until.Sub(p.from); {
-	case !now.After(p.from) || prefill <= 0:
+	switch prefill := p.end.Sub(p.start); {
+	case !now.After(p.start) || prefill <= 0:
 		return p.tokens
 	default:
-		left := max(float64(p.until.Sub(now))/float64(prefill), leastLeft)
+		left := max(float64(p.end.Sub(now))/float64(prefill), minRemainingShare)
 		return int(left * float64(p.tokens))
 	}
 }
--- a/policy/prefill_rate.go
+++ b/policy/prefill_rate.go
@@ -6,35 +6,35 @@
 )
 
 const (
-	// firstRate is the rate, in tokens a millisecond, and firstStep the fixed
+	// initialRate is the rate, in tokens a millisecond, and firstStep the fixed
 	// time, from which a sender starts: what a server with some streams in its
 	// batch prefills, and the way there and back with a step of the batch.
-	firstRate = 40.0
-	firstStep = 20 * time.Millisecond
-	// firstDoubt is the mean deviation to start from.
-	firstDoubt = 0.4
-	// leastRate and mostRate bound what is learned.
-	leastRate = 8.0
-	mostRate  = 400.0
-	// prefillMemory is over how long samples are averaged: a change is learned
+	initialRate = 40.0
+	initialFixedTime = 20 * time.Millisecond
+	// initialDeviation is the mean deviation to start from.
+	initialDeviation = 0.4
+	// minRate and mostRate bound what is learned.
+	minRate = 8.0
+	maxRate  = 400.0
+	// regressionTimeConstant is over how long samples are averaged: a change is learned
 	// in a few seconds. A sample weighs mostWeight at the most, since a hundred
 	// are enough to separate slope and fixed time.
-	prefillMemory = 3 * time.Second
-	mostWeight    = 1.0 / 100
-	// ratioMemory and mostRatioWeight are the same for the ratio of the newest times to
+	regressionTimeConstant = 3 * time.Second
+	maxRegressionWeight    = 1.0 / 100
+	// ratioTimeConstant and mostRatioWeight are the same for the ratio of the newest times to
 	// those by the line: servers are faster again at once when a burst ends.
-	ratioMemory     = 500 * time.Millisecond
-	mostRatioWeight = 1.0 / 20
-	// leastRatio bounds it.
-	leastRatio = 0.1
+	ratioTimeConstant     = 500 * time.Millisecond
+	maxRatioWeight = 1.0 / 20
+	// minRatio bounds it.
+	minRatio = 0.1
 	// priorSamples is how many samples the line to start from counts for.
 	priorSamples = 30
-	// longPrefill is where the second of the two points lies, in tokens, that
+	// priorLineTokens is where the second of the two points lies, in tokens, that
 	// the line to start from goes through.
-	longPrefill = 8000.0
-	// mostLate bounds a sample by how many times what was expected: a server
+	priorLineTokens = 8000.0
+	// maxOverrun bounds a sample by how many times what was expected: a server
 	// that crashed or froze tells nothing of prefill.
-	mostLate = 4
+	maxOverrun = 4
 )
 
 // PrefillRate estimates the time to the first token at the servers of one service: a
@@ -54,102 +54,102 @@
 //
 // Not safe for concurrent use.
 type PrefillRate struct {
-	// Weighted means of the tokens, the milliseconds, and their products.
-	tokens, millis, square, product float64
-	// ratio is the mean ratio of the newest times to those by the line.
-	ratio float64
-	// doubt is the mean deviation from what was expected, as a part of it.
-	doubt float64
+	// Weighted means of the meanTokens, the milliseconds, and their products.
+	meanTokens, meanMillis, meanTokensSquared, meanTokensMillis float64
+	// latencyRatio is the mean latencyRatio of the newest times to those by the line.
+	latencyRatio float64
+	// relativeDeviation is the mean deviation from what was expected, as a part of it.
+	relativeDeviation float64
 	// samples counts them; last is when the newest came.
 	samples float64
-	last    time.Time
+	lastSample    time.Time
 }
 
 // Observe takes that a first token came after a time, with so many tokens to
 // be prefilled before it.
 func (r *PrefillRate) Observe(now time.Time, tokens float64, took time.Duration) {
-	if r.square == 0 {
-		r.start()
+	if r.meanTokensSquared == 0 {
+		r.setPrior()
 	}
-	expected := inMillis(r.firstToken(tokens))
-	millis := min(inMillis(took), mostLate*expected)
-	since := r.since(now)
-	weight := max(newest(since, prefillMemory, mostWeight), 1/(priorSamples+r.samples))
+	expected := toMillis(r.expectedTTFT(tokens))
+	millis := min(toMillis(took), maxOverrun*expected)
+	since := r.sinceLast(now)
+	weight := max(sampleWeight(since, regressionTimeConstant, maxRegressionWeight), 1/(priorSamples+r.samples))
 	if expected > 0 {
-		r.doubt += weight * (math.Abs(millis-expected)/expected - r.doubt)
+		r.relativeDeviation += weight * (math.Abs(millis-expected)/expected - r.relativeDeviation)
 	}
-	if line := r.lineFixed() + tokens/r.lineRate(); line > 0 {
-		r.ratio += newest(since, ratioMemory, mostRatioWeight) * (millis/line - r.ratio)
+	if line := r.regressionFixedMillis() + tokens/r.regressionRate(); line > 0 {
+		r.latencyRatio += sampleWeight(since, ratioTimeConstant, maxRatioWeight) * (millis/line - r.latencyRatio)
 	}
-	r.take(weight, tokens, millis)
+	r.addSample(weight, tokens, millis)
 }
 
-// since counts a sample and is the time since the one before.
-func (r *PrefillRate) since(now time.Time) time.Duration {
-	since := now.Sub(r.last)
-	if r.last.IsZero() {
+// sinceLast counts a sample and is the time sinceLast the one before.
+func (r *PrefillRate) sinceLast(now time.Time) time.Duration {
+	since := now.Sub(r.lastSample)
+	if r.lastSample.IsZero() {
 		since = 0
 	}
-	r.last = now
+	r.lastSample = now
 	r.samples++
 	return since
 }
 
-// newest is the weight of a sample that comes so long after the one before.
-func newest(since, memory time.Duration, most float64) float64 {
+// sampleWeight is the weight of a sample that comes so long after the one before.
+func sampleWeight(since, memory time.Duration, most float64) float64 {
 	return min(1-math.Exp(-float64(since)/float64(memory)), most)
 }
 
-// start takes the line to start from as samples, as if it had been seen often.
-func (r *PrefillRate) start() {
-	near, far := inMillis(firstStep), inMillis(firstStep)+longPrefill/firstRate
-	r.tokens, r.millis = longPrefill/2, (near+far)/2
-	r.square, r.product = longPrefill*longPrefill/2, longPrefill*far/2
-	r.doubt, r.ratio = firstDoubt, 1
+// setPrior takes the line to setPrior from as samples, as if it had been seen often.
+func (r *PrefillRate) setPrior() {
+	near, far := toMillis(initialFixedTime), toMillis(initialFixedTime)+priorLineTokens/initialRate
+	r.meanTokens, r.meanMillis = priorLineTokens/2, (near+far)/2
+	r.meanTokensSquared, r.meanTokensMillis = priorLineTokens*priorLineTokens/2, priorLineTokens*far/2
+	r.relativeDeviation, r.latencyRatio = initialDeviation, 1
 }
 
-func (r *PrefillRate) take(weight, tokens, millis float64) {
-	r.tokens += weight * (tokens - r.tokens)
-	r.millis += weight * (millis - r.millis)
-	r.square += weight * (tokens*tokens - r.square)
-	r.product += weight * (tokens*millis - r.product)
+func (r *PrefillRate) addSample(weight, tokens, millis float64) {
+	r.meanTokens += weight * (tokens - r.meanTokens)
+	r.meanMillis += weight * (millis - r.meanMillis)
+	r.meanTokensSquared += weight * (tokens*tokens - r.meanTokensSquared)
+	r.meanTokensMillis += weight * (tokens*millis - r.meanTokensMillis)
 }
 
 // rate is in tokens a millisecond.
 func (r *PrefillRate) rate() float64 {
-	if r == nil || r.square == 0 {
-		return firstRate
+	if r == nil || r.meanTokensSquared == 0 {
+		return initialRate
 	}
-	return min(r.lineRate()/r.sooner(), mostRate)
+	return min(r.regressionRate()/r.latencyFactor(), maxRate)
 }
 
-// sooner is by how much sooner than by the line first tokens come now: 1 or less.
-func (r *PrefillRate) sooner() float64 { return min(max(r.ratio, leastRatio), 1) }
+// latencyFactor is by how much latencyFactor than by the line first tokens come now: 1 or less.
+func (r *PrefillRate) latencyFactor() float64 { return min(max(r.latencyRatio, minRatio), 1) }
 
-// lineRate is the line's, in tokens a millisecond.
-func (r *PrefillRate) lineRate() float64 {
-	spread, together := r.square-r.tokens*r.tokens, r.product-r.tokens*r.millis
-	if together*mostRate <= spread {
-		return mostRate
+// regressionRate is the line's, in tokens a millisecond.
+func (r *PrefillRate) regressionRate() float64 {
+	spread, together := r.meanTokensSquared-r.meanTokens*r.meanTokens, r.meanTokensMillis-r.meanTokens*r.meanMillis
+	if together*maxRate <= spread {
+		return maxRate
 	}
-	return max(spread/together, leastRate)
+	return max(spread/together, minRate)
 }
 
-// fixed is the time to a first token with nothing to be prefilled before it.
-func (r *PrefillRate) fixed() time.Duration {
-	if r == nil || r.square == 0 {
-		return firstStep
+// fixedTime is the time to a first token with nothing to be prefilled before it.
+func (r *PrefillRate) fixedTime() time.Duration {
+	if r == nil || r.meanTokensSquared == 0 {
+		return initialFixedTime
 	}
-	return time.Duration(r.sooner() * r.lineFixed() * float64(time.Millisecond))
+	return time.Duration(r.latencyFactor() * r.regressionFixedMillis() * float64(time.Millisecond))
 }
 
-// lineFixed is the line's time to a first token with nothing to be prefilled, in milliseconds.
-func (r *PrefillRate) lineFixed() float64 { return max(r.millis-r.tokens/r.lineRate(), 0) }
+// regressionFixedMillis is the line's time to a first token with nothing to be prefilled, in milliseconds.
+func (r *PrefillRate) regressionFixedMillis() float64 { return max(r.meanMillis-r.meanTokens/r.regressionRate(), 0) }
 
-// firstToken is when a first token is expected with so many tokens to be prefilled
+// expectedTTFT is when a first token is expected with so many tokens to be prefilled
 // before it.
-func (r *PrefillRate) firstToken(tokens float64) time.Duration {
-	return r.fixed() + r.takes(tokens)
+func (r *PrefillRate) expectedTTFT(tokens float64) time.Duration {
+	return r.fixedTime() + r.takes(tokens)
 }
 
 // likely is by when a first token has come in most cases, with so many tokens of
@@ -158,22 +158,22 @@
 // prompt take their time at an idle server too: a deviation on these would refuse
 // all of a class with a tight target, and nothing would be learned any more.
 func (r *PrefillRate) likely(others, own float64) time.Duration {
-	return r.firstToken(own) + time.Duration(float64(r.takes(others))*(1+r.deviation()))
+	return r.expectedTTFT(own) + time.Duration(float64(r.takes(others))*(1+r.deviation()))
 }
 
 // within is how many tokens of others may be before a first token that is likely
 // to come within a time, with so many of its own.
 func (r *PrefillRate) within(d time.Duration, own float64) float64 {
-	left := d - r.firstToken(own)
+	left := d - r.expectedTTFT(own)
 	return max(r.during(left)/(1+r.deviation()), 0)
 }
 
 // deviation is the mean one from what was expected, as a part of it.
 func (r *PrefillRate) deviation() float64 {
-	if r == nil || r.square == 0 {
-		return firstDoubt
+	if r == nil || r.meanTokensSquared == 0 {
+		return initialDeviation
 	}
-	return r.doubt
+	return r.relativeDeviation
 }
 
 // takes is how long the prefill of so many tokens takes.
@@ -182,6 +182,6 @@
 }
 
 // during is how many tokens are prefilled in a time.
-func (r *PrefillRate) during(d time.Duration) float64 { return r.rate() * inMillis(d) }
+func (r *PrefillRate) during(d time.Duration) float64 { return r.rate() * toMillis(d) }
 
-func inMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func toMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/policy/prefill_rate_test.go
+++ b/policy/prefill_rate_test.go
@@ -10,7 +10,7 @@
 // a fixed time and a rate, in tokens a millisecond; one in twenty takes a
 // second whatever its length.
 func prefillSamples(r *PrefillRate, n int, fixed time.Duration, rate float64) {
-	random, now := rand.New(rand.NewPCG(5, 6)), r.last
+	random, now := rand.New(rand.NewPCG(5, 6)), r.lastSample
 	if now.IsZero() {
 		now = testStart
 	}
@@ -30,7 +30,7 @@
 // would be a sixth of the true one here.
 func TestPrefillRateTellsFixedTimeFromReading(t *testing.T) {
 	var r PrefillRate
-	if got := r.rate(); got != firstRate {
+	if got := r.rate(); got != initialRate {
 		t.Fatalf("starts from %v", got)
 	}
 	for _, c := range []struct {
@@ -40,7 +40,7 @@
 		prefillSamples(&r, 1000, c.fixed, c.rate)
 		for _, tokens := range []float64{500, 3000, 12_000} {
 			want := c.fixed + time.Duration(tokens/c.rate*float64(time.Millisecond))
-			if got := r.firstToken(tokens); float64(got) < 0.75*float64(want) || float64(got) > 1.4*float64(want)+10e6 {
+			if got := r.expectedTTFT(tokens); float64(got) < 0.75*float64(want) || float64(got) > 1.4*float64(want)+10e6 {
 				t.Errorf("fixed %v, %v tokens a ms: %v tokens expected after %v, true %v", c.fixed, c.rate, tokens, got, want)
 			}
 		}
@@ -56,7 +56,7 @@
 		now = now.Add(10 * time.Millisecond)
 		r.Observe(now, 9000, 120*time.Millisecond)
 	}
-	if got := r.firstToken(9000); got < 100*time.Millisecond || got > 140*time.Millisecond {
+	if got := r.expectedTTFT(9000); got < 100*time.Millisecond || got > 140*time.Millisecond {
 		t.Errorf("9,000 tokens always took 120 ms; expected after %v", got)
 	}
 	for range 500 {
@@ -64,10 +64,10 @@
 		r.Observe(now, 9000, 120*time.Millisecond)
 		r.Observe(now, 100, time.Second)
 	}
-	if got := r.rate(); got < leastRate || got > mostRate {
+	if got := r.rate(); got < minRate || got > maxRate {
 		t.Errorf("learned %v tokens a ms", got)
 	}
-	if got := r.fixed(); got < 0 || got > time.Second {
+	if got := r.fixedTime(); got < 0 || got > time.Second {
 		t.Errorf("learned a fixed time of %v", got)
 	}
 }
--- a/policy/prefix_index.go
+++ b/policy/prefix_index.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// heldFor is how long a server is thought to keep a part after its last use.
+	// cacheTTL is how long a server is thought to keep a part after its last use.
 	// Servers give up what was used least recently: with memory for 285,000 to
 	// 590,000 tokens, a third of it taken by what runs, and 20,000 to 40,000 new
 	// ones a second in a burst that is after 5 to 20 seconds.
-	heldFor = 8 * time.Second
-	// begunWithin is how long a part that was sent counts as about to be there:
+	cacheTTL = 8 * time.Second
+	// pendingTTL is how long a part that was sent counts as about to be there:
 	// beyond it its prompt was refused, given up on, or is stuck.
-	begunWithin = 4 * time.Second
-	// newsAgain is for how long a use that is known isn't told again.
-	newsAgain = time.Second
-	// newsFor is how long a use is told, so that a lost datagram or two are made
+	pendingTTL = 4 * time.Second
+	// minUpdateInterval is for how long a use that is known isn't told again.
+	minUpdateInterval = time.Second
+	// updateRepeatTime is how long a use is told, so that a lost datagram or two are made
 	// good.
-	newsFor = 250 * time.Millisecond
-	// sweepHoldings is how often what isn't held any more is dropped.
-	sweepHoldings = time.Second
+	updateRepeatTime = 250 * time.Millisecond
+	// cacheSweepInterval is how often what isn't held any more is dropped.
+	cacheSweepInterval = time.Second
 )
 
 // Part is one of the shared parts that a prompt begins with.
@@ -38,24 +38,24 @@
 	Read   bool
 }
 
-// holding is a part at a server.
-type holding struct {
-	// used is when it was used last, and read whether it has been read.
-	used time.Time
-	read bool
+// cacheEntry is a part at a server.
+type cacheEntry struct {
+	// lastUsed is when it was lastUsed last, and read whether it has been read.
+	lastUsed time.Time
+	prefilled bool
 }
 
-func (h *holding) valid(now time.Time) bool {
-	if h.read {
-		return now.Sub(h.used) < heldFor
+func (h *cacheEntry) valid(now time.Time) bool {
+	if h.prefilled {
+		return now.Sub(h.lastUsed) < cacheTTL
 	}
-	return now.Sub(h.used) < begunWithin
+	return now.Sub(h.lastUsed) < pendingTTL
 }
 
-// told is a use that is to be told to other senders.
-type told struct {
+// pendingUpdate is a use that is to be pendingUpdate to other senders.
+type pendingUpdate struct {
 	Use
-	at time.Time
+	recorded time.Time
 }
 
 // PrefixIndex is which server holds which shared part of prompts, as far as a
@@ -72,28 +72,28 @@
 //
 // Not safe for concurrent use.
 type PrefixIndex struct {
-	parts map[uint64]map[Key]*holding
-	news  []told
-	swept time.Time
+	segments map[uint64]map[Key]*cacheEntry
+	pending  []pendingUpdate
+	lastSweep time.Time
 }
 
 // NewPrefixIndex returns an index that knows nothing.
-func NewPrefixIndex() *PrefixIndex { return &PrefixIndex{parts: map[uint64]map[Key]*holding{}} }
+func NewPrefixIndex() *PrefixIndex { return &PrefixIndex{segments: map[uint64]map[Key]*cacheEntry{}} }
 
 // Sent notes that a prompt with these parts was sent to a server.
 func (x *PrefixIndex) Sent(now time.Time, server Key, parts []Part) {
-	x.own(now, server, parts, false)
+	x.record(now, server, parts, false)
 }
 
 // Read notes that a server has read a prompt with these parts.
 func (x *PrefixIndex) Read(now time.Time, server Key, parts []Part) {
-	x.own(now, server, parts, true)
+	x.record(now, server, parts, true)
 }
 
-func (x *PrefixIndex) own(now time.Time, server Key, parts []Part, read bool) {
+func (x *PrefixIndex) record(now time.Time, server Key, parts []Part, read bool) {
 	for _, p := range parts {
-		if x.use(now, Use{server, p.ID, read}) {
-			x.news = append(x.news, told{Use{server, p.ID, read}, now})
+		if x.apply(now, Use{server, p.ID, read}) {
+			x.pending = append(x.pending, pendingUpdate{Use{server, p.ID, read}, now})
 		}
 	}
 }
@@ -101,93 +101,93 @@
 // Merge merges another sender's uses.
 func (x *PrefixIndex) Merge(now time.Time, uses []Use) {
 	for _, u := range uses {
-		x.use(now, u)
+		x.apply(now, u)
 	}
 }
 
 // News are the uses that are to be told now.
 func (x *PrefixIndex) News(now time.Time) []Use {
-	x.news = slices.DeleteFunc(x.news, func(t told) bool { return now.Sub(t.at) > newsFor })
-	uses := make([]Use, len(x.news))
-	for i, t := range x.news {
+	x.pending = slices.DeleteFunc(x.pending, func(t pendingUpdate) bool { return now.Sub(t.recorded) > updateRepeatTime })
+	uses := make([]Use, len(x.pending))
+	for i, t := range x.pending {
 		uses[i] = t.Use
 	}
 	return uses
 }
 
-// use notes a use; it reports whether others don't know of it.
-func (x *PrefixIndex) use(now time.Time, u Use) bool {
+// apply notes a apply; it reports whether others don't know of it.
+func (x *PrefixIndex) apply(now time.Time, u Use) bool {
 	x.sweep(now)
-	servers := x.parts[u.Part]
+	servers := x.segments[u.Part]
 	if servers == nil {
-		servers = map[Key]*holding{}
-		x.parts[u.Part] = servers
+		servers = map[Key]*cacheEntry{}
+		x.segments[u.Part] = servers
 	}
 	h := servers[u.Server]
 	if h == nil {
-		servers[u.Server] = &holding{used: now, read: u.Read}
+		servers[u.Server] = &cacheEntry{lastUsed: now, prefilled: u.Read}
 		return true
 	}
-	news := now.Sub(h.used) > newsAgain || u.Read && !h.read || !h.valid(now)
+	news := now.Sub(h.lastUsed) > minUpdateInterval || u.Read && !h.prefilled || !h.valid(now)
 	if !h.valid(now) {
-		h.read = false
+		h.prefilled = false
 	}
-	h.used, h.read = now, h.read || u.Read
+	h.lastUsed, h.prefilled = now, h.prefilled || u.Read
 	return news
 }
 
 // Forget drops what a server held: it is gone, or has started anew.
 func (x *PrefixIndex) Forget(server Key) {
-	x.keep(func(held Key, _ *holding) bool { return held != server })
+	x.retain(func(held Key, _ *cacheEntry) bool { return held != server })
 }
 
 // sweep drops what isn't held any more.
 func (x *PrefixIndex) sweep(now time.Time) {
-	if now.Sub(x.swept) < sweepHoldings {
+	if now.Sub(x.lastSweep) < cacheSweepInterval {
 		return
 	}
-	x.swept = now
-	x.keep(func(_ Key, h *holding) bool { return h.valid(now) })
+	x.lastSweep = now
+	x.retain(func(_ Key, h *cacheEntry) bool { return h.valid(now) })
 }
 
-func (x *PrefixIndex) keep(wanted func(Key, *holding) bool) {
-	for part, servers := range x.parts {
+func (x *PrefixIndex) retain(wanted func(Key, *cacheEntry) bool) {
+	for part, servers := range x.segments {
 		for server, h := range servers {
 			if !wanted(server, h) {
 				delete(servers, server)
 			}
 		}
 		if len(servers) == 0 {
-			delete(x.parts, part)
+			delete(x.segments, part)
 		}
 	}
 }
 
-// held is how much of a prompt's shared parts a server holds, or is about to.
-type held struct {
-	// tokens counts what it has been sent, read what it has read of it.
-	tokens int
-	read   int
+// cachedPrefix is how much of a prompt's shared parts a server holds, or is about to.
+type cachedPrefix struct {
+	// expected counts what it has been sent, read what it has read of it.
+	expected int
+	prefilled   int
 }
 
-// knows reports whether any server is known to hold one of the parts.
-func (x *PrefixIndex) knows(parts []Part) bool {
-	return slices.ContainsFunc(parts, func(p Part) bool { return len(x.parts[p.ID]) > 0 })
+// hasAny reports whether any server is known to hold one of the parts.
+func (x *PrefixIndex) hasAny(parts []Part) bool {
+	return slices.ContainsFunc(parts, func(p Part) bool { return len(x.segments[p.ID]) > 0 })
 }
 
-// at returns what a server holds of a prompt's beginning. A part is held only if
+// cachedAt returns what a server holds of a prompt's beginning. A part is held only if
 // all before it are; since an index knows of the deepest ones that others sent only
 // where these are news, the deepest one counts.
-func (x *PrefixIndex) at(now time.Time, server Key, parts []Part) held {
-	var at held
+func (x *PrefixIndex) cachedAt(now time.Time, server Key, parts []Part) cachedPrefix {
+	var at cachedPrefix
 	for _, p := range parts {
-		h := x.parts[p.ID][server]
+		h := x.segments[p.ID][server]
 		if h == nil || !h.valid(now) {
 			continue
 		}
-		at.tokens = max(at.tokens, p.Upto)
-		if h.read {
-			at.read = max(at.read, p.Upto)
+		at.expected = max(at.expected, p.Upto)
+		if h.prefilled {
+			at.prefilled = max(at.prefilled, p.Upto)
 		}
 	}
 	return at
--- a/policy/scorer.go
+++ b/policy/scorer.go
@@ -15,10 +15,10 @@
 	return c.expectedLoad(now, mean)
 }
 
-// otherZoneCost is what another availability zone counts for: a quarter of a
+// crossZoneCost is what another availability zone counts for: a quarter of a
 // batch. The way there costs one or two milliseconds for each frame; a wait
 // for a slot costs hundreds.
-const otherZoneCost = 0.25
+const crossZoneCost = 0.25
 
 // zoneScorer prefers the entry's own availability zone.
 type zoneScorer struct{}
@@ -27,5 +27,5 @@
 	if c.Zone == want.Zone {
 		return 0
 	}
-	return otherZoneCost
+	return crossZoneCost
 }
--- a/policy/server.go
+++ b/policy/server.go
@@ -78,10 +78,10 @@
 func (s *Server) ahead(urgency int) float64 {
 	tokens := 0
 	for _, level := range s.Pending[:urgency+1] {
-		tokens += level.Tokens + level.Requests*pendingTokens
+		tokens += level.Tokens + level.Requests*minPendingTokens
 	}
 	if s.Warming {
-		tokens += warmingTokens
+		tokens += warmupTokens
 	}
 	return float64(tokens)
 }
--- a/policy/unresponsive.go
+++ b/policy/unresponsive.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// unresponsiveAfter is how many requests in a row a server leaves without an answer,
+	// unresponsiveThreshold is how many requests in a row a server leaves without an answer,
 	// whoever sent them, before it is left out: more than come together where a
 	// server loses two answers in five.
-	unresponsiveAfter = 5
-	// leftOutFor is for how long it is left out then: about as long as a crashed
+	unresponsiveThreshold = 5
+	// exclusionTime is for how long it is left out then: about as long as a crashed
 	// server takes to start again, or its entry to lapse.
-	leftOutFor = time.Second
-	// missesForgotten is after how long without another request misses are
+	exclusionTime = time.Second
+	// missRecordTTL is after how long without another request misses are
 	// forgotten, and how often such are looked for.
-	missesForgotten = time.Minute
+	missRecordTTL = time.Minute
 )
 
 // Unresponsive are the servers that answer nobody, by what all senders tell of
@@ -28,48 +28,48 @@
 //
 // Servers that answer have no entry. Not safe for concurrent use.
 type Unresponsive struct {
-	servers map[Key]*misses
-	swept   time.Time
+	servers map[Key]*missRecord
+	lastSweep   time.Time
 }
 
-// misses are the requests that a server left without an answer.
-type misses struct {
-	// inRow counts them since it answered last.
-	inRow int
-	until time.Time
-	// last is when the last of them was told.
-	last time.Time
+// missRecord are the requests that a server left without an answer.
+type missRecord struct {
+	// consecutive counts them since it answered last.
+	consecutive int
+	excludedUntil time.Time
+	// lastMiss is when the lastMiss of them was told.
+	lastMiss time.Time
 }
 
 // NewUnresponsive returns Unresponsive that know of none.
-func NewUnresponsive() *Unresponsive { return &Unresponsive{servers: map[Key]*misses{}} }
+func NewUnresponsive() *Unresponsive { return &Unresponsive{servers: map[Key]*missRecord{}} }
 
 // Unanswered notes a request that got no answer.
 func (s *Unresponsive) Unanswered(now time.Time, server Key) {
 	s.sweep(now)
 	at := s.servers[server]
 	if at == nil {
-		at = &misses{}
+		at = &missRecord{}
 		s.servers[server] = at
 	}
-	at.last = now
-	if now.Before(at.until) {
+	at.lastMiss = now
+	if now.Before(at.excludedUntil) {
 		// It was sent before the server was left out.
 		return
 	}
-	at.inRow++
-	if at.inRow >= unresponsiveAfter {
-		at.until = now.Add(leftOutFor)
+	at.consecutive++
+	if at.consecutive >= unresponsiveThreshold {
+		at.excludedUntil = now.Add(exclusionTime)
 	}
 }
 
 // sweep drops servers that nothing is sent to any more.
 func (s *Unresponsive) sweep(now time.Time) {
-	if now.Sub(s.swept) < missesForgotten {
+	if now.Sub(s.lastSweep) < missRecordTTL {
 		return
 	}
-	s.swept = now
-	maps.DeleteFunc(s.servers, func(_ Key, at *misses) bool { return now.Sub(at.last) > missesForgotten })
+	s.lastSweep = now
+	maps.DeleteFunc(s.servers, func(_ Key, at *missRecord) bool { return now.Sub(at.lastMiss) > missRecordTTL })
 }
 
 // Answered notes that a server has answered a request.
@@ -79,7 +79,7 @@
 // without an answer leaves it out again.
 func (s *Unresponsive) LeftOut(now time.Time, server Key) bool {
 	at := s.servers[server]
-	return at != nil && now.Before(at.until)
+	return at != nil && now.Before(at.excludedUntil)
 }
 
 // Forget drops what is known of a server.
--- a/policy/unresponsive_test.go
+++ b/policy/unresponsive_test.go
@@ -7,7 +7,7 @@
 
 func TestServerThatAnswersNobodyIsLeftOut(t *testing.T) {
 	s, now := NewUnresponsive(), testStart
-	for i := range unresponsiveAfter {
+	for i := range unresponsiveThreshold {
 		if s.LeftOut(now, 7) {
 			t.Fatalf("left out after %d requests", i)
 		}
@@ -17,8 +17,8 @@
 		t.Error("the unresponsive server is used, or another left out")
 	}
 	// Those that were on their way don't keep it out for longer.
-	s.Unanswered(now.Add(leftOutFor/2), 7)
-	now = now.Add(leftOutFor)
+	s.Unanswered(now.Add(exclusionTime/2), 7)
+	now = now.Add(exclusionTime)
 	if s.LeftOut(now, 7) {
 		t.Error("it isn't tried again")
 	}
@@ -57,7 +57,7 @@
 	for i := range 10_000 {
 		s.Unanswered(testStart.Add(time.Duration(i)*time.Second), Key(i))
 	}
-	if most := 2 * int(missesForgotten/time.Second); len(s.servers) > most+1 {
+	if most := 2 * int(missRecordTTL/time.Second); len(s.servers) > most+1 {
 		t.Errorf("%d unresponsive servers are known, one of each second", len(s.servers))
 	}
 }
