--- a/policy/affinity.go
+++ b/policy/affinity.go
@@ -3,29 +3,29 @@
 import "time"
 
 const (
-	// affinityLoadFactor is how far above the mean load the engine that a prefix
-	// belongs to may be and still be used: a quarter, as in consistent
-	// hashing with bounded loads (Mirrokni et al., 2018). Without a bound a
-	// prefix that takes most of the load would take it all to one engine.
+	// affinityLoadFactor bounds the load of a prefix's engine relative to the mean load,
+	// as in consistent hashing with bounded loads (Mirrokni et al., 2018). Without a
+	// bound a prefix that causes most of the load would send all of it to one engine.
 	affinityLoadFactor = 1.25
-	// affinityMinLoad is a load below which an engine has room whatever the
-	// mean is.
+	// affinityMinLoad is the load per slot up to which an engine has capacity whatever
+	// the mean load is.
 	affinityMinLoad = 0.75
 )
 
-// affinity finds the engine that a prompt's beginning belongs to, so that its
-// cache is used again: the one with the highest hash of prefix and name. A
-// change of the set of engines moves only the prefixes of those that changed.
+// affinity assigns a prompt's prefix to an engine by rendezvous hashing, so that the
+// engine's prefix cache is reused. A change of the set of engines moves only the
+// prefixes of the engines that were added or removed.
 type affinity struct{}
 
-// choose is the place in kept of the prefix's engine, if it has room.
-func (affinity) choose(now time.Time, want Placement, candidates []Candidate, kept []int, mean float64) (int, bool) {
-	if want.Prefix == 0 || len(kept) == 0 {
+// choose returns the position in kept of the prefix's engine, and whether that engine
+// has capacity.
+func (affinity) choose(now time.Time, request Placement, candidates []Candidate, kept []int, mean float64) (int, bool) {
+	if request.Prefix == 0 || len(kept) == 0 {
 		return 0, false
 	}
 	best, highest := 0, uint64(0)
 	for at, i := range kept {
-		if h := mix(want.Prefix ^ hashName(candidates[i].Name)); at == 0 || h > highest {
+		if h := mix(request.Prefix ^ hashName(candidates[i].Name)); at == 0 || h > highest {
 			best, highest = at, h
 		}
 	}
@@ -33,7 +33,7 @@
 	return best, load <= max(affinityMinLoad, affinityLoadFactor*mean)
 }
 
-// hashName is FNV-1a.
+// hashName returns the 64-bit FNV-1a hash of a name.
 func hashName(name string) uint64 {
 	const offset, prime = 14695981039346656037, 1099511628211
 	h := uint64(offset)
@@ -43,7 +43,7 @@
 	return h
 }
 
-// mix spreads a hash over all bits (the finalizer of SplitMix64).
+// mix distributes a hash's entropy over all bits (the finalizer of SplitMix64).
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/policy/candidate.go
+++ b/policy/candidate.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// loadReportTimeConstant is over how long a report of load loses its worth: an engine
-// turns over its batch in about that time.
+// loadReportTimeConstant is the time in which the weight of a load report decays to
+// 1/e: an engine replaces the requests of its batch in about that time.
 const loadReportTimeConstant = 2 * time.Second
 
-// Candidate is an engine as an entry last heard of it. The numbers may be
-// stale, or absent when Seen is zero.
+// Candidate is the last known state of an engine at an entry. The numbers may be stale,
+// or absent if ReportedAt is zero.
 type Candidate struct {
 	Name string
 	Zone string
@@ -18,24 +18,24 @@
 	Waiting int
 	Running int
 	Limit   int
-	// Seen is when the numbers came; zero when none ever did.
+	// ReportedAt is when the numbers were received; zero if they never were.
 	Seen time.Time
-	// Leaving engines take no new work; Down ones can't be reached.
+	// Leaving engines accept no new work; Down engines can't be reached.
 	Leaving bool
 	Down    bool
 }
 
-// load is tickets and runs per slot.
+// load returns the number of waiting and running requests per slot.
 func (c *Candidate) load() float64 {
 	return float64(c.Waiting+c.Running) / float64(max(c.Limit, 1))
 }
 
-// expectedLoad is the load that the report lets expect now: the older it is,
-// the more the mean of all counts in its place.
+// expectedLoad estimates the current load per slot. With the age of the report the
+// estimate moves from the reported load to mean, the mean load of all candidates.
 func (c *Candidate) expectedLoad(now time.Time, mean float64) float64 {
 	if c.Seen.IsZero() {
 		return mean
 	}
-	trust := math.Exp(-now.Sub(c.Seen).Seconds() / loadReportTimeConstant.Seconds())
-	return mean + trust*(c.load()-mean)
+	weight := math.Exp(-now.Sub(c.Seen).Seconds() / loadReportTimeConstant.Seconds())
+	return mean + weight*(c.load()-mean)
 }
--- a/policy/choice.go
+++ b/policy/choice.go
@@ -2,34 +2,37 @@
 
 import "time"
 
-// Choice is the outcome of choosing a server.
+// Choice is the result of choosing a backend server for a request.
 type Choice struct {
-	// At is the server's place; it means something only if Found.
+	// Index is the chosen server's index; valid only if Found.
 	At    int
 	Found bool
-	// Prefill is how many tokens of the prompt the server is expected to compute, and
-	// Ahead what it computes before the first token, this request's included. What it
-	// fetches counts for what it could compute meanwhile.
+	// PrefillTokens is the number of the prompt's tokens that the server is expected to
+	// prefill, and TokensAhead the number that it prefills before the request's first
+	// token, the request's own included. A transfer from another server counts as the
+	// tokens that could be prefilled during it.
 	Prefill int
 	Ahead   float64
-	// From is the place of the server from which it is to fetch what that has
-	// read of the shared parts; it means something only if Fetches.
+	// FetchFrom is the index of the server from which cached prefix segments are to be
+	// fetched; valid only if Fetches.
 	From    int
 	Fetches bool
-	// Expected is when the first token is expected.
+	// ExpectedTTFT is the expected time to first token.
 	Expected time.Duration
-	// Room says that the server takes one more request at all.
+	// HasCapacity reports whether the server has a slot and a connection for another
+	// request.
 	Room bool
-	// InTime says that the first token is likely within the target, and that
-	// the server has a slot.
+	// InTime reports whether the first token is likely within the target and the server
+	// has capacity.
 	InTime bool
-	// Limited says that there is no server but such whose limits leave nothing, and FreeIn
-	// after what time the first one may.
+	// RateLimited reports that only servers without remaining allowance are available,
+	// and AvailableIn is the time until the first of them has some.
 	Limited bool
 	FreeIn  time.Duration
-	// OnlySlots says that no server is in time, though some would be if it had
-	// a slot.
+	// SlotLimited reports that no server is in time, but some would be if they had a
+	// free slot.
 	OnlySlots bool
-	// soon says that the first token is likely within the target, slot or not.
+	// meetsTarget reports whether the first token is likely within the target,
+	// regardless of capacity.
 	soon bool
 }
--- a/policy/copies.go
+++ b/policy/copies.go
@@ -1,16 +1,16 @@
 package policy
 
-// Copies at several agents, by tier.
+// Numbers of agents at which a ticket is placed, by tier.
 const (
-	topTierCopies   = 3
+	topTierCopies = 3
 	defaultCopies = 2
 )
 
-// Copies is at how many agents a request of a tier gets a ticket.
+// Copies returns the number of agents at which a request of a tier places a ticket.
 //
-// It answers engines whose room is only known late: of two engines one has
-// room when the other doesn't. With one copy a straggler or an engine full of
-// others' load holds its tickets. Each copy costs a ticket and a withdrawal.
+// An engine's capacity is known only with delay, and of two engines one has capacity
+// when the other hasn't. With a single copy, an engine that is slow or full of other
+// requests would delay the ticket. Each additional copy costs a ticket and a withdrawal.
 func Copies(t Tier) int {
 	if t == TopTier {
 		return topTierCopies
--- a/policy/copy_share.go
+++ b/policy/copy_share.go
@@ -1,19 +1,20 @@
 package policy
 
-// copyShareGain is the weight of the newest ticket in the share.
+// copyShareGain is the weight of the newest ticket in the moving average.
 const copyShareGain = 1.0 / 32
 
-// copyShare measures how many of the tickets that wait at several engines run
-// on this one. It is one in as many as there are copies while all engines
-// take them in. In a burst most engines refuse theirs, and nearly all that
-// were let in run where they wait; an estimate that counted them by their
-// copies would let in up to twice of what can start in time.
+// copyShare estimates the fraction of tickets with several copies that run on this
+// engine. While all engines admit them, it is 1 divided by the number of copies. In a
+// burst most engines reject theirs and nearly all admitted tickets run where they wait;
+// an estimate by the number of copies would then admit up to twice of what can start in
+// time.
 type copyShare struct {
-	share float64
-	initialized  bool
+	share       float64
+	initialized bool
 }
 
-// observe takes that a ticket with copies left the queue, to run here or not.
+// observe records that a ticket left the queue, and whether it runs here. Tickets
+// without copies are ignored.
 func (c *copyShare) observe(t Ticket, here bool) {
 	if t.Copies < 2 {
 		return
@@ -22,15 +23,15 @@
 		c.initialized = true
 		c.share = 1 / float64(t.Copies)
 	}
-	x := 0.0
+	sample := 0.0
 	if here {
-		x = 1
+		sample = 1
 	}
-	c.share += copyShareGain * (x - c.share)
+	c.share += copyShareGain * (sample - c.share)
 }
 
-// work is the work in tokens that a ticket is expected to bring to this
-// engine.
+// expectedWork returns the work that a ticket is expected to bring to this engine, in
+// tokens.
 func (c *copyShare) work(t Ticket) float64 {
 	share := 1 / float64(max(t.Copies, 1))
 	return float64(ticketSize(t)) * max(share, c.share)
--- a/policy/decision.go
+++ b/policy/decision.go
@@ -4,15 +4,16 @@
 
 // Decision is the answer to an offered ticket.
 type Decision struct {
-	// Admitted tickets wait; the others are refused and certainly not run.
+	// Admitted tickets are queued. Other tickets are rejected and certainly not run.
 	Admitted bool
-	// Full says that the bounded queue, not the target, was the reason.
+	// QueueFull reports that the ticket was rejected because the bounded queue is full,
+	// not because of its target.
 	Full bool
-	// RetryAfter is when coming back is expected to succeed; set when the
-	// ticket is refused.
+	// RetryAfter is the time after which a retry is expected to succeed; set if the ticket
+	// is rejected.
 	RetryAfter time.Duration
-	// Displaced lists waiting tickets that gave way to this one since the
-	// queue was full. They are refused at once and certainly not run; their
-	// time to come back is Scheduler.RetryAfter of their tier.
+	// Displaced lists the IDs of waiting tickets that were removed from the full queue in
+	// favour of this one. They are rejected at once and certainly not run; their time to
+	// retry is Scheduler.RetryAfter of their tier.
 	Displaced []string
 }
--- a/policy/earliest.go
+++ b/policy/earliest.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// earliest keeps the earliest of the times that are added; zero when none was.
+// earliest holds the earliest of the times added to it; zero if none was added.
 type earliest struct {
 	at time.Time
 }
--- a/policy/filter.go
+++ b/policy/filter.go
@@ -2,35 +2,37 @@
 
 import "time"
 
-// filter is the first stage of placement: which candidates may be used.
+// filter is the first stage of placement. It returns those of the kept indices whose
+// candidates may be used.
 type filter interface {
-	keep(now time.Time, want Placement, candidates []Candidate, kept []int) []int
+	keep(now time.Time, request Placement, candidates []Candidate, kept []int) []int
 }
 
-// usableFilter leaves out engines that are leaving, down or tried before.
+// usableFilter removes engines that are leaving, down or have been tried before.
 type usableFilter struct{}
 
-func (usableFilter) keep(now time.Time, want Placement, candidates []Candidate, kept []int) []int {
+func (usableFilter) keep(now time.Time, request Placement, candidates []Candidate, kept []int) []int {
 	usable := kept[:0]
 	for _, i := range kept {
-		if !want.excludes(candidates[i]) {
+		if !request.excludes(candidates[i]) {
 			usable = append(usable, i)
 		}
 	}
 	return usable
 }
 
-// panicThreshold is the share of ejected engines beyond which ejection is
-// ignored: when half of them fail, the fault is more likely theirs all or in
-// the entry, and the rest can't carry the load.
+// panicThreshold is the fraction of ejected engines above which ejection is ignored: if
+// half of them fail, the cause is more likely common to all engines or in the entry,
+// and the remaining engines can't carry the load.
 const panicThreshold = 0.5
 
-// ejectionFilter leaves out what the Ejector ejected.
+// ejectionFilter removes engines that the Ejector has ejected, unless more than
+// panicThreshold of them are.
 type ejectionFilter struct {
 	ejector *Ejector
 }
 
-func (f ejectionFilter) keep(now time.Time, want Placement, candidates []Candidate, kept []int) []int {
+func (f ejectionFilter) keep(now time.Time, request Placement, candidates []Candidate, kept []int) []int {
 	if len(f.ejector.records) == 0 {
 		return kept
 	}
--- a/policy/load.go
+++ b/policy/load.go
@@ -2,14 +2,13 @@
 
 import "time"
 
-// Load is what an agent tells of its engine's queue.
+// Load is an agent's report about its engine's queue.
 type Load struct {
-	// Waiting counts tickets, Running counts granted runs and Limit is how
-	// many may run at once.
+	// Waiting is the number of tickets, Running the number of granted runs, and Limit
+	// the maximum number of concurrent runs.
 	Waiting int
 	Running int
 	Limit   int
-	// EstimatedWait is how long a ticket of each tier would wait if it were
-	// offered now.
+	// EstimatedWait is the expected wait of a ticket offered now, by tier.
 	EstimatedWait [tierCount]time.Duration
 }
--- a/policy/need.go
+++ b/policy/need.go
@@ -3,46 +3,49 @@
 import "time"
 
 const (
-	// nonHomeWeight is what a part that nobody holds counts for at another server
-	// than its home, as a part of its length: senders go there mostly where
-	// the home isn't in time, since others don't hear of it for a tenth of a
-	// second and read the part at home.
+	// nonHomeWeight is the cost per token of prefilling a segment that no server has at
+	// a server other than its home. Gateways then do so mostly if the home isn't in
+	// time: for a tenth of a second others don't know of the copy and prefill the
+	// segment at its home.
 	nonHomeWeight = 5.0
-	// homeCount is how many servers a part belongs to, in order: what is asked for
-	// more often than one can bear is copied to the next.
+	// homeCount is the number of home servers of a prefix, in order of preference: a
+	// prefix that is too popular for one server is copied to the next.
 	homeCount = 3
-	// fetchWeight is what a part that is fetched counts for, as a part of its
-	// length: it takes memory twice, and a link's time. A wait as long as reading
-	// it is borne first.
+	// fetchWeight is the cost per token of fetching a segment from another server: it
+	// uses memory twice, and network bandwidth. At 1 a wait as long as the segment's
+	// prefill is preferred to fetching it.
 	fetchWeight = 1.0
-	// fetchSetup is how long it takes until a part that is fetched begins to
-	// arrive; the fastest links take 2 ms and the slowest 8.
+	// fetchSetup is the time until a fetch begins to transfer data. The fastest links
+	// take 2 ms and the slowest 8 ms.
 	fetchSetup = 8 * time.Millisecond
-	// minFetchTokens is the least that is worth being fetched, in tokens: less is
-	// read in about the time of the setup.
+	// minFetchTokens is the smallest number of tokens worth fetching: fewer are
+	// prefilled in about the setup time.
 	minFetchTokens = 1000
 )
 
-// need is what a server lacks of a prompt's shared parts, in tokens.
+// cacheMiss is the part of a prompt's shared prefix that a server doesn't have cached,
+// in tokens.
 type need struct {
-	// first is what no server holds: it has to be read somewhere.
+	// uncached is the part that no server has.
 	first float64
-	// again is what another server holds and is read all the same.
+	// recomputed is the part that another server has cached and that is prefilled
+	// nevertheless.
 	again float64
-	// fetched is what is fetched from another server, at the place from, and
-	// transfer what could be read in the time that takes.
+	// fetched is the part fetched from the server at index source, and transferTokens
+	// the number of tokens that could be prefilled during the transfer.
 	fetched  float64
 	transfer float64
-	source     int
-	// home says that the server is the one that first is to be read at, and second
-	// that it is the next one.
+	source   int
+	// home reports whether the server is the prefix's first home, and secondHome
+	// whether it is the second one.
 	home, second bool
 }
 
-// prefillTokens is what the server reads, or could while it fetches.
+// prefillTokens returns the number of tokens that the server prefills, or could prefill
+// while it fetches.
 func (n *need) prefillTokens() int { return int(n.first + n.again + n.transfer) }
 
-// penalty is what it counts for against waiting, beside the reading itself.
+// penalty returns the cost in addition to the prefill itself, in tokens.
 func (n *need) penalty() float64 {
 	cost := (recomputeWeight-1)*n.again + fetchWeight*n.fetched
 	if !n.home {
@@ -51,83 +54,85 @@
 	return cost
 }
 
-// prefixLookup is who holds what of a prompt's shared parts.
+// prefixLookup holds which servers have which part of a prompt's shared prefix cached.
 type prefixLookup struct {
+	// length is the shared prefix's length in tokens.
 	length int
-	// homes are the places that the parts belong to, in order.
+	// homes are the indices of the prefix's home servers, in order of preference.
 	homes [homeCount]int
-	// longestCached is the longest beginning that a usable server has been sent.
+	// longestCached is the longest beginning that was sent to a usable server, in tokens.
 	longestCached int
+	// cached is by server; nil if the prompt has no shared prefix.
 	cached []cachedPrefix
-	// source is the place of the server that has read most; -1 for none.
+	// source is the index of the server that has prefilled most; -1 for none.
 	source int
 }
 
-// lookUpPrefix finds who holds what.
+// lookUpPrefix looks up which of the usable servers have the job's shared prefix cached.
 func (c *Chooser) lookUpPrefix(now time.Time, job *Job, servers []Server, usable func(*Server) bool) prefixLookup {
 	prefix := job.prefix()
-	shared := prefixLookup{length: prefix.Upto, homes: homeServers(prefix.ID, servers, usable), source: -1}
+	lookup := prefixLookup{length: prefix.Upto, homes: homeServers(prefix.ID, servers, usable), source: -1}
 	if prefix.ID == 0 {
-		return shared
+		return lookup
 	}
-	shared.cached = make([]cachedPrefix, len(servers))
+	lookup.cached = make([]cachedPrefix, len(servers))
 	if !c.index.hasAny(job.Shared) {
-		return shared
+		return lookup
 	}
 	for i := range servers {
 		if !usable(&servers[i]) {
 			continue
 		}
-		h := c.index.cachedAt(now, KeyOf(servers[i].Name), job.Shared)
-		shared.cached[i] = h
-		shared.longestCached = max(shared.longestCached, h.expected)
-		if h.prefilled > 0 && (shared.source < 0 || h.prefilled > shared.cached[shared.source].prefilled || h.prefilled == shared.cached[shared.source].prefilled && servers[i].inFlight() < servers[shared.source].inFlight()) {
-			shared.source = i
+		cached := c.index.cachedAt(now, KeyOf(servers[i].Name), job.Shared)
+		lookup.cached[i] = cached
+		lookup.longestCached = max(lookup.longestCached, cached.expected)
+		if cached.prefilled > 0 && (lookup.source < 0 || cached.prefilled > lookup.cached[lookup.source].prefilled || cached.prefilled == lookup.cached[lookup.source].prefilled && servers[i].inFlight() < servers[lookup.source].inFlight()) {
+			lookup.source = i
 		}
 	}
-	return shared
+	return lookup
 }
 
-// missAt is what the server missAt a place lacks.
+// missAt returns what the server at index i doesn't have cached.
 func (p *prefixLookup) missAt(i int, job *Job, rate *PrefillRate) need {
 	if p.cached == nil {
 		return need{}
 	}
-	n := need{home: i == p.homes[0], second: i == p.homes[1], first: float64(p.length - p.longestCached), again: float64(p.longestCached - p.cached[i].expected)}
+	miss := need{home: i == p.homes[0], second: i == p.homes[1], first: float64(p.length - p.longestCached), again: float64(p.longestCached - p.cached[i].expected)}
 	if p.source < 0 || p.source == i || job.FetchRate == 0 {
-		return n
+		return miss
 	}
 	fetched := float64(p.cached[p.source].prefilled - p.cached[i].expected)
 	transfer := rate.during(fetchSetup) + fetched*rate.rate()/job.FetchRate
 	if fetched >= minFetchTokens && transfer < fetched {
-		n.fetched, n.transfer, n.source = fetched, transfer, p.source
-		n.again -= fetched
+		miss.fetched, miss.transfer, miss.source = fetched, transfer, p.source
+		miss.again -= fetched
 	}
-	return n
+	return miss
 }
 
-// homeServers are the places of the usable servers with the highest hashes, the
-// highest first; -1 where there are fewer, or no prefix.
+// homeServers returns the indices of the usable servers with the highest rendezvous
+// hashes, highest first, and -1 where there are fewer servers or no prefix.
 func homeServers(prefix uint64, servers []Server, usable func(*Server) bool) [homeCount]int {
 	var hashes [homeCount]uint64
-	places := [homeCount]int{-1, -1, -1}
+	homes := [homeCount]int{-1, -1, -1}
 	if prefix == 0 {
-		return places
+		return homes
 	}
 	for i := range servers {
 		if !usable(&servers[i]) {
 			continue
 		}
-		place, hash := i, mix(prefix^hashName(servers[i].Name))
-		for at := range places {
-			if places[at] < 0 || hash > hashes[at] {
-				places[at], place = place, places[at]
-				hashes[at], hash = hash, hashes[at]
+		server, hash := i, mix(prefix^hashName(servers[i].Name))
+		for rank := range homes {
+			if homes[rank] < 0 || hash > hashes[rank] {
+				homes[rank], server = server, homes[rank]
+				hashes[rank], hash = hash, hashes[rank]
 			}
-			if place < 0 {
+			if server < 0 {
 				break
 			}
 		}
 	}
-	return places
+	return homes
 }
--- a/policy/news.go
+++ b/policy/news.go
@@ -2,29 +2,33 @@
 
 import "time"
 
-// Key is the name of a server or a service as senders tell it to each other.
+// Key is a 32-bit hash of the name of a server or service, as gateways exchange it.
 type Key uint32
 
 // KeyOf returns the key of a name.
 func KeyOf(name string) Key { return Key(hashName(name)) }
 
-// News is what a sender tells others so that all decide by what all have seen.
+// PeerUpdate holds the observations that a gateway sends to other gateways, so that all
+// of them decide by what any of them has seen.
 type News struct {
+	// PrefixUses are new uses of prefix segments, FirstTokens times to first token, and
+	// Pauses the longest pauses of streams.
 	Uses   []Use
 	Firsts []FirstToken
 	Pauses []Pause
-	// Unanswered are the servers of requests that got no answer, one for each.
+	// Unanswered has the server of each request that got no answer.
 	Unanswered []Key
 	Suspicions []Suspicion
 	Limits     []ServerLimit
 }
 
-// FirstToken is how long a server of a service took to a first token with so
-// many tokens to be read before it.
+// TTFTSample is an observed time to first token.
 type FirstToken struct {
 	Service Key
 	Server  Key
 	Urgency int
-	Ahead   float64
-	Took    time.Duration
+	// TokensAhead is the number of tokens that had to be prefilled before the first
+	// token, the request's own included. Latency is the time to first token.
+	Ahead float64
+	Took  time.Duration
 }
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -2,22 +2,22 @@
 
 import "strconv"
 
-// Outcome says how a run ended.
+// Outcome is how a run ended.
 type Outcome int
 
 // Outcomes of a run.
 const (
-	// OutcomeWhole: the whole answer was given.
+	// OutcomeWhole means that the answer was complete.
 	OutcomeWhole Outcome = iota + 1
-	// OutcomeFailed: the engine failed it.
+	// OutcomeFailed means that the engine failed the run.
 	OutcomeFailed
-	// OutcomeCancelled: the caller or the router ended it.
+	// OutcomeCancelled means that the caller or the router cancelled the run.
 	OutcomeCancelled
-	// OutcomeLapsed: the grant was never taken up.
+	// OutcomeLapsed means that the grant expired unused.
 	OutcomeLapsed
 )
 
-// String is the outcome's name, as the time line shows it.
+// String returns the outcome's name, as shown in the timeline.
 func (o Outcome) String() string {
 	switch o {
 	case OutcomeWhole:
--- a/policy/paces.go
+++ b/policy/paces.go
@@ -7,71 +7,73 @@
 )
 
 const (
-	// slowdownTimeConstant is over how long a server's pace is averaged, so that one that
-	// turns slow or recovers is known while it matters, and one that was avoided is
-	// tried again.
+	// slowdownTimeConstant is the time in which a sample's weight decays to 1/e. It is
+	// short enough to detect a server that becomes slow or recovers while that matters,
+	// and to try a server again that was avoided.
 	slowdownTimeConstant = 10 * time.Second
-	// slowdownPriorSamples is how many samples the mean of all servers counts for against a
-	// server's own.
+	// slowdownPriorSamples is the weight, in samples, of the mean of all servers in a
+	// server's own estimate.
 	slowdownPriorSamples = 2.0
-	// slowdownMaxAge is after how long without a sample nothing is left of a pace.
+	// slowdownMaxAge is the time without a sample after which a server is removed.
 	slowdownMaxAge = 10 * slowdownTimeConstant
-	// maxSlowdown bounds a sample: a server that stood still tells of the fault, not of
-	// its pace.
+	// maxSlowdown bounds a sample: the time of a server that hung reflects the fault and
+	// not the server's speed.
 	maxSlowdown = 4.0
 )
 
-// slowdowns is how many times as long as the mean of its service each server takes for
-// something, from samples that fade with time. The zero value knows of none.
+// slowdowns estimates each server's slowdown: the ratio of a time at this server to the
+// mean over its service's servers, from exponentially decaying samples. The zero value is
+// ready to use.
 type slowdowns struct {
-	servers map[Key]*slowdown
-	lastSweep   time.Time
+	servers   map[Key]*slowdown
+	lastSweep time.Time
 }
 
-// slowdown is a server's sum of samples, each a part of what was expected.
+// slowdown is a server's decaying sum of samples, each a ratio of observed to expected
+// time, and their total weight.
 type slowdown struct {
 	sum, weight float64
-	lastSample        time.Time
+	lastSample  time.Time
 }
 
-// observe takes that a server took so many times as long as expected.
-func (p *slowdowns) observe(now time.Time, server Key, times float64) {
-	if p.servers == nil {
-		p.servers = map[Key]*slowdown{}
+// observe records a ratio of observed to expected time at a server.
+func (s *slowdowns) observe(now time.Time, server Key, ratio float64) {
+	if s.servers == nil {
+		s.servers = map[Key]*slowdown{}
 	}
-	p.sweep(now)
-	at := p.servers[server]
-	if at == nil {
-		at = &slowdown{lastSample: now}
-		p.servers[server] = at
+	s.sweep(now)
+	entry := s.servers[server]
+	if entry == nil {
+		entry = &slowdown{lastSample: now}
+		s.servers[server] = entry
 	}
-	kept := at.decay(now)
-	at.sum, at.weight, at.lastSample = kept*at.sum+min(times, maxSlowdown), kept*at.weight+1, now
+	decay := entry.decay(now)
+	entry.sum, entry.weight, entry.lastSample = decay*entry.sum+min(ratio, maxSlowdown), decay*entry.weight+1, now
 }
 
-// factor is how many times as long a server takes; 1 for one that isn't known.
-func (p *slowdowns) factor(now time.Time, server Key) float64 {
-	at := p.servers[server]
-	if at == nil {
+// factor returns a server's slowdown; 1 for an unknown server.
+func (s *slowdowns) factor(now time.Time, server Key) float64 {
+	entry := s.servers[server]
+	if entry == nil {
 		return 1
 	}
-	kept := at.decay(now)
-	return (slowdownPriorSamples + kept*at.sum) / (slowdownPriorSamples + kept*at.weight)
+	decay := entry.decay(now)
+	return (slowdownPriorSamples + decay*entry.sum) / (slowdownPriorSamples + decay*entry.weight)
 }
 
-// sweep drops the servers that nothing was heard of for long: others may tell of one
-// that is gone.
-func (p *slowdowns) sweep(now time.Time) {
-	if now.Sub(p.lastSweep) < slowdownMaxAge {
+// sweep removes servers without recent samples: other gateways may report on a server
+// after it is gone.
+func (s *slowdowns) sweep(now time.Time) {
+	if now.Sub(s.lastSweep) < slowdownMaxAge {
 		return
 	}
-	p.lastSweep = now
-	maps.DeleteFunc(p.servers, func(_ Key, at *slowdown) bool { return now.Sub(at.lastSample) > slowdownMaxAge })
+	s.lastSweep = now
+	maps.DeleteFunc(s.servers, func(_ Key, entry *slowdown) bool { return now.Sub(entry.lastSample) > slowdownMaxAge })
 }
 
-func (p *slowdowns) remove(server Key) { delete(p.servers, server) }
+func (s *slowdowns) remove(server Key) { delete(s.servers, server) }
 
-// decay is what is left of older samples.
-func (p *slowdown) decay(now time.Time) float64 {
-	return math.Exp(-float64(now.Sub(p.lastSample)) / float64(slowdownTimeConstant))
+// decay returns the factor by which the weight of older samples has decayed.
+func (s *slowdown) decay(now time.Time) float64 {
+	return math.Exp(-float64(now.Sub(s.lastSample)) / float64(slowdownTimeConstant))
 }
--- a/policy/pauses.go
+++ b/policy/pauses.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// minPauseSamples is how many streams of an urgency have to be known before their
-	// pauses decide anything, and longestPauses bounds the weight of older ones.
-	minPauseSamples   = 16.0
+	// minPauseSamples is the number of streams of an urgency below which their pauses
+	// don't affect decisions. maxPauseSamples bounds the weight of older streams.
+	minPauseSamples = 16.0
 	maxPauseSamples = 256.0
-	// stddevPerMeanDeviation is the standard deviation by the mean one, of pauses that are
-	// distributed normally.
+	// stddevPerMeanDeviation is the ratio of the standard deviation to the mean
+	// deviation of a normal distribution.
 	stddevPerMeanDeviation = 1.25
-	// noiseMargin is the difference between two chances that some twenty samples of each
-	// server leave noiseMargin.
+	// noiseMargin is the difference between two probabilities that isn't significant
+	// with some twenty samples of each server.
 	noiseMargin = 0.2
 )
 
@@ -26,74 +26,74 @@
 	Longest time.Duration
 }
 
-// Pauses learns how long the longest pauses of streams are at the servers of one
-// service.
+// PauseEstimator estimates the longest pause between events of streams at the servers of
+// one service.
 //
-// It answers servers of one service that differ in speed, or that read more
-// prompts between the tokens of others: a stream with a tight target for its
-// pauses is late at some of them, however soon its first token came, and in time
-// at the rest. A server's pace, against the mean of its service, is learned from
-// streams of all urgencies together; how long pauses are, and how much they
-// deviate, by urgency.
+// Servers of a service may differ in speed, or in how many prompts they prefill between
+// the tokens of other streams. A stream with a tight target for its pauses is then late
+// at some servers, however early its first token, and on time at others. A server's
+// slowdown relative to its service is estimated from the streams of all urgencies
+// together; the mean and the deviation of pauses are estimated by urgency.
 //
 // Not safe for concurrent use.
 type Pauses struct {
-	levels [UrgencyLevels]pauseStats
-	slowdowns  slowdowns
+	levels    [UrgencyLevels]pauseStats
+	slowdowns slowdowns
 }
 
-// pauseStats is how long the longest pauses of one urgency's streams are.
+// pauseStats describes the longest pauses of the streams of one urgency.
 type pauseStats struct {
-	// samples is how many streams are known, up to longestPauses.
+	// samples is the number of streams, up to maxPauseSamples.
 	samples float64
-	// meanMillis is their mean and deviation the mean deviation from what was
-	// expected, as a part of it.
+	// meanMillis is the mean pause. deviation is the mean deviation from the expected
+	// pause, as a fraction of it.
 	meanMillis, deviation float64
 }
 
-// Observe takes the longest pause of one stream.
-func (p *Pauses) Observe(now time.Time, one Pause) {
-	level := &p.levels[one.Urgency]
-	millis := toMillis(one.Longest)
+// Observe records the longest pause of one stream.
+func (p *Pauses) Observe(now time.Time, pause Pause) {
+	level := &p.levels[pause.Urgency]
+	millis := toMillis(pause.Longest)
 	if level.samples == 0 {
 		level.meanMillis = millis
 	}
 	millis = min(millis, maxSlowdown*level.meanMillis)
 	level.samples = min(level.samples+1, maxPauseSamples)
-	if expected := level.meanMillis * p.slowdowns.factor(now, one.Server); expected > 0 {
+	if expected := level.meanMillis * p.slowdowns.factor(now, pause.Server); expected > 0 {
 		level.deviation += (math.Abs(millis-expected)/expected - level.deviation) / level.samples
-		p.slowdowns.observe(now, one.Server, millis/level.meanMillis)
+		p.slowdowns.observe(now, pause.Server, millis/level.meanMillis)
 	}
 	level.meanMillis += (millis - level.meanMillis) / level.samples
 }
 
-// Worse is by how much the chance of a longer pause than the target is higher at a
-// server than at the mean one, beyond what few samples explain; 0 where there is no
-// target or too little is known.
+// ExcessRisk returns by how much a server exceeds the service's average server in the
+// probability of a pause longer than target, after subtracting what may be due to few
+// samples. It is 0 without a target or with too few samples.
 //
-// Where all servers are about alike none is to be preferred: all senders would prefer
-// the same few, by chance, and fill them.
+// If all servers are about equal, none may be preferred: all gateways would prefer the
+// same few by chance and overload them.
 func (p *Pauses) Worse(now time.Time, server Key, urgency int, target time.Duration) float64 {
-	const meanPace = 1
-	at, mean := p.lateProbability(p.slowdowns.factor(now, server), urgency, target), p.lateProbability(meanPace, urgency, target)
-	return max(at-mean-noiseMargin, 0)
+	const meanSlowdown = 1
+	here, mean := p.lateProbability(p.slowdowns.factor(now, server), urgency, target), p.lateProbability(meanSlowdown, urgency, target)
+	return max(here-mean-noiseMargin, 0)
 }
 
-// lateProbability is the chance that a stream has a longer pause than its target at a server of
-// a pace; 0 where there is no target or too little is known.
-func (p *Pauses) lateProbability(pace float64, urgency int, target time.Duration) float64 {
+// lateProbability returns the probability that a stream has a longer pause than its
+// target at a server with the given slowdown. It is 0 without a target or with too few
+// samples.
+func (p *Pauses) lateProbability(slowdown float64, urgency int, target time.Duration) float64 {
 	level := &p.levels[urgency]
 	if target == 0 || level.samples < minPauseSamples {
 		return 0
 	}
-	expected := level.meanMillis * pace
-	left := toMillis(target) - expected
-	deviation := stddevPerMeanDeviation * level.deviation * expected
-	if deviation == 0 {
-		return math.Round(min(max(0.5-left, 0), 1))
+	expected := level.meanMillis * slowdown
+	slack := toMillis(target) - expected
+	stddev := stddevPerMeanDeviation * level.deviation * expected
+	if stddev == 0 {
+		return math.Round(min(max(0.5-slack, 0), 1))
 	}
-	return math.Erfc(left/deviation/math.Sqrt2) / 2
+	return math.Erfc(slack/stddev/math.Sqrt2) / 2
 }
 
-// Forget drops what is known of a server.
+// RemoveServer removes what is known about a server.
 func (p *Pauses) Forget(server Key) { p.slowdowns.remove(server) }
--- a/policy/prefill_plan.go
+++ b/policy/prefill_plan.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// minRemainingShare is the part of a prompt that counts as left once its first
-// token is overdue: it isn't prefilled yet, since nothing came, but how much is
-// left nobody can say.
+// minRemainingShare is the fraction of a prompt that counts as remaining once its first
+// token is overdue: without a first token the prefill isn't complete, but how much of it
+// remains is unknown.
 const minRemainingShare = 0.25
 
-// PrefillPlan is when a server is expected to prefill a prompt that was sent to
-// it, so that others that are to be sent there don't wait, on paper, for what
-// has been prefilled by now.
+// PrefillPlan is the period in which a server is expected to prefill a prompt. With it,
+// other requests for that server aren't expected to wait for tokens that have already
+// been prefilled.
 //
-// It answers long prompts that come close together. Counted whole until their
-// first token, two prompts that are half done look like two whole ones, and
-// what comes next is refused although it would have been in time.
+// This matters for long prompts that arrive close together. If prompts counted in full
+// until their first token, two half-completed prompts would look like two whole ones, and
+// the next request would be rejected although it would have been in time.
 type PrefillPlan struct {
 	tokens int
-	start   time.Time
-	end  time.Time
+	start  time.Time
+	end    time.Time
 }
 
-// Plan expects that a prompt of so many tokens, sent now, is prefilled after what is
-// before it; ahead counts both, in tokens. Of the fixed time to a first token
-// only the way there counts: while a model makes its first step it prefills
-// the next prompt already.
-func (r *PrefillRate) Plan(now time.Time, tokens int, ahead float64) PrefillPlan {
-	until := now.Add(initialFixedTime + r.takes(ahead))
-	return PrefillPlan{tokens: tokens, start: until.Add(-r.takes(float64(tokens))), end: until}
+// Plan returns the plan of a prompt of a number of tokens that is sent now. tokensAhead
+// includes the prompt and everything prefilled before it. Of the initial fixed time to
+// first token only the network delay matters: while a model computes its first decoding
+// step it already prefills the next prompt.
+func (r *PrefillRate) Plan(now time.Time, tokens int, tokensAhead float64) PrefillPlan {
+	end := now.Add(initialFixedTime + r.takes(tokensAhead))
+	return PrefillPlan{tokens: tokens, start: end.Add(-r.takes(float64(tokens))), end: end}
 }
 
-// Left is how many tokens are expected to be left.
+// Remaining returns the expected number of tokens that are still to be prefilled.
 func (p PrefillPlan) Left(now time.Time) int {
-	switch prefill := p.end.Sub(p.start); {
-	case !now.After(p.start) || prefill <= 0:
+	switch duration := p.end.Sub(p.start); {
+	case !now.After(p.start) || duration <= 0:
 		return p.tokens
 	default:
-		left := max(float64(p.end.Sub(now))/float64(prefill), minRemainingShare)
-		return int(left * float64(p.tokens))
+		share := max(float64(p.end.Sub(now))/float64(duration), minRemainingShare)
+		return int(share * float64(p.tokens))
 	}
 }
--- a/policy/prefill_rate.go
+++ b/policy/prefill_rate.go
@@ -6,101 +6,102 @@
 )
 
 const (
-	// initialRate is the rate, in tokens a millisecond, and firstStep the fixed
-	// time, from which a sender starts: what a server with some streams in its
-	// batch prefills, and the way there and back with a step of the batch.
-	initialRate = 40.0
+	// initialRate, in tokens per millisecond, and initialFixedTime are the estimates
+	// before the first sample: the prefill rate of a server with some streams in its
+	// batch, and the network round trip and one step of the batch.
+	initialRate      = 40.0
 	initialFixedTime = 20 * time.Millisecond
-	// initialDeviation is the mean deviation to start from.
+	// initialDeviation is the initial relative mean deviation.
 	initialDeviation = 0.4
-	// minRate and mostRate bound what is learned.
+	// minRate and maxRate bound the estimated rate, in tokens per millisecond.
 	minRate = 8.0
-	maxRate  = 400.0
-	// regressionTimeConstant is over how long samples are averaged: a change is learned
-	// in a few seconds. A sample weighs mostWeight at the most, since a hundred
-	// are enough to separate slope and fixed time.
+	maxRate = 400.0
+	// regressionTimeConstant is the time over which samples are averaged, so that a
+	// change is learned in a few seconds. maxRegressionWeight bounds the weight of a
+	// sample, since a hundred samples are enough to separate slope and fixed time.
 	regressionTimeConstant = 3 * time.Second
 	maxRegressionWeight    = 1.0 / 100
-	// ratioTimeConstant and mostRatioWeight are the same for the ratio of the newest times to
-	// those by the line: servers are faster again at once when a burst ends.
-	ratioTimeConstant     = 500 * time.Millisecond
-	maxRatioWeight = 1.0 / 20
-	// minRatio bounds it.
+	// ratioTimeConstant and maxRatioWeight are the corresponding values for the ratio of
+	// observed to predicted times: servers are faster again as soon as a burst ends.
+	ratioTimeConstant = 500 * time.Millisecond
+	maxRatioWeight    = 1.0 / 20
+	// minRatio is the lower bound of that ratio.
 	minRatio = 0.1
-	// priorSamples is how many samples the line to start from counts for.
+	// priorSamples is the weight of the initial line, in samples.
 	priorSamples = 30
-	// priorLineTokens is where the second of the two points lies, in tokens, that
-	// the line to start from goes through.
+	// priorLineTokens is the second of the two points that define the initial line, in
+	// tokens; the first is at 0.
 	priorLineTokens = 8000.0
-	// maxOverrun bounds a sample by how many times what was expected: a server
-	// that crashed or froze tells nothing of prefill.
+	// maxOverrun bounds a sample to a multiple of the expected time: the time of a server
+	// that crashed or froze says nothing about prefill.
 	maxOverrun = 4
 )
 
-// PrefillRate estimates the time to the first token at the servers of one service: a
-// fixed time (the way, the first step) and the prefill of what is before it, at so
-// many tokens a millisecond. It is learned from what callers see, so that prefixes
-// that weren't cached after all are included.
+// PrefillRate estimates the time to first token at the servers of one service: a fixed
+// time (network and first decoding step) and the prefill of all tokens ahead, at a rate in
+// tokens per millisecond. It learns from the latency that gateways observe, which includes
+// prefixes that turned out not to be cached.
 //
-// Fixed time and rate are estimated by linear regression over the samples, the
-// newest weighing most. One rate for both would take a model whose first step is slow
-// for one whose prefill is slow, and reject what servers that are half idle could
-// answer in time.
+// Fixed time and rate are estimated by linear regression with exponentially decaying
+// weights. A single rate without a fixed time would mistake a slow first step for slow
+// prefill, and reject requests that half-idle servers could answer in time.
 //
 // The regression alone can't follow servers that become faster. Long prompts that took
-// long made it steep; by it long ones are rejected, and the short ones that are
-// admitted and come soon make it steeper. So where the newest first tokens, of any
-// length, come sooner than it says, all are expected as much sooner.
+// long have made the line steep; because of it long prompts are rejected, and the short
+// ones that are admitted and are fast make it steeper. So if recent first tokens, at any
+// prompt length, arrive earlier than the line predicts, all predictions are reduced by the
+// same ratio.
 //
 // Not safe for concurrent use.
 type PrefillRate struct {
-	// Weighted means of the meanTokens, the milliseconds, and their products.
+	// Weighted means of tokens, milliseconds and their products.
 	meanTokens, meanMillis, meanTokensSquared, meanTokensMillis float64
-	// latencyRatio is the mean latencyRatio of the newest times to those by the line.
+	// latencyRatio is the mean ratio of recent times to those predicted by the line.
 	latencyRatio float64
-	// relativeDeviation is the mean deviation from what was expected, as a part of it.
+	// relativeDeviation is the mean deviation from the expected time, as a fraction of it.
 	relativeDeviation float64
-	// samples counts them; last is when the newest came.
-	samples float64
-	lastSample    time.Time
+	// samples is the number of samples; lastSample is the time of the newest one.
+	samples    float64
+	lastSample time.Time
 }
 
-// Observe takes that a first token came after a time, with so many tokens to
-// be prefilled before it.
-func (r *PrefillRate) Observe(now time.Time, tokens float64, took time.Duration) {
+// Observe records a time to first token with a number of tokens ahead, the request's own
+// included.
+func (r *PrefillRate) Observe(now time.Time, tokensAhead float64, latency time.Duration) {
 	if r.meanTokensSquared == 0 {
 		r.setPrior()
 	}
-	expected := toMillis(r.expectedTTFT(tokens))
-	millis := min(toMillis(took), maxOverrun*expected)
-	since := r.sinceLast(now)
-	weight := max(sampleWeight(since, regressionTimeConstant, maxRegressionWeight), 1/(priorSamples+r.samples))
+	expected := toMillis(r.expectedTTFT(tokensAhead))
+	millis := min(toMillis(latency), maxOverrun*expected)
+	elapsed := r.sinceLast(now)
+	weight := max(sampleWeight(elapsed, regressionTimeConstant, maxRegressionWeight), 1/(priorSamples+r.samples))
 	if expected > 0 {
 		r.relativeDeviation += weight * (math.Abs(millis-expected)/expected - r.relativeDeviation)
 	}
-	if line := r.regressionFixedMillis() + tokens/r.regressionRate(); line > 0 {
-		r.latencyRatio += sampleWeight(since, ratioTimeConstant, maxRatioWeight) * (millis/line - r.latencyRatio)
+	if predicted := r.regressionFixedMillis() + tokensAhead/r.regressionRate(); predicted > 0 {
+		r.latencyRatio += sampleWeight(elapsed, ratioTimeConstant, maxRatioWeight) * (millis/predicted - r.latencyRatio)
 	}
-	r.addSample(weight, tokens, millis)
+	r.addSample(weight, tokensAhead, millis)
 }
 
-// sinceLast counts a sample and is the time sinceLast the one before.
+// sinceLast counts a sample and returns the time since the previous one; 0 for the first.
 func (r *PrefillRate) sinceLast(now time.Time) time.Duration {
-	since := now.Sub(r.lastSample)
+	elapsed := now.Sub(r.lastSample)
 	if r.lastSample.IsZero() {
-		since = 0
+		elapsed = 0
 	}
 	r.lastSample = now
 	r.samples++
-	return since
+	return elapsed
 }
 
-// sampleWeight is the weight of a sample that comes so long after the one before.
-func sampleWeight(since, memory time.Duration, most float64) float64 {
-	return min(1-math.Exp(-float64(since)/float64(memory)), most)
+// sampleWeight returns the weight of a sample in an exponential moving average, by the
+// time since the previous sample and bounded by maxWeight.
+func sampleWeight(elapsed, timeConstant time.Duration, maxWeight float64) float64 {
+	return min(1-math.Exp(-float64(elapsed)/float64(timeConstant)), maxWeight)
 }
 
-// setPrior takes the line to setPrior from as samples, as if it had been seen often.
+// setPrior initializes the means from two points of the initial line.
 func (r *PrefillRate) setPrior() {
 	near, far := toMillis(initialFixedTime), toMillis(initialFixedTime)+priorLineTokens/initialRate
 	r.meanTokens, r.meanMillis = priorLineTokens/2, (near+far)/2
@@ -115,7 +116,7 @@
 	r.meanTokensMillis += weight * (tokens*millis - r.meanTokensMillis)
 }
 
-// rate is in tokens a millisecond.
+// rate returns the current prefill rate in tokens per millisecond.
 func (r *PrefillRate) rate() float64 {
 	if r == nil || r.meanTokensSquared == 0 {
 		return initialRate
@@ -123,19 +124,20 @@
 	return min(r.regressionRate()/r.latencyFactor(), maxRate)
 }
 
-// latencyFactor is by how much latencyFactor than by the line first tokens come now: 1 or less.
+// latencyFactor returns the factor by which recent first tokens arrive earlier than the
+// line predicts; at most 1.
 func (r *PrefillRate) latencyFactor() float64 { return min(max(r.latencyRatio, minRatio), 1) }
 
-// regressionRate is the line's, in tokens a millisecond.
+// regressionRate returns the rate of the regression line in tokens per millisecond.
 func (r *PrefillRate) regressionRate() float64 {
-	spread, together := r.meanTokensSquared-r.meanTokens*r.meanTokens, r.meanTokensMillis-r.meanTokens*r.meanMillis
-	if together*maxRate <= spread {
+	variance, covariance := r.meanTokensSquared-r.meanTokens*r.meanTokens, r.meanTokensMillis-r.meanTokens*r.meanMillis
+	if covariance*maxRate <= variance {
 		return maxRate
 	}
-	return max(spread/together, minRate)
+	return max(variance/covariance, minRate)
 }
 
-// fixedTime is the time to a first token with nothing to be prefilled before it.
+// fixedTime returns the time to first token with no tokens ahead.
 func (r *PrefillRate) fixedTime() time.Duration {
 	if r == nil || r.meanTokensSquared == 0 {
 		return initialFixedTime
@@ -143,32 +145,34 @@
 	return time.Duration(r.latencyFactor() * r.regressionFixedMillis() * float64(time.Millisecond))
 }
 
-// regressionFixedMillis is the line's time to a first token with nothing to be prefilled, in milliseconds.
-func (r *PrefillRate) regressionFixedMillis() float64 { return max(r.meanMillis-r.meanTokens/r.regressionRate(), 0) }
+// regressionFixedMillis returns the fixed time of the regression line in milliseconds.
+func (r *PrefillRate) regressionFixedMillis() float64 {
+	return max(r.meanMillis-r.meanTokens/r.regressionRate(), 0)
+}
 
-// expectedTTFT is when a first token is expected with so many tokens to be prefilled
-// before it.
-func (r *PrefillRate) expectedTTFT(tokens float64) time.Duration {
-	return r.fixedTime() + r.takes(tokens)
+// expectedTTFT returns the expected time to first token with a number of tokens ahead, the
+// request's own included.
+func (r *PrefillRate) expectedTTFT(tokensAhead float64) time.Duration {
+	return r.fixedTime() + r.takes(tokensAhead)
 }
 
-// likely is by when a first token has come in most cases, with so many tokens of
-// others and of its own to be prefilled before it: the expected time and the mean
-// deviation, as a part of the wait for others. The model's first step and the own
-// prompt take their time at an idle server too: a deviation on these would refuse
-// all of a class with a tight target, and nothing would be learned any more.
+// likelyTTFT returns the time within which a first token arrives in most cases, with
+// others tokens of other requests ahead and own tokens of the request itself: the expected
+// time and the mean deviation, applied to the wait for others only. The first step and the
+// request's own prefill take their time at an idle server too. A deviation on these would
+// reject every request of a class with a tight target, and nothing more would be learned.
 func (r *PrefillRate) likely(others, own float64) time.Duration {
 	return r.expectedTTFT(own) + time.Duration(float64(r.takes(others))*(1+r.deviation()))
 }
 
-// within is how many tokens of others may be before a first token that is likely
-// to come within a time, with so many of its own.
+// maxTokensAhead returns how many tokens of other requests may be ahead for a first token
+// that is likely within a time, with own tokens of the request itself.
 func (r *PrefillRate) within(d time.Duration, own float64) float64 {
-	left := d - r.expectedTTFT(own)
-	return max(r.during(left)/(1+r.deviation()), 0)
+	slack := d - r.expectedTTFT(own)
+	return max(r.during(slack)/(1+r.deviation()), 0)
 }
 
-// deviation is the mean one from what was expected, as a part of it.
+// deviation returns the mean deviation from the expected time, as a fraction of it.
 func (r *PrefillRate) deviation() float64 {
 	if r == nil || r.meanTokensSquared == 0 {
 		return initialDeviation
@@ -176,12 +180,12 @@
 	return r.relativeDeviation
 }
 
-// takes is how long the prefill of so many tokens takes.
+// prefillTime returns how long the prefill of a number of tokens takes.
 func (r *PrefillRate) takes(tokens float64) time.Duration {
 	return time.Duration(tokens / r.rate() * float64(time.Millisecond))
 }
 
-// during is how many tokens are prefilled in a time.
+// tokensIn returns how many tokens are prefilled in a time.
 func (r *PrefillRate) during(d time.Duration) float64 { return r.rate() * toMillis(d) }
 
 func toMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/policy/prefix_index.go
+++ b/policy/prefix_index.go
@@ -6,116 +6,120 @@
 )
 
 const (
-	// cacheTTL is how long a server is thought to keep a part after its last use.
-	// Servers give up what was used least recently: with memory for 285,000 to
-	// 590,000 tokens, a third of it taken by what runs, and 20,000 to 40,000 new
-	// ones a second in a burst that is after 5 to 20 seconds.
+	// cacheTTL is how long a prefilled segment is assumed to stay in a server's cache
+	// after its last use. Servers evict the least recently used segments: a cache has
+	// room for 285,000 to 590,000 tokens, running requests use a third of it, and a
+	// burst adds 20,000 to 40,000 tokens a second, so a segment lasts 5 to 20 seconds.
 	cacheTTL = 8 * time.Second
-	// pendingTTL is how long a part that was sent counts as about to be there:
-	// beyond it its prompt was refused, given up on, or is stuck.
+	// pendingTTL is how long a segment that was sent counts as about to be cached. After
+	// that its request was rejected, cancelled, or is stuck.
 	pendingTTL = 4 * time.Second
-	// minUpdateInterval is for how long a use that is known isn't told again.
+	// minUpdateInterval is the minimum time between two updates about the same segment
+	// at the same server.
 	minUpdateInterval = time.Second
-	// updateRepeatTime is how long a use is told, so that a lost datagram or two are made
-	// good.
+	// updateRepeatTime is how long an update is repeated, to tolerate the loss of a
+	// datagram or two.
 	updateRepeatTime = 250 * time.Millisecond
-	// cacheSweepInterval is how often what isn't held any more is dropped.
+	// cacheSweepInterval is the time between removals of expired entries.
 	cacheSweepInterval = time.Second
 )
 
-// Part is one of the shared parts that a prompt begins with.
+// PrefixSegment is one of the segments of a prompt's shared prefix.
 type Part struct {
-	// ID identifies the part.
+	// ID identifies the segment.
 	ID uint64
-	// Upto is the prompt's length in tokens up to the part's end.
+	// End is the length in tokens of the prompt up to the segment's end.
 	Upto int
 }
 
-// Use is that a server was sent a part, or has read it.
+// PrefixUse records that a segment was sent to a server, or that the server has
+// prefilled it.
 type Use struct {
 	Server Key
 	Part   uint64
 	Read   bool
 }
 
-// cacheEntry is a part at a server.
+// cacheEntry is a segment at a server.
 type cacheEntry struct {
-	// lastUsed is when it was lastUsed last, and read whether it has been read.
 	lastUsed time.Time
+	// prefilled reports whether the server has prefilled the segment.
 	prefilled bool
 }
 
-func (h *cacheEntry) valid(now time.Time) bool {
-	if h.prefilled {
-		return now.Sub(h.lastUsed) < cacheTTL
+// valid reports whether the segment is still expected to be cached.
+func (e *cacheEntry) valid(now time.Time) bool {
+	if e.prefilled {
+		return now.Sub(e.lastUsed) < cacheTTL
 	}
-	return now.Sub(h.lastUsed) < pendingTTL
+	return now.Sub(e.lastUsed) < pendingTTL
 }
 
-// pendingUpdate is a use that is to be pendingUpdate to other senders.
+// pendingUpdate is a use that is to be sent to other gateways.
 type pendingUpdate struct {
 	Use
 	recorded time.Time
 }
 
-// PrefixIndex is which server holds which shared part of prompts, as far as a
-// sender can know: what it sent and what came back, and what others tell.
+// PrefixIndex tracks which server has which prefix segments cached, as far as a gateway
+// can know: from its own requests and their answers, and from the updates of others.
 //
-// It answers servers that have just started, all at once or one by one: their
-// memory is empty, and each part is read anew. Without the index a part counts
-// as held at its home from the start; what is read there is many times what was
-// foreseen, requests wait for seconds, the learned rate of reading falls from 40
-// to 8 tokens a millisecond, and for ten seconds more than half is refused that
-// idle servers could have answered. With it also a part that is asked for more
-// often than its home can bear is fetched from there in place of being read
-// again.
+// It matters most after servers have started, together or one by one: their caches are
+// empty and every segment has to be prefilled. Without the index a segment counts as
+// cached at its home server from the start. Servers then prefill many times the expected
+// number of tokens, requests wait for seconds, the estimated prefill rate falls from 40
+// to 8 tokens a millisecond, and for another ten seconds more than half of the requests
+// are rejected although idle servers could have answered them. With the index, a segment
+// that is too popular for its home server is fetched from there instead of being
+// prefilled again.
 //
 // Not safe for concurrent use.
 type PrefixIndex struct {
-	segments map[uint64]map[Key]*cacheEntry
-	pending  []pendingUpdate
+	segments  map[uint64]map[Key]*cacheEntry
+	pending   []pendingUpdate
 	lastSweep time.Time
 }
 
-// NewPrefixIndex returns an index that knows nothing.
+// NewPrefixIndex returns an empty index.
 func NewPrefixIndex() *PrefixIndex { return &PrefixIndex{segments: map[uint64]map[Key]*cacheEntry{}} }
 
-// Sent notes that a prompt with these parts was sent to a server.
-func (x *PrefixIndex) Sent(now time.Time, server Key, parts []Part) {
-	x.record(now, server, parts, false)
+// RecordSent records that a prompt with these segments was sent to a server.
+func (x *PrefixIndex) Sent(now time.Time, server Key, segments []Part) {
+	x.record(now, server, segments, false)
 }
 
-// Read notes that a server has read a prompt with these parts.
-func (x *PrefixIndex) Read(now time.Time, server Key, parts []Part) {
-	x.record(now, server, parts, true)
+// RecordPrefilled records that a server has prefilled a prompt with these segments.
+func (x *PrefixIndex) Read(now time.Time, server Key, segments []Part) {
+	x.record(now, server, segments, true)
 }
 
-func (x *PrefixIndex) record(now time.Time, server Key, parts []Part, read bool) {
-	for _, p := range parts {
-		if x.apply(now, Use{server, p.ID, read}) {
-			x.pending = append(x.pending, pendingUpdate{Use{server, p.ID, read}, now})
+// record applies the uses and queues updates for those that other gateways don't know.
+func (x *PrefixIndex) record(now time.Time, server Key, segments []Part, prefilled bool) {
+	for _, s := range segments {
+		if x.apply(now, Use{server, s.ID, prefilled}) {
+			x.pending = append(x.pending, pendingUpdate{Use{server, s.ID, prefilled}, now})
 		}
 	}
 }
 
-// Merge merges another sender's uses.
+// Merge merges the uses of another gateway.
 func (x *PrefixIndex) Merge(now time.Time, uses []Use) {
 	for _, u := range uses {
 		x.apply(now, u)
 	}
 }
 
-// News are the uses that are to be told now.
+// Updates returns the uses that are to be sent to other gateways now.
 func (x *PrefixIndex) News(now time.Time) []Use {
-	x.pending = slices.DeleteFunc(x.pending, func(t pendingUpdate) bool { return now.Sub(t.recorded) > updateRepeatTime })
+	x.pending = slices.DeleteFunc(x.pending, func(u pendingUpdate) bool { return now.Sub(u.recorded) > updateRepeatTime })
 	uses := make([]Use, len(x.pending))
-	for i, t := range x.pending {
-		uses[i] = t.Use
+	for i, u := range x.pending {
+		uses[i] = u.Use
 	}
 	return uses
 }
 
-// apply notes a apply; it reports whether others don't know of it.
+// apply records a use and reports whether other gateways don't know of it yet.
 func (x *PrefixIndex) apply(now time.Time, u Use) bool {
 	x.sweep(now)
 	servers := x.segments[u.Part]
@@ -123,72 +127,75 @@
 		servers = map[Key]*cacheEntry{}
 		x.segments[u.Part] = servers
 	}
-	h := servers[u.Server]
-	if h == nil {
+	entry := servers[u.Server]
+	if entry == nil {
 		servers[u.Server] = &cacheEntry{lastUsed: now, prefilled: u.Read}
 		return true
 	}
-	news := now.Sub(h.lastUsed) > minUpdateInterval || u.Read && !h.prefilled || !h.valid(now)
-	if !h.valid(now) {
-		h.prefilled = false
+	unknown := now.Sub(entry.lastUsed) > minUpdateInterval || u.Read && !entry.prefilled || !entry.valid(now)
+	if !entry.valid(now) {
+		entry.prefilled = false
 	}
-	h.lastUsed, h.prefilled = now, h.prefilled || u.Read
-	return news
+	entry.lastUsed, entry.prefilled = now, entry.prefilled || u.Read
+	return unknown
 }
 
-// Forget drops what a server held: it is gone, or has started anew.
+// RemoveServer removes a server's entries after the server has stopped or restarted.
 func (x *PrefixIndex) Forget(server Key) {
-	x.retain(func(held Key, _ *cacheEntry) bool { return held != server })
+	x.retain(func(s Key, _ *cacheEntry) bool { return s != server })
 }
 
-// sweep drops what isn't held any more.
+// sweep removes expired entries.
 func (x *PrefixIndex) sweep(now time.Time) {
 	if now.Sub(x.lastSweep) < cacheSweepInterval {
 		return
 	}
 	x.lastSweep = now
-	x.retain(func(_ Key, h *cacheEntry) bool { return h.valid(now) })
+	x.retain(func(_ Key, e *cacheEntry) bool { return e.valid(now) })
 }
 
-func (x *PrefixIndex) retain(wanted func(Key, *cacheEntry) bool) {
-	for part, servers := range x.segments {
-		for server, h := range servers {
-			if !wanted(server, h) {
+// retain removes all entries for which keep returns false.
+func (x *PrefixIndex) retain(keep func(Key, *cacheEntry) bool) {
+	for segment, servers := range x.segments {
+		for server, entry := range servers {
+			if !keep(server, entry) {
 				delete(servers, server)
 			}
 		}
 		if len(servers) == 0 {
-			delete(x.segments, part)
+			delete(x.segments, segment)
 		}
 	}
 }
 
-// cachedPrefix is how much of a prompt's shared parts a server holds, or is about to.
+// cachedPrefix is the part of a prompt's shared prefix that a server has cached, in
+// tokens.
 type cachedPrefix struct {
-	// expected counts what it has been sent, read what it has read of it.
-	expected int
-	prefilled   int
+	// expected is the part that was sent to the server, and prefilled the part of it
+	// that the server has prefilled.
+	expected  int
+	prefilled int
 }
 
-// hasAny reports whether any server is known to hold one of the parts.
-func (x *PrefixIndex) hasAny(parts []Part) bool {
-	return slices.ContainsFunc(parts, func(p Part) bool { return len(x.segments[p.ID]) > 0 })
+// hasAny reports whether any server is known to have one of the segments.
+func (x *PrefixIndex) hasAny(segments []Part) bool {
+	return slices.ContainsFunc(segments, func(s Part) bool { return len(x.segments[s.ID]) > 0 })
 }
 
-// cachedAt returns what a server holds of a prompt's beginning. A part is held only if
-// all before it are; since an index knows of the deepest ones that others sent only
-// where these are news, the deepest one counts.
-func (x *PrefixIndex) cachedAt(now time.Time, server Key, parts []Part) cachedPrefix {
-	var at cachedPrefix
-	for _, p := range parts {
-		h := x.segments[p.ID][server]
-		if h == nil || !h.valid(now) {
+// cachedAt returns how much of a prompt's shared prefix a server has cached. A segment is
+// cached only if all segments before it are. Since other gateways don't repeat updates
+// about segments that are known, the last known segment implies those before it.
+func (x *PrefixIndex) cachedAt(now time.Time, server Key, segments []Part) cachedPrefix {
+	var cached cachedPrefix
+	for _, s := range segments {
+		entry := x.segments[s.ID][server]
+		if entry == nil || !entry.valid(now) {
 			continue
 		}
-		at.expected = max(at.expected, p.Upto)
-		if h.prefilled {
-			at.prefilled = max(at.prefilled, p.Upto)
+		cached.expected = max(cached.expected, s.Upto)
+		if entry.prefilled {
+			cached.prefilled = max(cached.prefilled, s.Upto)
 		}
 	}
-	return at
+	return cached
 }
--- a/policy/recent_answers.go
+++ b/policy/recent_answers.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// maxGenerationSize bounds the whole answers that are remembered, twice.
+// maxGenerationSize bounds each of the two generations of recentCompletions.
 const maxGenerationSize = 4096
 
-// recentAnswers are the requests that were answered whole within clearedFor, and some
-// before it, by when.
+// recentCompletions holds the time of the last complete answer by request fingerprint, for
+// answers within clearedFor and some older ones.
 type recentAnswers struct {
-	// current were answered since a moment, previous before it.
+	// current has the answers since rotated, and previous those of the generation before.
 	current, previous map[Fingerprint]time.Time
-	rotated        time.Time
+	rotated           time.Time
 }
 
 func (r *recentAnswers) add(now time.Time, f Fingerprint) {
@@ -20,10 +20,10 @@
 	r.current[f] = now
 }
 
-// last is when a request was answered last; zero if that isn't known.
+// lastCompletion returns when a request was last answered completely; zero if unknown.
 func (r *recentAnswers) last(f Fingerprint) time.Time {
-	if at, ok := r.current[f]; ok {
-		return at
+	if t, ok := r.current[f]; ok {
+		return t
 	}
 	return r.previous[f]
 }
--- a/policy/seconds.go
+++ b/policy/seconds.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// longest stands for a time without a bound.
+// maxDuration represents an unbounded time.
 const longest = 24 * time.Hour
 
-// seconds turns a number of seconds into a duration.
+// secondsToDuration converts seconds to a duration of at most maxDuration.
 func seconds(s float64) time.Duration {
 	if s > longest.Seconds() {
 		return longest
--- a/policy/server.go
+++ b/policy/server.go
@@ -1,51 +1,52 @@
 package policy
 
-// UrgencyLevels is how many levels of urgency servers tell apart; 0 is the most
-// urgent.
+// UrgencyLevels is the number of urgency levels that backend servers distinguish.
+// Level 0 is the most urgent.
 const UrgencyLevels = 10
 
-// Ahead is what waits at a server for its first token, by urgency.
+// PendingWork is the work at a server that waits for its first token, by urgency.
 type Ahead [UrgencyLevels]struct {
-	// Requests counts them, Tokens is what they have to have read.
+	// Requests is the number of requests, and Tokens the number of prompt tokens that
+	// have to be prefilled for them.
 	Requests int
 	Tokens   int
 }
 
-// Server is a backend server as a sender sees it that sends straight to it. The
-// counts are of all senders as far as this one knows: its own are exact, those
-// of others a moment old.
+// Server is the state of a backend server as known to one gateway. Counts include the
+// requests of all gateways: this gateway's own are exact, those of others are as old
+// as their last update.
 type Server struct {
-	// Name identifies the server, and Start one start of it; Zone is its availability
-	// zone.
+	// Name identifies the server, and Start one start of its process. Zone is its
+	// availability zone.
 	Name  string
 	Start Key
 	Zone  string
-	// Slots is how many requests it runs at once; 0 when that isn't known.
+	// Slots is the number of requests that run concurrently; 0 if unknown.
 	Slots int
-	// Conns is how many connections it accepts from all senders; 0 when that
-	// isn't known.
+	// MaxConns is the number of connections that the server accepts from all gateways
+	// together; 0 if unknown.
 	Conns int
-	// Running counts requests that have begun to answer.
+	// Running is the number of requests that have received a first token.
 	Running int
-	// Pending is what hasn't begun yet.
+	// Pending is the work that waits for its first token.
 	Pending Ahead
-	// Leaving servers take no new work.
+	// Leaving servers accept no new work.
 	Leaving bool
-	// Warming servers have just started and are slow for a while.
+	// Warming servers have started recently and are slow for a while.
 	Warming bool
-	// Unresponsive servers answer nobody.
+	// Unresponsive servers answer no gateway.
 	Unresponsive bool
-	// Limited servers have named a limit, of which Allowance is what is left; a request
-	// that is Beyond it isn't sent.
+	// RateLimited servers have announced a rate limit, of which Allowance is left to
+	// this gateway. No request is sent to a server that is OverLimit.
 	Limited   bool
 	Allowance Allowance
 	Beyond    bool
-	// LatePause is by how much the chance that the job's stream has a longer pause
-	// between events than its target is higher there than at the mean server.
+	// PauseRisk is the excess probability, compared with the service's average server,
+	// that the job's stream has a longer pause between events than its target.
 	LatePause float64
 }
 
-// inFlight counts all requests at the server.
+// inFlight returns the number of running and pending requests.
 func (s *Server) inFlight() int {
 	n := s.Running
 	for _, level := range s.Pending {
@@ -54,8 +55,8 @@
 	return n
 }
 
-// SlotsInUse is the part of all servers' slots that is in use; 0 where they have
-// none that are known. Slots that a server's limit leaves unused count as in use.
+// SlotUtilization returns the used fraction of all servers' slots; 0 if no server has a
+// known number of slots. Slots that a rate limit keeps idle count as used.
 func SlotsInUse(servers []Server) float64 {
 	used, slots := 0.0, 0
 	for i := range servers {
@@ -73,8 +74,9 @@
 	return used / float64(max(slots, 1))
 }
 
-// ahead is what is read at the server before a new request of an urgency, in
-// tokens: a server admits the more urgent first, and equals in turn.
+// tokensAhead returns the number of tokens that the server prefills before a new
+// request of an urgency: servers process more urgent requests first, and requests of
+// equal urgency in order of arrival.
 func (s *Server) ahead(urgency int) float64 {
 	tokens := 0
 	for _, level := range s.Pending[:urgency+1] {
--- a/policy/service_rate.go
+++ b/policy/service_rate.go
@@ -3,33 +3,32 @@
 import "time"
 
 const (
-	// rateDecay is what remains of the older runs with each new one: the
-	// rate reflects about the last 16 runs. Fewer follow the luck of single
-	// answers; more are slow to see an engine that became a straggler.
+	// rateDecay is the factor by which each new run reduces the weight of older runs, so
+	// that the rate reflects about the last 16 runs. Fewer runs make the rate depend on
+	// single answers; more delay the detection of a straggler.
 	rateDecay = 15.0 / 16
-	// stallGapFactor is how many mean gaps without a completion count as a sign
-	// that the engine got slower. With irregular answers a gap of four means
-	// happens by luck two times in a hundred.
+	// stallGapFactor is the number of mean intervals without a completion that indicate
+	// an engine that has become slower. With irregular answers an interval of four means
+	// occurs by chance two times in a hundred.
 	stallGapFactor = 4
 )
 
-// serviceRate is the true rate of an engine: work done per second of a busy
-// slot, not per second of the clock.
+// serviceRate estimates the true processing rate of an engine: work per second of a busy
+// slot, not per second of elapsed time.
 //
-// It answers load that comes and goes. The rate seen over time is low on a
-// quiet engine merely since little was asked of it; an estimate from it
-// refuses the start of a burst. The idea is the true processing rate of Zhang
-// et al., AuTraScale+ (IEEE TPDS 2024). Work is in the tickets' own estimate
-// of size, so that an estimate that is off by a factor cancels out.
+// The throughput over elapsed time is low at an idle engine only because of low demand;
+// an estimate from it would reject the start of a burst. The approach follows the true
+// processing rate of Zhang et al., AuTraScale+ (IEEE TPDS 2024). Work is measured in the
+// tickets' own size estimates, so that a constant error factor in them cancels out.
 type serviceRate struct {
-	work     float64
-	busySeconds  float64
+	work           float64
+	busySeconds    float64
 	lastCompletion time.Time
-	// meanSize is the mean size of a whole run.
+	// meanSize is the moving average size of a complete run.
 	meanSize float64
 }
 
-// observe takes a whole run of a size that held a slot for d.
+// observe records a complete run of a size that occupied a slot for d.
 func (r *serviceRate) observe(now time.Time, size int, d time.Duration) {
 	r.lastCompletion = now
 	if d <= 0 {
@@ -43,12 +42,12 @@
 	r.meanSize += (1 - rateDecay) * (float64(size) - r.meanSize)
 }
 
-// known reports whether the engine was ever seen busy.
+// known reports whether any run has been observed.
 func (r *serviceRate) known() bool {
 	return r.busySeconds > 0
 }
 
-// runTime is how long a run of a size takes.
+// runTime returns the expected duration of a run of a size; zero if the rate is unknown.
 func (r *serviceRate) runTime(size int) time.Duration {
 	if !r.known() {
 		return 0
@@ -56,8 +55,8 @@
 	return seconds(float64(size) * r.busySeconds / r.work)
 }
 
-// at is the work per second that the engine does with slots runs at once;
-// zero when it was never seen busy.
+// throughput returns the engine's work per second with a number of concurrent runs; zero
+// if the rate is unknown.
 func (r *serviceRate) at(slots int) float64 {
 	if !r.known() {
 		return 0
@@ -65,15 +64,16 @@
 	return float64(slots) * r.work / r.busySeconds
 }
 
-// stalled lowers a rate when a full engine has completed nothing for long.
+// discountStall reduces the rate of a fully loaded engine that has completed no run for
+// longer than stallGapFactor mean intervals.
 func (r *serviceRate) stalled(now time.Time, rate float64) float64 {
 	if rate <= 0 || r.lastCompletion.IsZero() {
 		return rate
 	}
-	gap := r.meanSize / rate * stallGapFactor
-	since := now.Sub(r.lastCompletion).Seconds()
-	if since <= gap {
+	maxGap := r.meanSize / rate * stallGapFactor
+	gap := now.Sub(r.lastCompletion).Seconds()
+	if gap <= maxGap {
 		return rate
 	}
-	return rate * gap / since
+	return rate * maxGap / gap
 }
--- a/policy/unresponsive.go
+++ b/policy/unresponsive.go
@@ -6,81 +6,81 @@
 )
 
 const (
-	// unresponsiveThreshold is how many requests in a row a server leaves without an answer,
-	// whoever sent them, before it is left out: more than come together where a
-	// server loses two answers in five.
+	// unresponsiveThreshold is the number of consecutive unanswered requests, from all
+	// gateways together, after which a server is excluded: more than occur in a row at a
+	// server that loses two answers in five.
 	unresponsiveThreshold = 5
-	// exclusionTime is for how long it is left out then: about as long as a crashed
-	// server takes to start again, or its entry to lapse.
+	// exclusionTime is how long it is then excluded: about the time in which a crashed
+	// server restarts or its registration expires.
 	exclusionTime = time.Second
-	// missRecordTTL is after how long without another request misses are
-	// forgotten, and how often such are looked for.
+	// missRecordTTL is the time without another unanswered request after which a record
+	// is removed, and the interval between removals.
 	missRecordTTL = time.Minute
 )
 
-// Unresponsive are the servers that answer nobody, by what all senders tell of
-// requests that got no answer at all and of those that did.
+// UnresponsiveServers tracks servers that answer no gateway, from the answered and
+// unanswered requests that all gateways report.
 //
-// It answers a crash of many servers at once. Each sender finds out by requests that
-// it loses, a few at each server: with dozens of senders thousands are lost. What
-// all have seen leaves a server out after a handful. A sender that is cut off itself
-// doesn't leave out servers that answer the others.
+// It limits the losses when many servers crash at once. If each gateway detected the
+// crashes on its own, by losing a few requests at each server, dozens of gateways would
+// lose thousands of requests. With shared reports a server is excluded after a handful. A
+// gateway that is itself cut off doesn't exclude servers that answer the others.
 //
 // Servers that answer have no entry. Not safe for concurrent use.
 type Unresponsive struct {
-	servers map[Key]*missRecord
-	lastSweep   time.Time
+	servers   map[Key]*missRecord
+	lastSweep time.Time
 }
 
-// missRecord are the requests that a server left without an answer.
+// missRecord describes the requests that a server has left unanswered.
 type missRecord struct {
-	// consecutive counts them since it answered last.
-	consecutive int
+	// consecutive is the number of them since the server's last answer.
+	consecutive   int
 	excludedUntil time.Time
-	// lastMiss is when the lastMiss of them was told.
+	// lastMiss is when the newest of them was reported.
 	lastMiss time.Time
 }
 
-// NewUnresponsive returns Unresponsive that know of none.
+// NewUnresponsiveServers returns an empty tracker.
 func NewUnresponsive() *Unresponsive { return &Unresponsive{servers: map[Key]*missRecord{}} }
 
-// Unanswered notes a request that got no answer.
-func (s *Unresponsive) Unanswered(now time.Time, server Key) {
-	s.sweep(now)
-	at := s.servers[server]
-	if at == nil {
-		at = &missRecord{}
-		s.servers[server] = at
+// RecordUnanswered records a request that got no answer.
+func (u *Unresponsive) Unanswered(now time.Time, server Key) {
+	u.sweep(now)
+	record := u.servers[server]
+	if record == nil {
+		record = &missRecord{}
+		u.servers[server] = record
 	}
-	at.lastMiss = now
-	if now.Before(at.excludedUntil) {
-		// It was sent before the server was left out.
+	record.lastMiss = now
+	if now.Before(record.excludedUntil) {
+		// It was sent before the server was excluded.
 		return
 	}
-	at.consecutive++
-	if at.consecutive >= unresponsiveThreshold {
-		at.excludedUntil = now.Add(exclusionTime)
+	record.consecutive++
+	if record.consecutive >= unresponsiveThreshold {
+		record.excludedUntil = now.Add(exclusionTime)
 	}
 }
 
-// sweep drops servers that nothing is sent to any more.
-func (s *Unresponsive) sweep(now time.Time) {
-	if now.Sub(s.lastSweep) < missRecordTTL {
+// sweep removes servers to which no requests are sent any more.
+func (u *Unresponsive) sweep(now time.Time) {
+	if now.Sub(u.lastSweep) < missRecordTTL {
 		return
 	}
-	s.lastSweep = now
-	maps.DeleteFunc(s.servers, func(_ Key, at *missRecord) bool { return now.Sub(at.lastMiss) > missRecordTTL })
+	u.lastSweep = now
+	maps.DeleteFunc(u.servers, func(_ Key, record *missRecord) bool { return now.Sub(record.lastMiss) > missRecordTTL })
 }
 
-// Answered notes that a server has answered a request.
-func (s *Unresponsive) Answered(server Key) { delete(s.servers, server) }
+// RecordAnswered records that a server has answered a request.
+func (u *Unresponsive) Answered(server Key) { delete(u.servers, server) }
 
-// LeftOut reports whether a server is to be left out now. After that one more request
-// without an answer leaves it out again.
-func (s *Unresponsive) LeftOut(now time.Time, server Key) bool {
-	at := s.servers[server]
-	return at != nil && now.Before(at.excludedUntil)
+// Excluded reports whether a server is excluded now. Once the exclusion has ended, a single
+// unanswered request excludes the server again.
+func (u *Unresponsive) LeftOut(now time.Time, server Key) bool {
+	record := u.servers[server]
+	return record != nil && now.Before(record.excludedUntil)
 }
 
-// Forget drops what is known of a server.
-func (s *Unresponsive) Forget(server Key) { delete(s.servers, server) }
+// RemoveServer removes what is known about a server.
+func (u *Unresponsive) Forget(server Key) { delete(u.servers, server) }
--- a/policy/weighed.go
+++ b/policy/weighed.go
@@ -1,25 +1,26 @@
 package policy
 
-// weighed is what sending to one server would come to.
+// scoredServer is a candidate server and what sending the request there would cost.
 type weighed struct {
 	choice Choice
-	// cost is in tokens, without reading: what the server lacks of the shared
-	// parts, which counts only where the first token is in time.
-	cost    float64
+	// cost is in tokens of prefill. prefillPenalty is the additional cost of prefilling
+	// or fetching shared segments that the server doesn't have; it counts only if the
+	// first token is in time.
+	cost           float64
 	prefillPenalty float64
-	// left is how many slots the request may still take there.
+	// slotsLeft is the number of slots that the request may use there.
 	left float64
-	// pauseRisk is by how much its stream is more likely late by a pause than elsewhere.
+	// pauseRisk is the excess probability that the stream is late because of a pause.
 	pauseRisk float64
 }
 
-// finalScore is the choice, and its cost, once it is known whether a slot is left;
-// late is what a request counts for that is late, in tokens.
-func (w *weighed) finalScore(late float64) (Choice, float64) {
+// finalScore returns the choice and its cost in tokens once it is known whether a slot
+// is left. latePenalty is the cost of a late request, in tokens.
+func (w *weighed) finalScore(latePenalty float64) (Choice, float64) {
 	choice, cost := w.choice, w.cost
 	choice.InTime = choice.Room && choice.soon
 	if choice.InTime {
-		cost += w.prefillPenalty + late*w.pauseRisk
+		cost += w.prefillPenalty + latePenalty*w.pauseRisk
 	}
 	return choice, cost
 }
