--- a/policy/affinity.go
+++ b/policy/affinity.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// affinityLoadFactor bounds the load of a prefix's engine relative to the mean load,
-	// as in consistent hashing with bounded loads (Mirrokni et al., 2018). Without a
-	// bound a prefix that causes most of the load would send all of it to one engine.
+	// affinityLoadFactor bounds the load of a prefix's engine to a quarter above the mean
+	// load, as in consistent hashing with bounded loads (Mirrokni et al., 2018). Without
+	// a bound a prefix that causes most of the load would send all of it to one engine.
 	affinityLoadFactor = 1.25
 	// affinityMinLoad is the load per slot up to which an engine has capacity whatever
 	// the mean load is.
--- a/policy/alike_play_test.go
+++ b/policy/alike_play_test.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// alikeEngines plays questions with a tight target for their pauses before engines
-// that are alike and read prompts all the time: pauses differ by chance.
-func alikeEngines(targets map[string]time.Duration) *directPlay {
+// simulateIdenticalEngines runs questions with a tight pause target on identical engines
+// that prefill prompts all the time, so that pauses differ only by chance.
+func simulateIdenticalEngines(targets map[string]time.Duration) *directPlay {
 	p := newDirectPlay(24, 48, true)
 	p.expectUnseen = true
 	p.countFrom = 2 * time.Second
 	p.pauseTargets = targets
 	p.stream("question", 480, 0, 10*time.Second, func() Job {
-		part := uint64(p.random.IntN(15)+1) * 0x9e3779b97f4a7c15
-		return Job{Zone: "z", Urgency: 3, Target: 250 * time.Millisecond, Tokens: 800, Shared: []Part{{ID: part, Upto: 120}}}
+		segment := uint64(p.random.IntN(15)+1) * 0x9e3779b97f4a7c15
+		return Job{Zone: "z", Urgency: 3, Target: 250 * time.Millisecond, Tokens: 800, Shared: []Part{{ID: segment, Upto: 120}}}
 	}, 1500*time.Millisecond)
 	p.stream("summary", 100, 0, 10*time.Second, func() Job {
-		part := uint64(p.random.IntN(400)+1) * 0x9e3779b97f4a7c15
-		return Job{Zone: "z", Urgency: 4, Target: 400 * time.Millisecond, Tokens: 9000, Shared: []Part{{ID: part, Upto: 6000}}}
+		segment := uint64(p.random.IntN(400)+1) * 0x9e3779b97f4a7c15
+		return Job{Zone: "z", Urgency: 4, Target: 400 * time.Millisecond, Tokens: 9000, Shared: []Part{{ID: segment, Upto: 6000}}}
 	}, 500*time.Millisecond)
 	p.run(14 * time.Second)
 	return p
 }
 
-// Senders that each prefer the servers whose pauses were shorter by chance would all
-// fill the same few. Where servers are alike the load stays as even as without.
-func TestEnginesThatAreAlikeStayEven(t *testing.T) {
+// Gateways that prefer servers whose pauses were shorter by chance would all overload the
+// same few. With identical servers the load must stay as even as without pause targets.
+func TestIdenticalEnginesStayEvenlyLoaded(t *testing.T) {
 	tight := map[string]time.Duration{"question": 95 * time.Millisecond}
-	known, unknown := alikeEngines(tight), alikeEngines(nil)
-	t.Logf("longest queue for a slot %d, %d where nothing is known of pauses; questions in time %d and %d of %d",
-		known.longest, unknown.longest, known.onTime["question"], unknown.onTime["question"], known.arrived["question"])
-	if known.longest > unknown.longest {
-		t.Errorf("%d requests wait for a slot at one engine, %d where nothing is known of pauses", known.longest, unknown.longest)
+	with, without := simulateIdenticalEngines(tight), simulateIdenticalEngines(nil)
+	t.Logf("longest queue for a slot %d, %d without pause targets; questions in time %d and %d of %d",
+		with.longest, without.longest, with.onTime["question"], without.onTime["question"], with.arrived["question"])
+	if with.longest > without.longest {
+		t.Errorf("%d requests wait for a slot at one engine, %d without pause targets", with.longest, without.longest)
 	}
-	if fewer := unknown.onTime["question"] - known.onTime["question"]; 50*fewer > known.arrived["question"] {
-		t.Errorf("%d of %d questions fewer are in time", fewer, known.arrived["question"])
+	if fewer := without.onTime["question"] - with.onTime["question"]; 50*fewer > with.arrived["question"] {
+		t.Errorf("%d of %d questions fewer are in time", fewer, with.arrived["question"])
 	}
 }
--- a/policy/direct_engine_test.go
+++ b/policy/direct_engine_test.go
@@ -5,81 +5,82 @@
 	"time"
 )
 
-// directEngine is an engine of a directPlay.
+// directEngine is an engine of a directSimulation.
 type directEngine struct {
-	play    *directPlay
-	queue   []*directRequest
-	reading *directRequest
-	running int
-	// read is for how long prompts have been read.
-	read time.Duration
-	kept []uint64
-	// slower is how many times as long each of its steps takes; 0 for once.
+	simulation       *directPlay
+	queue      []*directRequest
+	prefilling *directRequest
+	running    int
+	// prefillTime is the total time spent on prefill.
+	prefillTime    time.Duration
+	cachedSegments []uint64
+	// slowdown is the factor by which all steps take longer; 0 means 1.
 	slower float64
 }
 
-func (e *directEngine) take(r *directRequest) {
+func (e *directEngine) enqueue(r *directRequest) {
 	at := len(e.queue)
 	for at > 0 && e.queue[at-1].job.Urgency > r.job.Urgency {
 		at--
 	}
 	e.queue = append(e.queue[:at], append([]*directRequest{r}, e.queue[at:]...)...)
 	if e.running >= 48 {
-		e.play.longest = max(e.play.longest, len(e.queue))
+		e.simulation.longest = max(e.simulation.longest, len(e.queue))
 	}
 	e.next()
 }
 
-// next reads the next prompt of a caller that is still there.
+// next starts the prefill of the next prompt whose caller is still waiting.
 func (e *directEngine) next() {
-	for e.reading == nil && len(e.queue) > 0 && e.running < 48 {
+	for e.prefilling == nil && len(e.queue) > 0 && e.running < 48 {
 		r := e.queue[0]
 		e.queue = e.queue[1:]
-		if r.gone {
+		if r.abandoned {
 			continue
 		}
-		e.reading = r
-		if r.left == 0 {
-			r.left = e.lacks(r)
+		e.prefilling = r
+		if r.remainingTokens == 0 {
+			r.remainingTokens = e.uncachedTokens(r)
 		}
 		e.prefill(r)
 	}
 }
 
-// lacks is how many tokens of a prompt have to be read; its shared part is kept from now on.
-func (e *directEngine) lacks(r *directRequest) int {
+// uncachedTokens returns the number of tokens of a prompt that have to be prefilled. The
+// prompt's shared prefix is cached from now on.
+func (e *directEngine) uncachedTokens(r *directRequest) int {
 	prefix := r.job.prefix()
 	tokens := r.job.Tokens - prefix.Upto
 	switch {
-	case prefix.Upto == 0 || e.keeps(prefix.ID):
-	case r.from != nil && r.from.holds(prefix.ID):
+	case prefix.Upto == 0 || e.touchCache(prefix.ID):
+	case r.fetchFrom != nil && r.fetchFrom.hasCached(prefix.ID):
 		tokens += prefix.Upto / fetchSpeed
 	default:
 		tokens += prefix.Upto
-		e.play.readMore += prefix.Upto
+		e.simulation.readMore += prefix.Upto
 	}
 	return tokens
 }
 
-// prefill reads a prompt, or its next chunk where engines read in chunks: between two of them
-// the more urgent go first.
+// prefill processes a prompt, or its next chunk if chunked prefill is enabled. Between two
+// chunks more urgent requests are served first.
 func (e *directEngine) prefill(r *directRequest) {
-	tokens := r.left
-	if e.play.chunk > 0 {
-		tokens = min(tokens, e.play.chunk)
+	tokens := r.remainingTokens
+	if e.simulation.chunk > 0 {
+		tokens = min(tokens, e.simulation.chunk)
 	}
-	r.left -= tokens
-	takes := time.Duration(float64(tokens) / directRate * float64(time.Millisecond))
-	if r.left == 0 {
-		takes += initialFixedTime / 4
+	r.remainingTokens -= tokens
+	duration := time.Duration(float64(tokens) / directRate * float64(time.Millisecond))
+	if r.remainingTokens == 0 {
+		duration += initialFixedTime / 4
 	}
 	if e.slower > 0 {
-		takes = time.Duration(e.slower * float64(takes))
+		duration = time.Duration(e.slower * float64(duration))
 	}
-	e.read += takes
-	e.play.after(takes, func() {
-		if r.left == 0 {
-			e.first(r)
+	e.prefillTime += duration
+	e.simulation.after(duration, func() {
+		if r.remainingTokens == 0 {
+			e.firstToken(r)
 			return
 		}
 		at := slices.IndexFunc(e.queue, func(other *directRequest) bool { return other.job.Urgency >= r.job.Urgency })
@@ -87,35 +88,39 @@
 			at = len(e.queue)
 		}
 		e.queue = slices.Insert(e.queue, at, r)
-		e.reading = nil
+		e.prefilling = nil
 		e.next()
 	})
 }
 
-// keeps reports whether a shared part is kept, and keeps it from now on.
-func (e *directEngine) keeps(part uint64) bool {
-	for i, k := range e.kept {
-		if k == part {
-			e.kept = append(append(e.kept[:i:i], e.kept[i+1:]...), part)
+// touchCache reports whether a segment is cached, and makes it the most recently used one.
+// The least recently used segment is evicted if necessary.
+func (e *directEngine) touchCache(segment uint64) bool {
+	for i, cached := range e.cachedSegments {
+		if cached == segment {
+			e.cachedSegments = append(append(e.cachedSegments[:i:i], e.cachedSegments[i+1:]...), segment)
 			return true
 		}
 	}
-	e.kept = append(e.kept, part)
-	if len(e.kept) > directParts {
-		e.kept = e.kept[1:]
+	e.cachedSegments = append(e.cachedSegments, segment)
+	if len(e.cachedSegments) > simCacheSegments {
+		e.cachedSegments = e.cachedSegments[1:]
 	}
 	return false
 }
 
-// holds reports whether a shared part is kept.
-func (e *directEngine) holds(part uint64) bool { return slices.Contains(e.kept, part) }
+// hasCached reports whether a segment is cached.
+func (e *directEngine) hasCached(segment uint64) bool {
+	return slices.Contains(e.cachedSegments, segment)
+}
 
-// hold ends a stream after a time, and after what it was delayed by.
-func (e *directEngine) hold(d time.Duration, end func()) {
-	read := e.read
-	e.play.after(d, func() {
-		if delayed := e.read - read; e.play.readingDelays && delayed > 0 {
-			e.hold(delayed, end)
+// holdSlot calls end after a stream's duration, extended by the prefill time that has
+// delayed the stream.
+func (e *directEngine) holdSlot(d time.Duration, end func()) {
+	before := e.prefillTime
+	e.simulation.after(d, func() {
+		if delay := e.prefillTime - before; e.simulation.readingDelays && delay > 0 {
+			e.holdSlot(delay, end)
 			return
 		}
 		end()
--- a/policy/index_bench_test.go
+++ b/policy/index_bench_test.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
-// hotParts is how many parts nearly all servers hold.
-const hotParts = 4
+// hotSegments is the number of segments that all servers have cached.
+const hotSegments = 4
 
-// fleetOf returns servers, and an index in which all of them hold a few hot parts.
-func fleetOf(n int) ([]Server, *PrefixIndex) {
+// benchFleet returns servers, and an index in which all of them have the hot segments
+// cached.
+func benchFleet(n int) ([]Server, *PrefixIndex) {
 	servers, index := serversOf(n), NewPrefixIndex()
 	for i := range servers {
-		for part := range uint64(hotParts) {
-			index.Read(testStart, KeyOf(servers[i].Name), []Part{{ID: part + 1, Upto: 2500}})
+		for segment := range uint64(hotSegments) {
+			index.Read(testStart, KeyOf(servers[i].Name), []Part{{ID: segment + 1, Upto: 2500}})
 		}
 	}
 	return servers, index
@@ -24,11 +25,11 @@
 func BenchmarkMerge(b *testing.B) {
 	for _, n := range []int{117, 999, 2997} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			servers, index := fleetOf(n)
+			servers, index := benchFleet(n)
 			random := rand.New(rand.NewPCG(1, 2))
 			uses := make([]Use, 100)
 			for i := range uses {
-				uses[i] = Use{Server: KeyOf(servers[random.IntN(n)].Name), Part: 1 + random.Uint64N(hotParts), Read: true}
+				uses[i] = Use{Server: KeyOf(servers[random.IntN(n)].Name), Part: 1 + random.Uint64N(hotSegments), Read: true}
 			}
 			for b.Loop() {
 				index.Merge(testStart.Add(time.Millisecond), uses)
@@ -40,7 +41,7 @@
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{117, 999, 2997} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			servers, index := fleetOf(n)
+			servers, index := benchFleet(n)
 			c := NewChooser(rand.New(rand.NewPCG(1, 2)), NewEjector(), index)
 			job := Job{Zone: "z", Urgency: 4, Target: 400 * time.Millisecond, Tokens: 9000, Shared: []Part{{ID: 1, Upto: 2500}, {ID: 77, Upto: 6300}}}
 			for b.Loop() {
--- a/policy/need_test.go
+++ b/policy/need_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// A part that one server holds is fetched from it when that server is too busy,
-// and read where servers can't fetch.
-func TestBusyHoldersPartIsFetched(t *testing.T) {
+// A segment cached at a busy server is fetched from it, and prefilled elsewhere if servers
+// can't fetch.
+func TestSegmentOfBusyServerIsFetched(t *testing.T) {
 	for _, fetchRate := range []float64{0, 600} {
 		c, servers := newTestChooser(), serversOf(8)
-		job := summary(77)
+		job := summaryJob(77)
 		job.FetchRate = fetchRate
 		holder := c.Choose(testStart, job, servers, nil).At
 		c.index.Read(testStart, KeyOf(servers[holder].Name), job.Shared)
@@ -21,37 +21,37 @@
 			t.Fatalf("at a fetch rate of %v: %+v, holder %d", fetchRate, choice, holder)
 		}
 		if fetchRate > 0 && (choice.From != holder || choice.Prefill > 5000) {
-			t.Errorf("fetches from %d and reads %d, the holder is %d", choice.From, choice.Prefill, holder)
+			t.Errorf("fetches from %d and prefills %d tokens, the holder is %d", choice.From, choice.Prefill, holder)
 		}
 	}
 }
 
-// What left, was ejected or started anew is no source.
+// Servers that are leaving, ejected or restarted aren't fetched from.
 func TestNothingIsFetchedFromUnusableServers(t *testing.T) {
-	spoil := map[string]func(c *Chooser, s *Server){
+	faults := map[string]func(c *Chooser, s *Server){
 		"leaving": func(_ *Chooser, s *Server) { s.Leaving = true },
 		"ejected": func(c *Chooser, s *Server) {
 			for range ejectAfter {
 				c.ejector.Observe(testStart, s.Name, OutcomeFailed)
 			}
 		},
-		"started anew": func(c *Chooser, s *Server) { c.index.Forget(KeyOf(s.Name)) },
+		"restarted": func(c *Chooser, s *Server) { c.index.Forget(KeyOf(s.Name)) },
 	}
-	for name, spoil := range spoil {
+	for name, inject := range faults {
 		c, servers := newTestChooser(), serversOf(8)
-		job := summary(77)
+		job := summaryJob(77)
 		job.FetchRate = 600
 		holder := c.Choose(testStart, job, servers, nil).At
 		c.index.Read(testStart, KeyOf(servers[holder].Name), job.Shared)
-		spoil(c, &servers[holder])
+		inject(c, &servers[holder])
 		if choice := c.Choose(testStart, job, servers, nil); choice.Fetches {
 			t.Errorf("%s: %+v", name, choice)
 		}
 	}
 }
 
-// Short parts are read sooner than they are fetched.
-func TestShortPartsAreRead(t *testing.T) {
+// Short segments are prefilled faster than they are fetched.
+func TestShortSegmentsArePrefilled(t *testing.T) {
 	c, servers := newTestChooser(), serversOf(8)
 	job := Job{Zone: "z", Urgency: 4, Target: time.Second, Tokens: 1500, Shared: []Part{{ID: 5, Upto: minFetchTokens - 1}}, FetchRate: 600}
 	holder := c.Choose(testStart, job, servers, nil).At
@@ -62,31 +62,32 @@
 	}
 }
 
-// One server in time is so for all senders: each takes its chance of it.
-func TestSendersShareTheLastServerInTime(t *testing.T) {
-	const senders = 30
+// All gateways see the same single server that is in time. Only some of them may send to it.
+func TestGatewaysShareTheLastServerInTime(t *testing.T) {
+	const gateways = 30
 	sent := 0
 	servers := serversOf(20)
 	for i := range servers {
 		servers[i].Pending[4].Requests, servers[i].Pending[4].Tokens = 8, 60_000
 	}
 	servers[7].Pending = Ahead{}
-	for i := range senders {
+	for i := range gateways {
 		c := NewChooser(rand.New(rand.NewPCG(uint64(i), 9)), NewEjector(), NewPrefixIndex())
 		job := Job{Zone: "z", Urgency: 4, Target: 500 * time.Millisecond, Tokens: 3000}
-		job.UnseenTokens, job.NewsAge = 3000*(senders-1), 50*time.Millisecond
+		job.UnseenTokens, job.NewsAge = 3000*(gateways-1), 50*time.Millisecond
 		if choice := c.Choose(testStart, job, servers, nil); choice.InTime {
 			sent++
 		}
 	}
 	if sent < 1 || sent > 10 {
-		t.Errorf("%d of %d senders send to the one server in time, which reads three before the target", sent, senders)
+		t.Errorf("%d of %d gateways send to the one server in time, which prefills three prompts within the target", sent, gateways)
 	}
 }
 
-// Where slots are what is lacking, the few servers that have some are shared by
-// slots alone: the others have time, and what others send isn't read here.
-func TestTimeIsNotShortWhereSlotsAre(t *testing.T) {
+// If slots are the bottleneck, the few servers with free slots are shared by slots alone:
+// the other servers have time, and the prompts that other gateways send aren't prefilled
+// at these few.
+func TestSlotShortageIsNoTimeShortage(t *testing.T) {
 	servers := serversOf(20)
 	for i := range servers {
 		servers[i].Running = 32
@@ -97,7 +98,7 @@
 		job := Job{Zone: "z", Urgency: 0, Target: 300 * time.Millisecond, Tokens: 800}
 		job.UnseenTokens, job.NewsAge = 20_000, 50*time.Millisecond
 		if choice := c.Choose(testStart, job, servers, nil); !choice.InTime || choice.At != 7 {
-			t.Fatalf("sender %d: %+v, 7 has slots and time", i, choice)
+			t.Fatalf("gateway %d: %+v, 7 has slots and time", i, choice)
 		}
 	}
 }
--- a/policy/prefill_plan_test.go
+++ b/policy/prefill_plan_test.go
@@ -5,30 +5,29 @@
 	"time"
 )
 
-// At 40 tokens a millisecond, behind 4,000 tokens, 2,000 are read from 120 to
-// 170 ms after they were sent.
-func TestPrefillPlanCountsWhatIsLeft(t *testing.T) {
+// At 40 tokens per millisecond, with 4,000 tokens of others ahead, a prompt of 2,000
+// tokens is prefilled from 120 to 170 ms after it was sent.
+func TestPrefillPlanCountsRemainingTokens(t *testing.T) {
 	var r *PrefillRate
 	plan := r.Plan(testStart, 2000, 6000)
 	for _, c := range []struct {
-		after time.Duration
-		left  int
+		after     time.Duration
+		remaining int
 	}{
 		{0, 2000}, {120 * time.Millisecond, 2000}, {145 * time.Millisecond, 1000}, {160 * time.Millisecond, 500},
 		{170 * time.Millisecond, 500}, {time.Second, 500},
 	} {
-		if got := plan.Left(testStart.Add(c.after)); got != c.left {
-			t.Errorf("%v after it was sent %d tokens are left, want %d", c.after, got, c.left)
+		if got := plan.Left(testStart.Add(c.after)); got != c.remaining {
+			t.Errorf("%v after sending %d tokens remain, want %d", c.after, got, c.remaining)
 		}
 	}
 	if got := r.Plan(testStart, 0, 0).Left(testStart.Add(time.Second)); got != 0 {
-		t.Errorf("%d tokens are left of a call without a prompt", got)
+		t.Errorf("%d tokens remain of a call without a prompt", got)
 	}
 }
 
-// Two prompts that are half read leave room for a third that two whole ones
-// would not.
-func TestWhatHasBeenReadMakesRoom(t *testing.T) {
+// Two half-prefilled prompts leave time for a third one that two whole prompts would not.
+func TestPrefilledTokensMakeRoom(t *testing.T) {
 	c, servers := newTestChooser(), serversOf(1)
 	job := Job{Zone: "z", Urgency: 4, Target: 500 * time.Millisecond, Tokens: 4000}
 	var r *PrefillRate
@@ -38,11 +37,11 @@
 	level := &servers[0].Pending[4]
 	level.Requests, level.Tokens = 2, pending(testStart)
 	if choice := c.Choose(testStart, job, servers, r); choice.InTime {
-		t.Errorf("let in at once behind %d tokens", level.Tokens)
+		t.Errorf("admitted at once with %d tokens ahead", level.Tokens)
 	}
 	later := testStart.Add(200 * time.Millisecond)
 	level.Tokens = pending(later)
 	if choice := c.Choose(later, job, servers, r); !choice.InTime {
-		t.Errorf("refused behind %d tokens that are left of 11,000", level.Tokens)
+		t.Errorf("rejected with %d of 11,000 tokens remaining", level.Tokens)
 	}
 }
--- a/policy/prefill_rate_test.go
+++ b/policy/prefill_rate_test.go
@@ -6,49 +6,49 @@
 	"time"
 )
 
-// prefillSamples has a PrefillRate see prompts of many lengths at servers with
-// a fixed time and a rate, in tokens a millisecond; one in twenty takes a
+// observePrefillSamples lets a PrefillRate observe n prompts of various lengths at servers
+// with a fixed time and a rate in tokens per millisecond. One sample in twenty takes a
 // second whatever its length.
-func prefillSamples(r *PrefillRate, n int, fixed time.Duration, rate float64) {
+func observePrefillSamples(r *PrefillRate, n int, fixed time.Duration, rate float64) {
 	random, now := rand.New(rand.NewPCG(5, 6)), r.lastSample
 	if now.IsZero() {
 		now = testStart
 	}
 	for i := range n {
 		tokens := random.ExpFloat64() * 5000
-		took := fixed + time.Duration(tokens/rate*float64(time.Millisecond))
-		took = time.Duration(float64(took) * (0.8 + 0.4*random.Float64()))
+		latency := fixed + time.Duration(tokens/rate*float64(time.Millisecond))
+		latency = time.Duration(float64(latency) * (0.8 + 0.4*random.Float64()))
 		if i%20 == 0 {
-			took = time.Second
+			latency = time.Second
 		}
 		now = now.Add(50 * time.Millisecond)
-		r.Observe(now, tokens, took)
+		r.Observe(now, tokens, latency)
 	}
 }
 
-// A model whose first step is slow reads as fast as any: one rate for both
-// would be a sixth of the true one here.
-func TestPrefillRateTellsFixedTimeFromReading(t *testing.T) {
+// A model with a slow first step prefills as fast as others: a single rate without a fixed
+// time would be a sixth of the true one here.
+func TestPrefillRateSeparatesFixedTimeFromPrefill(t *testing.T) {
 	var r PrefillRate
 	if got := r.rate(); got != initialRate {
-		t.Fatalf("starts from %v", got)
+		t.Fatalf("the initial rate is %v", got)
 	}
 	for _, c := range []struct {
 		fixed time.Duration
 		rate  float64
 	}{{100 * time.Millisecond, 70}, {15 * time.Millisecond, 20}, {40 * time.Millisecond, 150}} {
-		prefillSamples(&r, 1000, c.fixed, c.rate)
+		observePrefillSamples(&r, 1000, c.fixed, c.rate)
 		for _, tokens := range []float64{500, 3000, 12_000} {
 			want := c.fixed + time.Duration(tokens/c.rate*float64(time.Millisecond))
 			if got := r.expectedTTFT(tokens); float64(got) < 0.75*float64(want) || float64(got) > 1.4*float64(want)+10e6 {
-				t.Errorf("fixed %v, %v tokens a ms: %v tokens expected after %v, true %v", c.fixed, c.rate, tokens, got, want)
+				t.Errorf("fixed time %v, %v tokens per ms: first token of %v tokens expected after %v, want %v", c.fixed, c.rate, tokens, got, want)
 			}
 		}
 	}
 }
 
-// Samples that all come from one length, or that contradict each other, leave
-// an estimate within the bounds.
+// Samples that all have the same length, or that contradict each other, must leave the
+// estimate within its bounds.
 func TestPrefillRateStaysWithinBounds(t *testing.T) {
 	var r PrefillRate
 	now := testStart
@@ -65,54 +65,53 @@
 		r.Observe(now, 100, time.Second)
 	}
 	if got := r.rate(); got < minRate || got > maxRate {
-		t.Errorf("learned %v tokens a ms", got)
+		t.Errorf("estimated rate: %v tokens per ms", got)
 	}
 	if got := r.fixedTime(); got < 0 || got > time.Second {
-		t.Errorf("learned a fixed time of %v", got)
+		t.Errorf("estimated fixed time: %v", got)
 	}
 }
 
-// Where times scatter, less is let in: half of what is expected just within the
-// target would come late.
-func TestScatteredTimesLeaveMoreRoom(t *testing.T) {
-	learned := func(scatter float64) *PrefillRate {
+// With high variance less is admitted: otherwise half of the requests that are expected
+// just within the target would be late.
+func TestHighVarianceAdmitsLess(t *testing.T) {
+	trained := func(spread float64) *PrefillRate {
 		r, random := &PrefillRate{}, rand.New(rand.NewPCG(7, 8))
 		for i := range 2000 {
 			tokens := random.ExpFloat64() * 5000
-			millis := (30 + tokens/50) * (1 - scatter + 2*scatter*random.Float64())
+			millis := (30 + tokens/50) * (1 - spread + 2*spread*random.Float64())
 			r.Observe(testStart.Add(time.Duration(i)*10*time.Millisecond), tokens, time.Duration(millis*float64(time.Millisecond)))
 		}
 		return r
 	}
-	steady, scattered := learned(0.1), learned(0.9)
+	steady, scattered := trained(0.1), trained(0.9)
 	servers := serversOf(1)
 	servers[0].Pending[4].Requests, servers[0].Pending[4].Tokens = 4, 14_000
 	job := Job{Zone: "z", Urgency: 4, Target: 500 * time.Millisecond, Tokens: 3000}
 	c := newTestChooser()
 	if choice := c.Choose(testStart, job, servers, steady); !choice.InTime {
-		t.Errorf("refused at %v of 500 ms where times hardly differ", choice.Expected)
+		t.Errorf("rejected with an expected %v of 500 ms and low variance", choice.Expected)
 	}
 	if choice := c.Choose(testStart, job, servers, scattered); choice.InTime {
-		t.Errorf("let in at %v of 500 ms where times scatter by nine tenths", choice.Expected)
+		t.Errorf("admitted with an expected %v of 500 ms and times that vary by nine tenths", choice.Expected)
 	}
 }
 
-// The longest prompts can't be in time whatever is done; they are let in at
-// idle servers also where the model's first step alone takes a fifth of the
-// target.
-func TestLongestPromptIsLetInWhereTheFirstStepIsSlow(t *testing.T) {
+// The longest prompts can't be in time anyway. They are admitted at idle servers even if
+// the model's first step alone takes a fifth of the target.
+func TestLongestPromptIsAdmittedDespiteSlowFirstStep(t *testing.T) {
 	r := &PrefillRate{}
-	prefillSamples(r, 1000, 120*time.Millisecond, 60)
+	observePrefillSamples(r, 1000, 120*time.Millisecond, 60)
 	c, servers := newTestChooser(), serversOf(3)
-	long := summary(5)
+	long := summaryJob(5)
 	long.Tokens = 46_000
 	if choice := c.Choose(testStart, long, servers, r); !choice.InTime {
-		t.Errorf("a prompt of 40,000 tokens is refused by idle servers: %+v", choice)
+		t.Errorf("a prompt of 40,000 tokens is rejected by idle servers: %+v", choice)
 	}
 	for i := range servers {
 		servers[i].Pending[4].Requests, servers[i].Pending[4].Tokens = 1, 3000
 	}
 	if choice := c.Choose(testStart, long, servers, r); choice.InTime {
-		t.Errorf("a prompt of 40,000 tokens is let in behind others: %+v", choice)
+		t.Errorf("a prompt of 40,000 tokens is admitted with other requests ahead: %+v", choice)
 	}
 }
--- a/policy/recent_answers.go
+++ b/policy/recent_answers.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// maxGenerationSize bounds each of the two generations of recentCompletions.
+// maxGenerationSize bounds each of the two generations of recentCompletions, which holds
+// up to twice as many requests.
 const maxGenerationSize = 4096
 
 // recentCompletions holds the time of the last complete answer by request fingerprint, for
