--- a/policy/direct_engine_test.go
+++ b/policy/direct_engine_test.go
@@ -7,7 +7,7 @@
 
 // directEngine is an engine of a directSimulation.
 type directEngine struct {
-	simulation       *directPlay
+	simulation *directPlay
 	queue      []*directRequest
 	prefilling *directRequest
 	running    int
