--- a/policy/cache_miss.go
+++ b/policy/cache_miss.go
@@ -93,7 +93,8 @@
 	return lookup
 }
 
-// missAt returns what the server at index i doesn't have cached.
+// missAt returns the part of the shared prefix that the server at index i doesn't have
+// cached.
 func (p *prefixLookup) missAt(i int, job *Job, rate *PrefillRate) need {
 	if p.cached == nil {
 		return need{}
--- a/policy/direct_engine_test.go
+++ b/policy/direct_engine_test.go
@@ -110,9 +110,7 @@
 }
 
 // hasCached reports whether a segment is cached.
-func (e *directEngine) hasCached(segment uint64) bool {
-	return slices.Contains(e.cachedSegments, segment)
-}
+func (e *directEngine) hasCached(id uint64) bool { return slices.Contains(e.cachedSegments, id) }
 
 // holdSlot calls end after a stream's duration, extended by the prefill time that has
 // delayed the stream.
--- a/policy/pause_estimator.go
+++ b/policy/pause_estimator.go
@@ -66,9 +66,9 @@
 	level.meanMillis += (millis - level.meanMillis) / level.samples
 }
 
-// ExcessRisk returns by how much a server exceeds the service's average server in the
-// probability of a pause longer than target, after subtracting what may be due to few
-// samples. It is 0 without a target or with too few samples.
+// ExcessRisk returns a server's excess probability, over the service's average server, of
+// a pause longer than target, less a margin for differences that few samples explain. It is
+// 0 without a target or with too few samples.
 //
 // If all servers are about equal, none may be preferred: all gateways would prefer the
 // same few by chance and overload them.
@@ -95,5 +95,5 @@
 	return math.Erfc(slack/stddev/math.Sqrt2) / 2
 }
 
-// RemoveServer removes what is known about a server.
+// RemoveServer removes a server's estimate.
 func (p *Pauses) Forget(server Key) { p.slowdowns.remove(server) }
--- a/policy/peer_update.go
+++ b/policy/peer_update.go
@@ -9,7 +9,7 @@
 func KeyOf(name string) Key { return Key(hashName(name)) }
 
 // PeerUpdate holds the observations that a gateway sends to other gateways, so that all
-// of them decide by what any of them has seen.
+// of them decide from the same observations.
 type News struct {
 	// PrefixUses are new uses of prefix segments, FirstTokens times to first token, and
 	// Pauses the longest pauses of streams.
--- a/policy/scored_server.go
+++ b/policy/scored_server.go
@@ -1,6 +1,6 @@
 package policy
 
-// scoredServer is a candidate server and what sending the request there would cost.
+// scoredServer is a candidate server with the cost of sending the request there.
 type weighed struct {
 	choice Choice
 	// cost is in tokens of prefill. prefillPenalty is the additional cost of prefilling
--- a/policy/unresponsive_servers.go
+++ b/policy/unresponsive_servers.go
@@ -82,5 +82,5 @@
 	return record != nil && now.Before(record.excludedUntil)
 }
 
-// RemoveServer removes what is known about a server.
+// RemoveServer removes a server's record.
 func (u *Unresponsive) Forget(server Key) { delete(u.servers, server) }
