--- /dev/null
+++ b/policy/pause_simulation_test.go
@@ -0,0 +1,84 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+const (
+	// simStepTime is the duration of an engine's step, which generates a token for each
+	// of its streams. simPrefillStall is the extra duration of a step with prefill, and
+	// simTokensPerEvent the number of steps between two events of a stream.
+	simStepTime       = 6 * time.Millisecond
+	simPrefillStall   = 13 * time.Millisecond
+	simTokensPerEvent = 5
+	// simQuestionPauseTarget is the longest allowed pause of a question's stream.
+	simQuestionPauseTarget = 120 * time.Millisecond
+)
+
+// simPauseTargets are the pause targets of a simulation, by class.
+var simPauseTargets = map[string]time.Duration{"question": simQuestionPauseTarget}
+
+// drawPause returns a stream's longest pause at an engine that has or hasn't prefilled
+// prompts meanwhile. It varies randomly by a tenth.
+func (e *directEngine) drawPause(prefilled bool) time.Duration {
+	step := simStepTime
+	if prefilled {
+		step += simPrefillStall
+	}
+	variation := 0.9 + 0.2*e.simulation.random.Float64()
+	return time.Duration(variation * max(e.slower, 1) * simTokensPerEvent * float64(step))
+}
+
+// simulateUnequalEngines runs questions with a tight pause target and summaries on engines
+// of which every third takes 1.3 times as long. At the others a question's pauses are
+// within the target whatever is prefilled there.
+func simulateUnequalEngines(questions, summaries float64, targets map[string]time.Duration) *directPlay {
+	p := newDirectPlay(12, 24, true)
+	p.expectUnseen = true
+	p.countFrom = 2 * time.Second
+	p.pauseTargets = targets
+	for i := range p.engines {
+		if i%3 == 2 {
+			p.engines[i].slower = 1.3
+		}
+	}
+	p.stream("question", questions, 0, 10*time.Second, func() Job {
+		return Job{Zone: "z", Urgency: 3, Target: 250 * time.Millisecond, Tokens: 800}
+	}, 1500*time.Millisecond)
+	p.stream("summary", max(summaries, 0.1), 0, 10*time.Second, func() Job {
+		segment := uint64(p.random.IntN(40)+1) * 0x9e3779b97f4a7c15
+		return Job{Zone: "z", Urgency: 4, Target: 400 * time.Millisecond, Tokens: 9000, Shared: []Part{{ID: segment, Upto: 6000}}}
+	}, 500*time.Millisecond)
+	p.run(14 * time.Second)
+	return p
+}
+
+// Engines of one service differ in speed. Streams with tight pause targets must use the
+// engines that meet them while these have slots; without that a third of the streams is
+// late.
+func TestTightStreamsAvoidSlowEngines(t *testing.T) {
+	p, without := simulateUnequalEngines(120, 80, simPauseTargets), simulateUnequalEngines(120, 80, nil)
+	started, late := p.begun["question"], p.latePauses["question"]
+	t.Logf("of %d questions %d started, %d were late by a pause; summaries in time %d of %d",
+		p.arrived["question"], started, late, p.onTime["summary"], p.arrived["summary"])
+	if 20*late > started {
+		t.Errorf("%d of %d questions were late by a pause", late, started)
+	}
+	if missed := p.arrived["question"] - p.onTime["question"]; 50*missed > p.arrived["question"] {
+		t.Errorf("%d of %d questions had no first token in time", missed, p.arrived["question"])
+	}
+	if lost := without.onTime["summary"] - p.onTime["summary"]; 50*lost > p.arrived["summary"] {
+		t.Errorf("%d of %d summaries fewer are in time because of it", lost, p.arrived["summary"])
+	}
+}
+
+// If the faster engines have no free slot, the others are used: requests that fit are never
+// rejected because of their pause targets.
+func TestTightStreamsUseSlowEnginesForTheirSlots(t *testing.T) {
+	// 12 engines of 48 slots can run 384 streams of 1.5 s per second, the faster ones 256.
+	p := simulateUnequalEngines(330, 0, simPauseTargets)
+	if rejected := p.arrived["question"] - p.begun["question"]; 50*rejected > p.arrived["question"] {
+		t.Errorf("%d of %d questions got no first token, though all fit in the slots", rejected, p.arrived["question"])
+	}
+}
--- /dev/null
+++ b/policy/peer_update.go
@@ -0,0 +1,34 @@
+package policy
+
+import "time"
+
+// Key is a 32-bit hash of the name of a server or service, as gateways exchange it.
+type Key uint32
+
+// KeyOf returns the key of a name.
+func KeyOf(name string) Key { return Key(hashName(name)) }
+
+// PeerUpdate holds the observations that a gateway sends to other gateways, so that all
+// of them decide from the same observations.
+type News struct {
+	// PrefixUses are new uses of prefix segments, FirstTokens times to first token, and
+	// Pauses the longest pauses of streams.
+	Uses   []Use
+	Firsts []FirstToken
+	Pauses []Pause
+	// Unanswered has the server of each request that got no answer.
+	Unanswered []Key
+	Suspicions []Suspicion
+	Limits     []ServerLimit
+}
+
+// TTFTSample is an observed time to first token.
+type FirstToken struct {
+	Service Key
+	Server  Key
+	Urgency int
+	// TokensAhead is the number of tokens that had to be prefilled before the first
+	// token, the request's own included. Latency is the time to first token.
+	Ahead float64
+	Took  time.Duration
+}
