--- a/policy/yielding.go
+++ b/policy/adaptive_headroom.go
@@ -10,32 +10,32 @@
 	// lack of a slot before a level raises its headroom. Two senders that take the same last
 	// slot cost one refusal in fifty. headroomMinRefusals is how many such refusals, over all
 	// senders, are needed as well.
-	yieldAbove = 0.02
-	yieldLeast = 2.0
+	headroomMinRefusalRatio = 0.02
+	headroomMinRefusals     = 2.0
 	// headroomGrowth is how much the headroom grows per second of such refusals, as a share of
 	// the slots. At 0.5, five of 64 slots are free a sixth of a second after a burst's first
 	// refusals, as soon as the streams in them have ended.
-	yieldGrowth = 0.5
+	headroomGrowth = 0.5
 	// maxHeadroom bounds the headroom at nearly half of the slots that the most urgent level
 	// may fill: more urgent traffic that arrives at several times its usual rate needs most of
 	// them. The headroom is also bounded by the share of all offered requests that is above
 	// the level, so that a handful of the most urgent requests doesn't take the slots from
 	// hundreds of others.
-	yieldMost = 0.4
+	maxHeadroom = 0.4
 	// headroomRefusalFactor bounds the headroom at this multiple of the slots that the
 	// requests refused above would occupy. It is above 1 since other requests take some of the
 	// slots that become free.
-	yieldRefused = 1.5
+	headroomRefusalFactor = 1.5
 	// headroomDecay is the time constant with which a level's headroom decays. It spans
 	// several turnovers of a batch, so that slots stay free during a burst and aren't left
 	// unused for long after it.
-	yieldMemory = 4 * time.Second
+	headroomDecay = 4 * time.Second
 	// offerBaselineDecay is the time constant of the average of offered requests that a surge
 	// is compared with. Streams hold their slots for about as long: 1.5 s to 4 s.
-	usualMemory = 3 * time.Second
+	offerBaselineDecay = 3 * time.Second
 	// surgeStdDevs is by how many standard deviations of a count the offered requests must
 	// exceed the baseline to count as a surge.
-	riseSpreads = 2
+	surgeStdDevs = 2
 )
 
 // AdaptiveHeadroom computes the share of the servers' slots that each urgency level leaves
@@ -56,75 +56,75 @@
 //
 // Not safe for concurrent use.
 type Yielding struct {
-	left [UrgencyLevels]float64
+	headroom [UrgencyLevels]float64
 	// baseline is the usual number of offered requests at each level, not yet divided by
 	// baselineWeight. surge is the number offered above each level beyond that baseline, as a
 	// share of the baseline of all levels.
-	usual  [UrgencyLevels]float64
-	weight float64
-	more   [UrgencyLevels]float64
-	last   time.Time
+	baseline       [UrgencyLevels]float64
+	baselineWeight float64
+	surge          [UrgencyLevels]float64
+	last           time.Time
 }
 
 // Share returns the share of each server's slots, from 0 to 1, that a level leaves free now.
 // offers counts the requests offered and refused at all senders; busy is the share of all
 // slots in use.
-func (y *Yielding) Share(now time.Time, offers *Shortage, busy float64, urgency int) float64 {
-	y.advance(now, offers, busy)
-	return max(y.left[urgency], min(busy*y.more[urgency], yieldMost))
+func (h *Yielding) Share(now time.Time, offers *Shortage, busy float64, urgency int) float64 {
+	h.advance(now, offers, busy)
+	return max(h.headroom[urgency], min(busy*h.surge[urgency], maxHeadroom))
 }
 
 // advance accounts for the time since the last call. For growth, a longer gap counts as a
 // single gossip interval, since refusals were not observed during the whole gap.
-func (y *Yielding) advance(now time.Time, offers *Shortage, busy float64) {
+func (h *Yielding) advance(now time.Time, offers *Shortage, busy float64) {
 	const longestStep = 100 * time.Millisecond
-	elapsed := now.Sub(y.last)
-	if y.last.IsZero() {
+	elapsed := now.Sub(h.last)
+	if h.last.IsZero() {
 		elapsed = longestStep
 	}
-	y.last = now
-	y.learn(elapsed, offers)
-	decay := math.Exp(-float64(elapsed) / float64(yieldMemory))
-	maxGrowth := yieldGrowth * min(elapsed, longestStep).Seconds()
+	h.last = now
+	h.updateBaseline(elapsed, offers)
+	decay := math.Exp(-float64(elapsed) / float64(headroomDecay))
+	maxGrowth := headroomGrowth * min(elapsed, longestStep).Seconds()
 	total, admitted, offered, refused := 0.0, 0.0, 0.0, 0.0
 	for _, level := range offers {
 		total += level.Offered
 		admitted += level.Offered - level.Lacked
 	}
-	for urgency := range y.left {
-		y.left[urgency] *= decay
-		if limit := min(yieldMost, offered/total, yieldRefused*busy*refused/max(admitted, 1)); refused >= yieldLeast && refused > yieldAbove*offered && y.left[urgency] < limit {
-			y.left[urgency] = min(y.left[urgency]+maxGrowth, limit)
+	for urgency := range h.headroom {
+		h.headroom[urgency] *= decay
+		if limit := min(maxHeadroom, offered/total, headroomRefusalFactor*busy*refused/max(admitted, 1)); refused >= headroomMinRefusals && refused > headroomMinRefusalRatio*offered && h.headroom[urgency] < limit {
+			h.headroom[urgency] = min(h.headroom[urgency]+maxGrowth, limit)
 		}
 		offered += offers[urgency].Offered
 		refused += offers[urgency].Lacked
 	}
-	y.compare(offers)
+	h.detectSurge(offers)
 }
 
 // updateBaseline adds the currently offered requests to the baseline.
-func (y *Yielding) learn(elapsed time.Duration, offers *Shortage) {
-	decay := math.Exp(-float64(elapsed) / float64(usualMemory))
-	y.weight = decay*y.weight + 1 - decay
-	for urgency := range y.usual {
-		y.usual[urgency] = decay*y.usual[urgency] + (1-decay)*offers[urgency].Offered
+func (h *Yielding) updateBaseline(elapsed time.Duration, offers *Shortage) {
+	decay := math.Exp(-float64(elapsed) / float64(offerBaselineDecay))
+	h.baselineWeight = decay*h.baselineWeight + 1 - decay
+	for urgency := range h.baseline {
+		h.baseline[urgency] = decay*h.baseline[urgency] + (1-decay)*offers[urgency].Offered
 	}
 }
 
 // detectSurge computes how far the offered requests exceed the baseline beyond random
 // variation.
-func (y *Yielding) compare(offers *Shortage) {
+func (h *Yielding) detectSurge(offers *Shortage) {
 	total := 0.0
-	for _, baseline := range y.usual {
-		total += baseline / y.weight
+	for _, baseline := range h.baseline {
+		total += baseline / h.baselineWeight
 	}
 	offered, baseline := 0.0, 0.0
-	for urgency := range y.more {
-		y.more[urgency] = 0
-		if excess := offered - baseline - riseSpreads*math.Sqrt(baseline); excess > 0 && total > 0 {
-			y.more[urgency] = excess / total
+	for urgency := range h.surge {
+		h.surge[urgency] = 0
+		if excess := offered - baseline - surgeStdDevs*math.Sqrt(baseline); excess > 0 && total > 0 {
+			h.surge[urgency] = excess / total
 		}
 		offered += offers[urgency].Offered
-		baseline += y.usual[urgency] / y.weight
+		baseline += h.baseline[urgency] / h.baselineWeight
 	}
 }
--- a/policy/last_slots_test.go
+++ b/policy/adaptive_headroom_test.go
@@ -9,10 +9,10 @@
 // Several senders compete for a few free slots on a few servers. Without a joint draw the
 // chances at each server would add up: together they must send about as many requests as slots
 // are left, spread over the servers.
-func TestFewSlotsAreTakenOnceAndEvenly(t *testing.T) {
+func TestScarceSlotsAreSharedEvenly(t *testing.T) {
 	const senders, freeServers, freePerServer = 90, 7, 2
 	servers := serversOf(50)
-	maxRunning := int(fullSlots * float64(servers[0].Slots))
+	maxRunning := int(maxSlotShare * float64(servers[0].Slots))
 	for i := range servers {
 		servers[i].Running = maxRunning
 	}
@@ -50,7 +50,7 @@
 
 // When more than usual is offered above a level, the level leaves slots free before any
 // refusal, in proportion to the surge, and none a few seconds later.
-func TestLevelsLeaveWhatRisesAbove(t *testing.T) {
+func TestHeadroomFollowsSurge(t *testing.T) {
 	var headroom Yielding
 	var offers Shortage
 	now, busy := testStart, 0.6
@@ -65,7 +65,7 @@
 	if share := advance(10*time.Second, 200); share > 0.01 {
 		t.Errorf("headroom %.2f without a surge", share)
 	}
-	if share := advance(500*time.Millisecond, 400); share < 0.2 || share > yieldMost {
+	if share := advance(500*time.Millisecond, 400); share < 0.2 || share > maxHeadroom {
 		t.Errorf("headroom %.2f half a second after the more urgent traffic doubled", share)
 	}
 	if own, above := headroom.Share(now, &offers, busy, 3), headroom.Share(now, &offers, busy, 0); own != 0 || above != 0 {
@@ -82,7 +82,7 @@
 }
 
 // A sender that has just started must not mistake the existing traffic for a surge.
-func TestNothingRisesAtTheStart(t *testing.T) {
+func TestNoHeadroomAtStart(t *testing.T) {
 	var headroom Yielding
 	var offers Shortage
 	offers[3].Offered, offers[4].Offered = 300, 100
@@ -109,7 +109,7 @@
 
 // A handful of more urgent requests that find no slot must not take the slots from hundreds of
 // less urgent ones: a level's headroom is at most the share of requests offered above it.
-func TestLevelsLeaveNoMoreThanIsOfferedAbove(t *testing.T) {
+func TestHeadroomIsBoundedByOffersAbove(t *testing.T) {
 	var headroom Yielding
 	var offers Shortage
 	offers[0].Offered, offers[0].Lacked = 8, 4
@@ -121,14 +121,14 @@
 			t.Fatalf("headroom %.2f for 8 requests of 530, %v after the start", share, now.Sub(testStart))
 		}
 	}
-	if share := headroom.Share(testStart.Add(3*time.Second), &offers, 0.9, 4); share < yieldMost-0.05 {
+	if share := headroom.Share(testStart.Add(3*time.Second), &offers, 0.9, 4); share < maxHeadroom-0.05 {
 		t.Errorf("headroom %.2f for 400 requests of 530, many of them refused", share)
 	}
 }
 
 // A few refusals above a level make it leave only a few slots free, however much is offered
 // there: the requests admitted above have their slots already.
-func TestLevelsLeaveAsMuchAsIsRefusedAbove(t *testing.T) {
+func TestHeadroomIsBoundedByRefusalsAbove(t *testing.T) {
 	var headroom Yielding
 	var offers Shortage
 	offers[0].Offered, offers[0].Lacked = 182, 3
--- a/policy/burst_end_test.go
+++ b/policy/burst_end_test.go
@@ -9,7 +9,7 @@
 // simulateSlowPeriod runs summaries of all lengths at half of the engines' prefill rate. The
 // engines are five times as slow for four seconds. Only requests that arrive more than a
 // second after that are counted.
-func slowForAWhile(seed uint64) *directPlay {
+func simulateSlowPeriod(seed uint64) *directPlay {
 	const slowFrom, slowTo, countFrom, end = 3 * time.Second, 7 * time.Second, 8 * time.Second, 12 * time.Second
 	sim := newSeededPlay(seed, 24, 12, true)
 	sim.expectUnseen, sim.sharedFirsts, sim.chunk = true, true, 1024
@@ -33,7 +33,7 @@
 func TestIdleEnginesAreUsedAfterABurst(t *testing.T) {
 	for seed := range uint64(5) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			sim := slowForAWhile(seed)
+			sim := simulateSlowPeriod(seed)
 			inTime, arrived := sim.onTime["summary"], sim.arrived["summary"]
 			t.Logf("in time %d of %d", inTime, arrived)
 			if 10*inTime < 9*arrived {
--- a/policy/room.go
+++ b/policy/capacity.go
@@ -7,18 +7,18 @@
 	// and slotSharePerLevel the share that each less urgent level leaves free for those above.
 	// A full server preempts running work for more urgent requests. Requests that other
 	// senders haven't reported yet need no reservation: admitBySlots accounts for them.
-	fullSlots     = 1.0
-	slotsPerLevel = 0.02
+	maxSlotShare      = 1.0
+	slotSharePerLevel = 0.02
 	// maxConnShare is the share of a server's connections that requests may take. Idle
 	// connections and those of senders that haven't reported yet take the rest.
-	usedConns = 0.7
+	maxConnShare = 0.7
 )
 
 // connsExhausted reports whether the server might reset one more connection. A model server
 // has slots. A plain service queues briefly and answers that it is full, but it resets
 // connections beyond those that it accepts, and then the outcome of their requests is unknown.
 func (s *Server) outOfConns() bool {
-	return s.Conns > 0 && float64(s.inFlight()) >= usedConns*float64(s.Conns)
+	return s.Conns > 0 && float64(s.inFlight()) >= maxConnShare*float64(s.Conns)
 }
 
 // admitBySlots decides at random which servers with a free slot stay eligible for the request.
@@ -68,7 +68,7 @@
 	if job.Tokens == 0 || s.Slots == 0 {
 		return math.Inf(1)
 	}
-	share := fullSlots - slotsPerLevel*float64(job.Urgency) - job.Headroom
+	share := maxSlotShare - slotSharePerLevel*float64(job.Urgency) - job.Headroom
 	return share*float64(s.Slots) - float64(s.inFlight())
 }
 
--- a/policy/class_sizes.go
+++ b/policy/class_sizes.go
@@ -2,13 +2,13 @@
 
 const (
 	// maxMeanSamples is how many requests of a class the mean is taken over.
-	sizeSamples = 100
+	maxMeanSamples = 100
 	// ownSizeWeight is how many samples the request's own size counts as, so that a class
 	// isn't judged by its first few requests.
-	ownSamples = 10
+	ownSizeWeight = 10
 	// maxSampleRatio bounds one sample as a multiple of the mean, so that a few requests that
 	// claim an enormous size don't cause all others to be refused.
-	mostOver = 4.0
+	maxSampleRatio = 4.0
 	// maxSizedClasses bounds the classes that are remembered. When it is exceeded, all are
 	// dropped: names of classes that no longer exist would otherwise accumulate.
 	maxSizedClasses = 1024
@@ -41,9 +41,9 @@
 	}
 	sample := float64(size)
 	if known {
-		sample = min(sample, mostOver*m.mean)
+		sample = min(sample, maxSampleRatio*m.mean)
 	}
-	m.samples = min(m.samples+1, sizeSamples)
+	m.samples = min(m.samples+1, maxMeanSamples)
 	m.mean += (sample - m.mean) / m.samples
 	s.classes[class] = m
 }
@@ -52,5 +52,5 @@
 // request's own size.
 func (s *ClassSizes) Mean(class string, own int) float64 {
 	m := s.classes[class]
-	return (m.samples*m.mean + ownSamples*float64(own)) / (m.samples + ownSamples)
+	return (m.samples*m.mean + ownSizeWeight*float64(own)) / (m.samples + ownSizeWeight)
 }
--- a/policy/class_sizes_test.go
+++ b/policy/class_sizes_test.go
@@ -18,7 +18,7 @@
 		sizes.Observe("question", 800)
 	}
 	for _, size := range []int{3000, 40_000} {
-		want := (sizeSamples*9000 + ownSamples*float64(size)) / (sizeSamples + ownSamples)
+		want := (maxMeanSamples*9000 + ownSizeWeight*float64(size)) / (maxMeanSamples + ownSizeWeight)
 		if got := sizes.Mean("summary", size); math.Abs(got-want) > 0.2*want {
 			t.Errorf("a summary of size %d is judged as %.0f, want about %.0f", size, got, want)
 		}
@@ -29,7 +29,7 @@
 }
 
 // A few requests that claim an enormous size must not change how all others are judged.
-func TestClassSizesBoundOneRequest(t *testing.T) {
+func TestClassSizesBoundSingleSamples(t *testing.T) {
 	var sizes ClassSizes
 	for range 200 {
 		sizes.Observe("question", 800)
--- a/policy/hold_back.go
+++ b/policy/deferral.go
@@ -32,7 +32,7 @@
 	if late || safe {
 		return time.Time{}
 	}
-	until := s.holdEnd(t)
+	until := s.deferralEnd(t)
 	if !now.Before(until) {
 		return time.Time{}
 	}
@@ -40,7 +40,7 @@
 }
 
 // deferralEnd returns when the deferral of t, which might be late here, ends.
-func (s *Scheduler) holdEnd(t Ticket) time.Time {
+func (s *Scheduler) deferralEnd(t Ticket) time.Time {
 	latestStart := t.Deadline.Add(-s.first.usual(ticketSize(t)))
 	if !t.Arrived.Before(latestStart) {
 		return t.Arrived.Add(holdHopeless)
--- a/policy/ejector.go
+++ b/policy/ejector.go
@@ -10,17 +10,17 @@
 	// ejectFailureShare is the share of failures, over about the last eight runs, that ejects
 	// an engine that fails only some of its runs. Such an engine costs more retries than the
 	// retry budget allows.
-	ejectShare = 0.5
+	ejectFailureShare = 0.5
 	// newestOutcomeWeight is the weight of the newest outcome in that share.
-	ejectMemory = 1.0 / 8
+	newestOutcomeWeight = 1.0 / 8
 	// minEjection and maxEjection bound how long an engine stays ejected. The time doubles
 	// with each ejection, so that a flapping engine is rarely tried, and an engine that only
 	// restarted is back within seconds.
-	ejectFirst   = 2 * time.Second
-	ejectLongest = 2 * time.Minute
+	minEjection = 2 * time.Second
+	maxEjection = 2 * time.Minute
 	// healthyAfter is how many consecutive complete answers after its return make an engine as
 	// good as any other.
-	ejectTrust = 8
+	healthyAfter = 8
 )
 
 // Ejector excludes engines that fail real requests from placement for a while. It uses
@@ -34,12 +34,12 @@
 // Healthy engines have no record, so that the state grows with failures and not with engines.
 // Not safe for concurrent use.
 type Ejector struct {
-	records map[string]*ejectRecord
+	records map[string]*ejectionRecord
 }
 
 // NewEjector returns an Ejector without ejected engines.
 func NewEjector() *Ejector {
-	return &Ejector{records: map[string]*ejectRecord{}}
+	return &Ejector{records: map[string]*ejectionRecord{}}
 }
 
 // Observe records the outcome of a run on an engine. Only failures and complete answers count;
@@ -56,7 +56,7 @@
 func (e *Ejector) failed(now time.Time, engine string) {
 	r := e.records[engine]
 	if r == nil {
-		r = &ejectRecord{}
+		r = &ejectionRecord{}
 		e.records[engine] = r
 	}
 	if now.Before(r.until) {
@@ -72,7 +72,7 @@
 		return
 	}
 	r.succeeded()
-	if r.trusted >= ejectTrust {
+	if r.successes >= healthyAfter {
 		delete(e.records, engine)
 	}
 }
--- a/policy/ejector_test.go
+++ b/policy/ejector_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestEjectionDoublesAndHeals(t *testing.T) {
+func TestEjectionDoublesAndRecovers(t *testing.T) {
 	e := NewEjector()
 	now := testStart
 	for range ejectAfter - 1 {
@@ -14,14 +14,14 @@
 	if e.Ejected(now, "a") {
 		t.Fatalf("ejected after %d failures", ejectAfter-1)
 	}
-	for duration := ejectFirst; duration <= ejectLongest; duration *= 2 {
+	for duration := minEjection; duration <= maxEjection; duration *= 2 {
 		e.Observe(now, "a", OutcomeFailed)
 		if !e.Ejected(now.Add(duration-1), "a") || e.Ejected(now.Add(duration), "a") {
 			t.Fatalf("not ejected for exactly %v", duration)
 		}
 		now = now.Add(duration)
 	}
-	for range ejectTrust {
+	for range healthyAfter {
 		e.Observe(now, "a", OutcomeWhole)
 	}
 	if len(e.records) != 0 {
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestEjectionBySharesOnly(t *testing.T) {
+func TestEjectionByFailureShare(t *testing.T) {
 	e := NewEjector()
 	for i := range 40 {
 		o := OutcomeWhole
@@ -58,7 +58,7 @@
 			allowed++
 		}
 	}
-	if allowed < 100 || allowed > 100+retryReserve {
+	if allowed < 100 || allowed > 100+maxRetryBalance {
 		t.Errorf("%d retries allowed for 1000 requests", allowed)
 	}
 	if b.Allow(testStart) || !b.Allow(testStart.Add(time.Minute)) {
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestHint(t *testing.T) {
+func TestCombineRetryAfter(t *testing.T) {
 	refusals := []Decision{{RetryAfter: 9 * time.Second}, {RetryAfter: 4 * time.Second}, {RetryAfter: 30 * time.Second}}
 	for n, want := range map[int]time.Duration{1: 9 * time.Second, 2: 9 * time.Second, 3: 9 * time.Second} {
 		if got := Hint(refusals[:n]); got != want {
--- a/policy/limit_window.go
+++ b/policy/limiter_window.go
@@ -45,8 +45,8 @@
 	good int
 	// ratio is the recent mean of time between tokens divided by its target, by tier, and
 	// ratioSamples the number of samples in it.
-	ratio  [tierCount]float64
-	ratios [tierCount]int
+	ratio        [tierCount]float64
+	ratioSamples [tierCount]int
 	// streams is the largest number of streams that produced tokens when a first token was
 	// delayed. A full engine runs that many of ours.
 	streams int
@@ -65,8 +65,8 @@
 
 // interval adds a tier's time between tokens, divided by its target.
 func (w *limitWindow) interval(tier Tier, ratio float64) {
-	w.ratios[tier]++
-	weight := max(1.0/intervalSamples, 1/float64(w.ratios[tier]))
+	w.ratioSamples[tier]++
+	weight := max(1.0/intervalSamples, 1/float64(w.ratioSamples[tier]))
 	w.ratio[tier] += weight * (ratio - w.ratio[tier])
 }
 
@@ -103,7 +103,7 @@
 // zero if there are too few samples.
 func (w *limitWindow) worstRatio() float64 {
 	worst := 0.0
-	for tier, n := range w.ratios {
+	for tier, n := range w.ratioSamples {
 		if n >= intervalSamples {
 			worst = max(worst, w.ratio[tier])
 		}
--- a/policy/shortage.go
+++ b/policy/offer_counts.go
@@ -7,7 +7,7 @@
 
 // offerDecay is the time constant for averaging offered and refused requests. It spans a few
 // gossip intervals, so that the first second of a burst counts and single refusals don't.
-const shortageMemory = 500 * time.Millisecond
+const offerDecay = 500 * time.Millisecond
 
 // OfferCounts holds, for each urgency level, how many requests were offered to a service's
 // servers lately and how many of them were refused only for lack of a slot. The counts decay
@@ -18,21 +18,21 @@
 }
 
 // Add adds other counts to s, or subtracts them if sign is -1.
-func (s *Shortage) Add(other *Shortage, sign float64) {
-	for i := range s {
-		s[i].Offered += sign * other[i].Offered
-		s[i].Lacked += sign * other[i].Lacked
+func (c *Shortage) Add(other *Shortage, sign float64) {
+	for i := range c {
+		c[i].Offered += sign * other[i].Offered
+		c[i].Lacked += sign * other[i].Lacked
 	}
 }
 
 // Expected returns how many requests of all urgency levels are expected to be offered within
 // d.
-func (s *Shortage) Within(d time.Duration) float64 {
+func (c *Shortage) Within(d time.Duration) float64 {
 	offered := 0.0
-	for _, level := range s {
+	for _, level := range c {
 		offered += level.Offered
 	}
-	return offered * float64(d) / float64(shortageMemory)
+	return offered * float64(d) / float64(offerDecay)
 }
 
 // OfferCounter maintains one sender's OfferCounts with exponential decay. Not safe for
@@ -45,7 +45,7 @@
 // Observe counts a request of an urgency level; noSlot says that it was refused only for lack
 // of a slot.
 func (c *ShortageCount) Offered(now time.Time, urgency int, noSlot bool) {
-	c.fade(now)
+	c.decay(now)
 	c.counts[urgency].Offered++
 	if noSlot {
 		c.counts[urgency].Lacked++
@@ -54,13 +54,13 @@
 
 // Counts returns the counts, decayed to now.
 func (c *ShortageCount) Counts(now time.Time) Shortage {
-	c.fade(now)
+	c.decay(now)
 	return c.counts
 }
 
-func (c *ShortageCount) fade(now time.Time) {
+func (c *ShortageCount) decay(now time.Time) {
 	if !c.last.IsZero() {
-		factor := math.Exp(-float64(now.Sub(c.last)) / float64(shortageMemory))
+		factor := math.Exp(-float64(now.Sub(c.last)) / float64(offerDecay))
 		for i := range c.counts {
 			c.counts[i].Offered *= factor
 			c.counts[i].Lacked *= factor
--- a/policy/limit_draw.go
+++ b/policy/over_limit.go
@@ -21,7 +21,7 @@
 	}
 	withRoom := 0
 	for i := range servers {
-		if servers[i].leaves(job) > 0 {
+		if servers[i].limitRemaining(job) > 0 {
 			withRoom++
 		}
 	}
@@ -29,27 +29,27 @@
 	others := min(job.UnseenOffers, job.OtherSenders) * min(1, drawn/float64(max(withRoom, 1)))
 	for i := range servers {
 		if s := &servers[i]; s.Limited {
-			remaining, limit := s.leaves(job), l.servers[s.Start]
-			s.Beyond = remaining <= 0 || !limit.draws(now, random, (limit.meanwhile()+remaining)/(limit.meanwhile()+others))
+			remaining, limit := s.limitRemaining(job), l.servers[s.Start]
+			s.Beyond = remaining <= 0 || !limit.draw(now, random, (limit.sendsPerRedraw()+remaining)/(limit.sendsPerRedraw()+others))
 		}
 	}
 }
 
 // draw reports whether the sender wins a draw of the given probability.
-func (s *serverLimit) draws(now time.Time, random *rand.Rand, probability float64) bool {
-	if now.Sub(s.lost) < drawAgain {
+func (s *serverLimit) draw(now time.Time, random *rand.Rand, probability float64) bool {
+	if now.Sub(s.drawLost) < redrawInterval {
 		return false
 	}
 	if random.Float64() < probability {
 		return true
 	}
-	s.lost = now
+	s.drawLost = now
 	return false
 }
 
 // limitRemaining returns how many requests of the job's urgency the server's limit still
 // allows; 1 if it has none.
-func (s *Server) leaves(job *Job) float64 {
+func (s *Server) limitRemaining(job *Job) float64 {
 	if !s.Limited {
 		return 1
 	}
@@ -61,8 +61,8 @@
 func soonestFree(servers []Server, candidate func(*Server) bool) (soonest time.Duration, found bool) {
 	for i := range servers {
 		s := &servers[i]
-		if s.Beyond && candidate(s) && (!found || s.Allowance.FreeIn < soonest) {
-			soonest, found = s.Allowance.FreeIn, true
+		if s.Beyond && candidate(s) && (!found || s.Allowance.AvailableIn < soonest) {
+			soonest, found = s.Allowance.AvailableIn, true
 		}
 	}
 	return soonest, found
--- a/policy/quarantine.go
+++ b/policy/quarantine.go
@@ -12,13 +12,13 @@
 	// is quarantined.
 	quarantineAfter = 3
 	// suspectTTL is for how long a suspect is remembered after its last arrival.
-	suspectKept = time.Hour
+	suspectTTL = time.Hour
 	// minSeenAdvance is by how much an arrival reported by another sender must be later than
 	// the known one to replace it: arrivals seem newer each time that they are relayed.
-	seenAgain = time.Minute
+	minSeenAdvance = time.Minute
 	// maxSuspects bounds the suspects. The one with the fewest crashes is evicted first, and
 	// of several the one that was seen least recently.
-	mostSuspects = 4096
+	maxSuspects = 4096
 	// suspicionRepeats is how many times a change is sent, to make up for lost datagrams.
 	suspicionRepeats = 3
 	// maxPerDatagram bounds the changed suspicions sent at once.
@@ -83,7 +83,7 @@
 	// pending holds the suspects with changes to send to other senders, oldest first.
 	pending []Fingerprint
 	// roundRobin holds the suspects that are sent in turn even without changes.
-	turn []Fingerprint
+	roundRobin []Fingerprint
 	// answered holds the recent complete answers at this sender.
 	answered recentAnswers
 	runs     suspectRuns
@@ -100,18 +100,18 @@
 // ObserveCrash records that a server instance ended while it ran a request. It reports whether
 // the request is newly quarantined as a result.
 func (q *Quarantine) Crashed(now time.Time, f Fingerprint, start Key) bool {
-	before := q.find()[f]
-	if q.note(f, q.answered.last(f), Crash{Start: start, At: now}) {
+	before := q.quarantinedSet()[f]
+	if q.record(f, q.answered.last(f), Crash{Start: start, At: now}) {
 		q.announce(f, q.suspects[f])
 	}
 	q.suspects[f].seen = now
-	return !before && q.find()[f]
+	return !before && q.quarantinedSet()[f]
 }
 
 // ObserveAnswer records a server's complete answer to a request.
 func (q *Quarantine) Answered(now time.Time, f Fingerprint) {
 	q.answered.add(now, f)
-	if s := q.suspects[f]; s != nil && len(s.crashes) > 0 && q.note(f, now) {
+	if s := q.suspects[f]; s != nil && len(s.crashes) > 0 && q.record(f, now) {
 		q.announce(f, s)
 	}
 }
@@ -124,11 +124,11 @@
 		return false
 	}
 	s.seen = now
-	return q.find()[f]
+	return q.quarantinedSet()[f]
 }
 
 // Len returns the number of quarantined fingerprints.
-func (q *Quarantine) Len() int { return len(q.find()) }
+func (q *Quarantine) Len() int { return len(q.quarantinedSet()) }
 
 // Suspicion returns what is known about a request; without crashes if nothing is.
 func (q *Quarantine) Suspicion(f Fingerprint) Suspicion {
@@ -142,15 +142,15 @@
 // one of them, the clearance is sent to the others.
 func (q *Quarantine) Merge(now time.Time, suspicions []Suspicion) {
 	for _, update := range suspicions {
-		if now.Sub(update.Seen) > suspectKept {
+		if now.Sub(update.Seen) > suspectTTL {
 			continue
 		}
-		q.note(update.Fingerprint, update.Cleared, update.Crashes...)
+		q.record(update.Fingerprint, update.Cleared, update.Crashes...)
 		s := q.suspects[update.Fingerprint]
-		if update.Seen.Sub(s.seen) > seenAgain {
+		if update.Seen.Sub(s.seen) > minSeenAdvance {
 			s.seen = update.Seen
 		}
-		if last := q.answered.last(update.Fingerprint); !last.IsZero() && q.note(update.Fingerprint, last) {
+		if last := q.answered.last(update.Fingerprint); !last.IsZero() && q.record(update.Fingerprint, last) {
 			q.announce(update.Fingerprint, s)
 		}
 	}
@@ -158,11 +158,11 @@
 
 // record merges a complete answer, if there was one, and crashes into the state of a request.
 // It reports whether that changed the state.
-func (q *Quarantine) note(f Fingerprint, cleared time.Time, crashes ...Crash) bool {
+func (q *Quarantine) record(f Fingerprint, cleared time.Time, crashes ...Crash) bool {
 	s := q.suspect(f)
 	changed := s.clear(cleared)
 	for _, c := range crashes {
-		changed = s.crashed(c) || changed
+		changed = s.addCrash(c) || changed
 	}
 	if changed {
 		q.quarantined = nil
@@ -185,30 +185,30 @@
 			remaining = append(remaining, f)
 		default:
 			updates = append(updates, s.suspicion(f))
-			if s.tellings--; s.tellings > 0 {
+			if s.sendsLeft--; s.sendsLeft > 0 {
 				remaining = append(remaining, f)
 			}
 		}
 	}
 	q.pending = remaining
-	if f, ok := q.next(); ok && !slices.Contains(q.pending, f) {
+	if f, ok := q.nextRoundRobin(); ok && !slices.Contains(q.pending, f) {
 		updates = append(updates, q.suspects[f].suspicion(f))
 	}
 	return updates
 }
 
 // nextRoundRobin returns the next suspect to send in turn, or false if there is none.
-func (q *Quarantine) next() (Fingerprint, bool) {
-	if len(q.turn) == 0 {
+func (q *Quarantine) nextRoundRobin() (Fingerprint, bool) {
+	if len(q.roundRobin) == 0 {
 		for f, s := range q.suspects {
 			if s.repeated {
-				q.turn = append(q.turn, f)
+				q.roundRobin = append(q.roundRobin, f)
 			}
 		}
 	}
-	for len(q.turn) > 0 {
-		f := q.turn[len(q.turn)-1]
-		q.turn = q.turn[:len(q.turn)-1]
+	for len(q.roundRobin) > 0 {
+		f := q.roundRobin[len(q.roundRobin)-1]
+		q.roundRobin = q.roundRobin[:len(q.roundRobin)-1]
 		if q.suspects[f] != nil {
 			return f, true
 		}
@@ -218,18 +218,18 @@
 
 // announce queues a suspect to be sent to other senders suspicionRepeats times.
 func (q *Quarantine) announce(f Fingerprint, s *suspect) {
-	if s.tellings <= 0 {
+	if s.sendsLeft <= 0 {
 		q.pending = append(q.pending, f)
 	}
-	s.tellings = suspicionRepeats
+	s.sendsLeft = suspicionRepeats
 }
 
 // suspect returns the state of a request, and creates it if needed.
 func (q *Quarantine) suspect(f Fingerprint) *suspect {
 	s := q.suspects[f]
 	if s == nil {
-		if len(q.suspects) >= mostSuspects {
-			q.dropOldest()
+		if len(q.suspects) >= maxSuspects {
+			q.evict()
 		}
 		s = &suspect{}
 		q.suspects[f] = s
@@ -238,11 +238,11 @@
 }
 
 // evict drops the suspect that evictBefore orders first.
-func (q *Quarantine) dropOldest() {
+func (q *Quarantine) evict() {
 	var oldest Fingerprint
 	var oldestSuspect *suspect
 	for f, s := range q.suspects {
-		if oldestSuspect == nil || s.before(oldestSuspect) {
+		if oldestSuspect == nil || s.evictBefore(oldestSuspect) {
 			oldest, oldestSuspect = f, s
 		}
 	}
@@ -257,7 +257,7 @@
 	}
 	q.swept = now
 	before := len(q.suspects)
-	maps.DeleteFunc(q.suspects, func(_ Fingerprint, s *suspect) bool { return now.Sub(s.seen) > suspectKept })
+	maps.DeleteFunc(q.suspects, func(_ Fingerprint, s *suspect) bool { return now.Sub(s.seen) > suspectTTL })
 	if len(q.suspects) != before {
 		q.quarantined = nil
 	}
@@ -267,7 +267,7 @@
 // each round takes the suspect with the most crashes that no other explains yet. All senders
 // with the same information get the same result. A request that was quarantined for another
 // one's crashes is released by the next crash that it wasn't running at.
-func (q *Quarantine) find() map[Fingerprint]bool {
+func (q *Quarantine) quarantinedSet() map[Fingerprint]bool {
 	if q.quarantined != nil {
 		return q.quarantined
 	}
--- a/policy/quarantine_test.go
+++ b/policy/quarantine_test.go
@@ -8,7 +8,7 @@
 )
 
 // instances returns the keys of server instances.
-func starts(names ...string) []Key {
+func instances(names ...string) []Key {
 	keys := make([]Key, len(names))
 	for i, name := range names {
 		keys[i] = KeyOf(name)
@@ -20,7 +20,7 @@
 // other.
 func TestRequestIsQuarantinedAfterThreeCrashes(t *testing.T) {
 	q := NewQuarantine()
-	for i, instance := range starts("a", "b", "c") {
+	for i, instance := range instances("a", "b", "c") {
 		if q.Quarantined(testStart, 7) {
 			t.Fatalf("quarantined after %d crashes", i)
 		}
@@ -34,9 +34,9 @@
 
 // Guards against refusing a popular request for good because it ran beside a culprit at
 // several crashes.
-func TestWholeAnswerClearsARequestOfEarlierCrashes(t *testing.T) {
+func TestCompleteAnswerClearsEarlierCrashes(t *testing.T) {
 	q := NewQuarantine()
-	for _, instance := range starts("a", "b") {
+	for _, instance := range instances("a", "b") {
 		q.Crashed(testStart, 7, instance)
 	}
 	q.Answered(testStart.Add(time.Second), 7)
@@ -51,7 +51,7 @@
 
 // Guards against quarantining a request that ran beside a culprit at some of its crashes, or
 // at the last one of each of several culprits.
-func TestInnocentRequestsBesideCulpritsGoOn(t *testing.T) {
+func TestInnocentRequestsBesideCulpritsAreNotQuarantined(t *testing.T) {
 	q := NewQuarantine()
 	const innocent = 1
 	for culprit := Fingerprint(10); culprit < 13; culprit++ {
@@ -67,9 +67,9 @@
 
 // A request that was running at all crashes of a culprit can't be distinguished from it. If
 // the wrong one is quarantined, the culprit's next crash must release it.
-func TestWronglyHeldRequestGoesFreeWithTheNextCrash(t *testing.T) {
+func TestWronglyQuarantinedRequestIsReleasedByNextCrash(t *testing.T) {
 	q := NewQuarantine()
-	for _, instance := range starts("a", "b", "c") {
+	for _, instance := range instances("a", "b", "c") {
 		q.Crashed(testStart, 1, instance)
 		q.Crashed(testStart, 2, instance)
 	}
@@ -82,28 +82,28 @@
 	}
 }
 
-func TestSuspectsAreBoundedAndForgotten(t *testing.T) {
+func TestSuspectsAreBoundedAndExpire(t *testing.T) {
 	q := NewQuarantine()
-	for _, instance := range starts("a", "b", "c") {
+	for _, instance := range instances("a", "b", "c") {
 		q.Crashed(testStart, 1, instance)
 	}
-	for f := range Fingerprint(2 * mostSuspects) {
+	for f := range Fingerprint(2 * maxSuspects) {
 		q.Crashed(testStart.Add(time.Second), 100+f, KeyOf("d"))
 	}
-	if len(q.suspects) > mostSuspects || !q.Quarantined(testStart.Add(time.Second), 1) {
+	if len(q.suspects) > maxSuspects || !q.Quarantined(testStart.Add(time.Second), 1) {
 		t.Errorf("%d suspects, the culprit quarantined: %v", len(q.suspects), q.Quarantined(testStart, 1))
 	}
 	// The culprit arrives again from time to time.
 	now := testStart
 	for range 4 {
-		now = now.Add(suspectKept / 2)
+		now = now.Add(suspectTTL / 2)
 		q.Quarantined(now, 1)
 		q.News(now)
 	}
 	if len(q.suspects) != 1 || !q.Quarantined(now, 1) {
 		t.Errorf("%d suspects after two hours, want the one that keeps arriving", len(q.suspects))
 	}
-	q.News(now.Add(2 * suspectKept))
+	q.News(now.Add(2 * suspectTTL))
 	if !q.Empty() {
 		t.Error("a request that stopped arriving is still remembered")
 	}
@@ -111,12 +111,12 @@
 
 // crashSimulation simulates a request that crashes servers and is retried at random senders,
 // beside innocent requests. Senders inform each other by datagrams, some of which are lost.
-type crashPlay struct {
+type crashSimulation struct {
 	senders []*Quarantine
 	random  *rand.Rand
 	// disconnected holds the senders whose datagrams are lost in both directions.
-	cut map[int]bool
-	now time.Time
+	disconnected map[int]bool
+	now          time.Time
 	// sent counts the culprit's runs, each of which ends a server; refused counts the innocent
 	// requests that were quarantined.
 	sent, refused int
@@ -127,8 +127,8 @@
 	gossipInterval = 100 * time.Millisecond
 )
 
-func newCrashPlay(senders int, seed uint64) *crashPlay {
-	sim := &crashPlay{random: rand.New(rand.NewPCG(seed, 1)), cut: map[int]bool{}, now: testStart}
+func newCrashSimulation(senders int, seed uint64) *crashSimulation {
+	sim := &crashSimulation{random: rand.New(rand.NewPCG(seed, 1)), disconnected: map[int]bool{}, now: testStart}
 	for range senders {
 		sim.senders = append(sim.senders, NewQuarantine())
 	}
@@ -137,11 +137,11 @@
 
 // broadcast sends every sender's updates to all others; lossRate is the share of datagrams
 // that are lost.
-func (sim *crashPlay) tell(lossRate float64) {
+func (sim *crashSimulation) broadcast(lossRate float64) {
 	for i, from := range sim.senders {
 		updates := from.News(sim.now)
 		for j, to := range sim.senders {
-			if i != j && !sim.cut[i] && !sim.cut[j] && sim.random.Float64() >= lossRate {
+			if i != j && !sim.disconnected[i] && !sim.disconnected[j] && sim.random.Float64() >= lossRate {
 				to.Merge(sim.now, updates)
 			}
 		}
@@ -150,7 +150,7 @@
 
 // step simulates one gossip interval. The culprit arrives the given number of times at random
 // senders, and innocent requests, each arriving once, run on the servers that it ends.
-func (sim *crashPlay) step(lossRate float64, arrivals int) {
+func (sim *crashSimulation) step(lossRate float64, arrivals int) {
 	for range arrivals {
 		sender := sim.random.IntN(len(sim.senders))
 		if sim.senders[sender].Quarantined(sim.now, culprit) {
@@ -172,17 +172,17 @@
 	for range 10 {
 		sim.senders[sim.random.IntN(len(sim.senders))].Answered(sim.now, Fingerprint(100+sim.random.IntN(40)))
 	}
-	sim.tell(lossRate)
+	sim.broadcast(lossRate)
 	sim.now = sim.now.Add(gossipInterval)
 }
 
 // Guards against each sender counting only its own crashes, so that retries accumulate over
 // all senders.
-func TestSendersQuarantineTogether(t *testing.T) {
+func TestSendersShareSuspicions(t *testing.T) {
 	for _, senders := range []int{2, 6, 68} {
 		for _, lossRate := range []float64{0, 0.3} {
 			t.Run(fmt.Sprintf("senders=%d loss=%v", senders, lossRate), func(t *testing.T) {
-				sim := newCrashPlay(senders, 1)
+				sim := newCrashSimulation(senders, 1)
 				for range 100 {
 					sim.step(lossRate, 1)
 				}
@@ -200,17 +200,17 @@
 
 // A sender that starts or restarts knows of no crashes. If it had to observe three of its own,
 // each start would cost three more servers.
-func TestSenderThatStartsLearnsWhatIsQuarantined(t *testing.T) {
-	sim := newCrashPlay(6, 2)
+func TestStartingSenderLearnsQuarantine(t *testing.T) {
+	sim := newCrashSimulation(6, 2)
 	for range 30 {
 		sim.step(0, 1)
 	}
 	sent := sim.sent
 	for at := range 20 {
 		sim.senders[at%6] = NewQuarantine()
-		sim.tell(0.3)
+		sim.broadcast(0.3)
 		sim.now = sim.now.Add(gossipInterval)
-		sim.tell(0.3)
+		sim.broadcast(0.3)
 		sim.now = sim.now.Add(gossipInterval)
 		sim.step(0.3, 1)
 	}
@@ -219,15 +219,15 @@
 	}
 }
 
-func TestSenderThatWasCutOffLearnsWhatIsQuarantined(t *testing.T) {
-	sim := newCrashPlay(6, 3)
-	sim.cut[0] = true
+func TestReconnectedSenderLearnsQuarantine(t *testing.T) {
+	sim := newCrashSimulation(6, 3)
+	sim.disconnected[0] = true
 	for range 50 {
 		sim.step(0, 1)
 	}
-	sim.cut[0] = false
+	sim.disconnected[0] = false
 	for range 10 {
-		sim.tell(0.3)
+		sim.broadcast(0.3)
 		sim.now = sim.now.Add(gossipInterval)
 	}
 	if !sim.senders[0].Quarantined(sim.now, culprit) {
@@ -237,7 +237,7 @@
 
 // Servers that crash for reasons of their own end all their requests. Frequent requests are
 // running at every crash and must not be refused because of it.
-func TestCrashesWithoutACulpritQuarantineNothing(t *testing.T) {
+func TestCrashesWithoutCulpritQuarantineNothing(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 1))
 	q, now := NewQuarantine(), testStart
 	const popular, crashes, perCrash = 60, 300, 20
@@ -269,10 +269,10 @@
 }
 
 // One gateway received a complete answer to the request, another lost it with a server.
-func TestWhoAnsweredARequestSetsItFreeForAll(t *testing.T) {
+func TestCompleteAnswerAtOneSenderClearsForAll(t *testing.T) {
 	a, b := NewQuarantine(), NewQuarantine()
 	a.Answered(testStart, 7)
-	for _, instance := range starts("a", "b", "c") {
+	for _, instance := range instances("a", "b", "c") {
 		b.Crashed(testStart.Add(time.Second), 7, instance)
 	}
 	now := testStart.Add(2 * time.Second)
@@ -286,10 +286,10 @@
 }
 
 // A request that was harmless crashes servers of the next release.
-func TestRequestThatWasAnsweredLongAgoIsQuarantined(t *testing.T) {
+func TestRequestAnsweredLongAgoIsQuarantined(t *testing.T) {
 	q := NewQuarantine()
 	q.Answered(testStart, 7)
-	for i, instance := range starts("a", "b", "c", "d") {
+	for i, instance := range instances("a", "b", "c", "d") {
 		q.Crashed(testStart.Add(clearedFor/2+time.Duration(i)*clearedFor), 7, instance)
 	}
 	if !q.Quarantined(testStart, 7) {
@@ -299,8 +299,8 @@
 
 // Guards against senders that report a request to each other in turn and so never forget it
 // after it has stopped arriving.
-func TestRequestThatStaysAwayIsForgottenByAll(t *testing.T) {
-	sim := newCrashPlay(6, 5)
+func TestSuspectExpiresAtAllSenders(t *testing.T) {
+	sim := newCrashSimulation(6, 5)
 	for range 30 {
 		sim.step(0, 1)
 	}
@@ -315,15 +315,15 @@
 		t.Fatalf("quarantined by %d senders of %d", quarantined(), len(sim.senders))
 	}
 	// The culprit arrives again at one sender, so all of them remember it.
-	sim.now = sim.now.Add(suspectKept / 2)
+	sim.now = sim.now.Add(suspectTTL / 2)
 	sim.senders[0].Quarantined(sim.now, culprit)
 	for range 20 {
-		sim.tell(0.3)
+		sim.broadcast(0.3)
 		sim.now = sim.now.Add(gossipInterval)
 	}
-	sim.now = sim.now.Add(suspectKept * 3 / 4)
+	sim.now = sim.now.Add(suspectTTL * 3 / 4)
 	for range 20 {
-		sim.tell(0.3)
+		sim.broadcast(0.3)
 		sim.now = sim.now.Add(gossipInterval)
 	}
 	if quarantined() != len(sim.senders) {
@@ -331,7 +331,7 @@
 	}
 	for range 60 {
 		sim.now = sim.now.Add(time.Minute)
-		sim.tell(0.3)
+		sim.broadcast(0.3)
 	}
 	if quarantined() != 0 {
 		t.Errorf("quarantined by %d senders after it stopped arriving", quarantined())
--- a/policy/granted_lately.go
+++ b/policy/recent_grants.go
@@ -5,8 +5,8 @@
 // recentGrants tracks which classes were granted a ticket within the last starvedAfter. Its
 // size is bounded by the number of grants in that time.
 type grantedLately struct {
-	at    map[string]time.Time
-	order []classGrant
+	latest map[string]time.Time
+	order  []classGrant
 }
 
 // classGrant is the time of a grant to a class.
@@ -16,34 +16,34 @@
 }
 
 func newGrantedLately() grantedLately {
-	return grantedLately{at: map[string]time.Time{}}
+	return grantedLately{latest: map[string]time.Time{}}
 }
 
 // add records a grant to a class.
 func (g *grantedLately) add(now time.Time, class string) {
-	g.forget(now)
-	if _, known := g.at[class]; !known {
+	g.expire(now)
+	if _, known := g.latest[class]; !known {
 		g.order = append(g.order, classGrant{class: class, at: now})
 	}
-	g.at[class] = now
+	g.latest[class] = now
 }
 
 // contains reports whether a class was granted a ticket within the last starvedAfter.
 func (g *grantedLately) has(now time.Time, class string) bool {
-	g.forget(now)
-	_, known := g.at[class]
+	g.expire(now)
+	_, known := g.latest[class]
 	return known
 }
 
 // expire drops grants older than starvedAfter. Each class is in order once: if it was granted
 // again since it was queued, it moves to the end with its latest time.
-func (g *grantedLately) forget(now time.Time) {
+func (g *grantedLately) expire(now time.Time) {
 	for len(g.order) > 0 && now.Sub(g.order[0].at) >= starvedAfter {
 		oldest := g.order[0]
 		g.order = g.order[1:]
-		latest := g.at[oldest.class]
+		latest := g.latest[oldest.class]
 		if now.Sub(latest) >= starvedAfter {
-			delete(g.at, oldest.class)
+			delete(g.latest, oldest.class)
 			continue
 		}
 		g.order = append(g.order, classGrant{class: oldest.class, at: latest})
--- a/policy/reserve.go
+++ b/policy/reserve.go
@@ -6,7 +6,7 @@
 	// lastUrgentTier is the least urgent tier that slots are reserved for.
 	urgentTier Tier = 1
 	// reservedShare is the share of the slots that is reserved; at least one slot is.
-	reserveShare = 1.0 / 8
+	reservedShare = 1.0 / 8
 	// overflowDelay is how long a top-tier ticket waits for a free slot before it exceeds the
 	// limit or has a run cancelled. Another engine that holds a copy of the ticket and has a
 	// free slot answers within that time, which is several round trips between availability
@@ -21,7 +21,7 @@
 
 // reservedSlots returns how many slots of a limit are reserved for the urgent tiers.
 func reserveOf(limit int) int {
-	return max(1, int(float64(limit)*reserveShare))
+	return max(1, int(float64(limit)*reservedShare))
 }
 
 // canStart reports whether a waiting ticket may start now.
@@ -41,18 +41,18 @@
 	running := len(s.running.byID)
 	switch {
 	case w.ticket.Tier == TopTier:
-		return running < limit+s.overflow(now, w)
+		return running < limit+s.overflowSlots(now, w)
 	case w.ticket.Tier <= urgentTier:
 		return running < limit
 	case w.ticket.Preemptible:
-		return running < limit+s.limiter.trial() && s.running.lower < s.lowerSlots()
+		return running < limit+s.limiter.trial() && s.running.lower < s.lowerTierSlots()
 	default:
-		return running < limit-reserveOf(limit) && s.running.lower < s.lowerSlots()
+		return running < limit-reserveOf(limit) && s.running.lower < s.lowerTierSlots()
 	}
 }
 
 // overflowSlots returns by how many slots a top-tier ticket may exceed the limit.
-func (s *Scheduler) overflow(now time.Time, w *waiting) int {
+func (s *Scheduler) overflowSlots(now time.Time, w *waiting) int {
 	if now.Sub(w.ticket.Arrived) < overflowAfter {
 		return 0
 	}
@@ -60,17 +60,17 @@
 }
 
 // lowerTierSlots returns how many slots the tiers below the urgent ones may use.
-func (s *Scheduler) lowerSlots() int {
+func (s *Scheduler) lowerTierSlots() int {
 	if s.limiter.probing {
 		return s.limiter.limit + s.limiter.trial()
 	}
 	return max(1, s.limiter.limit-s.urgent.slots())
 }
 
-// slotsFor returns how many slots a tier may use.
+// slotsFor returns the maximum number of concurrent runs of a tier.
 func (s *Scheduler) slots(t Tier) int {
 	if t <= urgentTier {
 		return s.limiter.limit
 	}
-	return s.lowerSlots()
+	return s.lowerTierSlots()
 }
--- a/policy/hint_test.go
+++ b/policy/retry_after_test.go
@@ -8,7 +8,7 @@
 // Simulates bursts of eight seconds on one engine and on four. Retries at the stated time must
 // usually succeed, and few callers may be told to retry during the burst, when the retry would
 // fail.
-func TestHintsAreHonest(t *testing.T) {
+func TestRetryAfterIsAccurate(t *testing.T) {
 	t.Parallel()
 	for _, engines := range []int{1, 4} {
 		for _, factor := range []float64{2, 4, 8} {
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -5,13 +5,13 @@
 const (
 	// retryRatio is how many retries each new request earns. If every engine fails, load grows
 	// by a tenth instead of multiplying.
-	retryShare = 0.1
+	retryRatio = 0.1
 	// maxRetryBalance bounds the saved retries. Ten let the crash of one engine with a full
 	// batch be retried at once, and keep a quiet day from paying for a retry storm.
-	retryReserve = 10
+	maxRetryBalance = 10
 	// idleRetryRate is how many retries are earned per second without traffic, so that a
 	// service with one request a minute still gets its retry.
-	retryTrickle = 0.2
+	idleRetryRate = 0.2
 )
 
 // RetryBudget is a token bucket that allows retries as a share of new requests.
@@ -22,18 +22,18 @@
 // concurrent use.
 type RetryBudget struct {
 	balance float64
-	last    time.Time
+	updated time.Time
 }
 
 // NewRetryBudget returns a RetryBudget with a full balance.
 func NewRetryBudget() *RetryBudget {
-	return &RetryBudget{balance: retryReserve}
+	return &RetryBudget{balance: maxRetryBalance}
 }
 
 // CountRequest counts a request that is not a retry.
 func (b *RetryBudget) Fresh(now time.Time) {
 	b.advance(now)
-	b.earn(retryShare)
+	b.credit(retryRatio)
 }
 
 // Allow reports whether a retry may be made now, and if so spends it.
@@ -47,12 +47,12 @@
 }
 
 func (b *RetryBudget) advance(now time.Time) {
-	if !b.last.IsZero() && now.After(b.last) {
-		b.earn(retryTrickle * now.Sub(b.last).Seconds())
+	if !b.updated.IsZero() && now.After(b.updated) {
+		b.credit(idleRetryRate * now.Sub(b.updated).Seconds())
 	}
-	b.last = now
+	b.updated = now
 }
 
-func (b *RetryBudget) earn(retries float64) {
-	b.balance = min(retryReserve, b.balance+retries)
+func (b *RetryBudget) credit(retries float64) {
+	b.balance = min(maxRetryBalance, b.balance+retries)
 }
--- a/policy/come_back.go
+++ b/policy/retry_delay.go
@@ -4,7 +4,7 @@
 
 // retryDelayShare is the share of the target after which a request refused for lack of
 // capacity is told to retry. Most of the target is left for the answer.
-const comeBackPart = 0.2
+const retryDelayShare = 0.2
 
 // RetryDelay returns after what time a refused request with a latency target should retry.
 //
@@ -13,5 +13,5 @@
 // delay the answer is late in any case, and the request competes with new requests that can
 // still be in time. Callers retry once, so spreading retries over longer times gains nothing.
 func ComeBack(target time.Duration) time.Duration {
-	return time.Duration(comeBackPart * float64(target))
+	return time.Duration(retryDelayShare * float64(target))
 }
--- a/policy/server_limit.go
+++ b/policy/server_limit.go
@@ -9,17 +9,17 @@
 	// minLimitDecay is the shortest time constant for averaging sends to a server: several
 	// gossip intervals. limitBurst is the least number of requests allowed within the time
 	// constant, so that a low limit can be used by single requests far apart.
-	limitMemory = 800 * time.Millisecond
-	limitBurst  = 1.2
+	minLimitDecay = 800 * time.Millisecond
+	limitBurst    = 1.2
 	// sendMargin is subtracted from the allowed average: each send raises the sum by one, and
 	// the sum should meet the limit in the mean.
-	sendSpread = 0.3
+	sendMargin = 0.3
 	// redrawInterval is after what time a sender that lost a draw draws again: by then it has
 	// received what the others sent.
-	drawAgain = 100 * time.Millisecond
+	redrawInterval = 100 * time.Millisecond
 	// minLimitRate is the lowest rate, in requests per second, that is sent to a limited
 	// server: without any answer its limit would never be lifted.
-	leastLimit = 0.1
+	minLimitRate = 0.1
 )
 
 // LimitEvidence is what a server's answer says about its limit.
@@ -51,7 +51,7 @@
 	Left float64
 	Size float64
 	// AvailableIn is after what time Remaining is above 0 if nobody sends meanwhile.
-	FreeIn time.Duration
+	AvailableIn time.Duration
 }
 
 // serverLimit is the state of one server's limit.
@@ -61,47 +61,49 @@
 	Evidence
 	own Evidence
 	// sent is how many requests this sender sent recently, decayed to sentAt.
-	sent    float64
-	counted time.Time
+	sent   float64
+	sentAt time.Time
 	// liveShare is the share of all senders that were live at the last call of Allowance.
 	liveShare float64
 	// drawLost is when this sender last lost a draw for the server.
-	lost time.Time
+	drawLost time.Time
 }
 
 // allowance returns what is left of the limit; others is how many requests other senders sent
 // recently.
 func (s *serverLimit) allowance(others float64) Allowance {
-	timeConstant := s.memory()
-	burst := s.allowed() * timeConstant.Seconds() * s.liveShare
+	timeConstant := s.decayTime()
+	burst := s.sendRate() * timeConstant.Seconds() * s.liveShare
 	// Reports of other senders are half a gossip interval old on average.
-	sent := s.sent + others*math.Exp(-float64(drawAgain/2)/float64(timeConstant))
-	budget := burst - sendSpread
+	sent := s.sent + others*math.Exp(-float64(redrawInterval/2)/float64(timeConstant))
+	budget := burst - sendMargin
 	allowance := Allowance{Left: budget - sent, Size: burst}
 	if allowance.Left <= 0 && budget > 0 {
-		allowance.FreeIn = time.Duration(float64(timeConstant) * math.Log(sent/budget))
+		allowance.AvailableIn = time.Duration(float64(timeConstant) * math.Log(sent/budget))
 	}
 	return allowance
 }
 
 // rate returns how many requests per second the server is sent.
-func (s *serverLimit) allowed() float64 { return max(s.Rate, leastLimit) }
+func (s *serverLimit) sendRate() float64 { return max(s.Rate, minLimitRate) }
 
 // sendsPerRedraw returns how many requests the server is sent until a sender draws again. It
 // is at least a half, so that low limits are used while few requests of a burst are let
 // through.
-func (s *serverLimit) meanwhile() float64 { return max(s.allowed()*drawAgain.Seconds(), 0.5) }
+func (s *serverLimit) sendsPerRedraw() float64 {
+	return max(s.sendRate()*redrawInterval.Seconds(), 0.5)
+}
 
 // decayTime returns the time constant for averaging sends. It is about the same for all
 // senders that hear of each other.
-func (s *serverLimit) memory() time.Duration {
-	return max(limitMemory, time.Duration(limitBurst/(s.allowed()*s.liveShare)*float64(time.Second)))
+func (s *serverLimit) decayTime() time.Duration {
+	return max(minLimitDecay, time.Duration(limitBurst/(s.sendRate()*s.liveShare)*float64(time.Second)))
 }
 
 // decay reduces the weight of earlier sends.
-func (s *serverLimit) fade(now time.Time) {
-	if !s.counted.IsZero() {
-		s.sent *= math.Exp(-float64(now.Sub(s.counted)) / float64(s.memory()))
+func (s *serverLimit) decay(now time.Time) {
+	if !s.sentAt.IsZero() {
+		s.sent *= math.Exp(-float64(now.Sub(s.sentAt)) / float64(s.decayTime()))
 	}
-	s.counted = now
+	s.sentAt = now
 }
--- a/policy/server_limits.go
+++ b/policy/server_limits.go
@@ -8,9 +8,9 @@
 const (
 	// limitTTL is for how long a limit stays in force without another answer that states it: a
 	// server that gets no requests can't lift its limit.
-	limitKept = 10 * time.Minute
+	limitTTL = 10 * time.Minute
 	// liftGossipTime is for how long other senders are told that a limit was lifted.
-	liftToldFor = 5 * time.Second
+	liftGossipTime = 5 * time.Second
 )
 
 // ServerLimits tracks the limits that servers have stated: how many requests per second each
@@ -64,7 +64,7 @@
 // CountSent counts a request that is sent to a server.
 func (l *ServerLimits) Sent(now time.Time, server Key) {
 	if s := l.servers[server]; s != nil && !s.Lifted {
-		s.fade(now)
+		s.decay(now)
 		s.sent++
 	}
 }
@@ -86,10 +86,10 @@
 	l.sweep(now)
 	var reports []ServerLimit
 	for key, s := range l.servers {
-		if s.Lifted && now.Sub(s.At) > liftToldFor || s.own.At.IsZero() && s.sent == 0 {
+		if s.Lifted && now.Sub(s.At) > liftGossipTime || s.own.At.IsZero() && s.sent == 0 {
 			continue
 		}
-		s.fade(now)
+		s.decay(now)
 		reports = append(reports, ServerLimit{Server: key, Evidence: s.own, Sent: s.sent})
 	}
 	return reports
@@ -103,7 +103,7 @@
 	if s == nil || s.Lifted {
 		return Allowance{}, false
 	}
-	s.fade(now)
+	s.decay(now)
 	s.liveShare = liveShare
 	return s.allowance(others), true
 }
@@ -138,5 +138,5 @@
 		return
 	}
 	l.swept = now
-	maps.DeleteFunc(l.servers, func(_ Key, s *serverLimit) bool { return now.Sub(s.At) > limitKept })
+	maps.DeleteFunc(l.servers, func(_ Key, s *serverLimit) bool { return now.Sub(s.At) > limitTTL })
 }
--- a/policy/server_limits_test.go
+++ b/policy/server_limits_test.go
@@ -13,15 +13,15 @@
 	offers  ShortageCount
 	chooser *Chooser
 	// reports holds the latest report of each other sender.
-	told map[int]toldLimits
+	reports map[int]limitReportSet
 	// nextReport is when the sender sends its next report.
-	tellAt time.Time
-	cut    bool
+	nextReport   time.Time
+	disconnected bool
 }
 
 // limitReportSet is one sender's report of limits and offered requests; at is when it was
 // received.
-type toldLimits struct {
+type limitReportSet struct {
 	limits []ServerLimit
 	offers Shortage
 	at     time.Time
@@ -29,112 +29,112 @@
 
 // limitSimulation simulates senders and servers that state a limit. Each request is sent to
 // the server that its sender's chooser selects, or refused.
-type limitPlay struct {
+type limitSimulation struct {
 	t       *testing.T
 	random  *rand.Rand
 	senders []*limitSender
 	servers []Server
 	rate    float64
 	// delay is how long a datagram takes, and lossRate the share of datagrams that are lost.
-	late time.Duration
-	lost float64
-	now  time.Time
+	delay    time.Duration
+	lossRate float64
+	now      time.Time
 	// inFlight holds the datagrams in transit, in the order of their arrival.
-	onWay []limitDatagram
+	inFlight []limitDatagram
 	// arrivals holds the times at which requests reached each server. offered counts all
 	// requests, refused those that weren't sent.
-	reached [][]time.Time
-	asked   int
-	refused int
+	arrivals [][]time.Time
+	offered  int
+	refused  int
 }
 
 // limitDatagram is a report in transit between two senders; at is when it arrives.
 type limitDatagram struct {
 	from, to int
 	at       time.Time
-	told     toldLimits
+	report   limitReportSet
 }
 
 const (
 	// burstSeeds is the number of seeds for each burst simulation.
 	burstSeeds = 4
 	// simReportTTL is for how long a report counts.
-	playSilentAfter = time.Second
-	limitStep       = time.Millisecond
+	simReportTTL = time.Second
+	simStep      = time.Millisecond
 )
 
-func newLimitPlay(t *testing.T, senders, servers int, rate float64) *limitPlay {
-	sim := &limitPlay{t: t, random: rand.New(rand.NewPCG(uint64(senders), 7)), rate: rate, now: testStart, late: 2 * time.Millisecond}
+func newLimitSimulation(t *testing.T, senders, servers int, rate float64) *limitSimulation {
+	sim := &limitSimulation{t: t, random: rand.New(rand.NewPCG(uint64(senders), 7)), rate: rate, now: testStart, delay: 2 * time.Millisecond}
 	for range senders {
 		sim.senders = append(sim.senders, sim.newSender())
 	}
 	for i := range servers {
 		sim.servers = append(sim.servers, Server{Name: fmt.Sprint("server", i), Start: KeyOf(fmt.Sprint("server", i)), Zone: "z", Slots: 64})
 	}
-	sim.reached = make([][]time.Time, servers)
+	sim.arrivals = make([][]time.Time, servers)
 	return sim
 }
 
-func (sim *limitPlay) newSender() *limitSender {
+func (sim *limitSimulation) newSender() *limitSender {
 	s := &limitSender{
-		limits: NewServerLimits(), told: map[int]toldLimits{},
-		chooser: NewChooser(rand.New(rand.NewPCG(sim.random.Uint64(), 1)), NewEjector(), NewPrefixIndex()),
-		tellAt:  sim.now.Add(time.Duration(sim.random.Int64N(int64(gossipInterval)))),
+		limits: NewServerLimits(), reports: map[int]limitReportSet{},
+		chooser:    NewChooser(rand.New(rand.NewPCG(sim.random.Uint64(), 1)), NewEjector(), NewPrefixIndex()),
+		nextReport: sim.now.Add(time.Duration(sim.random.Int64N(int64(gossipInterval)))),
 	}
 	return s
 }
 
 // run simulates d, with perSecond requests a second, each at the sender whose index draw
 // returns.
-func (sim *limitPlay) run(d time.Duration, perSecond float64, draw func() int) {
-	for until := sim.now.Add(d); sim.now.Before(until); sim.now = sim.now.Add(limitStep) {
+func (sim *limitSimulation) run(d time.Duration, perSecond float64, draw func() int) {
+	for until := sim.now.Add(d); sim.now.Before(until); sim.now = sim.now.Add(simStep) {
 		sim.deliver()
 		for i, s := range sim.senders {
-			if !sim.now.Before(s.tellAt) {
-				s.tellAt = s.tellAt.Add(gossipInterval)
-				sim.tell(i)
+			if !sim.now.Before(s.nextReport) {
+				s.nextReport = s.nextReport.Add(gossipInterval)
+				sim.report(i)
 			}
 		}
-		for left := perSecond * limitStep.Seconds(); left > 0; left-- {
+		for left := perSecond * simStep.Seconds(); left > 0; left-- {
 			if sim.random.Float64() < left {
-				sim.ask(draw())
+				sim.request(draw())
 			}
 		}
 	}
 }
 
 // report sends a sender's report to all others.
-func (sim *limitPlay) tell(from int) {
+func (sim *limitSimulation) report(from int) {
 	s := sim.senders[from]
-	report := toldLimits{limits: s.limits.News(sim.now), offers: s.offers.Counts(sim.now)}
+	report := limitReportSet{limits: s.limits.News(sim.now), offers: s.offers.Counts(sim.now)}
 	for to, other := range sim.senders {
-		if to != from && !s.cut && !other.cut && sim.random.Float64() >= sim.lost {
-			sim.onWay = append(sim.onWay, limitDatagram{from: from, to: to, at: sim.now.Add(sim.late), told: report})
+		if to != from && !s.disconnected && !other.disconnected && sim.random.Float64() >= sim.lossRate {
+			sim.inFlight = append(sim.inFlight, limitDatagram{from: from, to: to, at: sim.now.Add(sim.delay), report: report})
 		}
 	}
 }
 
 // deliver hands over the datagrams that are due. All take equally long, so they arrive in the
 // order in which they were sent.
-func (sim *limitPlay) deliver() {
-	for len(sim.onWay) > 0 && !sim.now.Before(sim.onWay[0].at) {
-		d := sim.onWay[0]
-		sim.onWay = sim.onWay[1:]
-		d.told.at = sim.now
+func (sim *limitSimulation) deliver() {
+	for len(sim.inFlight) > 0 && !sim.now.Before(sim.inFlight[0].at) {
+		d := sim.inFlight[0]
+		sim.inFlight = sim.inFlight[1:]
+		d.report.at = sim.now
 		to := sim.senders[d.to]
-		to.told[d.from] = d.told
-		to.limits.Merge(d.told.limits)
+		to.reports[d.from] = d.report
+		to.limits.Merge(d.report.limits)
 	}
 }
 
 // request lets a sender choose a server for one request, and gives it the server's limit if
 // the request was sent.
-func (sim *limitPlay) ask(sender int) {
+func (sim *limitSimulation) request(sender int) {
 	s := sim.senders[sender]
-	sim.asked++
+	sim.offered++
 	live, sent, offers := 1, map[Key]float64{}, Shortage{}
-	for _, report := range s.told {
-		if sim.now.Sub(report.at) > playSilentAfter {
+	for _, report := range s.reports {
+		if sim.now.Sub(report.at) > simReportTTL {
 			continue
 		}
 		live++
@@ -157,21 +157,21 @@
 	}
 	key := servers[choice.At].Start
 	s.limits.Sent(sim.now, key)
-	sim.reached[choice.At] = append(sim.reached[choice.At], sim.now)
+	sim.arrivals[choice.At] = append(sim.arrivals[choice.At], sim.now)
 	s.limits.Named(sim.now, key, sim.rate)
 }
 
 // anySender returns a random sender's index, uniformly distributed.
-func (sim *limitPlay) anySender() int { return sim.random.IntN(len(sim.senders)) }
+func (sim *limitSimulation) anySender() int { return sim.random.IntN(len(sim.senders)) }
 
 // expectWithinLimit checks the number of requests in every span of four seconds at each server
 // since from: at most one and a half times the limit, plus five for requests in transit.
-func (sim *limitPlay) expectKept(from time.Time) {
+func (sim *limitSimulation) expectWithinLimit(from time.Time) {
 	sim.t.Helper()
 	const window = 4 * time.Second
 	allowed := 1.5*sim.rate*window.Seconds() + 5
 	highest := 0
-	for _, arrivals := range sim.reached {
+	for _, arrivals := range sim.arrivals {
 		first := 0
 		for i, at := range arrivals {
 			for arrivals[first].Before(from) || at.Sub(arrivals[first]) > window {
@@ -190,9 +190,9 @@
 }
 
 // expectUsed checks that each server got between least and most of its limit since from.
-func (sim *limitPlay) expectUsed(from time.Time, least, most float64) {
+func (sim *limitSimulation) expectUsed(from time.Time, least, most float64) {
 	sim.t.Helper()
-	for server, arrivals := range sim.reached {
+	for server, arrivals := range sim.arrivals {
 		count := 0
 		for _, at := range arrivals {
 			if !at.Before(from) {
@@ -207,7 +207,7 @@
 
 // Guards against each sender keeping to a server's limit by itself: dozens of senders would
 // send dozens of times what the server accepts.
-func TestSendersKeepToALimitTogether(t *testing.T) {
+func TestSendersShareALimit(t *testing.T) {
 	for _, c := range []struct {
 		senders   int
 		rate      float64
@@ -225,100 +225,100 @@
 	} {
 		t.Run(fmt.Sprintf("senders=%d rate=%v of %v delay=%v loss=%v", c.senders, c.rate, c.perSecond, c.delay, c.lossRate), func(t *testing.T) {
 			t.Parallel()
-			sim := newLimitPlay(t, c.senders, 1, c.rate)
-			sim.late, sim.lost = c.delay, c.lossRate
+			sim := newLimitSimulation(t, c.senders, 1, c.rate)
+			sim.delay, sim.lossRate = c.delay, c.lossRate
 			// requests returns how long n requests take at the limit.
 			requests := func(n float64) time.Duration { return time.Duration(n / c.rate * float64(time.Second)) }
 			sim.run(max(3*time.Second, requests(8)), c.perSecond, sim.anySender)
 			settled := sim.now
 			sim.run(max(20*time.Second, min(requests(100), 200*time.Second)), c.perSecond, sim.anySender)
-			sim.expectKept(testStart.Add(500 * time.Millisecond))
+			sim.expectWithinLimit(testStart.Add(500 * time.Millisecond))
 			sim.expectUsed(settled, 0.9, 1.2)
 		})
 	}
 }
 
 // simulateBursts simulates callers that arrive in bursts at all senders at once.
-func burstsOf(t *testing.T, seed uint64, factor float64) {
-	sim := newLimitPlay(t, 68, 2, 1.6)
+func simulateBursts(t *testing.T, seed uint64, factor float64) {
+	sim := newLimitSimulation(t, 68, 2, 1.6)
 	sim.random = rand.New(rand.NewPCG(seed, 7))
 	for range 6 {
 		sim.run(3*time.Second, 60, sim.anySender)
 		sim.run(2*time.Second, factor*60, sim.anySender)
 	}
-	sim.expectKept(testStart.Add(500 * time.Millisecond))
+	sim.expectWithinLimit(testStart.Add(500 * time.Millisecond))
 }
 
 // Senders estimate from recently offered requests how many others have a request for the
 // remaining allowance.
-func TestBurstsKeepToALimit(t *testing.T) {
+func TestLimitHoldsInBursts(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(burstSeeds) {
-		burstsOf(t, seed, 10)
+		simulateBursts(t, seed, 10)
 	}
 }
 
 // In a sudden surge every sender may have seen remaining allowance.
-func TestSuddenBurstsKeepToALimit(t *testing.T) {
+func TestLimitHoldsInSuddenBursts(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(burstSeeds) {
-		burstsOf(t, seed, 20)
+		simulateBursts(t, seed, 20)
 	}
 }
 
 // Guards against giving each sender an equal share of the limit, which would starve a sender
 // that has all of the load.
-func TestSenderWithAllTheLoadUsesTheLimit(t *testing.T) {
+func TestSingleLoadedSenderUsesWholeLimit(t *testing.T) {
 	t.Parallel()
-	sim := newLimitPlay(t, 68, 1, 1.6)
+	sim := newLimitSimulation(t, 68, 1, 1.6)
 	sim.run(3*time.Second, 40, func() int { return 0 })
 	settled := sim.now
 	sim.run(20*time.Second, 40, func() int { return 0 })
-	sim.expectKept(testStart.Add(500 * time.Millisecond))
+	sim.expectWithinLimit(testStart.Add(500 * time.Millisecond))
 	sim.expectUsed(settled, 0.9, 1.2)
 }
 
 // When many servers have limits, the limits of all of them are used.
 func TestLimitsOfManyServersAreUsed(t *testing.T) {
 	t.Parallel()
-	sim := newLimitPlay(t, 12, 24, 2)
+	sim := newLimitSimulation(t, 12, 24, 2)
 	sim.run(4*time.Second, 200, sim.anySender)
 	settled := sim.now
 	sim.run(20*time.Second, 200, sim.anySender)
-	sim.expectKept(testStart.Add(500 * time.Millisecond))
+	sim.expectWithinLimit(testStart.Add(500 * time.Millisecond))
 	sim.expectUsed(settled, 0.85, 1.2)
 }
 
 // Senders that have just started don't know the limit until another sender reports it or an
 // answer states it.
-func TestSendersThatStartKeepToALimit(t *testing.T) {
+func TestLimitHoldsWhileSendersStart(t *testing.T) {
 	t.Parallel()
-	sim := newLimitPlay(t, 12, 1, 2)
+	sim := newLimitSimulation(t, 12, 1, 2)
 	sim.run(2*time.Second, 100, sim.anySender)
 	for i := range 24 {
 		sim.senders[i%12] = sim.newSender()
 		sim.run(500*time.Millisecond, 100, sim.anySender)
 	}
-	sim.expectKept(testStart.Add(500 * time.Millisecond))
+	sim.expectWithinLimit(testStart.Add(500 * time.Millisecond))
 }
 
 // Senders that receive no reports from each other keep to their equal shares.
-func TestSendersThatAreCutOffKeepToALimit(t *testing.T) {
+func TestLimitHoldsWithDisconnectedSenders(t *testing.T) {
 	t.Parallel()
-	sim := newLimitPlay(t, 12, 1, 6)
+	sim := newLimitSimulation(t, 12, 1, 6)
 	sim.run(2*time.Second, 200, sim.anySender)
 	for i := range 6 {
-		sim.senders[i].cut = true
+		sim.senders[i].disconnected = true
 	}
 	sim.run(2*time.Second, 200, sim.anySender)
 	settled := sim.now
 	sim.run(20*time.Second, 200, sim.anySender)
-	sim.expectKept(testStart.Add(500 * time.Millisecond))
+	sim.expectWithinLimit(testStart.Add(500 * time.Millisecond))
 	sim.expectUsed(settled, 0.5, 1.2)
 }
 
 // Less urgent requests leave a part of a limit free for more urgent ones.
-func TestLimitIsLeftToTheUrgent(t *testing.T) {
+func TestHeadroomReservesLimit(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	overLimit := func(headroom float64) bool {
 		limits := NewServerLimits()
@@ -336,26 +336,26 @@
 	}
 }
 
-func TestRefusalTellsWhenALimitHasRoom(t *testing.T) {
+func TestAllowanceStatesAvailability(t *testing.T) {
 	limits, now := NewServerLimits(), testStart
 	limits.Named(now, 1, 1)
 	for range 4 {
 		limits.Sent(now, 1)
 	}
 	allowance, limited := limits.Allowance(now, 1, 0, 1)
-	if !limited || allowance.Left > 0 || allowance.FreeIn <= 0 {
+	if !limited || allowance.Left > 0 || allowance.AvailableIn <= 0 {
 		t.Fatalf("got %+v, %v after four requests at a limit of one a second", allowance, limited)
 	}
-	if allowance, _ := limits.Allowance(now.Add(allowance.FreeIn-50*time.Millisecond), 1, 0, 1); allowance.Left > 0 {
+	if allowance, _ := limits.Allowance(now.Add(allowance.AvailableIn-50*time.Millisecond), 1, 0, 1); allowance.Left > 0 {
 		t.Errorf("allowance remains before AvailableIn: %+v", allowance)
 	}
-	if allowance, _ := limits.Allowance(now.Add(allowance.FreeIn+50*time.Millisecond), 1, 0, 1); allowance.Left <= 0 {
+	if allowance, _ := limits.Allowance(now.Add(allowance.AvailableIn+50*time.Millisecond), 1, 0, 1); allowance.Left <= 0 {
 		t.Errorf("no allowance remains after AvailableIn: %+v", allowance)
 	}
 }
 
 // Answers on different connections overtake each other.
-func TestAnswerToAnEarlierRequestLiftsNoLimit(t *testing.T) {
+func TestAnswerToEarlierRequestLiftsNoLimit(t *testing.T) {
 	limits := NewServerLimits()
 	limits.Named(testStart, 1, 2)
 	if limits.Unnamed(testStart.Add(-time.Millisecond), 1) || limits.Limited() != 1 {
@@ -374,10 +374,10 @@
 	if others.Limited() != 0 {
 		t.Error("outdated evidence restores a limit that was lifted")
 	}
-	if limits.News(testStart.Add(2 * liftToldFor)); limits.Empty() {
+	if limits.News(testStart.Add(2 * liftGossipTime)); limits.Empty() {
 		t.Error("dropped before all senders know that the limit was lifted")
 	}
-	if limits.News(testStart.Add(2 * limitKept)); !limits.Empty() {
+	if limits.News(testStart.Add(2 * limitTTL)); !limits.Empty() {
 		t.Error("never dropped")
 	}
 }
--- a/policy/window_budget.go
+++ b/policy/sliding_retry_budget.go
@@ -4,9 +4,9 @@
 
 const (
 	// budgetIntervals is how many intervals a window is divided into for counting.
-	budgetSlots = 20
+	budgetIntervals = 20
 	// budgetBuckets adds a bucket for the interval that the window starts in.
-	budgetParts = budgetSlots + 1
+	budgetBuckets = budgetIntervals + 1
 )
 
 // SlidingRetryBudget allows retries as a share of the requests in a sliding window, plus a
@@ -24,64 +24,64 @@
 	// it had been counted at that moment.
 	Window time.Duration
 
-	requests [budgetParts]int
-	repeats  [budgetParts]int
+	requests [budgetBuckets]int
+	retries  [budgetBuckets]int
 	// start is the time of the first call. Intervals are counted from it, so that changes of
 	// the wall clock have no effect.
-	start time.Time
-	slot  int64
+	start    time.Time
+	interval int64
 	// countedWindow is the Window that interval is computed with.
-	counted time.Duration
+	countedWindow time.Duration
 }
 
 // CountRequest counts a request, whether it is sent or not.
 func (b *WindowBudget) Request(now time.Time) {
 	b.advance(now)
-	b.requests[b.slot%budgetParts]++
+	b.requests[b.interval%budgetBuckets]++
 }
 
 // Allow reports whether one more retry may be sent now, and if so counts it.
 func (b *WindowBudget) Allow(now time.Time) bool {
 	b.advance(now)
 	requests, retries := 0, 0
-	for i := range budgetParts {
+	for i := range budgetBuckets {
 		requests += b.requests[i]
-		retries += b.repeats[i]
+		retries += b.retries[i]
 	}
 	// Only part of the oldest interval is in the window: its retries count and its requests
 	// don't, so that no span of a window's length exceeds the budget.
-	requests -= b.requests[(b.slot+1)%budgetParts]
+	requests -= b.requests[(b.interval+1)%budgetBuckets]
 	if float64(retries+1) > b.Ratio*float64(requests)+b.Extra {
 		return false
 	}
-	b.repeats[b.slot%budgetParts]++
+	b.retries[b.interval%budgetBuckets]++
 	return true
 }
 
 func (b *WindowBudget) advance(now time.Time) {
-	if b.start.IsZero() || b.counted != b.Window {
+	if b.start.IsZero() || b.countedWindow != b.Window {
 		b.restart(now)
 	}
-	interval := int64(now.Sub(b.start)) / max(int64(b.Window)/budgetSlots, 1)
-	if interval-b.slot >= budgetParts {
-		b.requests, b.repeats = [budgetParts]int{}, [budgetParts]int{}
-		b.slot = interval
+	interval := int64(now.Sub(b.start)) / max(int64(b.Window)/budgetIntervals, 1)
+	if interval-b.interval >= budgetBuckets {
+		b.requests, b.retries = [budgetBuckets]int{}, [budgetBuckets]int{}
+		b.interval = interval
 		return
 	}
-	for b.slot < interval {
-		b.slot++
-		b.requests[b.slot%budgetParts] = 0
-		b.repeats[b.slot%budgetParts] = 0
+	for b.interval < interval {
+		b.interval++
+		b.requests[b.interval%budgetBuckets] = 0
+		b.retries[b.interval%budgetBuckets] = 0
 	}
 }
 
 // restart moves all counts into one bucket and starts counting with the new Window.
 func (b *WindowBudget) restart(now time.Time) {
-	var requests, retries [budgetParts]int
-	for i := range budgetParts {
+	var requests, retries [budgetBuckets]int
+	for i := range budgetBuckets {
 		requests[0] += b.requests[i]
-		retries[0] += b.repeats[i]
+		retries[0] += b.retries[i]
 	}
-	b.requests, b.repeats = requests, retries
-	b.start, b.slot, b.counted = now, 0, b.Window
+	b.requests, b.retries = requests, retries
+	b.start, b.interval, b.countedWindow = now, 0, b.Window
 }
--- a/policy/window_budget_test.go
+++ b/policy/sliding_retry_budget_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestWindowBudgetSlides(t *testing.T) {
+func TestSlidingRetryBudget(t *testing.T) {
 	b := WindowBudget{Ratio: 0.2, Extra: 3, Window: 10 * time.Second}
 	allowed := func(now time.Time, attempts int) int {
 		n := 0
@@ -35,7 +35,7 @@
 
 // In any span of the window's length, no more retries are spent than the budget earned by the
 // requests in that span and in the window before it.
-func TestWindowBudgetNeverExceedsAnySpan(t *testing.T) {
+func TestSlidingRetryBudgetHoldsInAnySpan(t *testing.T) {
 	b := WindowBudget{Ratio: 0.2, Extra: 2, Window: 10 * time.Second}
 	var retries []time.Duration
 	for at := time.Duration(0); at < time.Minute; at += 20 * time.Millisecond {
@@ -60,7 +60,7 @@
 }
 
 // A retry counts for the whole window, at whatever moment of its interval it was spent.
-func TestWindowBudgetRemembersForTheWholeWindow(t *testing.T) {
+func TestSlidingRetryBudgetCountsRetriesForWholeWindow(t *testing.T) {
 	const window = 10 * time.Second
 	for at := time.Duration(0); at < window/4; at += window / 100 {
 		b := WindowBudget{Extra: 1, Window: window}
@@ -75,7 +75,7 @@
 }
 
 // A request earns no retry after the window.
-func TestWindowBudgetForgetsRequestsInTime(t *testing.T) {
+func TestSlidingRetryBudgetDropsRequestsAfterWindow(t *testing.T) {
 	const window = 10 * time.Second
 	for at := time.Duration(0); at < window/4; at += window / 100 {
 		b := WindowBudget{Ratio: 1, Window: window}
--- a/policy/shortage_play_test.go
+++ b/policy/slot_contention_test.go
@@ -9,7 +9,7 @@
 // arrive together, and their streams would occupy more slots than the engines have. There is
 // time to prefill both: only slots are short. The questions alone fit. Without adaptive
 // headroom one in 15 of them misses its target.
-func shortOfSlots() *directPlay {
+func simulateSlotShortage() *directPlay {
 	sim := newDirectPlay(12, 24, true)
 	sim.countFrom = time.Second
 	sim.stream("question", 230, 0, 8*time.Second, func() Job {
@@ -26,7 +26,7 @@
 // Guards against neighbouring urgency levels filling the servers side by side: more urgent
 // requests that fit must be admitted, and less urgent ones get the rest.
 func TestUrgentFindSlotsBesideLessUrgent(t *testing.T) {
-	sim := shortOfSlots()
+	sim := simulateSlotShortage()
 	questions, summaries := sim.arrived["question"], sim.arrived["summary"]
 	t.Logf("questions in time %d of %d, summaries %d of %d", sim.onTime["question"], questions, sim.onTime["summary"], summaries)
 	if missed := questions - sim.onTime["question"]; 32*missed > questions {
@@ -42,7 +42,7 @@
 // simulateQuestionsOnly runs a burst of urgent questions after a steady rate of them. Their
 // streams occupy nearly all slots, at a rate that the engines sustain: there is time to
 // prefill all of them, and there is no other traffic.
-func questionsAlone() *directPlay {
+func simulateQuestionsOnly() *directPlay {
 	sim := newDirectPlay(24, 28, true)
 	sim.expectUnseen = true
 	sim.countFrom = 3 * time.Second
@@ -58,8 +58,8 @@
 // Slots are kept free for more urgent requests and for requests that senders don't see of each
 // other. Without more urgent traffic, and with other senders' requests accounted for, all that
 // fits in the slots must be admitted, and no engine may get more than it can start in time.
-func TestUrgentAloneUseTheSlots(t *testing.T) {
-	sim := questionsAlone()
+func TestUrgentTrafficAloneUsesAllSlots(t *testing.T) {
+	sim := simulateQuestionsOnly()
 	arrived, started, inTime := sim.arrived["question"], sim.begun["question"], sim.onTime["question"]
 	t.Logf("of %d questions %d started and %d in time; longest queue for a slot %d", arrived, started, inTime, sim.longest)
 	if refused := arrived - started; 24*refused > arrived {
@@ -73,7 +73,7 @@
 // simulateQuestionSurge runs questions whose rate rises nearly threefold, beside summaries.
 // Engines prefill a summary for as long as four questions, and all streams pause meanwhile.
 // The questions alone fit, with their prefill.
-func questionsRise() *directPlay {
+func simulateQuestionSurge() *directPlay {
 	sim := newDirectPlay(24, 28, true)
 	sim.expectUnseen, sim.readingDelays = true, true
 	sim.countFrom = 4 * time.Second
@@ -90,8 +90,8 @@
 
 // An urgent burst fills the slots only gradually, as its streams accumulate. Less urgent
 // requests must leave the servers to it before the first of its requests is refused.
-func TestUrgentFindSlotsAsTheyRise(t *testing.T) {
-	sim := questionsRise()
+func TestUrgentSurgeFindsSlots(t *testing.T) {
+	sim := simulateQuestionSurge()
 	arrived, started, inTime := sim.arrived["question"], sim.begun["question"], sim.onTime["question"]
 	t.Logf("of %d questions %d started and %d in time; summaries in time %d of %d; longest queue for a slot %d",
 		arrived, started, inTime, sim.onTime["summary"], sim.arrived["summary"], sim.longest)
--- a/policy/suspect.go
+++ b/policy/suspect.go
@@ -12,11 +12,11 @@
 
 // minClearAdvance is by how much a complete answer must be later than the known one to replace
 // it: answers seem newer each time that they are relayed.
-const clearedAgain = time.Second
+const minClearAdvance = time.Second
 
 // maxCrashes bounds the crashes remembered for a request. It is above quarantineAfter, so that
 // the few requests that explain most crashes stand out.
-const mostCrashes = 8
+const maxCrashes = 8
 
 // suspect is the state of a request that was running when server instances ended.
 type suspect struct {
@@ -25,15 +25,15 @@
 	// seen is when the request last arrived at any sender.
 	seen time.Time
 	// sendsLeft is how many more times the suspect is to be sent to other senders.
-	tellings int
+	sendsLeft int
 	// repeated says that more than one server instance has ended while running the request.
 	repeated bool
 }
 
 // addCrash records a crash. It reports whether the crash counts and wasn't known.
-func (s *suspect) crashed(c Crash) bool {
+func (s *suspect) addCrash(c Crash) bool {
 	known := slices.ContainsFunc(s.crashes, func(other Crash) bool { return other.Start == c.Start })
-	if known || len(s.crashes) >= mostCrashes || s.excuses(c) {
+	if known || len(s.crashes) >= maxCrashes || s.excused(c) {
 		return false
 	}
 	s.crashes = append(s.crashes, c)
@@ -43,17 +43,17 @@
 
 // clear records a complete answer. It reports whether crashes were dropped as a result.
 func (s *suspect) clear(at time.Time) bool {
-	if at.Sub(s.cleared) < clearedAgain {
+	if at.Sub(s.cleared) < minClearAdvance {
 		return false
 	}
 	s.cleared = at
 	before := len(s.crashes)
-	s.crashes = slices.DeleteFunc(s.crashes, s.excuses)
+	s.crashes = slices.DeleteFunc(s.crashes, s.excused)
 	return len(s.crashes) != before
 }
 
 // excused reports whether a crash doesn't count because the request was answered completely.
-func (s *suspect) excuses(c Crash) bool {
+func (s *suspect) excused(c Crash) bool {
 	return !s.cleared.IsZero() && !c.At.After(s.cleared.Add(clearedFor))
 }
 
@@ -69,7 +69,7 @@
 }
 
 // evictBefore reports whether the suspect is evicted before another one.
-func (s *suspect) before(other *suspect) bool {
+func (s *suspect) evictBefore(other *suspect) bool {
 	if len(s.crashes) != len(other.crashes) {
 		return len(s.crashes) < len(other.crashes)
 	}
--- a/policy/suspect_runs.go
+++ b/policy/suspect_runs.go
@@ -24,7 +24,7 @@
 }
 
 // anyRunning reports whether at least one of the suspects runs at a server.
-func (r suspectRuns) any(server string, suspects []Fingerprint) bool {
+func (r suspectRuns) anyRunning(server string, suspects []Fingerprint) bool {
 	return slices.ContainsFunc(suspects, func(f Fingerprint) bool { return r[server][f] > 0 })
 }
 
@@ -45,7 +45,7 @@
 // servers are also divided among these suspects. Requests with one crash aren't restricted: a
 // server that crashes for reasons of its own makes suspects of all its requests.
 func (q *Quarantine) Avoided(f Fingerprint, servers []Server) []string {
-	indistinguishable := q.alike(f)
+	indistinguishable := q.indistinguishable(f)
 	if len(indistinguishable) == 0 {
 		return nil
 	}
@@ -59,7 +59,7 @@
 	var occupied, avoided []string
 	for i := range servers {
 		name := servers[i].Name
-		running := q.runs.any(name, indistinguishable)
+		running := q.runs.anyRunning(name, indistinguishable)
 		if running {
 			occupied = append(occupied, name)
 		}
@@ -75,14 +75,14 @@
 
 // indistinguishable returns the other suspects that were running at all crashes of a request;
 // none before its second crash.
-func (q *Quarantine) alike(f Fingerprint) []Fingerprint {
+func (q *Quarantine) indistinguishable(f Fingerprint) []Fingerprint {
 	s := q.suspects[f]
 	if s == nil || len(s.crashes) < quarantineAfter-1 {
 		return nil
 	}
 	var others []Fingerprint
 	for other, suspect := range q.suspects {
-		if other != f && suspect.shares(s) {
+		if other != f && suspect.sharesCrashes(s) {
 			others = append(others, other)
 		}
 	}
@@ -90,7 +90,7 @@
 }
 
 // sharesCrashes reports whether s was running at all crashes of another suspect.
-func (s *suspect) shares(other *suspect) bool {
+func (s *suspect) sharesCrashes(other *suspect) bool {
 	return !slices.ContainsFunc(other.crashes, func(c Crash) bool {
 		return !slices.ContainsFunc(s.crashes, func(own Crash) bool { return own.Start == c.Start })
 	})
--- a/policy/suspect_runs_test.go
+++ b/policy/suspect_runs_test.go
@@ -10,46 +10,46 @@
 // isolationSimulation runs a culprit that is retried after each crash, beside innocent
 // requests that are never answered completely and are restarted at another server when theirs
 // ends.
-type apartPlay struct {
+type isolationSimulation struct {
 	random  *rand.Rand
 	senders []*Quarantine
 	servers []string
 	started int
 	// runsAt is the server at which each innocent request runs, through the sender of its
 	// index.
-	at      []string
+	runsAt  []string
 	crashes int
 }
 
-func newApartPlay(seed uint64, senders, servers, innocents int) *apartPlay {
-	sim := &apartPlay{random: rand.New(rand.NewPCG(seed, 1))}
+func newIsolationSimulation(seed uint64, senders, servers, innocents int) *isolationSimulation {
+	sim := &isolationSimulation{random: rand.New(rand.NewPCG(seed, 1))}
 	for range senders {
 		sim.senders = append(sim.senders, NewQuarantine())
 	}
 	for range servers {
-		sim.start()
+		sim.startServer()
 	}
-	sim.at = make([]string, innocents)
-	for i := range sim.at {
+	sim.runsAt = make([]string, innocents)
+	for i := range sim.runsAt {
 		sim.run(i)
 	}
 	return sim
 }
 
 // startServer adds a new server.
-func (sim *apartPlay) start() {
+func (sim *isolationSimulation) startServer() {
 	sim.started++
 	sim.servers = append(sim.servers, fmt.Sprint("server", sim.started))
 }
 
-// innocentAt returns the fingerprint of an innocent request. Half of them are smaller than the
-// culprit's: of two indistinguishable suspects the smaller one is quarantined.
-func innocentAt(i int) Fingerprint { return Fingerprint(2*culpritApart*(i%2) + i + 1) }
+// innocentFingerprint returns the fingerprint of an innocent request. Half of them are smaller
+// than the culprit's: of two indistinguishable suspects the smaller one is quarantined.
+func innocentFingerprint(i int) Fingerprint { return Fingerprint(2*isolatedCulprit*(i%2) + i + 1) }
 
-const culpritApart = 1000
+const isolatedCulprit = 1000
 
 // pick draws a server for a request, without the ones to avoid if there are others.
-func (sim *apartPlay) pick(sender *Quarantine, f Fingerprint) string {
+func (sim *isolationSimulation) pick(sender *Quarantine, f Fingerprint) string {
 	avoided := sender.Avoided(f, named(sim.servers...))
 	candidates := slices.DeleteFunc(slices.Clone(sim.servers), func(s string) bool { return slices.Contains(avoided, s) })
 	if len(candidates) == 0 {
@@ -68,42 +68,42 @@
 }
 
 // run starts an innocent request at a server.
-func (sim *apartPlay) run(i int) {
+func (sim *isolationSimulation) run(i int) {
 	sender := sim.senders[i%len(sim.senders)]
-	sim.at[i] = sim.pick(sender, innocentAt(i))
-	sender.Began(innocentAt(i), sim.at[i])
+	sim.runsAt[i] = sim.pick(sender, innocentFingerprint(i))
+	sender.Began(innocentFingerprint(i), sim.runsAt[i])
 }
 
 // runCulprit sends the culprit once. It reports whether the culprit is quarantined instead.
-func (sim *apartPlay) comes() bool {
+func (sim *isolationSimulation) runCulprit() bool {
 	culpritSender := sim.senders[sim.random.IntN(len(sim.senders))]
-	if culpritSender.Quarantined(testStart, culpritApart) {
+	if culpritSender.Quarantined(testStart, isolatedCulprit) {
 		return true
 	}
-	server := sim.pick(culpritSender, culpritApart)
+	server := sim.pick(culpritSender, isolatedCulprit)
 	sim.crashes++
 	sim.servers = slices.DeleteFunc(sim.servers, func(s string) bool { return s == server })
-	culpritSender.Crashed(testStart, culpritApart, KeyOf(server))
-	for i, at := range sim.at {
+	culpritSender.Crashed(testStart, isolatedCulprit, KeyOf(server))
+	for i, at := range sim.runsAt {
 		if at == server {
 			sender := sim.senders[i%len(sim.senders)]
-			sender.Crashed(testStart, innocentAt(i), KeyOf(server))
-			sender.Ended(innocentAt(i), server)
-			sim.at[i] = ""
+			sender.Crashed(testStart, innocentFingerprint(i), KeyOf(server))
+			sender.Ended(innocentFingerprint(i), server)
+			sim.runsAt[i] = ""
 		}
 	}
 	sim.broadcast()
-	for i, at := range sim.at {
+	for i, at := range sim.runsAt {
 		if at == "" {
 			sim.run(i)
 		}
 	}
-	sim.start()
+	sim.startServer()
 	return false
 }
 
 // broadcast sends every sender's updates to all others.
-func (sim *apartPlay) broadcast() {
+func (sim *isolationSimulation) broadcast() {
 	for _, from := range sim.senders {
 		news := from.News(testStart)
 		for _, to := range sim.senders {
@@ -121,17 +121,17 @@
 		t.Run(fmt.Sprint("senders=", senders), func(t *testing.T) {
 			excessive, refused := 0, 0
 			for seed := range uint64(500) {
-				sim := newApartPlay(seed, senders, 6, 12)
+				sim := newIsolationSimulation(seed, senders, 6, 12)
 				for range 10 {
-					if sim.comes() {
+					if sim.runCulprit() {
 						break
 					}
 				}
 				if sim.crashes > quarantineAfter {
 					excessive++
 				}
-				for i := range sim.at {
-					if sim.senders[0].Quarantined(testStart, innocentAt(i)) {
+				for i := range sim.runsAt {
+					if sim.senders[0].Quarantined(testStart, innocentFingerprint(i)) {
 						refused++
 					}
 				}
@@ -145,7 +145,7 @@
 
 // A request without crashes, with a single one, or with a crash that distinguishes it from the
 // others may run anywhere.
-func TestOnlySuspectsThatCannotBeToldApartAvoidServers(t *testing.T) {
+func TestOnlyIndistinguishableSuspectsAvoidServers(t *testing.T) {
 	q := NewQuarantine()
 	servers := named("a", "b", "c", "d")
 	q.Crashed(testStart, 1, KeyOf("x"))
--- a/policy/demand.go
+++ b/policy/tier_demand.go
@@ -4,42 +4,42 @@
 
 // demandWindow is the time over which granted work is averaged: long enough to measure a
 // burst's rate, short enough to notice the end of a burst within a few seconds.
-const demandMemory = 10 * time.Second
+const demandWindow = 10 * time.Second
 
 // tierDemand tracks how much work each tier was granted recently.
 type demand struct {
-	work [tierCount]float64
-	last time.Time
+	work    [tierCount]float64
+	updated time.Time
 }
 
 // add counts the grant of a ticket.
 func (d *demand) add(now time.Time, t Ticket) {
-	d.fade(now)
+	d.decay(now)
 	d.work[t.Tier] += float64(ticketSize(t))
 }
 
 // rateAbove returns the work per second granted to tiers more urgent than t.
 func (d *demand) above(now time.Time, t Tier) float64 {
-	d.fade(now)
+	d.decay(now)
 	sum := 0.0
 	for _, work := range d.work[:t] {
 		sum += work
 	}
-	return sum / demandMemory.Seconds()
+	return sum / demandWindow.Seconds()
 }
 
-func (d *demand) fade(now time.Time) {
-	if !d.last.IsZero() {
-		weight := newestWeight(now.Sub(d.last))
+func (d *demand) decay(now time.Time) {
+	if !d.updated.IsZero() {
+		weight := windowWeight(now.Sub(d.updated))
 		for i := range d.work {
 			d.work[i] -= weight * d.work[i]
 		}
 	}
-	d.last = now
+	d.updated = now
 }
 
 // windowWeight returns the weight of the last interval of length d in an average over
 // demandWindow.
-func newestWeight(d time.Duration) float64 {
-	return d.Seconds() / (d + demandMemory).Seconds()
+func windowWeight(d time.Duration) float64 {
+	return d.Seconds() / (d + demandWindow).Seconds()
 }
--- a/policy/urgent_use.go
+++ b/policy/urgent_usage.go
@@ -7,30 +7,30 @@
 
 // urgentDeviations is how many mean absolute deviations above the mean are reserved. With two,
 // about one moment in twenty needs more than that.
-const urgentSpreads = 2
+const urgentDeviations = 2
 
 // urgentUsage tracks the mean and the mean absolute deviation of the number of slots that the
 // urgent tiers use, over the last demandWindow.
 type urgentUse struct {
-	mean   float64
-	spread float64
-	now    int
-	last   time.Time
+	mean      float64
+	deviation float64
+	current   int
+	updated   time.Time
 }
 
 // advance accounts for the time since the last call, then sets the current usage.
 func (u *urgentUse) advance(now time.Time, slots int) {
-	if !u.last.IsZero() && now.After(u.last) {
-		weight := newestWeight(now.Sub(u.last))
-		diff := float64(u.now) - u.mean
+	if !u.updated.IsZero() && now.After(u.updated) {
+		weight := windowWeight(now.Sub(u.updated))
+		diff := float64(u.current) - u.mean
 		u.mean += weight * diff
-		u.spread += weight * (math.Abs(diff) - u.spread)
+		u.deviation += weight * (math.Abs(diff) - u.deviation)
 	}
-	u.last = now
-	u.now = slots
+	u.updated = now
+	u.current = slots
 }
 
-// reserved returns how many slots to keep free for the urgent tiers.
+// reserved returns how many runs of the urgent tiers to keep capacity free for.
 func (u *urgentUse) slots() int {
-	return int(u.mean + urgentSpreads*u.spread)
+	return int(u.mean + urgentDeviations*u.deviation)
 }
