--- a/policy/adaptive_headroom.go
+++ b/policy/adaptive_headroom.go
@@ -26,9 +26,9 @@
 	// requests refused above would occupy. It is above 1 since other requests take some of the
 	// slots that become free.
 	headroomRefusalFactor = 1.5
-	// headroomDecay is the time constant with which a level's headroom decays. It spans
-	// several turnovers of a batch, so that slots stay free during a burst and aren't left
-	// unused for long after it.
+	// headroomDecay is the time constant with which a level's headroom decays: two thirds of
+	// it are gone after that time. It spans several turnovers of a batch, so that slots stay
+	// free during a burst and aren't left unused for long after it.
 	headroomDecay = 4 * time.Second
 	// offerBaselineDecay is the time constant of the average of offered requests that a surge
 	// is compared with. Streams hold their slots for about as long: 1.5 s to 4 s.
--- a/policy/over_limit.go
+++ b/policy/over_limit.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// MarkOverLimit marks the servers whose limit leaves no room for a request.
+// MarkOverLimit marks the servers whose limit leaves no capacity for a request.
 //
 // It decides at random, to account for what other senders may have sent to a server since
 // their last report. Of the senders that are expected to have a request for the server
-// meanwhile, as many are let through as the limit allows in that time, plus what remains of
-// it. Otherwise every sender that sees room would send, and dozens do whenever there is room
-// for one. A sender that loses a draw waits until it has heard from the others, so that a
-// burst causes one draw per sender.
+// meanwhile, as many are admitted as the limit allows in that time, plus what remains of it.
+// Otherwise every sender that sees capacity would send, and dozens do whenever there is
+// capacity for one. A sender that loses a draw waits until it has heard from the others, so
+// that a burst causes one draw per sender.
 //
 // A less urgent request leaves the same share of each limit free as of servers' slots.
 func (l *ServerLimits) Draw(now time.Time, random *rand.Rand, job *Job, servers []Server) {
 	if l.Empty() {
 		return
 	}
-	withRoom := 0
+	available := 0
 	for i := range servers {
 		if servers[i].limitRemaining(job) > 0 {
-			withRoom++
+			available++
 		}
 	}
-	// A request considers a few of the servers and takes the one with the most room.
-	others := min(job.UnseenOffers, job.OtherSenders) * min(1, drawn/float64(max(withRoom, 1)))
+	// A request considers a few of the servers and takes the one with the most capacity.
+	others := min(job.UnseenOffers, job.OtherSenders) * min(1, drawn/float64(max(available, 1)))
 	for i := range servers {
 		if s := &servers[i]; s.Limited {
 			remaining, limit := s.limitRemaining(job), l.servers[s.Start]
@@ -57,7 +57,7 @@
 }
 
 // soonestAvailable returns after what time the first of the candidates that are over their
-// limit has room; false if none is over its limit.
+// limit has capacity; false if none is over its limit.
 func soonestFree(servers []Server, candidate func(*Server) bool) (soonest time.Duration, found bool) {
 	for i := range servers {
 		s := &servers[i]
--- a/policy/retry_backlog.go
+++ b/policy/retry_backlog.go
@@ -18,7 +18,7 @@
 	burstDelay = 10 * time.Second
 )
 
-// retryBacklog tracks, by tier, the work that refused callers were told to retry with.
+// retryBacklog tracks, by tier, the refused work that callers are expected to retry.
 //
 // It guards against synchronized retries: with the same Retry-After, all callers that a burst
 // turned away would return in the same second and be refused again. Each refusal names the
@@ -51,6 +51,7 @@
 	return clampRetryAfter(delay)
 }
 
+// clampRetryAfter limits d to the range from minRetryAfter to maxRetryAfter.
 func clampRetryAfter(d time.Duration) time.Duration {
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
--- a/policy/server_limit.go
+++ b/policy/server_limit.go
@@ -84,12 +84,11 @@
 	return allowance
 }
 
-// rate returns how many requests per second the server is sent.
+// sendRate returns how many requests per second the server is sent.
 func (s *serverLimit) sendRate() float64 { return max(s.Rate, minLimitRate) }
 
 // sendsPerRedraw returns how many requests the server is sent until a sender draws again. It
-// is at least a half, so that low limits are used while few requests of a burst are let
-// through.
+// is at least a half, so that low limits are used while few requests of a burst are admitted.
 func (s *serverLimit) sendsPerRedraw() float64 {
 	return max(s.sendRate()*redrawInterval.Seconds(), 0.5)
 }
--- a/policy/server_limits_test.go
+++ b/policy/server_limits_test.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// request lets a sender choose a server for one request, and gives it the server's limit if
-// the request was sent.
+// request has a sender choose a server for one request, which answers with its limit if the
+// request is sent.
 func (sim *limitSimulation) request(sender int) {
 	s := sim.senders[sender]
 	sim.offered++
@@ -189,8 +189,9 @@
 	}
 }
 
-// expectUsed checks that each server got between least and most of its limit since from.
-func (sim *limitSimulation) expectUsed(from time.Time, least, most float64) {
+// expectUsed checks that each server got between minShare and maxShare of its limit since
+// from.
+func (sim *limitSimulation) expectUsed(from time.Time, minShare, maxShare float64) {
 	sim.t.Helper()
 	for server, arrivals := range sim.arrivals {
 		count := 0
@@ -199,8 +200,8 @@
 				count++
 			}
 		}
-		if share := float64(count) / sim.now.Sub(from).Seconds() / sim.rate; share < least || share > most {
-			sim.t.Errorf("server %d gets %.2f of its limit, want %.2f to %.2f", server, share, least, most)
+		if share := float64(count) / sim.now.Sub(from).Seconds() / sim.rate; share < minShare || share > maxShare {
+			sim.t.Errorf("server %d gets %.2f of its limit, want %.2f to %.2f", server, share, minShare, maxShare)
 		}
 	}
 }
--- a/policy/suspect_runs_test.go
+++ b/policy/suspect_runs_test.go
@@ -105,10 +105,10 @@
 // broadcast sends every sender's updates to all others.
 func (sim *isolationSimulation) broadcast() {
 	for _, from := range sim.senders {
-		news := from.News(testStart)
+		updates := from.News(testStart)
 		for _, to := range sim.senders {
 			if to != from {
-				to.Merge(testStart, news)
+				to.Merge(testStart, updates)
 			}
 		}
 	}
