--- a/policy/adaptive_headroom.go
+++ b/policy/adaptive_headroom.go
@@ -39,7 +39,7 @@
 )
 
 // AdaptiveHeadroom computes the share of the servers' slots that each urgency level leaves
-// free for more urgent levels, from what was refused lately at all senders.
+// free for more urgent levels, from what was refused recently at all senders.
 //
 // It guards against two neighbouring levels whose bursts coincide: whichever request arrives
 // first takes a freed slot, and the more urgent level is refused as often as the other. With
@@ -63,7 +63,7 @@
 	baseline       [UrgencyLevels]float64
 	baselineWeight float64
 	surge          [UrgencyLevels]float64
-	last           time.Time
+	updated        time.Time
 }
 
 // Share returns the share of each server's slots, from 0 to 1, that a level leaves free now.
@@ -77,15 +77,15 @@
 // advance accounts for the time since the last call. For growth, a longer gap counts as a
 // single gossip interval, since refusals were not observed during the whole gap.
 func (h *Yielding) advance(now time.Time, offers *Shortage, busy float64) {
-	const longestStep = 100 * time.Millisecond
-	elapsed := now.Sub(h.last)
-	if h.last.IsZero() {
-		elapsed = longestStep
+	const maxGrowthStep = 100 * time.Millisecond
+	elapsed := now.Sub(h.updated)
+	if h.updated.IsZero() {
+		elapsed = maxGrowthStep
 	}
-	h.last = now
+	h.updated = now
 	h.updateBaseline(elapsed, offers)
 	decay := math.Exp(-float64(elapsed) / float64(headroomDecay))
-	maxGrowth := headroomGrowth * min(elapsed, longestStep).Seconds()
+	maxGrowth := headroomGrowth * min(elapsed, maxGrowthStep).Seconds()
 	total, admitted, offered, refused := 0.0, 0.0, 0.0, 0.0
 	for _, level := range offers {
 		total += level.Offered
--- a/policy/offer_counts.go
+++ b/policy/offer_counts.go
@@ -10,14 +10,14 @@
 const offerDecay = 500 * time.Millisecond
 
 // OfferCounts holds, for each urgency level, how many requests were offered to a service's
-// servers lately and how many of them were refused only for lack of a slot. The counts decay
+// servers recently and how many of them were refused only for lack of a slot. The counts decay
 // exponentially and aren't integers.
 type Shortage [UrgencyLevels]struct {
 	Offered float64
 	Lacked  float64
 }
 
-// Add adds other counts to s, or subtracts them if sign is -1.
+// Add adds other counts to c, or subtracts them if sign is -1.
 func (c *Shortage) Add(other *Shortage, sign float64) {
 	for i := range c {
 		c[i].Offered += sign * other[i].Offered
@@ -38,8 +38,8 @@
 // OfferCounter maintains one sender's OfferCounts with exponential decay. Not safe for
 // concurrent use.
 type ShortageCount struct {
-	counts Shortage
-	last   time.Time
+	counts  Shortage
+	updated time.Time
 }
 
 // Observe counts a request of an urgency level; noSlot says that it was refused only for lack
@@ -59,12 +59,12 @@
 }
 
 func (c *ShortageCount) decay(now time.Time) {
-	if !c.last.IsZero() {
-		factor := math.Exp(-float64(now.Sub(c.last)) / float64(offerDecay))
+	if !c.updated.IsZero() {
+		factor := math.Exp(-float64(now.Sub(c.updated)) / float64(offerDecay))
 		for i := range c.counts {
 			c.counts[i].Offered *= factor
 			c.counts[i].Lacked *= factor
 		}
 	}
-	c.last = now
+	c.updated = now
 }
--- a/policy/reserve.go
+++ b/policy/reserve.go
@@ -30,7 +30,7 @@
 // next slot may become free only after seconds, later than the request's whole target. One
 // slot in eight, and at least one, is reserved for the two top tiers. Preemptible runs may use
 // these slots until Preempt takes them back: left idle, they cost a tenth of the goodput in a
-// burst of a lower class. Slots that the urgent tiers have used lately aren't lent, since one
+// burst of a lower class. Slots that the urgent tiers have used recently aren't lent, since one
 // run after another would be cancelled.
 //
 // The top tier may exceed the limit by the number of reserved slots, so that runs of other
