--- /dev/null
+++ b/policy/capacity.go
@@ -0,0 +1,91 @@
+package policy
+
+import "math"
+
+const (
+	// maxSlotShare is the share of a server's slots that the most urgent requests may fill,
+	// and slotSharePerLevel the share that each less urgent level leaves free for those above.
+	// A full server preempts running work for more urgent requests. Requests that other
+	// senders haven't reported yet need no reservation: admitBySlots accounts for them.
+	maxSlotShare      = 1.0
+	slotSharePerLevel = 0.02
+	// maxConnShare is the share of a server's connections that requests may take. Idle
+	// connections and those of senders that haven't reported yet take the rest.
+	maxConnShare = 0.7
+)
+
+// connsExhausted reports whether the server might reset one more connection. A model server
+// has slots. A plain service queues briefly and answers that it is full, but it resets
+// connections beyond those that it accepts, and then the outcome of their requests is unknown.
+func (s *Server) outOfConns() bool {
+	return s.Conns > 0 && float64(s.inFlight()) >= maxConnShare*float64(s.Conns)
+}
+
+// admitBySlots decides at random which servers with a free slot stay eligible for the request.
+// unseen is how many requests other senders are expected to have sent since their last report.
+// A server stays eligible with the probability that a slot is left for this request. Without
+// this, all senders see the same few servers with a free slot when nearly all are full, and
+// all of them send there.
+//
+// If fewer slots are left in total than other senders have sent requests, the request draws
+// once for all slots and gets at most one server, chosen in proportion to its free slots.
+// Independent draws per server would add up: with 13 requests for seven servers that have two
+// free slots each, two of three requests would win at least one draw, and the cheapest server
+// would get most of them.
+func (c *Chooser) shareSlots(unseen float64, all []weighed) {
+	withSlots, freeSlots, onTime := 0, 0.0, 0
+	for i := range all {
+		if !all[i].choice.Room {
+			continue
+		}
+		withSlots++
+		if all[i].choice.soon {
+			onTime++
+			freeSlots += all[i].left
+		}
+	}
+	perServer := unseen / float64(max(withSlots, 1))
+	draw, scarce := 0.0, freeSlots < perServer*float64(onTime)
+	if scarce {
+		draw = c.random.Float64() * perServer * float64(onTime)
+	}
+	for i := range all {
+		w := &all[i]
+		switch {
+		case !w.choice.Room:
+		case scarce && w.choice.soon:
+			w.choice.Room = draw >= 0 && draw < w.left
+			draw -= w.left
+		case w.left < perServer:
+			w.choice.Room = c.random.Float64() < w.left/perServer
+		}
+	}
+}
+
+// slotsLeft returns how many slots a request of the job's urgency may still take. It is +Inf
+// if the server's slots or the request's tokens aren't known.
+func (s *Server) slotsLeft(job Job) float64 {
+	if job.Tokens == 0 || s.Slots == 0 {
+		return math.Inf(1)
+	}
+	share := maxSlotShare - slotSharePerLevel*float64(job.Urgency) - job.Headroom
+	return share*float64(s.Slots) - float64(s.inFlight())
+}
+
+// admitByTime decides at random whether a request may use the time that the servers which meet
+// the target have left together. Near saturation all senders see the same last server that
+// meets the target; each would send there until it hears of the others' requests, which then
+// wait for seconds. Of the tokens that other senders are expected to send meanwhile, less what
+// the servers prefill in that time, the share that fits into the spare time is admitted.
+//
+// eligible counts the servers that meet the target whether or not they have a free slot:
+// servers without one are short of slots, not of time.
+func (c *Chooser) sharesTime(job *Job, best *Choice, rate *PrefillRate, eligible int) bool {
+	if job.Target == 0 || job.UnseenTokens == 0 {
+		return true
+	}
+	unseenTokens := job.UnseenTokens/float64(eligible) - rate.during(job.NewsAge)
+	prefill := float64(best.Prefill)
+	spare := rate.within(job.Target, job.atMeanLength(prefill)) - (best.Ahead - prefill)
+	return spare >= unseenTokens || c.random.Float64() < spare/unseenTokens
+}
--- /dev/null
+++ b/policy/limiter_window.go
@@ -0,0 +1,112 @@
+package policy
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// windowSamples is how many first tokens are evaluated together: two rounds of a small
+	// batch.
+	windowSamples = 16
+	// settledDelayedSamples is how many delayed first tokens lower a settled limit, and
+	// settledQueuedRuns how many runs in a row must have left another run without its first
+	// token. Times to first token differ by a factor of ten between a prompt that is in the
+	// engine's cache and one that isn't, so late ones alone prove little; but without a queue
+	// there are moments in which every run has its first token.
+	judgeSamples = 4
+	standingRuns = 12
+	// trialDelayedSamples and trialQueuedRuns are the same for a trial of a higher limit.
+	// Stopping a trial by mistake costs little; continuing a bad one delays urgent runs.
+	exploreSamples = 2
+	exploreRuns    = 6
+	// trialGoodSamples is how many timely first tokens at the trial's depth make it succeed.
+	goodSamples = 8
+	// intervalSamples is over how many times between tokens the average is taken: a few tokens
+	// of each stream, since single ones jitter.
+	intervalSamples = 32
+)
+
+// firstTokenSample is the first token of a run, or its absence after too long.
+type firstTokenSample struct {
+	// depth is how many runs were on the engine when this one began, itself included.
+	depth int
+	// delayed says that the first token was late compared with the engine's own baseline.
+	delayed bool
+}
+
+// limiterWindow collects the observations since the limit last changed.
+type limitWindow struct {
+	start time.Time
+	// recent holds the last windowSamples first tokens.
+	recent  [windowSamples]firstTokenSample
+	samples int
+	// trialGood counts timely first tokens beyond the limit during a trial.
+	good int
+	// ratio is the recent mean of time between tokens divided by its target, by tier, and
+	// ratioSamples the number of samples in it.
+	ratio        [tierCount]float64
+	ratioSamples [tierCount]int
+	// streams is the largest number of streams that produced tokens when a first token was
+	// delayed. A full engine runs that many of ours.
+	streams int
+	// full says that a ticket waited for lack of a slot.
+	full bool
+}
+
+// firstToken adds a sample; streaming is how many streams produce tokens now.
+func (w *limitWindow) firstToken(sample firstTokenSample, streaming int) {
+	if sample.delayed {
+		w.streams = max(w.streams, streaming)
+	}
+	w.recent[w.samples%windowSamples] = sample
+	w.samples++
+}
+
+// interval adds a tier's time between tokens, divided by its target.
+func (w *limitWindow) interval(tier Tier, ratio float64) {
+	w.ratioSamples[tier]++
+	weight := max(1.0/intervalSamples, 1/float64(w.ratioSamples[tier]))
+	w.ratio[tier] += weight * (ratio - w.ratio[tier])
+}
+
+// queued reports whether runs wait inside the engine. That is so if at least minDelayed first
+// tokens were delayed and, at their median depth and beyond, more were delayed than not.
+// Timely ones at a smaller depth say nothing, and a few delays at any depth are noise.
+func (w *limitWindow) queued(minDelayed int) bool {
+	recent := w.recent[:min(w.samples, windowSamples)]
+	var depths []int
+	for _, s := range recent {
+		if s.delayed {
+			depths = append(depths, s.depth)
+		}
+	}
+	if len(depths) < minDelayed {
+		return false
+	}
+	slices.Sort(depths)
+	depth := depths[len(depths)/2]
+	balance := 0
+	for _, s := range recent {
+		switch {
+		case s.depth < depth:
+		case s.delayed:
+			balance++
+		default:
+			balance--
+		}
+	}
+	return balance > 0
+}
+
+// worstRatio returns the highest ratio of time between tokens to its target among the tiers;
+// zero if there are too few samples.
+func (w *limitWindow) worstRatio() float64 {
+	worst := 0.0
+	for tier, n := range w.ratioSamples {
+		if n >= intervalSamples {
+			worst = max(worst, w.ratio[tier])
+		}
+	}
+	return worst
+}
--- /dev/null
+++ b/policy/recent_grants.go
@@ -0,0 +1,51 @@
+package policy
+
+import "time"
+
+// recentGrants tracks which classes were granted a ticket within the last starvedAfter. Its
+// size is bounded by the number of grants in that time.
+type grantedLately struct {
+	latest map[string]time.Time
+	order  []classGrant
+}
+
+// classGrant is the time of a grant to a class.
+type classGrant struct {
+	class string
+	at    time.Time
+}
+
+func newGrantedLately() grantedLately {
+	return grantedLately{latest: map[string]time.Time{}}
+}
+
+// add records a grant to a class.
+func (g *grantedLately) add(now time.Time, class string) {
+	g.expire(now)
+	if _, known := g.latest[class]; !known {
+		g.order = append(g.order, classGrant{class: class, at: now})
+	}
+	g.latest[class] = now
+}
+
+// contains reports whether a class was granted a ticket within the last starvedAfter.
+func (g *grantedLately) has(now time.Time, class string) bool {
+	g.expire(now)
+	_, known := g.latest[class]
+	return known
+}
+
+// expire drops grants older than starvedAfter. Each class is in order once: if it was granted
+// again since it was queued, it moves to the end with its latest time.
+func (g *grantedLately) expire(now time.Time) {
+	for len(g.order) > 0 && now.Sub(g.order[0].at) >= starvedAfter {
+		oldest := g.order[0]
+		g.order = g.order[1:]
+		latest := g.latest[oldest.class]
+		if now.Sub(latest) >= starvedAfter {
+			delete(g.latest, oldest.class)
+			continue
+		}
+		g.order = append(g.order, classGrant{class: oldest.class, at: latest})
+	}
+}
--- a/policy/suspect.go
+++ b/policy/suspect.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// clearedFor is for how long after a whole answer crashes don't count: longer than what is
-// asked for often takes to be answered again, and short enough that a request which
-// crashes the next release of a server is soon found out.
+// crashGracePeriod is for how long after a complete answer crashes don't count. It is longer
+// than a frequent request often takes to be answered again, and short enough that a request
+// which crashes a server's next release is detected soon.
 const clearedFor = 10 * time.Second
 
-// clearedAgain is by how much later a whole answer has to be than the one that is known:
-// what passes through several senders seems younger each time.
-const clearedAgain = time.Second
+// minClearAdvance is by how much a complete answer must be later than the known one to replace
+// it: answers seem newer each time that they are relayed.
+const minClearAdvance = time.Second
 
-// mostCrashes bounds the crashes that are remembered of one request: more than its
-// quarantine takes, so that the few that explain most stand out.
-const mostCrashes = 8
+// maxCrashes bounds the crashes remembered for a request. It is above quarantineAfter, so that
+// the few requests that explain most crashes stand out.
+const maxCrashes = 8
 
-// suspect is a request under which servers ended.
+// suspect is the state of a request that was running when server instances ended.
 type suspect struct {
 	cleared time.Time
 	crashes []Crash
-	// seen is when it came last, at any sender.
+	// seen is when the request last arrived at any sender.
 	seen time.Time
-	// tellings is how many times it is still to be told.
-	tellings int
-	// repeated says that more than one server has ended under it.
+	// sendsLeft is how many more times the suspect is to be sent to other senders.
+	sendsLeft int
+	// repeated says that more than one server instance has ended while running the request.
 	repeated bool
 }
 
-// crashed notes a crash; it reports whether that is news.
-func (s *suspect) crashed(c Crash) bool {
+// addCrash records a crash. It reports whether the crash counts and wasn't known.
+func (s *suspect) addCrash(c Crash) bool {
 	known := slices.ContainsFunc(s.crashes, func(other Crash) bool { return other.Start == c.Start })
-	if known || len(s.crashes) >= mostCrashes || s.excuses(c) {
+	if known || len(s.crashes) >= maxCrashes || s.excused(c) {
 		return false
 	}
 	s.crashes = append(s.crashes, c)
@@ -41,23 +41,23 @@
 	return true
 }
 
-// clear notes a whole answer; it reports whether crashes are forgotten for it.
+// clear records a complete answer. It reports whether crashes were dropped as a result.
 func (s *suspect) clear(at time.Time) bool {
-	if at.Sub(s.cleared) < clearedAgain {
+	if at.Sub(s.cleared) < minClearAdvance {
 		return false
 	}
 	s.cleared = at
 	before := len(s.crashes)
-	s.crashes = slices.DeleteFunc(s.crashes, s.excuses)
+	s.crashes = slices.DeleteFunc(s.crashes, s.excused)
 	return len(s.crashes) != before
 }
 
-// excuses reports whether a crash doesn't count, since the request was answered whole.
-func (s *suspect) excuses(c Crash) bool {
+// excused reports whether a crash doesn't count because the request was answered completely.
+func (s *suspect) excused(c Crash) bool {
 	return !s.cleared.IsZero() && !c.At.After(s.cleared.Add(clearedFor))
 }
 
-// unexplained counts the crashes that aren't explained.
+// unexplained returns the number of crashes whose instances aren't in explained.
 func (s *suspect) unexplained(explained map[Key]bool) int {
 	n := 0
 	for _, c := range s.crashes {
@@ -68,15 +68,15 @@
 	return n
 }
 
-// before reports whether a suspect is forgotten before another.
-func (s *suspect) before(other *suspect) bool {
+// evictBefore reports whether the suspect is evicted before another one.
+func (s *suspect) evictBefore(other *suspect) bool {
 	if len(s.crashes) != len(other.crashes) {
 		return len(s.crashes) < len(other.crashes)
 	}
 	return s.seen.Before(other.seen)
 }
 
-// suspicion is what others are told.
+// suspicion returns the state to send to other senders.
 func (s *suspect) suspicion(f Fingerprint) Suspicion {
 	return Suspicion{Fingerprint: f, Cleared: s.cleared, Seen: s.seen, Crashes: slices.Clone(s.crashes)}
 }
