--- a/internal/gateway/handover/client.go
+++ b/internal/gateway/handover/client.go
@@ -16,54 +16,58 @@
 )
 
 const (
-	// timeout bounds the wait for an answer and each pause in it; a gateway that
-	// doesn't answer is left for another.
-	timeout = time.Second
-	// Longest bounds a handover that goes on coming: the largest state takes seven
-	// seconds on a link of 10 Mbit/s that carries nothing else.
+	// progressTimeout bounds the wait for the first byte of a response and each pause within
+	// it. A gateway that doesn't respond in time is given up, and another one is asked.
+	progressTimeout = time.Second
+	// MaxDuration bounds a whole transfer that makes progress. The largest state takes seven
+	// seconds on an otherwise idle link of 10 Mbit/s.
 	Longest = 20 * time.Second
-	// maxState bounds a state in bytes.
-	maxState = 8 << 20
+	// maxStateBytes is the largest response that is read, in bytes.
+	maxStateBytes = 8 << 20
 )
 
-// Client asks other gateways for their state.
+// Client fetches state from other gateways.
 type Client struct {
 	http http.Client
 }
 
-// NewClient returns a Client. Connections are not kept: it asks seldom.
+// NewClient returns a Client. It keeps no idle connections, because requests are rare.
 func NewClient() *Client {
-	dialer := dial.Dialer(timeout, timeout)
+	dialer := dial.Dialer(progressTimeout, progressTimeout)
 	return &Client{http: http.Client{
 		Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true},
 	}}
 }
 
-// Get returns the state of the gateway at an address; ErrUnreachable or ErrForm.
+// Get returns the state of the gateway at addr. It returns ErrUnreachable or ErrMalformed on
+// failure.
 func (c *Client) Get(ctx context.Context, addr string) (State, error) {
 	var state State
 	err := c.get(ctx, addr, statePath, &state)
 	return state, err
 }
 
-// Targets returns the desired state of the gateway at an address, without servers, for
-// a gateway that could ask the store: ErrTooLarge where it is to do that.
+// DesiredState returns the desired state, without the list of servers, of the gateway at addr.
+// It is meant for gateways that could also read the store: if the document is too large it
+// returns ErrTooLarge, and the caller should read the store instead. Other errors are those of
+// Get.
 func (c *Client) Targets(ctx context.Context, addr string) (State, error) {
 	var state State
-	err := c.get(ctx, addr, targetsPath, &state)
+	err := c.get(ctx, addr, desiredStatePath, &state)
 	return state, err
 }
 
-// Changes returns what changed in the list of backend servers after a position, by the
-// gateway at an address; ErrGap if it doesn't know all of it, ErrUnreachable or ErrForm.
+// Changes returns the changes of the list of backend servers after a position, from the gateway
+// at addr. It returns ErrHistoryGap if that gateway doesn't know all of them, and otherwise
+// ErrUnreachable or ErrMalformed on failure.
 func (c *Client) Changes(ctx context.Context, addr string, after follow.Position) ([]follow.Step[backend.Info], error) {
 	var steps []follow.Step[backend.Info]
-	err := c.get(ctx, addr, changesPath+after.String(), &steps)
+	err := c.get(ctx, addr, serverChangesPath+after.String(), &steps)
 	return steps, err
 }
 
-func (c *Client) get(ctx context.Context, addr, path string, out any) error {
-	ctx, guard := stall.New(ctx, timeout, Longest)
+func (c *Client) get(ctx context.Context, addr, path string, result any) error {
+	ctx, guard := stall.New(ctx, progressTimeout, Longest)
 	defer guard.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
@@ -74,19 +78,19 @@
 		return errors.Wrap(ErrUnreachable, err.Error())
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(guard.Reader(io.LimitReader(resp.Body, maxState), timeout))
+	body, err := io.ReadAll(guard.Reader(io.LimitReader(resp.Body, maxStateBytes), progressTimeout))
 	switch {
 	case err != nil:
 		return errors.Wrap(ErrUnreachable, err.Error())
 	case resp.StatusCode == http.StatusGone:
-		return ErrGap
+		return ErrHistoryGap
 	case resp.StatusCode == http.StatusRequestEntityTooLarge:
 		return ErrTooLarge
 	case resp.StatusCode != http.StatusOK:
 		return errors.Wrapf(ErrUnreachable, "status %d", resp.StatusCode)
 	}
-	if err := cbor.Unmarshal(body, out); err != nil {
-		return errors.Wrap(ErrForm, err.Error())
+	if err := cbor.Unmarshal(body, result); err != nil {
+		return errors.Wrap(ErrMalformed, err.Error())
 	}
 	return nil
 }
--- a/internal/gateway/handover/errors.go
+++ b/internal/gateway/handover/errors.go
@@ -2,14 +2,15 @@
 
 import "github.com/go-faster/errors"
 
-// Errors of a handover.
+// Errors of this package.
 var (
-	// ErrUnreachable: the other gateway didn't answer in time.
-	ErrUnreachable = errors.New("gateway doesn't hand over its state")
-	// ErrGap: the other gateway doesn't know all changes after the position.
-	ErrGap = errors.New("gateway doesn't know all changes")
-	// ErrTooLarge: the desired state is to be had from the store.
-	ErrTooLarge = errors.New("desired state is too large to be handed over")
-	// ErrForm: what it answered is no state.
-	ErrForm = errors.New("state of another form")
+	// ErrUnreachable means that the other gateway didn't respond in time, or not with the
+	// expected status.
+	ErrUnreachable = errors.New("gateway did not return its state")
+	// ErrHistoryGap means that the other gateway doesn't know all changes after the position.
+	ErrHistoryGap = errors.New("gateway doesn't know all changes after the position")
+	// ErrTooLarge means that the desired state has to be read from the store instead.
+	ErrTooLarge = errors.New("desired state is too large to transfer between gateways")
+	// ErrMalformed means that the response can't be decoded.
+	ErrMalformed = errors.New("malformed response")
 )
--- /dev/null
+++ b/internal/gateway/handover/handler.go
@@ -0,0 +1,75 @@
+package handover
+
+import (
+	"net/http"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/julienschmidt/httprouter"
+
+	"github.com/applepier/applepier/internal/gateway/backend"
+	"github.com/applepier/applepier/internal/gateway/follow"
+)
+
+const (
+	// statePath serves the whole state, desiredStatePath the desired state alone, and
+	// serverChangesPath the changes of the list of backend servers after the position in the
+	// path.
+	statePath         = "/state"
+	desiredStatePath  = "/targets"
+	serverChangesPath = "/changes/"
+	positionParam     = "position"
+	// maxDesiredStateBytes bounds the document served at desiredStatePath, in bytes. Its
+	// callers can also read the store. Dozens of them ask the few gateways that first know a
+	// new version, over links shared with responses to callers; the store's link is sized for
+	// such transfers.
+	maxDesiredStateBytes = 128 << 10
+)
+
+// ChangesSince returns the changes of the list of backend servers after a position; false if
+// not all of them are known.
+type ChangesSince func(after follow.Position) ([]follow.Step[backend.Info], bool)
+
+// cborContentType is the media type of CBOR (RFC 8949).
+const cborContentType = "application/cbor"
+
+// NewHandler returns a handler that serves the results of getState and changesSince to other
+// gateways.
+func Routes(getState func() State, changesSince ChangesSince) http.Handler {
+	router := httprouter.New()
+	router.GET(statePath, func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+		writeCBOR(w, getState())
+	})
+	router.GET(desiredStatePath, func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+		current := getState()
+		if len(current.Document) > maxDesiredStateBytes {
+			http.Error(w, "desired state is too large; read it from the store", http.StatusRequestEntityTooLarge)
+			return
+		}
+		writeCBOR(w, State{Version: current.Version, Document: current.Document})
+	})
+	router.GET(serverChangesPath+":"+positionParam, func(w http.ResponseWriter, _ *http.Request, params httprouter.Params) {
+		after, err := follow.ParsePosition(params.ByName(positionParam))
+		if err != nil {
+			http.Error(w, "position: "+err.Error(), http.StatusBadRequest)
+			return
+		}
+		steps, complete := changesSince(after)
+		if !complete {
+			http.Error(w, "not all changes after the position are known", http.StatusGone)
+			return
+		}
+		writeCBOR(w, steps)
+	})
+	return router
+}
+
+func writeCBOR(w http.ResponseWriter, value any) {
+	body, err := cbor.Marshal(value)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusInternalServerError)
+		return
+	}
+	w.Header().Set("Content-Type", cborContentType)
+	// A write error is ignored: a gateway that disconnects asks again.
+	_, _ = w.Write(body)
+}
