--- a/internal/gateway/peers/bench_test.go
+++ b/internal/gateway/peers/bench_test.go
@@ -11,22 +11,23 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// busyMesh has something at 40 servers, and news, as a gateway in a burst does.
-func busyMesh(b *testing.B, peers int) *Mesh {
+// newBusyMesh returns a Mesh that reports load at 40 servers and sends updates, like a gateway
+// during a burst.
+func newBusyMesh(b *testing.B, peerCount int) *Mesh {
 	b.Helper()
 	loads := make([]Load, 40)
 	for i := range loads {
 		loads[i] = Load{Server: fmt.Sprintf("i-%08x", i), Counts: backend.Counts{Running: 2}}
 		loads[i].Counts.Pending[3].Requests, loads[i].Counts.Pending[3].Tokens = 1, 800
 	}
-	news := policy.News{Uses: make([]policy.Use, 20), Firsts: make([]policy.FirstToken, 2)}
-	for i := range news.Uses {
-		news.Uses[i] = policy.Use{Server: policy.Key(i) << 20, Part: uint64(i) << 50, Read: true}
+	updates := policy.News{Uses: make([]policy.Use, 20), Firsts: make([]policy.FirstToken, 2)}
+	for i := range updates.Uses {
+		updates.Uses[i] = policy.Use{Server: policy.Key(i) << 20, Part: uint64(i) << 50, Read: true}
 	}
 	m, err := Listen(Config{
 		Self:      Entry{Name: "a", Addr: "127.0.0.1:0"},
 		Loads:     func() []Load { return loads },
-		News:      func() policy.News { return news },
+		News:      func() policy.News { return updates },
 		Merge:     func(policy.News) {},
 		Shortages: func() map[string]policy.Shortage { return nil },
 		Proof:     func() Proof { return Proof{} },
@@ -38,17 +39,17 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(m.Close)
-	// All of them are this mesh's own address, whose datagrams nobody reads.
-	for i := range peers {
-		m.table.know(fmt.Sprintf("gateway-%d", i), m.Addr())
+	// All peers have the mesh's own address, and nothing reads its datagrams.
+	for i := range peerCount {
+		m.table.setAddr(fmt.Sprintf("gateway-%d", i), m.Addr())
 	}
 	return m
 }
 
 func BenchmarkBroadcast(b *testing.B) {
-	for _, peers := range []int{68, 299} {
-		b.Run(fmt.Sprintf("peers=%d", peers), func(b *testing.B) {
-			m := busyMesh(b, peers)
+	for _, peerCount := range []int{68, 299} {
+		b.Run(fmt.Sprintf("peers=%d", peerCount), func(b *testing.B) {
+			m := newBusyMesh(b, peerCount)
 			for b.Loop() {
 				m.broadcast()
 			}
@@ -57,15 +58,15 @@
 }
 
 func BenchmarkReceive(b *testing.B) {
-	m := busyMesh(b, 1)
+	m := newBusyMesh(b, 1)
 	m.broadcast()
-	from, in, err := m.receive(make([]byte, maxDatagram))
+	addr, in, err := m.receive(make([]byte, maxDatagramBytes))
 	if err != nil {
 		b.Fatal(err)
 	}
 	in.From = "gateway-0"
 	for b.Loop() {
 		in.Sequence++
-		m.table.take(time.Now(), from, in)
+		m.table.update(time.Now(), addr, in)
 	}
 }
--- a/internal/gateway/peers/broadcast.go
+++ b/internal/gateway/peers/broadcast.go
@@ -11,7 +11,7 @@
 	"github.com/applepier/applepier/internal/logging"
 )
 
-// broadcast sends a datagram to each other gateway.
+// broadcast sends one datagram to each known gateway.
 func (m *Mesh) broadcast() {
 	destinations := m.table.destinations()
 	if len(destinations) == 0 {
@@ -20,57 +20,57 @@
 	if m.Usage != nil {
 		m.table.selectUsageReceivers(time.Now(), destinations)
 	}
-	encoded, err := cbor.Marshal(m.state())
+	encoded, err := cbor.Marshal(m.buildSharedState())
 	if err != nil {
 		m.Log.Error(logging.EventPeerUnreadable, logging.Reason(err.Error()))
 		return
 	}
 	m.sequence++
-	out := message{From: m.Self.Name, Boot: m.boot, Sequence: m.sequence, Stamp: uint64(boottime.Now()), State: encoded}
+	msg := message{From: m.Self.Name, BootID: m.bootID, Sequence: m.sequence, Stamp: uint64(boottime.Now()), State: encoded}
 	for i := range destinations {
-		d := &destinations[i]
-		out.Echo, out.EchoBoot, out.Usage = d.echo, d.boot, m.usageMessageFor(d)
-		m.send(d.addr, &out)
+		dst := &destinations[i]
+		msg.Echo, msg.EchoBootID, msg.Usage = dst.echoStamp, dst.bootID, m.usageMessageFor(dst)
+		m.send(dst.addr, &msg)
 	}
 }
 
-// state is what all others are told. The proof's age is of a moment before the
-// datagram's stamp.
-func (m *Mesh) state() *state {
-	proof := m.Proof()
-	known := m.Following()
-	out := &state{Version: proof.Version, Follows: known.packed(), Servers: known.Servers, Quarantine: known.Quarantine}
-	if proof.At > 0 {
-		out.ProofAge = uint64((boottime.Now() - proof.At).Milliseconds() + 1)
+// buildSharedState returns the part of a datagram that is the same for all receivers. The
+// confirmation's age is measured before the datagram's Stamp is taken.
+func (m *Mesh) buildSharedState() *sharedState {
+	confirmation := m.Proof()
+	store := m.Following()
+	shared := &sharedState{StateVersion: confirmation.Version, StoreMode: store.mode(), ServersPosition: store.Servers, QuarantineKnown: store.Quarantine}
+	if confirmation.At > 0 {
+		shared.ConfirmationAge = uint64((boottime.Now() - confirmation.At).Milliseconds() + 1)
 	}
 	for _, l := range m.Loads() {
 		if l.Counts != (backend.Counts{}) {
-			out.Loads = append(out.Loads, loadOf(l.Server, &l.Counts))
+			shared.Loads = append(shared.Loads, packLoad(l.Server, &l.Counts))
 		}
 	}
 	for service, counts := range m.Shortages() {
-		if packed := shortageOf(service, &counts); len(packed.Levels) > 0 {
-			out.Shortages = append(out.Shortages, packed)
+		if packed := packShortage(service, &counts); len(packed.Levels) > 0 {
+			shared.Shortages = append(shared.Shortages, packed)
 		}
 	}
-	news := m.News()
-	out.Uses, out.Firsts, out.Pauses = usesOf(news.Uses), firstsOf(news.Firsts), pausesOf(news.Pauses)
+	updates := m.News()
+	shared.PrefixUses, shared.FirstTokens, shared.Pauses = packPrefixUses(updates.Uses), packFirstTokens(updates.Firsts), packPauses(updates.Pauses)
 	now := time.Now()
-	out.Unanswered, out.Suspicions, out.Limits = news.Unanswered, suspicionsOf(now, news.Suspicions), limitsOf(now, news.Limits)
-	return out
+	shared.Unanswered, shared.Suspicions, shared.Limits = updates.Unanswered, packSuspicions(now, updates.Suspicions), packLimits(now, updates.Limits)
+	return shared
 }
 
-func (m *Mesh) send(addr string, out *message) {
-	datagram, err := cbor.Marshal(out)
+func (m *Mesh) send(addr string, msg *message) {
+	datagram, err := cbor.Marshal(msg)
 	if err != nil {
 		m.Log.Error(logging.EventPeerUnreadable, logging.Reason(err.Error()))
 		return
 	}
-	to, err := net.ResolveUDPAddr("udp4", addr)
+	dst, err := net.ResolveUDPAddr("udp4", addr)
 	if err != nil {
 		m.Log.Warn(logging.EventPeerUnreadable, logging.Peer(addr), logging.Reason(err.Error()))
 		return
 	}
-	// A datagram that isn't sent is as good as one that was lost.
-	_, _ = m.conn.WriteTo(datagram, to)
+	// A failed send is treated like a lost datagram: the next one replaces it.
+	_, _ = m.conn.WriteTo(datagram, dst)
 }
--- a/internal/gateway/peers/config.go
+++ b/internal/gateway/peers/config.go
@@ -1,6 +1,6 @@
-// Package peers lets gateways tell each other, by datagram, what they have at
-// each backend server and how certain they are of the desired state. A lost
-// datagram is made good by the next. Start reading at Mesh.
+// Package peers exchanges datagrams between gateways: the load that each has at the backend
+// servers, and how recently each confirmed its desired state. A lost datagram isn't
+// retransmitted; the next one makes up for it. Start reading at Mesh.
 package peers
 
 import (
@@ -14,53 +14,55 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// Errors of the exchange.
+// Errors of this package.
 var (
-	// ErrListen: the address for datagrams can't be listened on.
+	// ErrListen means that the datagram address can't be bound.
 	ErrListen = errors.New("can't listen for datagrams")
-	// ErrForm: a datagram isn't of this protocol.
-	ErrForm = errors.New("datagram of another form")
+	// ErrMalformed means that a datagram can't be decoded.
+	ErrMalformed = errors.New("malformed datagram")
 )
 
-// Entry is a gateway in the platform's list.
+// Entry is a gateway's entry in the platform's list of gateways.
 type Entry struct {
-	// Name is the VM's name; Addr the host:port for datagrams.
+	// Name is the VM's name; Addr is the host:port that receives datagrams.
 	Name string
 	Addr string
 }
 
-// Load is what a gateway has at one backend server.
+// Load is a gateway's load at one backend server.
 type Load struct {
 	Server string
 	Counts backend.Counts
 }
 
-// Proof is how certain a gateway is of its desired state.
+// Confirmation states when a gateway's version of the desired state was last known to be the
+// newest.
 type Proof struct {
 	Version uint64
-	// At is when that version was the newest, on boottime's clock; 0 for never.
+	// At is the time of the confirmation on the boottime clock; 0 means never.
 	At time.Duration
 }
 
-// Config is what a Mesh needs.
+// Config holds a Mesh's dependencies.
 type Config struct {
 	Self Entry
-	// Loads returns what this gateway has; servers without anything may be
-	// left out.
+	// Loads returns this gateway's load by backend server; servers without load may be omitted.
 	Loads func() []Load
-	// Shortages returns what this gateway is short of, by service.
+	// Shortages returns this gateway's shortages, by service.
 	Shortages func() map[string]policy.Shortage
-	// News returns the updates for other gateways, and Merge merges one of theirs.
+	// TakeUpdates returns the updates to send to other gateways; MergeUpdates merges the
+	// updates of another gateway.
 	News  func() policy.News
 	Merge func(policy.News)
-	// Proof returns this gateway's proof, and Prove takes another's.
+	// Confirmation returns this gateway's confirmation; Confirm is called with a confirmation
+	// derived from another gateway's datagram.
 	Proof func() Proof
 	Prove func(Proof)
-	// Following is what this gateway knows of the store first hand.
+	// StoreStatus returns what this gateway has observed of the store.
 	Following func() Following
-	// Usage is this gateway's part in the report of usage; nil where none is made.
+	// Usage connects the exchange to usage reporting; nil if usage isn't reported.
 	Usage *Usage
 	Log   *zap.Logger
 }
 
-func hash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
+func hashName(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
--- a/internal/gateway/peers/mesh.go
+++ b/internal/gateway/peers/mesh.go
@@ -18,50 +18,51 @@
 )
 
 const (
-	// gossipInterval is how often a gateway tells the others what it has: a request
-	// takes 20 to 2,000 ms, and a datagram a fraction of a millisecond.
+	// gossipInterval is the time between two datagrams to a peer. A request takes 20 to 2,000
+	// ms, and a datagram a fraction of a millisecond.
 	gossipInterval = 100 * time.Millisecond
-	// goneAfter is how long a gateway that was listed or received from is waited for:
-	// a VM that restarts, or a network that is mended, takes less.
-	goneAfter = 10 * time.Minute
+	// removeAfter is how long a gateway may be silent before its entry is removed from the
+	// list. A VM restart or the repair of a network fault takes less time.
+	removeAfter = 10 * time.Minute
 )
 
-// Mesh is this gateway's end of the exchange. It implements the sink of a
-// follower of the gateways' list.
+// Mesh is this gateway's endpoint of the exchange. It implements follow.Sink for the list of
+// gateways.
 type Mesh struct {
 	Config
-	// Unlisted tells that this gateway's own entry was removed from the list.
+	// Unlisted receives a value when this gateway's own entry was removed from the list.
 	Unlisted chan struct{}
 	conn     net.PacketConn
 	table    *table
-	boot     uint64
+	bootID   uint64
 	sequence uint64
-	// listings counts the answers about the list of gateways, and listedAt is when the
-	// last one came, on boottime's clock.
-	listings atomic.Int64
-	listedAt atomic.Int64
-	// registeredAt is when this gateway's entry was written last, on the same clock; 0 for
-	// never.
+	// listUpdates counts the answers received about the list of gateways; listUpdatedAt is the
+	// time of the last one on the boottime clock.
+	listUpdates   atomic.Int64
+	listUpdatedAt atomic.Int64
+	// registeredAt is when this gateway's entry was last written, on the boottime clock; 0
+	// means never.
 	registeredAt atomic.Int64
 }
 
 var _ follow.Sink[Entry] = (*Mesh)(nil)
 
-// Listen returns a Mesh that listens on its own address.
+// Listen binds the gateway's own datagram address and returns a Mesh; it returns ErrListen if
+// the address can't be bound.
 func Listen(c Config) (*Mesh, error) {
 	conn, err := net.ListenPacket("udp4", c.Self.Addr)
 	if err != nil {
 		return nil, errors.Wrap(ErrListen, err.Error())
 	}
-	return &Mesh{Config: c, Unlisted: make(chan struct{}, 1), conn: conn, table: newTable(), boot: rand.Uint64()}, nil
+	return &Mesh{Config: c, Unlisted: make(chan struct{}, 1), conn: conn, table: newTable(), bootID: rand.Uint64()}, nil
 }
 
-// Run exchanges datagrams until ctx ends.
+// Run sends and receives datagrams until ctx ends.
 func (m *Mesh) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, m.Close)
 	defer stop()
 	var wg conc.WaitGroup
-	wg.Go(func() { m.listen(ctx) })
+	wg.Go(func() { m.receiveLoop(ctx) })
 	ticker := time.NewTicker(gossipInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
@@ -75,108 +76,111 @@
 	wg.Wait()
 }
 
-// Close stops a Mesh that doesn't run.
+// Close closes the socket of a Mesh that isn't running.
 func (m *Mesh) Close() { _ = m.conn.Close() }
 
-// At returns what all other gateways have at a backend server.
-func (m *Mesh) At(server string) backend.Counts { return m.table.at(hash(server)) }
+// LoadAt returns the sum of all other gateways' load at a backend server.
+func (m *Mesh) At(server string) backend.Counts { return m.table.loadAt(hashName(server)) }
 
-// Shortage returns what all other gateways are short of at a service's servers.
-func (m *Mesh) Shortage(service string) policy.Shortage { return m.table.shortage(hash(service)) }
+// Shortage returns the sum of all other gateways' shortages of a service.
+func (m *Mesh) Shortage(service string) policy.Shortage { return m.table.shortage(hashName(service)) }
 
-// LimitedSends returns how many requests all other gateways have sent lately to a backend
-// server's start that has named a limit.
+// LimitedSends returns how many requests all other gateways have recently sent to one start of
+// a backend server that has announced a limit.
 func (m *Mesh) LimitedSends(start policy.Key) float64 { return m.table.limitedSends(uint32(start)) }
 
-// Gateways counts the live gateways, this one included.
+// LiveGateways returns the number of live gateways, including this one.
 func (m *Mesh) Gateways() int { return 1 + m.table.livePeers(time.Now()) }
 
-// Before counts the live peers that the store isn't known to turn away and that come before
-// this gateway, in an order on which all agree that are live to each other.
-func (m *Mesh) Before() int { return m.table.before(time.Now(), m.Self.Name) }
+// PrecedingPeers returns the number of live peers that come before this gateway in an order on
+// which all gateways that are live to each other agree. Peers known to be unable to reach the
+// store are not counted.
+func (m *Mesh) Before() int { return m.table.precedingPeers(time.Now(), m.Self.Name) }
 
-// Followed reports whether a live peer asks the store for news.
-func (m *Mesh) Followed() bool { return m.table.followed(time.Now()) }
+// PeerPollsStore reports whether a live peer polls the store for changes.
+func (m *Mesh) Followed() bool { return m.table.anyPolling(time.Now()) }
 
-// Quarantined reports whether a live peer knows which requests are quarantined. It sends
-// them in turn.
-func (m *Mesh) Quarantined() bool { return m.table.quarantined(time.Now()) }
+// PeerKnowsQuarantine reports whether a live peer knows the quarantined requests. Such a peer
+// sends them in rotation.
+func (m *Mesh) Quarantined() bool { return m.table.anyKnowsQuarantine(time.Now()) }
 
-// Ahead returns the address of a live peer that knows of changes in the list of backend
-// servers after a position; empty for none.
-func (m *Mesh) Ahead(at follow.Position) string { return m.table.ahead(time.Now(), at) }
+// PeerWithNewerServers returns the address of a live peer that knows changes of the list of
+// backend servers after a position; empty if there is none.
+func (m *Mesh) Ahead(position follow.Position) string {
+	return m.table.withNewerServers(time.Now(), position)
+}
 
-// Newest returns the address of the live peer with the newest desired state, and its
-// version; empty for none.
-func (m *Mesh) Newest() (addr string, version uint64) { return m.table.newest(time.Now()) }
+// PeerWithNewestState returns the address of the live peer with the newest desired state, and
+// its version; empty if there is none.
+func (m *Mesh) Newest() (addr string, version uint64) { return m.table.newestState(time.Now()) }
 
-// Start identifies this gateway's start.
-func (m *Mesh) Start() uint64 { return m.boot }
+// BootID returns the random identifier of this process start.
+func (m *Mesh) Start() uint64 { return m.bootID }
 
-// Addr is the address at which this gateway listens for datagrams.
+// Addr returns the address at which this gateway listens for datagrams.
 func (m *Mesh) Addr() string { return m.conn.LocalAddr().String() }
 
-// Unseen is for how long what another gateway sends may go unseen here: up to
-// the time between two datagrams.
+// ReportInterval returns the time between two reports of another gateway. Its newer requests
+// are unknown here for up to that long.
 func (m *Mesh) Unseen() time.Duration { return gossipInterval }
 
-// Listed counts the gateways in the list, this one included, whether they run
-// or not.
-func (m *Mesh) Listed() int { return 1 + m.table.listed() }
+// ListedGateways returns the number of gateways in the list, including this one, whether or not
+// they are running.
+func (m *Mesh) Listed() int { return 1 + m.table.size() }
 
-// Listings counts the answers about the list that came, and tells how old the last one
-// is.
+// ListUpdates returns the number of answers received about the list of gateways, and the age of
+// the last one.
 func (m *Mesh) Listings() (count int64, age time.Duration) {
-	return m.listings.Load(), boottime.Now() - time.Duration(m.listedAt.Load())
+	return m.listUpdates.Load(), boottime.Now() - time.Duration(m.listUpdatedAt.Load())
 }
 
-// Registered notes that this gateway's entry has been written.
+// MarkRegistered records that this gateway's entry has just been written to the list.
 func (m *Mesh) Registered() { m.registeredAt.Store(int64(boottime.Now())) }
 
-// Reset implements follow.Sink. A list that was read after this gateway's entry was written
-// and lacks it is an older copy's.
-func (m *Mesh) Reset(moment time.Duration, all follow.Batch[Entry]) {
-	m.Change(moment, all)
-	registered := time.Duration(m.registeredAt.Load())
-	if registered == 0 || moment < registered {
+// Reset implements follow.Sink. If the list was read after this gateway's entry was written but
+// doesn't contain it, the store has returned an older copy, and Unlisted is signalled.
+func (m *Mesh) Reset(readAt time.Duration, entries follow.Batch[Entry]) {
+	m.Change(readAt, entries)
+	registeredAt := time.Duration(m.registeredAt.Load())
+	if registeredAt == 0 || readAt < registeredAt {
 		return
 	}
-	if !slices.ContainsFunc(all.Items, func(e Entry) bool { return e.Name == m.Self.Name }) {
-		m.unlisted()
+	if !slices.ContainsFunc(entries.Items, func(e Entry) bool { return e.Name == m.Self.Name }) {
+		m.signalUnlisted()
 	}
 }
 
 // Change implements follow.Sink.
 func (m *Mesh) Change(_ time.Duration, changes follow.Batch[Entry]) {
-	m.listings.Add(1)
-	m.listedAt.Store(int64(boottime.Now()))
+	m.listUpdates.Add(1)
+	m.listUpdatedAt.Store(int64(boottime.Now()))
 	for _, e := range changes.Items {
 		if e.Name != m.Self.Name {
-			m.table.know(e.Name, e.Addr)
+			m.table.setAddr(e.Name, e.Addr)
 		}
 	}
 	for _, name := range changes.Removed {
 		if name == m.Self.Name {
-			m.unlisted()
+			m.signalUnlisted()
 			continue
 		}
-		m.table.forget(name)
+		m.table.remove(name)
 	}
 }
 
-// unlisted notes that this gateway's entry was removed.
-func (m *Mesh) unlisted() {
+// signalUnlisted sends to Unlisted without blocking.
+func (m *Mesh) signalUnlisted() {
 	select {
 	case m.Unlisted <- struct{}{}:
 	default:
-		// It is known already.
+		// A signal is already pending.
 	}
 }
 
-// Gone names the listed gateways that have been silent for so long that their
-// VMs are gone: a VM's name is never used again, so their entries would stay
-// for good and count in the shared budgets.
-func (m *Mesh) Gone() []string { return m.table.silent(time.Now(), goneAfter) }
+// SilentPeers returns the names of known gateways that have been silent for so long that their
+// VMs are taken to be gone. A VM's name is never reused, so a stale entry would stay for good
+// and count in the shared budgets.
+func (m *Mesh) Gone() []string { return m.table.silentPeers(time.Now(), removeAfter) }
 
 // Available implements follow.Sink.
 func (m *Mesh) Available() {}
--- a/internal/gateway/peers/mesh_test.go
+++ b/internal/gateway/peers/mesh_test.go
@@ -11,19 +11,19 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// meshes returns two meshes on loopback that know each other, and what the
-// second was told to take as proved.
-func meshes(t *testing.T) (a, b *Mesh, proved *[]Proof) {
+// newMeshPair returns two meshes on loopback, and the confirmations that the second one has
+// accepted.
+func newMeshPair(t *testing.T) (a, b *Mesh, confirmations *[]Proof) {
 	t.Helper()
-	proved = &[]Proof{}
-	listen := func(name string, prove func(Proof)) *Mesh {
+	confirmations = &[]Proof{}
+	listen := func(name string, confirm func(Proof)) *Mesh {
 		m, err := Listen(Config{
 			Self:      Entry{Name: name, Addr: "127.0.0.1:0"},
 			Loads:     func() []Load { return nil },
 			News:      func() policy.News { return policy.News{} },
 			Shortages: func() map[string]policy.Shortage { return nil },
 			Proof:     func() Proof { return Proof{Version: 7, At: boottime.Now() - time.Second} },
-			Prove:     prove,
+			Prove:     confirm,
 			Following: func() Following { return Following{Able: true} },
 			Log:       zap.NewNop(),
 		})
@@ -34,113 +34,112 @@
 		return m
 	}
 	a = listen("a", func(Proof) {})
-	b = listen("b", func(p Proof) { *proved = append(*proved, p) })
-	return a, b, proved
+	b = listen("b", func(p Proof) { *confirmations = append(*confirmations, p) })
+	return a, b, confirmations
 }
 
-// pass has from write a datagram for to and hands it over.
-func pass(t *testing.T, from, to *Mesh) {
+// deliver sends a datagram from one mesh to another and processes it there.
+func deliver(t *testing.T, from, to *Mesh) {
 	t.Helper()
-	from.table.know(to.Self.Name, to.conn.LocalAddr().String())
+	from.table.setAddr(to.Self.Name, to.conn.LocalAddr().String())
 	from.broadcast()
-	addr, in, err := to.receive(make([]byte, maxDatagram))
+	addr, in, err := to.receive(make([]byte, maxDatagramBytes))
 	if err != nil {
 		t.Fatal(err)
 	}
-	to.take(addr, in)
+	to.handle(addr, in)
 }
 
-func TestProofCountsFromTheEchoedStamp(t *testing.T) {
-	a, b, proved := meshes(t)
-	pass(t, a, b)
-	if len(*proved) != 0 {
-		t.Fatal("a proof was taken from a gateway that echoed nothing")
+func TestConfirmationIsDatedByTheEchoedStamp(t *testing.T) {
+	a, b, confirmations := newMeshPair(t)
+	deliver(t, a, b)
+	if len(*confirmations) != 0 {
+		t.Fatal("accepted a confirmation from a gateway that echoed no stamp")
 	}
 	before := boottime.Now()
-	pass(t, b, a)
-	pass(t, a, b)
-	if len(*proved) != 1 {
-		t.Fatalf("%d proofs, want 1", len(*proved))
+	deliver(t, b, a)
+	deliver(t, a, b)
+	if len(*confirmations) != 1 {
+		t.Fatalf("%d confirmations, want 1", len(*confirmations))
 	}
-	p := (*proved)[0]
-	if p.Version != 7 || p.At > boottime.Now()-time.Second || p.At < before-time.Second-10*time.Millisecond {
-		t.Fatalf("proof %+v, want a second before %v", p, before)
+	got := (*confirmations)[0]
+	if got.Version != 7 || got.At > boottime.Now()-time.Second || got.At < before-time.Second-10*time.Millisecond {
+		t.Fatalf("confirmation %+v, want one second before %v", got, before)
 	}
 }
 
-// A VM that lost power counts its clock from zero. A stamp of the time before
-// would prove the desired state for as long as the VM had been up.
+// A VM's clock starts from zero after a power loss. If a stamp from before the restart were
+// accepted, it would confirm the desired state for as long as the VM had been up.
 func TestStampOfAnEarlierStartProvesNothing(t *testing.T) {
-	a, b, proved := meshes(t)
-	pass(t, b, a)
-	b.boot++
-	pass(t, a, b)
-	if len(*proved) != 0 {
-		t.Fatalf("a stamp of an earlier start proved %+v", *proved)
+	a, b, confirmations := newMeshPair(t)
+	deliver(t, b, a)
+	b.bootID++
+	deliver(t, a, b)
+	if len(*confirmations) != 0 {
+		t.Fatalf("a stamp of an earlier start led to confirmations %+v", *confirmations)
 	}
 }
 
-func TestSilentGatewaysAreGoneAfterAWhile(t *testing.T) {
-	a, b, _ := meshes(t)
+func TestSilentPeersAreReportedForRemoval(t *testing.T) {
+	a, b, _ := newMeshPair(t)
 	now := time.Now()
-	pass(t, a, b)
-	b.table.know("listed", "127.0.0.1:1")
-	if names := b.table.silent(now.Add(goneAfter), goneAfter); len(names) != 0 {
-		t.Errorf("gone too soon: %v", names)
+	deliver(t, a, b)
+	b.table.setAddr("listed", "127.0.0.1:1")
+	if names := b.table.silentPeers(now.Add(removeAfter), removeAfter); len(names) != 0 {
+		t.Errorf("reported for removal too soon: %v", names)
 	}
-	later := now.Add(goneAfter + time.Minute)
-	if names := b.table.silent(later, goneAfter); len(names) != 2 {
-		t.Errorf("%v are gone, a and listed were silent", names)
+	later := now.Add(removeAfter + time.Minute)
+	if names := b.table.silentPeers(later, removeAfter); len(names) != 2 {
+		t.Errorf("silent peers %v, want a and listed", names)
 	}
 	b.Change(0, follow.Batch[Entry]{Removed: []string{"a", "b"}})
 	if b.Listed() != 2 || len(b.Unlisted) != 1 {
-		t.Errorf("%d listed, unlisted %d; a is forgotten, b hears that it was unlisted", b.Listed(), len(b.Unlisted))
+		t.Errorf("%d listed, %d signals on Unlisted; want 2 and 1: a is removed, b is signalled", b.Listed(), len(b.Unlisted))
 	}
 }
 
-// Gateways that hear of each other agree on who comes first, and who falls silent
-// comes before nobody.
-func TestGatewaysAgreeOnTheirOrder(t *testing.T) {
-	a, b, _ := meshes(t)
-	pass(t, a, b)
-	pass(t, b, a)
+// Live gateways agree on their order, and a peer that has fallen silent precedes nobody.
+func TestLivePeersAgreeOnTheirOrder(t *testing.T) {
+	a, b, _ := newMeshPair(t)
+	deliver(t, a, b)
+	deliver(t, b, a)
 	if a.Before()+b.Before() != 1 {
-		t.Fatalf("%d come before a, %d before b", a.Before(), b.Before())
+		t.Fatalf("%d peers precede a, %d precede b", a.Before(), b.Before())
 	}
-	later := time.Now().Add(2 * silentAfter)
-	if got := a.table.before(later, "a") + b.table.before(later, "b"); got != 0 {
-		t.Errorf("%d silent gateways come before others", got)
+	afterTimeout := time.Now().Add(2 * peerTimeout)
+	if preceding := a.table.precedingPeers(afterTimeout, "a") + b.table.precedingPeers(afterTimeout, "b"); preceding != 0 {
+		t.Errorf("%d silent peers precede others", preceding)
 	}
 }
 
-// A list that lacks this gateway's entry, though it was read after the entry was written, is
-// an older copy's; one that was read before is as it should be.
-func TestOlderListHasTheGatewayRegisterAgain(t *testing.T) {
-	m, _, _ := meshes(t)
+// A list that was read after this gateway's entry was written and doesn't contain it comes from
+// an older copy of the store. A list that was read before the write need not contain it.
+func TestMissingOwnEntryInNewerListSignalsUnlisted(t *testing.T) {
+	mesh, _, _ := newMeshPair(t)
 	unlisted := func() bool {
 		select {
-		case <-m.Unlisted:
+		case <-mesh.Unlisted:
 			return true
 		default:
 			return false
 		}
 	}
-	m.Reset(boottime.Now(), follow.Batch[Entry]{})
+	mesh.Reset(boottime.Now(), follow.Batch[Entry]{})
 	if unlisted() {
-		t.Error("the first list lacks who hasn't registered yet")
+		t.Error("signalled before the first registration")
 	}
 	before := boottime.Now()
-	m.Registered()
-	m.Reset(before, follow.Batch[Entry]{})
+	mesh.Registered()
+	mesh.Reset(before, follow.Batch[Entry]{})
 	if unlisted() {
-		t.Error("a list from before the registration")
+		t.Error("signalled by a list read before the registration")
 	}
-	m.Reset(boottime.Now(), follow.Batch[Entry]{Items: []Entry{m.Self}})
+	mesh.Reset(boottime.Now(), follow.Batch[Entry]{Items: []Entry{mesh.Self}})
 	if unlisted() {
-		t.Error("it is listed")
+		t.Error("signalled although the gateway is listed")
 	}
-	m.Reset(boottime.Now(), follow.Batch[Entry]{Items: []Entry{{Name: "other"}}})
+	mesh.Reset(boottime.Now(), follow.Batch[Entry]{Items: []Entry{{Name: "other"}}})
 	if !unlisted() {
-		t.Error("an older copy's list isn't noticed")
+		t.Error("not signalled by a list without the gateway's entry")
 	}
 }
--- a/internal/gateway/peers/message.go
+++ b/internal/gateway/peers/message.go
@@ -8,102 +8,104 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// message is one datagram. Its fields, and those of the state, have numbers for names:
-// gateways of two releases understand each other while one is rolled out, since a field
-// that a release doesn't know is passed over, and one that isn't there is zero. A number
-// is never used again for something else.
+// message is the content of one datagram. Its fields, and those of sharedState, are encoded
+// under numbers, so that gateways of two releases understand each other during a rolling
+// update: unknown fields are ignored, and missing ones are zero. A number is never reused for
+// another field.
 type message struct {
-	// From is the sender's name, Boot its start: the counts of an earlier
-	// start are void, and Sequence orders those of one.
+	// From is the sender's name and BootID its process start. Loads of an earlier start are
+	// void; Sequence orders the datagrams of one start.
 	From     string `cbor:"1,keyasint"`
-	Boot     uint64 `cbor:"2,keyasint"`
+	BootID   uint64 `cbor:"2,keyasint"`
 	Sequence uint64 `cbor:"3,keyasint"`
-	// Stamp is the sender's clock; Echo is the last stamp that it had from
-	// the receiver, and EchoBoot the receiver's start then: a VM's clock
-	// begins anew when the VM does. Both are 0 when there was none.
-	Stamp    uint64 `cbor:"4,keyasint"`
-	Echo     uint64 `cbor:"5,keyasint,omitempty"`
-	EchoBoot uint64 `cbor:"6,keyasint,omitempty"`
-	// State is the encoded state, the same for all receivers.
+	// Stamp is the sender's boottime clock in nanoseconds. Echo is the last Stamp received from
+	// the receiver, and EchoBootID the receiver's start at that time, because a VM's clock
+	// restarts with the VM. Both are 0 if nothing was received.
+	Stamp      uint64 `cbor:"4,keyasint"`
+	Echo       uint64 `cbor:"5,keyasint,omitempty"`
+	EchoBootID uint64 `cbor:"6,keyasint,omitempty"`
+	// State is the encoded sharedState, identical for all receivers.
 	State cbor.RawMessage `cbor:"7,keyasint"`
-	// Usage is the receiver's part on usage, where it is reported.
+	// Usage holds the usage data for this receiver; nil if there is none to send.
 	Usage *usageMessage `cbor:"8,keyasint,omitempty"`
 }
 
-// state is what a gateway tells all others alike.
-type state struct {
-	// Version is the desired state in force at the sender, 0 for none, and
-	// ProofAge how old its proof is that there is no newer one, in
-	// milliseconds; 0 for no proof.
-	Version  uint64 `cbor:"1,keyasint,omitempty"`
-	ProofAge uint64 `cbor:"2,keyasint,omitempty"`
-	// Follows is whether the sender asks the store, and Servers the position after the
-	// newest change in the list of backend servers that it knows of, 0 for none.
-	Follows following       `cbor:"3,keyasint,omitempty"`
-	Servers follow.Position `cbor:"4,keyasint,omitempty"`
-	// Loads is what the sender has at backend servers; others have nothing.
-	Loads []load `cbor:"5,keyasint,omitempty"`
-	// Shortages are of the services at which the sender had requests lately.
+// sharedState is the part of a datagram that is the same for all receivers.
+type sharedState struct {
+	// StateVersion is the version of the desired state in force at the sender; 0 if there is
+	// none. ConfirmationAge is the time in milliseconds since that version was known to be the
+	// newest; 0 if it never was.
+	StateVersion    uint64 `cbor:"1,keyasint,omitempty"`
+	ConfirmationAge uint64 `cbor:"2,keyasint,omitempty"`
+	// StoreMode tells whether the sender polls the store. ServersPosition is the position after
+	// the newest change of the list of backend servers that the sender knows; 0 if there is
+	// none.
+	StoreMode       storeMode       `cbor:"3,keyasint,omitempty"`
+	ServersPosition follow.Position `cbor:"4,keyasint,omitempty"`
+	// Loads is the sender's load by backend server; servers without load are omitted.
+	Loads []serverLoad `cbor:"5,keyasint,omitempty"`
+	// Shortages covers the services for which the sender recently had requests.
 	Shortages []shortage `cbor:"6,keyasint,omitempty"`
-	// Uses are the parts of prompts that servers were sent or have read lately.
-	Uses []use `cbor:"7,keyasint,omitempty"`
-	// Firsts are the first tokens that the sender had since its last datagram.
-	Firsts []first `cbor:"8,keyasint,omitempty"`
-	// Pauses are of the streams that ended at the sender since its last datagram.
+	// PrefixUses lists the prompt parts that servers were recently sent or have processed.
+	PrefixUses []prefixUse `cbor:"7,keyasint,omitempty"`
+	// FirstTokens lists the first tokens received since the sender's last datagram.
+	FirstTokens []firstToken `cbor:"8,keyasint,omitempty"`
+	// Pauses covers the streams that ended at the sender since its last datagram.
 	Pauses []longestPause `cbor:"9,keyasint,omitempty"`
-	// Unanswered are the servers of requests that got no answer since then.
+	// Unanswered lists the servers of requests that got no answer since the last datagram, one
+	// entry for each request.
 	Unanswered []policy.Key `cbor:"10,keyasint,omitempty"`
-	// Suspicions are of requests under which servers ended.
+	// Suspicions covers requests during which backend servers crashed.
 	Suspicions []suspicion `cbor:"11,keyasint,omitempty"`
-	// Limits are those that servers have named, with what the sender sent there.
-	Limits []limit `cbor:"12,keyasint,omitempty"`
-	// Quarantine says that the sender knows which requests are quarantined.
-	Quarantine bool `cbor:"13,keyasint,omitempty"`
+	// Limits lists the limits that servers have announced, and the sender's requests to them.
+	Limits []serverLimit `cbor:"12,keyasint,omitempty"`
+	// QuarantineKnown is whether the sender knows the quarantined requests.
+	QuarantineKnown bool `cbor:"13,keyasint,omitempty"`
 }
 
-// received is a datagram with its state.
-type received struct {
+// decodedMessage is a datagram with its decoded sharedState.
+type decodedMessage struct {
 	message
-	state
+	sharedState
 }
 
-// load is what a gateway has at one backend server.
-type load struct {
+// serverLoad is the encoded form of Load.
+type serverLoad struct {
 	_ struct{} `cbor:",toarray"`
-	// Server is the hash of the server's id.
+	// Server is the hash of the server's ID.
 	Server  uint32
 	Running uint32
-	// Pending is what waits for its first token; levels of urgency at which
-	// nothing does are left out.
-	Pending []pending
+	// Pending is the work that waits for its first token; urgency levels without such work are
+	// omitted.
+	Pending []pendingWork
 }
 
-// pending is what waits at one level of urgency.
-type pending struct {
+// pendingWork is the work waiting for its first token at one urgency level.
+type pendingWork struct {
 	_        struct{} `cbor:",toarray"`
 	Urgency  uint8
 	Requests uint32
 	Tokens   uint32
 }
 
-// loadOf packs counts.
-func loadOf(server string, c *backend.Counts) load {
-	l := load{Server: hash(server), Running: uint32(max(c.Running, 0))}
-	for urgency, level := range c.Pending {
+// packLoad encodes the load at a server.
+func packLoad(server string, counts *backend.Counts) serverLoad {
+	packed := serverLoad{Server: hashName(server), Running: uint32(max(counts.Running, 0))}
+	for urgency, level := range counts.Pending {
 		if level.Requests > 0 {
-			l.Pending = append(l.Pending, pending{Urgency: uint8(urgency), Requests: uint32(level.Requests), Tokens: uint32(max(level.Tokens, 0))})
+			packed.Pending = append(packed.Pending, pendingWork{Urgency: uint8(urgency), Requests: uint32(level.Requests), Tokens: uint32(max(level.Tokens, 0))})
 		}
 	}
-	return l
+	return packed
 }
 
-// addTo adds what a gateway has to counts, or takes it away where sign is -1. A
-// level that isn't known here counts as the least urgent.
-func (l *load) addTo(c *backend.Counts, sign int) {
-	c.Running += sign * int(l.Running)
-	for _, p := range l.Pending {
-		level := &c.Pending[min(int(p.Urgency), len(c.Pending)-1)]
-		level.Requests += sign * int(p.Requests)
-		level.Tokens += sign * int(p.Tokens)
+// addTo adds the load to counts, or subtracts it if sign is -1. An unknown urgency level is
+// mapped to the least urgent one.
+func (l *serverLoad) addTo(counts *backend.Counts, sign int) {
+	counts.Running += sign * int(l.Running)
+	for _, work := range l.Pending {
+		dst := &counts.Pending[min(int(work.Urgency), len(counts.Pending)-1)]
+		dst.Requests += sign * int(work.Requests)
+		dst.Tokens += sign * int(work.Tokens)
 	}
 }
--- a/internal/gateway/peers/receive.go
+++ b/internal/gateway/peers/receive.go
@@ -13,66 +13,67 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// maxDatagram bounds a datagram in bytes; it holds some 4,000 servers.
-const maxDatagram = 60 << 10
+// maxDatagramBytes is the size of the receive buffer; a datagram of that size holds about 4,000
+// servers.
+const maxDatagramBytes = 60 << 10
 
-// listen takes datagrams until the connection is closed.
-func (m *Mesh) listen(ctx context.Context) {
-	buffer := make([]byte, maxDatagram)
+// receiveLoop handles datagrams until the socket is closed.
+func (m *Mesh) receiveLoop(ctx context.Context) {
+	buffer := make([]byte, maxDatagramBytes)
 	for ctx.Err() == nil {
-		from, in, err := m.receive(buffer)
+		addr, in, err := m.receive(buffer)
 		switch {
 		case err == nil:
-			m.take(from, in)
+			m.handle(addr, in)
 		case !errors.Is(err, net.ErrClosed):
-			m.Log.Warn(logging.EventPeerUnreadable, logging.Peer(from), logging.Reason(err.Error()))
+			m.Log.Warn(logging.EventPeerUnreadable, logging.Peer(addr), logging.Reason(err.Error()))
 		}
 	}
 }
 
-// receive waits for a datagram and reads it.
-func (m *Mesh) receive(buffer []byte) (from string, in *received, err error) {
-	n, addr, err := m.conn.ReadFrom(buffer)
+// receive blocks until a datagram arrives, and decodes it.
+func (m *Mesh) receive(buffer []byte) (addr string, in *decodedMessage, err error) {
+	n, source, err := m.conn.ReadFrom(buffer)
 	if err != nil {
 		return "", nil, err
 	}
 	in, err = decode(buffer[:n])
-	return addr.String(), in, err
+	return source.String(), in, err
 }
 
-// decode reads a datagram; ErrForm for one that isn't of this protocol.
-func decode(datagram []byte) (*received, error) {
-	in := &received{}
+// decode decodes a datagram; it returns ErrMalformed if that fails.
+func decode(datagram []byte) (*decodedMessage, error) {
+	in := &decodedMessage{}
 	if err := cbor.Unmarshal(datagram, &in.message); err != nil {
-		return nil, errors.Wrap(ErrForm, err.Error())
+		return nil, errors.Wrap(ErrMalformed, err.Error())
 	}
-	if err := cbor.Unmarshal(in.State, &in.state); err != nil {
-		return nil, errors.Wrap(ErrForm, err.Error())
+	if err := cbor.Unmarshal(in.State, &in.sharedState); err != nil {
+		return nil, errors.Wrap(ErrMalformed, err.Error())
 	}
 	if in.From == "" {
-		return nil, errors.Wrap(ErrForm, "no sender")
+		return nil, errors.Wrap(ErrMalformed, "missing sender")
 	}
 	return in, nil
 }
 
-// take takes one datagram. A proof counts from the moment at which this
-// gateway sent the stamp that comes back: however long the datagrams were on
-// their way, the other's proof was as old as it says at a later moment.
-func (m *Mesh) take(from string, in *received) {
+// handle processes one datagram. A confirmation is dated from the echoed stamp, which this
+// gateway sent before the peer measured the age. The peer's confirmation is therefore at least
+// as recent as computed, however long both datagrams were in transit.
+func (m *Mesh) handle(addr string, in *decodedMessage) {
 	now := time.Now()
-	if in.From == m.Self.Name || !m.table.take(now, from, in) {
+	if in.From == m.Self.Name || !m.table.update(now, addr, in) {
 		return
 	}
 	m.receiveUsage(now, in)
-	if len(in.Uses)+len(in.Firsts)+len(in.Pauses)+len(in.Unanswered)+len(in.Suspicions)+len(in.Limits) > 0 {
+	if len(in.PrefixUses)+len(in.FirstTokens)+len(in.Pauses)+len(in.Unanswered)+len(in.Suspicions)+len(in.Limits) > 0 {
 		m.Merge(policy.News{
-			Uses: unpackUses(in.Uses), Firsts: unpackFirsts(in.Firsts), Pauses: unpackPauses(in.Pauses), Unanswered: in.Unanswered,
+			Uses: unpackPrefixUses(in.PrefixUses), Firsts: unpackFirstTokens(in.FirstTokens), Pauses: unpackPauses(in.Pauses), Unanswered: in.Unanswered,
 			Suspicions: unpackSuspicions(now, in.Suspicions), Limits: unpackLimits(now, in.Limits),
 		})
 	}
-	age := time.Duration(in.ProofAge) * time.Millisecond
+	age := time.Duration(in.ConfirmationAge) * time.Millisecond
 	stamp := time.Duration(in.Echo)
-	if in.EchoBoot == m.boot && in.Version != 0 && age > 0 && stamp > age && stamp <= boottime.Now() {
-		m.Prove(Proof{Version: in.Version, At: stamp - age})
+	if in.EchoBootID == m.bootID && in.StateVersion != 0 && age > 0 && stamp > age && stamp <= boottime.Now() {
+		m.Prove(Proof{Version: in.StateVersion, At: stamp - age})
 	}
 }
--- a/internal/gateway/peers/server_limit.go
+++ b/internal/gateway/peers/server_limit.go
@@ -7,43 +7,45 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// limit is what a gateway knows of a backend server that has named a limit.
-type limit struct {
+// serverLimit is the encoded form of policy.ServerLimit: a limit that a backend server has
+// announced, and the sender's requests to it.
+type serverLimit struct {
 	_ struct{} `cbor:",toarray"`
-	// Server is the server's start.
-	Server uint32
-	// Rate is in requests a second; Lifted says that there is no limit any more, and Age
-	// how old that is, in milliseconds; 0 where the gateway has it from others.
+	// ServerStart is the key of the server's start.
+	ServerStart uint32
+	// Rate is in requests per second. Lifted means that the limit no longer applies. Age is the
+	// age of the evidence in milliseconds; 0 if the sender has it from other gateways.
 	Rate   float64
 	Lifted bool
 	Age    uint32
-	// Sent is how many requests the gateway sent lately.
-	Sent float32
+	// SentRequests is the number of requests that the sender has recently sent.
+	SentRequests float32
 }
 
-// limitsOf packs limits.
-func limitsOf(now time.Time, all []policy.ServerLimit) []limit {
-	packed := make([]limit, len(all))
-	for i, l := range all {
-		packed[i] = limit{Server: uint32(l.Server), Rate: l.Rate, Lifted: l.Lifted, Sent: float32(l.Sent)}
+// packLimits encodes server limits.
+func packLimits(now time.Time, limits []policy.ServerLimit) []serverLimit {
+	packed := make([]serverLimit, len(limits))
+	for i, l := range limits {
+		packed[i] = serverLimit{ServerStart: uint32(l.Server), Rate: l.Rate, Lifted: l.Lifted, SentRequests: float32(l.Sent)}
 		if !l.At.IsZero() {
-			packed[i].Age = ageOf(now, l.At)
+			packed[i].Age = ageMillis(now, l.At)
 		}
 	}
 	return packed
 }
 
-// unpackLimits unpacks what a datagram tells; rates that are none are left out.
-func unpackLimits(now time.Time, packed []limit) []policy.ServerLimit {
-	var all []policy.ServerLimit
+// unpackLimits decodes server limits; entries without evidence of the sender's own, or with an
+// invalid rate, are dropped.
+func unpackLimits(now time.Time, packed []serverLimit) []policy.ServerLimit {
+	var limits []policy.ServerLimit
 	for _, l := range packed {
 		if l.Age == 0 || !(l.Rate >= 0) || math.IsInf(l.Rate, 0) {
 			continue
 		}
-		all = append(all, policy.ServerLimit{
-			Server:   policy.Key(l.Server),
-			Evidence: policy.Evidence{Rate: l.Rate, Lifted: l.Lifted, At: before(now, l.Age)},
+		limits = append(limits, policy.ServerLimit{
+			Server:   policy.Key(l.ServerStart),
+			Evidence: policy.Evidence{Rate: l.Rate, Lifted: l.Lifted, At: timeAtAge(now, l.Age)},
 		})
 	}
-	return all
+	return limits
 }
--- a/internal/gateway/peers/shortage.go
+++ b/internal/gateway/peers/shortage.go
@@ -6,53 +6,53 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// leastOffered is the count below which a level of urgency isn't told: it has
-// faded away.
-const leastOffered = 0.05
+// minOffered is the number of requests below which an urgency level is omitted: the count has
+// decayed to almost nothing.
+const minOffered = 0.05
 
-// shortage is what a gateway was short of lately at one service's servers.
+// shortage is the encoded form of policy.Shortage for one service.
 type shortage struct {
 	_ struct{} `cbor:",toarray"`
 	// Service is the hash of the service's name.
 	Service uint32
-	Levels  []lack
+	Levels  []levelShortage
 }
 
-// lack is what was offered, and refused for want of a slot, at one level of
-// urgency, both fading with time.
-type lack struct {
+// levelShortage counts the requests offered at one urgency level, and those refused only
+// because no slot was free. Both counts decay with time.
+type levelShortage struct {
 	_       struct{} `cbor:",toarray"`
 	Urgency uint8
 	Offered float32
-	Lacked  float32
+	Refused float32
 }
 
-// shortageOf packs counts.
-func shortageOf(service string, counts *policy.Shortage) shortage {
-	out := shortage{Service: hash(service)}
+// packShortage encodes the shortage of a service.
+func packShortage(service string, counts *policy.Shortage) shortage {
+	packed := shortage{Service: hashName(service)}
 	for urgency, level := range counts {
-		if level.Offered >= leastOffered {
-			out.Levels = append(out.Levels, lack{Urgency: uint8(urgency), Offered: float32(level.Offered), Lacked: float32(level.Lacked)})
+		if level.Offered >= minOffered {
+			packed.Levels = append(packed.Levels, levelShortage{Urgency: uint8(urgency), Offered: float32(level.Offered), Refused: float32(level.Lacked)})
 		}
 	}
-	return out
+	return packed
 }
 
-// counts unpacks a shortage. A level that isn't known here counts as the least
-// urgent.
-func (s *shortage) counts() policy.Shortage {
-	var c policy.Shortage
-	for _, l := range s.Levels {
-		if !counted(l.Offered) || !counted(l.Lacked) {
+// unpack decodes a shortage; invalid counts are ignored. An unknown urgency level is mapped to
+// the least urgent one.
+func (s *shortage) unpack() policy.Shortage {
+	var sum policy.Shortage
+	for _, packed := range s.Levels {
+		if !validCount(packed.Offered) || !validCount(packed.Refused) {
 			continue
 		}
-		level := &c[min(int(l.Urgency), len(c)-1)]
-		level.Offered += float64(l.Offered)
-		level.Lacked += float64(l.Lacked)
+		level := &sum[min(int(packed.Urgency), len(sum)-1)]
+		level.Offered += float64(packed.Offered)
+		level.Lacked += float64(packed.Refused)
 	}
-	return c
+	return sum
 }
 
-// counted reports whether a number may be one of requests: the sums of all gateways would
-// not come back from one that isn't.
-func counted(n float32) bool { return n >= 0 && n <= math.MaxInt32 }
+// validCount reports whether n can be a number of requests. An invalid number, such as NaN,
+// would corrupt the sums over all gateways for good.
+func validCount(n float32) bool { return n >= 0 && n <= math.MaxInt32 }
--- a/internal/gateway/peers/shortage_test.go
+++ b/internal/gateway/peers/shortage_test.go
@@ -7,31 +7,31 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// What one gateway is short of reaches the others, and is forgotten with it.
-func TestShortagesAreShared(t *testing.T) {
-	a, b, _ := meshes(t)
-	var short policy.Shortage
-	short[3].Offered, short[3].Lacked = 40, 10
-	short[4].Offered = leastOffered / 2
-	a.Shortages = func() map[string]policy.Shortage { return map[string]policy.Shortage{"chat": short} }
-	pass(t, a, b)
+// A gateway's shortage reaches its peers, and is dropped when the gateway falls silent.
+func TestShortagesReachPeers(t *testing.T) {
+	a, b, _ := newMeshPair(t)
+	var sent policy.Shortage
+	sent[3].Offered, sent[3].Lacked = 40, 10
+	sent[4].Offered = minOffered / 2
+	a.Shortages = func() map[string]policy.Shortage { return map[string]policy.Shortage{"chat": sent} }
+	deliver(t, a, b)
 	got := b.Shortage("chat")
 	if got[3].Offered != 40 || got[3].Lacked != 10 {
-		t.Errorf("merged %+v, sent %+v", got[3], short[3])
+		t.Errorf("received %+v, sent %+v", got[3], sent[3])
 	}
 	if got[4].Offered != 0 {
-		t.Errorf("what had faded away was told: %+v", got[4])
+		t.Errorf("a count below minOffered was sent: %+v", got[4])
 	}
 	if other := b.Shortage("search"); other != (policy.Shortage{}) {
-		t.Errorf("another service is short of %+v", other)
+		t.Errorf("shortage %+v of another service", other)
 	}
-	short[3].Lacked = 4
-	pass(t, a, b)
+	sent[3].Lacked = 4
+	deliver(t, a, b)
 	if got := b.Shortage("chat"); got[3].Lacked != 4 {
-		t.Errorf("%v lacked after the second datagram, told 4", got[3].Lacked)
+		t.Errorf("%v refused after the second datagram, want 4", got[3].Lacked)
 	}
-	b.table.expire(time.Now().Add(2 * silentAfter))
+	b.table.expire(time.Now().Add(2 * peerTimeout))
 	if got := b.Shortage("chat"); got[3].Lacked != 0 {
-		t.Errorf("a silent gateway is still short of %v", got[3].Lacked)
+		t.Errorf("%v refused still counted for a silent gateway", got[3].Lacked)
 	}
 }
--- a/internal/gateway/peers/size_test.go
+++ b/internal/gateway/peers/size_test.go
@@ -7,32 +7,32 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// What a datagram carries more, for each request under suspicion and each server with a
-// limit, is bounded: control traffic has three kilobytes a second at a gateway.
-func TestSizesOfSuspicionsAndLimits(t *testing.T) {
+// The bytes that each suspected request and each limited server add to a datagram are bounded:
+// control traffic may take three kilobytes per second at a gateway.
+func TestEncodedSizesOfSuspicionsAndLimits(t *testing.T) {
 	now := time.Now()
-	suspicions := func(n int) []policy.Suspicion {
-		all := make([]policy.Suspicion, n)
-		for i := range all {
-			all[i] = policy.Suspicion{Fingerprint: 1<<63 + policy.Fingerprint(i), Seen: now.Add(-time.Hour), Crashes: []policy.Crash{{Start: 1 << 31, At: now.Add(-time.Hour)}, {Start: 1 << 30, At: now}, {Start: 3 << 30, At: now}}}
+	makeSuspicions := func(n int) []policy.Suspicion {
+		list := make([]policy.Suspicion, n)
+		for i := range list {
+			list[i] = policy.Suspicion{Fingerprint: 1<<63 + policy.Fingerprint(i), Seen: now.Add(-time.Hour), Crashes: []policy.Crash{{Start: 1 << 31, At: now.Add(-time.Hour)}, {Start: 1 << 30, At: now}, {Start: 3 << 30, At: now}}}
 		}
-		return all
+		return list
 	}
-	limits := func(n int) []policy.ServerLimit {
-		all := make([]policy.ServerLimit, n)
-		for i := range all {
-			all[i] = policy.ServerLimit{Server: 1<<31 + policy.Key(i), Evidence: policy.Evidence{Rate: 1.8, At: now.Add(-time.Minute)}, Sent: 2.3}
+	makeLimits := func(n int) []policy.ServerLimit {
+		list := make([]policy.ServerLimit, n)
+		for i := range list {
+			list[i] = policy.ServerLimit{Server: 1<<31 + policy.Key(i), Evidence: policy.Evidence{Rate: 1.8, At: now.Add(-time.Minute)}, Sent: 2.3}
 		}
-		return all
+		return list
 	}
-	size := func(s state) int { return len(encode(t, s)) }
-	one := size(state{Suspicions: suspicionsOf(now, suspicions(2))}) - size(state{Suspicions: suspicionsOf(now, suspicions(1))})
-	if one > 50 {
-		t.Errorf("%d bytes for a request under which three servers ended", one)
+	encodedSize := func(s sharedState) int { return len(mustMarshal(t, s)) }
+	perSuspicion := encodedSize(sharedState{Suspicions: packSuspicions(now, makeSuspicions(2))}) - encodedSize(sharedState{Suspicions: packSuspicions(now, makeSuspicions(1))})
+	if perSuspicion > 50 {
+		t.Errorf("%d bytes for a suspected request with three crashes", perSuspicion)
 	}
-	limited := size(state{Limits: limitsOf(now, limits(2))}) - size(state{Limits: limitsOf(now, limits(1))})
-	if limited > 30 {
-		t.Errorf("%d bytes for a server with a limit", limited)
+	perLimit := encodedSize(sharedState{Limits: packLimits(now, makeLimits(2))}) - encodedSize(sharedState{Limits: packLimits(now, makeLimits(1))})
+	if perLimit > 30 {
+		t.Errorf("%d bytes for a limited server", perLimit)
 	}
-	t.Logf("%d bytes for a request, %d for a server", one, limited)
+	t.Logf("%d bytes for a suspected request, %d for a limited server", perSuspicion, perLimit)
 }
--- a/internal/gateway/peers/store_status.go
+++ b/internal/gateway/peers/store_status.go
@@ -6,88 +6,88 @@
 	"github.com/applepier/applepier/internal/gateway/follow"
 )
 
-// following is whether a gateway asks the platform's store for news.
-type following uint8
+// storeMode is a gateway's relation to the platform's store.
+type storeMode uint8
 
 const (
-	// turnedAway: the store didn't answer this gateway last.
-	turnedAway following = iota
-	// resting: others ask, as far as the gateway knows.
-	resting
-	// asking: it asks, and the store answers.
-	asking
+	// storeUnreachable means that the gateway's last call to the store failed.
+	storeUnreachable storeMode = iota
+	// notPolling means that the gateway leaves polling to other gateways.
+	notPolling
+	// polling means that the gateway polls the store and gets answers.
+	polling
 )
 
-// Following is what a gateway knows of the platform's store first hand.
+// StoreStatus is what a gateway has observed of the platform's store.
 type Following struct {
-	// Able says that the store didn't turn this gateway away last.
+	// Reachable is whether this gateway's last call to the store did not fail.
 	Able bool
-	// Asks says that it asks, and the store answers.
+	// Polling is whether this gateway polls the store and gets answers.
 	Asks bool
-	// Servers is the position after the newest change in the list of backend servers
-	// that is known, from whomever; 0 for none.
+	// ServersPosition is the position after the newest known change of the list of backend
+	// servers, whether from the store or from a peer; 0 if there is none.
 	Servers follow.Position
-	// Quarantine says that the requests that are quarantined are known, from the store or from
-	// gateways that know them.
+	// QuarantineKnown is whether this gateway knows the quarantined requests, either from the
+	// store or from gateways that know them.
 	Quarantine bool
 }
 
-func (f Following) packed() following {
+func (s Following) mode() storeMode {
 	switch {
-	case f.Asks:
-		return asking
-	case f.Able:
-		return resting
+	case s.Asks:
+		return polling
+	case s.Able:
+		return notPolling
 	default:
-		return turnedAway
+		return storeUnreachable
 	}
 }
 
-// before counts the live peers that the store isn't known to turn away, and whose names come
-// before one by their hashes.
-func (t *table) before(now time.Time, name string) int {
+// precedingPeers counts the live peers whose name hashes sort before that of name, except those
+// that can't reach the store.
+func (t *table) precedingPeers(now time.Time, name string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	n := 0
-	for other, p := range t.peers {
-		if p.live(now) && p.follows != turnedAway && hash(other) < hash(name) {
-			n++
+	count := 0
+	for peerName, p := range t.peers {
+		if p.isLive(now) && p.storeMode != storeUnreachable && hashName(peerName) < hashName(name) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// followed reports whether a live peer asks the store.
-func (t *table) followed(now time.Time) bool {
+// anyPolling reports whether a live peer polls the store.
+func (t *table) anyPolling(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range t.peers {
-		if p.live(now) && p.follows == asking {
+		if p.isLive(now) && p.storeMode == polling {
 			return true
 		}
 	}
 	return false
 }
 
-// quarantined reports whether a live peer knows which requests are quarantined.
-func (t *table) quarantined(now time.Time) bool {
+// anyKnowsQuarantine reports whether a live peer knows the quarantined requests.
+func (t *table) anyKnowsQuarantine(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range t.peers {
-		if p.live(now) && p.quarantine {
+		if p.isLive(now) && p.quarantineKnown {
 			return true
 		}
 	}
 	return false
 }
 
-// ahead returns the address of a live peer that knows of changes in the list of backend
-// servers after a position; empty for none, one of several by chance.
-func (t *table) ahead(now time.Time, at follow.Position) string {
+// withNewerServers returns the address of a live peer that knows changes of the list of backend
+// servers after a position, picked arbitrarily if there are several; empty if there is none.
+func (t *table) withNewerServers(now time.Time, position follow.Position) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range t.peers {
-		if p.live(now) && p.servers > at {
+		if p.isLive(now) && p.serversPosition > position {
 			return p.addr
 		}
 	}
--- a/internal/gateway/peers/store_status_test.go
+++ b/internal/gateway/peers/store_status_test.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-func TestGatewaysThatAreTurnedAwayComeBeforeNobody(t *testing.T) {
-	a, b, _ := meshes(t)
+func TestUnreachableStoreExcludesGatewaysFromTheOrder(t *testing.T) {
+	a, b, _ := newMeshPair(t)
 	a.Config.Following = func() Following { return Following{} }
 	b.Config.Following = func() Following { return Following{} }
-	pass(t, a, b)
-	pass(t, b, a)
+	deliver(t, a, b)
+	deliver(t, b, a)
 	if a.Before()+b.Before() != 0 {
-		t.Errorf("%d come before a, %d before b, and the store answers neither", a.Before(), b.Before())
+		t.Errorf("%d peers precede a, %d precede b, although neither can reach the store", a.Before(), b.Before())
 	}
 }
 
-func TestWhoAsksTheStoreIsKnown(t *testing.T) {
-	a, b, _ := meshes(t)
-	pass(t, a, b)
+func TestStoreStatusReachesPeers(t *testing.T) {
+	a, b, _ := newMeshPair(t)
+	deliver(t, a, b)
 	if b.Followed() || b.Ahead(0) != "" {
-		t.Error("a rests and knows of no servers")
+		t.Error("a doesn't poll and knows no servers")
 	}
 	a.Config.Following = func() Following { return Following{Able: true, Asks: true, Servers: 8} }
-	pass(t, a, b)
+	deliver(t, a, b)
 	if !b.Followed() || b.Ahead(7) == "" || b.Ahead(8) != "" {
-		t.Errorf("followed %v, ahead of 7 %q, of 8 %q", b.Followed(), b.Ahead(7), b.Ahead(8))
+		t.Errorf("peer polls store %v, peer with servers after 7 %q, after 8 %q", b.Followed(), b.Ahead(7), b.Ahead(8))
 	}
 	if b.Quarantined() {
-		t.Error("a doesn't know which requests are quarantined")
+		t.Error("a doesn't know the quarantined requests")
 	}
 	a.Config.Following = func() Following { return Following{Able: true, Asks: true, Servers: 8, Quarantine: true} }
-	pass(t, a, b)
+	deliver(t, a, b)
 	if !b.Quarantined() {
-		t.Error("a knows which requests are quarantined")
+		t.Error("a knows the quarantined requests, but this isn't seen at b")
 	}
-	later := time.Now().Add(2 * silentAfter)
-	if b.table.followed(later) || b.table.quarantined(later) || b.table.ahead(later, 7) != "" {
-		t.Error("who fell silent is relied on")
+	afterTimeout := time.Now().Add(2 * peerTimeout)
+	if b.table.anyPolling(afterTimeout) || b.table.anyKnowsQuarantine(afterTimeout) || b.table.withNewerServers(afterTimeout, 7) != "" {
+		t.Error("a silent peer is still used")
 	}
 }
--- a/internal/gateway/peers/suspicion.go
+++ b/internal/gateway/peers/suspicion.go
@@ -7,64 +7,64 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// suspicion is what a gateway knows of a request under which backend servers ended. Times
-// are ages in milliseconds when it is told.
+// suspicion is the encoded form of policy.Suspicion: a request during which backend servers
+// crashed. Ages are in milliseconds at the time of encoding.
 type suspicion struct {
 	_           struct{} `cbor:",toarray"`
 	Fingerprint uint64
-	// Cleared is the age of the last whole answer; 0 for none.
-	Cleared uint32
-	// Seen is the age of the last time that it came.
-	Seen    uint32
+	// ClearedAge is the age of the last complete answer; 0 if there is none.
+	ClearedAge uint32
+	// SeenAge is the time since the request last arrived.
+	SeenAge uint32
 	Crashes []crash
 }
 
-// crash is a start of a backend server that ended.
+// crash is the encoded form of policy.Crash: one start of a backend server that ended.
 type crash struct {
 	_     struct{} `cbor:",toarray"`
 	Start uint32
 	Age   uint32
 }
 
-// suspicionsOf packs suspicions.
-func suspicionsOf(now time.Time, all []policy.Suspicion) []suspicion {
-	packed := make([]suspicion, len(all))
-	for i, s := range all {
-		packed[i].Fingerprint, packed[i].Seen = uint64(s.Fingerprint), ageOf(now, s.Seen)
+// packSuspicions encodes suspicions.
+func packSuspicions(now time.Time, suspicions []policy.Suspicion) []suspicion {
+	packed := make([]suspicion, len(suspicions))
+	for i, s := range suspicions {
+		packed[i].Fingerprint, packed[i].SeenAge = uint64(s.Fingerprint), ageMillis(now, s.Seen)
 		if !s.Cleared.IsZero() {
-			packed[i].Cleared = ageOf(now, s.Cleared)
+			packed[i].ClearedAge = ageMillis(now, s.Cleared)
 		}
 		for _, c := range s.Crashes {
-			packed[i].Crashes = append(packed[i].Crashes, crash{Start: uint32(c.Start), Age: ageOf(now, c.At)})
+			packed[i].Crashes = append(packed[i].Crashes, crash{Start: uint32(c.Start), Age: ageMillis(now, c.At)})
 		}
 	}
 	return packed
 }
 
-// unpackSuspicions unpacks what a datagram tells.
+// unpackSuspicions decodes suspicions.
 func unpackSuspicions(now time.Time, packed []suspicion) []policy.Suspicion {
 	if len(packed) == 0 {
 		return nil
 	}
-	all := make([]policy.Suspicion, len(packed))
+	suspicions := make([]policy.Suspicion, len(packed))
 	for i, s := range packed {
-		all[i].Fingerprint, all[i].Seen = policy.Fingerprint(s.Fingerprint), before(now, s.Seen)
-		if s.Cleared > 0 {
-			all[i].Cleared = before(now, s.Cleared)
+		suspicions[i].Fingerprint, suspicions[i].Seen = policy.Fingerprint(s.Fingerprint), timeAtAge(now, s.SeenAge)
+		if s.ClearedAge > 0 {
+			suspicions[i].Cleared = timeAtAge(now, s.ClearedAge)
 		}
 		for _, c := range s.Crashes {
-			all[i].Crashes = append(all[i].Crashes, policy.Crash{Start: policy.Key(c.Start), At: before(now, c.Age)})
+			suspicions[i].Crashes = append(suspicions[i].Crashes, policy.Crash{Start: policy.Key(c.Start), At: timeAtAge(now, c.Age)})
 		}
 	}
-	return all
+	return suspicions
 }
 
-// ageOf is in milliseconds, one at least. For who hears of it the datagram's way isn't
-// part of it.
-func ageOf(now, at time.Time) uint32 {
+// ageMillis returns the age of a time in milliseconds, at least 1. The datagram's transit time
+// is not included; receivers neglect it.
+func ageMillis(now, at time.Time) uint32 {
 	return uint32(min(max(now.Sub(at).Milliseconds(), 1), math.MaxUint32))
 }
 
-func before(now time.Time, age uint32) time.Time {
+func timeAtAge(now time.Time, age uint32) time.Time {
 	return now.Add(-time.Duration(age) * time.Millisecond)
 }
--- a/internal/gateway/peers/table.go
+++ b/internal/gateway/peers/table.go
@@ -9,193 +9,196 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// silentAfter is how long counts are believed after the last datagram: long
-// enough for a few lost ones, short enough that a gateway that died doesn't
-// keep servers looking busy.
-const silentAfter = time.Second
+// peerTimeout is how long a peer's counts are used after its last datagram: long enough to
+// tolerate a few lost datagrams, and short enough that a crashed gateway doesn't keep servers
+// looking busy.
+const peerTimeout = time.Second
 
-// peer is what is known of another gateway.
+// peer is the known state of another gateway.
 type peer struct {
-	addr     string
-	boot     uint64
-	sequence uint64
-	received time.Time
-	// known is when it was first known, from the list or itself.
-	known time.Time
-	// stamp is the last stamp that came, to be echoed.
-	stamp uint64
-	loads []load
-	// shortages are what it was short of when it told last.
+	addr         string
+	bootID       uint64
+	sequence     uint64
+	lastReceived time.Time
+	// firstKnown is when the peer was first seen, in the list or by a datagram.
+	firstKnown time.Time
+	// lastStamp is the Stamp of the peer's last datagram, to be echoed.
+	lastStamp uint64
+	loads     []serverLoad
+	// shortages holds the shortages in the peer's last datagram.
 	shortages []shortage
-	// limits hold what it sent to servers that have named one.
-	limits []limit
-	// version is the desired state that it had in force last.
-	version uint64
-	// follows is whether it asks the store, and servers what it knows of the list of
-	// backend servers.
-	follows following
-	servers follow.Position
-	// quarantine says that it knows which requests are quarantined.
-	quarantine bool
-	usage      usagePeer
+	// limits holds the limits in the peer's last datagram, with its requests to these servers.
+	limits []serverLimit
+	// stateVersion is the version of the desired state last in force at the peer.
+	stateVersion uint64
+	// storeMode is whether the peer polls the store; serversPosition is its position in the
+	// list of backend servers.
+	storeMode       storeMode
+	serversPosition follow.Position
+	// quarantineKnown is whether the peer knows the quarantined requests.
+	quarantineKnown bool
+	usage           peerUsage
 }
 
-// live reports whether a datagram of it was received lately.
-func (p *peer) live(now time.Time) bool { return now.Sub(p.received) <= silentAfter }
+// isLive reports whether a datagram of the peer was received within peerTimeout.
+func (p *peer) isLive(now time.Time) bool { return now.Sub(p.lastReceived) <= peerTimeout }
 
-// table keeps the other gateways' counts and their sums. All methods may be
-// called concurrently.
+// table holds the state of all other gateways and the sums of their counts. All methods are
+// safe for concurrent use.
 type table struct {
-	// mu guards what follows; nothing is locked while it is held.
-	mu    sync.Mutex
-	peers map[string]*peer
-	sums  map[uint32]*backend.Counts
-	// lacking sums the shortages by service.
-	lacking map[uint32]policy.Shortage
-	// limited sums what was sent to servers that have named a limit.
-	limited map[uint32]float64
+	// mu guards the fields below. No other lock is taken while it is held.
+	mu       sync.Mutex
+	peers    map[string]*peer
+	loadSums map[uint32]*backend.Counts
+	// shortageSums holds the sums of the shortages by service hash.
+	shortageSums map[uint32]policy.Shortage
+	// limitedSendSums holds the sums of requests to servers that have announced a limit, by
+	// server start.
+	limitedSendSums map[uint32]float64
 }
 
 func newTable() *table {
-	return &table{peers: map[string]*peer{}, sums: map[uint32]*backend.Counts{}, lacking: map[uint32]policy.Shortage{}, limited: map[uint32]float64{}}
+	return &table{peers: map[string]*peer{}, loadSums: map[uint32]*backend.Counts{}, shortageSums: map[uint32]policy.Shortage{}, limitedSendSums: map[uint32]float64{}}
 }
 
-// take takes a datagram's counts; false if it is older than what is known.
-func (t *table) take(now time.Time, addr string, m *received) bool {
+// update applies a datagram. It returns false if the datagram is not newer than the last one of
+// the same start.
+func (t *table) update(now time.Time, addr string, in *decodedMessage) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	p := t.peer(m.From)
-	if p.boot == m.Boot && m.Sequence <= p.sequence {
+	p := t.getOrAdd(in.From)
+	if p.bootID == in.BootID && in.Sequence <= p.sequence {
 		return false
 	}
-	// The new counts first: servers at which the gateway goes on having something
-	// keep their sums.
-	t.add(m.Loads, 1)
-	t.lack(m.Shortages, 1)
-	t.limit(m.Limits, 1)
-	t.drop(p)
-	if p.boot != m.Boot {
-		p.usage = usagePeer{}
+	// Add the new counts before subtracting the old ones: the sums of servers at which the
+	// gateway still has load are then kept.
+	t.addLoads(in.Loads, 1)
+	t.addShortages(in.Shortages, 1)
+	t.addLimitedSends(in.Limits, 1)
+	t.subtract(p)
+	if p.bootID != in.BootID {
+		p.usage = peerUsage{}
 	}
-	p.addr, p.boot, p.sequence, p.received, p.stamp = addr, m.Boot, m.Sequence, now, m.Stamp
-	p.version, p.follows, p.servers, p.quarantine = m.Version, m.Follows, m.Servers, m.Quarantine
-	p.loads, p.shortages, p.limits = m.Loads, m.Shortages, m.Limits
+	p.addr, p.bootID, p.sequence, p.lastReceived, p.lastStamp = addr, in.BootID, in.Sequence, now, in.Stamp
+	p.stateVersion, p.storeMode, p.serversPosition, p.quarantineKnown = in.StateVersion, in.StoreMode, in.ServersPosition, in.QuarantineKnown
+	p.loads, p.shortages, p.limits = in.Loads, in.Shortages, in.Limits
 	return true
 }
 
-// know notes a gateway's address from the list.
-func (t *table) know(name, addr string) {
+// setAddr sets a gateway's address from the list, adding the gateway if it is new.
+func (t *table) setAddr(name, addr string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.peer(name).addr = addr
+	t.getOrAdd(name).addr = addr
 }
 
-// peer returns a gateway, known from now on at least; t.mu is held.
-func (t *table) peer(name string) *peer {
+// getOrAdd returns the peer of a name, added if it is new; t.mu must be held.
+func (t *table) getOrAdd(name string) *peer {
 	p := t.peers[name]
 	if p == nil {
-		p = &peer{known: time.Now()}
+		p = &peer{firstKnown: time.Now()}
 		t.peers[name] = p
 	}
 	return p
 }
 
-// silent names the gateways from which nothing was received for a time.
-func (t *table) silent(now time.Time, than time.Duration) []string {
+// silentPeers returns the names of gateways that have been known for longer than threshold and
+// sent nothing within it.
+func (t *table) silentPeers(now time.Time, threshold time.Duration) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var names []string
 	for name, p := range t.peers {
-		if now.Sub(p.received) > than && now.Sub(p.known) > than {
+		if now.Sub(p.lastReceived) > threshold && now.Sub(p.firstKnown) > threshold {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// forget drops a gateway that isn't listed any more.
-func (t *table) forget(name string) {
+// remove deletes a gateway that is no longer listed.
+func (t *table) remove(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if p := t.peers[name]; p != nil {
-		t.drop(p)
+		t.subtract(p)
 		delete(t.peers, name)
 	}
 }
 
-// expire drops the counts of gateways that are silent.
+// expire subtracts the counts of gateways that are not live.
 func (t *table) expire(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range t.peers {
-		if !p.live(now) {
-			t.drop(p)
+		if !p.isLive(now) {
+			t.subtract(p)
 		}
 	}
 }
 
-// destination is where a datagram goes, and which stamp it echoes.
+// destination is a receiver of a datagram, with the data that is specific to it.
 type destination struct {
-	name string
-	addr string
-	echo uint64
-	boot uint64
-	// receivesUsage says that it is sent usage updates, and acknowledged the last change that
-	// it has merged.
+	name      string
+	addr      string
+	echoStamp uint64
+	bootID    uint64
+	// receivesUsage is whether the receiver is sent usage updates; ackReceived is the last
+	// change that it has acknowledged as merged.
 	receivesUsage bool
-	acknowledged  uint64
-	// ackSent is what was last acknowledged to it.
+	ackReceived   uint64
+	// ackSent is the last sequence that was acknowledged to the receiver.
 	ackSent uint64
 }
 
 func (t *table) destinations() []destination {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all := make([]destination, 0, len(t.peers))
+	list := make([]destination, 0, len(t.peers))
 	for name, p := range t.peers {
-		all = append(all, destination{name: name, addr: p.addr, echo: p.stamp, boot: p.boot, acknowledged: p.usage.acknowledged, ackSent: p.usage.ackSent})
+		list = append(list, destination{name: name, addr: p.addr, echoStamp: p.lastStamp, bootID: p.bootID, ackReceived: p.usage.ackReceived, ackSent: p.usage.ackSent})
 	}
-	return all
+	return list
 }
 
-// livePeers counts the live peers.
+// livePeers returns the number of live peers.
 func (t *table) livePeers(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	n := 0
+	count := 0
 	for _, p := range t.peers {
-		if p.live(now) {
-			n++
+		if p.isLive(now) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// newest returns the address of the live peer with the newest desired state; which of
-// several is left to chance.
-func (t *table) newest(now time.Time) (addr string, version uint64) {
+// newestState returns the address of a live peer with the newest desired state, picked
+// arbitrarily if there are several, and its version.
+func (t *table) newestState(now time.Time) (addr string, version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range t.peers {
-		if p.live(now) && p.version > version {
-			addr, version = p.addr, p.version
+		if p.isLive(now) && p.stateVersion > version {
+			addr, version = p.addr, p.stateVersion
 		}
 	}
 	return addr, version
 }
 
-// listed counts the gateways that are known, live or not.
-func (t *table) listed() int {
+// size returns the number of known gateways, live or not.
+func (t *table) size() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.peers)
 }
 
-func (t *table) at(server uint32) backend.Counts {
+func (t *table) loadAt(server uint32) backend.Counts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s := t.sums[server]; s != nil {
-		return *s
+	if sum := t.loadSums[server]; sum != nil {
+		return *sum
 	}
 	return backend.Counts{}
 }
@@ -203,59 +206,60 @@
 func (t *table) limitedSends(start uint32) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.limited[start]
+	return t.limitedSendSums[start]
 }
 
 func (t *table) shortage(service uint32) policy.Shortage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.lacking[service]
+	return t.shortageSums[service]
 }
 
-// drop takes away what a gateway told; t.mu is held.
-func (t *table) drop(p *peer) {
-	t.add(p.loads, -1)
-	t.lack(p.shortages, -1)
-	t.limit(p.limits, -1)
+// subtract removes a peer's counts from the sums; t.mu must be held.
+func (t *table) subtract(p *peer) {
+	t.addLoads(p.loads, -1)
+	t.addShortages(p.shortages, -1)
+	t.addLimitedSends(p.limits, -1)
 	p.loads, p.shortages, p.limits = nil, nil, nil
 }
 
-// limit adds or takes away what was sent to servers with a limit; t.mu is held.
-func (t *table) limit(limits []limit, sign float64) {
-	const none = 1e-3
+// addLimitedSends adds the requests to limited servers to the sums, or subtracts them if sign
+// is -1; t.mu must be held.
+func (t *table) addLimitedSends(limits []serverLimit, sign float64) {
+	const negligible = 1e-3 // smaller sums are rounding residues
 	for _, l := range limits {
-		if !counted(l.Sent) {
+		if !validCount(l.SentRequests) {
 			continue
 		}
-		if sum := t.limited[l.Server] + sign*float64(l.Sent); sum > none {
-			t.limited[l.Server] = sum
+		if sum := t.limitedSendSums[l.ServerStart] + sign*float64(l.SentRequests); sum > negligible {
+			t.limitedSendSums[l.ServerStart] = sum
 		} else {
-			delete(t.limited, l.Server)
+			delete(t.limitedSendSums, l.ServerStart)
 		}
 	}
 }
 
-// lack adds or takes away shortages; t.mu is held.
-func (t *table) lack(shortages []shortage, sign float64) {
+// addShortages adds shortages to the sums, or subtracts them if sign is -1; t.mu must be held.
+func (t *table) addShortages(shortages []shortage, sign float64) {
 	for i := range shortages {
-		s := t.lacking[shortages[i].Service]
-		counts := shortages[i].counts()
-		s.Add(&counts, sign)
-		t.lacking[shortages[i].Service] = s
+		sum := t.shortageSums[shortages[i].Service]
+		unpacked := shortages[i].unpack()
+		sum.Add(&unpacked, sign)
+		t.shortageSums[shortages[i].Service] = sum
 	}
 }
 
-// add adds or takes away counts; t.mu is held.
-func (t *table) add(loads []load, sign int) {
+// addLoads adds loads to the sums, or subtracts them if sign is -1; t.mu must be held.
+func (t *table) addLoads(loads []serverLoad, sign int) {
 	for i := range loads {
-		s := t.sums[loads[i].Server]
-		if s == nil {
-			s = &backend.Counts{}
-			t.sums[loads[i].Server] = s
+		sum := t.loadSums[loads[i].Server]
+		if sum == nil {
+			sum = &backend.Counts{}
+			t.loadSums[loads[i].Server] = sum
 		}
-		loads[i].addTo(s, sign)
-		if sign < 0 && *s == (backend.Counts{}) {
-			delete(t.sums, loads[i].Server)
+		loads[i].addTo(sum, sign)
+		if sign < 0 && *sum == (backend.Counts{}) {
+			delete(t.loadSums, loads[i].Server)
 		}
 	}
 }
--- a/internal/gateway/peers/updates_test.go
+++ b/internal/gateway/peers/updates_test.go
@@ -9,8 +9,8 @@
 	"github.com/applepier/applepier/policy"
 )
 
-func TestNewsArePassedOn(t *testing.T) {
-	a, b, _ := meshes(t)
+func TestUpdatesReachPeers(t *testing.T) {
+	a, b, _ := newMeshPair(t)
 	sent := policy.News{
 		Uses:       []policy.Use{{Server: 0xfffffff0, Part: 1<<63 + 5, Read: true}, {Server: 2, Part: 3}},
 		Firsts:     []policy.FirstToken{{Service: 9, Server: 2, Urgency: 4, Ahead: 12_000, Took: 250 * time.Millisecond}},
@@ -19,32 +19,32 @@
 	}
 	a.News = func() policy.News { return sent }
 	var merged []policy.News
-	b.Merge = func(n policy.News) { merged = append(merged, n) }
-	pass(t, a, b)
+	b.Merge = func(updates policy.News) { merged = append(merged, updates) }
+	deliver(t, a, b)
 	if len(merged) != 1 || !reflect.DeepEqual(merged[0], sent) {
 		t.Fatalf("merged %+v, sent %+v", merged, sent)
 	}
-	// Levels of urgency that aren't known here count as the least urgent.
+	// Unknown urgency levels are mapped to the least urgent one.
 	sent.Firsts[0].Urgency, sent.Pauses[0].Urgency = 200, 201
-	pass(t, a, b)
+	deliver(t, a, b)
 	if got := merged[1].Firsts[0].Urgency; got != policy.UrgencyLevels-1 {
-		t.Errorf("level 200 came as %d", got)
+		t.Errorf("level 200 decoded as %d", got)
 	}
 	if got := merged[1].Pauses[0].Urgency; got != policy.UrgencyLevels-1 {
-		t.Errorf("level 201 came as %d", got)
+		t.Errorf("level 201 decoded as %d", got)
 	}
-	// Without news nobody is called.
+	// Without updates, MergeUpdates is not called.
 	sent = policy.News{}
-	pass(t, a, b)
+	deliver(t, a, b)
 	if len(merged) != 2 {
-		t.Errorf("%d times news, want 2", len(merged))
+		t.Errorf("%d merges, want 2", len(merged))
 	}
 }
 
-// What one gateway knows of a request that crashes servers the others know as it is,
-// however far their clocks are apart.
-func TestSuspicionsArePassedOn(t *testing.T) {
-	a, b, _ := meshes(t)
+// A suspicion reaches the peers with its times unchanged, however far apart the gateways'
+// clocks are: times are sent as ages.
+func TestSuspicionsReachPeers(t *testing.T) {
+	a, b, _ := newMeshPair(t)
 	now := time.Now()
 	sent := []policy.Suspicion{
 		{Fingerprint: 1<<63 + 5, Seen: now.Add(-2 * time.Minute), Crashes: []policy.Crash{{Start: 0xfffffff0, At: now.Add(-time.Hour)}, {Start: 3, At: now}}},
@@ -52,27 +52,27 @@
 	}
 	a.News = func() policy.News { return policy.News{Suspicions: sent} }
 	var merged []policy.Suspicion
-	b.Merge = func(n policy.News) { merged = append(merged, n.Suspicions...) }
-	pass(t, a, b)
+	b.Merge = func(updates policy.News) { merged = append(merged, updates.Suspicions...) }
+	deliver(t, a, b)
 	if len(merged) != 2 || merged[0].Fingerprint != sent[0].Fingerprint || len(merged[0].Crashes) != 2 || !merged[0].Cleared.IsZero() || merged[1].Crashes != nil {
 		t.Fatalf("merged %+v, sent %+v", merged, sent)
 	}
-	near := func(got, want time.Time) {
+	checkTime := func(got, want time.Time) {
 		t.Helper()
 		if d := got.Sub(want); d < -time.Second || d > time.Second {
-			t.Errorf("%v, %v away from what was sent", got, d)
+			t.Errorf("got %v, which is %v from the time sent", got, d)
 		}
 	}
-	near(merged[0].Crashes[0].At, sent[0].Crashes[0].At)
-	near(merged[0].Crashes[1].At, sent[0].Crashes[1].At)
-	near(merged[1].Cleared, sent[1].Cleared)
-	near(merged[0].Seen, sent[0].Seen)
+	checkTime(merged[0].Crashes[0].At, sent[0].Crashes[0].At)
+	checkTime(merged[0].Crashes[1].At, sent[0].Crashes[1].At)
+	checkTime(merged[1].Cleared, sent[1].Cleared)
+	checkTime(merged[0].Seen, sent[0].Seen)
 }
 
-// What gateways sent to a server with a limit counts until they fall silent; a limit that
-// is no number is passed over.
-func TestLimitsArePassedOn(t *testing.T) {
-	a, b, _ := meshes(t)
+// Requests sent to a limited server count until the sender falls silent. A limit that is not a
+// number is ignored.
+func TestServerLimitsReachPeers(t *testing.T) {
+	a, b, _ := newMeshPair(t)
 	now := time.Now()
 	a.News = func() policy.News {
 		return policy.News{Limits: []policy.ServerLimit{
@@ -83,26 +83,26 @@
 		}}
 	}
 	var merged []policy.ServerLimit
-	b.Merge = func(n policy.News) { merged = append(merged, n.Limits...) }
-	pass(t, a, b)
+	b.Merge = func(updates policy.News) { merged = append(merged, updates.Limits...) }
+	deliver(t, a, b)
 	if len(merged) != 2 || merged[0].Rate != 1.8 || merged[0].Lifted || !merged[1].Lifted {
 		t.Fatalf("merged %+v", merged)
 	}
 	if age := now.Sub(merged[0].At); age < 59*time.Second || age > 61*time.Second {
-		t.Errorf("named %v ago, a minute was sent", age)
+		t.Errorf("age %v, want one minute", age)
 	}
 	if got := b.LimitedSends(0xfffffff0); got != 2.5 {
-		t.Errorf("%v sent by the other", got)
+		t.Errorf("peer sent %v, want 2.5", got)
 	}
 	if b.LimitedSends(3) != 0 || b.LimitedSends(4) != 1 {
-		t.Errorf("%v and %v sent by the other", b.LimitedSends(3), b.LimitedSends(4))
+		t.Errorf("peer sent %v and %v, want 0 and 1", b.LimitedSends(3), b.LimitedSends(4))
 	}
-	pass(t, a, b)
+	deliver(t, a, b)
 	if got := b.LimitedSends(0xfffffff0); got != 2.5 {
-		t.Errorf("%v sent by the other, sent twice", got)
+		t.Errorf("peer sent %v after the second datagram, want 2.5", got)
 	}
-	b.table.expire(time.Now().Add(2 * silentAfter))
+	b.table.expire(time.Now().Add(2 * peerTimeout))
 	if got := b.LimitedSends(0xfffffff0); got != 0 {
-		t.Errorf("%v sent by a gateway that fell silent", got)
+		t.Errorf("%v requests still counted for a silent gateway", got)
 	}
 }
--- a/internal/gateway/peers/usage.go
+++ b/internal/gateway/peers/usage.go
@@ -10,96 +10,99 @@
 )
 
 const (
-	// usageInterval is every which datagram carries usage to a receiver: what a killed gateway
-	// hasn't sent is lost.
-	usageInterval = 2
-	// clockInterval is every which datagram carries the time of day, and who reports, to
-	// gateways that get no usage; where there are more than clockPeers for each of these it is
-	// longer, so that what a gateway sends doesn't grow with their number.
-	clockInterval = 10
-	clockPeers    = 8
-	// usageSuccessors is how many gateways receive usage beside the one that reports it: the
-	// next one to report it is among them.
+	// usageEveryRounds is the number of broadcast rounds between two usage updates to a
+	// receiver. Counts that a killed gateway has not sent yet are lost.
+	usageEveryRounds = 2
+	// clockEveryRounds is the number of broadcast rounds between two messages with the time of
+	// day and the reporter flag to gateways that get no usage updates. From
+	// clockEveryRounds*clockMessagesPerRound gateways on, the interval is the number of listed
+	// gateways divided by clockMessagesPerRound, so that a gateway's traffic doesn't grow with
+	// their number.
+	clockEveryRounds      = 10
+	clockMessagesPerRound = 8
+	// usageSuccessors is the number of gateways that receive usage updates in addition to the
+	// reporter. The next reporter is one of them.
 	usageSuccessors = 2
 )
 
-// Usage is this gateway's part in the report of usage.
+// UsageExchange connects a Mesh to usage reporting.
 type Usage struct {
-	// Holds says whether it is the one that reports.
+	// IsReporter reports whether this gateway currently reports usage to the platform.
 	Holds func() bool
-	// Update returns what has changed after what a receiver has acknowledged.
+	// UpdateSince returns the counts that have changed after the change that a receiver has
+	// acknowledged.
 	Update func(acknowledged uint64) usage.Update
-	// Merge merges another gateway's update, and Sequence is the last change that was merged,
-	// to be acknowledged.
+	// Merge merges another gateway's update. MergedSequence returns the last change merged from
+	// a gateway, which is then acknowledged to it.
 	Merge    func(now time.Time, from usage.Source, u usage.Update)
 	Sequence func(from usage.Source) uint64
 }
 
-// usageMessage is a datagram's part on usage, for one receiver.
+// usageMessage is the usage part of a datagram, specific to its receiver.
 type usageMessage struct {
-	// WallClock is the sender's, in Unix milliseconds.
+	// WallClock is the sender's time of day, in Unix milliseconds.
 	WallClock int64 `cbor:"1,keyasint"`
-	Holds     bool  `cbor:"2,keyasint,omitempty"`
-	// Acknowledged is the receiver's last change that the sender has merged.
-	Acknowledged uint64 `cbor:"3,keyasint,omitempty"`
-	// Update is nil for a receiver that needs none.
+	Reporter  bool  `cbor:"2,keyasint,omitempty"`
+	// Acked is the receiver's last change that the sender has merged.
+	Acked uint64 `cbor:"3,keyasint,omitempty"`
+	// Update is nil for a receiver that is sent no usage update.
 	Update *usage.Update `cbor:"4,keyasint,omitempty"`
 }
 
-// usagePeer is what is known of another gateway's part in the report.
-type usagePeer struct {
-	holds        bool
-	acknowledged uint64
-	// clockOffset is its time of day less this VM's boot time, in milliseconds; known says
-	// that there is one.
+// peerUsage is the known usage state of another gateway.
+type peerUsage struct {
+	reporter    bool
+	ackReceived uint64
+	// clockOffset is the peer's time of day minus this VM's boottime clock, in milliseconds; it
+	// is valid if clockKnown is set.
 	clockOffset int64
-	known       bool
-	// ackSent is what was last acknowledged to it.
+	clockKnown  bool
+	// ackSent is the last sequence that was acknowledged to the peer.
 	ackSent uint64
 }
 
-// receiveUsage takes a datagram's part on usage.
-func (m *Mesh) receiveUsage(now time.Time, in *received) {
+// receiveUsage processes the usage part of a datagram.
+func (m *Mesh) receiveUsage(now time.Time, in *decodedMessage) {
 	if m.Usage == nil || in.Usage == nil {
 		return
 	}
 	msg := in.Usage
 	m.table.receiveUsage(in.From, msg, msg.WallClock-boottime.Now().Milliseconds())
 	if msg.Update != nil {
-		m.Usage.Merge(now, usage.Source{Gateway: in.From, Start: in.Boot}, *msg.Update)
+		m.Usage.Merge(now, usage.Source{Gateway: in.From, Start: in.BootID}, *msg.Update)
 	}
 }
 
 func (t *table) receiveUsage(from string, msg *usageMessage, clockOffset int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	p := t.peer(from)
-	p.usage = usagePeer{holds: msg.Holds, acknowledged: msg.Acknowledged, clockOffset: clockOffset, known: true, ackSent: p.usage.ackSent}
+	p := t.getOrAdd(from)
+	p.usage = peerUsage{reporter: msg.Reporter, ackReceived: msg.Acked, clockOffset: clockOffset, clockKnown: true, ackSent: p.usage.ackSent}
 }
 
-// usageMessageFor is a receiver's part of the next datagram; nil where no usage is reported,
-// or there is nothing to send to it this time.
-func (m *Mesh) usageMessageFor(d *destination) *usageMessage {
+// usageMessageFor returns the usage part of a receiver's next datagram; nil if usage isn't
+// reported or there is nothing to send in this round.
+func (m *Mesh) usageMessageFor(dst *destination) *usageMessage {
 	if m.Usage == nil {
 		return nil
 	}
-	merged := m.Usage.Sequence(usage.Source{Gateway: d.name, Start: d.boot})
-	update := d.receivesUsage && m.sequence%usageInterval == 0
-	if !update && merged == d.ackSent && m.sequence%uint64(max(clockInterval, m.Listed()/clockPeers)) != 0 {
+	mergedSequence := m.Usage.Sequence(usage.Source{Gateway: dst.name, Start: dst.bootID})
+	sendUpdate := dst.receivesUsage && m.sequence%usageEveryRounds == 0
+	if !sendUpdate && mergedSequence == dst.ackSent && m.sequence%uint64(max(clockEveryRounds, m.Listed()/clockMessagesPerRound)) != 0 {
 		return nil
 	}
-	msg := &usageMessage{WallClock: time.Now().UnixMilli(), Holds: m.Usage.Holds(), Acknowledged: merged}
-	m.table.acknowledged(d.name, merged)
-	if update {
-		u := m.Usage.Update(d.acknowledged)
-		msg.Update = &u
+	msg := &usageMessage{WallClock: time.Now().UnixMilli(), Reporter: m.Usage.Holds(), Acked: mergedSequence}
+	m.table.recordAckSent(dst.name, mergedSequence)
+	if sendUpdate {
+		update := m.Usage.Update(dst.ackReceived)
+		msg.Update = &update
 	}
 	return msg
 }
 
-// acknowledged notes what has been acknowledged to a gateway. Should that datagram be lost,
-// the next one that carries the time of day acknowledges it again.
-func (t *table) acknowledged(name string, sequence uint64) {
+// recordAckSent records the sequence that has been acknowledged to a gateway. If that datagram
+// is lost, the next one with the time of day repeats the acknowledgement.
+func (t *table) recordAckSent(name string, sequence uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if p := t.peers[name]; p != nil {
@@ -107,69 +110,69 @@
 	}
 }
 
-// selectUsageReceivers marks who receives usage: the gateways that report it, and their
-// successors, those first that the store answers. While it is away for all the successors
-// keep the counts of gateways that end meanwhile.
-func (t *table) selectUsageReceivers(now time.Time, all []destination) {
+// selectUsageReceivers marks the receivers of usage updates: the reporters, and usageSuccessors
+// other gateways, first those that can reach the store. If no gateway can reach it, the
+// successors still preserve the counts of gateways that end in the meantime.
+func (t *table) selectUsageReceivers(now time.Time, destinations []destination) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var next []*destination
-	for i := range all {
-		p := t.peer(all[i].name)
+	var candidates []*destination
+	for i := range destinations {
+		p := t.getOrAdd(destinations[i].name)
 		switch {
-		case !p.live(now):
-		case p.usage.holds:
-			all[i].receivesUsage = true
+		case !p.isLive(now):
+		case p.usage.reporter:
+			destinations[i].receivesUsage = true
 		default:
-			next = append(next, &all[i])
+			candidates = append(candidates, &destinations[i])
 		}
 	}
-	away := func(d *destination) int {
-		if t.peer(d.name).follows == turnedAway {
+	unreachable := func(dst *destination) int {
+		if t.getOrAdd(dst.name).storeMode == storeUnreachable {
 			return 1
 		}
 		return 0
 	}
-	slices.SortFunc(next, func(a, b *destination) int {
-		return cmp.Or(cmp.Compare(away(a), away(b)), cmp.Compare(hash(a.name), hash(b.name)))
+	slices.SortFunc(candidates, func(a, b *destination) int {
+		return cmp.Or(cmp.Compare(unreachable(a), unreachable(b)), cmp.Compare(hashName(a.name), hashName(b.name)))
 	})
-	for _, d := range next[:min(len(next), usageSuccessors)] {
-		d.receivesUsage = true
+	for _, dst := range candidates[:min(len(candidates), usageSuccessors)] {
+		dst.receivesUsage = true
 	}
 }
 
-// Reporting reports whether a live peer reports usage.
+// PeerReportsUsage reports whether a live peer reports usage to the platform.
 func (m *Mesh) Reporting() bool {
 	now := time.Now()
 	m.table.mu.Lock()
 	defer m.table.mu.Unlock()
 	for _, p := range m.table.peers {
-		if p.live(now) && p.usage.holds {
+		if p.isLive(now) && p.usage.reporter {
 			return true
 		}
 	}
 	return false
 }
 
-// Time is true time as far as it can be known: the median of the gateways' times of day,
-// which neither a VM whose clock was set nor a third of them moves.
+// MedianTime returns the best estimate of true time: the median of the live gateways' times of
+// day. Neither a wrong clock on one VM nor wrong clocks on a third of them move it.
 func (m *Mesh) Time() time.Time {
-	now, boot := time.Now(), boottime.Now().Milliseconds()
-	all := append(m.table.clockOffsets(now), now.UnixMilli()-boot)
-	slices.Sort(all)
-	return time.UnixMilli(boot + all[len(all)/2])
+	now, bootMillis := time.Now(), boottime.Now().Milliseconds()
+	offsets := append(m.table.clockOffsets(now), now.UnixMilli()-bootMillis)
+	slices.Sort(offsets)
+	return time.UnixMilli(bootMillis + offsets[len(offsets)/2])
 }
 
-// clockOffsets are the differences between the live peers' times of day and this VM's boot
-// time, in milliseconds.
+// clockOffsets returns the differences between the live peers' times of day and this VM's
+// boottime clock, in milliseconds.
 func (t *table) clockOffsets(now time.Time) []int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all := make([]int64, 0, len(t.peers)+1)
+	offsets := make([]int64, 0, len(t.peers)+1)
 	for _, p := range t.peers {
-		if p.live(now) && p.usage.known {
-			all = append(all, p.usage.clockOffset)
+		if p.isLive(now) && p.usage.clockKnown {
+			offsets = append(offsets, p.usage.clockOffset)
 		}
 	}
-	return all
+	return offsets
 }
--- a/internal/gateway/peers/usage_test.go
+++ b/internal/gateway/peers/usage_test.go
@@ -11,144 +11,146 @@
 	"github.com/applepier/applepier/internal/gateway/usage"
 )
 
-// usageMesh is a Mesh that knows some gateways, of which one reports usage.
-func usageMesh(t *testing.T, peers int, reports string) *Mesh {
+// newUsageMesh returns a Mesh that knows some peers, of which one reports usage.
+func newUsageMesh(t *testing.T, peerCount int, reporter string) *Mesh {
 	t.Helper()
-	m, _, _ := meshes(t)
+	m, _, _ := newMeshPair(t)
 	m.Usage = &Usage{
 		Holds:    func() bool { return false },
 		Update:   func(acknowledged uint64) usage.Update { return usage.Update{Sequence: acknowledged + 1} },
 		Merge:    func(time.Time, usage.Source, usage.Update) {},
 		Sequence: func(usage.Source) uint64 { return 0 },
 	}
-	for i := range peers {
+	for i := range peerCount {
 		name := fmt.Sprintf("gateway-%d", i)
-		m.receiveUsageFrom(name, 1, usageMessage{Holds: name == reports, WallClock: time.Now().UnixMilli()})
+		m.deliverUsage(name, 1, usageMessage{Reporter: name == reporter, WallClock: time.Now().UnixMilli()})
 	}
 	return m
 }
 
-// receiveUsageFrom takes a datagram of another gateway that the store answers.
-func (m *Mesh) receiveUsageFrom(from string, sequence uint64, msg usageMessage) {
-	m.take("127.0.0.1:9", &received{
-		message: message{From: from, Boot: 7, Sequence: sequence, Usage: &msg}, state: state{Follows: resting},
+// deliverUsage processes a datagram with a usage part from a gateway that can reach the store.
+func (m *Mesh) deliverUsage(from string, sequence uint64, msg usageMessage) {
+	m.handle("127.0.0.1:9", &decodedMessage{
+		message: message{From: from, BootID: 7, Sequence: sequence, Usage: &msg}, sharedState: sharedState{StoreMode: notPolling},
 	})
 }
 
-// receivers are the destinations of the next datagrams.
-func (m *Mesh) receivers() []destination {
-	all := m.table.destinations()
-	m.table.selectUsageReceivers(time.Now(), all)
-	return all
+// usageDestinations returns the destinations of the next round, with the usage receivers
+// selected.
+func (m *Mesh) usageDestinations() []destination {
+	destinations := m.table.destinations()
+	m.table.selectUsageReceivers(time.Now(), destinations)
+	return destinations
 }
 
-// Counts go to the gateway that reports and to two successors, not to all.
-func TestUsageIsSentToFew(t *testing.T) {
-	for _, peers := range []int{1, 2, 30, 409} {
-		m := usageMesh(t, peers, "gateway-0")
-		receivers, holder := 0, false
-		for _, d := range m.receivers() {
-			m.sequence = usageInterval
+// Usage updates go to the reporter and two successors, not to all gateways.
+func TestUsageGoesToReporterAndSuccessors(t *testing.T) {
+	for _, peerCount := range []int{1, 2, 30, 409} {
+		m := newUsageMesh(t, peerCount, "gateway-0")
+		receivers, reporterReceives := 0, false
+		for _, d := range m.usageDestinations() {
+			m.sequence = usageEveryRounds
 			if msg := m.usageMessageFor(&d); msg != nil && msg.Update != nil {
 				receivers++
-				holder = holder || d.name == "gateway-0"
+				reporterReceives = reporterReceives || d.name == "gateway-0"
 			}
 		}
-		if want := min(peers, 1+usageSuccessors); receivers != want || !holder {
-			t.Errorf("%d of %d gateways receive updates, want %d; the one that reports: %v", receivers, peers, want, holder)
+		if want := min(peerCount, 1+usageSuccessors); receivers != want || !reporterReceives {
+			t.Errorf("%d of %d gateways receive updates, want %d; reporter receives %v", receivers, peerCount, want, reporterReceives)
 		}
 	}
 }
 
-// What a receiver has acknowledged isn't sent again, until it starts anew.
-func TestUsageGoesOnWhereItWasAcknowledged(t *testing.T) {
-	m := usageMesh(t, 1, "gateway-0")
-	next := func() uint64 {
-		m.sequence = usageInterval
-		return m.usageMessageFor(&m.receivers()[0]).Update.Sequence
+// Acknowledged changes are not sent again until the receiver restarts.
+func TestUsageResumesAfterTheAcknowledgedChange(t *testing.T) {
+	m := newUsageMesh(t, 1, "gateway-0")
+	nextSequence := func() uint64 {
+		m.sequence = usageEveryRounds
+		return m.usageMessageFor(&m.usageDestinations()[0]).Update.Sequence
 	}
-	m.receiveUsageFrom("gateway-0", 2, usageMessage{Holds: true, Acknowledged: 41})
-	if got := next(); got != 42 {
-		t.Errorf("sent from %d on, 41 are acknowledged", got)
+	m.deliverUsage("gateway-0", 2, usageMessage{Reporter: true, Acked: 41})
+	if got := nextSequence(); got != 42 {
+		t.Errorf("update starts at %d, want 42 after acknowledgement 41", got)
 	}
-	m.take("127.0.0.1:9", &received{message: message{From: "gateway-0", Boot: 8, Sequence: 1}})
-	if got := next(); got != 1 {
-		t.Errorf("sent from %d on after a start of the receiver", got)
+	m.handle("127.0.0.1:9", &decodedMessage{message: message{From: "gateway-0", BootID: 8, Sequence: 1}})
+	if got := nextSequence(); got != 1 {
+		t.Errorf("update starts at %d after a restart of the receiver, want 1", got)
 	}
 	if m.Reporting() {
-		t.Error("a gateway that has started again is taken for the holder that it was")
+		t.Error("a restarted gateway is still taken for the reporter")
 	}
 }
 
-// A third of the VMs may have the wrong time of day, this one among them.
-func TestTimeIsNotMovedByAThirdOfTheClocks(t *testing.T) {
-	m := usageMesh(t, 0, "")
+// A third of the VMs may have a wrong time of day, possibly including this one.
+func TestClockMedianToleratesAThirdOfWrongClocks(t *testing.T) {
+	m := newUsageMesh(t, 0, "")
 	const gateways = 30
 	for i := range gateways {
 		at := time.Now()
 		if i < gateways/3 {
 			at = at.Add(2 * time.Second)
 		}
-		m.receiveUsageFrom(fmt.Sprint("gateway-", i), 1, usageMessage{WallClock: at.UnixMilli()})
+		m.deliverUsage(fmt.Sprint("gateway-", i), 1, usageMessage{WallClock: at.UnixMilli()})
 	}
 	if off := time.Until(m.Time()).Abs(); off > 50*time.Millisecond {
-		t.Errorf("%v off", off)
+		t.Errorf("median time is off by %v", off)
 	}
-	// A peer that fell silent doesn't count.
+	// The offsets of silent peers are ignored.
 	m.table.mu.Lock()
 	for _, p := range m.table.peers {
-		p.received = time.Now().Add(-2 * silentAfter)
+		p.lastReceived = time.Now().Add(-2 * peerTimeout)
 		p.usage.clockOffset = boottime.Now().Milliseconds()
 	}
 	m.table.mu.Unlock()
 	if off := time.Until(m.Time()).Abs(); off > 50*time.Millisecond {
-		t.Errorf("%v off alone", off)
+		t.Errorf("median time is off by %v without live peers", off)
 	}
 }
 
-func TestWhoReportsIsKnown(t *testing.T) {
-	m := usageMesh(t, 3, "gateway-1")
+func TestCurrentReporterIsKnown(t *testing.T) {
+	m := newUsageMesh(t, 3, "gateway-1")
 	if !m.Reporting() {
-		t.Error("nobody is known to report")
+		t.Error("no reporter is known")
 	}
-	m.receiveUsageFrom("gateway-1", 2, usageMessage{})
+	m.deliverUsage("gateway-1", 2, usageMessage{})
 	if m.Reporting() {
-		t.Error("who gave the duty up is still taken for reporting")
+		t.Error("a gateway that stopped reporting is still taken for the reporter")
 	}
 }
 
-// A gateway of another deployment, or an earlier release, sends no usage.
+// A gateway of another deployment or an earlier release sends no usage.
 func TestNothingIsSentWhereNothingIsReported(t *testing.T) {
-	m, _, _ := meshes(t)
-	m.take("127.0.0.1:9", &received{message: message{From: "x", Boot: 1, Sequence: 1, Usage: &usageMessage{Holds: true}}})
-	if d := m.receivers(); m.usageMessageFor(&d[0]) != nil || m.Reporting() {
-		t.Error("usage is sent or received where none is reported")
+	m, _, _ := newMeshPair(t)
+	m.handle("127.0.0.1:9", &decodedMessage{message: message{From: "x", BootID: 1, Sequence: 1, Usage: &usageMessage{Reporter: true}}})
+	if d := m.usageDestinations(); m.usageMessageFor(&d[0]) != nil || m.Reporting() {
+		t.Error("usage is exchanged although none is reported")
 	}
 }
 
-// A field that a release doesn't know is passed over.
-func TestLaterReleasesUsageIsRead(t *testing.T) {
-	later := map[int]any{1: 1000, 2: true, 3: 7, 4: map[int]any{1: 9, 2: 900, 9: "later"}, 9: []int{1}}
-	encoded, err := cbor.Marshal(later)
+// Fields unknown to this release are ignored.
+func TestUsageMessageOfLaterReleaseIsDecoded(t *testing.T) {
+	laterMessage := map[int]any{1: 1000, 2: true, 3: 7, 4: map[int]any{1: 9, 2: 900, 9: "later"}, 9: []int{1}}
+	encoded, err := cbor.Marshal(laterMessage)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var msg usageMessage
-	if err := cbor.Unmarshal(encoded, &msg); err != nil || !msg.Holds || msg.Acknowledged != 7 || msg.Update.Sequence != 9 {
-		t.Errorf("%+v, %v", msg, err)
+	if err := cbor.Unmarshal(encoded, &msg); err != nil || !msg.Reporter || msg.Acked != 7 || msg.Update.Sequence != 9 {
+		t.Errorf("got %+v, %v", msg, err)
 	}
 }
 
-// Usage has its part of the three kilobytes of control traffic that a gateway may send in a
-// second, whatever the number of gateways and customers. (Who reports acknowledges to all.)
-func TestSizesOfUsage(t *testing.T) {
-	const seconds, most = 10, 3000
+// Usage traffic must fit into its part of the three kilobytes per second of control traffic
+// that a gateway may send, whatever the number of gateways and customers. (The reporter
+// acknowledges updates to all gateways.)
+func TestUsageTrafficStaysWithinBudget(t *testing.T) {
+	const seconds, maxBytesPerSecond = 10, 3000
 	for _, c := range []struct{ gateways, customers, perSecond int }{{31, 24, 18}, {68, 40, 12}, {410, 400, 9}} {
-		m := usageMesh(t, c.gateways-1, "gateway-0")
+		m := newUsageMesh(t, c.gateways-1, "gateway-0")
 		now := time.Unix(1_700_000_000, 0)
 		counter := usage.NewCounter(usage.Windows{Length: 5 * time.Second}, func() time.Time { return now })
 		m.Usage.Update = counter.Update
-		bytes, toAll := 0, 0
+		sentBytes, bytesToAll := 0, 0
 		for tick := range 10 * seconds {
 			m.sequence = uint64(tick)
 			for i := range c.perSecond / 10 * 10 {
@@ -156,16 +158,16 @@
 					counter.Began(fmt.Sprintf("customer%d", (tick*7+i*13)%c.customers))
 				}
 			}
-			if tick%usageInterval == 0 {
+			if tick%usageEveryRounds == 0 {
 				encoded, err := cbor.Marshal(counter.Update(0))
 				if err != nil {
 					t.Fatal(err)
 				}
-				toAll += len(encoded) * (c.gateways - 1)
+				bytesToAll += len(encoded) * (c.gateways - 1)
 			}
-			for _, d := range m.receivers() {
-				// What was sent two datagrams ago is acknowledged by now.
-				m.receiveUsageFrom(d.name, uint64(tick)+2, usageMessage{Holds: d.name == "gateway-0", Acknowledged: d.acknowledged})
+			for _, d := range m.usageDestinations() {
+				// The update sent two datagrams ago is acknowledged by now.
+				m.deliverUsage(d.name, uint64(tick)+2, usageMessage{Reporter: d.name == "gateway-0", Acked: d.ackReceived})
 				msg := m.usageMessageFor(&d)
 				if msg == nil {
 					continue
@@ -174,30 +176,31 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				bytes += len(encoded)
+				sentBytes += len(encoded)
 				if msg.Update != nil {
-					m.receiveUsageFrom(d.name, uint64(tick)+3, usageMessage{Holds: d.name == "gateway-0", Acknowledged: msg.Update.Sequence})
+					m.deliverUsage(d.name, uint64(tick)+3, usageMessage{Reporter: d.name == "gateway-0", Acked: msg.Update.Sequence})
 				}
 			}
 			now = now.Add(100 * time.Millisecond)
 		}
-		if bytes/seconds > most {
-			t.Errorf("%d bytes a second of usage at %d gateways", bytes/seconds, c.gateways)
+		if sentBytes/seconds > maxBytesPerSecond {
+			t.Errorf("%d bytes per second of usage at %d gateways", sentBytes/seconds, c.gateways)
 		}
-		t.Logf("%d gateways, %d customers: %d bytes a second; all counts to all gateways: %d", c.gateways, c.customers, bytes/seconds, toAll/seconds)
+		t.Logf("%d gateways, %d customers: %d bytes per second; sending all counts to all gateways: %d", c.gateways, c.customers, sentBytes/seconds, bytesToAll/seconds)
 	}
 }
 
-// While the store answers nobody the counts of gateways that end are kept all the same.
-func TestUsageIsSentWhileTheStoreIsAway(t *testing.T) {
-	m := usageMesh(t, 5, "")
+// While no gateway can reach the store, the counts of gateways that end must still be
+// preserved.
+func TestUsageIsSentWhileTheStoreIsUnreachable(t *testing.T) {
+	m := newUsageMesh(t, 5, "")
 	for i := range 5 {
-		m.take("127.0.0.1:9", &received{
-			message: message{From: fmt.Sprintf("gateway-%d", i), Boot: 7, Sequence: 2, Usage: &usageMessage{}}, state: state{Follows: turnedAway},
+		m.handle("127.0.0.1:9", &decodedMessage{
+			message: message{From: fmt.Sprintf("gateway-%d", i), BootID: 7, Sequence: 2, Usage: &usageMessage{}}, sharedState: sharedState{StoreMode: storeUnreachable},
 		})
 	}
 	receivers := 0
-	for _, d := range m.receivers() {
+	for _, d := range m.usageDestinations() {
 		if d.receivesUsage {
 			receivers++
 		}
