--- /dev/null
+++ b/internal/gateway/peers/first_token.go
@@ -0,0 +1,43 @@
+package peers
+
+import (
+	"time"
+
+	"github.com/applepier/applepier/policy"
+)
+
+// firstToken is the encoded form of policy.FirstToken: the time to the first token at a server,
+// with the number of prompt tokens queued ahead of it.
+type firstToken struct {
+	_             struct{} `cbor:",toarray"`
+	Service       uint32
+	Server        uint32
+	Urgency       uint8
+	TokensAhead   uint32
+	LatencyMillis uint32
+}
+
+// packFirstTokens encodes first-token samples.
+func packFirstTokens(samples []policy.FirstToken) []firstToken {
+	packed := make([]firstToken, len(samples))
+	for i, sample := range samples {
+		packed[i] = firstToken{
+			Service: uint32(sample.Service), Server: uint32(sample.Server), Urgency: uint8(sample.Urgency),
+			TokensAhead: uint32(max(sample.Ahead, 0)), LatencyMillis: uint32(max(sample.Took.Milliseconds(), 0)),
+		}
+	}
+	return packed
+}
+
+// unpackFirstTokens decodes first-token samples. An unknown urgency level is mapped to the
+// least urgent one.
+func unpackFirstTokens(packed []firstToken) []policy.FirstToken {
+	samples := make([]policy.FirstToken, len(packed))
+	for i, sample := range packed {
+		samples[i] = policy.FirstToken{
+			Service: policy.Key(sample.Service), Server: policy.Key(sample.Server), Urgency: min(int(sample.Urgency), policy.UrgencyLevels-1),
+			Ahead: float64(sample.TokensAhead), Took: time.Duration(sample.LatencyMillis) * time.Millisecond,
+		}
+	}
+	return samples
+}
--- /dev/null
+++ b/internal/gateway/peers/server_limit.go
@@ -0,0 +1,51 @@
+package peers
+
+import (
+	"math"
+	"time"
+
+	"github.com/applepier/applepier/policy"
+)
+
+// serverLimit is the encoded form of policy.ServerLimit: a limit that a backend server has
+// announced, and the sender's requests to it.
+type serverLimit struct {
+	_ struct{} `cbor:",toarray"`
+	// ServerStart is the key of the server's start.
+	ServerStart uint32
+	// Rate is in requests per second. Lifted means that the limit no longer applies. Age is the
+	// age of the evidence in milliseconds; 0 if the sender has it from other gateways.
+	Rate   float64
+	Lifted bool
+	Age    uint32
+	// SentRequests is the number of requests that the sender has recently sent.
+	SentRequests float32
+}
+
+// packLimits encodes server limits.
+func packLimits(now time.Time, limits []policy.ServerLimit) []serverLimit {
+	packed := make([]serverLimit, len(limits))
+	for i, l := range limits {
+		packed[i] = serverLimit{ServerStart: uint32(l.Server), Rate: l.Rate, Lifted: l.Lifted, SentRequests: float32(l.Sent)}
+		if !l.At.IsZero() {
+			packed[i].Age = ageMillis(now, l.At)
+		}
+	}
+	return packed
+}
+
+// unpackLimits decodes server limits; entries without evidence of the sender's own, or with an
+// invalid rate, are dropped.
+func unpackLimits(now time.Time, packed []serverLimit) []policy.ServerLimit {
+	var limits []policy.ServerLimit
+	for _, l := range packed {
+		if l.Age == 0 || !(l.Rate >= 0) || math.IsInf(l.Rate, 0) {
+			continue
+		}
+		limits = append(limits, policy.ServerLimit{
+			Server:   policy.Key(l.ServerStart),
+			Evidence: policy.Evidence{Rate: l.Rate, Lifted: l.Lifted, At: timeAtAge(now, l.Age)},
+		})
+	}
+	return limits
+}
--- /dev/null
+++ b/internal/gateway/peers/store_status.go
@@ -0,0 +1,95 @@
+package peers
+
+import (
+	"time"
+
+	"github.com/applepier/applepier/internal/gateway/follow"
+)
+
+// storeMode is a gateway's relation to the platform's store.
+type storeMode uint8
+
+const (
+	// storeUnreachable means that the gateway's last call to the store failed.
+	storeUnreachable storeMode = iota
+	// notPolling means that the gateway leaves polling to other gateways.
+	notPolling
+	// polling means that the gateway polls the store and gets answers.
+	polling
+)
+
+// StoreStatus is what a gateway has observed of the platform's store.
+type Following struct {
+	// Reachable is whether this gateway's last call to the store did not fail.
+	Able bool
+	// Polling is whether this gateway polls the store and gets answers.
+	Asks bool
+	// ServersPosition is the position after the newest known change of the list of backend
+	// servers, whether from the store or from a peer; 0 if there is none.
+	Servers follow.Position
+	// QuarantineKnown is whether this gateway knows the quarantined requests, either from the
+	// store or from gateways that know them.
+	Quarantine bool
+}
+
+func (s Following) mode() storeMode {
+	switch {
+	case s.Asks:
+		return polling
+	case s.Able:
+		return notPolling
+	default:
+		return storeUnreachable
+	}
+}
+
+// precedingPeers counts the live peers whose name hashes sort before that of name, except those
+// that can't reach the store.
+func (t *table) precedingPeers(now time.Time, name string) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	count := 0
+	for peerName, p := range t.peers {
+		if p.isLive(now) && p.storeMode != storeUnreachable && hashName(peerName) < hashName(name) {
+			count++
+		}
+	}
+	return count
+}
+
+// anyPolling reports whether a live peer polls the store.
+func (t *table) anyPolling(now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, p := range t.peers {
+		if p.isLive(now) && p.storeMode == polling {
+			return true
+		}
+	}
+	return false
+}
+
+// anyKnowsQuarantine reports whether a live peer knows the quarantined requests.
+func (t *table) anyKnowsQuarantine(now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, p := range t.peers {
+		if p.isLive(now) && p.quarantineKnown {
+			return true
+		}
+	}
+	return false
+}
+
+// withNewerServers returns the address of a live peer that knows changes of the list of backend
+// servers after a position, picked arbitrarily if there are several; empty if there is none.
+func (t *table) withNewerServers(now time.Time, position follow.Position) string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, p := range t.peers {
+		if p.isLive(now) && p.serversPosition > position {
+			return p.addr
+		}
+	}
+	return ""
+}
