--- a/internal/lease/era.go
+++ b/internal/lease/era.go
@@ -6,46 +6,51 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// eraBits is where the era begins in a fencing number: a number of a later era is higher
-// than all of earlier ones, whatever was lost with the history of these.
-const eraBits = 40
-
-// oldRows is how many earlier eras' rows are written over by the first holder of an era:
-// a transaction that was sent in one of them may be carried out late.
-const oldRows = 3
-
-// NextFence is the fencing number after another one that is given out in an era.
-func NextFence(fence, era uint64) uint64 { return max(fence, era<<eraBits) + 1 }
-
-// eraOf is the newest era of the table service's history that is known.
-func eraOf(table storage.Table) uint64 {
+// eraShift is the position of the era in a fencing token. A token of a later
+// era is higher than all tokens of earlier eras, even if the rows that recorded
+// those were lost.
+const eraShift = 40
+
+// closedEras is the number of earlier eras whose rows the first holder of an
+// era overwrites, since a transaction sent in one of them may still be applied.
+const closedEras = 3
+
+// NextFencingToken returns the fencing token that follows token, for a lease
+// acquired in the given era.
+func NextFence(token, era uint64) uint64 { return max(token, era<<eraShift) + 1 }
+
+// currentEra returns the newest era of the table service that this process
+// knows of; zero if the table has no eras. A new era begins when the service is
+// restored from an older copy of its data.
+func currentEra(table storage.Table) uint64 {
 	if t, ok := table.(storage.Eras); ok {
 		return t.Era()
 	}
 	return 0
 }
 
-// rowIn is the key of the lease's row in an era. Each era has its own row, since a
-// version of the one before may be given out again: a write that expects it would take
-// effect in a history in which the row says something else.
-func (l *Lease) rowIn(era uint64) string { return eraKey(l.row, era) }
+// rowKeyIn returns the key of the lease's row in an era. Each era has a row of
+// its own because the service may reuse the previous era's row versions: a late
+// write that expects such a version would otherwise succeed against different
+// contents.
+func (l *Lease) rowKeyIn(era uint64) string { return eraKey(l.rowKey, era) }
 
-func eraKey(row string, era uint64) string {
+func eraKey(baseKey string, era uint64) string {
 	if era == 0 {
-		return row
+		return baseKey
 	}
-	return fmt.Sprintf("%s@%d", row, era)
+	return fmt.Sprintf("%s@%d", baseKey, era)
 }
 
-// closeEarlier are the writes that end the rows of earlier eras.
-func (l *Lease) closeEarlier(era uint64) ([]storage.Write, error) {
+// closeEarlierRows returns the writes that mark the rows of earlier eras as released.
+func (l *Lease) closeEarlierRows(era uint64) ([]storage.Write, error) {
 	var writes []storage.Write
-	for n := uint64(1); n <= min(era, oldRows); n++ {
-		w, err := record{Holder: l.holder, Released: true}.write(l.rowIn(era-n), storage.AnyVersion)
+	for back := uint64(1); back <= min(era, closedEras); back++ {
+		write, err := record{Holder: l.holder, Released: true}.rowWrite(l.rowKeyIn(era-back), storage.AnyVersion)
 		if err != nil {
 			return nil, err
 		}
-		writes = append(writes, w)
+		writes = append(writes, write)
 	}
 	return writes, nil
 }
--- a/internal/lease/era_test.go
+++ b/internal/lease/era_test.go
@@ -11,78 +11,80 @@
 	"github.com/applepier/applepier/internal/storage/storagetest"
 )
 
-// quick is the timing of a lease of seconds.
-var quick = Timing{Duration: 2 * time.Second, Margin: 400 * time.Millisecond, Renew: 600 * time.Millisecond, Campaign: 500 * time.Millisecond, Rest: 5 * time.Second}
+// shortTiming is the timing of a lease that lasts two seconds.
+var shortTiming = Timing{Duration: 2 * time.Second, Margin: 400 * time.Millisecond, Renew: 600 * time.Millisecond, Campaign: 500 * time.Millisecond, Rest: 5 * time.Second}
 
-// No fencing number is given out twice, though the store forgets who had it.
-func TestFencesGrowThroughAReturn(t *testing.T) {
+// A fencing token must not be issued twice, even if the table service is restored
+// from a copy that doesn't have it.
+func TestFencingTokensIncreaseAfterRestoreFromOlderCopy(t *testing.T) {
 	table := storagetest.NewTable()
 	empty := table.Copy()
-	a, b := NewTimed(table, name, "a", quick), NewTimed(table, name, "b", quick)
+	a, b := NewTimed(table, leaseName, "a", shortTiming), NewTimed(table, leaseName, "b", shortTiming)
 	mustAcquire(t, a)
 	first := a.Fence()
 	table.Return(empty)
 	mustAcquire(t, b)
 	if b.Fence() <= first {
-		t.Errorf("fence %d after %d", b.Fence(), first)
+		t.Errorf("fencing token %d after %d", b.Fence(), first)
 	}
 	if err := a.Commit(t.Context(), nil); !errors.Is(err, ErrLost) {
-		t.Errorf("a renews a lease of an earlier era: %v", err)
+		t.Errorf("renewal of a lease of an earlier era: %v, want ErrLost", err)
 	}
 }
 
-// What was sent under a lease before a return has no effect once somebody holds the lease
-// after it, though the row's version may be the same again.
-func TestLateWriteOfAnEarlierEraHasNoEffect(t *testing.T) {
+// A write sent under a lease before the table service was restored from an older
+// copy must have no effect after the lease was acquired in the new era, even though
+// the row may have the expected version again.
+func TestLateWriteFromEarlierEraHasNoEffect(t *testing.T) {
 	table := storagetest.NewTable()
-	a, b := NewTimed(table, name, "a", quick), NewTimed(table, name, "b", quick)
+	a, b := NewTimed(table, leaseName, "a", shortTiming), NewTimed(table, leaseName, "b", shortTiming)
 	mustAcquire(t, a)
 	older := table.Copy()
 	table.FailCommits(storagetest.FaultLate, storagetest.FaultDown)
 	_ = a.Commit(t.Context(), []storage.Write{{Key: "what", Value: []byte("late"), Expect: storage.AnyVersion}})
 	table.Return(older)
 	mustAcquire(t, b)
-	if landed := table.Land(); landed != 0 {
-		t.Errorf("%d late writes took effect", landed)
+	if applied := table.Land(); applied != 0 {
+		t.Errorf("%d late writes took effect", applied)
 	}
 	if _, err := table.Get(t.Context(), "what"); !errors.Is(err, storage.ErrNotFound) {
-		t.Errorf("the row is there: %v", err)
+		t.Errorf("get of the row: %v, want ErrNotFound", err)
 	}
 }
 
-// A holder that was deposed leaves the lease to others for a while, whether it met a higher
-// number or another holder.
-func TestDeposedHolderRests(t *testing.T) {
+// A superseded holder must not acquire the lease for SupersededBackoff, whether it
+// saw a higher fencing token or another holder in the row.
+func TestSupersededHolderBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
-		a := NewTimed(table, name, "a", quick)
+		a := NewTimed(table, leaseName, "a", shortTiming)
 		mustAcquire(t, a)
 		a.Deposed()
-		rests := func() time.Duration {
-			var held *HeldError
-			if err := a.Acquire(t.Context()); !errors.As(err, &held) {
-				t.Fatalf("a deposed holder acquires: %v", err)
+		acquireWait := func() time.Duration {
+			var heldErr *HeldError
+			if err := a.Acquire(t.Context()); !errors.As(err, &heldErr) {
+				t.Fatalf("acquire by a superseded holder: %v, want HeldError", err)
 			}
-			return held.Wait
+			return heldErr.Wait
 		}
-		if got := rests(); got != quick.Rest {
-			t.Errorf("it rests for %v", got)
+		if got := acquireWait(); got != shortTiming.Rest {
+			t.Errorf("wait after StepDown: %v", got)
 		}
-		time.Sleep(quick.Rest)
+		time.Sleep(shortTiming.Rest)
 		mustAcquire(t, a)
 
-		b := NewTimed(table, name, "b", quick)
-		var held *HeldError
-		if err := b.Acquire(t.Context()); !errors.As(err, &held) {
+		b := NewTimed(table, leaseName, "b", shortTiming)
+		var heldErr *HeldError
+		if err := b.Acquire(t.Context()); !errors.As(err, &heldErr) {
 			t.Fatal(err)
 		}
-		time.Sleep(held.Wait)
+		time.Sleep(heldErr.Wait)
 		mustAcquire(t, b)
 		if err := b.Release(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if got := rests(); got != quick.Rest {
-			t.Errorf("it rests for %v after another holder, which has given the lease up", got)
+		if got := acquireWait(); got != shortTiming.Rest {
+			t.Errorf("wait after another holder acquired and released the lease: %v", got)
 		}
 	})
 }
--- a/internal/lease/errors.go
+++ b/internal/lease/errors.go
@@ -7,28 +7,30 @@
 	"github.com/go-faster/errors"
 )
 
-// Errors of a Lease.
+// Errors returned by a Lease.
 var (
-	// ErrLost: the lease is not held, or no longer.
+	// ErrLost: the lease is not held or has expired.
 	ErrLost = errors.New("lease is not held")
-	// ErrConflict: a row written under the lease was at another version.
-	ErrConflict = errors.New("row written under the lease is at another version")
-	// ErrUnavailable: the table service did not answer. The outcome of a
-	// write may be unknown.
-	ErrUnavailable = errors.New("lease can't be read or written")
-	// ErrCorrupt: the row doesn't hold what this version of the program
-	// writes.
+	// ErrConflict: a row to be written under the lease was not at the expected
+	// version.
+	ErrConflict = errors.New("row written under the lease is not at the expected version")
+	// ErrUnavailable: the table service did not respond. Whether a write took
+	// effect may be unknown.
+	ErrUnavailable = errors.New("lease could not be read or written")
+	// ErrCorrupt: the stored row can't be decoded by this version of the
+	// program.
 	ErrCorrupt = errors.New("stored lease can't be decoded")
 )
 
-// HeldError says that another process may hold the lease.
+// HeldError is returned by Acquire when the lease can't be acquired yet.
 type HeldError struct {
-	// Holder is the other process.
+	// Holder identifies the holder recorded in the row.
 	Holder string
-	// Wait is how long the row must stay unchanged until it may be taken.
+	// Wait is the minimum time until the lease may be acquired, provided that
+	// its row does not change meanwhile.
 	Wait time.Duration
 }
 
 func (e *HeldError) Error() string {
-	return fmt.Sprintf("lease is held by %s, for %v at least", e.Holder, e.Wait)
+	return fmt.Sprintf("lease is held by %s for at least %v", e.Holder, e.Wait)
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,23 +1,25 @@
-// Package lease lets one process at a time act for all, by a row in the table
-// service. Start reading at Lease; most callers want a Keeper.
+// Package lease provides leases with fencing tokens, stored as rows in the table
+// service: at most one process at a time holds a lease and acts on behalf of all.
+// Start reading at Lease; most callers want an Elector.
 //
 // # Clocks
 //
-// No clock is compared with another VM's. A holder counts from before it sent
-// the write that the table service confirmed, and stops Margin before the end
-// of Duration. A challenger counts from when it first read the row's latest
-// write, which is later, and may take the lease once the row is unchanged for
-// Duration and challengeMargin on its own monotonic clock. Two clocks may
-// therefore differ in rate by a tenth, which is far more than they do.
+// Timestamps of different VMs are never compared. A holder measures its lease
+// from before it sent the write that the table service confirmed, and stops
+// SafetyMargin before the end of Duration. A candidate measures from when it first
+// read the row's latest write, which is later, and may acquire the lease once the
+// row has not changed for Duration plus clockDriftMargin on its own monotonic
+// clock. Two clocks may therefore differ in rate by a tenth, far more than they do
+// in practice.
 //
-// A holder that was stopped finds its lease lapsed by the longer of two
-// clocks: the monotonic clock runs on while a process is stopped (SIGSTOP) but
-// may stand still while the whole VM is suspended; the wall clock is set
-// forward when a suspended VM resumes. If the platform resumes a VM with both
-// clocks behind, only the fencing number is left: it grows with each change of
-// holder, Lease.Commit writes nothing under an old one, and receivers of
-// orders refuse it (package orders). The same holds for a holder that is
-// stopped between its check and its act.
+// A suspended holder detects that its lease has expired by the clock that has
+// advanced further: the monotonic clock keeps running while a process is stopped
+// (SIGSTOP) but may stand still while the whole VM is suspended; the wall clock is
+// set forward when a suspended VM resumes. If the platform resumes a VM with both
+// clocks behind, only the fencing token protects the data. It increases with each
+// change of holder, Lease.Commit writes nothing under an old one, and receivers of
+// orders reject it (package orders). The same holds for a holder that is suspended
+// after Lease.Check and before it acts on the result.
 package lease
 
 import (
@@ -32,97 +34,100 @@
 	"github.com/applepier/applepier/internal/storage/confirm"
 )
 
-// Timing of leases. What is done under a lease may pause for half a minute
-// when its holder dies, so the lease can be long and renewals cheap.
+// Defaults of a lease's timing. Work done under a lease with these defaults may be
+// interrupted for half a minute when its holder fails, so the lease can be long
+// and renewals infrequent.
 const (
-	// Duration is how long a write of the row holds.
-	Duration = 15 * time.Second
-	// Margin is how long before the end of Duration a holder stops: the time
-	// it needs to end what it does.
-	Margin = 3 * time.Second
-	// RenewInterval leaves a holder two more tries after one that failed.
-	RenewInterval = 4 * time.Second
+	// DefaultDuration is how long the lease is valid after a write of its row.
+	DefaultDuration = 15 * time.Second
+	// DefaultSafetyMargin is how long before the end of DefaultDuration a holder
+	// stops, so that it has time to finish its work.
+	DefaultSafetyMargin = 3 * time.Second
+	// DefaultRenewInterval leaves time for two more attempts after a failed renewal.
+	DefaultRenewInterval = 4 * time.Second
 )
 
-// Lease is one process's part in a lease. It is safe for concurrent use.
+// Lease is one process's handle on a named lease. It is safe for concurrent use.
 //
-// Lock order: writing before mu.
+// Lock order: writeSem before mu.
 type Lease struct {
 	table  storage.Table
-	row    string
+	rowKey string
 	holder string
 	timing Timing
 
-	// writing holds a token through each write of the row, so that this process
-	// never competes with itself.
-	writing chan struct{}
+	// writeSem is a semaphore that serializes writes of the row, so that this
+	// process never conflicts with itself.
+	writeSem chan struct{}
 
 	mu sync.Mutex
-	// fence is the number of the lease held, zero when none is.
-	fence uint64
-	// since is when the write that is in force was sent.
-	since time.Time
-	// seen is the latest write of another holder, first read at seenAt.
-	seen   string
-	seenAt time.Time
-	// held says that this process has held the lease, and deposedAt when another holder
-	// was met after that; zero for not since.
-	held      bool
-	deposedAt time.Time
+	// fencingToken is the token of the lease held; zero while it is not held.
+	fencingToken uint64
+	// renewedAt is when the last confirmed write of the row was sent.
+	renewedAt time.Time
+	// observedWrite is the ID of another holder's latest write; observedAt is when
+	// it was first read.
+	observedWrite string
+	observedAt    time.Time
+	// everHeld is set once this process has held the lease. supersededAt is when
+	// it then first saw another holder or a higher fencing token; zero if it has
+	// not since it last acquired the lease.
+	everHeld     bool
+	supersededAt time.Time
 }
 
-// New returns a process's part in the named lease, which is not held yet. The
-// holder names the process for operators; each Lease is a holder of its own,
-// also under the same name.
+// New returns a handle on the named lease, which is not held yet. The holder
+// identifies the process to operators; each Lease is a separate holder, even under
+// the same name.
 func New(table storage.Table, name, holder string) *Lease {
-	return NewTimed(table, name, holder, usual())
+	return NewTimed(table, name, holder, defaultTiming())
 }
 
-// NewTimed is New for a lease with a timing of its own.
+// NewWithTiming is like New, with a timing other than the default.
 func NewTimed(table storage.Table, name, holder string, timing Timing) *Lease {
-	return &Lease{table: table, row: rowKey(name), holder: holder + "/" + uuid.NewString(), timing: timing, writing: make(chan struct{}, 1)}
+	return &Lease{table: table, rowKey: rowKey(name), holder: holder + "/" + uuid.NewString(), timing: timing, writeSem: make(chan struct{}, 1)}
 }
 
-// Acquire tries once to get the lease. Errors: HeldError, ErrUnavailable,
-// ErrLost when another challenger was faster.
+// Acquire tries once to acquire the lease. Errors: HeldError, ErrUnavailable, or
+// ErrLost if another candidate acquired it first.
 func (l *Lease) Acquire(ctx context.Context) error {
 	if err := l.beginWrite(ctx); err != nil {
 		return err
 	}
 	defer l.endWrite()
-	sent := time.Now()
-	now, err := read(ctx, l.table, l.row)
+	sentAt := time.Now()
+	current, err := readRecord(ctx, l.table, l.rowKey)
 	if err != nil {
 		return err
 	}
-	if wait := l.wait(now); wait > 0 {
-		return &HeldError{Holder: now.record.Holder, Wait: wait}
+	if wait := l.acquireWait(current); wait > 0 {
+		return &HeldError{Holder: current.record.Holder, Wait: wait}
 	}
-	next := record{Write: uuid.NewString(), Holder: l.holder, Fence: NextFence(now.record.Fence, now.era)}
-	var earlier []storage.Write
-	if now.version == 0 {
-		if earlier, err = l.closeEarlier(now.era); err != nil {
+	next := record{WriteID: uuid.NewString(), Holder: l.holder, FencingToken: NextFence(current.record.FencingToken, current.era)}
+	var closing []storage.Write
+	if current.version == 0 {
+		if closing, err = l.closeEarlierRows(current.era); err != nil {
 			return err
 		}
 	}
-	if err := l.write(ctx, now, next, earlier); err != nil {
+	if err := l.writeRow(ctx, current, next, closing); err != nil {
 		return err
 	}
-	l.hold(next.Fence, sent)
+	l.markHeld(next.FencingToken, sentAt)
 	return nil
 }
 
-// Renew extends the lease. Errors: ErrLost, after which it is no longer held;
-// ErrUnavailable, after which it still holds until its end.
+// Renew extends the lease. Errors: ErrLost, after which the lease is no longer
+// held; ErrUnavailable, after which it remains held until it expires.
 func (l *Lease) Renew(ctx context.Context) error {
 	return l.Commit(ctx, nil)
 }
 
 // Commit renews the lease and applies the writes in one transaction, so that
-// none of them takes effect once another process holds the lease, however
-// late they arrive. Errors: ErrLost; ErrConflict when a row of the writes was
-// at another version; ErrUnavailable, after which the lease still holds until
-// its end, and the writes may have taken effect.
+// none of them takes effect once another process holds the lease, however late
+// they arrive. Errors: ErrLost; ErrConflict if one of the rows was not at the
+// expected version; ErrUnavailable, after which the lease remains held until it
+// expires and the writes may have taken effect.
 func (l *Lease) Commit(ctx context.Context, writes []storage.Write) error {
 	if err := l.beginWrite(ctx); err != nil {
 		return err
@@ -131,86 +136,87 @@
 	if err := l.Check(); err != nil {
 		return err
 	}
-	fence := l.Fence()
-	sent := time.Now()
-	now, err := read(ctx, l.table, l.row)
+	token := l.Fence()
+	sentAt := time.Now()
+	current, err := readRecord(ctx, l.table, l.rowKey)
 	if err != nil {
 		return err
 	}
-	if now.record.Fence != fence {
-		l.drop()
+	if current.record.FencingToken != token {
+		l.markLost()
 		return ErrLost
 	}
-	next := record{Write: uuid.NewString(), Holder: l.holder, Fence: fence}
-	if err := l.write(ctx, now, next, writes); err != nil {
-		return l.refine(ctx, fence, err)
+	next := record{WriteID: uuid.NewString(), Holder: l.holder, FencingToken: token}
+	if err := l.writeRow(ctx, current, next, writes); err != nil {
+		return l.classifyConflict(ctx, token, err)
 	}
-	l.hold(fence, sent)
+	l.markHeld(token, sentAt)
 	return nil
 }
 
-// Release gives the lease up, so that a challenger needn't wait. The caller
-// must have stopped acting.
+// Release gives up the lease, so that a candidate need not wait for it to
+// expire. The caller must have stopped acting under it.
 func (l *Lease) Release(ctx context.Context) error {
 	if err := l.beginWrite(ctx); err != nil {
 		return err
 	}
 	defer l.endWrite()
-	fence := l.Fence()
-	l.drop()
-	if fence == 0 {
+	token := l.Fence()
+	l.markLost()
+	if token == 0 {
 		return nil
 	}
-	now, err := read(ctx, l.table, l.row)
+	current, err := readRecord(ctx, l.table, l.rowKey)
 	if err != nil {
 		return err
 	}
-	if now.record.Fence != fence {
+	if current.record.FencingToken != token {
 		return nil
 	}
-	next := record{Write: uuid.NewString(), Holder: l.holder, Fence: fence, Released: true}
-	return l.write(ctx, now, next, nil)
+	next := record{WriteID: uuid.NewString(), Holder: l.holder, FencingToken: token, Released: true}
+	return l.writeRow(ctx, current, next, nil)
 }
 
-// beginWrite waits until no other write of this process is under way; ErrUnavailable if
-// ctx ends first.
+// beginWrite waits for other writes of this process to finish. It returns
+// ErrUnavailable if ctx ends first.
 func (l *Lease) beginWrite(ctx context.Context) error {
 	select {
-	case l.writing <- struct{}{}:
+	case l.writeSem <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return errors.Join(ErrUnavailable, ctx.Err())
 	}
 }
 
-func (l *Lease) endWrite() { <-l.writing }
+func (l *Lease) endWrite() { <-l.writeSem }
 
-// refine finds out whether a conflict was about the lease or about the other
-// rows of a transaction.
-func (l *Lease) refine(ctx context.Context, fence uint64, err error) error {
+// classifyConflict turns ErrLost into ErrConflict if a transaction failed on
+// another row while this process still holds the lease.
+func (l *Lease) classifyConflict(ctx context.Context, token uint64, err error) error {
 	if !errors.Is(err, ErrLost) {
 		return err
 	}
-	now, readErr := read(ctx, l.table, l.row)
+	current, readErr := readRecord(ctx, l.table, l.rowKey)
 	switch {
 	case readErr != nil:
 		return readErr
-	case now.record.Fence == fence:
+	case current.record.FencingToken == token:
 		return ErrConflict
 	}
-	l.drop()
+	l.markLost()
 	return ErrLost
 }
 
-// write replaces the row as read by next, together with the other writes.
-func (l *Lease) write(ctx context.Context, now stored, next record, others []storage.Write) error {
-	write, err := next.write(l.rowIn(now.era), now.version)
+// writeRow replaces the row last read as current with next, in one transaction
+// with the other writes.
+func (l *Lease) writeRow(ctx context.Context, current storedRecord, next record, others []storage.Write) error {
+	write, err := next.rowWrite(l.rowKeyIn(current.era), current.version)
 	if err != nil {
 		return err
 	}
 	writes := append([]storage.Write{write}, others...)
 	err = confirm.Commit(ctx, l.table, writes, func(ctx context.Context) (confirm.Verdict, error) {
-		return verdict(ctx, l.table, l.row, now, next.Write)
+		return readBack(ctx, l.table, l.rowKey, current, next.WriteID)
 	})
 	switch {
 	case err == nil:
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -12,7 +12,7 @@
 	"github.com/applepier/applepier/internal/storage/storagetest"
 )
 
-const name = "claims-sweep"
+const leaseName = "claims-sweep"
 
 func mustAcquire(t *testing.T, l *Lease) {
 	t.Helper()
@@ -21,49 +21,50 @@
 	}
 }
 
-// challenge acquires as soon as the row has been unchanged long enough.
-func challenge(t *testing.T, l *Lease) {
+// waitAndAcquire acquires the lease as soon as its row has been unchanged for
+// long enough.
+func waitAndAcquire(t *testing.T, l *Lease) {
 	t.Helper()
-	held, ok := errors.Into[*HeldError](l.Acquire(t.Context()))
+	heldErr, ok := errors.Into[*HeldError](l.Acquire(t.Context()))
 	if !ok {
-		t.Fatal("the first try must only look")
+		t.Fatal("first attempt: want HeldError")
 	}
-	time.Sleep(held.Wait)
+	time.Sleep(heldErr.Wait)
 	mustAcquire(t, l)
 }
 
-func TestChallengerWaitsUntilTheHolderHasStopped(t *testing.T) {
+func TestCandidateWaitsUntilHolderHasStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
-		a, b := New(table, name, "a"), New(table, name, "b")
+		a, b := New(table, leaseName, "a"), New(table, leaseName, "b")
 		mustAcquire(t, a)
-		began := time.Now()
-		challenge(t, b)
+		start := time.Now()
+		waitAndAcquire(t, b)
 		if a.Check() == nil {
-			t.Fatal("two holders at once")
+			t.Fatal("two concurrent holders")
 		}
-		if gap := time.Since(began) - (Duration - Margin); gap < Margin {
-			t.Fatalf("the challenger came %v after the holder stopped, want at least %v", gap, Margin)
+		if gap := time.Since(start) - (DefaultDuration - DefaultSafetyMargin); gap < DefaultSafetyMargin {
+			t.Fatalf("candidate acquired the lease %v after the holder stopped, want at least %v", gap, DefaultSafetyMargin)
 		}
 		if b.Fence() <= 1 {
-			t.Fatalf("fence after a change of holder: %d", b.Fence())
+			t.Fatalf("fencing token after a change of holder: %d", b.Fence())
 		}
 		if err := a.Renew(t.Context()); !errors.Is(err, ErrLost) {
-			t.Fatalf("renewal of the old holder: %v", err)
+			t.Fatalf("renewal by the former holder: %v, want ErrLost", err)
 		}
 	})
 }
 
-func TestRenewedLeaseIsNotTaken(t *testing.T) {
+func TestRenewedLeaseIsNotTakenOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
-		a, b := New(table, name, "a"), New(table, name, "b")
+		a, b := New(table, leaseName, "a"), New(table, leaseName, "b")
 		mustAcquire(t, a)
 		for range 10 {
 			if _, ok := errors.Into[*HeldError](b.Acquire(t.Context())); !ok {
-				t.Fatal("a lease that is renewed was taken")
+				t.Fatal("a renewed lease was taken over")
 			}
-			time.Sleep(RenewInterval)
+			time.Sleep(DefaultRenewInterval)
 			if err := a.Renew(t.Context()); err != nil {
 				t.Fatal(err)
 			}
@@ -71,102 +72,102 @@
 	})
 }
 
-func TestReleasedLeaseIsTakenAtOnce(t *testing.T) {
+func TestReleasedLeaseIsAcquiredImmediately(t *testing.T) {
 	table := storagetest.NewTable()
-	a, b := New(table, name, "a"), New(table, name, "b")
+	a, b := New(table, leaseName, "a"), New(table, leaseName, "b")
 	mustAcquire(t, a)
 	if err := a.Release(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	mustAcquire(t, b)
 	if a.Check() == nil || b.Fence() != 2 {
-		t.Fatalf("fence %d", b.Fence())
+		t.Fatalf("fencing token of the new holder: %d, want 2", b.Fence())
 	}
 }
 
-func TestLostAnswers(t *testing.T) {
+func TestLostResponses(t *testing.T) {
 	for _, fault := range []storagetest.Fault{storagetest.FaultLost, storagetest.FaultDropped, storagetest.FaultLate, storagetest.FaultSlow} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storagetest.NewTable()
-			l := New(table, name, "a")
+			l := New(table, leaseName, "a")
 			table.FailCommits(fault)
 			mustAcquire(t, l)
 			table.FailCommits(fault)
 			if err := l.Renew(t.Context()); err != nil {
 				t.Fatalf("fault %v: %v", fault, err)
 			}
-			if landed := table.Land(); landed != 0 || l.Fence() != 1 {
-				t.Fatalf("fault %v: %d late writes landed, fence %d", fault, landed, l.Fence())
+			if applied := table.Land(); applied != 0 || l.Fence() != 1 {
+				t.Fatalf("fault %v: %d late writes applied, fencing token %d", fault, applied, l.Fence())
 			}
 		})
 	}
 }
 
-// The time that a slow write takes counts against the holder.
-func TestHolderCountsFromBeforeTheWrite(t *testing.T) {
+// The duration of a slow write must count towards the holder's lease.
+func TestRemainingCountsFromBeforeTheWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
-		l := New(table, name, "a")
+		l := New(table, leaseName, "a")
 		table.BeforeCommit(func([]storage.Write) { time.Sleep(time.Second) })
 		mustAcquire(t, l)
-		if got := l.Remaining(); got > Duration-Margin-time.Second {
+		if got := l.Remaining(); got > DefaultDuration-DefaultSafetyMargin-time.Second {
 			t.Fatalf("remaining: %v", got)
 		}
 	})
 }
 
-// The holder is stopped past its lease, as by SIGSTOP, and goes on.
-func TestPausedHolderFindsItsLeaseLapsedAndWritesNothing(t *testing.T) {
+// The holder is suspended, as by SIGSTOP, until its lease has expired, and resumes.
+func TestPausedHolderFindsLeaseExpiredAndWritesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
-		a, b := New(table, name, "a"), New(table, name, "b")
+		a, b := New(table, leaseName, "a"), New(table, leaseName, "b")
 		mustAcquire(t, a)
-		challenge(t, b)
+		waitAndAcquire(t, b)
 		order := []storage.Write{{Key: "orders/vm", Value: []byte("old"), Expect: storage.AnyVersion}}
 		if err := a.Commit(t.Context(), order); !errors.Is(err, ErrLost) {
-			t.Fatalf("commit of the old holder: %v", err)
+			t.Fatalf("commit by the former holder: %v, want ErrLost", err)
 		}
 	})
 }
 
-// The holder is stopped after its check, so that its write arrives when
-// another process holds the lease.
-func TestLateWriteOfAnOldHolderTakesNoEffect(t *testing.T) {
+// The holder is suspended after its check, so that its write arrives after another
+// process has acquired the lease.
+func TestLateWriteOfFormerHolderHasNoEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
-		a, b := New(table, name, "a"), New(table, name, "b")
+		a, b := New(table, leaseName, "a"), New(table, leaseName, "b")
 		mustAcquire(t, a)
 		table.FailCommits(storagetest.FaultLate)
 		ctx, cancel := context.WithCancel(t.Context())
 		table.BeforeCommit(func([]storage.Write) { cancel() })
 		order := []storage.Write{{Key: "orders/vm", Value: []byte("old"), Expect: storage.AnyVersion}}
 		if err := a.Commit(ctx, order); !errors.Is(err, ErrUnavailable) {
-			t.Fatalf("commit without an answer: %v", err)
+			t.Fatalf("commit without a response: %v, want ErrUnavailable", err)
 		}
 		table.BeforeCommit(nil)
-		challenge(t, b)
+		waitAndAcquire(t, b)
 		if table.Land() != 0 {
-			t.Fatal("a late write of the old holder took effect")
+			t.Fatal("a late write of the former holder took effect")
 		}
 	})
 }
 
-// A renewal whose outcome stayed unknown lands later: the holder is still the
-// holder and must be able to go on.
-func TestRenewalThatLandsLateDoesNotLoseTheLease(t *testing.T) {
+// A renewal with unknown outcome is applied later: the process still holds the
+// lease and must be able to renew it.
+func TestLateRenewalDoesNotLoseTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
-		l := New(table, name, "a")
+		l := New(table, leaseName, "a")
 		mustAcquire(t, l)
 		table.FailCommits(storagetest.FaultLate)
 		ctx, cancel := context.WithCancel(t.Context())
 		table.BeforeCommit(func([]storage.Write) { cancel() })
 		if err := l.Renew(ctx); !errors.Is(err, ErrUnavailable) {
-			t.Fatalf("renewal without an answer: %v", err)
+			t.Fatalf("renewal without a response: %v, want ErrUnavailable", err)
 		}
 		table.BeforeCommit(nil)
 		if table.Land() != 1 {
-			t.Fatal("the late renewal must land")
+			t.Fatal("the late renewal was not applied")
 		}
 		if err := l.Renew(t.Context()); err != nil {
 			t.Fatalf("next renewal: %v", err)
--- a/internal/lease/orders/errors.go
+++ b/internal/lease/orders/errors.go
@@ -8,25 +8,25 @@
 
 // Errors of orders.
 var (
-	// ErrNone: no order was given to the VM.
-	ErrNone = errors.New("no order was given")
-	// ErrUnavailable: the table service did not answer. The outcome of giving
-	// an order may be unknown; giving the same order again is harmless.
-	ErrUnavailable = errors.New("orders can't be read or written")
-	// ErrCorrupt: a row doesn't hold what this version of the program writes.
+	// ErrNone: no order was issued to the VM.
+	ErrNone = errors.New("no order was issued")
+	// ErrUnavailable: the table service did not respond. Whether an order was
+	// written may be unknown; issuing the same order again is harmless.
+	ErrUnavailable = errors.New("orders could not be read or written")
+	// ErrCorrupt: a stored row can't be decoded by this version of the program.
 	ErrCorrupt = errors.New("stored order can't be decoded")
-	// ErrNotRestored: the guard does not know the newest number yet.
-	ErrNotRestored = errors.New("newest fencing number is not known yet")
+	// ErrNotRefreshed: the guard has not read the newest fencing token yet.
+	ErrNotRefreshed = errors.New("newest fencing token is not known yet")
 )
 
-// FencedError says that an order came under an old fencing number.
+// FencedError reports an order that was rejected because of a stale fencing token.
 type FencedError struct {
-	// Fence is the order's number.
-	Fence uint64
-	// Newest is the newest number that is known.
+	// Token is the order's fencing token.
+	Token uint64
+	// Newest is the newest fencing token known.
 	Newest uint64
 }
 
 func (e *FencedError) Error() string {
-	return fmt.Sprintf("order under fencing number %d, the newest is %d", e.Fence, e.Newest)
+	return fmt.Sprintf("order has stale fencing token %d, newest is %d", e.Token, e.Newest)
 }
--- /dev/null
+++ b/internal/lease/orders/executor.go
@@ -0,0 +1,98 @@
+package orders
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"github.com/go-faster/errors"
+	"go.uber.org/zap"
+
+	"github.com/applepier/applepier/internal/logging"
+	"github.com/applepier/applepier/internal/pause"
+)
+
+// Timing of an Executor.
+const (
+	// pollInterval is the mean time between two reads of the VM's order; each
+	// interval is randomized by up to a quarter in either direction. Loading a
+	// model takes far longer. With 1,200 agents this is 120 reads per second.
+	pollInterval = 10 * time.Second
+	pollJitter   = pollInterval / 4
+	// readTimeout bounds the reads of one poll.
+	readTimeout = 5 * time.Second
+)
+
+// Apply executes an order. It must be idempotent: after a restart the last order
+// is executed again.
+type Apply func(ctx context.Context, order Order) error
+
+// Executor polls for the orders to a VM's agent and executes them.
+type Follower struct {
+	store *Book
+	guard *Guard
+	apply Apply
+	log   *zap.Logger
+	// appliedID is the ID of the last order that was executed.
+	appliedID string
+	// backoff limits the retries of the last order that failed.
+	backoff retryBackoff
+}
+
+// NewExecutor returns an Executor of the orders that the guard admits; Run starts
+// it. A nil log discards all events.
+func NewFollower(guard *Guard, apply Apply, log *zap.Logger) *Follower {
+	if log == nil {
+		log = zap.NewNop()
+	}
+	return &Follower{store: guard.store, guard: guard, apply: apply, log: log}
+}
+
+// Run polls for orders and executes them until ctx ends. A failed order is retried
+// with the backoff of minRetryDelay and maxRetryDelay; a different order is executed
+// at the next poll.
+func (e *Follower) Run(ctx context.Context) {
+	for ctx.Err() == nil {
+		if err := e.poll(ctx); err != nil && ctx.Err() == nil {
+			e.log.Warn(logging.EventOrderFailed, zap.Error(err))
+		}
+		pause.For(ctx, pollInterval-pollJitter+rand.N(2*pollJitter))
+	}
+}
+
+// poll executes the newest order unless that was done already. While there is
+// nothing to execute, it reads only the order's row; before it executes an order, it
+// reads the newest fencing token again.
+func (e *Follower) poll(ctx context.Context) error {
+	order, err := e.nextOrder(ctx)
+	if errors.Is(err, ErrNone) {
+		return nil
+	}
+	if err != nil {
+		return err
+	}
+	if err := e.apply(ctx, order); err != nil {
+		e.backoff.recordFailure(order.ID, time.Now())
+		return errors.Wrap(err, "execute order")
+	}
+	e.appliedID = order.ID
+	e.log.Info(logging.EventOrderDone, zap.String("order", order.ID), zap.Uint64("fence", order.Fence), zap.String("model", order.Model))
+	return nil
+}
+
+// nextOrder reads the order to execute, or returns ErrNone.
+func (e *Follower) nextOrder(ctx context.Context) (Order, error) {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+	defer cancel()
+	order, err := e.store.Read(ctx, e.guard.vm)
+	if err != nil {
+		return Order{}, err
+	}
+	if order.ID == e.appliedID || !e.backoff.due(order.ID, time.Now()) {
+		return Order{}, ErrNone
+	}
+	if err := e.guard.Refresh(ctx); err != nil {
+		return Order{}, err
+	}
+	return order, e.guard.Admit(order.Fence)
+}
--- a/internal/lease/orders/guard.go
+++ b/internal/lease/orders/guard.go
@@ -10,56 +10,55 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// Guard refuses orders under old fencing numbers, in the place of an engine
-// that ignores the number. It keeps nothing on its VM: after a restart it
-// reads the newest number from the table service, and refuses all orders until
-// then.
+// Guard rejects orders with stale fencing tokens on behalf of an engine that does
+// not check the token. It stores nothing on its VM: after a restart it rejects all
+// orders until it has read the newest token from the table service.
 type Guard struct {
-	table storage.Table
-	lease string
-	book  *Book
-	vm    string
+	table     storage.Table
+	leaseName string
+	store     *Book
+	vm        string
 
-	mu       sync.Mutex
-	restored bool
-	newest   uint64
+	mu        sync.Mutex
+	refreshed bool
+	newest    uint64
 }
 
-// NewGuard returns the guard of a VM's agent against orders under the named
-// lease. Restore must come first.
+// NewGuard returns a guard for the agent on a VM, which checks orders issued under
+// the named lease. Refresh must be called before Admit.
 func NewGuard(table storage.Table, leaseName, vm string) *Guard {
-	return &Guard{table: table, lease: leaseName, book: NewBook(table), vm: vm}
+	return &Guard{table: table, leaseName: leaseName, store: NewBook(table), vm: vm}
 }
 
-// Restore reads the newest fencing number, of the lease and of the last order:
-// ErrUnavailable or ErrCorrupt.
-func (g *Guard) Restore(ctx context.Context) error {
-	fence, err := lease.CurrentFence(ctx, g.table, g.lease)
+// Refresh reads the newest fencing token from the rows of the lease and of the
+// last order. Errors: ErrUnavailable, ErrCorrupt.
+func (g *Guard) Refresh(ctx context.Context) error {
+	token, err := lease.CurrentFencingToken(ctx, g.table, g.leaseName)
 	if err != nil {
 		return errors.Join(ErrUnavailable, err)
 	}
-	last, err := g.book.Read(ctx, g.vm)
+	last, err := g.store.Read(ctx, g.vm)
 	if err != nil && !errors.Is(err, ErrNone) {
 		return err
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.restored = true
-	g.newest = max(g.newest, fence, last.Fence)
+	g.refreshed = true
+	g.newest = max(g.newest, token, last.Fence)
 	return nil
 }
 
-// Admit takes note of an order's fencing number and refuses an old one with a
-// FencedError, and any before Restore with ErrNotRestored.
-func (g *Guard) Admit(fence uint64) error {
+// Admit accepts an order's fencing token and records it as the newest. It returns a
+// FencedError if the token is stale, and ErrNotRefreshed before the first Refresh.
+func (g *Guard) Admit(token uint64) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.restored {
-		return ErrNotRestored
+	if !g.refreshed {
+		return ErrNotRefreshed
 	}
-	if fence < g.newest {
-		return &FencedError{Fence: fence, Newest: g.newest}
+	if token < g.newest {
+		return &FencedError{Token: token, Newest: g.newest}
 	}
-	g.newest = fence
+	g.newest = token
 	return nil
 }
--- a/internal/lease/orders/order.go
+++ b/internal/lease/orders/order.go
@@ -1,9 +1,8 @@
-// Package orders carries orders to the agents of engines, given under a lease:
-// which model an engine loads. An order is a row that the lease's holder
-// writes together with its renewal, so that none is written under an old
-// fencing number; an agent reads its own row. Agents refuse older numbers
-// also for engines that ignore them. Start reading at Book, and at Follower
-// for the agent's side.
+// Package orders sends orders to the agents of engines: which model an engine
+// should load. An order is a row that the holder of a lease writes in one
+// transaction with its renewal, so that none is written under a stale fencing token;
+// each agent polls its own row. Agents reject stale tokens even if the engine does
+// not check them. Start reading at Store, and at Executor for the agent's side.
 package orders
 
 import (
@@ -14,23 +13,24 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// LeaseName names the lease that orders are given under.
+// LeaseName is the name of the lease under which orders are issued.
 const LeaseName = "models"
 
-// Order is the newest order to the agent on one VM.
+// Order is the newest order to the agent on a VM.
 type Order struct {
-	// ID is unique to the order.
+	// ID identifies the order. It stays the same when a new holder of the lease
+	// issues the same order again.
 	ID string `json:"id"`
-	// Fence is the fencing number of the lease it was given under.
+	// FencingToken is the fencing token of the lease under which the order was issued.
 	Fence uint64 `json:"fence"`
-	// Model is the model to load.
+	// Model is the name of the model to load.
 	Model string `json:"model"`
 }
 
 // rowKey returns the key of the row of a VM's order.
 func rowKey(vm string) string { return "orders/" + vm }
 
-func parse(row storage.Row) (Order, error) {
+func decodeOrder(row storage.Row) (Order, error) {
 	var order Order
 	if err := json.Unmarshal(row.Value, &order); err != nil {
 		return Order{}, errors.Join(ErrCorrupt, err)
--- a/internal/lease/orders/orders_test.go
+++ b/internal/lease/orders/orders_test.go
@@ -14,17 +14,18 @@
 )
 
 const (
-	leaseName = "models"
-	vm        = "engine-1"
+	testLease = "models"
+	testVM    = "engine-1"
 )
 
-// acquire returns a lease that is held, after waiting for its last holder.
-func acquire(t *testing.T, table *storagetest.Table) *lease.Lease {
+// mustAcquire returns a held lease, after waiting for the lease of the previous
+// holder to expire.
+func mustAcquire(t *testing.T, table *storagetest.Table) *lease.Lease {
 	t.Helper()
-	l := lease.New(table, leaseName, "entry")
+	l := lease.New(table, testLease, "entry")
 	err := l.Acquire(t.Context())
-	if held, ok := errors.Into[*lease.HeldError](err); ok {
-		time.Sleep(held.Wait)
+	if heldErr, ok := errors.Into[*lease.HeldError](err); ok {
+		time.Sleep(heldErr.Wait)
 		err = l.Acquire(t.Context())
 	}
 	if err != nil {
@@ -33,38 +34,38 @@
 	return l
 }
 
-func mustGive(t *testing.T, table *storagetest.Table, held *lease.Lease, model string) {
+func mustIssue(t *testing.T, table *storagetest.Table, held *lease.Lease, model string) {
 	t.Helper()
-	if err := NewBook(table).Give(t.Context(), held, vm, model); err != nil {
+	if err := NewBook(table).Give(t.Context(), held, testVM, model); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// newFollower returns a Follower as after a start of its agent, and the models
-// that it loads.
-func newFollower(table *storagetest.Table) (*Follower, *[]string) {
+// newTestExecutor returns the Executor of an agent that has just started, and the
+// list of the models that it loads.
+func newTestExecutor(table *storagetest.Table) (*Follower, *[]string) {
 	var loaded []string
 	apply := func(_ context.Context, o Order) error {
 		loaded = append(loaded, o.Model)
 		return nil
 	}
-	return NewFollower(NewGuard(table, leaseName, vm), apply, nil), &loaded
+	return NewFollower(NewGuard(table, testLease, testVM), apply, nil), &loaded
 }
 
-func TestAgentFollowsOrdersOnce(t *testing.T) {
+func TestOrderIsExecutedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
-		f, loaded := newFollower(table)
-		held := acquire(t, table)
+		e, loaded := newTestExecutor(table)
+		held := mustAcquire(t, table)
 		for _, model := range []string{"a", "a", "b"} {
-			mustGive(t, table, held, model)
-			if err := f.step(t.Context()); err != nil {
+			mustIssue(t, table, held, model)
+			if err := e.poll(t.Context()); err != nil {
 				t.Fatal(err)
 			}
 		}
-		next := acquire(t, table)
-		mustGive(t, table, next, "b")
-		if err := f.step(t.Context()); err != nil {
+		next := mustAcquire(t, table)
+		mustIssue(t, table, next, "b")
+		if err := e.poll(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		if want := []string{"a", "b"}; !slices.Equal(*loaded, want) {
@@ -73,73 +74,73 @@
 	})
 }
 
-func TestPausedHolderGivesNoOrder(t *testing.T) {
+func TestFormerHolderCannotIssueOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
-		old := acquire(t, table)
-		next := acquire(t, table)
-		mustGive(t, table, next, "b")
-		if err := NewBook(table).Give(t.Context(), old, vm, "a"); !errors.Is(err, lease.ErrLost) {
-			t.Fatalf("order of the old holder: %v", err)
+		former := mustAcquire(t, table)
+		next := mustAcquire(t, table)
+		mustIssue(t, table, next, "b")
+		if err := NewBook(table).Give(t.Context(), former, testVM, "a"); !errors.Is(err, lease.ErrLost) {
+			t.Fatalf("order of the former holder: %v, want ErrLost", err)
 		}
-		order, err := NewBook(table).Read(t.Context(), vm)
+		order, err := NewBook(table).Read(t.Context(), testVM)
 		if err != nil || order.Model != "b" {
 			t.Fatalf("order: %+v, %v", order, err)
 		}
 	})
 }
 
-// The agent restarts between the change of holder and an order that comes
-// late under the old number.
-func TestRestartedAgentRefusesAnOldNumber(t *testing.T) {
+// The agent restarts between a change of holder and an order that arrives late with
+// the former holder's token.
+func TestRestartedAgentRejectsStaleToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
-		old := acquire(t, table)
-		mustGive(t, table, old, "a")
-		next := acquire(t, table)
+		former := mustAcquire(t, table)
+		mustIssue(t, table, former, "a")
+		next := mustAcquire(t, table)
 
-		g := NewGuard(table, leaseName, vm)
-		if err := g.Admit(old.Fence()); !errors.Is(err, ErrNotRestored) {
-			t.Fatalf("before Restore: %v", err)
+		g := NewGuard(table, testLease, testVM)
+		if err := g.Admit(former.Fence()); !errors.Is(err, ErrNotRefreshed) {
+			t.Fatalf("before Refresh: %v, want ErrNotRefreshed", err)
 		}
 		table.SetDown(true)
-		if err := g.Restore(t.Context()); !errors.Is(err, ErrUnavailable) {
-			t.Fatalf("while the table is down: %v", err)
+		if err := g.Refresh(t.Context()); !errors.Is(err, ErrUnavailable) {
+			t.Fatalf("while the table is unavailable: %v", err)
 		}
 		table.SetDown(false)
-		if err := g.Restore(t.Context()); err != nil {
+		if err := g.Refresh(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if _, ok := errors.Into[*FencedError](g.Admit(old.Fence())); !ok {
-			t.Fatal("an order under the old number was admitted")
+		if _, ok := errors.Into[*FencedError](g.Admit(former.Fence())); !ok {
+			t.Fatal("an order with a stale fencing token was admitted")
 		}
 		if err := g.Admit(next.Fence()); err != nil {
 			t.Fatal(err)
 		}
 
-		f, loaded := newFollower(table)
-		if _, ok := errors.Into[*FencedError](f.step(t.Context())); !ok || len(*loaded) != 0 {
-			t.Fatalf("an order that the new holder has not given again was carried out: %v", *loaded)
+		e, loaded := newTestExecutor(table)
+		if _, ok := errors.Into[*FencedError](e.poll(t.Context())); !ok || len(*loaded) != 0 {
+			t.Fatalf("an order that the new holder has not issued again was executed: %v", *loaded)
 		}
 	})
 }
 
-func TestFailedOrderIsTriedAgain(t *testing.T) {
+func TestFailedOrderIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
-		mustGive(t, table, acquire(t, table), "a")
-		tries := 0
+		mustIssue(t, table, mustAcquire(t, table), "a")
+		attempts := 0
 		ctx, cancel := context.WithCancel(t.Context())
-		NewFollower(NewGuard(table, leaseName, vm), func(context.Context, Order) error {
-			tries++
-			if tries < 3 {
+		NewFollower(NewGuard(table, testLease, testVM), func(context.Context, Order) error {
+			attempts++
+			if attempts < 3 {
 				return errors.New("engine is down")
 			}
 			cancel()
 			return nil
 		}, nil).Run(ctx)
-		if tries != 3 {
-			t.Fatalf("tries: %d, want 3", tries)
+		if attempts != 3 {
+			t.Fatalf("attempts: %d, want 3", attempts)
 		}
 	})
 }
--- a/internal/lease/record.go
+++ b/internal/lease/record.go
@@ -10,74 +10,75 @@
 	"github.com/applepier/applepier/internal/storage/confirm"
 )
 
-// rowPrefix begins the key of each lease's row.
+// rowPrefix is the prefix of the keys of all lease rows.
 const rowPrefix = "leases/"
 
-// record is the value of a lease's row.
+// record is the JSON value of a lease's row.
 type record struct {
-	// Write is unique to each write of the row.
-	Write  string `json:"write"`
-	Holder string `json:"holder"`
-	// Fence grows with each change of holder.
-	Fence uint64 `json:"fence"`
-	// Released says that the holder gave the lease up.
+	// WriteID is unique to each write of the row.
+	WriteID string `json:"write"`
+	Holder  string `json:"holder"`
+	// FencingToken increases with each change of holder.
+	FencingToken uint64 `json:"fence"`
+	// Released is set once the holder has released the lease.
 	Released bool `json:"released,omitempty"`
 }
 
-// stored is what was read; version zero means that there is no row.
-type stored struct {
+// storedRecord is a record as read from the table; version is zero if no row exists.
+type storedRecord struct {
 	record  record
 	version uint64
-	// era is of the history in which it was read.
+	// era is the era in which the record was read.
 	era uint64
 }
 
-// CurrentFence reads the newest fencing number of the named lease; zero when
-// it was never held. It returns ErrUnavailable or ErrCorrupt.
-func CurrentFence(ctx context.Context, table storage.Table, name string) (uint64, error) {
-	now, err := read(ctx, table, rowKey(name))
-	return now.record.Fence, err
+// CurrentFencingToken reads the newest fencing token of the named lease; zero if
+// the lease was never held. Errors: ErrUnavailable, ErrCorrupt.
+func CurrentFencingToken(ctx context.Context, table storage.Table, name string) (uint64, error) {
+	current, err := readRecord(ctx, table, rowKey(name))
+	return current.record.FencingToken, err
 }
 
 func rowKey(name string) string { return rowPrefix + name }
 
-// read reads the lease's row of the newest era.
-func read(ctx context.Context, table storage.Table, row string) (stored, error) {
-	era := eraOf(table)
-	r, err := table.Get(ctx, eraKey(row, era))
+// readRecord reads the lease's row in the newest era.
+func readRecord(ctx context.Context, table storage.Table, baseKey string) (storedRecord, error) {
+	era := currentEra(table)
+	row, err := table.Get(ctx, eraKey(baseKey, era))
 	if errors.Is(err, storage.ErrNotFound) {
-		return stored{era: era}, nil
+		return storedRecord{era: era}, nil
 	}
 	if err != nil {
-		return stored{}, errors.Join(ErrUnavailable, err)
+		return storedRecord{}, errors.Join(ErrUnavailable, err)
 	}
 	var rec record
-	if err := json.Unmarshal(r.Value, &rec); err != nil {
-		return stored{}, errors.Join(ErrCorrupt, err)
+	if err := json.Unmarshal(row.Value, &rec); err != nil {
+		return storedRecord{}, errors.Join(ErrCorrupt, err)
 	}
-	return stored{record: rec, version: r.Version, era: era}, nil
+	return storedRecord{record: rec, version: row.Version, era: era}, nil
 }
 
-func (r record) write(row string, expect uint64) (storage.Write, error) {
+func (r record) rowWrite(key string, expectedVersion uint64) (storage.Write, error) {
 	value, err := json.Marshal(r)
 	if err != nil {
-		return storage.Write{}, errors.Wrap(err, "encode the lease")
+		return storage.Write{}, errors.Wrap(err, "encode lease record")
 	}
-	return storage.Write{Key: row, Value: value, Expect: expect}, nil
+	return storage.Write{Key: key, Value: value, Expect: expectedVersion}, nil
 }
 
-// verdict finds out whether a write of the row took effect.
-func verdict(ctx context.Context, table storage.Table, row string, expected stored, write string) (confirm.Verdict, error) {
-	now, err := read(ctx, table, row)
+// readBack finds out whether a write of the row with an unknown outcome took
+// effect.
+func readBack(ctx context.Context, table storage.Table, baseKey string, expected storedRecord, writeID string) (confirm.Verdict, error) {
+	current, err := readRecord(ctx, table, baseKey)
 	switch {
 	case err != nil:
 		return 0, err
-	case now.era != expected.era:
-		// Whatever was written is of a history that is gone.
+	case current.era != expected.era:
+		// The write belongs to an earlier era, whose data is gone.
 		return confirm.Overtaken, nil
-	case now.record.Write == write:
+	case current.record.WriteID == writeID:
 		return confirm.Written, nil
-	case now.version != expected.version:
+	case current.version != expected.version:
 		return confirm.Overtaken, nil
 	}
 	return confirm.Pending, nil
--- /dev/null
+++ b/internal/lease/state.go
@@ -0,0 +1,98 @@
+package lease
+
+import "time"
+
+// Check returns ErrLost unless the lease is held. A holder calls it before each
+// action under the lease.
+func (l *Lease) Check() error {
+	if l.Remaining() <= 0 {
+		return ErrLost
+	}
+	return nil
+}
+
+// Remaining returns how long the holder may act without another renewal; zero if
+// the lease is not held.
+func (l *Lease) Remaining() time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.fencingToken == 0 {
+		return 0
+	}
+	return max(0, l.timing.Duration-l.timing.Margin-elapsed(l.renewedAt))
+}
+
+// FencingToken returns the fencing token of the lease last held; zero after it
+// was lost or released.
+func (l *Lease) Fence() uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.fencingToken
+}
+
+func (l *Lease) markHeld(token uint64, sentAt time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.fencingToken = token
+	l.renewedAt = sentAt
+	l.everHeld = true
+	l.supersededAt = time.Time{}
+}
+
+func (l *Lease) markLost() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.fencingToken = 0
+}
+
+// acquireWait returns how long to wait before the lease may be acquired, provided
+// that the row does not change meanwhile. A row written by this process can be
+// replaced immediately, with a new fencing token, since the process knows that it
+// has stopped acting.
+func (l *Lease) acquireWait(current storedRecord) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if current.version != 0 && current.record.Holder != l.holder && l.everHeld && l.supersededAt.IsZero() {
+		l.supersededAt = time.Now()
+	}
+	return max(l.supersededWait(), l.takeoverWait(current))
+}
+
+// supersededWait returns how much longer a superseded holder must not acquire the
+// lease. The caller must hold l.mu.
+func (l *Lease) supersededWait() time.Duration {
+	if l.supersededAt.IsZero() {
+		return 0
+	}
+	return max(0, l.timing.Rest-time.Since(l.supersededAt))
+}
+
+// StepDown marks the lease as lost after a higher fencing token was seen, and keeps
+// this process from acquiring it for Timing.SupersededBackoff.
+func (l *Lease) Deposed() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.fencingToken = 0
+	l.supersededAt = time.Now()
+}
+
+// takeoverWait returns how much longer the row must remain unchanged before another
+// holder's lease may be taken over. The caller must hold l.mu.
+func (l *Lease) takeoverWait(current storedRecord) time.Duration {
+	if current.version == 0 || current.record.Released || current.record.Holder == l.holder {
+		return 0
+	}
+	if l.observedWrite != current.record.WriteID {
+		l.observedWrite = current.record.WriteID
+		l.observedAt = time.Now()
+	}
+	return max(0, l.timing.Duration+l.timing.clockDriftMargin()-time.Since(l.observedAt))
+}
+
+// elapsed returns the time since t by whichever clock, monotonic or wall, advanced further.
+func elapsed(t time.Time) time.Duration {
+	now := time.Now()
+	monotonic := now.Sub(t)
+	wall := now.Round(0).Sub(t.Round(0))
+	return max(monotonic, wall)
+}
--- a/internal/lease/timing.go
+++ b/internal/lease/timing.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// Timing is how long a lease holds, and how often what is done about it.
+// Timing holds the durations and intervals of a lease.
 type Timing struct {
-	// Duration is how long a write of the row holds.
+	// Duration is how long the lease is valid after a write of its row.
 	Duration time.Duration
-	// Margin is how long before the end of Duration a holder stops.
+	// SafetyMargin is how long before the end of Duration a holder stops.
 	Margin time.Duration
-	// Renew is the time between two renewals.
+	// RenewInterval is the time between two renewals.
 	Renew time.Duration
-	// Campaign is the mean time between tries to get the lease.
+	// CampaignInterval is the mean time between attempts to acquire the lease.
 	Campaign time.Duration
-	// Rest is for how long a holder that was deposed leaves the lease to others; zero for
-	// not at all.
+	// SupersededBackoff is how long a superseded holder waits before it tries to
+	// acquire the lease again; zero means no wait.
 	Rest time.Duration
 }
 
-// usual is the timing of leases under which work may pause for half a minute.
-func usual() Timing {
-	return Timing{Duration: Duration, Margin: Margin, Renew: RenewInterval, Campaign: campaignInterval}
+// defaultTiming returns the timing for leases under which work may be interrupted
+// for half a minute.
+func defaultTiming() Timing {
+	return Timing{Duration: DefaultDuration, Margin: DefaultSafetyMargin, Renew: DefaultRenewInterval, Campaign: defaultCampaignInterval}
 }
 
-// challengeMargin is a tenth of Duration, for clocks of different rate.
-func (t Timing) challengeMargin() time.Duration { return t.Duration / 10 }
+// clockDriftMargin is a tenth of Duration, to allow for clocks that run at
+// different rates.
+func (t Timing) clockDriftMargin() time.Duration { return t.Duration / 10 }
