--- a/internal/entry/api/api.go
+++ b/internal/entry/api/api.go
@@ -26,7 +26,7 @@
 	// HeaderOutcome says what became of the request.
 	HeaderOutcome = "X-Applepier-Outcome"
 	// HeaderRequest is the request's id, for support and the time line.
-	HeaderRequest = "X-Request-Id"
+	HeaderRequestID = "X-Request-Id"
 	// HeaderIdempotencyKey makes repeats of a call run at most once.
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
@@ -34,7 +34,7 @@
 const (
 	// maxBody bounds a request's body in bytes; the long prompts of the lowest
 	// tiers have some hundred kilobytes.
-	maxBody = 4 << 20
+	maxBodyBytes = 4 << 20
 	// bodyTimeout bounds the reading of a body from a slow caller.
 	bodyTimeout = 30 * time.Second
 	// writeTimeout bounds one write to a caller that stops reading.
@@ -60,36 +60,36 @@
 }
 
 // Served tells which models and services there are.
-type Served interface {
+type Catalog interface {
 	Serves() []string
 }
 
 // Authenticator finds the customer that sends a request.
 type Authenticator interface {
-	Caller(set *targets.Set, r *http.Request) (string, error)
+	Customer(set *targets.Set, r *http.Request) (string, error)
 }
 
 // Observer hears what became of each request, for the metrics.
 type Observer interface {
 	// Received is called once for each request that is taken in.
-	Received(class string)
+	RequestReceived(class string)
 	// Refused is called for a request that is turned away before its class is
 	// certain; class is UnknownClass where it names none that there is.
-	Refused(class, reason string)
+	RequestRefused(class, reason string)
 	// Ended is called once for each request that was received.
-	Ended(class targets.Class, r dispatch.Result, took time.Duration)
+	RequestEnded(class targets.Class, r dispatch.Result, took time.Duration)
 }
 
 // Config is what an API works with.
 type Config struct {
-	Holder     *targets.Holder
+	Targets    *targets.Holder
 	Dispatcher Dispatcher
-	Served     Served
+	Catalog    Catalog
 	Auth       Authenticator
-	Claims     Claims
-	Grants     Grants
+	Claims     ClaimStore
+	Grants     GrantVoider
 	Observer   Observer
-	Ring       *timeline.Ring
+	Timeline   *timeline.Ring
 	Log        *zap.Logger
 }
 
@@ -97,7 +97,7 @@
 type API struct {
 	config Config
 
-	held heldBytes
+	bodyBudget bodyBudget
 
 	mu       sync.Mutex
 	inFlight int
@@ -108,42 +108,42 @@
 
 // Register adds the callers' routes.
 func (a *API) Register(router *httprouter.Router) {
-	router.HandlerFunc(http.MethodPost, "/v1/chat/completions", a.counted(a.chat))
+	router.HandlerFunc(http.MethodPost, "/v1/chat/completions", a.limitInFlight(a.chat))
 	router.HandlerFunc(http.MethodGet, "/v1/models", a.models)
 	for _, method := range serviceMethods {
-		router.HandlerFunc(method, "/services/:name/*path", a.counted(a.service))
+		router.HandlerFunc(method, "/services/:name/*path", a.limitInFlight(a.service))
 	}
-	router.NotFound = http.HandlerFunc(noRoute)
-	router.MethodNotAllowed = http.HandlerFunc(noMethod)
+	router.NotFound = http.HandlerFunc(handleNotFound)
+	router.MethodNotAllowed = http.HandlerFunc(handleMethodNotAllowed)
 }
 
 // serviceMethods are the methods that plain services are called with.
 var serviceMethods = []string{http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete}
 
-func noRoute(w http.ResponseWriter, r *http.Request) {
-	refuseUnread(w, r, problem{status: http.StatusNotFound, code: "not_found", message: "there is no such path; see docs/API.md"})
+func handleNotFound(w http.ResponseWriter, r *http.Request) {
+	refuseWithoutBody(w, r, apiError{status: http.StatusNotFound, code: "not_found", message: "there is no such path; see docs/API.md"})
 }
 
 // noMethod answers a path that there is under another method; the router has named those
 // that it takes.
-func noMethod(w http.ResponseWriter, r *http.Request) {
-	refuseUnread(w, r, problem{status: http.StatusMethodNotAllowed, code: "method_not_allowed", message: "the path doesn't take the method; see docs/API.md"})
+func handleMethodNotAllowed(w http.ResponseWriter, r *http.Request) {
+	refuseWithoutBody(w, r, apiError{status: http.StatusMethodNotAllowed, code: "method_not_allowed", message: "the path doesn't take the method; see docs/API.md"})
 }
 
 // refuseUnread answers a request whose body hasn't been read, without waiting for it: a
 // caller that sends none would get no answer until it leaves.
-func refuseUnread(w http.ResponseWriter, r *http.Request, p problem) {
-	unread.Answer(w, r, false, func() { writeError(w, p) })
+func refuseWithoutBody(w http.ResponseWriter, r *http.Request, e apiError) {
+	unread.Answer(w, r, false, func() { writeError(w, e) })
 }
 
 // counted bounds the requests that are held at once.
-func (a *API) counted(next http.HandlerFunc) http.HandlerFunc {
+func (a *API) limitInFlight(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if !a.enter() {
-			unread.Answer(w, r, false, func() { a.turnAway(w, r, reasonEntryFull) })
+		if !a.admit() {
+			unread.Answer(w, r, false, func() { a.refuseAtCapacity(w, r, reasonEntryFull) })
 			return
 		}
-		defer a.leave()
+		defer a.done()
 		next(w, r)
 	}
 }
@@ -153,16 +153,16 @@
 const UnknownClass = "(unknown)"
 
 // turnAway refuses a request for want of room before its class is certain.
-func (a *API) turnAway(w http.ResponseWriter, r *http.Request, reason string) {
+func (a *API) refuseAtCapacity(w http.ResponseWriter, r *http.Request, reason string) {
 	class := UnknownClass
-	if named, ok := a.config.Holder.Current().Class(r.Header.Get(HeaderClass)); ok {
+	if named, ok := a.config.Targets.Current().Class(r.Header.Get(HeaderClass)); ok {
 		class = named.Name
 	}
-	a.config.Observer.Refused(class, reason)
-	writeError(w, notRun(reason, busyRetryAfter))
+	a.config.Observer.RequestRefused(class, reason)
+	writeError(w, notRunError(reason, busyRetryAfter))
 }
 
-func (a *API) enter() bool {
+func (a *API) admit() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.inFlight >= maxInFlight {
@@ -172,7 +172,7 @@
 	return true
 }
 
-func (a *API) leave() {
+func (a *API) done() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.inFlight--
--- a/internal/entry/api/problem.go
+++ b/internal/entry/api/api_error.go
@@ -12,7 +12,7 @@
 )
 
 // problem is an error as callers get it, in OpenAI's shape.
-type problem struct {
+type apiError struct {
 	status     int
 	code       string
 	message    string
@@ -34,41 +34,41 @@
 	Code    string  `json:"code"`
 }
 
-func (p problem) body() errorBody {
-	detail := errorDetail{Message: p.message, Type: p.kind(), Code: p.code}
-	if p.param != "" {
-		detail.Param = &p.param
+func (e apiError) body() errorBody {
+	detail := errorDetail{Message: e.message, Type: e.errorType(), Code: e.code}
+	if e.param != "" {
+		detail.Param = &e.param
 	}
 	return errorBody{Error: detail}
 }
 
-func (p problem) kind() string {
-	if p.status < http.StatusInternalServerError && p.status != http.StatusTooManyRequests {
+func (e apiError) errorType() string {
+	if e.status < http.StatusInternalServerError && e.status != http.StatusTooManyRequests {
 		return "invalid_request_error"
 	}
 	return "server_error"
 }
 
 // writeError sends a problem as the whole answer.
-func writeError(w http.ResponseWriter, p problem) {
-	data, err := json.Marshal(p.body())
+func writeError(w http.ResponseWriter, e apiError) {
+	data, err := json.Marshal(e.body())
 	if err != nil {
 		data = []byte(`{"error":{"message":"internal error","type":"server_error"}}`)
 	}
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(data)))
-	if p.outcome != "" {
-		h.Set(HeaderOutcome, string(p.outcome))
+	if e.outcome != "" {
+		h.Set(HeaderOutcome, string(e.outcome))
 	}
-	if p.retryAfter > 0 {
-		h.Set("Retry-After", strconv.Itoa(retrySeconds(p.retryAfter)))
+	if e.retryAfter > 0 {
+		h.Set("Retry-After", strconv.Itoa(retrySeconds(e.retryAfter)))
 	}
-	if p.outcome == dispatch.Unknown || p.outcome == dispatch.Failed {
+	if e.outcome == dispatch.Unknown || e.outcome == dispatch.Failed {
 		// Well-behaved clients, OpenAI's among them, then don't send again.
 		h.Set("X-Should-Retry", "false")
 	}
-	w.WriteHeader(p.status)
+	w.WriteHeader(e.status)
 	_, _ = w.Write(data)
 }
 
@@ -77,44 +77,44 @@
 	return max(1, int(math.Ceil(d.Seconds())))
 }
 
-func badRequest(code, param, message string) problem {
-	return problem{status: http.StatusBadRequest, code: code, param: param, message: message, outcome: dispatch.NotRun}
+func badRequestError(code, param, message string) apiError {
+	return apiError{status: http.StatusBadRequest, code: code, param: param, message: message, outcome: dispatch.NotRun}
 }
 
 // minRetryAfter is the least that Retry-After can state.
 const minRetryAfter = time.Second
 
 // notRun says that a request was certainly not run, and when to come back.
-func notRun(reason string, after time.Duration) problem {
-	after = max(after, minRetryAfter)
+func notRunError(reason string, retryAfter time.Duration) apiError {
+	retryAfter = max(retryAfter, minRetryAfter)
 	status := http.StatusServiceUnavailable
 	if reason == "overload" || reason == "queue_full" {
 		status = http.StatusTooManyRequests
 	}
-	return problem{
+	return apiError{
 		status:     status,
 		code:       "not_run",
-		message:    fmt.Sprintf("the request was not run (%s); come back in %d s", reason, retrySeconds(after)),
+		message:    fmt.Sprintf("the request was not run (%s); come back in %d s", reason, retrySeconds(retryAfter)),
 		outcome:    dispatch.NotRun,
-		retryAfter: after,
+		retryAfter: retryAfter,
 		reason:     reason,
 	}
 }
 
 // problemOf turns a result that is not whole into what the caller is told.
-func problemOf(r dispatch.Result) problem {
+func resultError(r dispatch.Result) apiError {
 	switch r.Outcome {
 	case dispatch.NotRun:
-		return notRun(r.Reason, r.RetryAfter)
+		return notRunError(r.Reason, r.RetryAfter)
 	case dispatch.Unknown:
-		return problem{
+		return apiError{
 			status:  http.StatusGatewayTimeout,
 			code:    "unknown",
 			message: "the request may have run, in part or whole (" + r.Reason + "); it must not be repeated, so it was not sent again",
 			outcome: dispatch.Unknown,
 		}
 	default:
-		return problem{
+		return apiError{
 			status:  http.StatusBadGateway,
 			code:    "failed",
 			message: "the answer was cut off and could not be continued (" + r.Reason + ")",
--- a/internal/entry/api/bench_test.go
+++ b/internal/entry/api/bench_test.go
@@ -9,12 +9,12 @@
 )
 
 // discard is a caller that reads everything and keeps nothing.
-type discard struct{ header http.Header }
+type discardWriter struct{ header http.Header }
 
-func (d discard) Header() http.Header          { return d.header }
-func (discard) Write(data []byte) (int, error) { return len(data), nil }
-func (discard) WriteHeader(int)                {}
-func (discard) Flush()                         {}
+func (d discardWriter) Header() http.Header          { return d.header }
+func (discardWriter) Write(data []byte) (int, error) { return len(data), nil }
+func (discardWriter) WriteHeader(int)                {}
+func (discardWriter) Flush()                         {}
 
 // BenchmarkStreamedToken is what an entry pays to pass one token on, without
 // the system calls of the connections.
@@ -22,10 +22,10 @@
 	chunk := `{"id":"chatcmpl-1","object":"chat.completion.chunk","created":1764000000,"model":"assistant",` +
 		`"choices":[{"index":0,"delta":{"content":" manhole"},"finish_reason":null}]}`
 	frame := wire.Frame{Kind: wire.FrameData, Data: []byte(chunk), Tokens: 1}
-	answer := newStreamAnswer(discard{header: http.Header{}}, "1", false)
+	resp := newStreamResponse(discardWriter{header: http.Header{}}, "1", false)
 	b.ReportAllocs()
 	for b.Loop() {
-		if err := answer.Frame(frame); err != nil {
+		if err := resp.Frame(frame); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -35,14 +35,14 @@
 // body of 100 KB: heap-B, of which body-B are the body.
 func BenchmarkHeldRequest(b *testing.B) {
 	const bodyBytes = 100_000
-	f := newFixture(b, nil)
+	f := newBlockingFixture(b, nil)
 	before := liveHeap()
 	for range b.N {
-		f.hold(chatCall("urgent", "m", bodyBytes), "urgent")
+		f.mustDispatch(chatCall("urgent", "m", bodyBytes), "urgent")
 	}
 	b.ReportMetric(float64(liveHeap()-before)/float64(b.N), "heap-B")
 	b.ReportMetric(bodyBytes, "body-B")
-	f.letAllGo()
+	f.releaseAll()
 }
 
 func liveHeap() uint64 {
--- /dev/null
+++ b/internal/entry/api/body_budget_test.go
@@ -0,0 +1,65 @@
+package api
+
+import (
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+)
+
+// largeBody is what one call of these tests takes.
+const largeBodyBytes = 256 << 10
+
+func TestBodyMemoryIsBounded(t *testing.T) {
+	f := newBlockingFixture(t, nil)
+	f.reserveOtherBytes(maxBodyMemoryNonUrgent - largeBodyBytes)
+	f.mustDispatch(chatCall("lower", "m", largeBodyBytes), "lower")
+	f.mustRefuse(chatCall("lower", "m", 100), reasonBodiesFull)
+	f.mustRefuse(chatCall("", "n", 100), reasonBodiesFull)
+	f.mustRefuse(httptest.NewRequest(http.MethodPost, "/services/gate/x", strings.NewReader("x")), reasonBodiesFull)
+	f.reserveOtherBytes(maxBodyMemoryUnknownClass - maxBodyMemoryNonUrgent - largeBodyBytes)
+	f.mustDispatch(chatCall("", "u", largeBodyBytes), "only-urgent")
+	f.mustRefuse(chatCall("", "u", 100), reasonBodiesFull)
+	f.reserveOtherBytes(maxBodyMemory - maxBodyMemoryUnknownClass - largeBodyBytes)
+	f.mustDispatch(chatCall("urgent", "m", largeBodyBytes), "urgent")
+	f.mustRefuse(chatCall("urgent", "m", 100), reasonBodiesFull)
+	f.releaseAll()
+}
+
+// An urgent tier has room for one body of the largest size whatever others do.
+func TestUrgentReserveFitsLargestBody(t *testing.T) {
+	f := newBlockingFixture(t, nil)
+	f.reserveOtherBytes(maxBodyMemoryUnknownClass)
+	f.mustDispatch(chatCall("urgent", "m", maxBodyBytes), "urgent")
+	f.releaseAll()
+}
+
+func TestBodyOfUnknownLength(t *testing.T) {
+	f := newBlockingFixture(t, nil)
+	unknownLength := func(bytes int) *http.Request {
+		r := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", io.NopCloser(strings.NewReader(chatBody("n", bytes))))
+		r.ContentLength = -1
+		return r
+	}
+	for _, bytes := range []int{100, bodyReadBytes, bodyReadBytes + 1} {
+		f.mustDispatch(unknownLength(bytes), "only")
+	}
+	w := httptest.NewRecorder()
+	f.router.ServeHTTP(w, unknownLength(maxBodyBytes+1))
+	if w.Code != http.StatusRequestEntityTooLarge {
+		t.Fatalf("too large: %d", w.Code)
+	}
+	f.reserveOtherBytes(maxBodyMemoryUnknownClass - f.api.bodyBudget.used - bodyReadBytes)
+	f.mustRefuse(unknownLength(bodyReadBytes+1), reasonBodiesFull)
+	f.releaseAll()
+}
+
+func TestBodyTooLarge(t *testing.T) {
+	f := newBlockingFixture(t, nil)
+	w := httptest.NewRecorder()
+	f.router.ServeHTTP(w, chatCall("lower", "m", maxBodyBytes+1))
+	if w.Code != http.StatusRequestEntityTooLarge || f.api.bodyBudget.used != 0 {
+		t.Fatalf("%d, %d bytes held", w.Code, f.api.bodyBudget.used)
+	}
+}
--- a/internal/entry/api/whole_answer.go
+++ b/internal/entry/api/buffered_response.go
@@ -39,62 +39,62 @@
 
 // wholeAnswer collects the chunks and sends the answer when it is whole, so
 // that a cut answer can be resumed without the caller's seeing anything.
-type wholeAnswer struct {
-	w        http.ResponseWriter
-	result   completion
-	contents []strings.Builder
+type bufferedResponse struct {
+	w          http.ResponseWriter
+	completion completion
+	contents   []strings.Builder
 }
 
-func newWholeAnswer(w http.ResponseWriter, id, model string) *wholeAnswer {
-	return &wholeAnswer{w: w, result: completion{ID: "chatcmpl-" + id, Object: "chat.completion", Model: model}}
+func newBufferedResponse(w http.ResponseWriter, id, model string) *bufferedResponse {
+	return &bufferedResponse{w: w, completion: completion{ID: "chatcmpl-" + id, Object: "chat.completion", Model: model}}
 }
 
-func (s *wholeAnswer) begun() bool { return false }
+func (b *bufferedResponse) started() bool { return false }
 
 // Frame adds one chunk.
-func (s *wholeAnswer) Frame(f wire.Frame) error {
+func (b *bufferedResponse) Frame(f wire.Frame) error {
 	var c chunk
 	if err := json.Unmarshal(f.Data, &c); err != nil {
 		return errors.Wrap(err, "decode chunk")
 	}
-	if s.result.Created == 0 {
-		s.result.Created = c.Created
+	if b.completion.Created == 0 {
+		b.completion.Created = c.Created
 	}
 	if len(c.Usage) > 0 && string(c.Usage) != "null" {
-		s.result.Usage = c.Usage
+		b.completion.Usage = c.Usage
 	}
 	for _, choice := range c.Choices {
 		if choice.Index < 0 || choice.Index >= maxChoices {
 			return errors.New("choice index is out of range")
 		}
-		s.add(choice)
+		b.addChoice(choice)
 	}
 	return nil
 }
 
-func (s *wholeAnswer) add(c chunkChoice) {
-	for len(s.result.Choices) <= c.Index {
-		index := len(s.result.Choices)
-		s.result.Choices = append(s.result.Choices, completionChoice{Index: index, Message: message{Role: "assistant"}})
-		s.contents = append(s.contents, strings.Builder{})
+func (b *bufferedResponse) addChoice(c chunkChoice) {
+	for len(b.completion.Choices) <= c.Index {
+		index := len(b.completion.Choices)
+		b.completion.Choices = append(b.completion.Choices, completionChoice{Index: index, Message: message{Role: "assistant"}})
+		b.contents = append(b.contents, strings.Builder{})
 	}
-	choice := &s.result.Choices[c.Index]
+	choice := &b.completion.Choices[c.Index]
 	if c.FinishReason != nil {
 		choice.FinishReason = c.FinishReason
 	}
 	if c.Delta.Content != nil {
-		s.contents[c.Index].WriteString(*c.Delta.Content)
+		b.contents[c.Index].WriteString(*c.Delta.Content)
 	}
 	if c.Delta.Refusal != nil {
 		choice.Message.Refusal = c.Delta.Refusal
 	}
 	for _, call := range c.Delta.ToolCalls {
-		choice.Message.addToolCall(call)
+		choice.Message.addToolCallDelta(call)
 	}
 }
 
 // addToolCall joins the pieces of a call that came in several chunks.
-func (m *message) addToolCall(d toolCallDelta) {
+func (m *message) addToolCallDelta(d toolCallDelta) {
 	for i := range m.ToolCalls {
 		if m.ToolCalls[i].Index == d.Index {
 			m.ToolCalls[i].Function.Arguments += d.Function.Arguments
@@ -104,19 +104,19 @@
 	m.ToolCalls = append(m.ToolCalls, d)
 }
 
-func (s *wholeAnswer) finish() {
-	for i := range s.result.Choices {
-		s.result.Choices[i].Message.Content = s.contents[i].String()
+func (b *bufferedResponse) finish() {
+	for i := range b.completion.Choices {
+		b.completion.Choices[i].Message.Content = b.contents[i].String()
 	}
-	data, err := json.Marshal(s.result)
+	data, err := json.Marshal(b.completion)
 	if err != nil {
-		writeError(s.w, problem{status: http.StatusInternalServerError, code: "internal", message: "the answer could not be encoded"})
+		writeError(b.w, apiError{status: http.StatusInternalServerError, code: "internal", message: "the answer could not be encoded"})
 		return
 	}
-	_ = http.NewResponseController(s.w).SetWriteDeadline(time.Now().Add(writeTimeout))
-	s.w.Header().Set("Content-Type", "application/json")
-	_, _ = s.w.Write(data)
+	_ = http.NewResponseController(b.w).SetWriteDeadline(time.Now().Add(writeTimeout))
+	b.w.Header().Set("Content-Type", "application/json")
+	_, _ = b.w.Write(data)
 }
 
 // fail is never reached, since nothing is sent before the end.
-func (s *wholeAnswer) fail(problem) {}
+func (b *bufferedResponse) fail(apiError) {}
--- a/internal/entry/api/chat.go
+++ b/internal/entry/api/chat.go
@@ -18,10 +18,10 @@
 	bytesPerToken = 4
 	// defaultAnswer is the estimated answer in tokens where the caller sets no
 	// bound; nobody knows it in advance.
-	defaultAnswer = 256
+	defaultCompletionTokens = 256
 	// prefixBytes is how much of the messages the prefix hash covers: long
 	// enough to tell system prompts apart, short enough to be shared.
-	prefixBytes = 1024
+	prefixHashBytes = 1024
 )
 
 // chatRequest is what the router reads of a chat completion request; all else
@@ -42,43 +42,43 @@
 // chat serves POST /v1/chat/completions.
 func (a *API) chat(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
-	set := a.config.Holder.Current()
+	set := a.config.Targets.Current()
 	customer, ok := a.authenticate(w, r, set)
 	if !ok {
 		return
 	}
-	bound := boundOfNamed(set, r.Header.Get(HeaderClass))
-	body, ok := a.readBody(w, r, bound)
+	memoryLimit := bodyMemoryLimitByName(set, r.Header.Get(HeaderClass))
+	body, ok := a.readBody(w, r, memoryLimit)
 	if !ok {
 		return
 	}
 	defer body.release()
-	chat, p := parseChat(body.data)
-	if p != nil {
-		writeError(w, *p)
+	chat, apiErr := parseChatRequest(body.data)
+	if apiErr != nil {
+		writeError(w, *apiErr)
 		return
 	}
-	class, p := a.classOf(set, r.Header.Get(HeaderClass), chat.Model)
-	if p != nil {
-		writeError(w, *p)
+	class, apiErr := a.findClass(set, r.Header.Get(HeaderClass), chat.Model)
+	if apiErr != nil {
+		writeError(w, *apiErr)
 		return
 	}
-	if bound > boundOf(class) && !a.held.within(boundOf(class)) {
-		a.config.Observer.Refused(class.Name, reasonBodiesFull)
-		writeError(w, notRun(reasonBodiesFull, busyRetryAfter))
+	if memoryLimit > bodyMemoryLimit(class) && !a.bodyBudget.within(bodyMemoryLimit(class)) {
+		a.config.Observer.RequestRefused(class.Name, reasonBodiesFull)
+		writeError(w, notRunError(reasonBodiesFull, busyRetryAfter))
 		return
 	}
 	req := a.newRequest(class, customer, arrived)
 	req.Serves = chat.Model
-	req.Size = chat.size()
-	req.Prefix = chat.prefix()
+	req.Size = chat.estimateTokens()
+	req.Prefix = chat.prefixHash()
 	req.Body = body.data
 	chat.Messages = nil // a copy of most of the body
-	a.carry(w, r, req, func(w http.ResponseWriter) answer {
+	a.dispatchRequest(w, r, req, func(w http.ResponseWriter) response {
 		if chat.Stream {
-			return newStreamAnswer(w, req.ID, chat.StreamOptions.IncludeUsage)
+			return newStreamResponse(w, req.ID, chat.StreamOptions.IncludeUsage)
 		}
-		return newWholeAnswer(w, req.ID, chat.Model)
+		return newBufferedResponse(w, req.ID, chat.Model)
 	})
 }
 
@@ -90,41 +90,41 @@
 		Arrived:    arrived,
 		Repeatable: class.Repeatable,
 	}
-	a.config.Observer.Received(class.Name)
-	a.config.Ring.Record(timeline.KindReceived, req.ID, class.Name, customer)
+	a.config.Observer.RequestReceived(class.Name)
+	a.config.Timeline.Record(timeline.KindReceived, req.ID, class.Name, customer)
 	return req
 }
 
-func parseChat(body []byte) (chatRequest, *problem) {
+func parseChatRequest(body []byte) (chatRequest, *apiError) {
 	var chat chatRequest
 	if err := json.Unmarshal(body, &chat); err != nil {
-		p := badRequest("malformed_body", "", "the body is not a chat completion request: "+err.Error())
-		return chat, &p
+		e := badRequestError("malformed_body", "", "the body is not a chat completion request: "+err.Error())
+		return chat, &e
 	}
 	if chat.Model == "" {
-		p := badRequest("missing_field", "model", "model is required")
-		return chat, &p
+		e := badRequestError("missing_field", "model", "model is required")
+		return chat, &e
 	}
 	var messages []json.RawMessage
 	if err := json.Unmarshal(chat.Messages, &messages); err != nil || len(messages) == 0 {
-		p := badRequest("missing_field", "messages", "messages is required: a list with at least one message")
-		return chat, &p
+		e := badRequestError("missing_field", "messages", "messages is required: a list with at least one message")
+		return chat, &e
 	}
 	return chat, nil
 }
 
 // size estimates the work in tokens.
-func (c *chatRequest) size() int {
-	answer := defaultAnswer
+func (c *chatRequest) estimateTokens() int {
+	completionTokens := defaultCompletionTokens
 	if c.MaxTokens > 0 {
-		answer = c.MaxTokens
+		completionTokens = c.MaxTokens
 	}
 	if c.MaxCompletionTokens > 0 {
-		answer = c.MaxCompletionTokens
+		completionTokens = c.MaxCompletionTokens
 	}
-	return len(c.Messages)/bytesPerToken + answer
+	return len(c.Messages)/bytesPerToken + completionTokens
 }
 
-func (c *chatRequest) prefix() uint64 {
-	return xxhash.Sum64(c.Messages[:min(len(c.Messages), prefixBytes)])
+func (c *chatRequest) prefixHash() uint64 {
+	return xxhash.Sum64(c.Messages[:min(len(c.Messages), prefixHashBytes)])
 }
--- a/internal/entry/api/chunk.go
+++ b/internal/entry/api/chunk.go
@@ -43,7 +43,7 @@
 
 // opensOnly reports whether a chunk carries the role and nothing else, as each
 // run's first one does.
-func (c *chunk) opensOnly() bool {
+func (c *chunk) isRoleOnly() bool {
 	if len(c.Usage) > 0 && string(c.Usage) != "null" {
 		return false
 	}
@@ -59,4 +59,4 @@
 	return len(c.Choices) > 0
 }
 
-func (c *chunk) usageOnly() bool { return len(c.Choices) == 0 }
+func (c *chunk) isUsageOnly() bool { return len(c.Choices) == 0 }
--- a/internal/entry/api/guard.go
+++ b/internal/entry/api/claim_guard.go
@@ -8,13 +8,13 @@
 
 // guard records in the claim which grant is taken up, before the body is sent.
 // Only its request's goroutine uses it.
-type guard struct {
-	claims Claims
+type claimGuard struct {
+	claims ClaimStore
 	claim  claim.Claim
 }
 
 // Take records the grant durably.
-func (g *guard) Take(ctx context.Context, agent, grant string) error {
+func (g *claimGuard) Take(ctx context.Context, agent, grant string) error {
 	c, err := g.claims.Grant(ctx, g.claim, agent, grant)
 	if err != nil {
 		return err
--- a/internal/entry/api/claims_test.go
+++ b/internal/entry/api/claims_test.go
@@ -8,26 +8,26 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-func endsWith(o dispatch.Outcome) func(*dispatch.Request, dispatch.Sink) dispatch.Result {
+func endWith(o dispatch.Outcome) func(*dispatch.Request, dispatch.Sink) dispatch.Result {
 	return func(*dispatch.Request, dispatch.Sink) dispatch.Result {
 		return dispatch.Result{Outcome: o, Reason: "test", Sent: true}
 	}
 }
 
-func TestRepeatOfAFinishedCallGetsItsAnswer(t *testing.T) {
-	r := newRig(t)
+func TestRetryOfFinishedCallReplaysResponse(t *testing.T) {
+	r := newTestAPI(t)
 	r.dispatcher.script = serveDocket
-	r.docket("k")
-	again := r.docket("k")
-	if again.Code != http.StatusCreated || again.Body.String() != "docket 1" || again.Header().Get(headerReplayed) != "true" {
-		t.Fatalf("got %d %q %v", again.Code, again.Body, again.Header())
+	r.postDocket("k")
+	retry := r.postDocket("k")
+	if retry.Code != http.StatusCreated || retry.Body.String() != "docket 1" || retry.Header().Get(headerIdempotencyReplayed) != "true" {
+		t.Fatalf("got %d %q %v", retry.Code, retry.Body, retry.Header())
 	}
 	if r.dispatcher.runs != 1 {
 		t.Fatalf("runs: got %d, want 1", r.dispatcher.runs)
 	}
 }
 
-func TestRepeatOfACallWithUnknownOutcome(t *testing.T) {
+func TestRetryOfCallWithUnknownOutcome(t *testing.T) {
 	cases := []struct {
 		name    string
 		void    wire.VoidResult
@@ -42,14 +42,14 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t)
-			r.grants.result = c.void
-			r.dispatcher.script = endsWith(dispatch.Unknown)
-			r.docket("k")
+			r := newTestAPI(t)
+			r.voider.result = c.void
+			r.dispatcher.script = endWith(dispatch.Unknown)
+			r.postDocket("k")
 			r.dispatcher.script = serveDocket
-			again := r.docket("k")
-			if again.Code != c.code || again.Header().Get(HeaderOutcome) != string(c.outcome) {
-				t.Fatalf("got %d %q, want %d %q", again.Code, again.Header().Get(HeaderOutcome), c.code, c.outcome)
+			retry := r.postDocket("k")
+			if retry.Code != c.code || retry.Header().Get(HeaderOutcome) != string(c.outcome) {
+				t.Fatalf("got %d %q, want %d %q", retry.Code, retry.Header().Get(HeaderOutcome), c.code, c.outcome)
 			}
 			if r.dispatcher.runs != c.runs {
 				t.Fatalf("runs: got %d, want %d", r.dispatcher.runs, c.runs)
@@ -58,35 +58,35 @@
 	}
 }
 
-func TestCallThatWasNotRunMayComeAgain(t *testing.T) {
-	r := newRig(t)
-	r.dispatcher.script = endsWith(dispatch.NotRun)
-	if first := r.docket("k"); first.Header().Get(HeaderOutcome) != string(dispatch.NotRun) || first.Header().Get("Retry-After") == "" {
+func TestCallThatWasNotRunCanBeRetried(t *testing.T) {
+	r := newTestAPI(t)
+	r.dispatcher.script = endWith(dispatch.NotRun)
+	if first := r.postDocket("k"); first.Header().Get(HeaderOutcome) != string(dispatch.NotRun) || first.Header().Get("Retry-After") == "" {
 		t.Fatalf("got %d %v", first.Code, first.Header())
 	}
 	r.dispatcher.script = serveDocket
-	if again := r.docket("k"); again.Code != http.StatusCreated {
-		t.Fatalf("got %d %s", again.Code, again.Body)
+	if retry := r.postDocket("k"); retry.Code != http.StatusCreated {
+		t.Fatalf("got %d %s", retry.Code, retry.Body)
 	}
 }
 
-func TestKeyedCallIsNotRunWhileClaimsAreDown(t *testing.T) {
-	r := newRig(t)
+func TestClaimedCallIsNotRunWhileClaimStoreIsDown(t *testing.T) {
+	r := newTestAPI(t)
 	r.table.SetDown(true)
-	w := r.docket("k")
+	w := r.postDocket("k")
 	if w.Code != http.StatusServiceUnavailable || w.Header().Get(HeaderOutcome) != string(dispatch.NotRun) || r.dispatcher.runs != 0 {
 		t.Fatalf("got %d %v after %d runs", w.Code, w.Header(), r.dispatcher.runs)
 	}
 }
 
-func TestKeyedCallIsNeverRepeatable(t *testing.T) {
-	r := newRig(t)
+func TestClaimedCallIsNeverRepeatable(t *testing.T) {
+	r := newTestAPI(t)
 	repeatable := true
 	r.dispatcher.script = func(req *dispatch.Request, sink dispatch.Sink) dispatch.Result {
 		repeatable = req.Repeatable
 		return serveDocket(req, sink)
 	}
-	r.docket("k")
+	r.postDocket("k")
 	if repeatable {
 		t.Fatal("a call with an idempotency key may be sent twice")
 	}
--- a/internal/entry/api/class.go
+++ b/internal/entry/api/class.go
@@ -11,29 +11,29 @@
 
 // classOf finds a request's class: the one it names, or the only one that its
 // model has. Unknown names are answered with those there are.
-func (a *API) classOf(set *targets.Set, name, model string) (targets.Class, *problem) {
-	if !slices.Contains(a.config.Served.Serves(), model) && !hasModel(set, model) {
-		return targets.Class{}, a.unknownModel(set, model)
+func (a *API) findClass(set *targets.Set, name, model string) (targets.Class, *apiError) {
+	if !slices.Contains(a.config.Catalog.Serves(), model) && !hasClassForModel(set, model) {
+		return targets.Class{}, a.unknownModelError(set, model)
 	}
 	if name == "" {
-		return onlyClass(set, model)
+		return onlyClassForModel(set, model)
 	}
 	class, ok := set.Class(name)
 	if !ok || class.Retired {
-		return targets.Class{}, unknownClass(set, name)
+		return targets.Class{}, unknownClassError(set, name)
 	}
 	if class.Service != "" || (class.Model != "" && class.Model != model) {
-		p := badRequest("wrong_model", "model", fmt.Sprintf("class %q runs on %q", name, class.Model+class.Service))
-		return targets.Class{}, &p
+		e := badRequestError("wrong_model", "model", fmt.Sprintf("class %q runs on %q", name, class.Model+class.Service))
+		return targets.Class{}, &e
 	}
 	return class, nil
 }
 
-func hasModel(set *targets.Set, model string) bool {
+func hasClassForModel(set *targets.Set, model string) bool {
 	return slices.ContainsFunc(set.Classes, func(c targets.Class) bool { return !c.Retired && c.Model == model })
 }
 
-func onlyClass(set *targets.Set, model string) (targets.Class, *problem) {
+func onlyClassForModel(set *targets.Set, model string) (targets.Class, *apiError) {
 	var names []string
 	var found targets.Class
 	for _, c := range set.Classes {
@@ -45,20 +45,20 @@
 	if len(names) == 1 {
 		return found, nil
 	}
-	p := badRequest("missing_class", HeaderClass, fmt.Sprintf("name the class of work in %s; classes: %s", HeaderClass, strings.Join(names, ", ")))
-	return targets.Class{}, &p
+	e := badRequestError("missing_class", HeaderClass, fmt.Sprintf("name the class of work in %s; classes: %s", HeaderClass, strings.Join(names, ", ")))
+	return targets.Class{}, &e
 }
 
-func unknownClass(set *targets.Set, name string) *problem {
-	p := badRequest("unknown_class", HeaderClass, fmt.Sprintf("there is no class %q; classes: %s", name, strings.Join(set.ClassNames(), ", ")))
-	p.status = http.StatusNotFound
-	return &p
+func unknownClassError(set *targets.Set, name string) *apiError {
+	e := badRequestError("unknown_class", HeaderClass, fmt.Sprintf("there is no class %q; classes: %s", name, strings.Join(set.ClassNames(), ", ")))
+	e.status = http.StatusNotFound
+	return &e
 }
 
-func (a *API) unknownModel(set *targets.Set, model string) *problem {
-	p := badRequest("model_not_found", "model", fmt.Sprintf("there is no model %q; models: %s", model, strings.Join(a.modelNames(set), ", ")))
-	p.status = http.StatusNotFound
-	return &p
+func (a *API) unknownModelError(set *targets.Set, model string) *apiError {
+	e := badRequestError("model_not_found", "model", fmt.Sprintf("there is no model %q; models: %s", model, strings.Join(a.modelNames(set), ", ")))
+	e.status = http.StatusNotFound
+	return &e
 }
 
 // modelNames lists the models that classes run on.
--- a/internal/entry/api/fake_test.go
+++ b/internal/entry/api/fake_test.go
@@ -37,60 +37,60 @@
 }
 
 // fakeGrants answers Void as told; with nothing told the agent can't be asked.
-type fakeGrants struct{ result wire.VoidResult }
+type fakeGrantVoider struct{ result wire.VoidResult }
 
-func (g *fakeGrants) Void(context.Context, string, string) (wire.VoidResult, error) {
+func (g *fakeGrantVoider) Void(context.Context, string, string) (wire.VoidResult, error) {
 	if g.result == "" {
 		return "", fleet.ErrNoAnswer
 	}
 	return g.result, nil
 }
 
-type fakeParts struct{}
+type stubDependencies struct{}
 
-func (fakeParts) Serves() []string { return []string{"apple"} }
+func (stubDependencies) Serves() []string { return []string{"apple"} }
 
-func (fakeParts) Caller(*targets.Set, *http.Request) (string, error) { return "customer", nil }
+func (stubDependencies) Customer(*targets.Set, *http.Request) (string, error) { return "customer", nil }
 
-func (fakeParts) Received(string) {}
+func (stubDependencies) RequestReceived(string) {}
 
-func (fakeParts) Refused(string, string) {}
+func (stubDependencies) RequestRefused(string, string) {}
 
-func (fakeParts) Ended(targets.Class, dispatch.Result, time.Duration) {}
+func (stubDependencies) RequestEnded(targets.Class, dispatch.Result, time.Duration) {}
 
 // rig is an API over fakes, with claims in a table in memory.
-type rig struct {
+type testAPI struct {
 	dispatcher *fakeDispatcher
-	grants     *fakeGrants
+	voider     *fakeGrantVoider
 	table      *storagetest.Table
 	router     *httprouter.Router
 }
 
-func newRig(t *testing.T) *rig {
+func newTestAPI(t *testing.T) *testAPI {
 	t.Helper()
 	holder := targets.NewHolder()
 	holder.Offer(&targets.Set{Version: 1, Classes: []targets.Class{
 		{Name: "summary", Model: "apple", Tier: 4},
 		{Name: "docket", Service: "ledger", Tier: 2},
 	}})
-	r := &rig{dispatcher: &fakeDispatcher{}, grants: &fakeGrants{}, table: storagetest.NewTable(), router: httprouter.New()}
+	r := &testAPI{dispatcher: &fakeDispatcher{}, voider: &fakeGrantVoider{}, table: storagetest.NewTable(), router: httprouter.New()}
 	claimer := claim.NewClaimer(r.table)
 	t.Cleanup(claimer.Close)
 	New(Config{
-		Holder:     holder,
+		Targets:    holder,
 		Dispatcher: r.dispatcher,
-		Served:     fakeParts{},
-		Auth:       fakeParts{},
+		Catalog:    stubDependencies{},
+		Auth:       stubDependencies{},
 		Claims:     claimer,
-		Grants:     r.grants,
-		Observer:   fakeParts{},
-		Ring:       timeline.NewRing("entry", &timeline.Clock{}, 16),
+		Grants:     r.voider,
+		Observer:   stubDependencies{},
+		Timeline:   timeline.NewRing("entry", &timeline.Clock{}, 16),
 		Log:        zap.NewNop(),
 	}).Register(r.router)
 	return r
 }
 
-func (r *rig) post(path, key, body string) *httptest.ResponseRecorder {
+func (r *testAPI) post(path, key, body string) *httptest.ResponseRecorder {
 	req := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
 	if key != "" {
 		req.Header.Set(HeaderIdempotencyKey, key)
@@ -100,7 +100,7 @@
 	return w
 }
 
-func (r *rig) docket(key string) *httptest.ResponseRecorder {
+func (r *testAPI) postDocket(key string) *httptest.ResponseRecorder {
 	return r.post("/services/ledger/dockets", key, `{"weight":7}`)
 }
 
--- a/internal/entry/api/fixture_test.go
+++ b/internal/entry/api/fixture_test.go
@@ -19,19 +19,19 @@
 )
 
 // fixture is an API whose dispatcher holds requests until they are let go.
-type fixture struct {
-	t        testing.TB
-	api      *API
-	router   *httprouter.Router
-	observed *observed
-	begun    chan string
-	letGo    chan struct{}
-	others   int64
+type blockingFixture struct {
+	t          testing.TB
+	api        *API
+	router     *httprouter.Router
+	observer   *recordingObserver
+	dispatched chan string
+	release    chan struct{}
+	otherBytes int64
 }
 
-func newFixture(t testing.TB, claims Claims) *fixture {
+func newBlockingFixture(t testing.TB, claims ClaimStore) *blockingFixture {
 	t.Helper()
-	f := &fixture{t: t, router: httprouter.New(), observed: &observed{}, begun: make(chan string), letGo: make(chan struct{})}
+	f := &blockingFixture{t: t, router: httprouter.New(), observer: &recordingObserver{}, dispatched: make(chan string), release: make(chan struct{})}
 	holder := targets.NewHolder()
 	holder.Offer(&targets.Set{Version: 1, Classes: []targets.Class{
 		{Name: "urgent", Tier: 1, Model: "m"},
@@ -41,25 +41,27 @@
 		{Name: "gate", Tier: 3, Service: "gate"},
 	}})
 	f.api = New(Config{
-		Holder: holder, Dispatcher: f, Served: f, Auth: f, Claims: claims, Observer: f.observed,
-		Ring: timeline.NewRing("e", &timeline.Clock{}, 16), Log: zap.NewNop(),
+		Targets: holder, Dispatcher: f, Catalog: f, Auth: f, Claims: claims, Observer: f.observer,
+		Timeline: timeline.NewRing("e", &timeline.Clock{}, 16), Log: zap.NewNop(),
 	})
 	f.api.Register(f.router)
 	return f
 }
 
 // Do implements Dispatcher.
-func (f *fixture) Do(_ context.Context, r *dispatch.Request, _ dispatch.Sink) dispatch.Result {
-	f.begun <- r.Class.Name
-	<-f.letGo
+func (f *blockingFixture) Do(_ context.Context, r *dispatch.Request, _ dispatch.Sink) dispatch.Result {
+	f.dispatched <- r.Class.Name
+	<-f.release
 	return dispatch.Result{Outcome: dispatch.Whole}
 }
 
 // Serves implements Served.
-func (f *fixture) Serves() []string { return []string{"m", "n", "u"} }
+func (f *blockingFixture) Serves() []string { return []string{"m", "n", "u"} }
 
 // Caller implements Authenticator.
-func (f *fixture) Caller(*targets.Set, *http.Request) (string, error) { return "customer", nil }
+func (f *blockingFixture) Customer(*targets.Set, *http.Request) (string, error) {
+	return "customer", nil
+}
 
 func chatBody(model string, bytes int) string {
 	head := `{"model":"` + model + `","messages":[{"role":"user","content":"`
@@ -76,7 +78,7 @@
 
 // send sends a call until the dispatcher has it, whose class is then returned,
 // or until it is answered.
-func (f *fixture) send(r *http.Request) (class string, answered *httptest.ResponseRecorder) {
+func (f *blockingFixture) send(r *http.Request) (class string, answered *httptest.ResponseRecorder) {
 	f.t.Helper()
 	answer := make(chan *httptest.ResponseRecorder, 1)
 	go func() {
@@ -85,7 +87,7 @@
 		answer <- w
 	}()
 	select {
-	case class := <-f.begun:
+	case class := <-f.dispatched:
 		return class, nil
 	case w := <-answer:
 		return "", w
@@ -96,7 +98,7 @@
 }
 
 // hold sends a call that the dispatcher must get and hold.
-func (f *fixture) hold(r *http.Request, class string) {
+func (f *blockingFixture) mustDispatch(r *http.Request, class string) {
 	f.t.Helper()
 	got, w := f.send(r)
 	if w != nil {
@@ -108,7 +110,7 @@
 }
 
 // refuse sends a call that must be answered as not run without a dispatch.
-func (f *fixture) refuse(r *http.Request, reason string) {
+func (f *blockingFixture) mustRefuse(r *http.Request, reason string) {
 	f.t.Helper()
 	class, w := f.send(r)
 	if w == nil {
@@ -121,50 +123,50 @@
 }
 
 // holdOthers takes bytes as the bodies of calls that the test doesn't make.
-func (f *fixture) holdOthers(bytes int64) {
-	f.others += bytes
-	f.api.held.acquire(bytes, maxHeld)
+func (f *blockingFixture) reserveOtherBytes(bytes int64) {
+	f.otherBytes += bytes
+	f.api.bodyBudget.tryAcquire(bytes, maxBodyMemory)
 }
 
 // letAllGo ends the calls that are held and waits until they have ended.
-func (f *fixture) letAllGo() {
+func (f *blockingFixture) releaseAll() {
 	f.t.Helper()
-	close(f.letGo)
+	close(f.release)
 	for deadline := time.Now().Add(time.Minute); f.api.InFlight() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			f.t.Fatal("calls did not end")
 		}
 	}
-	if held := f.api.held.used - f.others; held != 0 {
+	if held := f.api.bodyBudget.used - f.otherBytes; held != 0 {
 		f.t.Fatalf("%d bytes are still held", held)
 	}
 }
 
 // observed notes what an Observer hears, a line each.
-type observed struct {
+type recordingObserver struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-func (o *observed) note(words ...string) {
+func (o *recordingObserver) record(words ...string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.lines = append(o.lines, strings.Join(words, " "))
 }
 
-func (o *observed) heard() []string {
+func (o *recordingObserver) events() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.lines)
 }
 
 // Received implements Observer.
-func (o *observed) Received(class string) { o.note("received", class) }
+func (o *recordingObserver) RequestReceived(class string) { o.record("received", class) }
 
 // Refused implements Observer.
-func (o *observed) Refused(class, reason string) { o.note("refused", class, reason) }
+func (o *recordingObserver) RequestRefused(class, reason string) { o.record("refused", class, reason) }
 
 // Ended implements Observer.
-func (o *observed) Ended(class targets.Class, r dispatch.Result, _ time.Duration) {
-	o.note("ended", class.Name, string(r.Outcome), r.Reason)
+func (o *recordingObserver) RequestEnded(class targets.Class, r dispatch.Result, _ time.Duration) {
+	o.record("ended", class.Name, string(r.Outcome), r.Reason)
 }
--- a/internal/entry/api/models.go
+++ b/internal/entry/api/models.go
@@ -19,7 +19,7 @@
 
 // models serves GET /v1/models.
 func (a *API) models(w http.ResponseWriter, r *http.Request) {
-	set := a.config.Holder.Current()
+	set := a.config.Targets.Current()
 	if _, ok := a.authenticate(w, r, set); !ok {
 		return
 	}
--- a/internal/entry/api/refused_test.go
+++ b/internal/entry/api/refusal_test.go
@@ -19,13 +19,13 @@
 
 // answerSoon is when an answer that waits for nothing has certainly come: far
 // below bodyTimeout, and enough for a busy machine.
-const answerSoon = 10 * time.Second
+const responseTimeout = 10 * time.Second
 
 // refusing is a server that holds as many bodies as it may, and a connection.
-func refusing(t *testing.T) (net.Conn, *bufio.Reader) {
+func dialFullServer(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
-	f := newFixture(t, nil)
-	f.holdOthers(maxHeld)
+	f := newBlockingFixture(t, nil)
+	f.reserveOtherBytes(maxBodyMemory)
 	server := httptest.NewServer(f.router)
 	t.Cleanup(server.Close)
 	conn, err := net.Dial("tcp", server.Listener.Addr().String())
@@ -33,13 +33,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	if err := conn.SetDeadline(time.Now().Add(answerSoon)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(responseTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return conn, bufio.NewReader(conn)
 }
 
-func sendHead(t *testing.T, conn net.Conn, length int) {
+func sendRequestHead(t *testing.T, conn net.Conn, length int) {
 	t.Helper()
 	if _, err := fmt.Fprintf(conn, "POST /v1/chat/completions HTTP/1.1\r\nHost: entry\r\nContent-Length: %d\r\n\r\n", length); err != nil {
 		t.Fatal(err)
@@ -47,9 +47,9 @@
 }
 
 // readRefusal reads a whole refusal for want of room.
-func readRefusal(t *testing.T, from *bufio.Reader) *http.Response {
+func readRefusal(t *testing.T, reader *bufio.Reader) *http.Response {
 	t.Helper()
-	response, err := http.ReadResponse(from, nil)
+	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		t.Fatalf("no answer: %v", err)
 	}
@@ -61,36 +61,36 @@
 }
 
 // A refusal once came only when the body did that it had no room for.
-func TestRefusalDoesNotWaitForItsBody(t *testing.T) {
-	conn, from := refusing(t)
-	sendHead(t, conn, 100<<10)
-	if response := readRefusal(t, from); !response.Close {
+func TestRefusalDoesNotWaitForBody(t *testing.T) {
+	conn, reader := dialFullServer(t)
+	sendRequestHead(t, conn, 100<<10)
+	if response := readRefusal(t, reader); !response.Close {
 		t.Fatal("the connection is kept with a body that hasn't come")
 	}
-	if _, err := from.ReadByte(); err != io.EOF {
+	if _, err := reader.ReadByte(); err != io.EOF {
 		t.Fatalf("after the refusal: %v, want its end", err)
 	}
 }
 
 // The caller of a body that is on its way sees the refusal, not a reset.
-func TestRefusalIsSeenByWhoSendsOn(t *testing.T) {
-	conn, from := refusing(t)
+func TestRefusalReachesSendingClient(t *testing.T) {
+	conn, reader := dialFullServer(t)
 	const length = 400 << 10
-	sendHead(t, conn, length)
+	sendRequestHead(t, conn, length)
 	if _, err := conn.Write(make([]byte, length)); err != nil {
 		t.Fatal(err)
 	}
-	readRefusal(t, from)
+	readRefusal(t, reader)
 }
 
-func TestRefusalOfBodyThatHasComeKeepsTheConnection(t *testing.T) {
-	conn, from := refusing(t)
+func TestRefusalAfterFullBodyKeepsConnection(t *testing.T) {
+	conn, reader := dialFullServer(t)
 	for range 3 {
-		sendHead(t, conn, 1000)
+		sendRequestHead(t, conn, 1000)
 		if _, err := conn.Write(make([]byte, 1000)); err != nil {
 			t.Fatal(err)
 		}
-		if response := readRefusal(t, from); response.Close {
+		if response := readRefusal(t, reader); response.Close {
 			t.Fatal("closed, though the body has come whole")
 		}
 	}
@@ -99,23 +99,23 @@
 // slowBody comes whole, but only after a time.
 type slowBody struct {
 	io.Reader
-	after time.Duration
+	delay time.Duration
 }
 
 func (b *slowBody) Read(p []byte) (int, error) {
-	time.Sleep(b.after)
-	b.after = 0
+	time.Sleep(b.delay)
+	b.delay = 0
 	return b.Reader.Read(p)
 }
 
 // What has come is used, also if the deadline for it passed beside it.
-func TestBodyThatComesWithItsDeadlineIsDispatched(t *testing.T) {
+func TestBodyCompletedAtDeadlineIsDispatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFixture(t, nil)
+		f := newBlockingFixture(t, nil)
 		r := chatCall("lower", "m", 100)
-		r.Body = io.NopCloser(&slowBody{Reader: r.Body, after: bodyTimeout})
-		f.hold(r, "lower")
-		f.letAllGo()
+		r.Body = io.NopCloser(&slowBody{Reader: r.Body, delay: bodyTimeout})
+		f.mustDispatch(r, "lower")
+		f.releaseAll()
 	})
 }
 
@@ -137,9 +137,9 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := newFixture(t, nil)
+			f := newBlockingFixture(t, nil)
 			if c.status == http.StatusUnauthorized {
-				f.api.config.Auth = noCaller{}
+				f.api.config.Auth = noCustomerAuth{}
 			}
 			if c.full {
 				f.api.inFlight = maxInFlight
@@ -153,7 +153,7 @@
 					t.Fatal(err)
 				}
 				t.Cleanup(func() { conn.Close() })
-				if err := conn.SetDeadline(time.Now().Add(answerSoon)); err != nil {
+				if err := conn.SetDeadline(time.Now().Add(responseTimeout)); err != nil {
 					t.Fatal(err)
 				}
 				if _, err := fmt.Fprintf(conn, "%sContent-Length: %d\r\n\r\n%s", c.head, length, strings.Repeat("x", sent)); err != nil {
@@ -172,8 +172,8 @@
 }
 
 // noCaller knows no customer.
-type noCaller struct{}
+type noCustomerAuth struct{}
 
-func (noCaller) Caller(*targets.Set, *http.Request) (string, error) {
+func (noCustomerAuth) Customer(*targets.Set, *http.Request) (string, error) {
 	return "", errors.New("no customer has the key")
 }
--- a/internal/entry/api/answer_test.go
+++ b/internal/entry/api/response_test.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	wholeBody  = `{"model":"apple","messages":[{"role":"user","content":"hi"}]}`
-	streamBody = `{"model":"apple","stream":true,"messages":[{"role":"user","content":"hi"}]}`
+	bufferedRequest = `{"model":"apple","messages":[{"role":"user","content":"hi"}]}`
+	streamRequest   = `{"model":"apple","stream":true,"messages":[{"role":"user","content":"hi"}]}`
 
-	opening  = `{"id":"run-1","created":1,"choices":[{"index":0,"delta":{"role":"assistant"},"finish_reason":null}]}`
-	reopened = `{"id":"run-2","created":9,"choices":[{"index":0,"delta":{"role":"assistant"},"finish_reason":null}]}`
-	first    = `{"id":"run-1","created":1,"choices":[{"index":0,"delta":{"content":"one "},"finish_reason":null}]}`
-	second   = `{"id":"run-2","created":9,"choices":[{"index":0,"delta":{"content":"two"},"finish_reason":"stop"}]}`
-	usage    = `{"id":"run-2","created":9,"choices":[],"usage":{"total_tokens":3}}`
+	roleChunk        = `{"id":"run-1","created":1,"choices":[{"index":0,"delta":{"role":"assistant"},"finish_reason":null}]}`
+	resumedRoleChunk = `{"id":"run-2","created":9,"choices":[{"index":0,"delta":{"role":"assistant"},"finish_reason":null}]}`
+	firstChunk       = `{"id":"run-1","created":1,"choices":[{"index":0,"delta":{"content":"one "},"finish_reason":null}]}`
+	resumedChunk     = `{"id":"run-2","created":9,"choices":[{"index":0,"delta":{"content":"two"},"finish_reason":"stop"}]}`
+	usageChunk       = `{"id":"run-2","created":9,"choices":[],"usage":{"total_tokens":3}}`
 )
 
-func sends(outcome dispatch.Outcome, chunks ...string) func(*dispatch.Request, dispatch.Sink) dispatch.Result {
+func respondWith(outcome dispatch.Outcome, chunks ...string) func(*dispatch.Request, dispatch.Sink) dispatch.Result {
 	return func(_ *dispatch.Request, sink dispatch.Sink) dispatch.Result {
 		for _, c := range chunks {
 			_ = sink.Frame(wire.Frame{Kind: wire.FrameData, Data: []byte(c), Tokens: 1})
@@ -32,7 +32,7 @@
 }
 
 // events are the server-sent events of an answer.
-func events(w *httptest.ResponseRecorder) []string {
+func sseEvents(w *httptest.ResponseRecorder) []string {
 	var list []string
 	for line := range strings.SplitSeq(w.Body.String(), "\n") {
 		if data, ok := strings.CutPrefix(line, "data: "); ok {
@@ -43,9 +43,9 @@
 }
 
 func TestResumedStreamLooksLikeOneRun(t *testing.T) {
-	r := newRig(t)
-	r.dispatcher.script = sends(dispatch.Whole, opening, first, reopened, second, usage)
-	list := events(r.post("/v1/chat/completions", "", streamBody))
+	r := newTestAPI(t)
+	r.dispatcher.script = respondWith(dispatch.Whole, roleChunk, firstChunk, resumedRoleChunk, resumedChunk, usageChunk)
+	list := sseEvents(r.post("/v1/chat/completions", "", streamRequest))
 	if len(list) != 4 || list[3] != "[DONE]" {
 		t.Fatalf("events: got %d %q, want opening, two pieces and the end mark", len(list), list)
 	}
@@ -65,20 +65,20 @@
 	}
 }
 
-func TestCutStreamEndsWithAnErrorAndNoEndMark(t *testing.T) {
-	r := newRig(t)
-	r.dispatcher.script = sends(dispatch.Failed, opening, first)
-	list := events(r.post("/v1/chat/completions", "", streamBody))
+func TestInterruptedStreamEndsWithErrorWithoutDone(t *testing.T) {
+	r := newTestAPI(t)
+	r.dispatcher.script = respondWith(dispatch.Failed, roleChunk, firstChunk)
+	list := sseEvents(r.post("/v1/chat/completions", "", streamRequest))
 	last := list[len(list)-1]
 	if last == "[DONE]" || !strings.Contains(last, `"code":"failed"`) {
 		t.Fatalf("last event: %q", last)
 	}
 }
 
-func TestWholeAnswerIsPutTogether(t *testing.T) {
-	r := newRig(t)
-	r.dispatcher.script = sends(dispatch.Whole, opening, first, reopened, second, usage)
-	w := r.post("/v1/chat/completions", "", wholeBody)
+func TestBufferedResponseJoinsChunks(t *testing.T) {
+	r := newTestAPI(t)
+	r.dispatcher.script = respondWith(dispatch.Whole, roleChunk, firstChunk, resumedRoleChunk, resumedChunk, usageChunk)
+	w := r.post("/v1/chat/completions", "", bufferedRequest)
 	var got completion
 	if err := json.Unmarshal(w.Body.Bytes(), &got); err != nil {
 		t.Fatal(err)
@@ -89,23 +89,23 @@
 	}
 }
 
-func TestCutWholeAnswerIsAnError(t *testing.T) {
-	r := newRig(t)
-	r.dispatcher.script = sends(dispatch.Unknown, opening, first)
-	w := r.post("/v1/chat/completions", "", wholeBody)
+func TestInterruptedBufferedResponseIsAnError(t *testing.T) {
+	r := newTestAPI(t)
+	r.dispatcher.script = respondWith(dispatch.Unknown, roleChunk, firstChunk)
+	w := r.post("/v1/chat/completions", "", bufferedRequest)
 	if w.Code != http.StatusGatewayTimeout || strings.Contains(w.Body.String(), "one") {
 		t.Fatalf("got %d %s", w.Code, w.Body)
 	}
 }
 
-func TestToolCallPiecesAreJoined(t *testing.T) {
-	r := newRig(t)
-	r.dispatcher.script = sends(dispatch.Whole,
+func TestToolCallDeltasAreJoined(t *testing.T) {
+	r := newTestAPI(t)
+	r.dispatcher.script = respondWith(dispatch.Whole,
 		`{"choices":[{"index":0,"delta":{"tool_calls":[{"index":0,"id":"a","type":"function","function":{"name":"look","arguments":"{\"x\""}}]}}]}`,
 		`{"choices":[{"index":0,"delta":{"tool_calls":[{"index":0,"function":{"arguments":":1}"}}]},"finish_reason":"tool_calls"}]}`,
 	)
 	var got completion
-	if err := json.Unmarshal(r.post("/v1/chat/completions", "", wholeBody).Body.Bytes(), &got); err != nil {
+	if err := json.Unmarshal(r.post("/v1/chat/completions", "", bufferedRequest).Body.Bytes(), &got); err != nil {
 		t.Fatal(err)
 	}
 	calls := got.Choices[0].Message.ToolCalls
@@ -114,12 +114,12 @@
 	}
 }
 
-func TestBackendServersOwnErrorIsPassedOn(t *testing.T) {
-	r := newRig(t)
+func TestBackendServerErrorIsForwarded(t *testing.T) {
+	r := newTestAPI(t)
 	r.dispatcher.script = func(*dispatch.Request, dispatch.Sink) dispatch.Result {
 		return dispatch.Result{Outcome: dispatch.Rejected, Status: http.StatusBadRequest, Body: []byte(`{"error":{"code":"context_length_exceeded"}}`)}
 	}
-	w := r.post("/v1/chat/completions", "", wholeBody)
+	w := r.post("/v1/chat/completions", "", bufferedRequest)
 	if w.Code != http.StatusBadRequest || !strings.Contains(w.Body.String(), "context_length_exceeded") {
 		t.Fatalf("got %d %s", w.Code, w.Body)
 	}
--- a/internal/entry/api/service.go
+++ b/internal/entry/api/service.go
@@ -16,23 +16,23 @@
 
 // forwarded are the request headers that a plain service gets; hop-by-hop
 // headers and the caller's key are left out (RFC 9110, 7.6.1).
-var forwarded = []string{"Accept", "Accept-Language", "Content-Type", "If-Match", "If-None-Match", HeaderIdempotencyKey}
+var forwardedHeaders = []string{"Accept", "Accept-Language", "Content-Type", "If-Match", "If-None-Match", HeaderIdempotencyKey}
 
 // service serves /services/{name}/...
 func (a *API) service(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
-	set := a.config.Holder.Current()
+	set := a.config.Targets.Current()
 	customer, ok := a.authenticate(w, r, set)
 	if !ok {
 		return
 	}
 	params := httprouter.ParamsFromContext(r.Context())
-	class, p := serviceClass(set, r.Header.Get(HeaderClass), params.ByName("name"))
-	if p != nil {
-		refuseUnread(w, r, *p)
+	class, apiErr := findServiceClass(set, r.Header.Get(HeaderClass), params.ByName("name"))
+	if apiErr != nil {
+		refuseWithoutBody(w, r, *apiErr)
 		return
 	}
-	body, ok := a.readBody(w, r, boundOf(class))
+	body, ok := a.readBody(w, r, bodyMemoryLimit(class))
 	if !ok {
 		return
 	}
@@ -41,39 +41,39 @@
 	req.Serves = class.Service
 	req.Size = len(body.data)/bytesPerToken + 1
 	req.Body = body.data
-	req.Repeatable = class.Repeatable || idempotent(r.Method)
-	req.Call = &dispatch.Call{Method: r.Method, Path: servicePath(params.ByName("path"), r.URL.RawQuery), Header: forwardHeader(r.Header)}
-	a.carry(w, r, req, func(w http.ResponseWriter) answer {
-		return &serviceAnswer{w: w, control: http.NewResponseController(w)}
+	req.Repeatable = class.Repeatable || isIdempotent(r.Method)
+	req.Call = &dispatch.Call{Method: r.Method, Path: pathWithQuery(params.ByName("path"), r.URL.RawQuery), Header: selectForwardedHeaders(r.Header)}
+	a.dispatchRequest(w, r, req, func(w http.ResponseWriter) response {
+		return &serviceResponse{w: w, control: http.NewResponseController(w)}
 	})
 }
 
 // idempotent methods may be repeated whatever the class says (RFC 9110,
 // 9.2.2).
-func idempotent(method string) bool {
+func isIdempotent(method string) bool {
 	return method != http.MethodPost && method != http.MethodPatch
 }
 
-func servicePath(path, query string) string {
+func pathWithQuery(path, query string) string {
 	if query == "" {
 		return path
 	}
 	return path + "?" + query
 }
 
-func forwardHeader(h http.Header) []wire.Header {
-	var lines []wire.Header
-	for _, name := range forwarded {
+func selectForwardedHeaders(h http.Header) []wire.Header {
+	var headers []wire.Header
+	for _, name := range forwardedHeaders {
 		for _, value := range h.Values(name) {
-			lines = append(lines, wire.Header{Name: name, Value: value})
+			headers = append(headers, wire.Header{Name: name, Value: value})
 		}
 	}
-	return lines
+	return headers
 }
 
 // serviceClass finds the class of a plain service's call: the one it names, or
 // the only one that the service has.
-func serviceClass(set *targets.Set, name, service string) (targets.Class, *problem) {
+func findServiceClass(set *targets.Set, name, service string) (targets.Class, *apiError) {
 	var found []targets.Class
 	for _, c := range set.Classes {
 		if !c.Retired && c.Service == service {
@@ -81,9 +81,9 @@
 		}
 	}
 	if len(found) == 0 {
-		p := badRequest("unknown_service", "", fmt.Sprintf("there is no service %q; services: %s", service, strings.Join(serviceNames(set), ", ")))
-		p.status = http.StatusNotFound
-		return targets.Class{}, &p
+		e := badRequestError("unknown_service", "", fmt.Sprintf("there is no service %q; services: %s", service, strings.Join(serviceNames(set), ", ")))
+		e.status = http.StatusNotFound
+		return targets.Class{}, &e
 	}
 	if name == "" && len(found) == 1 {
 		return found[0], nil
@@ -94,10 +94,10 @@
 		}
 	}
 	if name == "" {
-		p := badRequest("missing_class", HeaderClass, "the service has several classes; name one in "+HeaderClass)
-		return targets.Class{}, &p
+		e := badRequestError("missing_class", HeaderClass, "the service has several classes; name one in "+HeaderClass)
+		return targets.Class{}, &e
 	}
-	return targets.Class{}, unknownClass(set, name)
+	return targets.Class{}, unknownClassError(set, name)
 }
 
 func serviceNames(set *targets.Set) []string {
--- a/internal/entry/api/service_answer.go
+++ b/internal/entry/api/service_response.go
@@ -10,19 +10,19 @@
 )
 
 // serviceAnswer passes a plain service's answer on as it comes.
-type serviceAnswer struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	opened  bool
+type serviceResponse struct {
+	w          http.ResponseWriter
+	control    *http.ResponseController
+	headerSent bool
 }
 
-func (s *serviceAnswer) begun() bool { return s.opened }
+func (s *serviceResponse) started() bool { return s.headerSent }
 
 // Frame passes the head, then each piece of the body.
-func (s *serviceAnswer) Frame(f wire.Frame) error {
+func (s *serviceResponse) Frame(f wire.Frame) error {
 	_ = s.control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if f.Kind == wire.FrameHead {
-		s.head(f)
+		s.writeHeader(f)
 		return nil
 	}
 	if _, err := s.w.Write(f.Data); err != nil {
@@ -36,16 +36,16 @@
 
 // head leaves the length as the service gave it: a cut answer is then shorter
 // than it says, and no client takes it for whole.
-func (s *serviceAnswer) head(f wire.Frame) {
+func (s *serviceResponse) writeHeader(f wire.Frame) {
 	for _, h := range f.Header {
 		s.w.Header().Add(h.Name, h.Value)
 	}
-	s.opened = true
+	s.headerSent = true
 	s.w.WriteHeader(f.Status)
 }
 
-func (s *serviceAnswer) finish() {}
+func (s *serviceResponse) finish() {}
 
 // fail aborts the connection: HTTP has no other way to say that a body that
 // has begun is not whole.
-func (s *serviceAnswer) fail(problem) { panic(http.ErrAbortHandler) }
+func (s *serviceResponse) fail(apiError) { panic(http.ErrAbortHandler) }
--- a/internal/entry/api/stream_answer.go
+++ b/internal/entry/api/stream_response.go
@@ -13,31 +13,31 @@
 
 // streamAnswer sends the answer as server-sent events, as it comes. The
 // chunks of a resumed answer look like those of one run: one id, one opening.
-type streamAnswer struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	id      string
-	usage   bool
-	created int64
-	opened  bool
+type streamResponse struct {
+	w            http.ResponseWriter
+	control      *http.ResponseController
+	id           string
+	includeUsage bool
+	created      int64
+	headerSent   bool
 }
 
-func newStreamAnswer(w http.ResponseWriter, id string, usage bool) *streamAnswer {
-	return &streamAnswer{w: w, control: http.NewResponseController(w), id: "chatcmpl-" + id, usage: usage}
+func newStreamResponse(w http.ResponseWriter, id string, includeUsage bool) *streamResponse {
+	return &streamResponse{w: w, control: http.NewResponseController(w), id: "chatcmpl-" + id, includeUsage: includeUsage}
 }
 
-func (s *streamAnswer) begun() bool { return s.opened }
+func (s *streamResponse) started() bool { return s.headerSent }
 
 // Frame passes one chunk on.
-func (s *streamAnswer) Frame(f wire.Frame) error {
+func (s *streamResponse) Frame(f wire.Frame) error {
 	var c chunk
 	if err := json.Unmarshal(f.Data, &c); err != nil {
 		return errors.Wrap(err, "decode chunk")
 	}
-	if s.opened && c.opensOnly() {
+	if s.headerSent && c.isRoleOnly() {
 		return nil
 	}
-	if c.usageOnly() && !s.usage {
+	if c.isUsageOnly() && !s.includeUsage {
 		return nil
 	}
 	if s.created == 0 {
@@ -45,19 +45,19 @@
 	}
 	c.ID = s.id
 	c.Created = s.created
-	return s.event(c)
+	return s.sendJSON(c)
 }
 
-func (s *streamAnswer) event(v any) error {
+func (s *streamResponse) sendJSON(v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return errors.Wrap(err, "encode event")
 	}
-	return s.send(data)
+	return s.sendEvent(data)
 }
 
-func (s *streamAnswer) send(data []byte) error {
-	s.open()
+func (s *streamResponse) sendEvent(data []byte) error {
+	s.sendHeader()
 	_ = s.control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	event := make([]byte, 0, len(data)+len("data: \n\n"))
 	event = append(event, "data: "...)
@@ -72,20 +72,20 @@
 	return nil
 }
 
-func (s *streamAnswer) open() {
-	if s.opened {
+func (s *streamResponse) sendHeader() {
+	if s.headerSent {
 		return
 	}
-	s.opened = true
+	s.headerSent = true
 	h := s.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
 	s.w.WriteHeader(http.StatusOK)
 }
 
-func (s *streamAnswer) finish() { _ = s.send([]byte("[DONE]")) }
+func (s *streamResponse) finish() { _ = s.sendEvent([]byte("[DONE]")) }
 
 // fail sends the error as the last event, without the end mark.
-func (s *streamAnswer) fail(p problem) { _ = s.event(p.body()) }
+func (s *streamResponse) fail(p apiError) { _ = s.sendJSON(p.body()) }
 
-var _ dispatch.Sink = (*streamAnswer)(nil)
+var _ dispatch.Sink = (*streamResponse)(nil)
--- a/internal/entry/known_models.go
+++ b/internal/entry/known_models.go
@@ -9,7 +9,7 @@
 type knownModels struct{ names map[string]bool }
 
 // note adds names that the VM list has or an agent serves.
-func (k *knownModels) note(names ...string) {
+func (k *knownModels) add(names ...string) {
 	if k.names == nil {
 		k.names = make(map[string]bool)
 	}
@@ -19,6 +19,6 @@
 }
 
 // only returns those of the models that are known.
-func (k *knownModels) only(models []string) []string {
+func (k *knownModels) filter(models []string) []string {
 	return slices.DeleteFunc(slices.Clone(models), func(m string) bool { return !k.names[m] })
 }
--- a/internal/entry/observer.go
+++ b/internal/entry/metrics_observer.go
@@ -9,20 +9,20 @@
 )
 
 // observer turns what became of requests into metrics.
-type observer struct{ metrics *metrics.Metrics }
+type metricsObserver struct{ metrics *metrics.Metrics }
 
 // Received counts a request as it comes in.
-func (o observer) Received(class string) { o.metrics.Request(class).Received() }
+func (o metricsObserver) RequestReceived(class string) { o.metrics.Request(class).Received() }
 
 // Refused counts a request that came in and was turned away at once.
-func (o observer) Refused(class, reason string) {
+func (o metricsObserver) RequestRefused(class, reason string) {
 	m := o.metrics.Request(class)
 	m.Received()
 	m.Refused(metrics.Reason(reason))
 }
 
 // Ended counts a request's final answer.
-func (o observer) Ended(class targets.Class, r dispatch.Result, took time.Duration) {
+func (o metricsObserver) RequestEnded(class targets.Class, r dispatch.Result, duration time.Duration) {
 	m := o.metrics.Request(class.Name)
 	for range r.Attempts - 1 {
 		m.Retried()
@@ -35,7 +35,7 @@
 	}
 	switch r.Outcome {
 	case dispatch.Whole:
-		m.Finished(timing(class, r, took), r.Tokens)
+		m.Finished(timingOf(class, r, duration), r.Tokens)
 	case dispatch.NotRun, dispatch.Rejected:
 		m.Refused(metrics.Reason(r.Reason))
 	case dispatch.Unknown:
@@ -47,15 +47,15 @@
 	}
 }
 
-func timing(class targets.Class, r dispatch.Result, took time.Duration) metrics.Timing {
-	if class.Met(targets.Measured{FirstToken: r.FirstToken, Took: took, Tokens: r.Tokens}) {
+func timingOf(class targets.Class, r dispatch.Result, duration time.Duration) metrics.Timing {
+	if class.Met(targets.Measured{FirstToken: r.FirstToken, Took: duration, Tokens: r.Tokens}) {
 		return metrics.OnTime
 	}
 	return metrics.Late
 }
 
 // updateMetrics states what is known elsewhere when the metrics are read.
-func (e *entry) updateMetrics() {
+func (e *entry) updateGauges() {
 	e.metrics.TargetsVersion(e.targetsVersion())
 	e.metrics.Queue.Set(0, e.api.InFlight(), 0)
 }
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -19,8 +19,8 @@
 
 // Reasons why an entry is not ready.
 var (
-	errLeaving   = errors.New("leaving")
-	errNoList    = errors.New("no VM list yet: the platform and the seeds are unreachable")
+	errDraining  = errors.New("leaving")
+	errNoVMList  = errors.New("no VM list yet: the platform and the seeds are unreachable")
 	errNoTargets = errors.New("no classes yet: none are set, or the platform and the seeds are unreachable")
 )
 
@@ -30,16 +30,16 @@
 	metrics.Register(router, e.metrics, e.ready)
 	admin.New(admin.Config{
 		Store:       e.store,
-		Holder:      e.holder,
-		Fleet:       e.census,
+		Holder:      e.targets,
+		Fleet:       e.fleetStatus,
 		OperatorKey: e.keys.operator,
 		Spread:      func(ctx context.Context, version uint64) { e.fleet.AwaitFirst(ctx, version) },
 		Log:         e.log,
 	}).Register(router)
 	operator := auth.Operator(e.keys.operator)
-	router.Handler(http.MethodGet, timeline.PathView, operator(timeline.ViewHandler(e.ring, e.timelinePeers, e.keys.system)))
+	router.Handler(http.MethodGet, timeline.PathView, operator(timeline.ViewHandler(e.timeline, e.timelinePeers, e.keys.system)))
 	system := auth.System(e.keys.system)
-	router.Handler(http.MethodGet, timeline.PathEvents, system(timeline.Handler(e.ring)))
+	router.Handler(http.MethodGet, timeline.PathEvents, system(timeline.Handler(e.timeline)))
 	router.Handler(http.MethodGet, peer.StatePath, system(peer.Handler(e.peerState)))
 	router.Handler(http.MethodGet, peer.VersionPath, system(peer.VersionHandler(e.peerVersion)))
 	return router
@@ -49,30 +49,30 @@
 // until the process leaves.
 func (e *entry) ready() error {
 	switch {
-	case e.leaving.Load():
-		return errLeaving
+	case e.draining.Load():
+		return errDraining
 	case !e.fleet.Known():
-		return errNoList
+		return errNoVMList
 	case e.targetsVersion() == 0:
 		return errNoTargets
 	}
 	return nil
 }
 
-func (e *entry) ownProcess() admin.Process {
+func (e *entry) selfStatus() admin.Process {
 	return admin.Process{
 		Name:    e.settings.Process,
 		Zone:    e.settings.Zone,
-		Role:    roleOf(storage.RoleEntry),
+		Role:    roleName(storage.RoleEntry),
 		Version: e.targetsVersion(),
 		Heard:   true,
-		Leaving: e.leaving.Load(),
+		Leaving: e.draining.Load(),
 	}
 }
 
 func (e *entry) peerState() peer.State {
 	vms, _ := e.fleet.VMs()
-	return peer.State{Process: e.settings.Process, Targets: e.holder.Current(), VMs: vms}
+	return peer.State{Process: e.settings.Process, Targets: e.targets.Current(), VMs: vms}
 }
 
 func (e *entry) peerVersion() peer.Version {
@@ -89,19 +89,19 @@
 }
 
 // askSeeds takes the place of the VM list while the platform is down.
-func (e *entry) askSeeds(ctx context.Context) ([]storage.VM, error) {
-	return peer.AskAny(ctx, e.settings.Seeds, e.keys.system, e.holder)
+func (e *entry) fetchVMsFromSeeds(ctx context.Context) ([]storage.VM, error) {
+	return peer.AskAny(ctx, e.settings.Seeds, e.keys.system, e.targets)
 }
 
 // followTargets polls the table service for newer targets.
-func (e *entry) followTargets(ctx context.Context) {
-	store.NewPoller(e.store, e.holder, e.log).Run(ctx)
+func (e *entry) pollTargets(ctx context.Context) {
+	store.NewPoller(e.store, e.targets, e.log).Run(ctx)
 }
 
 // callerAuth tells callers apart.
-type callerAuth struct{ trustHeader bool }
+type clientAuth struct{ trustHeader bool }
 
 // Caller finds the customer of a request.
-func (c callerAuth) Caller(set *targets.Set, r *http.Request) (string, error) {
+func (c clientAuth) Customer(set *targets.Set, r *http.Request) (string, error) {
 	return auth.Caller(set, c.trustHeader, r)
 }
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -37,15 +37,15 @@
 	// headerTimeout bounds the reading of a caller's headers.
 	headerTimeout = 10 * time.Second
 	// maxHeader bounds a caller's headers in bytes.
-	maxHeader = 64 << 10
+	maxHeaderBytes = 64 << 10
 	// idleTimeout closes a caller's connection that asks nothing.
 	idleTimeout = 2 * time.Minute
 	// drainNotice is how long an entry that leaves goes on taking requests
 	// after its health check has begun to fail, so that the platform's
 	// balancer sends it no more.
-	drainNotice = 2 * time.Second
+	drainDelay = 2 * time.Second
 	// eventRing is how many events the time line keeps.
-	eventRing = 65536
+	timelineCapacity = 65536
 )
 
 // entry is the process's parts.
@@ -54,18 +54,18 @@
 	keys     keys
 	log      *zap.Logger
 
-	clock      timeline.Clock
-	ring       *timeline.Ring
-	holder     *targets.Holder
-	metrics    *metrics.Metrics
-	platform   *counted.Platform
-	store      *store.Store
-	claimer    *claim.Claimer
-	fleet      *fleet.Fleet
-	dispatcher *dispatch.Dispatcher
-	api        *api.API
-	census     *census
-	leaving    atomic.Bool
+	clock       timeline.Clock
+	timeline    *timeline.Ring
+	targets     *targets.Holder
+	metrics     *metrics.Metrics
+	platform    *counted.Platform
+	store       *store.Store
+	claimer     *claim.Claimer
+	fleet       *fleet.Fleet
+	dispatcher  *dispatch.Dispatcher
+	api         *api.API
+	fleetStatus *fleetStatus
+	draining    atomic.Bool
 }
 
 // Serve runs an entry until ctx ends, then shuts it down gracefully: it fails
@@ -75,11 +75,11 @@
 	if err != nil {
 		return err
 	}
-	at, err := listen.All(s.Listen, s.AdminListen)
+	listeners, err := listen.All(s.Listen, s.AdminListen)
 	if err != nil {
 		return errors.Wrap(ErrListen, err.Error())
 	}
-	return e.serve(ctx, at[0], at[1])
+	return e.serve(ctx, listeners[0], listeners[1])
 }
 
 func newEntry(s settings.Entry, log *zap.Logger) (*entry, error) {
@@ -87,8 +87,8 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &entry{settings: s, keys: k, log: log, holder: targets.NewHolder(), metrics: metrics.New()}
-	e.ring = timeline.NewRing(s.Process, &e.clock, eventRing)
+	e := &entry{settings: s, keys: k, log: log, targets: targets.NewHolder(), metrics: metrics.New()}
+	e.timeline = timeline.NewRing(s.Process, &e.clock, timelineCapacity)
 	e.platform = counted.New(storage.NewHTTP(s.Platform.URL), e.metrics.Platform)
 	e.store = store.New(e.platform)
 	e.claimer = claim.NewClaimer(e.platform)
@@ -97,20 +97,20 @@
 		Zone:      s.Zone,
 		SystemKey: k.system,
 		Local:     wire.Local{Clock: &e.clock, TargetsVersion: e.targetsVersion, Traffic: e.metrics.Control},
-		Holder:    e.holder,
+		Holder:    e.targets,
 		List:      e.platform,
-		Ring:      e.ring,
+		Ring:      e.timeline,
 		Log:       log,
-		Fallback:  e.askSeeds,
+		Fallback:  e.fetchVMsFromSeeds,
 		Gone:      func(agent string) { e.dispatcher.Forget(agent) },
 	})
-	e.census = &census{own: e.ownProcess, fleet: e.fleet, key: k.system}
+	e.fleetStatus = &fleetStatus{self: e.selfStatus, fleet: e.fleet, key: k.system}
 	e.api = e.newAPI()
-	e.metrics.OnRead(e.updateMetrics)
+	e.metrics.OnRead(e.updateGauges)
 	return e, nil
 }
 
-func (e *entry) targetsVersion() uint64 { return e.holder.Current().Version }
+func (e *entry) targetsVersion() uint64 { return e.targets.Current().Version }
 
 func (e *entry) newAPI() *api.API {
 	ejector := policy.NewEjector()
@@ -118,44 +118,44 @@
 	e.dispatcher = dispatch.New(dispatch.Config{
 		Zone:      e.settings.Zone,
 		SystemKey: e.keys.system,
-		Agents:    agents{e.fleet},
+		Agents:    dispatchAgents{e.fleet},
 		Placer:    policy.NewPlacer(random, ejector),
 		Ejector:   ejector,
 		Budget:    policy.NewRetryBudget(),
-		Ring:      e.ring,
+		Ring:      e.timeline,
 		Log:       e.log,
 	})
 	return api.New(api.Config{
-		Holder:     e.holder,
+		Targets:    e.targets,
 		Dispatcher: e.dispatcher,
-		Served:     e.fleet,
-		Auth:       callerAuth{trustHeader: e.settings.Callers.TrustCustomerHeader},
+		Catalog:    e.fleet,
+		Auth:       clientAuth{trustHeader: e.settings.Callers.TrustCustomerHeader},
 		Claims:     e.claimer,
 		Grants:     e.fleet,
-		Observer:   observer{e.metrics},
-		Ring:       e.ring,
+		Observer:   metricsObserver{e.metrics},
+		Timeline:   e.timeline,
 		Log:        e.log,
 	})
 }
 
-func (e *entry) serve(ctx context.Context, public, operators net.Listener) error {
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+func (e *entry) serve(ctx context.Context, clientListener, adminListener net.Listener) error {
+	background, stopBackground := context.WithCancel(context.WithoutCancel(ctx))
 	var wg conc.WaitGroup
-	wg.Go(func() { e.fleet.Run(work) })
-	wg.Go(func() { e.followTargets(work) })
-	wg.Go(func() { e.runDuties(ctx) })
-	callerRouter := httprouter.New()
-	e.api.Register(callerRouter)
-	callerServer := e.newServer(public, callerRouter)
-	adminServer := e.newServer(operators, e.adminRoutes())
-	wg.Go(callerServer.Serve)
+	wg.Go(func() { e.fleet.Run(background) })
+	wg.Go(func() { e.pollTargets(background) })
+	wg.Go(func() { e.runLeaderTasks(ctx) })
+	clientRouter := httprouter.New()
+	e.api.Register(clientRouter)
+	clientServer := e.newServer(clientListener, clientRouter)
+	adminServer := e.newServer(adminListener, e.adminRoutes())
+	wg.Go(clientServer.Serve)
 	wg.Go(adminServer.Serve)
-	e.log.Info(logging.EventStarted, zap.String("listen", public.Addr().String()), zap.String("admin_listen", operators.Addr().String()))
+	e.log.Info(logging.EventStarted, zap.String("listen", clientListener.Addr().String()), zap.String("admin_listen", adminListener.Addr().String()))
 	<-ctx.Done()
-	e.drain(callerServer)
+	e.drain(clientServer)
 	// Without an end to the wait nothing is broken off.
 	_ = adminServer.Drain(context.Background())
-	stop()
+	stopBackground()
 	wg.Wait()
 	e.claimer.Close()
 	return nil
@@ -164,23 +164,23 @@
 // drain ends what is in progress, however long it takes: a long answer is
 // bounded by its own timeouts, and a SIGINT ends the process at once.
 func (e *entry) drain(server *callers.Server) {
-	e.leaving.Store(true)
-	e.ring.Record(timeline.KindLeave, "", "", "graceful shutdown")
+	e.draining.Store(true)
+	e.timeline.Record(timeline.KindLeave, "", "", "graceful shutdown")
 	e.log.Info(logging.EventStopping, zap.Int("in_flight", e.api.InFlight()))
-	time.Sleep(drainNotice)
+	time.Sleep(drainDelay)
 	// Without an end to the wait nothing is broken off.
 	_ = server.Drain(context.Background())
 }
 
-func (e *entry) newServer(l net.Listener, h http.Handler) *callers.Server {
-	limit := func() time.Duration { return idleTimeout }
-	return callers.New(l, callers.Config{Handler: h, HeaderTime: headerTimeout, MaxHeader: maxHeader, Limit: limit, Log: e.log})
+func (e *entry) newServer(listener net.Listener, handler http.Handler) *callers.Server {
+	idleLimit := func() time.Duration { return idleTimeout }
+	return callers.New(listener, callers.Config{Handler: handler, HeaderTime: headerTimeout, MaxHeader: maxHeaderBytes, Limit: idleLimit, Log: e.log})
 }
 
 // agents gives the dispatcher its view of the fleet.
-type agents struct{ *fleet.Fleet }
+type dispatchAgents struct{ *fleet.Fleet }
 
 // Place sends a ticket.
-func (a agents) Place(agent string, t *wire.Ticket, l dispatch.Listener) bool {
+func (a dispatchAgents) Place(agent string, t *wire.Ticket, l dispatch.Listener) bool {
 	return a.Fleet.Place(agent, t, l)
 }
