--- a/internal/entry/errors.go
+++ b/internal/entry/errors.go
@@ -2,10 +2,10 @@
 
 import "github.com/go-faster/errors"
 
-// Errors of an entry's start.
+// Startup errors.
 var (
-	// ErrListen: an address of the settings can't be listened on.
+	// ErrListen is returned when the process cannot listen on a configured address.
 	ErrListen = errors.New("cannot listen")
-	// ErrKeys: a key of the settings can't be read.
+	// ErrKeys is returned when a configured key is missing or cannot be read.
 	ErrKeys = errors.New("cannot read keys")
 )
--- a/internal/entry/fleet_status.go
+++ b/internal/entry/fleet_status.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	// censusAge is how old what is known of the processes may be before they
-	// are asked again.
+	// statusMaxAge is how long the status of the processes is cached before they are
+	// queried again.
 	statusMaxAge = 300 * time.Millisecond
-	// censusParallel is how many are asked at once; at the target size 1,610
-	// answers of a millisecond or two take less than a tenth of a second.
+	// maxParallelQueries limits concurrent status queries. With 1,610 processes that
+	// answer in 1 to 2 ms each, a refresh takes less than 100 ms.
 	maxParallelQueries = 64
 )
 
-// census asks all processes which version of the targets they have in force.
-// It does so only when an operator waits for a change or asks for the status:
-// at 1,000 changes a day that is 19 small questions a second over the fleet.
+// fleetStatus queries all processes for the targets version that each has applied. It
+// does so only while an operator waits for a change or requests the status: at 1,000
+// changes a day that is 19 small queries a second over the fleet.
 type fleetStatus struct {
 	self  func() admin.Process
 	fleet *fleet.Fleet
 	key   string
 
-	// mu is held through a round of questions, so that several operators who
-	// wait share it.
+	// mu is held during a refresh, so that concurrent operator requests share one
+	// refresh.
 	mu          sync.Mutex
 	processes   map[string]admin.Process
 	refreshedAt time.Time
 }
 
-// Processes lists all processes of the VM list, and this one.
+// Processes returns the status of every process in the VM list, including this one.
 func (s *fleetStatus) Processes() []admin.Process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,7 +68,8 @@
 	s.refreshedAt = time.Now()
 }
 
-// askOne keeps what was heard before, grown older, of one that doesn't answer.
+// queryProcess returns the status of the process on vm. If the process does not answer,
+// it returns the previous status with its age increased.
 func (s *fleetStatus) queryProcess(vm storage.VM, previous admin.Process) admin.Process {
 	p := admin.Process{Name: vm.Name, Zone: vm.Zone, Role: roleName(vm.Role), Leaving: vm.Leaving}
 	v, err := peer.AskVersion(context.Background(), vm.Addr, s.key)
@@ -90,8 +91,8 @@
 	return "entry"
 }
 
-// Engines lists the backend servers whose agents this entry connects to, as
-// the agents tell when asked.
+// Engines queries the agents that this entry is connected to and returns the status of
+// their backend servers. Values of an agent that does not answer are as old as their Age.
 func (s *fleetStatus) Engines() []admin.Engine {
 	s.fleet.AskStatus(context.Background())
 	var engines []admin.Engine
--- a/internal/entry/keys.go
+++ b/internal/entry/keys.go
@@ -6,7 +6,7 @@
 	"github.com/applepier/applepier/internal/settings"
 )
 
-// keys are the secrets of the settings, read once at the start.
+// keys holds the configured secrets, which are read once at startup.
 type keys struct {
 	operator string
 	system   string
--- a/internal/entry/known_models.go
+++ b/internal/entry/known_models.go
@@ -2,13 +2,12 @@
 
 import "slices"
 
-// knownModels are the models that exist as far as this process knows. A class
-// may name one that doesn't, by a slip of an operator's: an engine that is
-// ordered to load it would be drained for nothing. Only the duties' goroutine
-// uses it.
+// knownModels is the set of models known to exist. A class may name a model that doesn't
+// exist, for example by a typing error; ordering an engine to load it would drain the
+// engine for nothing. It is not safe for concurrent use.
 type knownModels struct{ names map[string]bool }
 
-// note adds names that the VM list has or an agent serves.
+// add records models that the VM list names or an agent serves.
 func (k *knownModels) add(names ...string) {
 	if k.names == nil {
 		k.names = make(map[string]bool)
@@ -18,7 +17,7 @@
 	}
 }
 
-// only returns those of the models that are known.
+// filter returns the given models that are known, in their order.
 func (k *knownModels) filter(models []string) []string {
 	return slices.DeleteFunc(slices.Clone(models), func(m string) bool { return !k.names[m] })
 }
--- a/internal/entry/leader_tasks.go
+++ b/internal/entry/leader_tasks.go
@@ -18,11 +18,12 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// decideEvery is how often the holder looks whether an order is due.
+// orderInterval is how often the leader checks whether an engine should load another
+// model.
 const orderInterval = time.Second
 
-// duties are what one entry does for all, under a lease: it removes old claims
-// and orders engines to load models.
+// leaderTasks are the tasks that one entry at a time runs for the whole fleet while it
+// holds a lease: it removes expired idempotency claims and orders engines to load models.
 type leaderTasks struct {
 	targets  *targets.Holder
 	fleet    *fleet.Fleet
@@ -30,11 +31,12 @@
 	sweeper  *claim.Sweeper
 	timeline *timeline.Ring
 	log      *zap.Logger
-	// known are the models that classes may want.
+	// knownModels limits orders to models that are known to exist.
 	knownModels knownModels
 }
 
-// run campaigns for the lease until ctx ends.
+// runLeaderTasks competes for the lease and runs the tasks while it holds it, until ctx
+// is cancelled.
 func (e *entry) runLeaderTasks(ctx context.Context) {
 	t := &leaderTasks{
 		targets:  e.targets,
@@ -48,7 +50,8 @@
 	lease.NewKeeper(leaderLease, e.log).Run(ctx, t.runWhileLeader)
 }
 
-// act does all duties while the lease is held.
+// runWhileLeader runs all tasks until ctx is cancelled, which happens when the lease is
+// lost.
 func (t *leaderTasks) runWhileLeader(ctx context.Context, leaderLease *lease.Lease) error {
 	t.timeline.Record(timeline.KindLease, "", "", "acquired")
 	defer t.timeline.Record(timeline.KindLease, "", "", "ended")
@@ -85,8 +88,8 @@
 	t.log.Info(logging.EventOrderGiven, logging.Peer(move.Engine), zap.String("model", move.Model), zap.Uint64("fence", leaderLease.Fence()))
 }
 
-// noteModels notes which models there are: those that the VM list names, and
-// those that agents serve while this process holds the lease.
+// updateKnownModels adds the models that the VM list names and those that connected
+// agents serve. It runs only while this process holds the lease.
 func (t *leaderTasks) updateKnownModels() {
 	t.knownModels.add(t.fleet.Serves()...)
 	for _, v := range t.fleet.Agents() {
@@ -96,7 +99,8 @@
 	}
 }
 
-// wanted lists the models that classes run on.
+// configuredModels returns the models that active classes run on, sorted and without
+// duplicates.
 func (t *leaderTasks) configuredModels() []string {
 	var models []string
 	for _, c := range t.targets.Current().Classes {
@@ -108,8 +112,9 @@
 	return slices.Compact(models)
 }
 
-// engines lists the engines that this entry hears from. An entry connects to
-// 24 of each model, or all; a model with none of those is lost to it as well.
+// availableEngines returns the connected engines that can load a model. An entry connects
+// to at most 24 engines of each model; if none of those is connected, the model counts as
+// not served.
 func (t *leaderTasks) availableEngines() []policy.ModelEngine {
 	var engines []policy.ModelEngine
 	for _, v := range t.fleet.Agents() {
--- a/internal/entry/metrics_observer.go
+++ b/internal/entry/metrics_observer.go
@@ -8,20 +8,21 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-// observer turns what became of requests into metrics.
+// metricsObserver updates the request metrics; it implements api.Observer.
 type metricsObserver struct{ metrics *metrics.Metrics }
 
-// Received counts a request as it comes in.
+// RequestReceived counts an accepted request.
 func (o metricsObserver) RequestReceived(class string) { o.metrics.Request(class).Received() }
 
-// Refused counts a request that came in and was turned away at once.
+// RequestRefused counts a request that was refused before it was accepted. It counts as
+// received, too.
 func (o metricsObserver) RequestRefused(class, reason string) {
 	m := o.metrics.Request(class)
 	m.Received()
 	m.Refused(metrics.Reason(reason))
 }
 
-// Ended counts a request's final answer.
+// RequestEnded counts the outcome of a request, its retries and its wasted tokens.
 func (o metricsObserver) RequestEnded(class targets.Class, r dispatch.Result, duration time.Duration) {
 	m := o.metrics.Request(class.Name)
 	for range r.Attempts - 1 {
@@ -54,7 +55,7 @@
 	return metrics.Late
 }
 
-// updateMetrics states what is known elsewhere when the metrics are read.
+// updateGauges sets the gauges whose values are kept elsewhere; it runs on each scrape.
 func (e *entry) updateGauges() {
 	e.metrics.TargetsVersion(e.targetsVersion())
 	e.metrics.Queue.Set(0, e.api.InFlight(), 0)
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -17,14 +17,15 @@
 	"github.com/applepier/applepier/internal/timeline"
 )
 
-// Reasons why an entry is not ready.
+// Reasons why the entry is not ready, as /readyz reports them.
 var (
 	errDraining  = errors.New("leaving")
 	errNoVMList  = errors.New("no VM list yet: the platform and the seeds are unreachable")
 	errNoTargets = errors.New("no classes yet: none are set, or the platform and the seeds are unreachable")
 )
 
-// adminRoutes serves operators, collectors and the system's own processes.
+// adminRoutes returns the handler of the admin listener, which operators, metrics
+// collectors and other processes of the system use.
 func (e *entry) adminRoutes() http.Handler {
 	router := httprouter.New()
 	metrics.Register(router, e.metrics, e.ready)
@@ -45,8 +46,9 @@
 	return router
 }
 
-// ready answers the platform's balancer: nil once requests can be served and
-// until the process leaves.
+// ready is the readiness check of the platform's load balancer. It returns nil while the
+// entry can serve requests, and an error until it has a VM list and classes and again
+// once it drains.
 func (e *entry) ready() error {
 	switch {
 	case e.draining.Load():
@@ -88,20 +90,23 @@
 	return peers
 }
 
-// askSeeds takes the place of the VM list while the platform is down.
+// fetchVMsFromSeeds gets the VM list from the seed processes; it is the fallback while
+// the platform is unreachable.
 func (e *entry) fetchVMsFromSeeds(ctx context.Context) ([]storage.VM, error) {
 	return peer.AskAny(ctx, e.settings.Seeds, e.keys.system, e.targets)
 }
 
-// followTargets polls the table service for newer targets.
+// pollTargets polls the table service for newer targets until ctx is cancelled.
 func (e *entry) pollTargets(ctx context.Context) {
 	store.NewPoller(e.store, e.targets, e.log).Run(ctx)
 }
 
-// callerAuth tells callers apart.
+// clientAuth identifies clients by API key or, with trustHeader, by the customer header
+// of requests without a key.
 type clientAuth struct{ trustHeader bool }
 
-// Caller finds the customer of a request.
+// Customer returns the name of the customer that sent the request, or an error if it
+// can't be authenticated.
 func (c clientAuth) Customer(set *targets.Set, r *http.Request) (string, error) {
 	return auth.Caller(set, c.trustHeader, r)
 }
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -1,5 +1,6 @@
-// Package entry is the process of an entry VM: it takes callers' requests and
-// carries them to the agents, and serves operators. Start reading at Serve.
+// Package entry implements the entry process: it accepts client requests, dispatches them
+// to the agents of the backend servers, and serves the operators' admin API. Serve is the
+// entry point.
 package entry
 
 import (
@@ -34,21 +35,21 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a caller's headers.
+	// headerTimeout limits reading a client's request headers.
 	headerTimeout = 10 * time.Second
-	// maxHeader bounds a caller's headers in bytes.
+	// maxHeaderBytes limits a client's request headers.
 	maxHeaderBytes = 64 << 10
-	// idleTimeout closes a caller's connection that asks nothing.
+	// idleTimeout is how long an idle client connection is kept open.
 	idleTimeout = 2 * time.Minute
-	// drainNotice is how long an entry that leaves goes on taking requests
-	// after its health check has begun to fail, so that the platform's
-	// balancer sends it no more.
+	// drainDelay is how long a draining entry still accepts requests after its readiness
+	// check has begun to fail, so that the platform's load balancer has time to stop
+	// sending to it.
 	drainDelay = 2 * time.Second
-	// eventRing is how many events the time line keeps.
+	// timelineCapacity is how many events the timeline keeps.
 	timelineCapacity = 65536
 )
 
-// entry is the process's parts.
+// entry holds the components of the process.
 type entry struct {
 	settings settings.Entry
 	keys     keys
@@ -68,8 +69,10 @@
 	draining    atomic.Bool
 }
 
-// Serve runs an entry until ctx ends, then shuts it down gracefully: it fails
-// its health check, takes no new connections and ends what it has.
+// Serve runs an entry until ctx is cancelled, then shuts it down gracefully: the
+// readiness check fails, no new connections are accepted and requests in flight are
+// finished. It returns an error only if startup fails: ErrKeys or ErrListen with the
+// cause.
 func Serve(ctx context.Context, s settings.Entry, log *zap.Logger) error {
 	e, err := newEntry(s, log)
 	if err != nil {
@@ -153,7 +156,7 @@
 	e.log.Info(logging.EventStarted, zap.String("listen", clientListener.Addr().String()), zap.String("admin_listen", adminListener.Addr().String()))
 	<-ctx.Done()
 	e.drain(clientServer)
-	// Without an end to the wait nothing is broken off.
+	// The context is never cancelled, so Drain does not cut off any request.
 	_ = adminServer.Drain(context.Background())
 	stopBackground()
 	wg.Wait()
@@ -161,14 +164,14 @@
 	return nil
 }
 
-// drain ends what is in progress, however long it takes: a long answer is
-// bounded by its own timeouts, and a SIGINT ends the process at once.
+// drain waits for all requests in flight, without a time limit: long responses are
+// bounded by their own timeouts, and SIGINT stops the process at once.
 func (e *entry) drain(server *callers.Server) {
 	e.draining.Store(true)
 	e.timeline.Record(timeline.KindLeave, "", "", "graceful shutdown")
 	e.log.Info(logging.EventStopping, zap.Int("in_flight", e.api.InFlight()))
 	time.Sleep(drainDelay)
-	// Without an end to the wait nothing is broken off.
+	// The context is never cancelled, so Drain does not cut off any request.
 	_ = server.Drain(context.Background())
 }
 
@@ -177,10 +180,10 @@
 	return callers.New(listener, callers.Config{Handler: handler, HeaderTime: headerTimeout, MaxHeader: maxHeaderBytes, Limit: idleLimit, Log: e.log})
 }
 
-// agents gives the dispatcher its view of the fleet.
+// dispatchAgents adapts the fleet to dispatch.Agents.
 type dispatchAgents struct{ *fleet.Fleet }
 
-// Place sends a ticket.
+// Place sends a ticket to an agent and reports whether the agent is reachable.
 func (a dispatchAgents) Place(agent string, t *wire.Ticket, l dispatch.Listener) bool {
 	return a.Fleet.Place(agent, t, l)
 }
