--- a/internal/entry/api/api.go
+++ b/internal/entry/api/api.go
@@ -1,7 +1,7 @@
-// Package api is what callers see of an entry: the chat completions and
-// models of OpenAI's HTTP API, and the plain services. It reads and checks a
-// request, finds its class and customer, hands it to the dispatcher, and
-// writes the one final answer. Start reading at API.Register.
+// Package api implements the client-facing HTTP API of an entry: OpenAI-compatible chat
+// completions and model list, and calls to HTTP services. It reads and validates a
+// request, determines its class and customer, hands it to the dispatcher, and writes
+// exactly one final response. The routes are in API.Register.
 package api
 
 import (
@@ -19,68 +19,71 @@
 	"github.com/applepier/applepier/internal/unread"
 )
 
-// Header names of applepier's own.
+// Request and response headers specific to applepier.
 const (
-	// HeaderClass names the class of work.
+	// HeaderClass names the class of work of a request.
 	HeaderClass = "X-Applepier-Class"
-	// HeaderOutcome says what became of the request.
+	// HeaderOutcome reports the outcome of a request in its response.
 	HeaderOutcome = "X-Applepier-Outcome"
-	// HeaderRequest is the request's id, for support and the time line.
+	// HeaderRequestID carries the request ID, for support and for finding the request in
+	// the timeline.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderIdempotencyKey makes repeats of a call run at most once.
+	// HeaderIdempotencyKey carries the idempotency key. Calls with the same key run at
+	// most once.
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 const (
-	// maxBody bounds a request's body in bytes; the long prompts of the lowest
-	// tiers have some hundred kilobytes.
+	// maxBodyBytes limits a request body. Long prompts of the lowest tiers have some
+	// hundred kilobytes.
 	maxBodyBytes = 4 << 20
-	// bodyTimeout bounds the reading of a body from a slow caller.
+	// bodyTimeout limits reading the body from a slow client.
 	bodyTimeout = 30 * time.Second
-	// writeTimeout bounds one write to a caller that stops reading.
+	// writeTimeout limits one write to a client that stops reading.
 	writeTimeout = 30 * time.Second
-	// maxInFlight bounds the requests that an entry holds, as maxHeld bounds
-	// the bytes of their bodies. At the target size an entry has 3,600/410 = 9
-	// requests a second, so that this is far more than any queue that meets a
-	// target.
+	// maxInFlight limits the requests in flight, as maxBodyMemory limits the memory of
+	// their bodies. At the target size an entry gets 3,600/410 = 9 requests a second, so
+	// this is far more than any queue that still meets a latency target.
 	maxInFlight = 2048
-	// busyRetryAfter is when to come back to an entry that is full.
+	// busyRetryAfter is the Retry-After of responses from an entry without capacity.
 	busyRetryAfter = 2 * time.Second
 )
 
-// Reasons why an entry itself refuses a request.
+// Reasons for which an entry refuses requests itself.
 const (
 	reasonEntryFull  = "entry_full"
 	reasonBodiesFull = "bodies_full"
 )
 
-// Dispatcher carries a request to its final answer.
+// Dispatcher runs a request on a backend server.
 type Dispatcher interface {
 	Do(ctx context.Context, r *dispatch.Request, sink dispatch.Sink) dispatch.Result
 }
 
-// Served tells which models and services there are.
+// Catalog lists the available models and services.
 type Catalog interface {
 	Serves() []string
 }
 
-// Authenticator finds the customer that sends a request.
+// Authenticator determines the customer that sent a request. Customer returns an error if
+// the request has no valid credentials.
 type Authenticator interface {
 	Customer(set *targets.Set, r *http.Request) (string, error)
 }
 
-// Observer hears what became of each request, for the metrics.
+// Observer is notified of received requests and their outcomes, for the metrics.
 type Observer interface {
-	// Received is called once for each request that is taken in.
+	// RequestReceived is called once for each accepted request.
 	RequestReceived(class string)
-	// Refused is called for a request that is turned away before its class is
-	// certain; class is UnknownClass where it names none that there is.
+	// RequestRefused is called for a request that is refused before its class is
+	// verified. The class is UnknownClass if the request names no existing class.
 	RequestRefused(class, reason string)
-	// Ended is called once for each request that was received.
-	RequestEnded(class targets.Class, r dispatch.Result, took time.Duration)
+	// RequestEnded is called once for each accepted request, with the time since it
+	// arrived.
+	RequestEnded(class targets.Class, r dispatch.Result, duration time.Duration)
 }
 
-// Config is what an API works with.
+// Config holds the dependencies of an API.
 type Config struct {
 	Targets    *targets.Holder
 	Dispatcher Dispatcher
@@ -93,7 +96,7 @@
 	Log        *zap.Logger
 }
 
-// API serves callers.
+// API serves client requests. It is safe for concurrent use.
 type API struct {
 	config Config
 
@@ -103,10 +106,10 @@
 	inFlight int
 }
 
-// New returns an API.
+// New returns an API that uses the dependencies in c.
 func New(c Config) *API { return &API{config: c} }
 
-// Register adds the callers' routes.
+// Register adds the client routes to router.
 func (a *API) Register(router *httprouter.Router) {
 	router.HandlerFunc(http.MethodPost, "/v1/chat/completions", a.limitInFlight(a.chat))
 	router.HandlerFunc(http.MethodGet, "/v1/models", a.models)
@@ -117,42 +120,44 @@
 	router.MethodNotAllowed = http.HandlerFunc(handleMethodNotAllowed)
 }
 
-// serviceMethods are the methods that plain services are called with.
+// serviceMethods are the HTTP methods accepted for calls to services.
 var serviceMethods = []string{http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete}
 
 func handleNotFound(w http.ResponseWriter, r *http.Request) {
 	refuseWithoutBody(w, r, apiError{status: http.StatusNotFound, code: "not_found", message: "there is no such path; see docs/API.md"})
 }
 
-// noMethod answers a path that there is under another method; the router has named those
-// that it takes.
+// handleMethodNotAllowed responds to a known path with an unsupported method; the router
+// has already set the Allow header.
 func handleMethodNotAllowed(w http.ResponseWriter, r *http.Request) {
 	refuseWithoutBody(w, r, apiError{status: http.StatusMethodNotAllowed, code: "method_not_allowed", message: "the path doesn't take the method; see docs/API.md"})
 }
 
-// refuseUnread answers a request whose body hasn't been read, without waiting for it: a
-// caller that sends none would get no answer until it leaves.
+// refuseWithoutBody writes an error response without waiting for the request body: a
+// client that announces a body and doesn't send it would otherwise get no response until
+// it disconnects.
 func refuseWithoutBody(w http.ResponseWriter, r *http.Request, e apiError) {
 	unread.Answer(w, r, false, func() { writeError(w, e) })
 }
 
-// counted bounds the requests that are held at once.
+// limitInFlight refuses requests beyond maxInFlight.
 func (a *API) limitInFlight(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if !a.admit() {
+		if !a.beginRequest() {
 			unread.Answer(w, r, false, func() { a.refuseAtCapacity(w, r, reasonEntryFull) })
 			return
 		}
-		defer a.done()
+		defer a.endRequest()
 		next(w, r)
 	}
 }
 
-// UnknownClass stands in the metrics for the class of a request that was
-// refused before it was known. No class can have this name.
+// UnknownClass is the class label in the metrics for requests that were refused before
+// their class was determined. It is not a valid class name.
 const UnknownClass = "(unknown)"
 
-// turnAway refuses a request for want of room before its class is certain.
+// refuseAtCapacity refuses a request because of a lack of capacity, before its class is
+// verified.
 func (a *API) refuseAtCapacity(w http.ResponseWriter, r *http.Request, reason string) {
 	class := UnknownClass
 	if named, ok := a.config.Targets.Current().Class(r.Header.Get(HeaderClass)); ok {
@@ -162,7 +167,7 @@
 	writeError(w, notRunError(reason, busyRetryAfter))
 }
 
-func (a *API) admit() bool {
+func (a *API) beginRequest() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.inFlight >= maxInFlight {
@@ -172,13 +177,13 @@
 	return true
 }
 
-func (a *API) done() {
+func (a *API) endRequest() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.inFlight--
 }
 
-// InFlight counts the requests that are held now.
+// InFlight returns the number of requests in flight.
 func (a *API) InFlight() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/entry/api/api_error.go
+++ b/internal/entry/api/api_error.go
@@ -11,7 +11,7 @@
 	"github.com/applepier/applepier/internal/entry/dispatch"
 )
 
-// problem is an error as callers get it, in OpenAI's shape.
+// apiError is an error response in OpenAI's format.
 type apiError struct {
 	status     int
 	code       string
@@ -19,7 +19,8 @@
 	param      string
 	outcome    dispatch.Outcome
 	retryAfter time.Duration
-	// reason is why it was not run; empty where the code says it.
+	// reason is why the request was not run, for the metrics. If it is empty, code is the
+	// reason.
 	reason string
 }
 
@@ -49,7 +50,7 @@
 	return "server_error"
 }
 
-// writeError sends a problem as the whole answer.
+// writeError sends e as the whole response.
 func writeError(w http.ResponseWriter, e apiError) {
 	data, err := json.Marshal(e.body())
 	if err != nil {
@@ -65,14 +66,15 @@
 		h.Set("Retry-After", strconv.Itoa(retrySeconds(e.retryAfter)))
 	}
 	if e.outcome == dispatch.Unknown || e.outcome == dispatch.Failed {
-		// Well-behaved clients, OpenAI's among them, then don't send again.
+		// Clients that honor this header, such as OpenAI's, then don't retry.
 		h.Set("X-Should-Retry", "false")
 	}
 	w.WriteHeader(e.status)
 	_, _ = w.Write(data)
 }
 
-// retrySeconds rounds up: Retry-After has whole seconds (RFC 9110, 10.2.3).
+// retrySeconds rounds d up to whole seconds, as Retry-After requires (RFC 9110, 10.2.3).
+// The result is at least 1.
 func retrySeconds(d time.Duration) int {
 	return max(1, int(math.Ceil(d.Seconds())))
 }
@@ -81,10 +83,12 @@
 	return apiError{status: http.StatusBadRequest, code: code, param: param, message: message, outcome: dispatch.NotRun}
 }
 
-// minRetryAfter is the least that Retry-After can state.
+// minRetryAfter is the smallest Retry-After of requests that were not run, in the
+// header's resolution.
 const minRetryAfter = time.Second
 
-// notRun says that a request was certainly not run, and when to come back.
+// notRunError returns the error for a request that was certainly not run and may be
+// retried after the given time.
 func notRunError(reason string, retryAfter time.Duration) apiError {
 	retryAfter = max(retryAfter, minRetryAfter)
 	status := http.StatusServiceUnavailable
@@ -101,7 +105,7 @@
 	}
 }
 
-// problemOf turns a result that is not whole into what the caller is told.
+// resultError returns the error for a dispatch result other than Whole, Rejected or Gone.
 func resultError(r dispatch.Result) apiError {
 	switch r.Outcome {
 	case dispatch.NotRun:
--- a/internal/entry/api/bench_test.go
+++ b/internal/entry/api/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// discard is a caller that reads everything and keeps nothing.
+// discardWriter is an http.ResponseWriter that discards the response.
 type discardWriter struct{ header http.Header }
 
 func (d discardWriter) Header() http.Header          { return d.header }
@@ -16,8 +16,8 @@
 func (discardWriter) WriteHeader(int)                {}
 func (discardWriter) Flush()                         {}
 
-// BenchmarkStreamedToken is what an entry pays to pass one token on, without
-// the system calls of the connections.
+// BenchmarkStreamedToken measures forwarding one token in a stream, without the system
+// calls of the connections.
 func BenchmarkStreamedToken(b *testing.B) {
 	chunk := `{"id":"chatcmpl-1","object":"chat.completion.chunk","created":1764000000,"model":"assistant",` +
 		`"choices":[{"index":0,"delta":{"content":" manhole"},"finish_reason":null}]}`
@@ -31,8 +31,8 @@
 	}
 }
 
-// BenchmarkHeldRequest is the live memory of a request that is held with a
-// body of 100 KB: heap-B, of which body-B are the body.
+// BenchmarkHeldRequest measures the live memory of a request in flight with a body of 100
+// KB. heap-B is the total; body-B is the part taken by the body.
 func BenchmarkHeldRequest(b *testing.B) {
 	const bodyBytes = 100_000
 	f := newBlockingFixture(b, nil)
--- a/internal/entry/api/body_budget.go
+++ b/internal/entry/api/body_budget.go
@@ -8,51 +8,53 @@
 )
 
 const (
-	// maxHeld bounds the bytes of all bodies that an entry holds at once. Of
-	// 128 MB some 25 MB are connections, time line and metrics at the target
-	// size; with as much again for the bodies the collector lets the heap grow
-	// to 100 MB, and the rest is for copies while bodies are sent on. The peak
-	// there needs 9 MB: 8.8 requests a second of 100 KB for 10 seconds.
+	// maxBodyMemory limits the bytes of all request bodies in memory. Of the entry's 128
+	// MB, some 25 MB are connections, timeline and metrics at the target size. With as
+	// much again for bodies, the garbage collector lets the heap grow to 100 MB; the rest
+	// is for copies while bodies are forwarded. Peak load at the target size needs 9 MB:
+	// 8.8 requests a second of 100 KB for 10 seconds.
 	maxBodyMemory = 24 << 20
-	// heldUnnamed and heldLower keep a part of that back: the bodies of less
-	// urgent tiers are taken up to heldLower, those whose class isn't known
-	// before they have been read up to heldUnnamed, so that neither makes an
-	// urgent tier's be refused. Each step is one body of the largest size.
+	// maxBodyMemoryUnknownClass and maxBodyMemoryNonUrgent reserve part of maxBodyMemory
+	// for urgent tiers, so that other bodies cannot cause urgent ones to be refused.
+	// Bodies of non-urgent tiers are limited by maxBodyMemoryNonUrgent, and bodies whose
+	// class isn't known before they are read by maxBodyMemoryUnknownClass. Each step is
+	// one body of maxBodyBytes.
 	maxBodyMemoryUnknownClass = maxBodyMemory - maxBodyBytes
 	maxBodyMemoryNonUrgent    = maxBodyMemoryUnknownClass - maxBodyBytes
 )
 
-// heldBytes counts the bytes of the bodies that are held.
+// bodyBudget counts the bytes reserved for request bodies. It is safe for concurrent use.
 type bodyBudget struct {
-	mu   sync.Mutex
-	used int64
+	mu       sync.Mutex
+	reserved int64
 }
 
-// acquire takes n bytes if no more than bound are held then.
+// tryAcquire reserves n bytes and returns true if at most limit bytes are then reserved.
 func (b *bodyBudget) tryAcquire(n, limit int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.used+n > limit {
+	if b.reserved+n > limit {
 		return false
 	}
-	b.used += n
+	b.reserved += n
 	return true
 }
 
 func (b *bodyBudget) release(n int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.used -= n
+	b.reserved -= n
 }
 
-// within reports whether no more than bound are held.
+// within reports whether at most limit bytes are reserved.
 func (b *bodyBudget) within(limit int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.used <= limit
+	return b.reserved <= limit
 }
 
-// boundOf is up to how many held bytes a class's bodies are taken.
+// bodyMemoryLimit returns the limit in bytes on the memory of all bodies up to which a
+// body of class c is accepted.
 func bodyMemoryLimit(c targets.Class) int64 {
 	if policy.Tier(c.Tier).Urgent() {
 		return maxBodyMemory
@@ -60,7 +62,9 @@
 	return maxBodyMemoryNonUrgent
 }
 
-// boundOfNamed is boundOf the class that a caller names, before more is known.
+// bodyMemoryLimitByName returns the body memory limit for the class that a client names,
+// for use before the body is read. An unknown, retired or missing name gets
+// maxBodyMemoryUnknownClass.
 func bodyMemoryLimitByName(set *targets.Set, name string) int64 {
 	class, ok := set.Class(name)
 	if !ok || class.Retired {
--- a/internal/entry/api/body_budget_test.go
+++ b/internal/entry/api/body_budget_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// largeBody is what one call of these tests takes.
+// largeBodyBytes is the body size of the requests that fill the budget in these tests.
 const largeBodyBytes = 256 << 10
 
 func TestBodyMemoryIsBounded(t *testing.T) {
@@ -27,7 +27,7 @@
 	f.releaseAll()
 }
 
-// An urgent tier has room for one body of the largest size whatever others do.
+// Whatever memory other bodies take, a body of the maximum size fits for an urgent tier.
 func TestUrgentReserveFitsLargestBody(t *testing.T) {
 	f := newBlockingFixture(t, nil)
 	f.reserveOtherBytes(maxBodyMemoryUnknownClass)
@@ -48,9 +48,9 @@
 	w := httptest.NewRecorder()
 	f.router.ServeHTTP(w, unknownLength(maxBodyBytes+1))
 	if w.Code != http.StatusRequestEntityTooLarge {
-		t.Fatalf("too large: %d", w.Code)
+		t.Fatalf("body too large: got status %d", w.Code)
 	}
-	f.reserveOtherBytes(maxBodyMemoryUnknownClass - f.api.bodyBudget.used - bodyReadBytes)
+	f.reserveOtherBytes(maxBodyMemoryUnknownClass - f.api.bodyBudget.reserved - bodyReadBytes)
 	f.mustRefuse(unknownLength(bodyReadBytes+1), reasonBodiesFull)
 	f.releaseAll()
 }
@@ -59,7 +59,7 @@
 	f := newBlockingFixture(t, nil)
 	w := httptest.NewRecorder()
 	f.router.ServeHTTP(w, chatCall("lower", "m", maxBodyBytes+1))
-	if w.Code != http.StatusRequestEntityTooLarge || f.api.bodyBudget.used != 0 {
-		t.Fatalf("%d, %d bytes held", w.Code, f.api.bodyBudget.used)
+	if w.Code != http.StatusRequestEntityTooLarge || f.api.bodyBudget.reserved != 0 {
+		t.Fatalf("got status %d, %d bytes reserved", w.Code, f.api.bodyBudget.reserved)
 	}
 }
--- a/internal/entry/api/buffered_response.go
+++ b/internal/entry/api/buffered_response.go
@@ -11,7 +11,7 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// completion is a chat.completion of OpenAI's API.
+// completion is a chat.completion of the OpenAI API.
 type completion struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
@@ -34,11 +34,11 @@
 	ToolCalls []toolCallDelta `json:"tool_calls,omitempty"`
 }
 
-// maxChoices bounds the choices of one answer.
+// maxChoices limits the choices of one response.
 const maxChoices = 128
 
-// wholeAnswer collects the chunks and sends the answer when it is whole, so
-// that a cut answer can be resumed without the caller's seeing anything.
+// bufferedResponse collects all chunks and sends the response when it is complete, so
+// that an interrupted run can be resumed without the client noticing.
 type bufferedResponse struct {
 	w          http.ResponseWriter
 	completion completion
@@ -51,7 +51,8 @@
 
 func (b *bufferedResponse) started() bool { return false }
 
-// Frame adds one chunk.
+// Frame adds one chunk to the response. It returns an error for a chunk that can't be
+// decoded or has a choice index out of range.
 func (b *bufferedResponse) Frame(f wire.Frame) error {
 	var c chunk
 	if err := json.Unmarshal(f.Data, &c); err != nil {
@@ -93,7 +94,8 @@
 	}
 }
 
-// addToolCall joins the pieces of a call that came in several chunks.
+// addToolCallDelta appends the arguments in d to the tool call of the same index, or adds
+// a new tool call.
 func (m *message) addToolCallDelta(d toolCallDelta) {
 	for i := range m.ToolCalls {
 		if m.ToolCalls[i].Index == d.Index {
@@ -118,5 +120,5 @@
 	_, _ = b.w.Write(data)
 }
 
-// fail is never reached, since nothing is sent before the end.
+// fail is never called, because nothing is sent before finish.
 func (b *bufferedResponse) fail(apiError) {}
--- a/internal/entry/api/chat.go
+++ b/internal/entry/api/chat.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// bytesPerToken turns a prompt's length into an estimate of its tokens.
+	// bytesPerToken converts the length of a prompt into an estimated number of tokens.
 	bytesPerToken = 4
-	// defaultAnswer is the estimated answer in tokens where the caller sets no
-	// bound; nobody knows it in advance.
+	// defaultCompletionTokens is the estimated completion length of a request without a
+	// token limit. The real length isn't known in advance.
 	defaultCompletionTokens = 256
-	// prefixBytes is how much of the messages the prefix hash covers: long
-	// enough to tell system prompts apart, short enough to be shared.
+	// prefixHashBytes is how much of the messages the prefix hash covers: enough to
+	// distinguish system prompts, and little enough that requests share the prefix.
 	prefixHashBytes = 1024
 )
 
-// chatRequest is what the router reads of a chat completion request; all else
-// goes to the engine as it came.
+// chatRequest holds the fields of a chat completion request that the entry reads. The
+// request is forwarded to the engine unchanged.
 type chatRequest struct {
 	Model               string          `json:"model"`
 	Messages            json.RawMessage `json:"messages"`
@@ -39,7 +39,7 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// chat serves POST /v1/chat/completions.
+// chat handles POST /v1/chat/completions.
 func (a *API) chat(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	set := a.config.Targets.Current()
@@ -73,7 +73,7 @@
 	req.Size = chat.estimateTokens()
 	req.Prefix = chat.prefixHash()
 	req.Body = body.data
-	chat.Messages = nil // a copy of most of the body
+	chat.Messages = nil // frees a copy of most of the body
 	a.dispatchRequest(w, r, req, func(w http.ResponseWriter) response {
 		if chat.Stream {
 			return newStreamResponse(w, req.ID, chat.StreamOptions.IncludeUsage)
@@ -113,7 +113,7 @@
 	return chat, nil
 }
 
-// size estimates the work in tokens.
+// estimateTokens estimates the prompt and completion tokens of the request.
 func (c *chatRequest) estimateTokens() int {
 	completionTokens := defaultCompletionTokens
 	if c.MaxTokens > 0 {
--- a/internal/entry/api/chunk.go
+++ b/internal/entry/api/chunk.go
@@ -2,8 +2,8 @@
 
 import "encoding/json"
 
-// chunk is a chat.completion.chunk of OpenAI's API. What the router doesn't
-// read is kept as it came.
+// chunk is a chat.completion.chunk of the OpenAI API. Usage, log probabilities, service
+// tier and system fingerprint are kept as raw JSON.
 type chunk struct {
 	ID                string          `json:"id"`
 	Object            string          `json:"object"`
@@ -41,8 +41,8 @@
 	Arguments string `json:"arguments"`
 }
 
-// opensOnly reports whether a chunk carries the role and nothing else, as each
-// run's first one does.
+// isRoleOnly reports whether the chunk carries the role and nothing else, as the first
+// chunk of each run does.
 func (c *chunk) isRoleOnly() bool {
 	if len(c.Usage) > 0 && string(c.Usage) != "null" {
 		return false
--- a/internal/entry/api/claim_guard.go
+++ b/internal/entry/api/claim_guard.go
@@ -6,14 +6,14 @@
 	"github.com/applepier/applepier/internal/claim"
 )
 
-// guard records in the claim which grant is taken up, before the body is sent.
-// Only its request's goroutine uses it.
+// claimGuard records in the claim which grant is used, before the request body is sent.
+// It is not safe for concurrent use.
 type claimGuard struct {
 	claims ClaimStore
 	claim  claim.Claim
 }
 
-// Take records the grant durably.
+// Take durably records the grant in the claim.
 func (g *claimGuard) Take(ctx context.Context, agent, grant string) error {
 	c, err := g.claims.Grant(ctx, g.claim, agent, grant)
 	if err != nil {
--- a/internal/entry/api/claims.go
+++ b/internal/entry/api/claims.go
@@ -13,7 +13,8 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// Claims makes sure that calls with the same idempotency key run at most once.
+// ClaimStore stores claims on idempotency keys, so that calls with the same key run at
+// most once.
 type ClaimStore interface {
 	Claim(ctx context.Context, customer, key, fingerprint, attempt string) (claim.Claim, error)
 	Grant(ctx context.Context, c claim.Claim, agent, grant string) (claim.Claim, error)
@@ -23,25 +24,26 @@
 	Answer(ctx context.Context, c claim.Claim) ([]byte, error)
 }
 
-// Grants makes a grant that another entry took up unusable.
+// GrantVoider voids a grant that another entry has recorded, so that it can no longer be
+// used.
 type GrantVoider interface {
 	Void(ctx context.Context, agent, grant string) (wire.VoidResult, error)
 }
 
 const (
-	// maxKey bounds an idempotency key in bytes.
+	// maxIdempotencyKeyBytes limits the length of an idempotency key.
 	maxIdempotencyKeyBytes = 256
-	// claimTimeout bounds what is written after the answer has been given.
+	// settleTimeout limits recording the outcome after the response has been sent.
 	settleTimeout = 5 * time.Second
-	// inProgressRetryAfter is when a repeat of a call that still runs may ask
-	// again.
+	// inProgressRetryAfter is the Retry-After for a repeated call while the first one is
+	// still running.
 	inProgressRetryAfter = 2 * time.Second
-	// headerReplayed marks an answer that was kept from an earlier call.
+	// headerIdempotencyReplayed marks a stored response of an earlier call.
 	headerIdempotencyReplayed = "Idempotency-Replayed"
 )
 
-// begin claims the request's idempotency key. It returns the claim, or writes
-// the final answer and returns false.
+// claimIdempotencyKey claims the request's idempotency key. It returns the claim, or
+// writes the final response and returns false.
 func (a *API) claimIdempotencyKey(w http.ResponseWriter, r *http.Request, req *dispatch.Request) (*claimGuard, bool) {
 	key := r.Header.Get(HeaderIdempotencyKey)
 	if len(key) > maxIdempotencyKeyBytes {
@@ -62,12 +64,13 @@
 	return &claimGuard{claims: a.config.Claims, claim: c}, true
 }
 
-// errAnswered: the caller has got the final answer already.
-var errResponseWritten = errors.New("answered from the claim")
+// errResponseWritten is returned when the final response has already been written.
+var errResponseWritten = errors.New("response already written")
 
-// takeOver settles a claim that an earlier call has left: its answer is given
-// again, or its grant is voided and the work is this call's, or the caller is
-// told that it may have run.
+// resolveExistingClaim handles a claim that an earlier call has made. It replays the
+// stored response of a finished call; or it voids the grant and returns the claim for
+// this call; or it reports that the earlier call may have run. If it has written the
+// response, it returns errResponseWritten.
 func (a *API) resolveExistingClaim(w http.ResponseWriter, r *http.Request, c claim.Claim, req *dispatch.Request) (claim.Claim, error) {
 	if c.State == claim.StateFinished {
 		a.replayResponse(w, r, c, req)
@@ -84,15 +87,15 @@
 			return c, errResponseWritten
 		}
 	}
-	taken, err := a.config.Claims.TakeOver(r.Context(), c, req.ID)
+	claimed, err := a.config.Claims.TakeOver(r.Context(), c, req.ID)
 	if err != nil {
 		a.endWithoutDispatch(w, req, claimError(err))
 		return c, errResponseWritten
 	}
-	return taken, nil
+	return claimed, nil
 }
 
-// replay gives the answer of the call that ran.
+// replayResponse writes the stored response of the call that ran.
 func (a *API) replayResponse(w http.ResponseWriter, r *http.Request, c claim.Claim, req *dispatch.Request) {
 	body, err := a.config.Claims.Answer(r.Context(), c)
 	if err != nil || !c.Outcome.Whole {
@@ -111,7 +114,7 @@
 	a.config.Observer.RequestEnded(req.Class, dispatch.Result{Outcome: dispatch.Whole}, time.Since(req.Arrived))
 }
 
-// endBefore ends a request that was received but is not dispatched.
+// endWithoutDispatch ends a received request with an error, without dispatching it.
 func (a *API) endWithoutDispatch(w http.ResponseWriter, req *dispatch.Request, e apiError) {
 	reason := e.reason
 	if reason == "" {
@@ -149,18 +152,20 @@
 	}
 }
 
-// settle records how claimed work ended, after the answer was given.
-func (a *API) settleClaim(ctx context.Context, claimed *claimGuard, result dispatch.Result, rec *responseRecorder) {
+// settleClaim records the outcome of a claimed request after the response was sent: it
+// stores a complete response, and releases the claim of a request that did not run. In
+// all other cases the claim stays, and a repeated call resolves it.
+func (a *API) settleClaim(ctx context.Context, guard *claimGuard, result dispatch.Result, recorder *responseRecorder) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 	defer cancel()
 	var err error
 	switch {
 	case result.Outcome == dispatch.Whole:
-		_, err = a.config.Claims.Finish(ctx, claimed.claim, claim.Outcome{Whole: true, Status: rec.status, ContentType: rec.Header().Get("Content-Type"), Answer: rec.recordedBody()})
+		_, err = a.config.Claims.Finish(ctx, guard.claim, claim.Outcome{Whole: true, Status: recorder.status, ContentType: recorder.Header().Get("Content-Type"), Answer: recorder.recordedBody()})
 	case result.Outcome == dispatch.NotRun, result.Outcome == dispatch.Rejected, !result.Sent:
-		err = a.config.Claims.Release(ctx, claimed.claim)
+		err = a.config.Claims.Release(ctx, guard.claim)
 	}
 	if err != nil {
-		a.config.Log.Warn(logging.EventClaimNotSettled, logging.Request(claimed.claim.Attempt), logging.Reason(err.Error()))
+		a.config.Log.Warn(logging.EventClaimNotSettled, logging.Request(guard.claim.Attempt), logging.Reason(err.Error()))
 	}
 }
--- a/internal/entry/api/class.go
+++ b/internal/entry/api/class.go
@@ -9,8 +9,8 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-// classOf finds a request's class: the one it names, or the only one that its
-// model has. Unknown names are answered with those there are.
+// findClass returns the class that a chat request names, or the only class of its model
+// if it names none. The error for an unknown class or model lists the existing names.
 func (a *API) findClass(set *targets.Set, name, model string) (targets.Class, *apiError) {
 	if !slices.Contains(a.config.Catalog.Serves(), model) && !hasClassForModel(set, model) {
 		return targets.Class{}, a.unknownModelError(set, model)
@@ -61,7 +61,8 @@
 	return &e
 }
 
-// modelNames lists the models that classes run on.
+// modelNames returns the models that active classes run on, sorted and without
+// duplicates.
 func (a *API) modelNames(set *targets.Set) []string {
 	var names []string
 	for _, c := range set.Classes {
--- a/internal/entry/api/dispatch.go
+++ b/internal/entry/api/dispatch.go
@@ -9,19 +9,21 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-// answer writes what the caller gets.
+// response converts the frames from the backend server into the HTTP response for the
+// client.
 type response interface {
 	dispatch.Sink
-	// begun reports whether a part was sent already.
+	// started reports whether a part of the response has been sent.
 	started() bool
-	// finish ends a whole answer.
+	// finish completes a successful response.
 	finish()
-	// fail ends an answer that has begun in a way the caller can't miss.
-	fail(p apiError)
+	// fail terminates a response that has started, in a way that the client detects as an
+	// error.
+	fail(e apiError)
 }
 
-// carry has the request dispatched and writes its one final answer, which
-// build shapes for the caller.
+// dispatchRequest dispatches the request and writes its final response, in the format of
+// newResponse. A request with an idempotency key is claimed first.
 func (a *API) dispatchRequest(w http.ResponseWriter, r *http.Request, req *dispatch.Request, newResponse func(http.ResponseWriter) response) {
 	w.Header().Set(HeaderRequestID, req.ID)
 	if r.Header.Get(HeaderIdempotencyKey) != "" {
@@ -31,18 +33,18 @@
 	a.dispatchAndRespond(r.Context(), w, req, newResponse)
 }
 
-// carryClaimed is carry for a call with an idempotency key: whatever its class
-// says, it runs at most once.
+// dispatchClaimed dispatches a request with an idempotency key. The request runs at most
+// once, even if its class is repeatable.
 func (a *API) dispatchClaimed(w http.ResponseWriter, r *http.Request, req *dispatch.Request, newResponse func(http.ResponseWriter) response) {
-	claimed, ok := a.claimIdempotencyKey(w, r, req)
+	guard, ok := a.claimIdempotencyKey(w, r, req)
 	if !ok {
 		return
 	}
-	req.Guard = claimed
+	req.Guard = guard
 	req.Repeatable = false
-	rec := newResponseRecorder(w)
-	result := a.dispatchAndRespond(r.Context(), rec, req, newResponse)
-	a.settleClaim(r.Context(), claimed, result, rec)
+	recorder := newResponseRecorder(w)
+	result := a.dispatchAndRespond(r.Context(), recorder, req, newResponse)
+	a.settleClaim(r.Context(), guard, result, recorder)
 }
 
 func (a *API) dispatchAndRespond(ctx context.Context, w http.ResponseWriter, req *dispatch.Request, newResponse func(http.ResponseWriter) response) dispatch.Result {
@@ -67,7 +69,7 @@
 	}
 }
 
-// writeRejected passes the backend server's own error on.
+// writeBackendError forwards the backend server's own error response to the client.
 func writeBackendError(w http.ResponseWriter, result dispatch.Result) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(HeaderOutcome, string(dispatch.Rejected))
--- a/internal/entry/api/fake_test.go
+++ b/internal/entry/api/fake_test.go
@@ -20,7 +20,7 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// fakeDispatcher ends each request as its script says and counts the runs.
+// fakeDispatcher produces the results of script and counts the runs.
 type fakeDispatcher struct {
 	script func(r *dispatch.Request, sink dispatch.Sink) dispatch.Result
 	runs   int
@@ -36,7 +36,7 @@
 	return d.script(r, sink)
 }
 
-// fakeGrants answers Void as told; with nothing told the agent can't be asked.
+// fakeGrantVoider returns result from Void. Without a result the agent is unreachable.
 type fakeGrantVoider struct{ result wire.VoidResult }
 
 func (g *fakeGrantVoider) Void(context.Context, string, string) (wire.VoidResult, error) {
@@ -58,7 +58,7 @@
 
 func (stubDependencies) RequestEnded(targets.Class, dispatch.Result, time.Duration) {}
 
-// rig is an API over fakes, with claims in a table in memory.
+// testAPI is an API with fake dependencies and claims in an in-memory table.
 type testAPI struct {
 	dispatcher *fakeDispatcher
 	voider     *fakeGrantVoider
@@ -73,38 +73,38 @@
 		{Name: "summary", Model: "apple", Tier: 4},
 		{Name: "docket", Service: "ledger", Tier: 2},
 	}})
-	r := &testAPI{dispatcher: &fakeDispatcher{}, voider: &fakeGrantVoider{}, table: storagetest.NewTable(), router: httprouter.New()}
-	claimer := claim.NewClaimer(r.table)
+	api := &testAPI{dispatcher: &fakeDispatcher{}, voider: &fakeGrantVoider{}, table: storagetest.NewTable(), router: httprouter.New()}
+	claimer := claim.NewClaimer(api.table)
 	t.Cleanup(claimer.Close)
 	New(Config{
 		Targets:    holder,
-		Dispatcher: r.dispatcher,
+		Dispatcher: api.dispatcher,
 		Catalog:    stubDependencies{},
 		Auth:       stubDependencies{},
 		Claims:     claimer,
-		Grants:     r.voider,
+		Grants:     api.voider,
 		Observer:   stubDependencies{},
 		Timeline:   timeline.NewRing("entry", &timeline.Clock{}, 16),
 		Log:        zap.NewNop(),
-	}).Register(r.router)
-	return r
+	}).Register(api.router)
+	return api
 }
 
-func (r *testAPI) post(path, key, body string) *httptest.ResponseRecorder {
+func (api *testAPI) post(path, key, body string) *httptest.ResponseRecorder {
 	req := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
 	if key != "" {
 		req.Header.Set(HeaderIdempotencyKey, key)
 	}
 	w := httptest.NewRecorder()
-	r.router.ServeHTTP(w, req)
+	api.router.ServeHTTP(w, req)
 	return w
 }
 
-func (r *testAPI) postDocket(key string) *httptest.ResponseRecorder {
-	return r.post("/services/ledger/dockets", key, `{"weight":7}`)
+func (api *testAPI) postDocket(key string) *httptest.ResponseRecorder {
+	return api.post("/services/ledger/dockets", key, `{"weight":7}`)
 }
 
-// serveDocket answers a plain service's call whole.
+// serveDocket sends a complete response to a service call.
 func serveDocket(_ *dispatch.Request, sink dispatch.Sink) dispatch.Result {
 	_ = sink.Frame(wire.Frame{Kind: wire.FrameHead, Status: http.StatusCreated, Header: []wire.Header{{Name: "Content-Type", Value: "text/plain"}}})
 	_ = sink.Frame(wire.Frame{Kind: wire.FrameData, Data: []byte("docket 1")})
--- a/internal/entry/api/fixture_test.go
+++ b/internal/entry/api/fixture_test.go
@@ -18,12 +18,12 @@
 	"github.com/applepier/applepier/internal/timeline"
 )
 
-// fixture is an API whose dispatcher holds requests until they are let go.
+// blockingFixture is an API whose dispatcher blocks requests until they are released.
 type blockingFixture struct {
 	t          testing.TB
 	api        *API
 	router     *httprouter.Router
-	observer   *recordingObserver
+	recorder   *recordingObserver
 	dispatched chan string
 	release    chan struct{}
 	otherBytes int64
@@ -31,7 +31,7 @@
 
 func newBlockingFixture(t testing.TB, claims ClaimStore) *blockingFixture {
 	t.Helper()
-	f := &blockingFixture{t: t, router: httprouter.New(), observer: &recordingObserver{}, dispatched: make(chan string), release: make(chan struct{})}
+	f := &blockingFixture{t: t, router: httprouter.New(), recorder: &recordingObserver{}, dispatched: make(chan string), release: make(chan struct{})}
 	holder := targets.NewHolder()
 	holder.Offer(&targets.Set{Version: 1, Classes: []targets.Class{
 		{Name: "urgent", Tier: 1, Model: "m"},
@@ -41,7 +41,7 @@
 		{Name: "gate", Tier: 3, Service: "gate"},
 	}})
 	f.api = New(Config{
-		Targets: holder, Dispatcher: f, Catalog: f, Auth: f, Claims: claims, Observer: f.observer,
+		Targets: holder, Dispatcher: f, Catalog: f, Auth: f, Claims: claims, Observer: f.recorder,
 		Timeline: timeline.NewRing("e", &timeline.Clock{}, 16), Log: zap.NewNop(),
 	})
 	f.api.Register(f.router)
@@ -76,28 +76,28 @@
 	return r
 }
 
-// send sends a call until the dispatcher has it, whose class is then returned,
-// or until it is answered.
-func (f *blockingFixture) send(r *http.Request) (class string, answered *httptest.ResponseRecorder) {
+// send sends a request. It returns the class when the dispatcher receives the request, or
+// the response if there is one first.
+func (f *blockingFixture) send(r *http.Request) (class string, resp *httptest.ResponseRecorder) {
 	f.t.Helper()
-	answer := make(chan *httptest.ResponseRecorder, 1)
+	responses := make(chan *httptest.ResponseRecorder, 1)
 	go func() {
 		w := httptest.NewRecorder()
 		f.router.ServeHTTP(w, r)
-		answer <- w
+		responses <- w
 	}()
 	select {
 	case class := <-f.dispatched:
 		return class, nil
-	case w := <-answer:
+	case w := <-responses:
 		return "", w
 	case <-time.After(time.Minute):
-		f.t.Fatal("neither dispatched nor answered")
+		f.t.Fatal("no dispatch and no response")
 		return "", nil
 	}
 }
 
-// hold sends a call that the dispatcher must get and hold.
+// mustDispatch sends a request that must reach the dispatcher, which then blocks it.
 func (f *blockingFixture) mustDispatch(r *http.Request, class string) {
 	f.t.Helper()
 	got, w := f.send(r)
@@ -109,7 +109,7 @@
 	}
 }
 
-// refuse sends a call that must be answered as not run without a dispatch.
+// mustRefuse sends a request that must be refused as not run, without being dispatched.
 func (f *blockingFixture) mustRefuse(r *http.Request, reason string) {
 	f.t.Helper()
 	class, w := f.send(r)
@@ -122,36 +122,37 @@
 	}
 }
 
-// holdOthers takes bytes as the bodies of calls that the test doesn't make.
+// reserveOtherBytes reserves body memory as requests outside of the test would.
 func (f *blockingFixture) reserveOtherBytes(bytes int64) {
 	f.otherBytes += bytes
 	f.api.bodyBudget.tryAcquire(bytes, maxBodyMemory)
 }
 
-// letAllGo ends the calls that are held and waits until they have ended.
+// releaseAll releases the blocked requests, waits until they have ended and checks that
+// their body memory was released.
 func (f *blockingFixture) releaseAll() {
 	f.t.Helper()
 	close(f.release)
 	for deadline := time.Now().Add(time.Minute); f.api.InFlight() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			f.t.Fatal("calls did not end")
+			f.t.Fatal("requests did not end")
 		}
 	}
-	if held := f.api.bodyBudget.used - f.otherBytes; held != 0 {
-		f.t.Fatalf("%d bytes are still held", held)
+	if reserved := f.api.bodyBudget.reserved - f.otherBytes; reserved != 0 {
+		f.t.Fatalf("%d bytes are still reserved", reserved)
 	}
 }
 
-// observed notes what an Observer hears, a line each.
+// recordingObserver is an Observer that records one line for each event.
 type recordingObserver struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-func (o *recordingObserver) record(words ...string) {
+func (o *recordingObserver) record(fields ...string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.lines = append(o.lines, strings.Join(words, " "))
+	o.lines = append(o.lines, strings.Join(fields, " "))
 }
 
 func (o *recordingObserver) events() []string {
--- a/internal/entry/api/models.go
+++ b/internal/entry/api/models.go
@@ -17,7 +17,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// models serves GET /v1/models.
+// models handles GET /v1/models.
 func (a *API) models(w http.ResponseWriter, r *http.Request) {
 	set := a.config.Targets.Current()
 	if _, ok := a.authenticate(w, r, set); !ok {
--- a/internal/entry/api/observer_test.go
+++ b/internal/entry/api/observer_test.go
@@ -9,7 +9,7 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// unavailable are claims whose table service is down.
+// unavailableClaims is a ClaimStore whose table service is down.
 type unavailableClaims struct{ ClaimStore }
 
 func (unavailableClaims) Claim(context.Context, string, string, string, string) (claim.Claim, error) {
@@ -18,7 +18,7 @@
 
 func (f *blockingFixture) wantEvents(want ...string) {
 	f.t.Helper()
-	if got := f.observer.events(); !slices.Equal(got, want) {
+	if got := f.recorder.events(); !slices.Equal(got, want) {
 		f.t.Fatalf("observed %q, want %q", got, want)
 	}
 }
--- a/internal/entry/api/refusal_test.go
+++ b/internal/entry/api/refusal_test.go
@@ -17,11 +17,12 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-// answerSoon is when an answer that waits for nothing has certainly come: far
-// below bodyTimeout, and enough for a busy machine.
+// responseTimeout is the time limit for responses that must not wait for a body: far less
+// than bodyTimeout, and long enough for a busy machine.
 const responseTimeout = 10 * time.Second
 
-// refusing is a server that holds as many bodies as it may, and a connection.
+// dialFullServer starts a server whose body memory is exhausted and returns a connection
+// to it.
 func dialFullServer(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	f := newBlockingFixture(t, nil)
@@ -46,12 +47,12 @@
 	}
 }
 
-// readRefusal reads a whole refusal for want of room.
+// readRefusal reads a complete response that refuses a request for lack of body memory.
 func readRefusal(t *testing.T, reader *bufio.Reader) *http.Response {
 	t.Helper()
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	data, err := io.ReadAll(response.Body)
 	if err != nil || response.StatusCode != http.StatusServiceUnavailable || !strings.Contains(string(data), reasonBodiesFull) {
@@ -60,19 +61,20 @@
 	return response
 }
 
-// A refusal once came only when the body did that it had no room for.
+// Regression test: the response to a body that did not fit into memory was sent only
+// after the body had arrived.
 func TestRefusalDoesNotWaitForBody(t *testing.T) {
 	conn, reader := dialFullServer(t)
 	sendRequestHead(t, conn, 100<<10)
 	if response := readRefusal(t, reader); !response.Close {
-		t.Fatal("the connection is kept with a body that hasn't come")
+		t.Fatal("connection kept open with an unread body")
 	}
 	if _, err := reader.ReadByte(); err != io.EOF {
-		t.Fatalf("after the refusal: %v, want its end", err)
+		t.Fatalf("after the refusal: got %v, want EOF", err)
 	}
 }
 
-// The caller of a body that is on its way sees the refusal, not a reset.
+// A client that is still sending its body receives the refusal, not a connection reset.
 func TestRefusalReachesSendingClient(t *testing.T) {
 	conn, reader := dialFullServer(t)
 	const length = 400 << 10
@@ -91,12 +93,12 @@
 			t.Fatal(err)
 		}
 		if response := readRefusal(t, reader); response.Close {
-			t.Fatal("closed, though the body has come whole")
+			t.Fatal("connection closed although the body was sent completely")
 		}
 	}
 }
 
-// slowBody comes whole, but only after a time.
+// slowBody delays the first read of a complete body.
 type slowBody struct {
 	io.Reader
 	delay time.Duration
@@ -108,7 +110,8 @@
 	return b.Reader.Read(p)
 }
 
-// What has come is used, also if the deadline for it passed beside it.
+// A body that was received completely is used even if its read deadline passes at the
+// same moment.
 func TestBodyCompletedAtDeadlineIsDispatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newBlockingFixture(t, nil)
@@ -119,8 +122,8 @@
 	})
 }
 
-// Whatever is refused before its body is read is answered without the body, and the
-// answer is seen by a caller that sends on.
+// Requests that are refused before their body is read get a response without waiting for
+// the body, and a client that is still sending receives it.
 func TestEarlyRefusalsDoNotWaitForBodies(t *testing.T) {
 	cases := map[string]struct {
 		head   string
@@ -161,7 +164,7 @@
 				}
 				response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 				if err != nil {
-					t.Fatalf("no answer after %d bytes of the body: %v", sent, err)
+					t.Fatalf("no response after %d bytes of the body: %v", sent, err)
 				}
 				if _, err := io.ReadAll(response.Body); err != nil || response.StatusCode != c.status {
 					t.Errorf("status %d, %v, after %d bytes of the body; want %d", response.StatusCode, err, sent, c.status)
@@ -171,7 +174,7 @@
 	}
 }
 
-// noCaller knows no customer.
+// noCustomerAuth is an Authenticator that rejects every request.
 type noCustomerAuth struct{}
 
 func (noCustomerAuth) Customer(*targets.Set, *http.Request) (string, error) {
--- a/internal/entry/api/request_body.go
+++ b/internal/entry/api/request_body.go
@@ -10,50 +10,52 @@
 	"github.com/applepier/applepier/internal/unread"
 )
 
-// errBodiesFull: the bytes of the bodies held have reached their bound.
-var errBodyBudget = errors.New("bodies held have reached their bound")
+// errBodyBudgetExceeded is returned when a body does not fit into the memory limit for
+// bodies.
+var errBodyBudgetExceeded = errors.New("memory limit for request bodies reached")
 
-// heldBody is a request's body and its share of the bytes held.
+// requestBody is a request body and the memory that is reserved for it in the budget.
 type requestBody struct {
 	data     []byte
 	budget   *bodyBudget
 	reserved int64
 }
 
-// release gives the share back; the body may no longer be used.
+// release returns the reservation to the budget. The body must not be used afterwards.
 func (b *requestBody) release() {
 	b.budget.release(b.reserved)
 	b.data = nil
 	b.reserved = 0
 }
 
-// grow takes a share of n bytes more.
+// reserve reserves n more bytes. It returns errBodyBudgetExceeded if more than limit
+// bytes would then be reserved for all bodies.
 func (b *requestBody) reserve(n, limit int64) error {
 	if !b.budget.tryAcquire(n, limit) {
-		return errBodyBudget
+		return errBodyBudgetExceeded
 	}
 	b.reserved += n
 	return nil
 }
 
-// readBody reads a bounded body from a caller that may be slow, into the bytes
-// that may be held up to bound. It answers the caller and returns false when
-// it can't; otherwise the caller of readBody releases the body.
+// readBody reads a body of at most maxBodyBytes from a possibly slow client. It fails if
+// the bodies of all requests would then take more than limit bytes. On failure it writes
+// the error response and returns false; otherwise the caller must release the body.
 func (a *API) readBody(w http.ResponseWriter, r *http.Request, limit int64) (*requestBody, bool) {
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
 	body := &requestBody{budget: &a.bodyBudget}
 	err := body.read(w, r, limit)
 	if err == nil {
-		// A body that has come counts, also if that was at the last moment:
-		// net/http took the deadline away with the body's end.
+		// A body that was read completely is used even if its deadline has just passed:
+		// net/http clears the read deadline at the end of the body.
 		_ = control.SetReadDeadline(time.Time{})
 		return body, true
 	}
 	body.release()
-	timedOut := !errors.Is(err, errBodyBudget) && !isTooLarge(err)
+	timedOut := !errors.Is(err, errBodyBudgetExceeded) && !isTooLarge(err)
 	unread.Answer(w, r, timedOut, func() {
-		if errors.Is(err, errBodyBudget) {
+		if errors.Is(err, errBodyBudgetExceeded) {
 			a.refuseAtCapacity(w, r, reasonBodiesFull)
 		} else {
 			writeError(w, bodyReadError(err))
@@ -62,9 +64,8 @@
 	return nil, false
 }
 
-// read takes the share of a declared length before the first byte, so that no
-// body is refused when half of it has been read; of an undeclared one as its
-// bytes come.
+// read reserves the memory of a body with a Content-Length before reading it, so that
+// such a body isn't refused halfway. A body of unknown length is reserved as it arrives.
 func (b *requestBody) read(w http.ResponseWriter, r *http.Request, limit int64) error {
 	if r.ContentLength > maxBodyBytes {
 		return &http.MaxBytesError{Limit: maxBodyBytes}
@@ -82,7 +83,8 @@
 	return nil
 }
 
-// bodyStep is in which steps an undeclared body takes its share.
+// bodyReadBytes is the size of the steps in which memory is reserved for a body of
+// unknown length.
 const bodyReadBytes = 64 << 10
 
 func (b *requestBody) readUnknownLength(src io.Reader, limit int64) error {
@@ -90,12 +92,12 @@
 		if err := b.reserve(bodyReadBytes, limit); err != nil {
 			return err
 		}
-		part, err := io.ReadAll(io.LimitReader(src, bodyReadBytes))
+		chunk, err := io.ReadAll(io.LimitReader(src, bodyReadBytes))
 		if err != nil {
 			return errors.Wrap(err, "read body")
 		}
-		b.data = append(b.data, part...)
-		if len(part) < bodyReadBytes {
+		b.data = append(b.data, chunk...)
+		if len(chunk) < bodyReadBytes {
 			return nil
 		}
 	}
--- a/internal/entry/api/response_recorder.go
+++ b/internal/entry/api/response_recorder.go
@@ -6,8 +6,8 @@
 	"github.com/applepier/applepier/internal/claim"
 )
 
-// recorder keeps a copy of the answer to a call with an idempotency key, up to
-// what a claim may hold.
+// responseRecorder copies the response to a call with an idempotency key, up to
+// claim.MaxAnswer bytes of body.
 type responseRecorder struct {
 	http.ResponseWriter
 	status  int
@@ -19,16 +19,16 @@
 	return &responseRecorder{ResponseWriter: w, status: http.StatusOK}
 }
 
-// Unwrap lets http.ResponseController reach the connection.
+// Unwrap gives http.ResponseController access to the connection.
 func (r *responseRecorder) Unwrap() http.ResponseWriter { return r.ResponseWriter }
 
-// WriteHeader notes the status.
+// WriteHeader records and forwards the status.
 func (r *responseRecorder) WriteHeader(status int) {
 	r.status = status
 	r.ResponseWriter.WriteHeader(status)
 }
 
-// Write notes the body.
+// Write records and forwards a part of the body.
 func (r *responseRecorder) Write(p []byte) (int, error) {
 	if len(r.body)+len(p) > claim.MaxAnswer {
 		r.tooLong = true
@@ -40,7 +40,7 @@
 	return r.ResponseWriter.Write(p)
 }
 
-// answer is the whole body, or nil when it is too long to be kept.
+// recordedBody returns the complete body, or nil if it is too long to be stored.
 func (r *responseRecorder) recordedBody() []byte {
 	if r.tooLong {
 		return nil
--- a/internal/entry/api/response_test.go
+++ b/internal/entry/api/response_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// events are the server-sent events of an answer.
+// sseEvents returns the data of the server-sent events in a response.
 func sseEvents(w *httptest.ResponseRecorder) []string {
 	var list []string
 	for line := range strings.SplitSeq(w.Body.String(), "\n") {
@@ -43,11 +43,11 @@
 }
 
 func TestResumedStreamLooksLikeOneRun(t *testing.T) {
-	r := newTestAPI(t)
-	r.dispatcher.script = respondWith(dispatch.Whole, roleChunk, firstChunk, resumedRoleChunk, resumedChunk, usageChunk)
-	list := sseEvents(r.post("/v1/chat/completions", "", streamRequest))
+	api := newTestAPI(t)
+	api.dispatcher.script = respondWith(dispatch.Whole, roleChunk, firstChunk, resumedRoleChunk, resumedChunk, usageChunk)
+	list := sseEvents(api.post("/v1/chat/completions", "", streamRequest))
 	if len(list) != 4 || list[3] != "[DONE]" {
-		t.Fatalf("events: got %d %q, want opening, two pieces and the end mark", len(list), list)
+		t.Fatalf("events: got %d %q, want the role, two deltas and [DONE]", len(list), list)
 	}
 	var ids []string
 	for _, data := range list[:3] {
@@ -66,9 +66,9 @@
 }
 
 func TestInterruptedStreamEndsWithErrorWithoutDone(t *testing.T) {
-	r := newTestAPI(t)
-	r.dispatcher.script = respondWith(dispatch.Failed, roleChunk, firstChunk)
-	list := sseEvents(r.post("/v1/chat/completions", "", streamRequest))
+	api := newTestAPI(t)
+	api.dispatcher.script = respondWith(dispatch.Failed, roleChunk, firstChunk)
+	list := sseEvents(api.post("/v1/chat/completions", "", streamRequest))
 	last := list[len(list)-1]
 	if last == "[DONE]" || !strings.Contains(last, `"code":"failed"`) {
 		t.Fatalf("last event: %q", last)
@@ -76,9 +76,9 @@
 }
 
 func TestBufferedResponseJoinsChunks(t *testing.T) {
-	r := newTestAPI(t)
-	r.dispatcher.script = respondWith(dispatch.Whole, roleChunk, firstChunk, resumedRoleChunk, resumedChunk, usageChunk)
-	w := r.post("/v1/chat/completions", "", bufferedRequest)
+	api := newTestAPI(t)
+	api.dispatcher.script = respondWith(dispatch.Whole, roleChunk, firstChunk, resumedRoleChunk, resumedChunk, usageChunk)
+	w := api.post("/v1/chat/completions", "", bufferedRequest)
 	var got completion
 	if err := json.Unmarshal(w.Body.Bytes(), &got); err != nil {
 		t.Fatal(err)
@@ -90,22 +90,22 @@
 }
 
 func TestInterruptedBufferedResponseIsAnError(t *testing.T) {
-	r := newTestAPI(t)
-	r.dispatcher.script = respondWith(dispatch.Unknown, roleChunk, firstChunk)
-	w := r.post("/v1/chat/completions", "", bufferedRequest)
+	api := newTestAPI(t)
+	api.dispatcher.script = respondWith(dispatch.Unknown, roleChunk, firstChunk)
+	w := api.post("/v1/chat/completions", "", bufferedRequest)
 	if w.Code != http.StatusGatewayTimeout || strings.Contains(w.Body.String(), "one") {
 		t.Fatalf("got %d %s", w.Code, w.Body)
 	}
 }
 
 func TestToolCallDeltasAreJoined(t *testing.T) {
-	r := newTestAPI(t)
-	r.dispatcher.script = respondWith(dispatch.Whole,
+	api := newTestAPI(t)
+	api.dispatcher.script = respondWith(dispatch.Whole,
 		`{"choices":[{"index":0,"delta":{"tool_calls":[{"index":0,"id":"a","type":"function","function":{"name":"look","arguments":"{\"x\""}}]}}]}`,
 		`{"choices":[{"index":0,"delta":{"tool_calls":[{"index":0,"function":{"arguments":":1}"}}]},"finish_reason":"tool_calls"}]}`,
 	)
 	var got completion
-	if err := json.Unmarshal(r.post("/v1/chat/completions", "", bufferedRequest).Body.Bytes(), &got); err != nil {
+	if err := json.Unmarshal(api.post("/v1/chat/completions", "", bufferedRequest).Body.Bytes(), &got); err != nil {
 		t.Fatal(err)
 	}
 	calls := got.Choices[0].Message.ToolCalls
@@ -115,11 +115,11 @@
 }
 
 func TestBackendServerErrorIsForwarded(t *testing.T) {
-	r := newTestAPI(t)
-	r.dispatcher.script = func(*dispatch.Request, dispatch.Sink) dispatch.Result {
+	api := newTestAPI(t)
+	api.dispatcher.script = func(*dispatch.Request, dispatch.Sink) dispatch.Result {
 		return dispatch.Result{Outcome: dispatch.Rejected, Status: http.StatusBadRequest, Body: []byte(`{"error":{"code":"context_length_exceeded"}}`)}
 	}
-	w := r.post("/v1/chat/completions", "", bufferedRequest)
+	w := api.post("/v1/chat/completions", "", bufferedRequest)
 	if w.Code != http.StatusBadRequest || !strings.Contains(w.Body.String(), "context_length_exceeded") {
 		t.Fatalf("got %d %s", w.Code, w.Body)
 	}
--- a/internal/entry/api/service.go
+++ b/internal/entry/api/service.go
@@ -14,11 +14,11 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// forwarded are the request headers that a plain service gets; hop-by-hop
-// headers and the caller's key are left out (RFC 9110, 7.6.1).
+// forwardedHeaders are the request headers that an HTTP service receives. Hop-by-hop
+// headers (RFC 9110, 7.6.1) and the client's API key are not forwarded.
 var forwardedHeaders = []string{"Accept", "Accept-Language", "Content-Type", "If-Match", "If-None-Match", HeaderIdempotencyKey}
 
-// service serves /services/{name}/...
+// service handles /services/{name}/...
 func (a *API) service(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	set := a.config.Targets.Current()
@@ -48,8 +48,8 @@
 	})
 }
 
-// idempotent methods may be repeated whatever the class says (RFC 9110,
-// 9.2.2).
+// isIdempotent reports whether requests with the method may be repeated even if their
+// class is not repeatable (RFC 9110, 9.2.2).
 func isIdempotent(method string) bool {
 	return method != http.MethodPost && method != http.MethodPatch
 }
@@ -71,8 +71,8 @@
 	return headers
 }
 
-// serviceClass finds the class of a plain service's call: the one it names, or
-// the only one that the service has.
+// findServiceClass returns the class that a service call names, or the only class of the
+// service if it names none.
 func findServiceClass(set *targets.Set, name, service string) (targets.Class, *apiError) {
 	var found []targets.Class
 	for _, c := range set.Classes {
--- a/internal/entry/api/service_response.go
+++ b/internal/entry/api/service_response.go
@@ -9,7 +9,7 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// serviceAnswer passes a plain service's answer on as it comes.
+// serviceResponse streams the response of an HTTP service to the client.
 type serviceResponse struct {
 	w          http.ResponseWriter
 	control    *http.ResponseController
@@ -18,7 +18,7 @@
 
 func (s *serviceResponse) started() bool { return s.headerSent }
 
-// Frame passes the head, then each piece of the body.
+// Frame forwards the status and headers, then each part of the body.
 func (s *serviceResponse) Frame(f wire.Frame) error {
 	_ = s.control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if f.Kind == wire.FrameHead {
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// head leaves the length as the service gave it: a cut answer is then shorter
-// than it says, and no client takes it for whole.
+// writeHeader forwards the Content-Length of the service unchanged: if the response is
+// cut off, the body is shorter than declared and clients detect that it is incomplete.
 func (s *serviceResponse) writeHeader(f wire.Frame) {
 	for _, h := range f.Header {
 		s.w.Header().Add(h.Name, h.Value)
@@ -46,6 +46,6 @@
 
 func (s *serviceResponse) finish() {}
 
-// fail aborts the connection: HTTP has no other way to say that a body that
-// has begun is not whole.
+// fail aborts the connection: HTTP has no other way to signal that a body is incomplete
+// after it has started.
 func (s *serviceResponse) fail(apiError) { panic(http.ErrAbortHandler) }
--- a/internal/entry/api/stream_response.go
+++ b/internal/entry/api/stream_response.go
@@ -11,8 +11,9 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// streamAnswer sends the answer as server-sent events, as it comes. The
-// chunks of a resumed answer look like those of one run: one id, one opening.
+// streamResponse streams the chunks to the client as server-sent events. The chunks of a
+// resumed run get the ID and creation time of the first one, and its repeated role chunk
+// is dropped, so that the client sees a single run.
 type streamResponse struct {
 	w            http.ResponseWriter
 	control      *http.ResponseController
@@ -28,7 +29,7 @@
 
 func (s *streamResponse) started() bool { return s.headerSent }
 
-// Frame passes one chunk on.
+// Frame forwards one chunk.
 func (s *streamResponse) Frame(f wire.Frame) error {
 	var c chunk
 	if err := json.Unmarshal(f.Data, &c); err != nil {
@@ -85,7 +86,7 @@
 
 func (s *streamResponse) finish() { _ = s.sendEvent([]byte("[DONE]")) }
 
-// fail sends the error as the last event, without the end mark.
-func (s *streamResponse) fail(p apiError) { _ = s.sendJSON(p.body()) }
+// fail sends the error as the last event, without the [DONE] event.
+func (s *streamResponse) fail(e apiError) { _ = s.sendJSON(e.body()) }
 
 var _ dispatch.Sink = (*streamResponse)(nil)
