--- a/internal/entry/api/fixture_test.go
+++ b/internal/entry/api/fixture_test.go
@@ -55,10 +55,10 @@
 	return dispatch.Result{Outcome: dispatch.Whole}
 }
 
-// Serves implements Served.
+// Serves implements Catalog.
 func (f *blockingFixture) Serves() []string { return []string{"m", "n", "u"} }
 
-// Caller implements Authenticator.
+// Customer implements Authenticator.
 func (f *blockingFixture) Customer(*targets.Set, *http.Request) (string, error) {
 	return "customer", nil
 }
@@ -161,13 +161,13 @@
 	return slices.Clone(o.lines)
 }
 
-// Received implements Observer.
+// RequestReceived implements Observer.
 func (o *recordingObserver) RequestReceived(class string) { o.record("received", class) }
 
-// Refused implements Observer.
+// RequestRefused implements Observer.
 func (o *recordingObserver) RequestRefused(class, reason string) { o.record("refused", class, reason) }
 
-// Ended implements Observer.
+// RequestEnded implements Observer.
 func (o *recordingObserver) RequestEnded(class targets.Class, r dispatch.Result, _ time.Duration) {
 	o.record("ended", class.Name, string(r.Outcome), r.Reason)
 }
--- a/internal/entry/api/stream_response.go
+++ b/internal/entry/api/stream_response.go
@@ -84,6 +84,7 @@
 	s.w.WriteHeader(http.StatusOK)
 }
 
+// finish sends the [DONE] event, which marks the response as complete.
 func (s *streamResponse) finish() { _ = s.sendEvent([]byte("[DONE]")) }
 
 // fail sends the error as the last event, without the [DONE] event.
