--- /dev/null
+++ b/internal/entry/api/dispatch.go
@@ -0,0 +1,87 @@
+package api
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/applepier/applepier/internal/entry/dispatch"
+	"github.com/applepier/applepier/internal/targets"
+)
+
+// response converts the frames from the backend server into the HTTP response for the
+// client.
+type response interface {
+	dispatch.Sink
+	// started reports whether a part of the response has been sent.
+	started() bool
+	// finish completes a successful response.
+	finish()
+	// fail terminates a response that has started, in a way that the client detects as an
+	// error.
+	fail(e apiError)
+}
+
+// dispatchRequest dispatches the request and writes its final response, in the format of
+// newResponse. A request with an idempotency key is claimed first.
+func (a *API) dispatchRequest(w http.ResponseWriter, r *http.Request, req *dispatch.Request, newResponse func(http.ResponseWriter) response) {
+	w.Header().Set(HeaderRequestID, req.ID)
+	if r.Header.Get(HeaderIdempotencyKey) != "" {
+		a.dispatchClaimed(w, r, req, newResponse)
+		return
+	}
+	a.dispatchAndRespond(r.Context(), w, req, newResponse)
+}
+
+// dispatchClaimed dispatches a request with an idempotency key. The request runs at most
+// once, even if its class is repeatable.
+func (a *API) dispatchClaimed(w http.ResponseWriter, r *http.Request, req *dispatch.Request, newResponse func(http.ResponseWriter) response) {
+	guard, ok := a.claimIdempotencyKey(w, r, req)
+	if !ok {
+		return
+	}
+	req.Guard = guard
+	req.Repeatable = false
+	recorder := newResponseRecorder(w)
+	result := a.dispatchAndRespond(r.Context(), recorder, req, newResponse)
+	a.settleClaim(r.Context(), guard, result, recorder)
+}
+
+func (a *API) dispatchAndRespond(ctx context.Context, w http.ResponseWriter, req *dispatch.Request, newResponse func(http.ResponseWriter) response) dispatch.Result {
+	resp := newResponse(w)
+	result := a.config.Dispatcher.Do(ctx, req, resp)
+	a.config.Observer.RequestEnded(req.Class, result, time.Since(req.Arrived))
+	a.writeResult(w, result, resp)
+	return result
+}
+
+func (a *API) writeResult(w http.ResponseWriter, result dispatch.Result, resp response) {
+	switch {
+	case result.Outcome == dispatch.Gone:
+	case result.Outcome == dispatch.Whole:
+		resp.finish()
+	case resp.started():
+		resp.fail(resultError(result))
+	case result.Outcome == dispatch.Rejected:
+		writeBackendError(w, result)
+	default:
+		writeError(w, resultError(result))
+	}
+}
+
+// writeBackendError forwards the backend server's own error response to the client.
+func writeBackendError(w http.ResponseWriter, result dispatch.Result) {
+	w.Header().Set("Content-Type", "application/json")
+	w.Header().Set(HeaderOutcome, string(dispatch.Rejected))
+	w.WriteHeader(result.Status)
+	_, _ = w.Write(result.Body)
+}
+
+func (a *API) authenticate(w http.ResponseWriter, r *http.Request, set *targets.Set) (string, bool) {
+	customer, err := a.config.Auth.Customer(set, r)
+	if err != nil {
+		refuseWithoutBody(w, r, apiError{status: http.StatusUnauthorized, code: "invalid_api_key", message: "send a customer's API key as a bearer token", outcome: dispatch.NotRun})
+		return "", false
+	}
+	return customer, true
+}
--- a/internal/entry/api/fake_test.go
+++ b/internal/entry/api/fake_test.go
@@ -20,7 +20,7 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// fakeDispatcher ends each request as its script says and counts the runs.
+// fakeDispatcher produces the results of script and counts the runs.
 type fakeDispatcher struct {
 	script func(r *dispatch.Request, sink dispatch.Sink) dispatch.Result
 	runs   int
@@ -36,75 +36,75 @@
 	return d.script(r, sink)
 }
 
-// fakeGrants answers Void as told; with nothing told the agent can't be asked.
-type fakeGrants struct{ result wire.VoidResult }
+// fakeGrantVoider returns result from Void. Without a result the agent is unreachable.
+type fakeGrantVoider struct{ result wire.VoidResult }
 
-func (g *fakeGrants) Void(context.Context, string, string) (wire.VoidResult, error) {
+func (g *fakeGrantVoider) Void(context.Context, string, string) (wire.VoidResult, error) {
 	if g.result == "" {
 		return "", fleet.ErrNoAnswer
 	}
 	return g.result, nil
 }
 
-type fakeParts struct{}
+type stubDependencies struct{}
 
-func (fakeParts) Serves() []string { return []string{"apple"} }
+func (stubDependencies) Serves() []string { return []string{"apple"} }
 
-func (fakeParts) Caller(*targets.Set, *http.Request) (string, error) { return "customer", nil }
+func (stubDependencies) Customer(*targets.Set, *http.Request) (string, error) { return "customer", nil }
 
-func (fakeParts) Received(string) {}
+func (stubDependencies) RequestReceived(string) {}
 
-func (fakeParts) Refused(string, string) {}
+func (stubDependencies) RequestRefused(string, string) {}
 
-func (fakeParts) Ended(targets.Class, dispatch.Result, time.Duration) {}
+func (stubDependencies) RequestEnded(targets.Class, dispatch.Result, time.Duration) {}
 
-// rig is an API over fakes, with claims in a table in memory.
-type rig struct {
+// testAPI is an API with fake dependencies and claims in an in-memory table.
+type testAPI struct {
 	dispatcher *fakeDispatcher
-	grants     *fakeGrants
+	voider     *fakeGrantVoider
 	table      *storagetest.Table
 	router     *httprouter.Router
 }
 
-func newRig(t *testing.T) *rig {
+func newTestAPI(t *testing.T) *testAPI {
 	t.Helper()
 	holder := targets.NewHolder()
 	holder.Offer(&targets.Set{Version: 1, Classes: []targets.Class{
 		{Name: "summary", Model: "apple", Tier: 4},
 		{Name: "docket", Service: "ledger", Tier: 2},
 	}})
-	r := &rig{dispatcher: &fakeDispatcher{}, grants: &fakeGrants{}, table: storagetest.NewTable(), router: httprouter.New()}
-	claimer := claim.NewClaimer(r.table)
+	api := &testAPI{dispatcher: &fakeDispatcher{}, voider: &fakeGrantVoider{}, table: storagetest.NewTable(), router: httprouter.New()}
+	claimer := claim.NewClaimer(api.table)
 	t.Cleanup(claimer.Close)
 	New(Config{
-		Holder:     holder,
-		Dispatcher: r.dispatcher,
-		Served:     fakeParts{},
-		Auth:       fakeParts{},
+		Targets:    holder,
+		Dispatcher: api.dispatcher,
+		Catalog:    stubDependencies{},
+		Auth:       stubDependencies{},
 		Claims:     claimer,
-		Grants:     r.grants,
-		Observer:   fakeParts{},
-		Ring:       timeline.NewRing("entry", &timeline.Clock{}, 16),
+		Grants:     api.voider,
+		Observer:   stubDependencies{},
+		Timeline:   timeline.NewRing("entry", &timeline.Clock{}, 16),
 		Log:        zap.NewNop(),
-	}).Register(r.router)
-	return r
+	}).Register(api.router)
+	return api
 }
 
-func (r *rig) post(path, key, body string) *httptest.ResponseRecorder {
+func (api *testAPI) post(path, key, body string) *httptest.ResponseRecorder {
 	req := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
 	if key != "" {
 		req.Header.Set(HeaderIdempotencyKey, key)
 	}
 	w := httptest.NewRecorder()
-	r.router.ServeHTTP(w, req)
+	api.router.ServeHTTP(w, req)
 	return w
 }
 
-func (r *rig) docket(key string) *httptest.ResponseRecorder {
-	return r.post("/services/ledger/dockets", key, `{"weight":7}`)
+func (api *testAPI) postDocket(key string) *httptest.ResponseRecorder {
+	return api.post("/services/ledger/dockets", key, `{"weight":7}`)
 }
 
-// serveDocket answers a plain service's call whole.
+// serveDocket sends a complete response to a service call.
 func serveDocket(_ *dispatch.Request, sink dispatch.Sink) dispatch.Result {
 	_ = sink.Frame(wire.Frame{Kind: wire.FrameHead, Status: http.StatusCreated, Header: []wire.Header{{Name: "Content-Type", Value: "text/plain"}}})
 	_ = sink.Frame(wire.Frame{Kind: wire.FrameData, Data: []byte("docket 1")})
--- a/internal/entry/api/fixture_test.go
+++ b/internal/entry/api/fixture_test.go
@@ -18,20 +18,20 @@
 	"github.com/applepier/applepier/internal/timeline"
 )
 
-// fixture is an API whose dispatcher holds requests until they are let go.
-type fixture struct {
-	t        testing.TB
-	api      *API
-	router   *httprouter.Router
-	observed *observed
-	begun    chan string
-	letGo    chan struct{}
-	others   int64
+// blockingFixture is an API whose dispatcher blocks requests until they are released.
+type blockingFixture struct {
+	t          testing.TB
+	api        *API
+	router     *httprouter.Router
+	recorder   *recordingObserver
+	dispatched chan string
+	release    chan struct{}
+	otherBytes int64
 }
 
-func newFixture(t testing.TB, claims Claims) *fixture {
+func newBlockingFixture(t testing.TB, claims ClaimStore) *blockingFixture {
 	t.Helper()
-	f := &fixture{t: t, router: httprouter.New(), observed: &observed{}, begun: make(chan string), letGo: make(chan struct{})}
+	f := &blockingFixture{t: t, router: httprouter.New(), recorder: &recordingObserver{}, dispatched: make(chan string), release: make(chan struct{})}
 	holder := targets.NewHolder()
 	holder.Offer(&targets.Set{Version: 1, Classes: []targets.Class{
 		{Name: "urgent", Tier: 1, Model: "m"},
@@ -41,25 +41,27 @@
 		{Name: "gate", Tier: 3, Service: "gate"},
 	}})
 	f.api = New(Config{
-		Holder: holder, Dispatcher: f, Served: f, Auth: f, Claims: claims, Observer: f.observed,
-		Ring: timeline.NewRing("e", &timeline.Clock{}, 16), Log: zap.NewNop(),
+		Targets: holder, Dispatcher: f, Catalog: f, Auth: f, Claims: claims, Observer: f.recorder,
+		Timeline: timeline.NewRing("e", &timeline.Clock{}, 16), Log: zap.NewNop(),
 	})
 	f.api.Register(f.router)
 	return f
 }
 
 // Do implements Dispatcher.
-func (f *fixture) Do(_ context.Context, r *dispatch.Request, _ dispatch.Sink) dispatch.Result {
-	f.begun <- r.Class.Name
-	<-f.letGo
+func (f *blockingFixture) Do(_ context.Context, r *dispatch.Request, _ dispatch.Sink) dispatch.Result {
+	f.dispatched <- r.Class.Name
+	<-f.release
 	return dispatch.Result{Outcome: dispatch.Whole}
 }
 
-// Serves implements Served.
-func (f *fixture) Serves() []string { return []string{"m", "n", "u"} }
+// Serves implements Catalog.
+func (f *blockingFixture) Serves() []string { return []string{"m", "n", "u"} }
 
-// Caller implements Authenticator.
-func (f *fixture) Caller(*targets.Set, *http.Request) (string, error) { return "customer", nil }
+// Customer implements Authenticator.
+func (f *blockingFixture) Customer(*targets.Set, *http.Request) (string, error) {
+	return "customer", nil
+}
 
 func chatBody(model string, bytes int) string {
 	head := `{"model":"` + model + `","messages":[{"role":"user","content":"`
@@ -74,29 +76,29 @@
 	return r
 }
 
-// send sends a call until the dispatcher has it, whose class is then returned,
-// or until it is answered.
-func (f *fixture) send(r *http.Request) (class string, answered *httptest.ResponseRecorder) {
+// send sends a request. It returns the class when the dispatcher receives the request, or
+// the response if there is one first.
+func (f *blockingFixture) send(r *http.Request) (class string, resp *httptest.ResponseRecorder) {
 	f.t.Helper()
-	answer := make(chan *httptest.ResponseRecorder, 1)
+	responses := make(chan *httptest.ResponseRecorder, 1)
 	go func() {
 		w := httptest.NewRecorder()
 		f.router.ServeHTTP(w, r)
-		answer <- w
+		responses <- w
 	}()
 	select {
-	case class := <-f.begun:
+	case class := <-f.dispatched:
 		return class, nil
-	case w := <-answer:
+	case w := <-responses:
 		return "", w
 	case <-time.After(time.Minute):
-		f.t.Fatal("neither dispatched nor answered")
+		f.t.Fatal("no dispatch and no response")
 		return "", nil
 	}
 }
 
-// hold sends a call that the dispatcher must get and hold.
-func (f *fixture) hold(r *http.Request, class string) {
+// mustDispatch sends a request that must reach the dispatcher, which then blocks it.
+func (f *blockingFixture) mustDispatch(r *http.Request, class string) {
 	f.t.Helper()
 	got, w := f.send(r)
 	if w != nil {
@@ -107,8 +109,8 @@
 	}
 }
 
-// refuse sends a call that must be answered as not run without a dispatch.
-func (f *fixture) refuse(r *http.Request, reason string) {
+// mustRefuse sends a request that must be refused as not run, without being dispatched.
+func (f *blockingFixture) mustRefuse(r *http.Request, reason string) {
 	f.t.Helper()
 	class, w := f.send(r)
 	if w == nil {
@@ -120,51 +122,52 @@
 	}
 }
 
-// holdOthers takes bytes as the bodies of calls that the test doesn't make.
-func (f *fixture) holdOthers(bytes int64) {
-	f.others += bytes
-	f.api.held.acquire(bytes, maxHeld)
+// reserveOtherBytes reserves body memory as requests outside of the test would.
+func (f *blockingFixture) reserveOtherBytes(bytes int64) {
+	f.otherBytes += bytes
+	f.api.bodyBudget.tryAcquire(bytes, maxBodyMemory)
 }
 
-// letAllGo ends the calls that are held and waits until they have ended.
-func (f *fixture) letAllGo() {
+// releaseAll releases the blocked requests, waits until they have ended and checks that
+// their body memory was released.
+func (f *blockingFixture) releaseAll() {
 	f.t.Helper()
-	close(f.letGo)
+	close(f.release)
 	for deadline := time.Now().Add(time.Minute); f.api.InFlight() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			f.t.Fatal("calls did not end")
+			f.t.Fatal("requests did not end")
 		}
 	}
-	if held := f.api.held.used - f.others; held != 0 {
-		f.t.Fatalf("%d bytes are still held", held)
+	if reserved := f.api.bodyBudget.reserved - f.otherBytes; reserved != 0 {
+		f.t.Fatalf("%d bytes are still reserved", reserved)
 	}
 }
 
-// observed notes what an Observer hears, a line each.
-type observed struct {
+// recordingObserver is an Observer that records one line for each event.
+type recordingObserver struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-func (o *observed) note(words ...string) {
+func (o *recordingObserver) record(fields ...string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.lines = append(o.lines, strings.Join(words, " "))
+	o.lines = append(o.lines, strings.Join(fields, " "))
 }
 
-func (o *observed) heard() []string {
+func (o *recordingObserver) events() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.lines)
 }
 
-// Received implements Observer.
-func (o *observed) Received(class string) { o.note("received", class) }
+// RequestReceived implements Observer.
+func (o *recordingObserver) RequestReceived(class string) { o.record("received", class) }
 
-// Refused implements Observer.
-func (o *observed) Refused(class, reason string) { o.note("refused", class, reason) }
+// RequestRefused implements Observer.
+func (o *recordingObserver) RequestRefused(class, reason string) { o.record("refused", class, reason) }
 
-// Ended implements Observer.
-func (o *observed) Ended(class targets.Class, r dispatch.Result, _ time.Duration) {
-	o.note("ended", class.Name, string(r.Outcome), r.Reason)
+// RequestEnded implements Observer.
+func (o *recordingObserver) RequestEnded(class targets.Class, r dispatch.Result, _ time.Duration) {
+	o.record("ended", class.Name, string(r.Outcome), r.Reason)
 }
--- a/internal/entry/api/refused_test.go
+++ b/internal/entry/api/refusal_test.go
@@ -17,15 +17,16 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-// answerSoon is when an answer that waits for nothing has certainly come: far
-// below bodyTimeout, and enough for a busy machine.
-const answerSoon = 10 * time.Second
+// responseTimeout is the time limit for responses that must not wait for a body: far less
+// than bodyTimeout, and long enough for a busy machine.
+const responseTimeout = 10 * time.Second
 
-// refusing is a server that holds as many bodies as it may, and a connection.
-func refusing(t *testing.T) (net.Conn, *bufio.Reader) {
+// dialFullServer starts a server whose body memory is exhausted and returns a connection
+// to it.
+func dialFullServer(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
-	f := newFixture(t, nil)
-	f.holdOthers(maxHeld)
+	f := newBlockingFixture(t, nil)
+	f.reserveOtherBytes(maxBodyMemory)
 	server := httptest.NewServer(f.router)
 	t.Cleanup(server.Close)
 	conn, err := net.Dial("tcp", server.Listener.Addr().String())
@@ -33,25 +34,25 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	if err := conn.SetDeadline(time.Now().Add(answerSoon)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(responseTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return conn, bufio.NewReader(conn)
 }
 
-func sendHead(t *testing.T, conn net.Conn, length int) {
+func sendRequestHead(t *testing.T, conn net.Conn, length int) {
 	t.Helper()
 	if _, err := fmt.Fprintf(conn, "POST /v1/chat/completions HTTP/1.1\r\nHost: entry\r\nContent-Length: %d\r\n\r\n", length); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// readRefusal reads a whole refusal for want of room.
-func readRefusal(t *testing.T, from *bufio.Reader) *http.Response {
+// readRefusal reads a complete response that refuses a request for lack of body memory.
+func readRefusal(t *testing.T, reader *bufio.Reader) *http.Response {
 	t.Helper()
-	response, err := http.ReadResponse(from, nil)
+	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	data, err := io.ReadAll(response.Body)
 	if err != nil || response.StatusCode != http.StatusServiceUnavailable || !strings.Contains(string(data), reasonBodiesFull) {
@@ -60,67 +61,69 @@
 	return response
 }
 
-// A refusal once came only when the body did that it had no room for.
-func TestRefusalDoesNotWaitForItsBody(t *testing.T) {
-	conn, from := refusing(t)
-	sendHead(t, conn, 100<<10)
-	if response := readRefusal(t, from); !response.Close {
-		t.Fatal("the connection is kept with a body that hasn't come")
+// Regression test: the response to a body that did not fit into memory was sent only
+// after the body had arrived.
+func TestRefusalDoesNotWaitForBody(t *testing.T) {
+	conn, reader := dialFullServer(t)
+	sendRequestHead(t, conn, 100<<10)
+	if response := readRefusal(t, reader); !response.Close {
+		t.Fatal("connection kept open with an unread body")
 	}
-	if _, err := from.ReadByte(); err != io.EOF {
-		t.Fatalf("after the refusal: %v, want its end", err)
+	if _, err := reader.ReadByte(); err != io.EOF {
+		t.Fatalf("after the refusal: got %v, want EOF", err)
 	}
 }
 
-// The caller of a body that is on its way sees the refusal, not a reset.
-func TestRefusalIsSeenByWhoSendsOn(t *testing.T) {
-	conn, from := refusing(t)
+// A client that is still sending its body receives the refusal, not a connection reset.
+func TestRefusalReachesSendingClient(t *testing.T) {
+	conn, reader := dialFullServer(t)
 	const length = 400 << 10
-	sendHead(t, conn, length)
+	sendRequestHead(t, conn, length)
 	if _, err := conn.Write(make([]byte, length)); err != nil {
 		t.Fatal(err)
 	}
-	readRefusal(t, from)
+	readRefusal(t, reader)
 }
 
-func TestRefusalOfBodyThatHasComeKeepsTheConnection(t *testing.T) {
-	conn, from := refusing(t)
+func TestRefusalAfterFullBodyKeepsConnection(t *testing.T) {
+	conn, reader := dialFullServer(t)
 	for range 3 {
-		sendHead(t, conn, 1000)
+		sendRequestHead(t, conn, 1000)
 		if _, err := conn.Write(make([]byte, 1000)); err != nil {
 			t.Fatal(err)
 		}
-		if response := readRefusal(t, from); response.Close {
-			t.Fatal("closed, though the body has come whole")
+		if response := readRefusal(t, reader); response.Close {
+			t.Fatal("connection closed although the body was sent completely")
 		}
 	}
 }
 
-// slowBody comes whole, but only after a time.
+// slowBody delays the first read of a complete body.
 type slowBody struct {
 	io.Reader
-	after time.Duration
+	delay time.Duration
 }
 
 func (b *slowBody) Read(p []byte) (int, error) {
-	time.Sleep(b.after)
-	b.after = 0
+	time.Sleep(b.delay)
+	b.delay = 0
 	return b.Reader.Read(p)
 }
 
-// What has come is used, also if the deadline for it passed beside it.
-func TestBodyThatComesWithItsDeadlineIsDispatched(t *testing.T) {
+// A body that was received completely is used even if its read deadline passes at the
+// same moment.
+func TestBodyCompletedAtDeadlineIsDispatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFixture(t, nil)
+		f := newBlockingFixture(t, nil)
 		r := chatCall("lower", "m", 100)
-		r.Body = io.NopCloser(&slowBody{Reader: r.Body, after: bodyTimeout})
-		f.hold(r, "lower")
-		f.letAllGo()
+		r.Body = io.NopCloser(&slowBody{Reader: r.Body, delay: bodyTimeout})
+		f.mustDispatch(r, "lower")
+		f.releaseAll()
 	})
 }
 
-// Whatever is refused before its body is read is answered without the body, and the
-// answer is seen by a caller that sends on.
+// Requests that are refused before their body is read get a response without waiting for
+// the body, and a client that is still sending receives it.
 func TestEarlyRefusalsDoNotWaitForBodies(t *testing.T) {
 	cases := map[string]struct {
 		head   string
@@ -137,9 +140,9 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := newFixture(t, nil)
+			f := newBlockingFixture(t, nil)
 			if c.status == http.StatusUnauthorized {
-				f.api.config.Auth = noCaller{}
+				f.api.config.Auth = noCustomerAuth{}
 			}
 			if c.full {
 				f.api.inFlight = maxInFlight
@@ -153,7 +156,7 @@
 					t.Fatal(err)
 				}
 				t.Cleanup(func() { conn.Close() })
-				if err := conn.SetDeadline(time.Now().Add(answerSoon)); err != nil {
+				if err := conn.SetDeadline(time.Now().Add(responseTimeout)); err != nil {
 					t.Fatal(err)
 				}
 				if _, err := fmt.Fprintf(conn, "%sContent-Length: %d\r\n\r\n%s", c.head, length, strings.Repeat("x", sent)); err != nil {
@@ -161,7 +164,7 @@
 				}
 				response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 				if err != nil {
-					t.Fatalf("no answer after %d bytes of the body: %v", sent, err)
+					t.Fatalf("no response after %d bytes of the body: %v", sent, err)
 				}
 				if _, err := io.ReadAll(response.Body); err != nil || response.StatusCode != c.status {
 					t.Errorf("status %d, %v, after %d bytes of the body; want %d", response.StatusCode, err, sent, c.status)
@@ -171,9 +174,9 @@
 	}
 }
 
-// noCaller knows no customer.
-type noCaller struct{}
+// noCustomerAuth is an Authenticator that rejects every request.
+type noCustomerAuth struct{}
 
-func (noCaller) Caller(*targets.Set, *http.Request) (string, error) {
+func (noCustomerAuth) Customer(*targets.Set, *http.Request) (string, error) {
 	return "", errors.New("no customer has the key")
 }
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -1,5 +1,6 @@
-// Package entry is the process of an entry VM: it takes callers' requests and
-// carries them to the agents, and serves operators. Start reading at Serve.
+// Package entry implements the entry process: it accepts client requests, dispatches them
+// to the agents of the backend servers, and serves the operators' admin API. Serve is the
+// entry point.
 package entry
 
 import (
@@ -34,52 +35,54 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a caller's headers.
+	// headerTimeout limits reading a client's request headers.
 	headerTimeout = 10 * time.Second
-	// maxHeader bounds a caller's headers in bytes.
-	maxHeader = 64 << 10
-	// idleTimeout closes a caller's connection that asks nothing.
+	// maxHeaderBytes limits a client's request headers.
+	maxHeaderBytes = 64 << 10
+	// idleTimeout is how long an idle client connection is kept open.
 	idleTimeout = 2 * time.Minute
-	// drainNotice is how long an entry that leaves goes on taking requests
-	// after its health check has begun to fail, so that the platform's
-	// balancer sends it no more.
-	drainNotice = 2 * time.Second
-	// eventRing is how many events the time line keeps.
-	eventRing = 65536
+	// drainDelay is how long a draining entry still accepts requests after its readiness
+	// check has begun to fail, so that the platform's load balancer has time to stop
+	// sending to it.
+	drainDelay = 2 * time.Second
+	// timelineCapacity is how many events the timeline keeps.
+	timelineCapacity = 65536
 )
 
-// entry is the process's parts.
+// entry holds the components of the process.
 type entry struct {
 	settings settings.Entry
 	keys     keys
 	log      *zap.Logger
 
-	clock      timeline.Clock
-	ring       *timeline.Ring
-	holder     *targets.Holder
-	metrics    *metrics.Metrics
-	platform   *counted.Platform
-	store      *store.Store
-	claimer    *claim.Claimer
-	fleet      *fleet.Fleet
-	dispatcher *dispatch.Dispatcher
-	api        *api.API
-	census     *census
-	leaving    atomic.Bool
+	clock       timeline.Clock
+	timeline    *timeline.Ring
+	targets     *targets.Holder
+	metrics     *metrics.Metrics
+	platform    *counted.Platform
+	store       *store.Store
+	claimer     *claim.Claimer
+	fleet       *fleet.Fleet
+	dispatcher  *dispatch.Dispatcher
+	api         *api.API
+	fleetStatus *fleetStatus
+	draining    atomic.Bool
 }
 
-// Serve runs an entry until ctx ends, then shuts it down gracefully: it fails
-// its health check, takes no new connections and ends what it has.
+// Serve runs an entry until ctx is cancelled, then shuts it down gracefully: the
+// readiness check fails, no new connections are accepted and requests in flight are
+// finished. It returns an error only if startup fails: ErrKeys or ErrListen with the
+// cause.
 func Serve(ctx context.Context, s settings.Entry, log *zap.Logger) error {
 	e, err := newEntry(s, log)
 	if err != nil {
 		return err
 	}
-	at, err := listen.All(s.Listen, s.AdminListen)
+	listeners, err := listen.All(s.Listen, s.AdminListen)
 	if err != nil {
 		return errors.Wrap(ErrListen, err.Error())
 	}
-	return e.serve(ctx, at[0], at[1])
+	return e.serve(ctx, listeners[0], listeners[1])
 }
 
 func newEntry(s settings.Entry, log *zap.Logger) (*entry, error) {
@@ -87,8 +90,8 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &entry{settings: s, keys: k, log: log, holder: targets.NewHolder(), metrics: metrics.New()}
-	e.ring = timeline.NewRing(s.Process, &e.clock, eventRing)
+	e := &entry{settings: s, keys: k, log: log, targets: targets.NewHolder(), metrics: metrics.New()}
+	e.timeline = timeline.NewRing(s.Process, &e.clock, timelineCapacity)
 	e.platform = counted.New(storage.NewHTTP(s.Platform.URL), e.metrics.Platform)
 	e.store = store.New(e.platform)
 	e.claimer = claim.NewClaimer(e.platform)
@@ -97,20 +100,20 @@
 		Zone:      s.Zone,
 		SystemKey: k.system,
 		Local:     wire.Local{Clock: &e.clock, TargetsVersion: e.targetsVersion, Traffic: e.metrics.Control},
-		Holder:    e.holder,
+		Holder:    e.targets,
 		List:      e.platform,
-		Ring:      e.ring,
+		Ring:      e.timeline,
 		Log:       log,
-		Fallback:  e.askSeeds,
+		Fallback:  e.fetchVMsFromSeeds,
 		Gone:      func(agent string) { e.dispatcher.Forget(agent) },
 	})
-	e.census = &census{own: e.ownProcess, fleet: e.fleet, key: k.system}
+	e.fleetStatus = &fleetStatus{self: e.selfStatus, fleet: e.fleet, key: k.system}
 	e.api = e.newAPI()
-	e.metrics.OnRead(e.updateMetrics)
+	e.metrics.OnRead(e.updateGauges)
 	return e, nil
 }
 
-func (e *entry) targetsVersion() uint64 { return e.holder.Current().Version }
+func (e *entry) targetsVersion() uint64 { return e.targets.Current().Version }
 
 func (e *entry) newAPI() *api.API {
 	ejector := policy.NewEjector()
@@ -118,69 +121,69 @@
 	e.dispatcher = dispatch.New(dispatch.Config{
 		Zone:      e.settings.Zone,
 		SystemKey: e.keys.system,
-		Agents:    agents{e.fleet},
+		Agents:    dispatchAgents{e.fleet},
 		Placer:    policy.NewPlacer(random, ejector),
 		Ejector:   ejector,
 		Budget:    policy.NewRetryBudget(),
-		Ring:      e.ring,
+		Ring:      e.timeline,
 		Log:       e.log,
 	})
 	return api.New(api.Config{
-		Holder:     e.holder,
+		Targets:    e.targets,
 		Dispatcher: e.dispatcher,
-		Served:     e.fleet,
-		Auth:       callerAuth{trustHeader: e.settings.Callers.TrustCustomerHeader},
+		Catalog:    e.fleet,
+		Auth:       clientAuth{trustHeader: e.settings.Callers.TrustCustomerHeader},
 		Claims:     e.claimer,
 		Grants:     e.fleet,
-		Observer:   observer{e.metrics},
-		Ring:       e.ring,
+		Observer:   metricsObserver{e.metrics},
+		Timeline:   e.timeline,
 		Log:        e.log,
 	})
 }
 
-func (e *entry) serve(ctx context.Context, public, operators net.Listener) error {
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+func (e *entry) serve(ctx context.Context, clientListener, adminListener net.Listener) error {
+	background, stopBackground := context.WithCancel(context.WithoutCancel(ctx))
 	var wg conc.WaitGroup
-	wg.Go(func() { e.fleet.Run(work) })
-	wg.Go(func() { e.followTargets(work) })
-	wg.Go(func() { e.runDuties(ctx) })
-	callerRouter := httprouter.New()
-	e.api.Register(callerRouter)
-	callerServer := e.newServer(public, callerRouter)
-	adminServer := e.newServer(operators, e.adminRoutes())
-	wg.Go(callerServer.Serve)
+	wg.Go(func() { e.fleet.Run(background) })
+	wg.Go(func() { e.pollTargets(background) })
+	wg.Go(func() { e.runLeaderTasks(ctx) })
+	clientRouter := httprouter.New()
+	e.api.Register(clientRouter)
+	clientServer := e.newServer(clientListener, clientRouter)
+	adminServer := e.newServer(adminListener, e.adminRoutes())
+	wg.Go(clientServer.Serve)
 	wg.Go(adminServer.Serve)
-	e.log.Info(logging.EventStarted, zap.String("listen", public.Addr().String()), zap.String("admin_listen", operators.Addr().String()))
+	e.log.Info(logging.EventStarted, zap.String("listen", clientListener.Addr().String()), zap.String("admin_listen", adminListener.Addr().String()))
 	<-ctx.Done()
-	e.drain(callerServer)
-	// Without an end to the wait nothing is broken off.
+	e.drain(clientServer)
+	// The context is never cancelled, so Drain does not cut off any request.
 	_ = adminServer.Drain(context.Background())
-	stop()
+	stopBackground()
 	wg.Wait()
 	e.claimer.Close()
 	return nil
 }
 
-// drain ends what is in progress, however long it takes: a long answer is
-// bounded by its own timeouts, and a SIGINT ends the process at once.
+// drain waits for all requests in flight, without a time limit: long responses are
+// bounded by their own timeouts, and SIGINT stops the process at once.
 func (e *entry) drain(server *callers.Server) {
-	e.leaving.Store(true)
-	e.ring.Record(timeline.KindLeave, "", "", "graceful shutdown")
+	e.draining.Store(true)
+	e.timeline.Record(timeline.KindLeave, "", "", "graceful shutdown")
 	e.log.Info(logging.EventStopping, zap.Int("in_flight", e.api.InFlight()))
-	time.Sleep(drainNotice)
-	// Without an end to the wait nothing is broken off.
+	time.Sleep(drainDelay)
+	// The context is never cancelled, so Drain does not cut off any request.
 	_ = server.Drain(context.Background())
 }
 
-func (e *entry) newServer(l net.Listener, h http.Handler) *callers.Server {
-	limit := func() time.Duration { return idleTimeout }
-	return callers.New(l, callers.Config{Handler: h, HeaderTime: headerTimeout, MaxHeader: maxHeader, Limit: limit, Log: e.log})
+func (e *entry) newServer(listener net.Listener, handler http.Handler) *callers.Server {
+	idleLimit := func() time.Duration { return idleTimeout }
+	return callers.New(listener, callers.Config{Handler: handler, HeaderTime: headerTimeout, MaxHeader: maxHeaderBytes, Limit: idleLimit, Log: e.log})
 }
 
-// agents gives the dispatcher its view of the fleet.
-type agents struct{ *fleet.Fleet }
+// dispatchAgents adapts the fleet to dispatch.Agents.
+type dispatchAgents struct{ *fleet.Fleet }
 
-// Place sends a ticket.
-func (a agents) Place(agent string, t *wire.Ticket, l dispatch.Listener) bool {
+// Place sends a ticket to an agent and reports whether the agent is reachable.
+func (a dispatchAgents) Place(agent string, t *wire.Ticket, l dispatch.Listener) bool {
 	return a.Fleet.Place(agent, t, l)
 }
