--- /dev/null
+++ b/internal/gateway/desired_state_sink.go
@@ -0,0 +1,97 @@
+package gateway
+
+import (
+	"sync/atomic"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/applepier/applepier/internal/boottime"
+	"github.com/applepier/applepier/internal/gateway/backend"
+	"github.com/applepier/applepier/internal/gateway/follow"
+	"github.com/applepier/applepier/internal/gateway/routes"
+	"github.com/applepier/applepier/internal/logging"
+)
+
+// maxFeedSilence is for how long a store's feed may stay silent while changes are
+// made. An answer of the feed without news proves only that the state was the
+// newest this long before the call.
+const maxFeedSilence = time.Second
+
+// desiredStateSink takes the desiredStateSink state from its follower into the holder.
+type desiredStateSink struct {
+	holder *routes.Holder
+	// registry is told when the store is away and back: calls about the desired
+	// state are held back for a shorter time than those about servers, and
+	// notice it first.
+	registry *backend.Registry
+	log      *zap.Logger
+	// storeProvenAt is the latest moment, in nanoseconds of boottime's clock, that
+	// the store itself has proved; 0 for none.
+	storeProvenAt atomic.Int64
+	// unavailableSince is when calls began to fail, in nanoseconds of the same clock;
+	// 0 while the store answers.
+	unavailableSince atomic.Int64
+	// unreadable says that the newest state can't be read, so that nothing
+	// proves the one in force to be the newest.
+	unreadable atomic.Bool
+	// outdated says that the store holds an older state than this process has seen, as
+	// after its return from an older copy: it proves nothing then.
+	outdated atomic.Bool
+}
+
+var _ follow.Sink[*routes.Set] = (*desiredStateSink)(nil)
+
+// Reset implements follow.Sink.
+func (d *desiredStateSink) Reset(readAt time.Duration, all follow.Batch[*routes.Set]) {
+	d.outdated.Store(d.holder.Version() != 0)
+	d.apply(readAt, all)
+}
+
+// Change implements follow.Sink.
+func (d *desiredStateSink) Change(receivedAt time.Duration, changes follow.Batch[*routes.Set]) {
+	d.apply(receivedAt-maxFeedSilence, changes)
+}
+
+// Unavailable implements follow.Sink.
+func (d *desiredStateSink) Unavailable(error) {
+	d.registry.Unavailable()
+	d.unavailableSince.CompareAndSwap(0, int64(boottime.Now()))
+}
+
+// Available implements follow.Sink.
+func (d *desiredStateSink) Available() {
+	d.registry.Available(time.Now())
+	d.unavailableSince.Store(0)
+}
+
+// unavailableFor is for how long the store hasn't answered; 0 while it does.
+func (d *desiredStateSink) unavailableFor() time.Duration {
+	since := time.Duration(d.unavailableSince.Load())
+	if since == 0 {
+		return 0
+	}
+	return boottime.Now() - since
+}
+
+func (d *desiredStateSink) apply(provenAt time.Duration, batch follow.Batch[*routes.Set]) {
+	d.Available()
+	if len(batch.Unreadable) > 0 {
+		d.unreadable.Store(true)
+	}
+	for _, set := range batch.Items {
+		if set == nil {
+			continue
+		}
+		d.unreadable.Store(false)
+		d.outdated.Store(set.Version < d.holder.Version())
+		if d.holder.Offer(set, provenAt) {
+			d.log.Info(logging.EventTargetsAdopted, zap.Uint64("version", set.Version), zap.Int("routes", set.Routes()), zap.Duration("idle_limit", set.Limits.IdleTime))
+		}
+	}
+	if !d.unreadable.Load() && !d.outdated.Load() {
+		// One goroutine writes it.
+		d.storeProvenAt.Store(max(d.storeProvenAt.Load(), int64(provenAt)))
+		d.holder.Prove(d.holder.Version(), provenAt)
+	}
+}
--- /dev/null
+++ b/internal/gateway/desired_state_sink_test.go
@@ -0,0 +1,82 @@
+package gateway
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/applepier/applepier/internal/gateway/backend"
+	"github.com/applepier/applepier/internal/gateway/follow"
+	"github.com/applepier/applepier/internal/gateway/routes"
+)
+
+// The whole table proves the moment of its call, an answer of the feed only what
+// was a second before its own: the later answer may prove the earlier moment.
+func TestStoreProofTimeNeverDecreases(t *testing.T) {
+	sink := &desiredStateSink{holder: &routes.Holder{}, registry: backend.NewRegistry(), log: zap.NewNop()}
+	const readAt = 10 * time.Second
+	sink.Reset(readAt, follow.Batch[*routes.Set]{Items: []*routes.Set{routes.NewSet(1, routes.Limits{}, nil, nil, nil)}})
+	sink.Change(readAt+maxFeedSilence/2, follow.Batch[*routes.Set]{})
+	if got := time.Duration(sink.storeProvenAt.Load()); got != readAt {
+		t.Errorf("proved at %v, after %v", got, readAt)
+	}
+	sink.Change(readAt+2*maxFeedSilence, follow.Batch[*routes.Set]{})
+	if got := time.Duration(sink.storeProvenAt.Load()); got != readAt+maxFeedSilence {
+		t.Errorf("proved at %v, want %v", got, readAt+maxFeedSilence)
+	}
+}
+
+// After its return from an older copy the store holds an older state than was
+// acknowledged: that doesn't replace the newer one, and proves nothing.
+func TestOlderStateIsNoProof(t *testing.T) {
+	set := func(version uint64) follow.Batch[*routes.Set] {
+		return follow.Batch[*routes.Set]{Items: []*routes.Set{routes.NewSet(version, routes.Limits{}, nil, nil, nil)}}
+	}
+	for name, older := range map[string]follow.Batch[*routes.Set]{"an older one": set(4), "none": {}} {
+		sink := &desiredStateSink{holder: &routes.Holder{}, registry: backend.NewRegistry(), log: zap.NewNop()}
+		sink.Reset(10*time.Second, set(5))
+		sink.Reset(20*time.Second, older)
+		sink.Change(30*time.Second, follow.Batch[*routes.Set]{})
+		if sink.holder.Version() != 5 || sink.holder.ProvenAt() != 10*time.Second || sink.storeProvenAt.Load() != int64(10*time.Second) {
+			t.Errorf("%s: version %d, proved at %v", name, sink.holder.Version(), sink.holder.ProvenAt())
+		}
+		sink.Change(40*time.Second, set(5))
+		if want := 40*time.Second - maxFeedSilence; sink.holder.ProvenAt() != want {
+			t.Errorf("%s: proved at %v after the operators wrote it again, want %v", name, sink.holder.ProvenAt(), want)
+		}
+	}
+}
+
+// A store that answers that it doesn't have the history any more isn't away, also where other
+// gateways read the state then: a gateway that took it for away sent its callers elsewhere.
+func TestStoreWithoutHistoryIsAvailable(t *testing.T) {
+	sink := &desiredStateSink{holder: &routes.Holder{}, registry: backend.NewRegistry(), log: zap.NewNop()}
+	sink.Unavailable(nil)
+	time.Sleep(time.Millisecond)
+	if sink.unavailableFor() == 0 {
+		t.Fatal("the store isn't away after a failed call")
+	}
+	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
+	defer cancel()
+	follower := follow.Follower[*routes.Set]{
+		Name: "t", Source: sourceWithoutHistory{}, Sink: sink, Wait: follow.Always(time.Second), Idle: func() bool { return true },
+		Defers: func() bool { return true }, Log: zap.NewNop(),
+	}
+	follower.Run(ctx)
+	if sink.unavailableFor() != 0 {
+		t.Error("the store is away though it answers")
+	}
+}
+
+// sourceWithoutHistory is a store whose history is gone.
+type sourceWithoutHistory struct{}
+
+func (sourceWithoutHistory) Read(context.Context, string) (follow.Batch[*routes.Set], error) {
+	return follow.Batch[*routes.Set]{}, follow.ErrHistoryGone
+}
+
+func (sourceWithoutHistory) Next(context.Context, follow.Position, time.Duration) (follow.Batch[*routes.Set], error) {
+	return follow.Batch[*routes.Set]{}, follow.ErrHistoryGone
+}
--- a/internal/gateway/exchange/exchange.go
+++ b/internal/gateway/exchange/exchange.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	// writtenAtOnce is the size in bytes up to which a request is written
+	// maxSyncWrite is the size in bytes up to which a request is written
 	// before its answer is read: it fits any socket's buffer. A larger one is
 	// written beside, since a backend server may answer before it has read
 	// all and then read no further.
-	writtenAtOnce = 8 << 10
-	// foreignAnswers bounds how many answers of other requests are passed
+	maxSyncWrite = 8 << 10
+	// maxMismatchedResponses bounds how many answers of other requests are passed
 	// over.
-	foreignAnswers = 3
+	maxMismatchedResponses = 3
 )
 
 // Answer is a backend server's answer. Its body has to be read to the end, or
@@ -36,64 +36,64 @@
 	Status int
 	Header http.Header
 	// Length is the body's length in bytes; -1 when it isn't known.
-	Length int64
-	body   io.Reader
-	ex     *exchange
-	broken bool
+	Length     int64
+	body       io.Reader
+	exchange   *exchange
+	incomplete bool
 }
 
 // exchange is one request and its answer on a connection.
 type exchange struct {
-	pool    *Pool
-	conn    *conn
-	ctx     context.Context
-	release func() bool
-	// written tells how the writing of a large request ended; nil if the
-	// request was written before the answer was read.
-	written chan error
-	writer  conc.WaitGroup
-	// reuse says that the connection may carry another exchange after this.
-	reuse bool
-	ended bool
+	pool       *Pool
+	conn       *conn
+	ctx        context.Context
+	stopCancel func() bool
+	// writeDone tells how the writing of a large request ended; nil if the
+	// request was writeDone before the answer was read.
+	writeDone chan error
+	writer    conc.WaitGroup
+	// keepConn says that the connection may carry another exchange after this.
+	keepConn bool
+	ended    bool
 }
 
 // Do sends a request and reads the answer's head. It ends early when ctx does.
 // The errors are this package's.
 func (p *Pool) Do(ctx context.Context, peer Peer, r *Request) (*Answer, error) {
-	c, err := p.take(ctx, peer, r.Young)
+	c, err := p.acquire(ctx, peer, r.Young)
 	if err != nil {
 		return nil, err
 	}
 	if err := ctx.Err(); err != nil {
 		// Nobody waits for it any more: a server needn't begin with it.
-		p.give(c)
+		p.release(c)
 		return nil, errors.Wrap(ErrNotSent, err.Error())
 	}
-	e := &exchange{pool: p, conn: c, ctx: ctx, reuse: true}
-	e.release = context.AfterFunc(ctx, c.close)
-	if err := e.write(r.bytes()); err != nil {
+	e := &exchange{pool: p, conn: c, ctx: ctx, keepConn: true}
+	e.stopCancel = context.AfterFunc(ctx, c.close)
+	if err := e.write(r.encode()); err != nil {
 		e.end(false)
-		return nil, e.explain(err)
+		return nil, e.classify(err)
 	}
-	answer, err := e.readHead(r)
+	response, err := e.readHead(r)
 	if err != nil {
 		e.end(false)
-		return nil, e.explain(err)
+		return nil, e.classify(err)
 	}
-	return answer, nil
+	return response, nil
 }
 
 // write sends the request; a large one goes on being sent after it returns.
 func (e *exchange) write(data []byte) error {
-	if len(data) > writtenAtOnce {
-		e.written = make(chan error, 1)
+	if len(data) > maxSyncWrite {
+		e.writeDone = make(chan error, 1)
 		e.writer.Go(func() {
-			_, err := e.conn.net.Write(data)
-			e.written <- err
+			_, err := e.conn.netConn.Write(data)
+			e.writeDone <- err
 		})
 		return nil
 	}
-	n, err := e.conn.net.Write(data)
+	n, err := e.conn.netConn.Write(data)
 	if err != nil && n == 0 && e.ctx.Err() == nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		return errors.Wrapf(ErrNotSent, "write: %v", err)
 	}
@@ -102,8 +102,8 @@
 
 // readHead reads the head of the answer that is the request's own.
 func (e *exchange) readHead(r *Request) (*Answer, error) {
-	for range foreignAnswers + 1 {
-		resp, err := http.ReadResponse(e.conn.in, &http.Request{Method: r.Method})
+	for range maxMismatchedResponses + 1 {
+		resp, err := http.ReadResponse(e.conn.reader, &http.Request{Method: r.Method})
 		if err != nil {
 			return nil, err
 		}
@@ -111,10 +111,10 @@
 			continue
 		}
 		if r.Mine(resp.Header) {
-			return e.answer(resp), nil
+			return e.newResponse(resp), nil
 		}
 		// Whatever else is wrong here, this connection is not to be trusted.
-		e.reuse = false
+		e.keepConn = false
 		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 			return nil, errors.Wrap(ErrBroken, "answer to another request, without an end")
 		}
@@ -125,21 +125,21 @@
 	return nil, errors.Wrap(ErrBroken, "answers to other requests only")
 }
 
-func (e *exchange) answer(resp *http.Response) *Answer {
-	e.reuse = e.reuse && !resp.Close && resp.ProtoAtLeast(1, 1)
-	e.conn.keep = keepFor(resp.Header)
+func (e *exchange) newResponse(resp *http.Response) *Answer {
+	e.keepConn = e.keepConn && !resp.Close && resp.ProtoAtLeast(1, 1)
+	e.conn.keepAlive = keepAliveTimeout(resp.Header)
 	length := resp.ContentLength
 	if resp.Request.Method == http.MethodHead {
 		// Its header tells the length that the body of another method would have.
 		length = 0
 	}
-	return &Answer{Status: resp.StatusCode, Header: resp.Header, Length: length, body: resp.Body, ex: e}
+	return &Answer{Status: resp.StatusCode, Header: resp.Header, Length: length, body: resp.Body, exchange: e}
 }
 
 // Read reads the body. io.EOF comes only after the whole body; any other error
 // is this package's.
 func (a *Answer) Read(p []byte) (int, error) {
-	if a.ex.ended {
+	if a.exchange.ended {
 		return 0, io.EOF
 	}
 	n, err := a.body.Read(p)
@@ -147,82 +147,82 @@
 	case err == nil:
 		return n, nil
 	case errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF):
-		a.ex.end(a.ex.reuse)
+		a.exchange.end(a.exchange.keepConn)
 		return n, io.EOF
 	default:
-		a.ex.end(false)
-		err = a.ex.explain(err)
-		a.broken = errors.Is(err, ErrBroken)
+		a.exchange.end(false)
+		err = a.exchange.classify(err)
+		a.incomplete = errors.Is(err, ErrBroken)
 		return n, err
 	}
 }
 
 // Broken reports whether reading the body ended in ErrBroken.
-func (a *Answer) Broken() bool { return a.broken }
+func (a *Answer) Broken() bool { return a.incomplete }
 
 // Abandon ends the exchange by closing its connection, which tells the backend
 // server to stop. After the whole body was read it does nothing.
-func (a *Answer) Abandon() { a.ex.end(false) }
+func (a *Answer) Abandon() { a.exchange.end(false) }
 
 // end gives the connection back or closes it.
-func (e *exchange) end(whole bool) {
+func (e *exchange) end(complete bool) {
 	if e.ended {
 		return
 	}
 	e.ended = true
 	// If the context has ended, its function closes the connection.
-	mine := e.release()
-	if !whole || !mine || e.conn.in.Buffered() > 0 || !e.wholeRequestSent() {
+	stopped := e.stopCancel()
+	if !complete || !stopped || e.conn.reader.Buffered() > 0 || !e.requestWritten() {
 		e.conn.close()
 		// A writer that is still at it ends with the connection.
 		e.writer.Wait()
 		return
 	}
-	if err := e.conn.net.SetDeadline(time.Time{}); err != nil {
+	if err := e.conn.netConn.SetDeadline(time.Time{}); err != nil {
 		e.conn.close()
 		return
 	}
-	e.pool.give(e.conn)
+	e.pool.release(e.conn)
 }
 
-// wholeRequestSent reports whether all of the request was written before the
+// requestWritten reports whether all of the request was written before the
 // answer ended. If not, the backend server would take what follows for its
 // rest.
-func (e *exchange) wholeRequestSent() bool {
-	if e.written == nil {
+func (e *exchange) requestWritten() bool {
+	if e.writeDone == nil {
 		return true
 	}
 	select {
-	case err := <-e.written:
+	case err := <-e.writeDone:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// explain turns an error from below into this package's.
-func (e *exchange) explain(err error) error {
-	var timeout net.Error
+// classify turns an error from below into this package's.
+func (e *exchange) classify(err error) error {
+	var netErr net.Error
 	switch {
 	case errors.Is(err, ErrNotSent), errors.Is(err, ErrBroken):
 		return err
 	case e.ctx.Err() != nil:
 		return errors.Wrap(ErrCancelled, e.ctx.Err().Error())
-	case errors.Is(err, os.ErrDeadlineExceeded), errors.As(err, &timeout) && timeout.Timeout():
+	case errors.Is(err, os.ErrDeadlineExceeded), errors.As(err, &netErr) && netErr.Timeout():
 		return errors.Wrap(ErrTimeout, err.Error())
 	default:
 		return errors.Wrap(ErrBroken, err.Error())
 	}
 }
 
-// keepFor reads how long a backend server keeps an idle connection open from
+// keepAliveTimeout reads how long a backend server keeps an idle connection open from
 // its Keep-Alive header (RFC 2068, 19.7.1.1).
-func keepFor(h http.Header) time.Duration {
-	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
+func keepAliveTimeout(h http.Header) time.Duration {
+	for param := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(param), "=")
 		if seconds, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") && seconds >= 0 {
-			return max(0, time.Duration(seconds)*time.Second-closeMargin)
+			return max(0, time.Duration(seconds)*time.Second-keepAliveMargin)
 		}
 	}
-	return idleKept
+	return defaultKeepAlive
 }
--- a/internal/gateway/exchange/exchange_test.go
+++ b/internal/gateway/exchange/exchange_test.go
@@ -14,34 +14,34 @@
 	"time"
 )
 
-// scripted listens and hands each connection to script.
-func scripted(t *testing.T, script func(c net.Conn, in *bufio.Reader)) (addr string, opened *atomic.Int32) {
+// newScriptedServer listens and hands each connection to script.
+func newScriptedServer(t *testing.T, handle func(c net.Conn, in *bufio.Reader)) (addr string, accepted *atomic.Int32) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.Close() })
-	opened = &atomic.Int32{}
+	t.Cleanup(func() { _ = listener.Close() })
+	accepted = &atomic.Int32{}
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			opened.Add(1)
+			accepted.Add(1)
 			go func() {
 				defer func() { _ = c.Close() }()
-				script(c, bufio.NewReader(c))
+				handle(c, bufio.NewReader(c))
 			}()
 		}
 	}()
-	return l.Addr().String(), opened
+	return listener.Addr().String(), accepted
 }
 
-// take reads a request whole and returns its id.
-func take(in *bufio.Reader) (id string, ok bool) {
-	req, err := http.ReadRequest(in)
+// readRequest reads a request whole and returns its id.
+func readRequest(reader *bufio.Reader) (id string, ok bool) {
+	req, err := http.ReadRequest(reader)
 	if err != nil {
 		return "", false
 	}
@@ -52,157 +52,157 @@
 // What nobody waits for any more doesn't reach a server, on a kept connection
 // either.
 func TestCancelledRequestIsNotSent(t *testing.T) {
-	var arrived atomic.Int32
-	addr, opened := scripted(t, func(c net.Conn, in *bufio.Reader) {
+	var received atomic.Int32
+	addr, opened := newScriptedServer(t, func(c net.Conn, in *bufio.Reader) {
 		for {
-			id, ok := take(in)
+			id, ok := readRequest(in)
 			if !ok {
 				return
 			}
-			arrived.Add(1)
-			_, _ = io.WriteString(c, reply(id, "whole"))
+			received.Add(1)
+			_, _ = io.WriteString(c, response(id, "whole"))
 		}
 	})
-	p := NewPool()
-	if _, err := ask(t, p, addr, "1", nil); err != nil {
+	pool := NewPool()
+	if _, err := send(t, pool, addr, "1", nil); err != nil {
 		t.Fatal(err)
 	}
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 100 {
-		_, err := p.Do(cancelled, Peer{Addr: addr, Instance: "i"}, &Request{Method: http.MethodPost, Target: "/", Header: http.Header{"Id": {"2"}}, Young: time.Hour, Mine: func(http.Header) bool { return true }})
+		_, err := pool.Do(cancelled, Peer{Addr: addr, Instance: "i"}, &Request{Method: http.MethodPost, Target: "/", Header: http.Header{"Id": {"2"}}, Young: time.Hour, Mine: func(http.Header) bool { return true }})
 		if !errors.Is(err, ErrNotSent) {
 			t.Fatalf("got %v", err)
 		}
 	}
-	if _, err := ask(t, p, addr, "3", nil); err != nil {
+	if _, err := send(t, pool, addr, "3", nil); err != nil {
 		t.Fatal(err)
 	}
-	if arrived.Load() != 2 || opened.Load() != 1 {
-		t.Errorf("%d requests arrived on %d connections", arrived.Load(), opened.Load())
+	if received.Load() != 2 || opened.Load() != 1 {
+		t.Errorf("%d requests arrived on %d connections", received.Load(), opened.Load())
 	}
 }
 
-func reply(id, body string) string {
+func response(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-func ask(t *testing.T, p *Pool, addr, id string, body []byte) (string, error) {
+func send(t *testing.T, p *Pool, addr, id string, body []byte) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	answer, err := p.Do(ctx, Peer{Addr: addr, Instance: "i"}, &Request{
+	response, err := p.Do(ctx, Peer{Addr: addr, Instance: "i"}, &Request{
 		Method: "POST", Target: "/a%2Fb?x=1", Host: "h", Header: http.Header{"Id": {id}}, Body: body, Young: time.Hour,
 		Mine: func(h http.Header) bool { return h.Get("Id") == id },
 	})
 	if err != nil {
 		return "", err
 	}
-	defer answer.Abandon()
-	text, err := io.ReadAll(answer)
+	defer response.Abandon()
+	text, err := io.ReadAll(response)
 	return string(text), err
 }
 
-func mustAsk(t *testing.T, p *Pool, addr, id string) {
+func mustSend(t *testing.T, p *Pool, addr, id string) {
 	t.Helper()
-	text, err := ask(t, p, addr, id, nil)
+	text, err := send(t, p, addr, id, nil)
 	if err != nil || text != "for "+id {
 		t.Fatalf("%s: %q, %v", id, text, err)
 	}
 }
 
-func TestConnectionsAreUsedAgain(t *testing.T) {
-	addr, opened := scripted(t, func(c net.Conn, in *bufio.Reader) {
-		for id, ok := take(in); ok; id, ok = take(in) {
-			_, _ = io.WriteString(c, reply(id, "for "+id))
+func TestConnectionsAreReused(t *testing.T) {
+	addr, opened := newScriptedServer(t, func(c net.Conn, in *bufio.Reader) {
+		for id, ok := readRequest(in); ok; id, ok = readRequest(in) {
+			_, _ = io.WriteString(c, response(id, "for "+id))
 		}
 	})
-	p := NewPool()
+	pool := NewPool()
 	for i := range 5 {
-		mustAsk(t, p, addr, strconv.Itoa(i))
+		mustSend(t, pool, addr, strconv.Itoa(i))
 	}
 	if opened.Load() != 1 {
 		t.Errorf("%d connections for 5 requests in turn", opened.Load())
 	}
-	p.Sweep(time.Now(), func(Peer) bool { return false })
-	mustAsk(t, p, addr, "after")
+	pool.Sweep(time.Now(), func(Peer) bool { return false })
+	mustSend(t, pool, addr, "after")
 	if opened.Load() != 2 {
 		t.Errorf("a connection to a peer that isn't wanted was used")
 	}
 }
 
-func TestSurplusBytesSpoilAConnection(t *testing.T) {
+func TestConnectionWithExtraBytesIsNotReused(t *testing.T) {
 	sent := make(chan struct{}, 10)
-	addr, opened := scripted(t, func(c net.Conn, in *bufio.Reader) {
-		for id, ok := take(in); ok; id, ok = take(in) {
-			_, _ = io.WriteString(c, reply(id, "for "+id))
+	addr, opened := newScriptedServer(t, func(c net.Conn, in *bufio.Reader) {
+		for id, ok := readRequest(in); ok; id, ok = readRequest(in) {
+			_, _ = io.WriteString(c, response(id, "for "+id))
 			time.Sleep(5 * time.Millisecond)
-			_, _ = io.WriteString(c, reply(id, "again"))
+			_, _ = io.WriteString(c, response(id, "again"))
 			sent <- struct{}{}
 		}
 	})
-	p := NewPool()
-	mustAsk(t, p, addr, "1")
+	pool := NewPool()
+	mustSend(t, pool, addr, "1")
 	<-sent
-	mustAsk(t, p, addr, "2")
+	mustSend(t, pool, addr, "2")
 	if opened.Load() != 2 {
 		t.Errorf("%d connections, a connection with an extra answer must not be used again", opened.Load())
 	}
 }
 
-func TestAnswersToOthersArePassedOver(t *testing.T) {
-	addr, opened := scripted(t, func(c net.Conn, in *bufio.Reader) {
-		for id, ok := take(in); ok; id, ok = take(in) {
-			_, _ = io.WriteString(c, reply("0", "an earlier one")+reply(id, "for "+id))
+func TestMismatchedResponsesAreSkipped(t *testing.T) {
+	addr, opened := newScriptedServer(t, func(c net.Conn, in *bufio.Reader) {
+		for id, ok := readRequest(in); ok; id, ok = readRequest(in) {
+			_, _ = io.WriteString(c, response("0", "an earlier one")+response(id, "for "+id))
 		}
 	})
-	p := NewPool()
-	mustAsk(t, p, addr, "1")
-	mustAsk(t, p, addr, "2")
+	pool := NewPool()
+	mustSend(t, pool, addr, "1")
+	mustSend(t, pool, addr, "2")
 	if opened.Load() != 2 {
 		t.Errorf("%d connections, one with a foreign answer must not be used again", opened.Load())
 	}
 }
 
-func TestWhatIsCertain(t *testing.T) {
-	closed, err := net.Listen("tcp", "127.0.0.1:0")
+func TestErrorClassification(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	refusing := closed.Addr().String()
-	_ = closed.Close()
+	closedAddr := listener.Addr().String()
+	_ = listener.Close()
 	cases := map[string]struct {
-		answer string
-		want   error
+		response string
+		want     error
 	}{
 		"cut in the head": {"HTTP/1.1 200 OK\r\nId: 1\r\nConte", ErrBroken},
 		"cut in the body": {"HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nhalf", ErrBroken},
 		"cut in chunks":   {"HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", ErrBroken},
 		"no HTTP":         {"\x00\x01garbage\r\n\r\n", ErrBroken},
-		"others only":     {reply("0", "a") + reply("0", "b") + reply("0", "c") + reply("0", "d") + reply("0", "e"), ErrBroken},
+		"others only":     {response("0", "a") + response("0", "b") + response("0", "c") + response("0", "d") + response("0", "e"), ErrBroken},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			addr, _ := scripted(t, func(conn net.Conn, in *bufio.Reader) {
-				_, _ = take(in)
-				_, _ = io.WriteString(conn, c.answer)
+			addr, _ := newScriptedServer(t, func(conn net.Conn, in *bufio.Reader) {
+				_, _ = readRequest(in)
+				_, _ = io.WriteString(conn, c.response)
 			})
-			if _, err := ask(t, NewPool(), addr, "1", nil); !errors.Is(err, c.want) {
+			if _, err := send(t, NewPool(), addr, "1", nil); !errors.Is(err, c.want) {
 				t.Errorf("got %v, want %v", err, c.want)
 			}
 		})
 	}
-	if _, err := ask(t, NewPool(), refusing, "1", nil); !errors.Is(err, ErrNotSent) {
+	if _, err := send(t, NewPool(), closedAddr, "1", nil); !errors.Is(err, ErrNotSent) {
 		t.Errorf("refused connection: %v, want %v", err, ErrNotSent)
 	}
 }
 
-func TestCancelClosesTheConnection(t *testing.T) {
-	ended := make(chan struct{})
-	addr, _ := scripted(t, func(c net.Conn, in *bufio.Reader) {
-		_, _ = take(in)
+func TestCancelClosesConnection(t *testing.T) {
+	closed := make(chan struct{})
+	addr, _ := newScriptedServer(t, func(c net.Conn, in *bufio.Reader) {
+		_, _ = readRequest(in)
 		_, _ = in.ReadByte()
-		close(ended)
+		close(closed)
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, cancel)
@@ -211,7 +211,7 @@
 		t.Errorf("got %v", err)
 	}
 	select {
-	case <-ended:
+	case <-closed:
 	case <-time.After(5 * time.Second):
 		t.Error("the backend server isn't told")
 	}
@@ -219,20 +219,20 @@
 
 // A server may answer before it has read a long body. What would follow on the
 // connection would be taken for the rest.
-func TestEarlyAnswerSpoilsAConnection(t *testing.T) {
-	addr, opened := scripted(t, func(c net.Conn, in *bufio.Reader) {
+func TestConnectionWithEarlyResponseIsNotReused(t *testing.T) {
+	addr, opened := newScriptedServer(t, func(c net.Conn, in *bufio.Reader) {
 		req, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
 		id := req.Header.Get("Id")
-		_, _ = io.WriteString(c, reply(id, "for "+id))
+		_, _ = io.WriteString(c, response(id, "for "+id))
 		time.Sleep(50 * time.Millisecond)
 		_, _ = io.Copy(io.Discard, in)
 	})
-	p := NewPool()
+	pool := NewPool()
 	for _, id := range []string{"1", "2"} {
-		if text, err := ask(t, p, addr, id, make([]byte, 8<<20)); err != nil || text != "for "+id {
+		if text, err := send(t, pool, addr, id, make([]byte, 8<<20)); err != nil || text != "for "+id {
 			t.Fatalf("%s: %q %v", id, text, err)
 		}
 	}
@@ -241,50 +241,50 @@
 	}
 }
 
-func TestAnswerThatEndsWithItsConnection(t *testing.T) {
-	addr, opened := scripted(t, func(c net.Conn, in *bufio.Reader) {
-		id, _ := take(in)
+func TestResponseDelimitedByConnectionClose(t *testing.T) {
+	addr, opened := newScriptedServer(t, func(c net.Conn, in *bufio.Reader) {
+		id, _ := readRequest(in)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: "+id+"\r\n\r\nfor "+id)
 	})
-	p := NewPool()
-	mustAsk(t, p, addr, "1")
-	mustAsk(t, p, addr, "2")
+	pool := NewPool()
+	mustSend(t, pool, addr, "1")
+	mustSend(t, pool, addr, "2")
 	if opened.Load() != 2 {
 		t.Errorf("%d connections", opened.Load())
 	}
-	reset, _ := scripted(t, func(c net.Conn, in *bufio.Reader) {
-		id, _ := take(in)
+	resetAddr, _ := newScriptedServer(t, func(c net.Conn, in *bufio.Reader) {
+		id, _ := readRequest(in)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: "+id+"\r\n\r\nfor "+id)
 		time.Sleep(10 * time.Millisecond)
 		_ = c.(*net.TCPConn).SetLinger(0)
 	})
-	if text, err := ask(t, p, reset, "1", nil); !errors.Is(err, ErrBroken) {
+	if text, err := send(t, pool, resetAddr, "1", nil); !errors.Is(err, ErrBroken) {
 		t.Errorf("a reset answer counts as whole: %q, %v", text, err)
 	}
 }
 
-func TestKeepFor(t *testing.T) {
+func TestKeepAliveTimeout(t *testing.T) {
 	for header, want := range map[string]time.Duration{
-		"":                  idleKept,
-		"timeout=5, max=10": 5*time.Second - closeMargin,
-		"max=3":             idleKept,
+		"":                  defaultKeepAlive,
+		"timeout=5, max=10": 5*time.Second - keepAliveMargin,
+		"max=3":             defaultKeepAlive,
 		"timeout=1":         0,
-		"timeout=x":         idleKept,
+		"timeout=x":         defaultKeepAlive,
 	} {
-		if got := keepFor(http.Header{"Keep-Alive": {header}}); got != want {
+		if got := keepAliveTimeout(http.Header{"Keep-Alive": {header}}); got != want {
 			t.Errorf("%q: %v, want %v", header, got, want)
 		}
 	}
 }
 
-func TestRequestIsPassedOnUnchanged(t *testing.T) {
-	r := Request{Method: "POST", Target: "/a%2Fb//c/../d?x=%20", Host: "h.example", Header: http.Header{"A": {"1", "2"}}, Body: []byte("body")}
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	post := Request{Method: "POST", Target: "/a%2Fb//c/../d?x=%20", Host: "h.example", Header: http.Header{"A": {"1", "2"}}, Body: []byte("body")}
 	want := "POST /a%2Fb//c/../d?x=%20 HTTP/1.1\r\nHost: h.example\r\nA: 1\r\nA: 2\r\nContent-Length: 4\r\n\r\nbody"
-	if got := string(r.bytes()); got != want {
+	if got := string(post.encode()); got != want {
 		t.Errorf("got %q", got)
 	}
 	get := Request{Method: "GET", Target: "/", Host: "h"}
-	if got := string(get.bytes()); strings.Contains(got, "Content-Length") {
+	if got := string(get.encode()); strings.Contains(got, "Content-Length") {
 		t.Errorf("a GET without a body has a length: %q", got)
 	}
 }
--- a/internal/gateway/exchange/pool.go
+++ b/internal/gateway/exchange/pool.go
@@ -14,36 +14,36 @@
 )
 
 const (
-	// idleKept is how long an idle connection is kept when the backend server
+	// defaultKeepAlive is how long an idle connection is kept when the backend server
 	// doesn't say how long it keeps it.
-	idleKept = 4 * time.Second
-	// closeMargin is how long before the backend server's own limit a
+	defaultKeepAlive = 4 * time.Second
+	// keepAliveMargin is how long before the backend server's own limit a
 	// connection isn't used any more, so that a request doesn't cross its
 	// close: a round trip with a lost packet, and the second that the
 	// Keep-Alive header rounds by.
-	closeMargin = 1200 * time.Millisecond
+	keepAliveMargin = 1200 * time.Millisecond
 	// dialTimeout is how long a new connection may take. It takes a round
 	// trip of a few milliseconds; a lost opening packet is sent again after a
 	// second, and another backend server is reached sooner.
 	dialTimeout = 250 * time.Millisecond
-	// unacknowledged is how long sent bytes may stay unacknowledged before
+	// maxUnacknowledged is how long sent bytes may stay maxUnacknowledged before
 	// the connection counts as broken: several resends of a lost packet, which
 	// come after 0.2, 0.6 and 1.4 seconds.
-	unacknowledged = time.Second
-	// refusalTimeout is how long a server's host may take to refuse a connection:
+	maxUnacknowledged = time.Second
+	// refusalCheckTimeout is how long a server's host may take to refuse a connection:
 	// a round trip to any zone, while a caller waits for its answer.
-	refusalTimeout = 100 * time.Millisecond
-	// endingTime is how much later another connection is opened: a process that ends has
+	refusalCheckTimeout = 100 * time.Millisecond
+	// processExitTime is how much later another connection is opened: a process that ends has
 	// closed all its sockets by then.
-	endingTime = 20 * time.Millisecond
-	// shortDial bounds one of the connections: some round trips between zones. The opening
+	processExitTime = 20 * time.Millisecond
+	// probeDialTimeout bounds one of the connections: some round trips between zones. The opening
 	// packet that crosses the end of its listener is lost.
-	shortDial = 30 * time.Millisecond
-	// redialPause is the pause before another connection is opened to a peer that reset
+	probeDialTimeout = 30 * time.Millisecond
+	// redialDelay is the pause before another connection is opened to a peer that reset
 	// one.
-	redialPause = 5 * time.Millisecond
-	// idlePerPeer bounds the idle connections to one backend server.
-	idlePerPeer = 32
+	redialDelay = 5 * time.Millisecond
+	// maxIdlePerPeer bounds the idle connections to one backend server.
+	maxIdlePerPeer = 32
 )
 
 // Peer is one start of a backend server at its address. Connections of an
@@ -68,29 +68,29 @@
 func NewPool() *Pool {
 	return &Pool{
 		idle:   map[Peer][]*conn{},
-		dialer: dial.Dialer(dialTimeout, unacknowledged),
+		dialer: dial.Dialer(dialTimeout, maxUnacknowledged),
 	}
 }
 
-// take returns an idle connection that has been idle for less than young, or
+// acquire returns an idle connection that has been idle for less than young, or
 // opens one. The error wraps ErrNotSent.
-func (p *Pool) take(ctx context.Context, peer Peer, young time.Duration) (*conn, error) {
+func (p *Pool) acquire(ctx context.Context, peer Peer, maxIdle time.Duration) (*conn, error) {
 	for {
-		c := p.pop(peer)
+		c := p.popIdle(peer)
 		if c == nil {
 			break
 		}
 		now := time.Now()
-		if !c.stale(now) && now.Sub(c.idleSince) < young && c.quiet() {
+		if !c.expired(now) && now.Sub(c.idleSince) < maxIdle && c.reusable() {
 			return c, nil
 		}
 		c.close()
 	}
-	opened, err := p.dialer.DialContext(ctx, "tcp", peer.Addr)
+	netConn, err := p.dialer.DialContext(ctx, "tcp", peer.Addr)
 	if err != nil {
 		return nil, errors.Wrapf(ErrNotSent, "connect: %v", err)
 	}
-	return newConn(opened, peer), nil
+	return newConn(netConn, peer), nil
 }
 
 // Refuses reports whether a peer's host refuses connections at its address, as it does
@@ -98,7 +98,7 @@
 // it for a process that is about to end as well. So a peer goes on that opens another one a
 // while later; both are kept for use. False where that isn't known within refusalTimeout.
 func (p *Pool) Refuses(ctx context.Context, peer Peer) bool {
-	ctx, cancel := context.WithTimeout(ctx, refusalTimeout)
+	ctx, cancel := context.WithTimeout(ctx, refusalCheckTimeout)
 	defer cancel()
 	var first *conn
 	defer func() {
@@ -107,58 +107,58 @@
 		}
 	}()
 	for {
-		opened, err := p.dialShortly(ctx, peer)
-		wait := redialPause
+		probe, err := p.dialProbe(ctx, peer)
+		delay := redialDelay
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED):
 			return true
 		case err != nil:
 		case first != nil:
-			p.give(first)
-			p.give(opened)
+			p.release(first)
+			p.release(probe)
 			first = nil
 			return false
 		default:
-			first, wait = opened, endingTime
+			first, delay = probe, processExitTime
 		}
-		if !pause.For(ctx, wait) {
+		if !pause.For(ctx, delay) {
 			return false
 		}
 	}
 }
 
-// dialShortly opens a connection, or gives up before a lost packet would be sent again.
-func (p *Pool) dialShortly(ctx context.Context, peer Peer) (*conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, shortDial)
+// dialProbe opens a connection, or gives up before a lost packet would be sent again.
+func (p *Pool) dialProbe(ctx context.Context, peer Peer) (*conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, probeDialTimeout)
 	defer cancel()
-	opened, err := p.dialer.DialContext(ctx, "tcp", peer.Addr)
+	netConn, err := p.dialer.DialContext(ctx, "tcp", peer.Addr)
 	if err != nil {
 		return nil, err
 	}
-	return newConn(opened, peer), nil
+	return newConn(netConn, peer), nil
 }
 
-// pop takes the connection that was used last, so that those that aren't
+// popIdle takes the connection that was used last, so that those that aren't
 // needed grow old.
-func (p *Pool) pop(peer Peer) *conn {
+func (p *Pool) popIdle(peer Peer) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[peer]
-	if len(list) == 0 {
+	conns := p.idle[peer]
+	if len(conns) == 0 {
 		return nil
 	}
-	c := list[len(list)-1]
-	list[len(list)-1] = nil
-	p.idle[peer] = list[:len(list)-1]
+	c := conns[len(conns)-1]
+	conns[len(conns)-1] = nil
+	p.idle[peer] = conns[:len(conns)-1]
 	return c
 }
 
-// give takes back a connection whose exchange ended whole.
-func (p *Pool) give(c *conn) {
+// release takes back a connection whose exchange ended whole.
+func (p *Pool) release(c *conn) {
 	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.peer]) >= idlePerPeer {
+	if len(p.idle[c.peer]) >= maxIdlePerPeer {
 		c.close()
 		return
 	}
@@ -170,16 +170,16 @@
 func (p *Pool) Sweep(now time.Time, wanted func(Peer) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for peer, list := range p.idle {
-		kept := list[:0]
-		for _, c := range list {
-			if wanted(peer) && !c.stale(now) {
+	for peer, conns := range p.idle {
+		kept := conns[:0]
+		for _, c := range conns {
+			if wanted(peer) && !c.expired(now) {
 				kept = append(kept, c)
 			} else {
 				c.close()
 			}
 		}
-		clear(list[len(kept):])
+		clear(conns[len(kept):])
 		if len(kept) == 0 {
 			delete(p.idle, peer)
 		} else {
--- a/internal/gateway/exchange/request.go
+++ b/internal/gateway/exchange/request.go
@@ -23,17 +23,17 @@
 	Mine func(http.Header) bool
 }
 
-// bytes is the request's form on the connection.
-func (r *Request) bytes() []byte {
-	var out bytes.Buffer
-	out.Grow(512 + len(r.Body))
-	out.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
+// encode is the request's form on the connection.
+func (r *Request) encode() []byte {
+	var buf bytes.Buffer
+	buf.Grow(512 + len(r.Body))
+	buf.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	// Writing to a buffer doesn't fail.
-	_ = r.Header.Write(&out)
+	_ = r.Header.Write(&buf)
 	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut || r.Method == http.MethodPatch {
-		out.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
+		buf.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
-	out.WriteString("\r\n")
-	out.Write(r.Body)
-	return out.Bytes()
+	buf.WriteString("\r\n")
+	buf.Write(r.Body)
+	return buf.Bytes()
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -35,26 +35,26 @@
 )
 
 const (
-	// sweepEvery is how often what has lapsed and idle connections are looked
+	// sweepInterval is how often what has lapsed and idle connections are looked
 	// through.
-	sweepEvery = 500 * time.Millisecond
+	sweepInterval = 500 * time.Millisecond
 	// headerTimeout bounds the reading of a caller's headers.
 	headerTimeout = 10 * time.Second
-	// handTimeout bounds what another gateway takes to ask for this one's state.
-	handTimeout = 2 * time.Second
-	// idleTimeout closes a connection that asks nothing, where operators set
+	// handoverTimeout bounds what another gateway takes to ask for this one's state.
+	handoverTimeout = 2 * time.Second
+	// defaultIdleTimeout closes a connection that asks nothing, where operators set
 	// no limit.
-	idleTimeout = 2 * time.Minute
-	// maxHeader bounds a caller's headers in bytes; operators' limits are
+	defaultIdleTimeout = 2 * time.Minute
+	// maxHeaderBytes bounds a caller's headers in bytes; operators' limits are
 	// lower.
-	maxHeader = 64 << 10
-	// memoryUse is the part of the memory that the collector is told to keep
+	maxHeaderBytes = 64 << 10
+	// heapMemoryShare is the part of the memory that the collector is told to keep
 	// to; the rest is for what it doesn't see: sockets' buffers and stacks.
-	memoryUse = 0.6
-	// heldPart is the part of the memory that requests in progress may take.
-	heldPart = 0.4
-	// collectAt is by how many percent the heap grows between collections.
-	collectAt = 60
+	heapMemoryShare = 0.6
+	// requestMemoryShare is the part of the memory that requests in progress may take.
+	requestMemoryShare = 0.4
+	// gcPercent is by how many percent the heap grows between collections.
+	gcPercent = 60
 	megabyte  = 1 << 20
 )
 
@@ -65,7 +65,7 @@
 	log      *zap.Logger
 
 	holder   *routes.Holder
-	desired  *desired
+	sink     *desiredStateSink
 	registry *backend.Registry
 	pool     *exchange.Pool
 	router   *router.Router
@@ -75,35 +75,35 @@
 	// servers follows the list of backend servers, and targets the desired state.
 	servers *follow.Follower[backend.Info]
 	targets *follow.Follower[*routes.Set]
-	// lacking and newer say since when other gateways know of servers, and of a newer
+	// serversBehind and stateBehind say since when other gateways know of servers, and of a stateBehind
 	// desired state, that this one couldn't have from them.
-	lacking, newer condition
-	leaving        atomic.Bool
-	// toQuarantine are requests that are to be stored as quarantined, and quarantineKnown says
+	serversBehind, stateBehind timedCondition
+	draining                   atomic.Bool
+	// pendingQuarantine are requests that are to be stored as quarantined, and quarantineKnown says
 	// that those are known that were when this gateway started.
-	toQuarantine    chan policy.Suspicion
-	quarantineKnown atomic.Bool
-	// store is whether the platform's store answers, and arriving whether an
+	pendingQuarantine chan policy.Suspicion
+	quarantineLoaded  atomic.Bool
+	// storeHealth is whether the platform's storeHealth answers, and arriving whether an
 	// answer of it about the desired state is on its way.
-	store    follow.Health
-	arriving atomic.Bool
+	storeHealth    follow.Health
+	receivingState atomic.Bool
 }
 
 // Serve runs a gateway until ctx ends, then shuts it down gracefully. Reload
 // reads the settings again when the process is told that they changed.
 func Serve(ctx context.Context, s settings.Gateway, reload func() (settings.Gateway, error), p Platform, log *zap.Logger) error {
-	boundMemory(s.MemoryMB)
+	limitMemory(s.MemoryMB)
 	g, err := newGateway(s, p, log)
 	if err != nil {
 		return err
 	}
 	// Other gateways ask where they send their datagrams.
-	at, err := listen.All(s.Listen, s.AdminListen, g.mesh.Addr())
+	listeners, err := listen.All(s.Listen, s.AdminListen, g.mesh.Addr())
 	if err != nil {
 		g.mesh.Close()
 		return errors.Wrap(ErrListen, err.Error())
 	}
-	g.serve(ctx, at[0], at[1], at[2], reload)
+	g.serve(ctx, listeners[0], listeners[1], listeners[2], reload)
 	return nil
 }
 
@@ -111,33 +111,33 @@
 	g := &gateway{
 		settings: s, platform: p, log: log,
 		holder: &routes.Holder{}, registry: backend.NewRegistry(), pool: exchange.NewPool(),
-		toQuarantine: make(chan policy.Suspicion, mostUnstored),
+		pendingQuarantine: make(chan policy.Suspicion, maxPendingQuarantine),
 	}
-	g.desired = &desired{holder: g.holder, registry: g.registry, log: log}
+	g.sink = &desiredStateSink{holder: g.holder, registry: g.registry, log: log}
 	var err error
 	g.mesh, err = peers.Listen(peers.Config{
 		Self:  peers.Entry{Name: s.Process, Addr: s.PeerListen},
 		Loads: g.loads, Shortages: func() map[string]policy.Shortage { return g.router.Shortages() },
 		News: func() policy.News { return g.router.News() }, Merge: func(n policy.News) { g.router.Merge(n) },
 		Proof: func() peers.Proof { return peers.Proof{Version: g.holder.Version(), At: g.holder.ProvenAt()} },
-		Prove: func(p peers.Proof) { g.holder.Prove(p.Version, p.At) }, Following: g.following,
-		Usage: g.usageExchange(), Log: log,
+		Prove: func(p peers.Proof) { g.holder.Prove(p.Version, p.At) }, Following: g.pollStatus,
+		Usage: g.peerUsage(), Log: log,
 	})
 	if err != nil {
 		return nil, err
 	}
-	counter := g.newUsage()
+	counter := g.initUsage()
 	ejector, index := policy.NewEjector(), policy.NewPrefixIndex()
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	g.router = router.New(router.Config{
 		Zone: s.Zone, Dialect: p.Dialect, Holder: g.holder, Registry: g.registry, Pool: g.pool,
 		Others: g.mesh, Gateways: g.mesh.Listed,
 		Chooser: policy.NewChooser(random, ejector, index), Random: random, Ejector: ejector, Index: index,
-		Observer: ends{p.Metrics, log, g.storeQuarantined, counter},
-	}, boundsOf(s), g.elsewhere)
+		Observer: requestObserver{p.Metrics, log, g.enqueueQuarantined, counter},
+	}, routerBounds(s), g.sheddingClients)
 	g.registry.Gone = g.router.Forget
-	g.servers, g.targets = g.newServersFollower(), g.newTargetsFollower()
-	p.Metrics.ReadGateway(g.surroundings)
+	g.servers, g.targets = g.newServersFollower(), g.newDesiredStateFollower()
+	p.Metrics.ReadGateway(g.metricsSnapshot)
 	return g, nil
 }
 
@@ -146,11 +146,11 @@
 	if s := g.holder.Current(); s != nil && s.Limits.IdleTime > 0 {
 		return s.Limits.IdleTime
 	}
-	return idleTimeout
+	return defaultIdleTimeout
 }
 
-// surroundings is what the metrics tell of them.
-func (g *gateway) surroundings() metrics.Gateway {
+// metricsSnapshot is what the metrics tell of them.
+func (g *gateway) metricsSnapshot() metrics.Gateway {
 	var generation uint64
 	if g.usage != nil {
 		generation = g.usage.Generation()
@@ -173,40 +173,40 @@
 }
 
 // serve runs all parts; it returns when they have ended.
-func (g *gateway) serve(ctx context.Context, public, admin, gateways net.Listener, reload func() (settings.Gateway, error)) {
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+func (g *gateway) serve(ctx context.Context, clientListener, adminListener, peerListener net.Listener, reload func() (settings.Gateway, error)) {
+	workCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var wg conc.WaitGroup
-	wg.Go(func() { g.targets.Run(work) })
-	wg.Go(func() { g.servers.Run(work) })
-	wg.Go(func() { g.mesh.Run(work) })
-	wg.Go(func() { g.followEntries(work) })
-	wg.Go(func() { g.stayListed(work) })
-	wg.Go(func() { g.keepQuarantine(work) })
+	wg.Go(func() { g.targets.Run(workCtx) })
+	wg.Go(func() { g.servers.Run(workCtx) })
+	wg.Go(func() { g.mesh.Run(workCtx) })
+	wg.Go(func() { g.followGatewayList(workCtx) })
+	wg.Go(func() { g.maintainRegistration(workCtx) })
+	wg.Go(func() { g.syncQuarantine(workCtx) })
 	wg.Go(func() { g.reportUsage(ctx) })
-	wg.Go(func() { g.learnFromPeers(work) })
-	wg.Go(func() { g.learnServers(work) })
-	wg.Go(func() { g.reloadOnSignal(work, reload) })
-
-	front := newFront(public, g.router, g.idleLimit, g.log)
-	wg.Go(func() { g.sweep(work, front) })
-	back := &http.Server{Handler: g.adminRoutes(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
-	hand := &http.Server{Handler: handover.Routes(g.state, g.servers.Since), ReadTimeout: handTimeout, WriteTimeout: handTimeout + handover.Longest, ErrorLog: zap.NewStdLog(zap.NewNop())}
+	wg.Go(func() { g.syncStateFromPeers(workCtx) })
+	wg.Go(func() { g.syncServersFromPeers(workCtx) })
+	wg.Go(func() { g.watchSettings(workCtx, reload) })
+
+	clientServer := newClientServer(clientListener, g.router, g.idleLimit, g.log)
+	wg.Go(func() { g.sweep(workCtx, clientServer) })
+	adminServer := &http.Server{Handler: g.adminRoutes(), ReadHeaderTimeout: headerTimeout, IdleTimeout: defaultIdleTimeout}
+	handoverServer := &http.Server{Handler: handover.Routes(g.handoverState, g.servers.Since), ReadTimeout: handoverTimeout, WriteTimeout: handoverTimeout + handover.Longest, ErrorLog: zap.NewStdLog(zap.NewNop())}
 	// They return when their servers are closed.
-	wg.Go(front.Serve)
-	wg.Go(func() { _ = back.Serve(admin) })
-	wg.Go(func() { _ = hand.Serve(gateways) })
-	g.log.Info(logging.EventStarted, zap.String("listen", public.Addr().String()), zap.String("admin_listen", admin.Addr().String()))
+	wg.Go(clientServer.Serve)
+	wg.Go(func() { _ = adminServer.Serve(adminListener) })
+	wg.Go(func() { _ = handoverServer.Serve(peerListener) })
+	g.log.Info(logging.EventStarted, zap.String("listen", clientListener.Addr().String()), zap.String("admin_listen", adminListener.Addr().String()))
 
 	<-ctx.Done()
-	g.drain(front)
-	_, _ = back.Close(), hand.Close()
+	g.drain(clientServer)
+	_, _ = adminServer.Close(), handoverServer.Close()
 	stop()
 	wg.Wait()
 }
 
 // sweep removes what has lapsed.
-func (g *gateway) sweep(ctx context.Context, front *callers.Server) {
-	ticker := time.NewTicker(sweepEvery)
+func (g *gateway) sweep(ctx context.Context, server *callers.Server) {
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	limit := g.idleLimit()
 	for {
@@ -214,9 +214,9 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			before := limit
-			if limit = g.idleLimit(); limit < before {
-				front.Lower()
+			previous := limit
+			if limit = g.idleLimit(); limit < previous {
+				server.Lower()
 			}
 			g.registry.Sweep(now)
 			g.pool.Sweep(now, func(p exchange.Peer) bool {
@@ -228,22 +228,22 @@
 }
 
 func (g *gateway) adminRoutes() http.Handler {
-	routes := httprouter.New()
-	routes.GET(g.settings.ReadyPath, func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+	mux := httprouter.New()
+	mux.GET(g.settings.ReadyPath, func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		if !g.ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	routes.HandlerFunc(http.MethodGet, metrics.PathMetrics, g.platform.Metrics.Serve)
-	return routes
+	mux.HandlerFunc(http.MethodGet, metrics.PathMetrics, g.platform.Metrics.Serve)
+	return mux
 }
 
-// boundMemory has the collector keep to its part of the memory; 0 is no bound.
-func boundMemory(megabytes float64) {
-	debug.SetGCPercent(collectAt)
+// limitMemory has the collector keep to its part of the memory; 0 is no bound.
+func limitMemory(megabytes float64) {
+	debug.SetGCPercent(gcPercent)
 	limit := int64(math.MaxInt64)
 	if megabytes > 0 {
-		limit = int64(memoryUse * megabytes * megabyte)
+		limit = int64(heapMemoryShare * megabytes * megabyte)
 	}
 	debug.SetMemoryLimit(limit)
 }
--- /dev/null
+++ b/internal/gateway/peer_fallback_test.go
@@ -0,0 +1,27 @@
+package gateway
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// Another gateway is asked once the store has had its time, and not again before
+// the store has had it once more: what it hands over may be of no use.
+func TestPeersAreQueriedAfterEachStoreWait(t *testing.T) {
+	var fallback peerFallback
+	start := time.Unix(0, 0)
+	var queriedAt []time.Duration
+	for elapsed := time.Duration(0); elapsed <= 2*time.Second; elapsed += peerCheckInterval {
+		if fallback.due(start.Add(elapsed), elapsed != time.Second) {
+			queriedAt = append(queriedAt, elapsed)
+		}
+	}
+	var want []time.Duration
+	for _, ms := range []int{300, 600, 900, 1400, 1700, 2000} {
+		want = append(want, time.Duration(ms)*time.Millisecond)
+	}
+	if !slices.Equal(queriedAt, want) {
+		t.Errorf("asked at %v, want %v", queriedAt, want)
+	}
+}
--- a/internal/gateway/learn.go
+++ b/internal/gateway/peer_sync.go
@@ -11,18 +11,18 @@
 	"github.com/applepier/applepier/internal/logging"
 )
 
-// learnEvery is how often a gateway looks whether others know more.
-const learnEvery = 100 * time.Millisecond
+// peerCheckInterval is how often a gateway looks whether others know more.
+const peerCheckInterval = 100 * time.Millisecond
 
-// learnFromPeers has the desired state and the list of servers from another
+// syncStateFromPeers has the desired state and the list of servers from another
 // gateway while the store doesn't tell them, or isn't asked: a gateway that starts then
 // serves at once, and one that the store turns away learns of changes. Whether what it
 // learned is still the newest is proved as ever.
-func (g *gateway) learnFromPeers(ctx context.Context) {
+func (g *gateway) syncStateFromPeers(ctx context.Context) {
 	client := handover.NewClient()
-	ticker := time.NewTicker(learnEvery)
+	ticker := time.NewTicker(peerCheckInterval)
 	defer ticker.Stop()
-	var store lag
+	var fallback peerFallback
 	for {
 		select {
 		case <-ctx.Done():
@@ -32,38 +32,38 @@
 			// What is on its way from the store needn't come over the same link from
 			// another gateway too: a large state takes seconds there, in which
 			// callers' requests wait behind it.
-			newer := version > g.holder.Version()
-			if g.newer.note(newer); newer && g.targetsTold() {
-				g.learn(ctx, addr, client.Targets)
+			behind := version > g.holder.Version()
+			if g.stateBehind.set(behind); behind && g.desiredStateFromPeers() {
+				g.fetchFromPeer(ctx, addr, client.Targets)
 				continue
 			}
-			lacking := newer && !g.arriving.Load() || !g.registry.Known()
-			if store.due(now, addr != "" && lacking) {
-				g.learn(ctx, addr, client.Get)
+			missing := behind && !g.receivingState.Load() || !g.registry.Known()
+			if fallback.due(now, addr != "" && missing) {
+				g.fetchFromPeer(ctx, addr, client.Get)
 			}
 		}
 	}
 }
 
-// learn asks one gateway.
-func (g *gateway) learn(ctx context.Context, addr string, get func(context.Context, string) (handover.State, error)) {
-	state, err := get(ctx, addr)
+// fetchFromPeer asks one gateway.
+func (g *gateway) fetchFromPeer(ctx context.Context, addr string, fetch func(context.Context, string) (handover.State, error)) {
+	state, err := fetch(ctx, addr)
 	if err == nil {
-		err = g.adopt(addr, state)
+		err = g.applyPeerState(addr, state)
 	}
 	switch {
 	case err == nil, ctx.Err() != nil:
 	case errors.Is(err, handover.ErrTooLarge):
-		g.newer.long()
+		g.stateBehind.setExpired()
 	default:
 		g.log.Warn(logging.EventHandoverFailed, logging.Peer(addr), logging.Reason(err.Error()))
 	}
 }
 
-// adopt takes what another gateway handed over, as far as it is news. The list
+// applyPeerState takes what another gateway handed over, as far as it is news. The list
 // of servers is taken only where none is known: the store's own is newer, or is
 // read again as soon as it answers.
-func (g *gateway) adopt(addr string, state handover.State) error {
+func (g *gateway) applyPeerState(addr string, state handover.State) error {
 	if state.Version > g.holder.Version() {
 		set, err := g.platform.Decode(state.Document)
 		if err != nil {
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// state is what this gateway hands to others.
-func (g *gateway) state() handover.State {
+// handoverState is what this gateway hands to others.
+func (g *gateway) handoverState() handover.State {
 	var state handover.State
 	if set := g.holder.Current(); set != nil {
 		state.Version, state.Document = set.Version, set.Document
--- a/internal/gateway/protocol/hop.go
+++ b/internal/gateway/protocol/headers.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// hopHeaders concern one connection only (RFC 9110, 7.6.1), or are written
+// hopByHopHeaders concern one connection only (RFC 9110, 7.6.1), or are written
 // anew with the message's body.
-var hopHeaders = []string{
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
@@ -19,12 +19,12 @@
 	for name, values := range h {
 		kept[name] = values
 	}
-	for _, line := range h["Connection"] {
-		for name := range strings.SplitSeq(line, ",") {
+	for _, value := range h["Connection"] {
+		for name := range strings.SplitSeq(value, ",") {
 			delete(kept, http.CanonicalHeaderKey(strings.TrimSpace(name)))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		delete(kept, name)
 	}
 	return kept
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// storedFor is for how long a request that was quarantined is quarantined by gateways
+	// quarantineRetention is for how long a request that was quarantined is quarantined by gateways
 	// that start.
-	storedFor = 24 * time.Hour
-	// othersFirst is how long a gateway that starts waits at least for others to tell that
+	quarantineRetention = 24 * time.Hour
+	// minPeerWait is how long a gateway that starts waits at least for others to tell that
 	// they know what is quarantined, before it asks the store; up to as much more is drawn, so
 	// that of those that start together a few ask.
-	othersFirst = 300 * time.Millisecond
-	// toldInTurn is for how long it listens to them: dozens of requests are told in that
+	minPeerWait = 300 * time.Millisecond
+	// maxPeerWait is for how long it listens to them: dozens of requests are told in that
 	// time.
-	toldInTurn = 2 * time.Second
-	// mostUnstored bounds the requests that wait for the store; all gateways know them
+	maxPeerWait = 2 * time.Second
+	// maxPendingQuarantine bounds the requests that wait for the store; all gateways know them
 	// anyway as long as one of these runs.
-	mostUnstored = 64
+	maxPendingQuarantine = 64
 )
 
 // Quarantine keeps requests that are quarantined beyond the life of all gateways.
@@ -35,47 +35,47 @@
 	Drop(ctx context.Context, f policy.Fingerprint) error
 }
 
-// keepQuarantine takes what was quarantined before this gateway started, and stores what it
+// syncQuarantine takes what was quarantined before this gateway started, and stores what it
 // quarantines from then on.
-func (g *gateway) keepQuarantine(ctx context.Context) {
-	g.learnQuarantine(ctx)
+func (g *gateway) syncQuarantine(ctx context.Context) {
+	g.loadQuarantine(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case s := <-g.toQuarantine:
-			g.untilDone(ctx, logging.EventQuarantineFailed, func(ctx context.Context) error {
+		case s := <-g.pendingQuarantine:
+			g.retryUntilDone(ctx, logging.EventQuarantineFailed, func(ctx context.Context) error {
 				return g.platform.Quarantine.Write(ctx, s)
 			})
 		}
 	}
 }
 
-// learnQuarantine has what is quarantined from other gateways, or, where none knows it, from
+// loadQuarantine has what is quarantined from other gateways, or, where none knows it, from
 // the store.
-func (g *gateway) learnQuarantine(ctx context.Context) {
-	pause.For(ctx, othersFirst+rand.N(othersFirst))
-	for listened := time.Duration(0); listened < toldInTurn; listened += learnEvery {
+func (g *gateway) loadQuarantine(ctx context.Context) {
+	pause.For(ctx, minPeerWait+rand.N(minPeerWait))
+	for waited := time.Duration(0); waited < maxPeerWait; waited += peerCheckInterval {
 		if !g.mesh.Quarantined() {
-			g.untilDone(ctx, logging.EventQuarantineFailed, g.readQuarantine)
+			g.retryUntilDone(ctx, logging.EventQuarantineFailed, g.readStoredQuarantine)
 			break
 		}
-		pause.For(ctx, learnEvery)
+		pause.For(ctx, peerCheckInterval)
 	}
-	g.quarantineKnown.Store(true)
+	g.quarantineLoaded.Store(true)
 }
 
-func (g *gateway) readQuarantine(ctx context.Context) error {
-	all, err := g.platform.Quarantine.Read(ctx)
+func (g *gateway) readStoredQuarantine(ctx context.Context) error {
+	stored, err := g.platform.Quarantine.Read(ctx)
 	if err != nil {
 		return err
 	}
 	now := time.Now()
-	var known []policy.Suspicion
-	for _, s := range all {
-		if now.Sub(s.LastCrash()) <= storedFor {
+	var current []policy.Suspicion
+	for _, s := range stored {
+		if now.Sub(s.LastCrash()) <= quarantineRetention {
 			s.Seen = now
-			known = append(known, s)
+			current = append(current, s)
 			continue
 		}
 		if err := g.platform.Quarantine.Drop(ctx, s.Fingerprint); err != nil {
@@ -83,14 +83,14 @@
 			g.log.Warn(logging.EventQuarantineFailed, zap.Stringer("fingerprint", s.Fingerprint), logging.Reason(err.Error()))
 		}
 	}
-	g.router.Suspect(known)
+	g.router.Suspect(current)
 	return nil
 }
 
-// storeQuarantined stores a request that is quarantined from now on.
-func (g *gateway) storeQuarantined(s policy.Suspicion) {
+// enqueueQuarantined stores a request that is quarantined from now on.
+func (g *gateway) enqueueQuarantined(s policy.Suspicion) {
 	select {
-	case g.toQuarantine <- s:
+	case g.pendingQuarantine <- s:
 	default:
 		g.log.Warn(logging.EventQuarantineFailed, zap.Stringer("fingerprint", s.Fingerprint), logging.Reason("too many wait for the store"))
 	}
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// othersAhead is by how much more than a call's wait others' proofs are ahead
+	// peerProofLead is by how much more than a call's wait others' proofs are ahead
 	// of this gateway's own when the store doesn't answer it: a call that failed
 	// once has been made again by then.
-	othersAhead = 800 * time.Millisecond
-	// turnedAway is for how long a store that turns this gateway away, while it
+	peerProofLead = 800 * time.Millisecond
+	// storeRejectionTimeout is for how long a store that turns this gateway away, while it
 	// answers others, is tried again before callers are sent to those.
-	turnedAway = 500 * time.Millisecond
+	storeRejectionTimeout = 500 * time.Millisecond
 )
 
 // ready reports whether the balancer may send new connections here.
 func (g *gateway) ready() bool {
-	return !g.leaving.Load() && g.holder.Current() != nil && g.registry.Known() && !g.isolated()
+	return !g.draining.Load() && g.holder.Current() != nil && g.registry.Known() && !g.isolated()
 }
 
-// elsewhere reports whether callers are to go to another gateway.
-func (g *gateway) elsewhere() bool { return g.leaving.Load() || g.isolated() }
+// sheddingClients reports whether callers are to go to another gateway.
+func (g *gateway) sheddingClients() bool { return g.draining.Load() || g.isolated() }
 
 // isolated reports whether callers are better served elsewhere: the store turns
 // this gateway away while it answers others, on whose proofs alone it serves; or
@@ -30,12 +30,12 @@
 // requests with a key. Where the store is away from all of them nobody would
 // serve callers better, and public routes are served on.
 func (g *gateway) isolated() bool {
-	proved := g.holder.ProvenAt()
-	usual := feedSilence + provedWithin(g.router.Bounds().Proof) + othersAhead
-	if answered := boottime.Now()-proved <= usual; answered {
-		own := time.Duration(g.desired.provenAt.Load())
-		late := proved-own > g.proofWait()+othersAhead && !g.targetsTold()
-		return late || g.desired.away() > turnedAway && proved > own
+	provenAt := g.holder.ProvenAt()
+	maxProofAge := maxFeedSilence + pollerWait(g.router.Bounds().Proof) + peerProofLead
+	if storeAnswers := boottime.Now()-provenAt <= maxProofAge; storeAnswers {
+		ownProvenAt := time.Duration(g.sink.storeProvenAt.Load())
+		ownProofLate := provenAt-ownProvenAt > g.desiredStateWait()+peerProofLead && !g.desiredStateFromPeers()
+		return ownProofLate || g.sink.unavailableFor() > storeRejectionTimeout && provenAt > ownProvenAt
 	}
 	return !g.router.Fresh() && 2*g.mesh.Gateways() <= g.mesh.Listed()
 }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// reloadEvery is how often the settings are read without a signal, since
+	// reloadInterval is how often the settings are read without a signal, since
 	// the file may change without one.
-	reloadEvery = 5 * time.Second
-	// proofMargin is what the bound on the age of the desired state is
+	reloadInterval = 5 * time.Second
+	// clockSkewMargin is what the bound on the age of the desired state is
 	// shortened by, for clocks that run a little apart.
-	proofMargin = 100 * time.Millisecond
+	clockSkewMargin = 100 * time.Millisecond
 )
 
-// reloadOnSignal puts changed settings in force. Addresses and names are of
+// watchSettings puts changed settings in force. Addresses and names are of
 // the VM; they count from the next start.
-func (g *gateway) reloadOnSignal(ctx context.Context, reload func() (settings.Gateway, error)) {
+func (g *gateway) watchSettings(ctx context.Context, reload func() (settings.Gateway, error)) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	ticker := time.NewTicker(reloadEvery)
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	current := g.settings
 	for {
@@ -43,18 +43,18 @@
 			g.log.Warn(logging.EventSettingsRefused, logging.Reason(err.Error()))
 		case changed != current:
 			current = changed
-			boundMemory(changed.MemoryMB)
-			g.router.SetBounds(boundsOf(changed))
+			limitMemory(changed.MemoryMB)
+			g.router.SetBounds(routerBounds(changed))
 			g.log.Info(logging.EventSettingsChanged)
 		}
 	}
 }
 
-// boundsOf are the router's bounds under the settings.
-func boundsOf(s settings.Gateway) router.Bounds {
-	b := router.Bounds{RetryRatio: s.Retry.Ratio, RetryExtra: s.Retry.Extra, RetryWindow: s.Retry.Window, Held: int64(heldPart * s.MemoryMB * megabyte)}
+// routerBounds are the router's bounds under the settings.
+func routerBounds(s settings.Gateway) router.Bounds {
+	bounds := router.Bounds{RetryRatio: s.Retry.Ratio, RetryExtra: s.Retry.Extra, RetryWindow: s.Retry.Window, Held: int64(requestMemoryShare * s.MemoryMB * megabyte)}
 	if s.Revoke.Strict {
-		b.Proof = max(s.Revoke.Within-proofMargin, time.Millisecond)
+		bounds.Proof = max(s.Revoke.Within-clockSkewMargin, time.Millisecond)
 	}
-	return b
+	return bounds
 }
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -8,16 +8,16 @@
 )
 
 // Other settings of the memory bound what requests in progress may take.
-func TestRequestsInProgressKeepToTheirPartOfTheMemory(t *testing.T) {
-	r := router.New(router.Config{}, boundsOf(settings.Gateway{MemoryMB: 100}), nil)
+func TestRequestMemoryLimitFollowsSettings(t *testing.T) {
+	r := router.New(router.Config{}, routerBounds(settings.Gateway{MemoryMB: 100}), nil)
 	if got := r.Bounds().Held; got != 40*megabyte {
 		t.Errorf("%d bytes of 100 MB", got)
 	}
-	r.SetBounds(boundsOf(settings.Gateway{MemoryMB: 10}))
+	r.SetBounds(routerBounds(settings.Gateway{MemoryMB: 10}))
 	if got := r.Bounds().Held; got != 4*megabyte {
 		t.Errorf("%d bytes of 10 MB, after 100", got)
 	}
-	r.SetBounds(boundsOf(settings.Gateway{}))
+	r.SetBounds(routerBounds(settings.Gateway{}))
 	if got := r.Bounds().Held; got != 0 {
 		t.Errorf("%d bytes where there is no bound", got)
 	}
--- a/internal/gateway/ends.go
+++ b/internal/gateway/request_observer.go
@@ -13,26 +13,26 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// ends counts how requests ended, and logs those that weren't served.
-type ends struct {
+// requestObserver counts how requests ended, and logs those that weren't served.
+type requestObserver struct {
 	metrics *metrics.Metrics
 	log     *zap.Logger
-	// quarantine stores a request that is quarantined from now on.
-	quarantine func(policy.Suspicion)
+	// storeQuarantined stores a request that is quarantined from now on.
+	storeQuarantined func(policy.Suspicion)
 	// usage counts requests by customer; nil where no usage is reported.
 	usage *usage.Counter
 }
 
 // Began implements router.Observer.
-func (e ends) Began(customer string) {
-	if e.usage != nil && customer != "" {
-		e.usage.Began(customer)
+func (o requestObserver) Began(customer string) {
+	if o.usage != nil && customer != "" {
+		o.usage.Began(customer)
 	}
 }
 
 // Ended implements router.Observer.
-func (e ends) Ended(end router.End) {
-	class := e.metrics.Request(end.Route)
+func (o requestObserver) Ended(end router.End) {
+	class := o.metrics.Request(end.Route)
 	class.Received()
 	class.ReceivedPrompt(end.PromptTokens)
 	for range end.Sends - 1 {
@@ -44,9 +44,9 @@
 	if end.Pause > 0 {
 		class.Pause(end.Pause)
 	}
-	e.count(class, end)
+	o.count(class, end)
 	if end.Reason != router.ReasonServed {
-		e.log.Info(eventOf(end), logging.Request(end.ID), logging.Class(end.Route), logging.Reason(string(end.Reason)),
+		o.log.Info(eventName(end), logging.Request(end.ID), logging.Class(end.Route), logging.Reason(string(end.Reason)),
 			zap.Int("status", end.Status), zap.String("service", end.Service), zap.String("customer", end.Customer),
 			zap.Int("urgency", end.Urgency), zap.Int("sends", end.Sends), zap.Int("unreached", end.Unreached), zap.String("last_server", end.Server),
 			zap.Bool("server_ended", end.ServerEnded), zap.Stringer("fingerprint", end.Fingerprint),
@@ -58,36 +58,36 @@
 }
 
 // Replaced implements router.Observer.
-func (e ends) Replaced(server string) {
-	e.log.Info(logging.EventServerRemoved, logging.Peer(server), logging.Reason("replaced"))
+func (o requestObserver) Replaced(server string) {
+	o.log.Info(logging.EventServerRemoved, logging.Peer(server), logging.Reason("replaced"))
 }
 
 // ServerEnded implements router.Observer.
-func (e ends) ServerEnded(server string) {
-	e.metrics.ServerEnded()
-	e.log.Warn(logging.EventServerEnded, logging.Peer(server))
+func (o requestObserver) ServerEnded(server string) {
+	o.metrics.ServerEnded()
+	o.log.Warn(logging.EventServerEnded, logging.Peer(server))
 }
 
 // ServerLimited implements router.Observer.
-func (e ends) ServerLimited(server string, limit protocol.Limit) {
+func (o requestObserver) ServerLimited(server string, limit protocol.Limit) {
 	switch {
 	case limit.Unreadable:
-		e.log.Warn(logging.EventServerLimited, logging.Peer(server), logging.Reason("unreadable"))
+		o.log.Warn(logging.EventServerLimited, logging.Peer(server), logging.Reason("unreadable"))
 	case limit.Named:
-		e.log.Info(logging.EventServerLimited, logging.Peer(server), zap.Float64("limit", limit.Rate))
+		o.log.Info(logging.EventServerLimited, logging.Peer(server), zap.Float64("limit", limit.Rate))
 	default:
-		e.log.Info(logging.EventServerUnlimited, logging.Peer(server))
+		o.log.Info(logging.EventServerUnlimited, logging.Peer(server))
 	}
 }
 
 // Quarantined implements router.Observer.
-func (e ends) Quarantined(why policy.Suspicion) {
-	e.log.Warn(logging.EventRequestQuarantined, zap.Stringer("fingerprint", why.Fingerprint), zap.Int("servers_ended", len(why.Crashes)))
-	e.quarantine(why)
+func (o requestObserver) Quarantined(suspicion policy.Suspicion) {
+	o.log.Warn(logging.EventRequestQuarantined, zap.Stringer("fingerprint", suspicion.Fingerprint), zap.Int("servers_ended", len(suspicion.Crashes)))
+	o.storeQuarantined(suspicion)
 }
 
-func (e ends) count(class *metrics.Class, end router.End) {
-	switch eventOf(end) {
+func (o requestObserver) count(class *metrics.Class, end router.End) {
+	switch eventName(end) {
 	case logging.EventRequestRefused:
 		class.Refused(metrics.Reason(end.Reason))
 		class.RefusedPrompt(metrics.Reason(end.Reason), end.PromptTokens)
@@ -108,8 +108,8 @@
 	}
 }
 
-// eventOf names the event of a request's end: whether it ran decides.
-func eventOf(end router.End) string {
+// eventName names the event of a request's end: whether it ran decides.
+func eventName(end router.End) string {
 	switch {
 	case end.Reason == router.ReasonCallerLeft:
 		return logging.EventRequestCancelled
--- a/internal/gateway/ends_test.go
+++ b/internal/gateway/request_observer_test.go
@@ -15,32 +15,32 @@
 
 // Guards against rejections whose size nobody can see: long prompts that are starved look like
 // load then.
-func TestRejectionsTellThePromptsSize(t *testing.T) {
-	core, lines := observer.New(zap.InfoLevel)
-	m := metrics.New()
-	e := ends{metrics: m, log: zap.New(core)}
-	e.Ended(router.End{
+func TestRejectionsReportPromptSize(t *testing.T) {
+	core, entries := observer.New(zap.InfoLevel)
+	registry := metrics.New()
+	requests := requestObserver{metrics: registry, log: zap.New(core)}
+	requests.Ended(router.End{
 		Route: "summary", Status: http.StatusServiceUnavailable, Reason: router.ReasonCrowded,
 		PromptTokens: 17_000, MeanTokens: 9000, Prefill: 14_000, Ahead: 1800,
 	})
-	e.Ended(router.End{Route: "summary", Status: http.StatusOK, Reason: router.ReasonServed, PromptTokens: 8000})
-	if lines.Len() != 1 {
-		t.Fatalf("%d lines, want one for the rejection", lines.Len())
+	requests.Ended(router.End{Route: "summary", Status: http.StatusOK, Reason: router.ReasonServed, PromptTokens: 8000})
+	if entries.Len() != 1 {
+		t.Fatalf("%d lines, want one for the rejection", entries.Len())
 	}
-	fields := lines.All()[0].ContextMap()
+	fields := entries.All()[0].ContextMap()
 	for name, want := range map[string]int64{"prompt_tokens": 17_000, "mean_tokens": 9000, "prefill_tokens": 14_000, "tokens_ahead": 1800} {
 		if fields[name] != want {
 			t.Errorf("%s=%v, want %d", name, fields[name], want)
 		}
 	}
-	answer := httptest.NewRecorder()
-	m.Serve(answer, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	response := httptest.NewRecorder()
+	registry.Serve(response, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	for _, want := range []string{
 		`applepier_received_prompt_tokens_total{class="summary"} 25000`,
 		`applepier_refused_prompt_tokens_total{class="summary",reason="no_room_in_time"} 17000`,
 	} {
-		if !strings.Contains(answer.Body.String(), want) {
-			t.Errorf("no %s in\n%s", want, answer.Body)
+		if !strings.Contains(response.Body.String(), want) {
+			t.Errorf("no %s in\n%s", want, response.Body)
 		}
 	}
 }
--- a/internal/gateway/servers.go
+++ b/internal/gateway/server_list_sink.go
@@ -11,18 +11,18 @@
 	"github.com/applepier/applepier/internal/logging"
 )
 
-// servers takes the list of backend servers from its follower.
-type servers struct {
+// serverListSink takes the list of backend serverListSink from its follower.
+type serverListSink struct {
 	registry *backend.Registry
 	log      *zap.Logger
 	// era is the list's, once it has been read.
 	era atomic.Uint64
 }
 
-var _ follow.Sink[backend.Info] = (*servers)(nil)
+var _ follow.Sink[backend.Info] = (*serverListSink)(nil)
 
 // Reset implements follow.Sink.
-func (s *servers) Reset(_ time.Duration, all follow.Batch[backend.Info]) {
+func (s *serverListSink) Reset(_ time.Duration, all follow.Batch[backend.Info]) {
 	if era := all.At.Era(); era > s.era.Load() {
 		s.era.Store(era)
 		s.registry.Restored(time.Now())
@@ -32,7 +32,7 @@
 }
 
 // Change implements follow.Sink.
-func (s *servers) Change(_ time.Duration, changes follow.Batch[backend.Info]) {
+func (s *serverListSink) Change(_ time.Duration, changes follow.Batch[backend.Info]) {
 	s.registry.Change(time.Now(), changes.Items, changes.Removed, changes.Unreadable)
 	for _, info := range changes.Items {
 		s.log.Info(logging.EventServerChanged, logging.Peer(info.ID), zap.String("service", info.Service), zap.Bool("leaving", info.Leaving), zap.Int("usable", s.registry.Usable()))
@@ -43,7 +43,7 @@
 }
 
 // Available implements follow.Sink.
-func (s *servers) Available() { s.registry.Available(time.Now()) }
+func (s *serverListSink) Available() { s.registry.Available(time.Now()) }
 
 // Unavailable implements follow.Sink.
-func (s *servers) Unavailable(error) { s.registry.Unavailable() }
+func (s *serverListSink) Unavailable(error) { s.registry.Unavailable() }
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -8,9 +8,9 @@
 	"github.com/applepier/applepier/internal/gateway/usage"
 )
 
-// usageExchange is how this gateway exchanges usage with its peers; nil where none is
+// peerUsage is how this gateway exchanges usage with its peers; nil where none is
 // reported.
-func (g *gateway) usageExchange() *peers.Usage {
+func (g *gateway) peerUsage() *peers.Usage {
 	if !g.settings.Usage.Reported() {
 		return nil
 	}
@@ -22,17 +22,17 @@
 	}
 }
 
-// newUsage makes the Reporter, and returns its Counter; nil where nothing is reported.
-func (g *gateway) newUsage() *usage.Counter {
-	s := g.settings.Usage
-	if !s.Reported() {
+// initUsage makes the Reporter, and returns its Counter; nil where nothing is reported.
+func (g *gateway) initUsage() *usage.Counter {
+	usageSettings := g.settings.Usage
+	if !usageSettings.Reported() {
 		return nil
 	}
 	g.usage = usage.NewReporter(usage.Config{
 		Name: g.settings.Process, Start: g.mesh.Start(),
-		Windows: usage.Windows{Length: s.Window}, Delay: s.Delay, LeaseTime: s.Lease,
+		Windows: usage.Windows{Length: usageSettings.Window}, Delay: usageSettings.Delay, LeaseTime: usageSettings.Lease,
 		Table: g.platform.Duties, Platform: g.platform.Usage, Now: g.mesh.Time, Others: g.mesh,
-		Able: func() bool { return !g.store.Away() && !g.leaving.Load() }, Observer: g.platform.Metrics.Usage(), Log: g.log,
+		Able: func() bool { return !g.storeHealth.Away() && !g.draining.Load() }, Observer: g.platform.Metrics.Usage(), Log: g.log,
 	})
 	return g.usage.Counter
 }
