--- a/internal/gateway/client_server.go
+++ b/internal/gateway/client_server.go
@@ -10,7 +10,8 @@
 	"github.com/applepier/applepier/internal/callers"
 )
 
-// newClientServer is the server that callers reach.
+// newClientServer returns the HTTP server for client requests. idleLimit returns how long a client
+// connection may stay idle.
 func newClientServer(listener net.Listener, handler http.Handler, idleLimit func() time.Duration, log *zap.Logger) *callers.Server {
 	return callers.New(listener, callers.Config{Handler: handler, HeaderTime: headerTimeout, MaxHeader: maxHeaderBytes, Limit: idleLimit, Log: log})
 }
--- a/internal/gateway/client_server_test.go
+++ b/internal/gateway/client_server_test.go
@@ -17,19 +17,18 @@
 	"github.com/applepier/applepier/internal/settings"
 )
 
-// closeDelay is how much longer than its limit a connection may rest.
+// closeDelay is how long after its idle limit a connection may still be open.
 const closeDelay = time.Second
 
-// testIdleLimit is for how long connections may rest in these tests.
+// testIdleLimit is the idle limit of client connections in these tests.
 const testIdleLimit = 15 * time.Second
 
-// slowConn is a connection in a process that stands still at the worst moment:
-// between the decision to close it and the close, for as long as it takes until
-// a request has been read, a second at the most.
+// slowConn simulates a process that stalls between the decision to close a connection and the close
+// itself: Close blocks until a request has been read, for at most one second.
 type slowConn struct {
 	net.Conn
 	requestRead <-chan struct{}
-	// closing says that it is being closed already.
+	// closing is set by the first call to Close.
 	closing atomic.Bool
 }
 
@@ -43,7 +42,7 @@
 	return c.Conn.Close()
 }
 
-// singleConnListener is a listener that has one connection.
+// singleConnListener is a net.Listener that accepts one given connection.
 type singleConnListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -68,29 +67,18 @@
 func (l *singleConnListener) Close() error   { l.once.Do(func() { close(l.closed) }); return nil }
 func (l *singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// postRequest is a request that may run once at most.
+// postRequest is a non-idempotent request, which may run at most once.
 const postRequest = "POST /flag HTTP/1.1\r\nHost: h.example\r\nContent-Length: 0\r\n\r\n"
 
-// TestIdleLimitDoesNotCutRequest tells of a request that reached a backend
-// server and was cut.
+// Guards against the idle limit cutting a request that has already reached a backend server. A
+// timer used to close idle connections from its own goroutine without checking that the connection
+// was still idle, while another goroutine read a request from it and passed it on. The client then
+// got neither a response nor a refusal, and the gateway logged that the client had left.
 //
-// Seen: a caller sent a whole request, which may run once at most, on a
-// connection that it had kept; a backend server began with it; the caller got
-// neither an answer nor a refusal, but the end of its connection. The gateway
-// noted that the caller had left.
-//
-// How: the connection had rested for as long as the gateway leaves it open. The
-// gateway stood still at that moment, since a desired state of thousands of
-// routes filled a narrow link and a small part of a core; when it went on, the
-// request could be read and the timer was due.
-//
-// Cause: a timer closed the connection from a goroutine of its own, without
-// asking whether it still rested, while another one read the request and handed
-// it on.
-//
-// Proof: the log's line of the request's end, once it told what ended the
-// connection: closed here as idle after 16.018 s of rest under a limit of 15 s,
-// 0.8 ms after the request had been read.
+// It happened when the gateway stalled just as the limit expired, because a desired state of
+// thousands of routes filled a narrow link and a small CPU share. The request log showed a
+// connection closed as idle after 16.018 s under a limit of 15 s, 0.8 ms after the request had been
+// read.
 func TestIdleLimitDoesNotCutRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		requestRead := make(chan struct{})
@@ -100,7 +88,7 @@
 			if started.Add(1) == 2 {
 				close(requestRead)
 			}
-			// A backend server works on it, and stops when the caller has left.
+			// Stands for a backend server, which stops working when the client disconnects.
 			select {
 			case <-time.After(20 * time.Millisecond):
 				_, _ = io.WriteString(w, "done")
@@ -129,8 +117,8 @@
 	})
 }
 
-// A graceful stop closes the connections that rest. One on which a request has
-// begun to come doesn't rest any more, however long its head is on its way.
+// Guards against a graceful shutdown closing a connection on which a request has started to arrive:
+// the connection is no longer idle, even while its header is incomplete.
 func TestRequestStartedBeforeDrainIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		serverConn, clientConn := net.Pipe()
@@ -165,7 +153,8 @@
 	})
 }
 
-// exchangeRequest sends a request, or the rest of one, and reads the whole answer.
+// exchangeRequest sends a request, or the rest of one, and reads the whole response. It returns an
+// error if the body isn't "done".
 func exchangeRequest(conn net.Conn, reader *bufio.Reader, request string) error {
 	if _, err := io.WriteString(conn, request); err != nil {
 		return err
--- a/internal/gateway/desired_state_sink.go
+++ b/internal/gateway/desired_state_sink.go
@@ -13,30 +13,30 @@
 	"github.com/applepier/applepier/internal/logging"
 )
 
-// maxFeedSilence is for how long a store's feed may stay silent while changes are
-// made. An answer of the feed without news proves only that the state was the
-// newest this long before the call.
+// maxFeedSilence is how long the store's feed may stay silent while changes are being made. A feed
+// response without changes therefore only proves that the state was the newest this long before the
+// call.
 const maxFeedSilence = time.Second
 
-// desiredStateSink takes the desiredStateSink state from its follower into the holder.
+// desiredStateSink applies the desired state from its follower to the holder.
 type desiredStateSink struct {
 	holder *routes.Holder
-	// registry is told when the store is away and back: calls about the desired
-	// state are held back for a shorter time than those about servers, and
-	// notice it first.
+	// registry is told when the store becomes unavailable or available again. Calls for the desired
+	// state have a shorter wait than those for the list of backend servers, so they notice it
+	// first.
 	registry *backend.Registry
 	log      *zap.Logger
-	// storeProvenAt is the latest moment, in nanoseconds of boottime's clock, that
-	// the store itself has proved; 0 for none.
+	// storeProvenAt is the latest time, in nanoseconds of the boottime clock, at which the store
+	// itself proved the state in force to be the newest; 0 for none.
 	storeProvenAt atomic.Int64
-	// unavailableSince is when calls began to fail, in nanoseconds of the same clock;
-	// 0 while the store answers.
+	// unavailableSince is when calls to the store began to fail, in nanoseconds of the boottime
+	// clock; 0 while the store responds.
 	unavailableSince atomic.Int64
-	// unreadable says that the newest state can't be read, so that nothing
-	// proves the one in force to be the newest.
+	// unreadable is set while the newest state can't be decoded, so that nothing proves the state
+	// in force to be the newest.
 	unreadable atomic.Bool
-	// outdated says that the store holds an older state than this process has seen, as
-	// after its return from an older copy: it proves nothing then.
+	// outdated is set while the store holds an older state than this process has seen, for example
+	// after a restore from an older copy. Such a store proves nothing.
 	outdated atomic.Bool
 }
 
@@ -65,7 +65,7 @@
 	d.unavailableSince.Store(0)
 }
 
-// unavailableFor is for how long the store hasn't answered; 0 while it does.
+// unavailableFor returns how long the store hasn't responded; 0 while it does.
 func (d *desiredStateSink) unavailableFor() time.Duration {
 	since := time.Duration(d.unavailableSince.Load())
 	if since == 0 {
@@ -90,7 +90,8 @@
 		}
 	}
 	if !d.unreadable.Load() && !d.outdated.Load() {
-		// One goroutine writes it.
+		// Only the follower's goroutine writes storeProvenAt, so load and store needn't be atomic
+		// together.
 		d.storeProvenAt.Store(max(d.storeProvenAt.Load(), int64(provenAt)))
 		d.holder.Prove(d.holder.Version(), provenAt)
 	}
--- a/internal/gateway/desired_state_sink_test.go
+++ b/internal/gateway/desired_state_sink_test.go
@@ -12,8 +12,9 @@
 	"github.com/applepier/applepier/internal/gateway/routes"
 )
 
-// The whole table proves the moment of its call, an answer of the feed only what
-// was a second before its own: the later answer may prove the earlier moment.
+// A full read proves the time of its call; a feed response only proves a time maxFeedSilence
+// earlier. A later response may therefore prove an earlier time, which must not move the proof
+// back.
 func TestStoreProofTimeNeverDecreases(t *testing.T) {
 	sink := &desiredStateSink{holder: &routes.Holder{}, registry: backend.NewRegistry(), log: zap.NewNop()}
 	const readAt = 10 * time.Second
@@ -28,8 +29,8 @@
 	}
 }
 
-// After its return from an older copy the store holds an older state than was
-// acknowledged: that doesn't replace the newer one, and proves nothing.
+// After a restore from an older copy the store may hold an older state than it had acknowledged.
+// That state must neither replace the newer one nor count as proof.
 func TestOlderStateIsNoProof(t *testing.T) {
 	set := func(version uint64) follow.Batch[*routes.Set] {
 		return follow.Batch[*routes.Set]{Items: []*routes.Set{routes.NewSet(version, routes.Limits{}, nil, nil, nil)}}
@@ -49,8 +50,9 @@
 	}
 }
 
-// A store that answers that it doesn't have the history any more isn't away, also where other
-// gateways read the state then: a gateway that took it for away sent its callers elsewhere.
+// Guards against treating a store as unavailable because it no longer has the requested history,
+// also while other gateways read the state in its place. Gateways that did so sent their clients
+// elsewhere.
 func TestStoreWithoutHistoryIsAvailable(t *testing.T) {
 	sink := &desiredStateSink{holder: &routes.Holder{}, registry: backend.NewRegistry(), log: zap.NewNop()}
 	sink.Unavailable(nil)
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -9,18 +9,17 @@
 )
 
 const (
-	// drainDelay is how long a gateway that leaves goes on taking requests
-	// after its health check has begun to fail: the balancer asks once a
-	// second and takes a VM out after two misses.
+	// drainDelay is how long a stopping gateway keeps accepting requests after its health check
+	// begins to fail. The load balancer checks once a second and removes a VM after two failures.
 	drainDelay = 2500 * time.Millisecond
-	// shutdownMargin is how long before the end of the grace period whatever still
-	// runs is broken off, and endPart the part of a short one that this may take
-	// at the most: what is broken off sooner counts as lost.
+	// shutdownMargin is how long before the end of the grace period the requests in progress are
+	// aborted. Where the grace period is short, it is limited to the grace period divided by
+	// shutdownMarginDivisor, since a request aborted early is lost.
 	shutdownMargin        = 400 * time.Millisecond
 	shutdownMarginDivisor = 6
 )
 
-// drain ends what is in progress within the grace period.
+// drain completes the requests in progress within the grace period.
 func (g *gateway) drain(server *callers.Server) {
 	start := time.Now()
 	g.draining.Store(true)
--- a/internal/gateway/errors.go
+++ b/internal/gateway/errors.go
@@ -2,5 +2,5 @@
 
 import "github.com/go-faster/errors"
 
-// ErrListen: an address of the settings can't be listened on.
+// ErrListen is returned by Serve when it can't listen on one of the configured addresses.
 var ErrListen = errors.New("can't listen")
--- a/internal/gateway/exchange/conn.go
+++ b/internal/gateway/exchange/conn.go
@@ -7,19 +7,18 @@
 	"time"
 )
 
-// readBufferSize holds an answer's head and a few events, in bytes. There is one
-// for each open connection, idle ones included.
+// readBufferSize is in bytes. It fits a response header and a few events; each open connection has
+// such a buffer, including idle ones.
 const readBufferSize = 4 << 10
 
-// conn is one connection to a backend server. It carries one request at a
-// time.
+// conn is a connection to a backend server. It carries one request at a time.
 type conn struct {
 	netConn net.Conn
 	reader  *bufio.Reader
 	peer    Peer
-	// keepAlive is how long the backend server leaves it open when idle.
+	// keepAlive is how long the connection may be reused after it became idle.
 	keepAlive time.Duration
-	// idleSince is when its last exchange ended.
+	// idleSince is when the last exchange ended.
 	idleSince time.Time
 }
 
@@ -27,8 +26,8 @@
 	return &conn{netConn: netConn, reader: bufio.NewReaderSize(netConn, readBufferSize), peer: peer, keepAlive: defaultKeepAlive}
 }
 
-// reusable reports whether an idle connection is open and nothing came on it.
-// Bytes that came belong to no request: an answer that came twice or late.
+// reusable reports whether an idle connection is open and has no unread data. Unread data belongs
+// to no request: it is a duplicate or late response.
 func (c *conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -51,7 +50,7 @@
 	return err == nil && open
 }
 
-// expired reports whether the backend server may be about to close it.
+// expired reports whether the backend server may be about to close the idle connection.
 func (c *conn) expired(now time.Time) bool {
 	return now.Sub(c.idleSince) >= c.keepAlive
 }
--- a/internal/gateway/exchange/exchange.go
+++ b/internal/gateway/exchange/exchange.go
@@ -1,8 +1,7 @@
-// Package exchange sends requests to backend servers over HTTP/1.1 and reads
-// their answers, one at a time on a connection. Unlike net/http's client it
-// never sends a request again by itself, says whether anything was sent,
-// passes over answers that belong to other requests, and never uses a
-// connection again on which anything surplus came. Start reading at Pool.Do.
+// Package exchange is an HTTP/1.1 client for backend servers that sends one request at a time per
+// connection. Unlike the client of net/http, it never retries a request by itself, reports whether
+// anything was sent, skips responses to other requests, and never reuses a connection that
+// delivered extra data. Start reading at Pool.Do.
 package exchange
 
 import (
@@ -20,52 +19,50 @@
 )
 
 const (
-	// maxSyncWrite is the size in bytes up to which a request is written
-	// before its answer is read: it fits any socket's buffer. A larger one is
-	// written beside, since a backend server may answer before it has read
-	// all and then read no further.
+	// maxSyncWrite is the size in bytes up to which a request is written before its response is
+	// read: it fits any socket buffer. A larger request is written concurrently, since a backend
+	// server may respond before it has read all of it, and then stop reading.
 	maxSyncWrite = 8 << 10
-	// maxMismatchedResponses bounds how many answers of other requests are passed
-	// over.
+	// maxMismatchedResponses is how many responses to other requests are skipped before the
+	// exchange fails.
 	maxMismatchedResponses = 3
 )
 
-// Answer is a backend server's answer. Its body has to be read to the end, or
-// Abandon called.
+// Response is a backend server's response. The caller must read its body to the end or call Abort.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is the body's length in bytes; -1 when it isn't known.
+	// Length is the length of the body in bytes; -1 if unknown.
 	Length     int64
 	body       io.Reader
 	exchange   *exchange
 	incomplete bool
 }
 
-// exchange is one request and its answer on a connection.
+// exchange is one request and its response on a connection.
 type exchange struct {
 	pool       *Pool
 	conn       *conn
 	ctx        context.Context
 	stopCancel func() bool
-	// writeDone tells how the writing of a large request ended; nil if the
-	// request was writeDone before the answer was read.
+	// writeDone receives the result of writing a large request; nil if the request was written
+	// before the response is read.
 	writeDone chan error
 	writer    conc.WaitGroup
-	// keepConn says that the connection may carry another exchange after this.
+	// keepConn is set while the connection may be reused after this exchange.
 	keepConn bool
 	ended    bool
 }
 
-// Do sends a request and reads the answer's head. It ends early when ctx does.
-// The errors are this package's.
+// Do sends a request and reads the response header. It returns early when ctx ends. Errors wrap one
+// of ErrNotSent, ErrIncomplete, ErrTimeout and ErrCancelled.
 func (p *Pool) Do(ctx context.Context, peer Peer, r *Request) (*Answer, error) {
 	c, err := p.acquire(ctx, peer, r.Young)
 	if err != nil {
 		return nil, err
 	}
 	if err := ctx.Err(); err != nil {
-		// Nobody waits for it any more: a server needn't begin with it.
+		// Nobody waits for the response any more, so the request isn't sent.
 		p.release(c)
 		return nil, errors.Wrap(ErrNotSent, err.Error())
 	}
@@ -83,7 +80,7 @@
 	return response, nil
 }
 
-// write sends the request; a large one goes on being sent after it returns.
+// write sends the request. A large request is still being sent when write returns.
 func (e *exchange) write(data []byte) error {
 	if len(data) > maxSyncWrite {
 		e.writeDone = make(chan error, 1)
@@ -100,7 +97,7 @@
 	return err
 }
 
-// readHead reads the head of the answer that is the request's own.
+// readHead reads the header of the response that belongs to the request.
 func (e *exchange) readHead(r *Request) (*Answer, error) {
 	for range maxMismatchedResponses + 1 {
 		resp, err := http.ReadResponse(e.conn.reader, &http.Request{Method: r.Method})
@@ -113,7 +110,7 @@
 		if r.Mine(resp.Header) {
 			return e.newResponse(resp), nil
 		}
-		// Whatever else is wrong here, this connection is not to be trusted.
+		// Whatever the cause, this connection can't be trusted any more.
 		e.keepConn = false
 		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 			return nil, errors.Wrap(ErrBroken, "answer to another request, without an end")
@@ -130,14 +127,14 @@
 	e.conn.keepAlive = keepAliveTimeout(resp.Header)
 	length := resp.ContentLength
 	if resp.Request.Method == http.MethodHead {
-		// Its header tells the length that the body of another method would have.
+		// The Content-Length of a HEAD response is that of the GET response.
 		length = 0
 	}
 	return &Answer{Status: resp.StatusCode, Header: resp.Header, Length: length, body: resp.Body, exchange: e}
 }
 
-// Read reads the body. io.EOF comes only after the whole body; any other error
-// is this package's.
+// Read reads the body. It returns io.EOF only after the complete body; any other error wraps one of
+// this package's errors.
 func (a *Answer) Read(p []byte) (int, error) {
 	if a.exchange.ended {
 		return 0, io.EOF
@@ -157,24 +154,24 @@
 	}
 }
 
-// Broken reports whether reading the body ended in ErrBroken.
+// Incomplete reports whether reading the body ended in ErrIncomplete.
 func (a *Answer) Broken() bool { return a.incomplete }
 
-// Abandon ends the exchange by closing its connection, which tells the backend
-// server to stop. After the whole body was read it does nothing.
+// Abort ends the exchange by closing its connection, which tells the backend server to stop. After
+// the complete body was read it does nothing.
 func (a *Answer) Abandon() { a.exchange.end(false) }
 
-// end gives the connection back or closes it.
+// end returns the connection to the pool or closes it.
 func (e *exchange) end(complete bool) {
 	if e.ended {
 		return
 	}
 	e.ended = true
-	// If the context has ended, its function closes the connection.
+	// If the context has ended, its AfterFunc closes the connection.
 	stopped := e.stopCancel()
 	if !complete || !stopped || e.conn.reader.Buffered() > 0 || !e.requestWritten() {
 		e.conn.close()
-		// A writer that is still at it ends with the connection.
+		// A write still in progress fails when the connection is closed.
 		e.writer.Wait()
 		return
 	}
@@ -185,9 +182,8 @@
 	e.pool.release(e.conn)
 }
 
-// requestWritten reports whether all of the request was written before the
-// answer ended. If not, the backend server would take what follows for its
-// rest.
+// requestWritten reports whether the complete request was written before the response ended.
+// Otherwise the backend server would read the next request as the rest of this one.
 func (e *exchange) requestWritten() bool {
 	if e.writeDone == nil {
 		return true
@@ -200,7 +196,7 @@
 	}
 }
 
-// classify turns an error from below into this package's.
+// classify wraps an error of the connection in one of this package's errors.
 func (e *exchange) classify(err error) error {
 	var netErr net.Error
 	switch {
@@ -215,8 +211,9 @@
 	}
 }
 
-// keepAliveTimeout reads how long a backend server keeps an idle connection open from
-// its Keep-Alive header (RFC 2068, 19.7.1.1).
+// keepAliveTimeout returns how long an idle connection may be reused, from the Keep-Alive header
+// (RFC 2068, 19.7.1.1) less keepAliveMargin. Without a valid timeout in the header it is
+// defaultKeepAlive.
 func keepAliveTimeout(h http.Header) time.Duration {
 	for param := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(param), "=")
--- a/internal/gateway/exchange/exchange_test.go
+++ b/internal/gateway/exchange/exchange_test.go
@@ -14,7 +14,8 @@
 	"time"
 )
 
-// newScriptedServer listens and hands each connection to script.
+// newScriptedServer starts a server that runs handle on each connection. It returns its address and
+// the number of connections accepted so far.
 func newScriptedServer(t *testing.T, handle func(c net.Conn, in *bufio.Reader)) (addr string, accepted *atomic.Int32) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,7 +40,7 @@
 	return listener.Addr().String(), accepted
 }
 
-// readRequest reads a request whole and returns its id.
+// readRequest reads a complete request and returns its ID.
 func readRequest(reader *bufio.Reader) (id string, ok bool) {
 	req, err := http.ReadRequest(reader)
 	if err != nil {
@@ -49,8 +50,7 @@
 	return req.Header.Get("Id"), true
 }
 
-// What nobody waits for any more doesn't reach a server, on a kept connection
-// either.
+// A cancelled request must not reach a server, including on a pooled connection.
 func TestCancelledRequestIsNotSent(t *testing.T) {
 	var received atomic.Int32
 	addr, opened := newScriptedServer(t, func(c net.Conn, in *bufio.Reader) {
@@ -217,8 +217,8 @@
 	}
 }
 
-// A server may answer before it has read a long body. What would follow on the
-// connection would be taken for the rest.
+// A server may respond before it has read a long body. It would read the next request on the
+// connection as the rest of that body, so the connection must not be reused.
 func TestConnectionWithEarlyResponseIsNotReused(t *testing.T) {
 	addr, opened := newScriptedServer(t, func(c net.Conn, in *bufio.Reader) {
 		req, err := http.ReadRequest(in)
--- a/internal/gateway/exchange/pool.go
+++ b/internal/gateway/exchange/pool.go
@@ -14,52 +14,51 @@
 )
 
 const (
-	// defaultKeepAlive is how long an idle connection is kept when the backend server
-	// doesn't say how long it keeps it.
+	// defaultKeepAlive is how long an idle connection is kept if the backend server doesn't say how
+	// long it keeps it.
 	defaultKeepAlive = 4 * time.Second
-	// keepAliveMargin is how long before the backend server's own limit a
-	// connection isn't used any more, so that a request doesn't cross its
-	// close: a round trip with a lost packet, and the second that the
-	// Keep-Alive header rounds by.
+	// keepAliveMargin is how long before the backend server's own limit a connection is no longer
+	// used, so that a request doesn't cross the server's close. It covers a round trip with a lost
+	// packet, and the second by which the Keep-Alive header is rounded.
 	keepAliveMargin = 1200 * time.Millisecond
-	// dialTimeout is how long a new connection may take. It takes a round
-	// trip of a few milliseconds; a lost opening packet is sent again after a
-	// second, and another backend server is reached sooner.
+	// dialTimeout bounds opening a connection, which normally takes a round trip of a few
+	// milliseconds. A lost SYN is retransmitted only after a second; trying another backend server
+	// is faster.
 	dialTimeout = 250 * time.Millisecond
-	// maxUnacknowledged is how long sent bytes may stay maxUnacknowledged before
-	// the connection counts as broken: several resends of a lost packet, which
-	// come after 0.2, 0.6 and 1.4 seconds.
+	// maxUnacknowledged is how long sent data may stay unacknowledged before the connection counts
+	// as broken. It allows for several retransmissions of a lost packet, after 0.2, 0.6 and 1.4
+	// seconds.
 	maxUnacknowledged = time.Second
-	// refusalCheckTimeout is how long a server's host may take to refuse a connection:
-	// a round trip to any zone, while a caller waits for its answer.
+	// refusalCheckTimeout bounds RefusesConnections. It allows for a round trip to any availability
+	// zone, while a client waits for its response.
 	refusalCheckTimeout = 100 * time.Millisecond
-	// processExitTime is how much later another connection is opened: a process that ends has
-	// closed all its sockets by then.
+	// processExitTime is the delay before the second connection of RefusesConnections. A process
+	// that is exiting has closed all its sockets by then.
 	processExitTime = 20 * time.Millisecond
-	// probeDialTimeout bounds one of the connections: some round trips between zones. The opening
-	// packet that crosses the end of its listener is lost.
+	// probeDialTimeout bounds one connection attempt of RefusesConnections; it allows for a few
+	// round trips between availability zones. A SYN that arrives just as the listener is closed is
+	// lost.
 	probeDialTimeout = 30 * time.Millisecond
-	// redialDelay is the pause before another connection is opened to a peer that reset
-	// one.
+	// redialDelay is the pause before another connection attempt to a peer that reset one.
 	redialDelay = 5 * time.Millisecond
 	// maxIdlePerPeer bounds the idle connections to one backend server.
 	maxIdlePerPeer = 32
 )
 
-// Peer is one start of a backend server at its address. Connections of an
-// earlier start are never used for a later one.
+// Peer identifies one start of a backend server at its address. Connections to an earlier start are
+// never used for a later one.
 type Peer struct {
 	Addr     string
 	Instance string
-	// Born is when it started, where one instance may start again.
+	// StartTime distinguishes starts where one instance may start again; larger is later, and 0
+	// means that the backend server reports none.
 	Born int64
 }
 
-// Pool keeps open connections to backend servers. All methods may be called
-// concurrently.
+// Pool holds idle connections to backend servers. Its methods may be called concurrently.
 type Pool struct {
 	dialer net.Dialer
-	// mu guards idle; nothing else is locked while it is held.
+	// mu guards idle. No other lock is taken while it is held.
 	mu   sync.Mutex
 	idle map[Peer][]*conn
 }
@@ -72,8 +71,8 @@
 	}
 }
 
-// acquire returns an idle connection that has been idle for less than young, or
-// opens one. The error wraps ErrNotSent.
+// acquire returns a pooled connection that has been idle for less than maxIdle, or opens one. The
+// error wraps ErrNotSent.
 func (p *Pool) acquire(ctx context.Context, peer Peer, maxIdle time.Duration) (*conn, error) {
 	for {
 		c := p.popIdle(peer)
@@ -93,10 +92,11 @@
 	return newConn(netConn, peer), nil
 }
 
-// Refuses reports whether a peer's host refuses connections at its address, as it does
-// when nothing listens there any more. One connection that opens proves nothing: hosts open
-// it for a process that is about to end as well. So a peer goes on that opens another one a
-// while later; both are kept for use. False where that isn't known within refusalTimeout.
+// RefusesConnections reports whether a peer's host refuses connections to its address, as it does
+// when nothing listens there any more. One successful connection proves nothing, since a host also
+// accepts connections for a process that is about to exit. A peer therefore counts as running only
+// if a second connection opens processExitTime later; both connections then go to the pool. It
+// returns false if the answer isn't known within refusalCheckTimeout.
 func (p *Pool) Refuses(ctx context.Context, peer Peer) bool {
 	ctx, cancel := context.WithTimeout(ctx, refusalCheckTimeout)
 	defer cancel()
@@ -127,7 +127,7 @@
 	}
 }
 
-// dialProbe opens a connection, or gives up before a lost packet would be sent again.
+// dialProbe opens a connection, or gives up before a lost SYN would be retransmitted.
 func (p *Pool) dialProbe(ctx context.Context, peer Peer) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeDialTimeout)
 	defer cancel()
@@ -138,8 +138,8 @@
 	return newConn(netConn, peer), nil
 }
 
-// popIdle takes the connection that was used last, so that those that aren't
-// needed grow old.
+// popIdle removes and returns the most recently used connection, so that surplus ones expire. It
+// returns nil if there is none.
 func (p *Pool) popIdle(peer Peer) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -153,7 +153,7 @@
 	return c
 }
 
-// release takes back a connection whose exchange ended whole.
+// release returns a connection to the pool after a complete exchange.
 func (p *Pool) release(c *conn) {
 	c.idleSince = time.Now()
 	p.mu.Lock()
@@ -165,8 +165,8 @@
 	p.idle[c.peer] = append(p.idle[c.peer], c)
 }
 
-// Sweep closes idle connections that are too old to be used, and all to peers
-// that aren't wanted any more. It is to be called every second or so.
+// Sweep closes expired idle connections, and all connections to peers that aren't wanted any more.
+// Call it about once a second.
 func (p *Pool) Sweep(now time.Time, wanted func(Peer) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gateway/exchange/pool_test.go
+++ b/internal/gateway/exchange/pool_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// newEndingPeer listens, and ends a while after it has accepted its first connection, as a
-// process does that is killed; accepts tells whether it accepts at all. When its listener is
-// closed, the time is sent.
+// newEndingPeer starts a listener that closes after delay, counted from the first accepted
+// connection if accepts is set, like a process that is killed. The returned channel receives the
+// time when the listener was closed.
 func newEndingPeer(t *testing.T, accepts bool, delay time.Duration) (Peer, <-chan time.Time) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,8 +41,8 @@
 	return Peer{Addr: listener.Addr().String(), Instance: "i"}, closed
 }
 
-// Guards against a server that is ending being taken for one that goes on, where the dial
-// that asks crosses its end: the connection opens, and is reset.
+// Guards against mistaking an exiting server for a running one when the probe crosses its exit: the
+// connection opens and is then reset.
 func TestPeerEndingDuringDialRefuses(t *testing.T) {
 	for _, accepts := range []bool{true, false} {
 		for _, delay := range []time.Duration{0, 200 * time.Microsecond, time.Millisecond, 3 * time.Millisecond} {
@@ -51,7 +51,8 @@
 				for range 20 {
 					peer, closed := newEndingPeer(t, accepts, delay)
 					start := time.Now()
-					// On a busy machine it may have gone on for long enough to be found so.
+					// On a busy machine the listener may have stayed open long enough to count as
+					// running.
 					if !NewPool().Refuses(t.Context(), peer) && (<-closed).Sub(start) < processExitTime {
 						t.Fatal("taken for a server that goes on")
 					}
@@ -61,7 +62,7 @@
 	}
 }
 
-// A server that goes on is not taken for one that ended, also if it closes each new connection.
+// A running server must not be mistaken for an exited one, even if it closes each new connection.
 func TestRunningPeerDoesNotRefuse(t *testing.T) {
 	for name, closes := range map[string]bool{"keeps connections": false, "closes connections": true} {
 		t.Run(name, func(t *testing.T) {
@@ -93,8 +94,8 @@
 	}
 }
 
-// Guards against a request being sent on a connection whose server may have ended: it opened, and
-// none did after it.
+// Guards against sending a request on a connection to a server that may have exited: the first
+// connection opened, but no later one did.
 func TestProbeOfPossiblyEndedPeerIsNotPooled(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -104,7 +105,7 @@
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
-	// The queue takes one connection; what would open more is lost.
+	// A backlog of 0 holds one connection; further SYNs are dropped.
 	if err := syscall.Listen(fd, 0); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/followers.go
+++ b/internal/gateway/followers.go
@@ -10,40 +10,39 @@
 )
 
 const (
-	// desiredStateMaxWait is how long the store may hold back an answer about the
-	// desired state, where operators set no bound for keys that are taken away.
-	// Where they do, it is proofPart of what the bound leaves beside the second
-	// for which a feed may be silent: each answer proves that the state in
-	// force was the newest a second ago. The rest is for callers:
-	// requests with a key are served on so long while the store is away. Only a
-	// few gateways make these calls.
+	// desiredStateMaxWait is how long the store may hold a request for the desired state (a long
+	// poll) where operators set no bound on key revocation. Where they set one, the wait is
+	// proofWaitShare of what the bound leaves after maxFeedSilence, since each response proves only
+	// that the state in force was the newest one second before. The remainder is how long requests
+	// with a key can still be served while the store is unavailable. Only pollers make these calls.
 	desiredStateMaxWait = 2500 * time.Millisecond
 	proofWaitShare      = 0.25
-	// pollerCount is how many gateways ask so often for the proof of the desired
-	// state; the others, which have it from them by datagram, ask every
-	// provedByOthers, or at once when it gets older than hurryPart of the bound.
-	// Two may be cut off or dying, and the third proves. Calls are paid for.
+	// pollerCount is the number of gateways that poll the store frequently to prove that the
+	// desired state is the newest. The others receive the proof by datagram and ask the store only
+	// every nonPollerWait, or at once when the proof is older than proofRenewalShare of the bound.
+	// With three pollers, two may be cut off or dying. The number is small because calls to the
+	// store are paid for.
 	pollerCount       = 3
 	nonPollerWait     = 15 * time.Second
 	proofRenewalShare = 0.7
-	// proofDeliverySlack is by how much a proof may come later than pollers have one at the longest,
-	// for a few datagrams that are lost.
+	// proofDeliverySlack is how much later than a poller's longest wait a proof may arrive, to
+	// allow for a few lost datagrams.
 	proofDeliverySlack = 400 * time.Millisecond
-	// minProofWait bounds the calls where the bound leaves hardly any time.
+	// minProofWait is the shortest wait, used where the bound leaves hardly any time.
 	minProofWait = 200 * time.Millisecond
-	// serverListMaxWait is the same for the list of backend servers, which proves
-	// nothing: keep-alive probes notice within three seconds that a connection
-	// to the store went silent. Each call is paid for.
+	// serverListMaxWait is how long the store may hold a request for the list of backend servers.
+	// It is long because the list proves nothing, each call is paid for, and keep-alive probes
+	// detect a silent connection to the store within three seconds.
 	serverListMaxWait = 15 * time.Second
-	// serverListBatchDelay is the pause after news of backend servers: short against
-	// the two seconds within which leaving ones get no more work, long enough
-	// that a start of all servers takes a dozen calls and not one for each.
+	// serverListBatchDelay is the pause after a change of the list of backend servers. It is short
+	// compared to the two seconds within which leaving servers must get no more work, and long
+	// enough that a start of all servers takes a dozen calls rather than one per server.
 	serverListBatchDelay = 250 * time.Millisecond
-	// gatewayListMaxWait is the same for the list of gateways, on which nothing
-	// hangs: who isn't in it yet is heard of.
+	// gatewayListMaxWait is how long the store may hold a request for the list of gateways. Nothing
+	// depends on it being current: gateways not yet listed are known by their datagrams.
 	gatewayListMaxWait = 30 * time.Second
-	// gatewayListBatchDelay is the same for gateways: each hears of all others within
-	// two seconds of a start of all.
+	// gatewayListBatchDelay is the pause after a change of the list of gateways. When all gateways
+	// start at once, each receives datagrams from all others within two seconds.
 	gatewayListBatchDelay = 2 * time.Second
 )
 
@@ -56,8 +55,8 @@
 	}
 }
 
-// desiredStateWait is how long the store may hold back an answer about the desired
-// state under the settings in force.
+// desiredStateWait returns how long the store may hold a request for the desired state under the
+// settings in force.
 func (g *gateway) desiredStateWait() time.Duration {
 	if !g.isPoller() {
 		return nonPollerWait
@@ -65,34 +64,34 @@
 	return pollerWait(g.router.Bounds().Proof)
 }
 
-// isPoller reports whether this gateway is one of those that ask often, and at once
-// after news.
+// isPoller reports whether this gateway is one of the pollerCount gateways that poll the store
+// frequently, and again immediately after a change.
 func (g *gateway) isPoller() bool { return g.mesh.Before() < pollerCount }
 
-// proofOverdue reports whether the proof is older than it gets while pollers have answers
-// from the store. A poller to which the store falls silent notices that by its timeout, which
-// is too late for what the others have to know within two seconds.
+// proofOverdue reports whether the proof is older than it can get while the pollers receive
+// responses from the store. A poller notices a silent store only by its timeout, which is too late
+// for changes that other gateways must learn within two seconds.
 func (g *gateway) proofOverdue() bool {
 	provenAt := g.holder.ProvenAt()
 	return provenAt != 0 && boottime.Now()-provenAt > maxFeedSilence+pollerWait(g.router.Bounds().Proof)+proofDeliverySlack
 }
 
-// defersToPollers reports whether other gateways poll the store for all.
+// defersToPollers reports whether this gateway leaves polling the store to other gateways.
 func (g *gateway) defersToPollers() bool { return !g.isPoller() }
 
-// proofNeedsRenewal reports whether the proof of the desired state has to be renewed here,
-// whoever was to do it.
+// proofNeedsRenewal reports whether this gateway must renew the proof of the desired state itself,
+// whether or not it is a poller.
 func (g *gateway) proofNeedsRenewal() bool {
 	maxAge := g.router.Bounds().Proof
 	if maxAge == 0 || g.holder.Version() == 0 {
-		// Of no state nothing is to be proved; the first one ends the call.
+		// There is no state to prove yet; the first one ends the pending call.
 		return false
 	}
 	return boottime.Now()-g.holder.ProvenAt() > time.Duration(proofRenewalShare*float64(maxAge))
 }
 
-// pollerWait is how long the store may hold back an answer about the desired
-// state, by how old its proof may be; 0 for no bound.
+// pollerWait returns how long the store may hold a poller's request for the desired state, given
+// the maximum age of a proof. A maximum of 0 means no bound.
 func pollerWait(maxProofAge time.Duration) time.Duration {
 	if maxProofAge == 0 {
 		return desiredStateMaxWait
--- a/internal/gateway/followers_test.go
+++ b/internal/gateway/followers_test.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// A store that falls silent is noticed by nobody until its proof gets old: the
-// proof that a gateway has then, at its oldest, serves callers for half of the
-// bound at least.
+// A silent store isn't noticed until its proof gets old. The oldest proof that a gateway may hold
+// at that moment must still let it serve requests for at least half of the bound.
 func TestProofOutlastsStoreOutage(t *testing.T) {
 	for _, bound := range []time.Duration{3 * time.Second, 5 * time.Second, 10 * time.Second, time.Minute} {
 		maxAge := maxFeedSilence + pollerWait(bound)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,4 +1,4 @@
-// Package gateway is the process of an entry VM that sends callers' requests
+// Package gateway implements the gateway process of an entry VM, which sends client requests
 // straight to the backend servers. Start reading at Serve.
 package gateway
 
@@ -35,30 +35,29 @@
 )
 
 const (
-	// sweepInterval is how often what has lapsed and idle connections are looked
-	// through.
+	// sweepInterval is how often expired state and idle connections are removed.
 	sweepInterval = 500 * time.Millisecond
-	// headerTimeout bounds the reading of a caller's headers.
+	// headerTimeout bounds the time to read a client's request header.
 	headerTimeout = 10 * time.Second
-	// handoverTimeout bounds what another gateway takes to ask for this one's state.
+	// handoverTimeout bounds the time to read another gateway's handover request. It is also added
+	// to handover.Longest to bound the writing of the response.
 	handoverTimeout = 2 * time.Second
-	// defaultIdleTimeout closes a connection that asks nothing, where operators set
-	// no limit.
+	// defaultIdleTimeout is how long an idle client connection is kept open where operators set no
+	// limit.
 	defaultIdleTimeout = 2 * time.Minute
-	// maxHeaderBytes bounds a caller's headers in bytes; operators' limits are
-	// lower.
+	// maxHeaderBytes bounds the size of a client's request header; operators' limits are lower.
 	maxHeaderBytes = 64 << 10
-	// heapMemoryShare is the part of the memory that the collector is told to keep
-	// to; the rest is for what it doesn't see: sockets' buffers and stacks.
+	// heapMemoryShare is the share of the memory given to the garbage collector as its limit. The
+	// rest is for memory that it doesn't account for, such as socket buffers and stacks.
 	heapMemoryShare = 0.6
-	// requestMemoryShare is the part of the memory that requests in progress may take.
+	// requestMemoryShare is the share of the memory that requests in progress may use.
 	requestMemoryShare = 0.4
-	// gcPercent is by how many percent the heap grows between collections.
+	// gcPercent is the heap growth, in percent, that triggers a garbage collection.
 	gcPercent = 60
 	megabyte  = 1 << 20
 )
 
-// gateway is the process's parts.
+// gateway holds the components of the process.
 type gateway struct {
 	settings settings.Gateway
 	platform Platform
@@ -69,35 +68,36 @@
 	registry *backend.Registry
 	pool     *exchange.Pool
 	router   *router.Router
-	// usage is nil where none is reported.
+	// usage is nil if usage reporting is disabled.
 	usage *usage.Reporter
 	mesh  *peers.Mesh
-	// servers follows the list of backend servers, and targets the desired state.
+	// servers follows the list of backend servers, targets the desired state.
 	servers *follow.Follower[backend.Info]
 	targets *follow.Follower[*routes.Set]
-	// serversBehind and stateBehind say since when other gateways know of servers, and of a stateBehind
-	// desired state, that this one couldn't have from them.
+	// serversBehind and stateBehind hold since other gateways have known of changes of the server
+	// list, or of a newer desired state, that this gateway hasn't been able to get from them.
 	serversBehind, stateBehind timedCondition
 	draining                   atomic.Bool
-	// pendingQuarantine are requests that are to be stored as quarantined, and quarantineKnown says
-	// that those are known that were when this gateway started.
+	// pendingQuarantine holds newly quarantined requests until they are written to the store.
+	// quarantineLoaded is set once the requests quarantined before this gateway started are known.
 	pendingQuarantine chan policy.Suspicion
 	quarantineLoaded  atomic.Bool
-	// storeHealth is whether the platform's storeHealth answers, and arriving whether an
-	// answer of it about the desired state is on its way.
+	// storeHealth is the health of the platform's store as its followers see it. receivingState is
+	// set while a response with the desired state is being received.
 	storeHealth    follow.Health
 	receivingState atomic.Bool
 }
 
-// Serve runs a gateway until ctx ends, then shuts it down gracefully. Reload
-// reads the settings again when the process is told that they changed.
+// Serve runs a gateway until ctx ends, then shuts it down gracefully. reload reads the settings
+// again; it is called on SIGHUP and periodically. The error wraps ErrListen if an address can't be
+// listened on, or is the one of peers.Listen.
 func Serve(ctx context.Context, s settings.Gateway, reload func() (settings.Gateway, error), p Platform, log *zap.Logger) error {
 	limitMemory(s.MemoryMB)
 	g, err := newGateway(s, p, log)
 	if err != nil {
 		return err
 	}
-	// Other gateways ask where they send their datagrams.
+	// The handover server uses the TCP port of the same address that receives datagrams.
 	listeners, err := listen.All(s.Listen, s.AdminListen, g.mesh.Addr())
 	if err != nil {
 		g.mesh.Close()
@@ -141,7 +141,7 @@
 	return g, nil
 }
 
-// idleLimit is how long a caller's connection may ask nothing.
+// idleLimit returns how long a client connection may stay idle.
 func (g *gateway) idleLimit() time.Duration {
 	if s := g.holder.Current(); s != nil && s.Limits.IdleTime > 0 {
 		return s.Limits.IdleTime
@@ -149,7 +149,7 @@
 	return defaultIdleTimeout
 }
 
-// metricsSnapshot is what the metrics tell of them.
+// metricsSnapshot returns the current values of the gateway's gauges.
 func (g *gateway) metricsSnapshot() metrics.Gateway {
 	var generation uint64
 	if g.usage != nil {
@@ -162,7 +162,7 @@
 	}
 }
 
-// loads is what this gateway has at the backend servers.
+// loads returns this gateway's load on each backend server.
 func (g *gateway) loads() []peers.Load {
 	var loads []peers.Load
 	now := time.Now()
@@ -172,7 +172,7 @@
 	return loads
 }
 
-// serve runs all parts; it returns when they have ended.
+// serve runs all components and returns after they have stopped.
 func (g *gateway) serve(ctx context.Context, clientListener, adminListener, peerListener net.Listener, reload func() (settings.Gateway, error)) {
 	workCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var wg conc.WaitGroup
@@ -191,7 +191,7 @@
 	wg.Go(func() { g.sweep(workCtx, clientServer) })
 	adminServer := &http.Server{Handler: g.adminRoutes(), ReadHeaderTimeout: headerTimeout, IdleTimeout: defaultIdleTimeout}
 	handoverServer := &http.Server{Handler: handover.Routes(g.handoverState, g.servers.Since), ReadTimeout: handoverTimeout, WriteTimeout: handoverTimeout + handover.Longest, ErrorLog: zap.NewStdLog(zap.NewNop())}
-	// They return when their servers are closed.
+	// These calls return when their servers are closed.
 	wg.Go(clientServer.Serve)
 	wg.Go(func() { _ = adminServer.Serve(adminListener) })
 	wg.Go(func() { _ = handoverServer.Serve(peerListener) })
@@ -204,7 +204,7 @@
 	wg.Wait()
 }
 
-// sweep removes what has lapsed.
+// sweep removes expired state and closes unused connections until ctx ends.
 func (g *gateway) sweep(ctx context.Context, server *callers.Server) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -238,7 +238,8 @@
 	return mux
 }
 
-// limitMemory has the collector keep to its part of the memory; 0 is no bound.
+// limitMemory sets the garbage collector's target and memory limit, given the memory of the process
+// in megabytes; 0 means no limit.
 func limitMemory(megabytes float64) {
 	debug.SetGCPercent(gcPercent)
 	limit := int64(math.MaxInt64)
--- a/internal/gateway/gateway_list.go
+++ b/internal/gateway/gateway_list.go
@@ -10,12 +10,12 @@
 	"github.com/applepier/applepier/internal/logging"
 )
 
-// staleCheckInterval is how often, on average, the list is looked through for gateways that are
-// gone; one write for each that is.
+// staleCheckInterval is the mean interval between checks of the list for gateways that are gone.
+// Each removal costs one write.
 const staleCheckInterval = time.Minute
 
-// followGatewayList follows the list of gateways, until those are known that started at the
-// same time. Whoever starts later has read it, and is heard of by its datagrams.
+// followGatewayList follows the list of gateways until all gateways that started at the same time
+// are known. Gateways that start later have read the list and are known by their datagrams.
 func (g *gateway) followGatewayList(ctx context.Context) {
 	follower := follow.Follower[peers.Entry]{
 		Name: "gateways", Source: g.platform.Entries, Sink: g.mesh, Wait: follow.Always(gatewayListMaxWait), Gather: gatewayListBatchDelay,
@@ -24,8 +24,8 @@
 	follower.Run(ctx)
 }
 
-// maintainRegistration enters this gateway in the list of gateways, again if somebody
-// took it for gone, and removes those that are gone.
+// maintainRegistration registers this gateway in the list of gateways, registers it again if
+// another gateway removed it by mistake, and removes gateways that are gone.
 func (g *gateway) maintainRegistration(ctx context.Context) {
 	g.register(ctx)
 	timer := time.NewTimer(staleCheckDelay())
@@ -43,11 +43,11 @@
 	}
 }
 
-// staleCheckDelay is drawn, so that gateways that started together don't all remove
-// the same entries: the list tells the others of the first one's removal.
+// staleCheckDelay returns a random delay, so that gateways that started together don't all remove
+// the same entries: the others learn of the first removal from the list.
 func staleCheckDelay() time.Duration { return staleCheckInterval/2 + rand.N(staleCheckInterval) }
 
-// register tries until it is done or ctx ends.
+// register enters this gateway in the list, and retries until that succeeds or ctx ends.
 func (g *gateway) register(ctx context.Context) {
 	g.retryUntilDone(ctx, logging.EventRegisterFailed, func(ctx context.Context) error {
 		err := g.platform.Register(ctx, g.mesh.Self)
@@ -58,7 +58,8 @@
 	})
 }
 
-// removeStaleGateways removes the entries of gateways that are gone.
+// removeStaleGateways removes the entries of gateways that are gone. It stops at the first error,
+// which it logs.
 func (g *gateway) removeStaleGateways(ctx context.Context) {
 	for _, name := range g.mesh.Gone() {
 		if err := g.platform.Unregister(ctx, name); err != nil {
--- a/internal/gateway/peer_fallback.go
+++ b/internal/gateway/peer_fallback.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// storeWait is how long the store is waited for before another gateway is
-// asked: when all is well its feed tells of a change in milliseconds.
+// storeWait is how long to wait for the store before querying another gateway. Normally the store's
+// feed delivers a change within milliseconds.
 const storeWait = 300 * time.Millisecond
 
-// peerFallback says when another gateway is to be asked for what the store hasn't told.
+// peerFallback decides when to query another gateway for data that the store hasn't delivered.
 type peerFallback struct {
-	// waitingSince is from when on the store is waited for; zero while nothing lacks.
+	// waitingSince is the start of the current wait for the store; zero while no data is missing.
 	waitingSince time.Time
 }
 
-// due reports whether another gateway is to be asked now. After that the store
-// is waited for again: what the other one has may be of no use here.
+// due reports whether to query another gateway now. Each true result starts a new wait for the
+// store, since the other gateway's data may be of no use here.
 func (f *peerFallback) due(now time.Time, missing bool) bool {
 	switch {
 	case !missing:
--- a/internal/gateway/peer_fallback_test.go
+++ b/internal/gateway/peer_fallback_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Another gateway is asked once the store has had its time, and not again before
-// the store has had it once more: what it hands over may be of no use.
+// Another gateway is queried once storeWait has passed, and again only after another storeWait,
+// since the data that it hands over may be of no use.
 func TestPeersAreQueriedAfterEachStoreWait(t *testing.T) {
 	var fallback peerFallback
 	start := time.Unix(0, 0)
--- a/internal/gateway/peer_sync.go
+++ b/internal/gateway/peer_sync.go
@@ -11,13 +11,13 @@
 	"github.com/applepier/applepier/internal/logging"
 )
 
-// peerCheckInterval is how often a gateway looks whether others know more.
+// peerCheckInterval is how often a gateway checks whether others have newer data.
 const peerCheckInterval = 100 * time.Millisecond
 
-// syncStateFromPeers has the desired state and the list of servers from another
-// gateway while the store doesn't tell them, or isn't asked: a gateway that starts then
-// serves at once, and one that the store turns away learns of changes. Whether what it
-// learned is still the newest is proved as ever.
+// syncStateFromPeers gets the desired state and the list of backend servers from another gateway
+// while the store doesn't deliver them or isn't polled. So a starting gateway can serve at once,
+// and a gateway that the store rejects still gets changes. Data from another gateway doesn't prove
+// that it is the newest.
 func (g *gateway) syncStateFromPeers(ctx context.Context) {
 	client := handover.NewClient()
 	ticker := time.NewTicker(peerCheckInterval)
@@ -29,9 +29,9 @@
 			return
 		case now := <-ticker.C:
 			addr, version := g.mesh.Newest()
-			// What is on its way from the store needn't come over the same link from
-			// another gateway too: a large state takes seconds there, in which
-			// callers' requests wait behind it.
+			// Data that is already arriving from the store isn't fetched from another gateway too.
+			// Over the same link a large state takes seconds, during which client requests queue
+			// behind it.
 			behind := version > g.holder.Version()
 			if g.stateBehind.set(behind); behind && g.desiredStateFromPeers() {
 				g.fetchFromPeer(ctx, addr, client.Targets)
@@ -45,7 +45,7 @@
 	}
 }
 
-// fetchFromPeer asks one gateway.
+// fetchFromPeer fetches the state of one gateway and applies it.
 func (g *gateway) fetchFromPeer(ctx context.Context, addr string, fetch func(context.Context, string) (handover.State, error)) {
 	state, err := fetch(ctx, addr)
 	if err == nil {
@@ -60,16 +60,16 @@
 	}
 }
 
-// applyPeerState takes what another gateway handed over, as far as it is news. The list
-// of servers is taken only where none is known: the store's own is newer, or is
-// read again as soon as it answers.
+// applyPeerState applies the state handed over by another gateway as far as it is newer. The list
+// of backend servers is used only if none is known: the store's own list is newer, or is read again
+// as soon as the store responds. It returns the decoder's error if the document can't be decoded.
 func (g *gateway) applyPeerState(addr string, state handover.State) error {
 	if state.Version > g.holder.Version() {
 		set, err := g.platform.Decode(state.Document)
 		if err != nil {
 			return err
 		}
-		// Nothing is proved by it: the other gateway's proof comes by datagram.
+		// The handover proves nothing; the other gateway's proof arrives by datagram.
 		if g.holder.Offer(set, 0) {
 			g.log.Info(logging.EventTargetsAdopted, zap.Uint64("version", set.Version), zap.Int("routes", set.Routes()), logging.Peer(addr))
 		}
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// handoverState is what this gateway hands to others.
+// handoverState returns the state that this gateway hands over to others.
 func (g *gateway) handoverState() handover.State {
 	var state handover.State
 	if set := g.holder.Current(); set != nil {
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -13,27 +13,27 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// Platform is what a gateway needs of the platform that it runs on.
+// Platform holds the functions and services of the platform that a gateway depends on.
 type Platform struct {
-	// Desired is the operators' desired state; items may be nil.
+	// DesiredState is the source of the operators' desired state; its items may be nil.
 	Desired follow.Source[*routes.Set]
-	// Decode reads a desired state as the platform wrote it, which is what
-	// gateways hand to each other.
+	// Decode decodes a desired state document as the platform wrote it, which is the form that
+	// gateways hand over to each other.
 	Decode func(document []byte) (*routes.Set, error)
-	// Servers is the list of backend servers.
+	// Servers is the source of the list of backend servers.
 	Servers follow.Source[backend.Info]
-	// Entries is the list of gateways, in which Register enters one and from
-	// which Unregister removes one.
+	// Gateways is the source of the list of gateways. Register adds a gateway to the list,
+	// Unregister removes one.
 	Entries    follow.Source[peers.Entry]
 	Register   func(ctx context.Context, self peers.Entry) error
 	Unregister func(ctx context.Context, name string) error
 	Quarantine Quarantine
-	// Duties is the table of what is done by one gateway at a time, and Usage takes
-	// reports of usage; nil where none are to be made.
+	// Duties is the table of duties, each held by one gateway at a time. Usage receives usage
+	// reports. Both are nil if usage reporting is disabled.
 	Duties storage.Table
 	Usage  usage.Platform
-	// Dialect is the HTTP that callers and backend servers speak.
+	// Dialect reads and writes the HTTP headers used by clients and backend servers.
 	Dialect protocol.Dialect
-	// Metrics counts, also the calls to the platform.
+	// Metrics holds the process's counters, including those for calls to the platform.
 	Metrics *metrics.Metrics
 }
--- a/internal/gateway/poll_delegation.go
+++ b/internal/gateway/poll_delegation.go
@@ -10,20 +10,19 @@
 	"github.com/applepier/applepier/internal/logging"
 )
 
-// maxServerListLag is for how long a gateway tries to have from others what they know and it
-// doesn't, before it asks the store. Together with the second after which the last
-// gateway that asked counts as gone it stays below the two seconds within which
-// leaving servers get no more work.
+// maxServerListLag is how long a gateway tries to get changes of the server list from other
+// gateways before it polls the store. Added to the second after which the last poller counts as
+// gone, it stays below the two seconds within which leaving servers must get no more work.
 const maxServerListLag = 400 * time.Millisecond
 
-// gatewayListRefresh is for how long a gateway does without the list of gateways: one that was
-// removed from it by mistake is listed again within that time.
+// gatewayListRefresh is the longest time between reads of the gateway list. A gateway removed from
+// the list by mistake is listed again within this time.
 const gatewayListRefresh = time.Minute
 
-// pollStatus is what this gateway tells others of the store. One of the few that ask for
-// all tells also at which position it has read the whole list, since what had changed
-// shortly before may be known to no other gateway that runs. If every gateway did, each
-// that starts would have all others ask the store.
+// pollStatus returns what this gateway tells other gateways about the store. Pollers also report
+// the position up to which they have read the whole server list, since no other running gateway may
+// know of changes made shortly before. If every gateway reported it, each start of a gateway would
+// make all others poll the store.
 func (g *gateway) pollStatus() peers.Following {
 	status := peers.Following{
 		Able: !g.storeHealth.Away(), Asks: g.servers.Live(), Servers: g.servers.Changed(), Quarantine: g.quarantineLoaded.Load(),
@@ -34,33 +33,35 @@
 	return status
 }
 
-// pollersAvailable reports whether a few other gateways ask the store, and tell this one. Where
-// none of them does each asks for itself, and so does who hears of less than half of
-// the gateways: it may be cut off, with those that it hears, from the store as well, and
-// has to know soon to send callers elsewhere.
+// pollersAvailable reports whether other gateways poll the store and pass on its changes. Without
+// any poller every gateway polls for itself. So does a gateway that hears from half of the listed
+// gateways or fewer: together with those it may be cut off from the store, and it has to find out
+// soon to send clients elsewhere.
 func (g *gateway) pollersAvailable() bool {
 	return !g.isPoller() && g.mesh.Followed() && 2*g.mesh.Gateways() > g.mesh.Listed()
 }
 
-// serversFromPeers reports whether the list of backend servers needn't be asked for here.
+// serversFromPeers reports whether changes of the server list come from other gateways, so that
+// this one needn't poll the store for them.
 func (g *gateway) serversFromPeers() bool {
 	return g.pollersAvailable() && !g.serversBehind.heldLongerThan(maxServerListLag)
 }
 
-// desiredStateFromPeers is the same for the desired state, as long as its proof is new enough.
+// desiredStateFromPeers reports whether the desired state comes from other gateways, so that this
+// one needn't poll the store for it. It is false once the proof needs renewal.
 func (g *gateway) desiredStateFromPeers() bool {
 	return g.pollersAvailable() && g.holder.Version() != 0 && !g.proofNeedsRenewal() && !g.stateBehind.heldLongerThan(maxServerListLag)
 }
 
-// gatewayListFromPeers reports whether the list of gateways needn't be asked for here: who started
-// together with this gateway may not have been listed when it read the list first, and
-// who is removed is told by the list alone.
+// gatewayListFromPeers reports whether the gateway list needn't be polled now. It must be read at
+// least twice, since gateways that started at the same time may have been missing from the first
+// read, and then periodically, since only the list tells of removals.
 func (g *gateway) gatewayListFromPeers() bool {
 	reads, age := g.mesh.Listings()
 	return g.pollersAvailable() && reads > 1 && age < gatewayListRefresh
 }
 
-// syncServersFromPeers has from other gateways what changes in the list of backend servers.
+// syncServersFromPeers gets changes of the server list from other gateways until ctx ends.
 func (g *gateway) syncServersFromPeers(ctx context.Context) {
 	client := handover.NewClient()
 	ticker := time.NewTicker(peerCheckInterval)
@@ -75,7 +76,8 @@
 	}
 }
 
-// fetchServerChanges asks one gateway that knows more, if there is one.
+// fetchServerChanges gets the changes of the server list from a gateway that has newer ones, if
+// there is one.
 func (g *gateway) fetchServerChanges(ctx context.Context, client *handover.Client) {
 	position := g.servers.Position()
 	addr := g.mesh.Ahead(position)
--- a/internal/gateway/protocol/headers.go
+++ b/internal/gateway/protocol/headers.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// hopByHopHeaders concern one connection only (RFC 9110, 7.6.1), or are written
-// anew with the message's body.
+// hopByHopHeaders apply to one connection only (RFC 9110, 7.6.1), or are written anew with the
+// message body.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// EndToEnd returns a copy of the headers without those that concern only one
-// connection. The values aren't copied.
+// EndToEndHeaders returns a copy of the headers without the hop-by-hop headers and those named by
+// Connection. The values aren't copied.
 func EndToEnd(h http.Header) http.Header {
 	kept := make(http.Header, len(h)+4)
 	for name, values := range h {
--- a/internal/gateway/protocol/protocol.go
+++ b/internal/gateway/protocol/protocol.go
@@ -1,6 +1,6 @@
-// Package protocol is what a gateway needs of the HTTP dialect that callers
-// and backend servers speak: which headers hold what. The dialect itself is an
-// adapter's. Start reading at Dialect.
+// Package protocol defines what a gateway reads from and writes to the HTTP headers of clients and
+// backend servers, independent of their names. An adapter implements the header names. Start
+// reading at Dialect.
 package protocol
 
 import (
@@ -10,88 +10,89 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// Levels is how many levels of urgency backend servers tell apart.
+// UrgencyLevels is the number of urgency levels that backend servers distinguish.
 const Levels = policy.UrgencyLevels
 
-// Part is one part of a request's prompt.
+// PromptPart is one part of a request's prompt.
 type Part struct {
-	// ID is the part's hash.
+	// ID is the hash of the part.
 	ID uint64
-	// Tokens is its length.
+	// Tokens is the length of the part in tokens.
 	Tokens int
 }
 
-// Ask is what a caller's request says of itself.
+// RequestInfo is what a client's request says about itself.
 type Ask struct {
-	// ID identifies this request; empty when it has none.
+	// ID identifies the request; empty if it has none.
 	ID string
-	// Key is the caller's API key; empty when it sent none.
+	// Key is the client's API key; empty if it sent none.
 	Key string
-	// Patience is how long the caller waits; 0 when it doesn't say.
+	// Timeout is how long the client waits for the response; 0 if unspecified.
 	Patience time.Duration
-	// After is the id of the last event that the caller has; empty when it
-	// asks for the whole stream.
+	// LastEventID is the ID of the last event that the client has received; empty if it asks for
+	// the whole stream.
 	After string
-	// PromptTokens is the prompt's length; 0 where the request doesn't say.
+	// PromptTokens is the length of the prompt in tokens; 0 if unspecified.
 	PromptTokens int
-	// Parts are the prompt's parts in order; the last one is the request's or
-	// its session's own, those before are shared.
+	// PromptParts are the parts of the prompt in order. The last one belongs to the request or its
+	// session; those before it are shared.
 	Parts []Part
 }
 
-// Send is what a gateway tells a backend server about one attempt.
+// AttemptInfo is what a gateway tells a backend server about one attempt.
 type Send struct {
-	// Instance is the start of the backend server that is meant.
+	// Instance is the start of the backend server that the attempt is meant for.
 	Instance string
-	// Customer is whose key the caller showed; empty where none is needed.
+	// Customer is the owner of the client's API key; empty if none is required.
 	Customer string
-	// Urgency is from 0, the most urgent, to below Levels.
+	// Urgency ranges from 0, the most urgent, to UrgencyLevels-1.
 	Urgency int
-	// Left is how long the backend server may work on it.
+	// Timeout is how long the backend server may work on the attempt.
 	Left time.Duration
-	// After is the id of the last event that the caller has.
+	// LastEventID is the ID of the last event that the client has received.
 	After string
-	// FetchFrom is the address of the backend server from which this one is to
-	// fetch what that has read of the prompt; empty for none.
+	// FetchFrom is the address of the backend server from which this one should fetch the prompt
+	// data that it has already processed; empty for none.
 	FetchFrom string
 }
 
-// Reply is what the head of a backend server's answer says.
+// ResponseInfo is what the header of a backend server's response says.
 type Reply struct {
-	// ID is the request that it answers.
+	// ID identifies the request that the response belongs to.
 	ID string
-	// Signed says that it bears the signature that callers need.
+	// Signed is set if the response bears the signature that clients need.
 	Signed bool
-	// NotRun says that the request didn't run and won't.
+	// NotExecuted is set if the request didn't run and won't.
 	NotRun bool
-	// OtherServer says that another start than the one that was meant answers
-	// at the address.
+	// OtherInstance is set if the response comes from another start of the server at the address
+	// than the attempt was meant for.
 	OtherServer bool
-	// Limit is how many requests the backend server takes.
+	// Limit is the backend server's request rate limit.
 	Limit Limit
-	// Encoded says that the body isn't the backend server's own bytes.
+	// ContentEncoded is set if the body has a content encoding, so that it isn't the backend
+	// server's own bytes.
 	Encoded bool
 }
 
-// Limit is how many requests a backend server takes from all gateways together.
+// RateLimit is the request rate that a backend server accepts from all gateways together.
 type Limit struct {
-	// Rate is in requests a second; it means something only if Named.
+	// Rate is in requests per second; it is valid only if Present is set.
 	Rate  float64
 	Named bool
-	// Unreadable says that there is one which is no such number.
+	// Invalid is set if the header holds a limit that isn't such a number.
 	Unreadable bool
 }
 
-// Dialect reads and writes the headers.
+// Dialect reads and writes the headers of clients and backend servers.
 type Dialect interface {
-	// Ask reads a caller's request.
+	// ParseRequest reads the header of a client's request.
 	Ask(r *http.Request) Ask
-	// Request returns the headers of an attempt: the caller's, less those
-	// that concern one connection, the key and what only a gateway may set.
+	// AttemptHeaders returns the headers of an attempt: the client's headers without the hop-by-hop
+	// headers, the API key and those that only a gateway may set.
 	Request(caller http.Header, send Send) http.Header
-	// Reply reads the head of an answer.
+	// ParseResponse reads the header of a backend server's response.
 	Reply(status int, h http.Header) Reply
-	// Answer returns the headers of an answer for the caller: the backend
-	// server's, less those that concern one connection.
+	// ClientHeaders returns the headers of a response for the client: the backend server's headers
+	// without the hop-by-hop headers.
 	Answer(backend http.Header) http.Header
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -13,30 +13,31 @@
 )
 
 const (
-	// quarantineRetention is for how long a request that was quarantined is quarantined by gateways
-	// that start.
+	// quarantineRetention is how long after its last crash a stored quarantined request is still
+	// loaded by starting gateways.
 	quarantineRetention = 24 * time.Hour
-	// minPeerWait is how long a gateway that starts waits at least for others to tell that
-	// they know what is quarantined, before it asks the store; up to as much more is drawn, so
-	// that of those that start together a few ask.
+	// minPeerWait is the shortest time that a starting gateway waits for other gateways to announce
+	// that they know the quarantined requests, before it reads the store. A random delay of up to
+	// the same length is added, so that only a few of the gateways that start together read the
+	// store.
 	minPeerWait = 300 * time.Millisecond
-	// maxPeerWait is for how long it listens to them: dozens of requests are told in that
-	// time.
+	// maxPeerWait is how long a gateway listens to the others, which send the quarantined requests
+	// in turn: dozens of requests arrive in that time.
 	maxPeerWait = 2 * time.Second
-	// maxPendingQuarantine bounds the requests that wait for the store; all gateways know them
-	// anyway as long as one of these runs.
+	// maxPendingQuarantine bounds the requests waiting to be written to the store. All gateways
+	// know them anyway as long as one of those gateways runs.
 	maxPendingQuarantine = 64
 )
 
-// Quarantine keeps requests that are quarantined beyond the life of all gateways.
+// QuarantineStore persists quarantined requests, so that they outlive the gateways.
 type Quarantine interface {
 	Read(ctx context.Context) ([]policy.Suspicion, error)
 	Write(ctx context.Context, s policy.Suspicion) error
 	Drop(ctx context.Context, f policy.Fingerprint) error
 }
 
-// syncQuarantine takes what was quarantined before this gateway started, and stores what it
-// quarantines from then on.
+// syncQuarantine loads the requests quarantined before this gateway started, then writes newly
+// quarantined requests to the store until ctx ends.
 func (g *gateway) syncQuarantine(ctx context.Context) {
 	g.loadQuarantine(ctx)
 	for {
@@ -51,8 +52,8 @@
 	}
 }
 
-// loadQuarantine has what is quarantined from other gateways, or, where none knows it, from
-// the store.
+// loadQuarantine gets the quarantined requests from other gateways or, if none of them knows them,
+// from the store.
 func (g *gateway) loadQuarantine(ctx context.Context) {
 	pause.For(ctx, minPeerWait+rand.N(minPeerWait))
 	for waited := time.Duration(0); waited < maxPeerWait; waited += peerCheckInterval {
@@ -79,7 +80,7 @@
 			continue
 		}
 		if err := g.platform.Quarantine.Drop(ctx, s.Fingerprint); err != nil {
-			// The next gateway that starts drops it.
+			// The next gateway that starts deletes it.
 			g.log.Warn(logging.EventQuarantineFailed, zap.Stringer("fingerprint", s.Fingerprint), logging.Reason(err.Error()))
 		}
 	}
@@ -87,7 +88,8 @@
 	return nil
 }
 
-// enqueueQuarantined stores a request that is quarantined from now on.
+// enqueueQuarantined queues a newly quarantined request to be written to the store. If the queue is
+// full, it logs the request and drops it.
 func (g *gateway) enqueueQuarantined(s policy.Suspicion) {
 	select {
 	case g.pendingQuarantine <- s:
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	// peerProofLead is by how much more than a call's wait others' proofs are ahead
-	// of this gateway's own when the store doesn't answer it: a call that failed
-	// once has been made again by then.
+	// peerProofLead is how much newer, beyond the wait of a call, other gateways' proofs are than
+	// this gateway's own when the store doesn't respond to it. A call that failed once has been
+	// retried by then.
 	peerProofLead = 800 * time.Millisecond
-	// storeRejectionTimeout is for how long a store that turns this gateway away, while it
-	// answers others, is tried again before callers are sent to those.
+	// storeRejectionTimeout is how long this gateway retries a store that rejects it, but responds
+	// to others, before it sends clients to other gateways.
 	storeRejectionTimeout = 500 * time.Millisecond
 )
 
-// ready reports whether the balancer may send new connections here.
+// ready reports whether the load balancer may send new connections to this gateway.
 func (g *gateway) ready() bool {
 	return !g.draining.Load() && g.holder.Current() != nil && g.registry.Known() && !g.isolated()
 }
 
-// sheddingClients reports whether callers are to go to another gateway.
+// sheddingClients reports whether clients should reconnect to another gateway.
 func (g *gateway) sheddingClients() bool { return g.draining.Load() || g.isolated() }
 
-// isolated reports whether callers are better served elsewhere: the store turns
-// this gateway away while it answers others, on whose proofs alone it serves; or
-// it is cut off from the store and from most other gateways, and refuses
-// requests with a key. Where the store is away from all of them nobody would
-// serve callers better, and public routes are served on.
+// isolated reports whether clients are better served by other gateways. That is the case when the
+// store responds to others but rejects this gateway, which then serves on their proofs alone; or
+// when this gateway is cut off from the store and from most other gateways, so that it refuses
+// requests with a key. If the store is unavailable to all gateways, no other gateway would serve
+// clients better, and public routes continue to be served.
 func (g *gateway) isolated() bool {
 	provenAt := g.holder.ProvenAt()
 	maxProofAge := maxFeedSilence + pollerWait(g.router.Bounds().Proof) + peerProofLead
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// reloadInterval is how often the settings are read without a signal, since
-	// the file may change without one.
+	// reloadInterval is how often the settings are read without a signal, since the file may change
+	// without one.
 	reloadInterval = 5 * time.Second
-	// clockSkewMargin is what the bound on the age of the desired state is
-	// shortened by, for clocks that run a little apart.
+	// clockSkewMargin is subtracted from the bound on the age of the desired state, to allow for
+	// clocks that differ slightly.
 	clockSkewMargin = 100 * time.Millisecond
 )
 
-// watchSettings puts changed settings in force. Addresses and names are of
-// the VM; they count from the next start.
+// watchSettings applies changed settings on SIGHUP and every reloadInterval until ctx ends.
+// Addresses and names belong to the VM; changes of them take effect at the next start.
 func (g *gateway) watchSettings(ctx context.Context, reload func() (settings.Gateway, error)) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
@@ -50,7 +50,7 @@
 	}
 }
 
-// routerBounds are the router's bounds under the settings.
+// routerBounds returns the router's bounds for the settings.
 func routerBounds(s settings.Gateway) router.Bounds {
 	bounds := router.Bounds{RetryRatio: s.Retry.Ratio, RetryExtra: s.Retry.Extra, RetryWindow: s.Retry.Window, Held: int64(requestMemoryShare * s.MemoryMB * megabyte)}
 	if s.Revoke.Strict {
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -7,7 +7,7 @@
 	"github.com/applepier/applepier/internal/settings"
 )
 
-// Other settings of the memory bound what requests in progress may take.
+// A changed memory setting changes the memory that requests in progress may use.
 func TestRequestMemoryLimitFollowsSettings(t *testing.T) {
 	r := router.New(router.Config{}, routerBounds(settings.Gateway{MemoryMB: 100}), nil)
 	if got := r.Bounds().Held; got != 40*megabyte {
--- a/internal/gateway/request_observer.go
+++ b/internal/gateway/request_observer.go
@@ -13,13 +13,13 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// requestObserver counts how requests ended, and logs those that weren't served.
+// requestObserver counts request outcomes, and logs the requests that weren't served.
 type requestObserver struct {
 	metrics *metrics.Metrics
 	log     *zap.Logger
-	// storeQuarantined stores a request that is quarantined from now on.
+	// storeQuarantined stores a newly quarantined request.
 	storeQuarantined func(policy.Suspicion)
-	// usage counts requests by customer; nil where no usage is reported.
+	// usage counts requests per customer; nil if usage reporting is disabled.
 	usage *usage.Counter
 }
 
@@ -108,7 +108,8 @@
 	}
 }
 
-// eventName names the event of a request's end: whether it ran decides.
+// eventName returns the log event for the end of a request, which depends on whether the request
+// ran.
 func eventName(end router.End) string {
 	switch {
 	case end.Reason == router.ReasonCallerLeft:
--- a/internal/gateway/request_observer_test.go
+++ b/internal/gateway/request_observer_test.go
@@ -13,8 +13,8 @@
 	"github.com/applepier/applepier/internal/metrics"
 )
 
-// Guards against rejections whose size nobody can see: long prompts that are starved look like
-// load then.
+// Guards against rejections that don't report the prompt size: starved long prompts would be
+// indistinguishable from ordinary overload.
 func TestRejectionsReportPromptSize(t *testing.T) {
 	core, entries := observer.New(zap.InfoLevel)
 	registry := metrics.New()
--- a/internal/gateway/retry.go
+++ b/internal/gateway/retry.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// retryInitialInterval and againLongest bound the pause before a call to the store that must
-	// not be left out is made again.
+	// retryInitialInterval and retryMaxInterval bound the pause between attempts of a call to the
+	// store that must not be skipped.
 	retryInitialInterval = 200 * time.Millisecond
 	retryMaxInterval     = 5 * time.Second
 )
 
-// retryUntilDone makes a call to the store until it succeeds or ctx ends; event is logged for
-// each that fails.
+// retryUntilDone calls the store until the call succeeds or ctx ends. It logs event for each failed
+// attempt.
 func (g *gateway) retryUntilDone(ctx context.Context, event string, call func(context.Context) error) {
 	backOff := backoff.NewExponentialBackOff()
 	backOff.InitialInterval, backOff.MaxInterval = retryInitialInterval, retryMaxInterval
--- a/internal/gateway/server_list_sink.go
+++ b/internal/gateway/server_list_sink.go
@@ -11,11 +11,11 @@
 	"github.com/applepier/applepier/internal/logging"
 )
 
-// serverListSink takes the list of backend serverListSink from its follower.
+// serverListSink applies the list of backend servers from its follower to the registry.
 type serverListSink struct {
 	registry *backend.Registry
 	log      *zap.Logger
-	// era is the list's, once it has been read.
+	// era is the era of the list; 0 until the list has been read.
 	era atomic.Uint64
 }
 
--- a/internal/gateway/timed_condition.go
+++ b/internal/gateway/timed_condition.go
@@ -7,14 +7,14 @@
 	"github.com/applepier/applepier/internal/boottime"
 )
 
-// timedCondition is something that holds or doesn't, with since when. Its methods may be called
-// concurrently.
+// timedCondition is a boolean condition that records since when it has held. Its methods may be
+// called concurrently.
 type timedCondition struct {
-	// since is on boottime's clock; 0 while it doesn't hold.
+	// since is a time of the boottime clock in nanoseconds; 0 while the condition doesn't hold.
 	since atomic.Int64
 }
 
-// set notes whether it holds now.
+// set records whether the condition holds now. Setting it again doesn't change its start time.
 func (t *timedCondition) set(holds bool) {
 	if !holds {
 		t.since.Store(0)
@@ -23,10 +23,11 @@
 	t.since.CompareAndSwap(0, int64(boottime.Now()))
 }
 
-// setExpired notes that it has held for longer than anybody asks for.
+// setExpired marks the condition as having held since boot, and so for longer than any limit in
+// use.
 func (t *timedCondition) setExpired() { t.since.Store(1) }
 
-// heldLongerThan reports whether it has held for a time.
+// heldLongerThan reports whether the condition has held for longer than limit.
 func (t *timedCondition) heldLongerThan(limit time.Duration) bool {
 	since := t.since.Load()
 	return since != 0 && boottime.Now()-time.Duration(since) > limit
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -8,8 +8,8 @@
 	"github.com/applepier/applepier/internal/gateway/usage"
 )
 
-// peerUsage is how this gateway exchanges usage with its peers; nil where none is
-// reported.
+// peerUsage returns the functions for exchanging usage with other gateways; nil if usage reporting
+// is disabled.
 func (g *gateway) peerUsage() *peers.Usage {
 	if !g.settings.Usage.Reported() {
 		return nil
@@ -22,7 +22,7 @@
 	}
 }
 
-// initUsage makes the Reporter, and returns its Counter; nil where nothing is reported.
+// initUsage creates the usage reporter and returns its counter; nil if usage reporting is disabled.
 func (g *gateway) initUsage() *usage.Counter {
 	usageSettings := g.settings.Usage
 	if !usageSettings.Reported() {
@@ -37,7 +37,7 @@
 	return g.usage.Counter
 }
 
-// reportUsage takes part in the report of usage until ctx ends.
+// reportUsage takes part in usage reporting until ctx ends.
 func (g *gateway) reportUsage(ctx context.Context) {
 	if g.usage != nil {
 		g.usage.Run(ctx)
