--- a/internal/gateway/client_server_test.go
+++ b/internal/gateway/client_server_test.go
@@ -108,9 +108,9 @@
 		err := exchangeRequest(clientConn, reader, postRequest)
 		switch handled := started.Load() == 2; {
 		case !handled:
-			t.Errorf("the request that came at the end of the rest wasn't handed on: %v", err)
+			t.Errorf("the request sent when the idle limit expired wasn't handled: %v", err)
 		case err != nil:
-			t.Errorf("a request that was handed on has no answer: %v", err)
+			t.Errorf("a request that was handled got no response: %v", err)
 		}
 		_, _ = server.Close(), clientConn.Close()
 		<-served
@@ -145,7 +145,7 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 		if err := exchangeRequest(clientConn, reader, postRequest[len(postRequest)/2:]); err != nil {
-			t.Errorf("a request that began before the gateway stopped taking them has no answer: %v", err)
+			t.Errorf("a request that started before the drain got no response: %v", err)
 		}
 		_ = clientConn.Close()
 		<-drained
@@ -165,7 +165,7 @@
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err == nil && string(body) != "done" {
-		err = errors.New("another body: " + string(body))
+		err = errors.New("unexpected body: " + string(body))
 	}
 	return err
 }
--- a/internal/gateway/desired_state_sink.go
+++ b/internal/gateway/desired_state_sink.go
@@ -43,56 +43,58 @@
 var _ follow.Sink[*routes.Set] = (*desiredStateSink)(nil)
 
 // Reset implements follow.Sink.
-func (d *desiredStateSink) Reset(readAt time.Duration, all follow.Batch[*routes.Set]) {
-	d.outdated.Store(d.holder.Version() != 0)
-	d.apply(readAt, all)
+func (s *desiredStateSink) Reset(readAt time.Duration, all follow.Batch[*routes.Set]) {
+	s.outdated.Store(s.holder.Version() != 0)
+	s.apply(readAt, all)
 }
 
 // Change implements follow.Sink.
-func (d *desiredStateSink) Change(receivedAt time.Duration, changes follow.Batch[*routes.Set]) {
-	d.apply(receivedAt-maxFeedSilence, changes)
+func (s *desiredStateSink) Change(receivedAt time.Duration, changes follow.Batch[*routes.Set]) {
+	s.apply(receivedAt-maxFeedSilence, changes)
 }
 
 // Unavailable implements follow.Sink.
-func (d *desiredStateSink) Unavailable(error) {
-	d.registry.Unavailable()
-	d.unavailableSince.CompareAndSwap(0, int64(boottime.Now()))
+func (s *desiredStateSink) Unavailable(error) {
+	s.registry.Unavailable()
+	s.unavailableSince.CompareAndSwap(0, int64(boottime.Now()))
 }
 
 // Available implements follow.Sink.
-func (d *desiredStateSink) Available() {
-	d.registry.Available(time.Now())
-	d.unavailableSince.Store(0)
+func (s *desiredStateSink) Available() {
+	s.registry.Available(time.Now())
+	s.unavailableSince.Store(0)
 }
 
 // unavailableFor returns how long the store hasn't responded; 0 while it does.
-func (d *desiredStateSink) unavailableFor() time.Duration {
-	since := time.Duration(d.unavailableSince.Load())
+func (s *desiredStateSink) unavailableFor() time.Duration {
+	since := time.Duration(s.unavailableSince.Load())
 	if since == 0 {
 		return 0
 	}
 	return boottime.Now() - since
 }
 
-func (d *desiredStateSink) apply(provenAt time.Duration, batch follow.Batch[*routes.Set]) {
-	d.Available()
+// apply offers the states of a batch to the holder. If the batch is readable and up to date, it
+// proves that the state in force was the newest at provenAt.
+func (s *desiredStateSink) apply(provenAt time.Duration, batch follow.Batch[*routes.Set]) {
+	s.Available()
 	if len(batch.Unreadable) > 0 {
-		d.unreadable.Store(true)
+		s.unreadable.Store(true)
 	}
 	for _, set := range batch.Items {
 		if set == nil {
 			continue
 		}
-		d.unreadable.Store(false)
-		d.outdated.Store(set.Version < d.holder.Version())
-		if d.holder.Offer(set, provenAt) {
-			d.log.Info(logging.EventTargetsAdopted, zap.Uint64("version", set.Version), zap.Int("routes", set.Routes()), zap.Duration("idle_limit", set.Limits.IdleTime))
+		s.unreadable.Store(false)
+		s.outdated.Store(set.Version < s.holder.Version())
+		if s.holder.Offer(set, provenAt) {
+			s.log.Info(logging.EventTargetsAdopted, zap.Uint64("version", set.Version), zap.Int("routes", set.Routes()), zap.Duration("idle_limit", set.Limits.IdleTime))
 		}
 	}
-	if !d.unreadable.Load() && !d.outdated.Load() {
+	if !s.unreadable.Load() && !s.outdated.Load() {
 		// Only the follower's goroutine writes storeProvenAt, so load and store needn't be atomic
 		// together.
-		d.storeProvenAt.Store(max(d.storeProvenAt.Load(), int64(provenAt)))
-		d.holder.Prove(d.holder.Version(), provenAt)
+		s.storeProvenAt.Store(max(s.storeProvenAt.Load(), int64(provenAt)))
+		s.holder.Prove(s.holder.Version(), provenAt)
 	}
 }
--- a/internal/gateway/desired_state_sink_test.go
+++ b/internal/gateway/desired_state_sink_test.go
@@ -21,11 +21,11 @@
 	sink.Reset(readAt, follow.Batch[*routes.Set]{Items: []*routes.Set{routes.NewSet(1, routes.Limits{}, nil, nil, nil)}})
 	sink.Change(readAt+maxFeedSilence/2, follow.Batch[*routes.Set]{})
 	if got := time.Duration(sink.storeProvenAt.Load()); got != readAt {
-		t.Errorf("proved at %v, after %v", got, readAt)
+		t.Errorf("proof time %v, want %v", got, readAt)
 	}
 	sink.Change(readAt+2*maxFeedSilence, follow.Batch[*routes.Set]{})
 	if got := time.Duration(sink.storeProvenAt.Load()); got != readAt+maxFeedSilence {
-		t.Errorf("proved at %v, want %v", got, readAt+maxFeedSilence)
+		t.Errorf("proof time %v, want %v", got, readAt+maxFeedSilence)
 	}
 }
 
@@ -41,11 +41,11 @@
 		sink.Reset(20*time.Second, older)
 		sink.Change(30*time.Second, follow.Batch[*routes.Set]{})
 		if sink.holder.Version() != 5 || sink.holder.ProvenAt() != 10*time.Second || sink.storeProvenAt.Load() != int64(10*time.Second) {
-			t.Errorf("%s: version %d, proved at %v", name, sink.holder.Version(), sink.holder.ProvenAt())
+			t.Errorf("%s: version %d, proof time %v", name, sink.holder.Version(), sink.holder.ProvenAt())
 		}
 		sink.Change(40*time.Second, set(5))
 		if want := 40*time.Second - maxFeedSilence; sink.holder.ProvenAt() != want {
-			t.Errorf("%s: proved at %v after the operators wrote it again, want %v", name, sink.holder.ProvenAt(), want)
+			t.Errorf("%s: proof time %v after operators wrote the state again, want %v", name, sink.holder.ProvenAt(), want)
 		}
 	}
 }
@@ -58,7 +58,7 @@
 	sink.Unavailable(nil)
 	time.Sleep(time.Millisecond)
 	if sink.unavailableFor() == 0 {
-		t.Fatal("the store isn't away after a failed call")
+		t.Fatal("store counts as available after a failed call")
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
@@ -68,7 +68,7 @@
 	}
 	follower.Run(ctx)
 	if sink.unavailableFor() != 0 {
-		t.Error("the store is away though it answers")
+		t.Error("store counts as unavailable though it responds")
 	}
 }
 
--- a/internal/gateway/exchange/errors.go
+++ b/internal/gateway/exchange/errors.go
@@ -6,12 +6,12 @@
 // may be reported to the client.
 var (
 	// ErrNotSent means that no byte of the request left this process, so it didn't run.
-	ErrNotSent = errors.New("request was not sent")
+	ErrNotSent = errors.New("request not sent")
 	// ErrIncomplete means that the connection ended or the response was malformed or incomplete;
 	// the request may have run.
-	ErrBroken = errors.New("answer was broken off")
+	ErrBroken = errors.New("incomplete response")
 	// ErrTimeout means that nothing arrived in time; the request may have run.
-	ErrTimeout = errors.New("no answer in time")
+	ErrTimeout = errors.New("response timeout")
 	// ErrCancelled means that the context ended; the request may have run.
-	ErrCancelled = errors.New("exchange was cancelled")
+	ErrCancelled = errors.New("exchange cancelled")
 )
--- a/internal/gateway/exchange/exchange.go
+++ b/internal/gateway/exchange/exchange.go
@@ -32,7 +32,7 @@
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is the length of the body in bytes; -1 if unknown.
+	// Length is the length of the body in bytes; -1 if unknown, 0 for HEAD.
 	Length     int64
 	body       io.Reader
 	exchange   *exchange
@@ -100,66 +100,68 @@
 // readHead reads the header of the response that belongs to the request.
 func (e *exchange) readHead(r *Request) (*Answer, error) {
 	for range maxMismatchedResponses + 1 {
-		resp, err := http.ReadResponse(e.conn.reader, &http.Request{Method: r.Method})
+		httpResp, err := http.ReadResponse(e.conn.reader, &http.Request{Method: r.Method})
 		if err != nil {
 			return nil, err
 		}
-		if resp.StatusCode < http.StatusOK {
+		if httpResp.StatusCode < http.StatusOK {
 			continue
 		}
-		if r.Mine(resp.Header) {
-			return e.newResponse(resp), nil
+		if r.Mine(httpResp.Header) {
+			return e.newResponse(httpResp), nil
 		}
 		// Whatever the cause, this connection can't be trusted any more.
 		e.keepConn = false
-		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-			return nil, errors.Wrap(ErrBroken, "answer to another request, without an end")
+		if httpResp.ContentLength < 0 && len(httpResp.TransferEncoding) == 0 {
+			return nil, errors.Wrap(ErrBroken, "response to another request without a body length")
 		}
-		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+		if _, err := io.Copy(io.Discard, httpResp.Body); err != nil {
 			return nil, err
 		}
 	}
-	return nil, errors.Wrap(ErrBroken, "answers to other requests only")
+	return nil, errors.Wrap(ErrBroken, "too many responses to other requests")
 }
 
-func (e *exchange) newResponse(resp *http.Response) *Answer {
-	e.keepConn = e.keepConn && !resp.Close && resp.ProtoAtLeast(1, 1)
-	e.conn.keepAlive = keepAliveTimeout(resp.Header)
-	length := resp.ContentLength
-	if resp.Request.Method == http.MethodHead {
+// newResponse returns the Response for a received header, and records whether and how long the
+// connection may be reused.
+func (e *exchange) newResponse(httpResp *http.Response) *Answer {
+	e.keepConn = e.keepConn && !httpResp.Close && httpResp.ProtoAtLeast(1, 1)
+	e.conn.keepAlive = keepAliveTimeout(httpResp.Header)
+	length := httpResp.ContentLength
+	if httpResp.Request.Method == http.MethodHead {
 		// The Content-Length of a HEAD response is that of the GET response.
 		length = 0
 	}
-	return &Answer{Status: resp.StatusCode, Header: resp.Header, Length: length, body: resp.Body, exchange: e}
+	return &Answer{Status: httpResp.StatusCode, Header: httpResp.Header, Length: length, body: httpResp.Body, exchange: e}
 }
 
-// Read reads the body. It returns io.EOF only after the complete body; any other error wraps one of
-// this package's errors.
-func (a *Answer) Read(p []byte) (int, error) {
-	if a.exchange.ended {
+// Read reads the body. It returns io.EOF after the complete body; any other error wraps one of this
+// package's errors. Once the exchange has ended, also by an error or Abort, it returns io.EOF.
+func (r *Answer) Read(p []byte) (int, error) {
+	if r.exchange.ended {
 		return 0, io.EOF
 	}
-	n, err := a.body.Read(p)
+	n, err := r.body.Read(p)
 	switch {
 	case err == nil:
 		return n, nil
 	case errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF):
-		a.exchange.end(a.exchange.keepConn)
+		r.exchange.end(r.exchange.keepConn)
 		return n, io.EOF
 	default:
-		a.exchange.end(false)
-		err = a.exchange.classify(err)
-		a.incomplete = errors.Is(err, ErrBroken)
+		r.exchange.end(false)
+		err = r.exchange.classify(err)
+		r.incomplete = errors.Is(err, ErrBroken)
 		return n, err
 	}
 }
 
 // Incomplete reports whether reading the body ended in ErrIncomplete.
-func (a *Answer) Broken() bool { return a.incomplete }
+func (r *Answer) Broken() bool { return r.incomplete }
 
 // Abort ends the exchange by closing its connection, which tells the backend server to stop. After
 // the complete body was read it does nothing.
-func (a *Answer) Abandon() { a.exchange.end(false) }
+func (r *Answer) Abandon() { r.exchange.end(false) }
 
 // end returns the connection to the pool or closes it.
 func (e *exchange) end(complete bool) {
--- a/internal/gateway/exchange/exchange_test.go
+++ b/internal/gateway/exchange/exchange_test.go
@@ -16,7 +16,7 @@
 
 // newScriptedServer starts a server that runs handle on each connection. It returns its address and
 // the number of connections accepted so far.
-func newScriptedServer(t *testing.T, handle func(c net.Conn, in *bufio.Reader)) (addr string, accepted *atomic.Int32) {
+func newScriptedServer(t *testing.T, handle func(c net.Conn, reader *bufio.Reader)) (addr string, accepted *atomic.Int32) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,9 +53,9 @@
 // A cancelled request must not reach a server, including on a pooled connection.
 func TestCancelledRequestIsNotSent(t *testing.T) {
 	var received atomic.Int32
-	addr, opened := newScriptedServer(t, func(c net.Conn, in *bufio.Reader) {
+	addr, accepted := newScriptedServer(t, func(c net.Conn, reader *bufio.Reader) {
 		for {
-			id, ok := readRequest(in)
+			id, ok := readRequest(reader)
 			if !ok {
 				return
 			}
@@ -78,15 +78,17 @@
 	if _, err := send(t, pool, addr, "3", nil); err != nil {
 		t.Fatal(err)
 	}
-	if received.Load() != 2 || opened.Load() != 1 {
-		t.Errorf("%d requests arrived on %d connections", received.Load(), opened.Load())
+	if received.Load() != 2 || accepted.Load() != 1 {
+		t.Errorf("%d requests received on %d connections, want 2 on 1", received.Load(), accepted.Load())
 	}
 }
 
+// response returns the text of an HTTP response to the request with the given ID.
 func response(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
+// send sends a POST request with the given ID and returns the response body.
 func send(t *testing.T, p *Pool, addr, id string, body []byte) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -103,6 +105,7 @@
 	return string(text), err
 }
 
+// mustSend sends a request and fails the test unless the response is the one to it.
 func mustSend(t *testing.T, p *Pool, addr, id string) {
 	t.Helper()
 	text, err := send(t, p, addr, id, nil)
@@ -112,8 +115,8 @@
 }
 
 func TestConnectionsAreReused(t *testing.T) {
-	addr, opened := newScriptedServer(t, func(c net.Conn, in *bufio.Reader) {
-		for id, ok := readRequest(in); ok; id, ok = readRequest(in) {
+	addr, accepted := newScriptedServer(t, func(c net.Conn, reader *bufio.Reader) {
+		for id, ok := readRequest(reader); ok; id, ok = readRequest(reader) {
 			_, _ = io.WriteString(c, response(id, "for "+id))
 		}
 	})
@@ -121,20 +124,20 @@
 	for i := range 5 {
 		mustSend(t, pool, addr, strconv.Itoa(i))
 	}
-	if opened.Load() != 1 {
-		t.Errorf("%d connections for 5 requests in turn", opened.Load())
+	if accepted.Load() != 1 {
+		t.Errorf("%d connections for 5 sequential requests, want 1", accepted.Load())
 	}
 	pool.Sweep(time.Now(), func(Peer) bool { return false })
 	mustSend(t, pool, addr, "after")
-	if opened.Load() != 2 {
-		t.Errorf("a connection to a peer that isn't wanted was used")
+	if accepted.Load() != 2 {
+		t.Errorf("a connection to an unwanted peer was reused")
 	}
 }
 
 func TestConnectionWithExtraBytesIsNotReused(t *testing.T) {
 	sent := make(chan struct{}, 10)
-	addr, opened := newScriptedServer(t, func(c net.Conn, in *bufio.Reader) {
-		for id, ok := readRequest(in); ok; id, ok = readRequest(in) {
+	addr, accepted := newScriptedServer(t, func(c net.Conn, reader *bufio.Reader) {
+		for id, ok := readRequest(reader); ok; id, ok = readRequest(reader) {
 			_, _ = io.WriteString(c, response(id, "for "+id))
 			time.Sleep(5 * time.Millisecond)
 			_, _ = io.WriteString(c, response(id, "again"))
@@ -145,22 +148,22 @@
 	mustSend(t, pool, addr, "1")
 	<-sent
 	mustSend(t, pool, addr, "2")
-	if opened.Load() != 2 {
-		t.Errorf("%d connections, a connection with an extra answer must not be used again", opened.Load())
+	if accepted.Load() != 2 {
+		t.Errorf("%d connections, want 2: a connection with an extra response must not be reused", accepted.Load())
 	}
 }
 
 func TestMismatchedResponsesAreSkipped(t *testing.T) {
-	addr, opened := newScriptedServer(t, func(c net.Conn, in *bufio.Reader) {
-		for id, ok := readRequest(in); ok; id, ok = readRequest(in) {
+	addr, accepted := newScriptedServer(t, func(c net.Conn, reader *bufio.Reader) {
+		for id, ok := readRequest(reader); ok; id, ok = readRequest(reader) {
 			_, _ = io.WriteString(c, response("0", "an earlier one")+response(id, "for "+id))
 		}
 	})
 	pool := NewPool()
 	mustSend(t, pool, addr, "1")
 	mustSend(t, pool, addr, "2")
-	if opened.Load() != 2 {
-		t.Errorf("%d connections, one with a foreign answer must not be used again", opened.Load())
+	if accepted.Load() != 2 {
+		t.Errorf("%d connections, want 2: a connection with a response to another request must not be reused", accepted.Load())
 	}
 }
 
@@ -175,16 +178,16 @@
 		response string
 		want     error
 	}{
-		"cut in the head": {"HTTP/1.1 200 OK\r\nId: 1\r\nConte", ErrBroken},
-		"cut in the body": {"HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nhalf", ErrBroken},
-		"cut in chunks":   {"HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", ErrBroken},
-		"no HTTP":         {"\x00\x01garbage\r\n\r\n", ErrBroken},
-		"others only":     {response("0", "a") + response("0", "b") + response("0", "c") + response("0", "d") + response("0", "e"), ErrBroken},
+		"truncated header":     {"HTTP/1.1 200 OK\r\nId: 1\r\nConte", ErrBroken},
+		"truncated body":       {"HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nhalf", ErrBroken},
+		"truncated chunks":     {"HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", ErrBroken},
+		"not HTTP":             {"\x00\x01garbage\r\n\r\n", ErrBroken},
+		"other responses only": {response("0", "a") + response("0", "b") + response("0", "c") + response("0", "d") + response("0", "e"), ErrBroken},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			addr, _ := newScriptedServer(t, func(conn net.Conn, in *bufio.Reader) {
-				_, _ = readRequest(in)
+			addr, _ := newScriptedServer(t, func(conn net.Conn, reader *bufio.Reader) {
+				_, _ = readRequest(reader)
 				_, _ = io.WriteString(conn, c.response)
 			})
 			if _, err := send(t, NewPool(), addr, "1", nil); !errors.Is(err, c.want) {
@@ -193,15 +196,15 @@
 		})
 	}
 	if _, err := send(t, NewPool(), closedAddr, "1", nil); !errors.Is(err, ErrNotSent) {
-		t.Errorf("refused connection: %v, want %v", err, ErrNotSent)
+		t.Errorf("connection refused: %v, want %v", err, ErrNotSent)
 	}
 }
 
 func TestCancelClosesConnection(t *testing.T) {
 	closed := make(chan struct{})
-	addr, _ := newScriptedServer(t, func(c net.Conn, in *bufio.Reader) {
-		_, _ = readRequest(in)
-		_, _ = in.ReadByte()
+	addr, _ := newScriptedServer(t, func(c net.Conn, reader *bufio.Reader) {
+		_, _ = readRequest(reader)
+		_, _ = reader.ReadByte()
 		close(closed)
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -213,22 +216,22 @@
 	select {
 	case <-closed:
 	case <-time.After(5 * time.Second):
-		t.Error("the backend server isn't told")
+		t.Error("the connection to the backend server wasn't closed")
 	}
 }
 
 // A server may respond before it has read a long body. It would read the next request on the
 // connection as the rest of that body, so the connection must not be reused.
 func TestConnectionWithEarlyResponseIsNotReused(t *testing.T) {
-	addr, opened := newScriptedServer(t, func(c net.Conn, in *bufio.Reader) {
-		req, err := http.ReadRequest(in)
+	addr, accepted := newScriptedServer(t, func(c net.Conn, reader *bufio.Reader) {
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
 		id := req.Header.Get("Id")
 		_, _ = io.WriteString(c, response(id, "for "+id))
 		time.Sleep(50 * time.Millisecond)
-		_, _ = io.Copy(io.Discard, in)
+		_, _ = io.Copy(io.Discard, reader)
 	})
 	pool := NewPool()
 	for _, id := range []string{"1", "2"} {
@@ -236,30 +239,30 @@
 			t.Fatalf("%s: %q %v", id, text, err)
 		}
 	}
-	if opened.Load() != 2 {
-		t.Errorf("%d connections for 2 requests", opened.Load())
+	if accepted.Load() != 2 {
+		t.Errorf("%d connections for 2 requests, want 2", accepted.Load())
 	}
 }
 
 func TestResponseDelimitedByConnectionClose(t *testing.T) {
-	addr, opened := newScriptedServer(t, func(c net.Conn, in *bufio.Reader) {
-		id, _ := readRequest(in)
+	addr, accepted := newScriptedServer(t, func(c net.Conn, reader *bufio.Reader) {
+		id, _ := readRequest(reader)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: "+id+"\r\n\r\nfor "+id)
 	})
 	pool := NewPool()
 	mustSend(t, pool, addr, "1")
 	mustSend(t, pool, addr, "2")
-	if opened.Load() != 2 {
-		t.Errorf("%d connections", opened.Load())
+	if accepted.Load() != 2 {
+		t.Errorf("%d connections, want 2", accepted.Load())
 	}
-	resetAddr, _ := newScriptedServer(t, func(c net.Conn, in *bufio.Reader) {
-		id, _ := readRequest(in)
+	resetAddr, _ := newScriptedServer(t, func(c net.Conn, reader *bufio.Reader) {
+		id, _ := readRequest(reader)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: "+id+"\r\n\r\nfor "+id)
 		time.Sleep(10 * time.Millisecond)
 		_ = c.(*net.TCPConn).SetLinger(0)
 	})
 	if text, err := send(t, pool, resetAddr, "1", nil); !errors.Is(err, ErrBroken) {
-		t.Errorf("a reset answer counts as whole: %q, %v", text, err)
+		t.Errorf("a reset response counts as complete: %q, %v", text, err)
 	}
 }
 
@@ -285,6 +288,6 @@
 	}
 	get := Request{Method: "GET", Target: "/", Host: "h"}
 	if got := string(get.encode()); strings.Contains(got, "Content-Length") {
-		t.Errorf("a GET without a body has a length: %q", got)
+		t.Errorf("a GET without a body has a Content-Length: %q", got)
 	}
 }
--- a/internal/gateway/exchange/pool.go
+++ b/internal/gateway/exchange/pool.go
@@ -26,8 +26,8 @@
 	// is faster.
 	dialTimeout = 250 * time.Millisecond
 	// maxUnacknowledged is how long sent data may stay unacknowledged before the connection counts
-	// as broken. It allows for several retransmissions of a lost packet, after 0.2, 0.6 and 1.4
-	// seconds.
+	// as broken. A lost packet is retransmitted after 0.2, 0.6 and 1.4 seconds, so that the first
+	// two retransmissions fit.
 	maxUnacknowledged = time.Second
 	// refusalCheckTimeout bounds RefusesConnections. It allows for a round trip to any availability
 	// zone, while a client waits for its response.
--- a/internal/gateway/exchange/pool_test.go
+++ b/internal/gateway/exchange/pool_test.go
@@ -54,7 +54,7 @@
 					// On a busy machine the listener may have stayed open long enough to count as
 					// running.
 					if !NewPool().Refuses(t.Context(), peer) && (<-closed).Sub(start) < processExitTime {
-						t.Fatal("taken for a server that goes on")
+						t.Fatal("an exiting server counts as running")
 					}
 				}
 			})
@@ -85,10 +85,10 @@
 			}()
 			start := time.Now()
 			if NewPool().Refuses(t.Context(), Peer{Addr: listener.Addr().String(), Instance: "i"}) {
-				t.Error("taken for a server that ended")
+				t.Error("a running server counts as exited")
 			}
 			if took := time.Since(start); took > 5*refusalCheckTimeout {
-				t.Errorf("asked for %v, callers wait meanwhile", took)
+				t.Errorf("took %v, while clients wait", took)
 			}
 		})
 	}
@@ -116,9 +116,9 @@
 	port := sockaddr.(*syscall.SockaddrInet4).Port
 	peer, pool := Peer{Addr: fmt.Sprintf("127.0.0.1:%d", port), Instance: "i"}, NewPool()
 	if pool.Refuses(t.Context(), peer) {
-		t.Error("taken for a server that ended, though nothing was refused")
+		t.Error("counts as exited, though no connection was refused")
 	}
 	if pooled := len(pool.idle[peer]); pooled != 0 {
-		t.Errorf("%d connections are kept for use", pooled)
+		t.Errorf("%d connections in the pool, want 0", pooled)
 	}
 }
--- a/internal/gateway/followers.go
+++ b/internal/gateway/followers.go
@@ -49,7 +49,7 @@
 // newDesiredStateFollower returns the follower of the desired state.
 func (g *gateway) newDesiredStateFollower() *follow.Follower[*routes.Set] {
 	return &follow.Follower[*routes.Set]{
-		Name: "desired state", Source: g.platform.Desired, Sink: g.sink,
+		Name: "desired state", Source: g.platform.Desired, Sink: g.desiredSink,
 		Wait: g.desiredStateWait, Confirm: g.isPoller, Hurry: g.proofNeedsRenewal, Arriving: &g.receivingState, Idle: func() bool { return g.desiredStateFromPeers() && !g.proofOverdue() }, Defers: g.defersToPollers,
 		Store: &g.storeHealth, Leads: true, Asked: g.platform.Metrics.StoreAsked("targets"), Restored: g.platform.Metrics.StoreRestored("targets"), Log: g.log,
 	}
@@ -84,7 +84,8 @@
 func (g *gateway) proofNeedsRenewal() bool {
 	maxAge := g.router.Bounds().Proof
 	if maxAge == 0 || g.holder.Version() == 0 {
-		// There is no state to prove yet; the first one ends the pending call.
+		// Without a bound no renewal is needed. Without a state there is nothing to prove, and the
+		// first state ends the pending call.
 		return false
 	}
 	return boottime.Now()-g.holder.ProvenAt() > time.Duration(proofRenewalShare*float64(maxAge))
--- a/internal/gateway/followers_test.go
+++ b/internal/gateway/followers_test.go
@@ -11,7 +11,7 @@
 	for _, bound := range []time.Duration{3 * time.Second, 5 * time.Second, 10 * time.Second, time.Minute} {
 		maxAge := maxFeedSilence + pollerWait(bound)
 		if remaining := bound - maxAge; remaining < bound/2 {
-			t.Errorf("within %v a proof may be %v old when the store falls silent", bound, maxAge)
+			t.Errorf("bound %v: the proof may be %v old when the store falls silent", bound, maxAge)
 		}
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -63,19 +63,19 @@
 	platform Platform
 	log      *zap.Logger
 
-	holder   *routes.Holder
-	sink     *desiredStateSink
-	registry *backend.Registry
-	pool     *exchange.Pool
-	router   *router.Router
+	holder      *routes.Holder
+	desiredSink *desiredStateSink
+	registry    *backend.Registry
+	pool        *exchange.Pool
+	router      *router.Router
 	// usage is nil if usage reporting is disabled.
 	usage *usage.Reporter
 	mesh  *peers.Mesh
 	// servers follows the list of backend servers, targets the desired state.
 	servers *follow.Follower[backend.Info]
 	targets *follow.Follower[*routes.Set]
-	// serversBehind and stateBehind hold since other gateways have known of changes of the server
-	// list, or of a newer desired state, that this gateway hasn't been able to get from them.
+	// serversBehind and stateBehind track since when other gateways have had changes of the server
+	// list, or a newer desired state, that this gateway hasn't got from them.
 	serversBehind, stateBehind timedCondition
 	draining                   atomic.Bool
 	// pendingQuarantine holds newly quarantined requests until they are written to the store.
@@ -89,15 +89,16 @@
 }
 
 // Serve runs a gateway until ctx ends, then shuts it down gracefully. reload reads the settings
-// again; it is called on SIGHUP and periodically. The error wraps ErrListen if an address can't be
-// listened on, or is the one of peers.Listen.
+// again; it is called on SIGHUP and periodically. Serve returns the error of peers.Listen, or one
+// that wraps ErrListen, if it can't listen on an address.
 func Serve(ctx context.Context, s settings.Gateway, reload func() (settings.Gateway, error), p Platform, log *zap.Logger) error {
 	limitMemory(s.MemoryMB)
 	g, err := newGateway(s, p, log)
 	if err != nil {
 		return err
 	}
-	// The handover server uses the TCP port of the same address that receives datagrams.
+	// Other gateways send handover requests to the TCP port of the address to which they send
+	// datagrams.
 	listeners, err := listen.All(s.Listen, s.AdminListen, g.mesh.Addr())
 	if err != nil {
 		g.mesh.Close()
@@ -107,13 +108,15 @@
 	return nil
 }
 
+// newGateway creates the components of a gateway and connects them. The error is that of
+// peers.Listen.
 func newGateway(s settings.Gateway, p Platform, log *zap.Logger) (*gateway, error) {
 	g := &gateway{
 		settings: s, platform: p, log: log,
 		holder: &routes.Holder{}, registry: backend.NewRegistry(), pool: exchange.NewPool(),
 		pendingQuarantine: make(chan policy.Suspicion, maxPendingQuarantine),
 	}
-	g.sink = &desiredStateSink{holder: g.holder, registry: g.registry, log: log}
+	g.desiredSink = &desiredStateSink{holder: g.holder, registry: g.registry, log: log}
 	var err error
 	g.mesh, err = peers.Listen(peers.Config{
 		Self:  peers.Entry{Name: s.Process, Addr: s.PeerListen},
@@ -227,6 +230,7 @@
 	}
 }
 
+// adminRoutes returns the handler of the readiness check and the metrics.
 func (g *gateway) adminRoutes() http.Handler {
 	mux := httprouter.New()
 	mux.GET(g.settings.ReadyPath, func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
--- a/internal/gateway/gateway_list.go
+++ b/internal/gateway/gateway_list.go
@@ -19,7 +19,7 @@
 func (g *gateway) followGatewayList(ctx context.Context) {
 	follower := follow.Follower[peers.Entry]{
 		Name: "gateways", Source: g.platform.Entries, Sink: g.mesh, Wait: follow.Always(gatewayListMaxWait), Gather: gatewayListBatchDelay,
-		Idle: g.gatewayListFromPeers, Defers: g.defersToPollers, Store: &g.storeHealth, Asked: g.platform.Metrics.StoreAsked("gateways"), Restored: g.platform.Metrics.StoreRestored("gateways"), Log: g.log,
+		Idle: g.gatewayListFresh, Defers: g.defersToPollers, Store: &g.storeHealth, Asked: g.platform.Metrics.StoreAsked("gateways"), Restored: g.platform.Metrics.StoreRestored("gateways"), Log: g.log,
 	}
 	follower.Run(ctx)
 }
--- a/internal/gateway/gateway_list_test.go
+++ b/internal/gateway/gateway_list_test.go
@@ -10,13 +10,13 @@
 	for range samples {
 		delay := staleCheckDelay()
 		if delay < staleCheckInterval/2 || delay >= 3*staleCheckInterval/2 {
-			t.Fatalf("a pause of %v", delay)
+			t.Fatalf("delay %v is out of range", delay)
 		}
 		counts[int((delay-staleCheckInterval/2)*buckets/staleCheckInterval)]++
 	}
 	for bucket, n := range counts {
 		if n < samples/buckets/2 {
-			t.Errorf("%d of %d pauses in part %d of %d", n, samples, bucket, buckets)
+			t.Errorf("%d of %d delays in bucket %d of %d", n, samples, bucket, buckets)
 		}
 	}
 }
--- a/internal/gateway/peer_fallback_test.go
+++ b/internal/gateway/peer_fallback_test.go
@@ -22,6 +22,6 @@
 		want = append(want, time.Duration(ms)*time.Millisecond)
 	}
 	if !slices.Equal(queriedAt, want) {
-		t.Errorf("asked at %v, want %v", queriedAt, want)
+		t.Errorf("queried at %v, want %v", queriedAt, want)
 	}
 }
--- a/internal/gateway/poll_delegation.go
+++ b/internal/gateway/poll_delegation.go
@@ -10,10 +10,10 @@
 	"github.com/applepier/applepier/internal/logging"
 )
 
-// maxServerListLag is how long a gateway tries to get changes of the server list from other
-// gateways before it polls the store. Added to the second after which the last poller counts as
+// maxPeerLag is how long a gateway tries to get newer data from other gateways, such as changes of
+// the server list, before it polls the store. Added to the second after which the last poller counts as
 // gone, it stays below the two seconds within which leaving servers must get no more work.
-const maxServerListLag = 400 * time.Millisecond
+const maxPeerLag = 400 * time.Millisecond
 
 // gatewayListRefresh is the longest time between reads of the gateway list. A gateway removed from
 // the list by mistake is listed again within this time.
@@ -33,8 +33,8 @@
 	return status
 }
 
-// pollersAvailable reports whether other gateways poll the store and pass on its changes. Without
-// any poller every gateway polls for itself. So does a gateway that hears from half of the listed
+// pollersAvailable reports whether this gateway isn't a poller, and others poll the store and pass
+// on its changes. Without any poller every gateway polls for itself. So does a gateway that hears from half of the listed
 // gateways or fewer: together with those it may be cut off from the store, and it has to find out
 // soon to send clients elsewhere.
 func (g *gateway) pollersAvailable() bool {
@@ -44,19 +44,20 @@
 // serversFromPeers reports whether changes of the server list come from other gateways, so that
 // this one needn't poll the store for them.
 func (g *gateway) serversFromPeers() bool {
-	return g.pollersAvailable() && !g.serversBehind.heldLongerThan(maxServerListLag)
+	return g.pollersAvailable() && !g.serversBehind.heldLongerThan(maxPeerLag)
 }
 
 // desiredStateFromPeers reports whether the desired state comes from other gateways, so that this
-// one needn't poll the store for it. It is false once the proof needs renewal.
+// one needn't poll the store for it. It is false before the first state and once the proof needs
+// renewal.
 func (g *gateway) desiredStateFromPeers() bool {
-	return g.pollersAvailable() && g.holder.Version() != 0 && !g.proofNeedsRenewal() && !g.stateBehind.heldLongerThan(maxServerListLag)
+	return g.pollersAvailable() && g.holder.Version() != 0 && !g.proofNeedsRenewal() && !g.stateBehind.heldLongerThan(maxPeerLag)
 }
 
-// gatewayListFromPeers reports whether the gateway list needn't be polled now. It must be read at
+// gatewayListFresh reports whether the gateway list needn't be read again now. It must be read at
 // least twice, since gateways that started at the same time may have been missing from the first
 // read, and then periodically, since only the list tells of removals.
-func (g *gateway) gatewayListFromPeers() bool {
+func (g *gateway) gatewayListFresh() bool {
 	reads, age := g.mesh.Listings()
 	return g.pollersAvailable() && reads > 1 && age < gatewayListRefresh
 }
--- a/internal/gateway/protocol/protocol.go
+++ b/internal/gateway/protocol/protocol.go
@@ -89,7 +89,7 @@
 	Ask(r *http.Request) Ask
 	// AttemptHeaders returns the headers of an attempt: the client's headers without the hop-by-hop
 	// headers, the API key and those that only a gateway may set.
-	Request(caller http.Header, send Send) http.Header
+	Request(client http.Header, attempt Send) http.Header
 	// ParseResponse reads the header of a backend server's response.
 	Reply(status int, h http.Header) Reply
 	// ClientHeaders returns the headers of a response for the client: the backend server's headers
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -24,8 +24,8 @@
 	// maxPeerWait is how long a gateway listens to the others, which send the quarantined requests
 	// in turn: dozens of requests arrive in that time.
 	maxPeerWait = 2 * time.Second
-	// maxPendingQuarantine bounds the requests waiting to be written to the store. All gateways
-	// know them anyway as long as one of those gateways runs.
+	// maxPendingQuarantine bounds the requests waiting to be written to the store. Until they are
+	// written, all gateways know them as long as one of those gateways runs.
 	maxPendingQuarantine = 64
 )
 
@@ -66,6 +66,8 @@
 	g.quarantineLoaded.Store(true)
 }
 
+// readStoredQuarantine loads the quarantined requests from the store, and deletes those that are
+// older than quarantineRetention.
 func (g *gateway) readStoredQuarantine(ctx context.Context) error {
 	stored, err := g.platform.Quarantine.Read(ctx)
 	if err != nil {
@@ -94,6 +96,6 @@
 	select {
 	case g.pendingQuarantine <- s:
 	default:
-		g.log.Warn(logging.EventQuarantineFailed, zap.Stringer("fingerprint", s.Fingerprint), logging.Reason("too many wait for the store"))
+		g.log.Warn(logging.EventQuarantineFailed, zap.Stringer("fingerprint", s.Fingerprint), logging.Reason("too many requests waiting to be stored"))
 	}
 }
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -33,9 +33,9 @@
 	provenAt := g.holder.ProvenAt()
 	maxProofAge := maxFeedSilence + pollerWait(g.router.Bounds().Proof) + peerProofLead
 	if storeAnswers := boottime.Now()-provenAt <= maxProofAge; storeAnswers {
-		ownProvenAt := time.Duration(g.sink.storeProvenAt.Load())
+		ownProvenAt := time.Duration(g.desiredSink.storeProvenAt.Load())
 		ownProofLate := provenAt-ownProvenAt > g.desiredStateWait()+peerProofLead && !g.desiredStateFromPeers()
-		return ownProofLate || g.sink.unavailableFor() > storeRejectionTimeout && provenAt > ownProvenAt
+		return ownProofLate || g.desiredSink.unavailableFor() > storeRejectionTimeout && provenAt > ownProvenAt
 	}
 	return !g.router.Fresh() && 2*g.mesh.Gateways() <= g.mesh.Listed()
 }
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -11,14 +11,14 @@
 func TestRequestMemoryLimitFollowsSettings(t *testing.T) {
 	r := router.New(router.Config{}, routerBounds(settings.Gateway{MemoryMB: 100}), nil)
 	if got := r.Bounds().Held; got != 40*megabyte {
-		t.Errorf("%d bytes of 100 MB", got)
+		t.Errorf("limit is %d bytes for 100 MB of memory", got)
 	}
 	r.SetBounds(routerBounds(settings.Gateway{MemoryMB: 10}))
 	if got := r.Bounds().Held; got != 4*megabyte {
-		t.Errorf("%d bytes of 10 MB, after 100", got)
+		t.Errorf("limit is %d bytes after memory changed from 100 MB to 10 MB", got)
 	}
 	r.SetBounds(routerBounds(settings.Gateway{}))
 	if got := r.Bounds().Held; got != 0 {
-		t.Errorf("%d bytes where there is no bound", got)
+		t.Errorf("limit is %d bytes without a memory setting, want 0", got)
 	}
 }
--- a/internal/gateway/request_observer.go
+++ b/internal/gateway/request_observer.go
@@ -86,6 +86,7 @@
 	o.storeQuarantined(suspicion)
 }
 
+// count adds the end of a request to the counter of its outcome.
 func (o requestObserver) count(class *metrics.Class, end router.End) {
 	switch eventName(end) {
 	case logging.EventRequestRefused:
--- a/internal/gateway/request_observer_test.go
+++ b/internal/gateway/request_observer_test.go
@@ -18,14 +18,14 @@
 func TestRejectionsReportPromptSize(t *testing.T) {
 	core, entries := observer.New(zap.InfoLevel)
 	registry := metrics.New()
-	requests := requestObserver{metrics: registry, log: zap.New(core)}
-	requests.Ended(router.End{
+	observed := requestObserver{metrics: registry, log: zap.New(core)}
+	observed.Ended(router.End{
 		Route: "summary", Status: http.StatusServiceUnavailable, Reason: router.ReasonCrowded,
 		PromptTokens: 17_000, MeanTokens: 9000, Prefill: 14_000, Ahead: 1800,
 	})
-	requests.Ended(router.End{Route: "summary", Status: http.StatusOK, Reason: router.ReasonServed, PromptTokens: 8000})
+	observed.Ended(router.End{Route: "summary", Status: http.StatusOK, Reason: router.ReasonServed, PromptTokens: 8000})
 	if entries.Len() != 1 {
-		t.Fatalf("%d lines, want one for the rejection", entries.Len())
+		t.Fatalf("%d log entries, want 1 for the rejection", entries.Len())
 	}
 	fields := entries.All()[0].ContextMap()
 	for name, want := range map[string]int64{"prompt_tokens": 17_000, "mean_tokens": 9000, "prefill_tokens": 14_000, "tokens_ahead": 1800} {
--- a/internal/gateway/timed_condition_test.go
+++ b/internal/gateway/timed_condition_test.go
@@ -10,20 +10,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		var condition timedCondition
 		if condition.heldLongerThan(0) {
-			t.Error("holds before it was noted")
+			t.Error("holds before it was set")
 		}
 		condition.setExpired()
-		if !condition.heldLongerThan(maxServerListLag) {
-			t.Error("noted as long, and isn't")
+		if !condition.heldLongerThan(maxPeerLag) {
+			t.Error("setExpired has no effect")
 		}
 		condition.set(true)
-		if !condition.heldLongerThan(maxServerListLag) {
-			t.Error("what is noted again began anew")
+		if !condition.heldLongerThan(maxPeerLag) {
+			t.Error("set(true) changed the start time of a condition that held")
 		}
 		condition.set(false)
 		condition.set(true)
 		if condition.heldLongerThan(time.Minute) {
-			t.Error("what ended goes on")
+			t.Error("the condition kept its start time after set(false)")
 		}
 	})
 }
