--- a/internal/gateway/followers.go
+++ b/internal/gateway/followers.go
@@ -20,8 +20,8 @@
 	// pollerCount is the number of gateways that poll the store frequently to prove that the
 	// desired state is the newest. The others receive the proof by datagram and ask the store only
 	// every nonPollerWait, or at once when the proof is older than proofRenewalShare of the bound.
-	// With three pollers, two may be cut off or dying. The number is small because calls to the
-	// store are paid for.
+	// With three pollers, two may be cut off or dying while the third still provides the proof. The
+	// number is small because calls to the store are paid for.
 	pollerCount       = 3
 	nonPollerWait     = 15 * time.Second
 	proofRenewalShare = 0.7
