--- a/internal/gateway/exchange/pool.go
+++ b/internal/gateway/exchange/pool.go
@@ -96,7 +96,7 @@
 // when nothing listens there any more. One successful connection proves nothing, since a host also
 // accepts connections for a process that is about to exit. A peer therefore counts as running only
 // if a second connection opens processExitTime later; both connections then go to the pool. It
-// returns false if the answer isn't known within refusalCheckTimeout.
+// returns false if the result isn't known within refusalCheckTimeout.
 func (p *Pool) Refuses(ctx context.Context, peer Peer) bool {
 	ctx, cancel := context.WithTimeout(ctx, refusalCheckTimeout)
 	defer cancel()
