--- /dev/null
+++ b/internal/gateway/client_server.go
@@ -0,0 +1,17 @@
+package gateway
+
+import (
+	"net"
+	"net/http"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/applepier/applepier/internal/callers"
+)
+
+// newClientServer returns the HTTP server for client requests. idleLimit returns how long a client
+// connection may stay idle.
+func newClientServer(listener net.Listener, handler http.Handler, idleLimit func() time.Duration, log *zap.Logger) *callers.Server {
+	return callers.New(listener, callers.Config{Handler: handler, HeaderTime: headerTimeout, MaxHeader: maxHeaderBytes, Limit: idleLimit, Log: log})
+}
--- /dev/null
+++ b/internal/gateway/desired_state_sink.go
@@ -0,0 +1,100 @@
+package gateway
+
+import (
+	"sync/atomic"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/applepier/applepier/internal/boottime"
+	"github.com/applepier/applepier/internal/gateway/backend"
+	"github.com/applepier/applepier/internal/gateway/follow"
+	"github.com/applepier/applepier/internal/gateway/routes"
+	"github.com/applepier/applepier/internal/logging"
+)
+
+// maxFeedSilence is how long the store's feed may stay silent while changes are being made. A feed
+// response without changes therefore only proves that the state was the newest this long before the
+// call.
+const maxFeedSilence = time.Second
+
+// desiredStateSink applies the desired state from its follower to the holder.
+type desiredStateSink struct {
+	holder *routes.Holder
+	// registry is told when the store becomes unavailable or available again. Calls for the desired
+	// state have a shorter wait than those for the list of backend servers, so they notice it
+	// first.
+	registry *backend.Registry
+	log      *zap.Logger
+	// storeProvenAt is the latest time, in nanoseconds of the boottime clock, at which the store
+	// itself proved the state in force to be the newest; 0 for none.
+	storeProvenAt atomic.Int64
+	// unavailableSince is when calls to the store began to fail, in nanoseconds of the boottime
+	// clock; 0 while the store responds.
+	unavailableSince atomic.Int64
+	// unreadable is set while the newest state can't be decoded, so that nothing proves the state
+	// in force to be the newest.
+	unreadable atomic.Bool
+	// outdated is set while the store holds an older state than this process has seen, for example
+	// after a restore from an older copy. Such a store proves nothing.
+	outdated atomic.Bool
+}
+
+var _ follow.Sink[*routes.Set] = (*desiredStateSink)(nil)
+
+// Reset implements follow.Sink.
+func (s *desiredStateSink) Reset(readAt time.Duration, all follow.Batch[*routes.Set]) {
+	s.outdated.Store(s.holder.Version() != 0)
+	s.apply(readAt, all)
+}
+
+// Change implements follow.Sink.
+func (s *desiredStateSink) Change(receivedAt time.Duration, changes follow.Batch[*routes.Set]) {
+	s.apply(receivedAt-maxFeedSilence, changes)
+}
+
+// Unavailable implements follow.Sink.
+func (s *desiredStateSink) Unavailable(error) {
+	s.registry.Unavailable()
+	s.unavailableSince.CompareAndSwap(0, int64(boottime.Now()))
+}
+
+// Available implements follow.Sink.
+func (s *desiredStateSink) Available() {
+	s.registry.Available(time.Now())
+	s.unavailableSince.Store(0)
+}
+
+// unavailableFor returns how long the store hasn't responded; 0 while it does.
+func (s *desiredStateSink) unavailableFor() time.Duration {
+	since := time.Duration(s.unavailableSince.Load())
+	if since == 0 {
+		return 0
+	}
+	return boottime.Now() - since
+}
+
+// apply offers the states of a batch to the holder. If the batch is readable and up to date, it
+// proves that the state in force was the newest at provenAt.
+func (s *desiredStateSink) apply(provenAt time.Duration, batch follow.Batch[*routes.Set]) {
+	s.Available()
+	if len(batch.Unreadable) > 0 {
+		s.unreadable.Store(true)
+	}
+	for _, set := range batch.Items {
+		if set == nil {
+			continue
+		}
+		s.unreadable.Store(false)
+		s.outdated.Store(set.Version < s.holder.Version())
+		if s.holder.Offer(set, provenAt) {
+			s.log.Info(logging.EventTargetsAdopted, zap.Uint64("version", set.Version), zap.Int("routes", set.Routes()), zap.Duration("idle_limit", set.Limits.IdleTime))
+		}
+	}
+	if !s.unreadable.Load() && !s.outdated.Load() {
+		// Only the follower's goroutine writes storeProvenAt, so load and store needn't be atomic
+		// together.
+		s.storeProvenAt.Store(max(s.storeProvenAt.Load(), int64(provenAt)))
+		s.holder.Prove(s.holder.Version(), provenAt)
+	}
+}
--- /dev/null
+++ b/internal/gateway/desired_state_sink_test.go
@@ -0,0 +1,84 @@
+package gateway
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/applepier/applepier/internal/gateway/backend"
+	"github.com/applepier/applepier/internal/gateway/follow"
+	"github.com/applepier/applepier/internal/gateway/routes"
+)
+
+// A full read proves the time of its call; a feed response only proves a time maxFeedSilence
+// earlier. A later response may therefore prove an earlier time, which must not move the proof
+// back.
+func TestStoreProofTimeNeverDecreases(t *testing.T) {
+	sink := &desiredStateSink{holder: &routes.Holder{}, registry: backend.NewRegistry(), log: zap.NewNop()}
+	const readAt = 10 * time.Second
+	sink.Reset(readAt, follow.Batch[*routes.Set]{Items: []*routes.Set{routes.NewSet(1, routes.Limits{}, nil, nil, nil)}})
+	sink.Change(readAt+maxFeedSilence/2, follow.Batch[*routes.Set]{})
+	if got := time.Duration(sink.storeProvenAt.Load()); got != readAt {
+		t.Errorf("proof time %v, want %v", got, readAt)
+	}
+	sink.Change(readAt+2*maxFeedSilence, follow.Batch[*routes.Set]{})
+	if got := time.Duration(sink.storeProvenAt.Load()); got != readAt+maxFeedSilence {
+		t.Errorf("proof time %v, want %v", got, readAt+maxFeedSilence)
+	}
+}
+
+// After a restore from an older copy the store may hold an older state than it had acknowledged.
+// That state must neither replace the newer one nor count as proof.
+func TestOlderStateIsNoProof(t *testing.T) {
+	set := func(version uint64) follow.Batch[*routes.Set] {
+		return follow.Batch[*routes.Set]{Items: []*routes.Set{routes.NewSet(version, routes.Limits{}, nil, nil, nil)}}
+	}
+	for name, older := range map[string]follow.Batch[*routes.Set]{"an older one": set(4), "none": {}} {
+		sink := &desiredStateSink{holder: &routes.Holder{}, registry: backend.NewRegistry(), log: zap.NewNop()}
+		sink.Reset(10*time.Second, set(5))
+		sink.Reset(20*time.Second, older)
+		sink.Change(30*time.Second, follow.Batch[*routes.Set]{})
+		if sink.holder.Version() != 5 || sink.holder.ProvenAt() != 10*time.Second || sink.storeProvenAt.Load() != int64(10*time.Second) {
+			t.Errorf("%s: version %d, proof time %v", name, sink.holder.Version(), sink.holder.ProvenAt())
+		}
+		sink.Change(40*time.Second, set(5))
+		if want := 40*time.Second - maxFeedSilence; sink.holder.ProvenAt() != want {
+			t.Errorf("%s: proof time %v after operators wrote the state again, want %v", name, sink.holder.ProvenAt(), want)
+		}
+	}
+}
+
+// Guards against treating a store as unavailable because it no longer has the requested history,
+// also while other gateways read the state in its place. Gateways that did so sent their clients
+// elsewhere.
+func TestStoreWithoutHistoryIsAvailable(t *testing.T) {
+	sink := &desiredStateSink{holder: &routes.Holder{}, registry: backend.NewRegistry(), log: zap.NewNop()}
+	sink.Unavailable(nil)
+	time.Sleep(time.Millisecond)
+	if sink.unavailableFor() == 0 {
+		t.Fatal("store counts as available after a failed call")
+	}
+	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
+	defer cancel()
+	follower := follow.Follower[*routes.Set]{
+		Name: "t", Source: sourceWithoutHistory{}, Sink: sink, Wait: follow.Always(time.Second), Idle: func() bool { return true },
+		Defers: func() bool { return true }, Log: zap.NewNop(),
+	}
+	follower.Run(ctx)
+	if sink.unavailableFor() != 0 {
+		t.Error("store counts as unavailable though it responds")
+	}
+}
+
+// sourceWithoutHistory is a store whose history is gone.
+type sourceWithoutHistory struct{}
+
+func (sourceWithoutHistory) Read(context.Context, string) (follow.Batch[*routes.Set], error) {
+	return follow.Batch[*routes.Set]{}, follow.ErrHistoryGone
+}
+
+func (sourceWithoutHistory) Next(context.Context, follow.Position, time.Duration) (follow.Batch[*routes.Set], error) {
+	return follow.Batch[*routes.Set]{}, follow.ErrHistoryGone
+}
--- a/internal/gateway/exchange/exchange.go
+++ b/internal/gateway/exchange/exchange.go
@@ -1,8 +1,7 @@
-// Package exchange sends requests to backend servers over HTTP/1.1 and reads
-// their answers, one at a time on a connection. Unlike net/http's client it
-// never sends a request again by itself, says whether anything was sent,
-// passes over answers that belong to other requests, and never uses a
-// connection again on which anything surplus came. Start reading at Pool.Do.
+// Package exchange is an HTTP/1.1 client for backend servers that sends one request at a time per
+// connection. Unlike the client of net/http, it never retries a request by itself, reports whether
+// anything was sent, skips responses to other requests, and never reuses a connection that
+// delivered extra data. Start reading at Pool.Do.
 package exchange
 
 import (
@@ -20,209 +19,209 @@
 )
 
 const (
-	// writtenAtOnce is the size in bytes up to which a request is written
-	// before its answer is read: it fits any socket's buffer. A larger one is
-	// written beside, since a backend server may answer before it has read
-	// all and then read no further.
-	writtenAtOnce = 8 << 10
-	// foreignAnswers bounds how many answers of other requests are passed
-	// over.
-	foreignAnswers = 3
+	// maxSyncWrite is the size in bytes up to which a request is written before its response is
+	// read: it fits any socket buffer. A larger request is written concurrently, since a backend
+	// server may respond before it has read all of it, and then stop reading.
+	maxSyncWrite = 8 << 10
+	// maxMismatchedResponses is how many responses to other requests are skipped before the
+	// exchange fails.
+	maxMismatchedResponses = 3
 )
 
-// Answer is a backend server's answer. Its body has to be read to the end, or
-// Abandon called.
+// Response is a backend server's response. The caller must read its body to the end or call Abort.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is the body's length in bytes; -1 when it isn't known.
-	Length int64
-	body   io.Reader
-	ex     *exchange
-	broken bool
+	// Length is the length of the body in bytes; -1 if unknown, 0 for HEAD.
+	Length     int64
+	body       io.Reader
+	exchange   *exchange
+	incomplete bool
 }
 
-// exchange is one request and its answer on a connection.
+// exchange is one request and its response on a connection.
 type exchange struct {
-	pool    *Pool
-	conn    *conn
-	ctx     context.Context
-	release func() bool
-	// written tells how the writing of a large request ended; nil if the
-	// request was written before the answer was read.
-	written chan error
-	writer  conc.WaitGroup
-	// reuse says that the connection may carry another exchange after this.
-	reuse bool
-	ended bool
+	pool       *Pool
+	conn       *conn
+	ctx        context.Context
+	stopCancel func() bool
+	// writeDone receives the result of writing a large request; nil if the request was written
+	// before the response is read.
+	writeDone chan error
+	writer    conc.WaitGroup
+	// keepConn is set while the connection may be reused after this exchange.
+	keepConn bool
+	ended    bool
 }
 
-// Do sends a request and reads the answer's head. It ends early when ctx does.
-// The errors are this package's.
+// Do sends a request and reads the response header. It returns early when ctx ends. Errors wrap one
+// of ErrNotSent, ErrIncomplete, ErrTimeout and ErrCancelled.
 func (p *Pool) Do(ctx context.Context, peer Peer, r *Request) (*Answer, error) {
-	c, err := p.take(ctx, peer, r.Young)
+	c, err := p.acquire(ctx, peer, r.Young)
 	if err != nil {
 		return nil, err
 	}
 	if err := ctx.Err(); err != nil {
-		// Nobody waits for it any more: a server needn't begin with it.
-		p.give(c)
+		// Nobody waits for the response any more, so the request isn't sent.
+		p.release(c)
 		return nil, errors.Wrap(ErrNotSent, err.Error())
 	}
-	e := &exchange{pool: p, conn: c, ctx: ctx, reuse: true}
-	e.release = context.AfterFunc(ctx, c.close)
-	if err := e.write(r.bytes()); err != nil {
+	e := &exchange{pool: p, conn: c, ctx: ctx, keepConn: true}
+	e.stopCancel = context.AfterFunc(ctx, c.close)
+	if err := e.write(r.encode()); err != nil {
 		e.end(false)
-		return nil, e.explain(err)
+		return nil, e.classify(err)
 	}
-	answer, err := e.readHead(r)
+	response, err := e.readHead(r)
 	if err != nil {
 		e.end(false)
-		return nil, e.explain(err)
+		return nil, e.classify(err)
 	}
-	return answer, nil
+	return response, nil
 }
 
-// write sends the request; a large one goes on being sent after it returns.
+// write sends the request. A large request is still being sent when write returns.
 func (e *exchange) write(data []byte) error {
-	if len(data) > writtenAtOnce {
-		e.written = make(chan error, 1)
+	if len(data) > maxSyncWrite {
+		e.writeDone = make(chan error, 1)
 		e.writer.Go(func() {
-			_, err := e.conn.net.Write(data)
-			e.written <- err
+			_, err := e.conn.netConn.Write(data)
+			e.writeDone <- err
 		})
 		return nil
 	}
-	n, err := e.conn.net.Write(data)
+	n, err := e.conn.netConn.Write(data)
 	if err != nil && n == 0 && e.ctx.Err() == nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		return errors.Wrapf(ErrNotSent, "write: %v", err)
 	}
 	return err
 }
 
-// readHead reads the head of the answer that is the request's own.
+// readHead reads the header of the response that belongs to the request.
 func (e *exchange) readHead(r *Request) (*Answer, error) {
-	for range foreignAnswers + 1 {
-		resp, err := http.ReadResponse(e.conn.in, &http.Request{Method: r.Method})
+	for range maxMismatchedResponses + 1 {
+		httpResp, err := http.ReadResponse(e.conn.reader, &http.Request{Method: r.Method})
 		if err != nil {
 			return nil, err
 		}
-		if resp.StatusCode < http.StatusOK {
+		if httpResp.StatusCode < http.StatusOK {
 			continue
 		}
-		if r.Mine(resp.Header) {
-			return e.answer(resp), nil
+		if r.Mine(httpResp.Header) {
+			return e.newResponse(httpResp), nil
 		}
-		// Whatever else is wrong here, this connection is not to be trusted.
-		e.reuse = false
-		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-			return nil, errors.Wrap(ErrBroken, "answer to another request, without an end")
+		// Whatever the cause, this connection can't be trusted any more.
+		e.keepConn = false
+		if httpResp.ContentLength < 0 && len(httpResp.TransferEncoding) == 0 {
+			return nil, errors.Wrap(ErrBroken, "response to another request without a body length")
 		}
-		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+		if _, err := io.Copy(io.Discard, httpResp.Body); err != nil {
 			return nil, err
 		}
 	}
-	return nil, errors.Wrap(ErrBroken, "answers to other requests only")
+	return nil, errors.Wrap(ErrBroken, "too many responses to other requests")
 }
 
-func (e *exchange) answer(resp *http.Response) *Answer {
-	e.reuse = e.reuse && !resp.Close && resp.ProtoAtLeast(1, 1)
-	e.conn.keep = keepFor(resp.Header)
-	length := resp.ContentLength
-	if resp.Request.Method == http.MethodHead {
-		// Its header tells the length that the body of another method would have.
+// newResponse returns the Response for a received header, and records whether and how long the
+// connection may be reused.
+func (e *exchange) newResponse(httpResp *http.Response) *Answer {
+	e.keepConn = e.keepConn && !httpResp.Close && httpResp.ProtoAtLeast(1, 1)
+	e.conn.keepAlive = keepAliveTimeout(httpResp.Header)
+	length := httpResp.ContentLength
+	if httpResp.Request.Method == http.MethodHead {
+		// The Content-Length of a HEAD response is that of the GET response.
 		length = 0
 	}
-	return &Answer{Status: resp.StatusCode, Header: resp.Header, Length: length, body: resp.Body, ex: e}
+	return &Answer{Status: httpResp.StatusCode, Header: httpResp.Header, Length: length, body: httpResp.Body, exchange: e}
 }
 
-// Read reads the body. io.EOF comes only after the whole body; any other error
-// is this package's.
-func (a *Answer) Read(p []byte) (int, error) {
-	if a.ex.ended {
+// Read reads the body. It returns io.EOF after the complete body; any other error wraps one of this
+// package's errors. Once the exchange has ended, also by an error or Abort, it returns io.EOF.
+func (r *Answer) Read(p []byte) (int, error) {
+	if r.exchange.ended {
 		return 0, io.EOF
 	}
-	n, err := a.body.Read(p)
+	n, err := r.body.Read(p)
 	switch {
 	case err == nil:
 		return n, nil
 	case errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF):
-		a.ex.end(a.ex.reuse)
+		r.exchange.end(r.exchange.keepConn)
 		return n, io.EOF
 	default:
-		a.ex.end(false)
-		err = a.ex.explain(err)
-		a.broken = errors.Is(err, ErrBroken)
+		r.exchange.end(false)
+		err = r.exchange.classify(err)
+		r.incomplete = errors.Is(err, ErrBroken)
 		return n, err
 	}
 }
 
-// Broken reports whether reading the body ended in ErrBroken.
-func (a *Answer) Broken() bool { return a.broken }
+// Incomplete reports whether reading the body ended in ErrIncomplete.
+func (r *Answer) Broken() bool { return r.incomplete }
 
-// Abandon ends the exchange by closing its connection, which tells the backend
-// server to stop. After the whole body was read it does nothing.
-func (a *Answer) Abandon() { a.ex.end(false) }
+// Abort ends the exchange by closing its connection, which tells the backend server to stop. After
+// the complete body was read it does nothing.
+func (r *Answer) Abandon() { r.exchange.end(false) }
 
-// end gives the connection back or closes it.
-func (e *exchange) end(whole bool) {
+// end returns the connection to the pool or closes it.
+func (e *exchange) end(complete bool) {
 	if e.ended {
 		return
 	}
 	e.ended = true
-	// If the context has ended, its function closes the connection.
-	mine := e.release()
-	if !whole || !mine || e.conn.in.Buffered() > 0 || !e.wholeRequestSent() {
+	// If the context has ended, its AfterFunc closes the connection.
+	stopped := e.stopCancel()
+	if !complete || !stopped || e.conn.reader.Buffered() > 0 || !e.requestWritten() {
 		e.conn.close()
-		// A writer that is still at it ends with the connection.
+		// A write still in progress fails when the connection is closed.
 		e.writer.Wait()
 		return
 	}
-	if err := e.conn.net.SetDeadline(time.Time{}); err != nil {
+	if err := e.conn.netConn.SetDeadline(time.Time{}); err != nil {
 		e.conn.close()
 		return
 	}
-	e.pool.give(e.conn)
+	e.pool.release(e.conn)
 }
 
-// wholeRequestSent reports whether all of the request was written before the
-// answer ended. If not, the backend server would take what follows for its
-// rest.
-func (e *exchange) wholeRequestSent() bool {
-	if e.written == nil {
+// requestWritten reports whether the complete request was written before the response ended.
+// Otherwise the backend server would read the next request as the rest of this one.
+func (e *exchange) requestWritten() bool {
+	if e.writeDone == nil {
 		return true
 	}
 	select {
-	case err := <-e.written:
+	case err := <-e.writeDone:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// explain turns an error from below into this package's.
-func (e *exchange) explain(err error) error {
-	var timeout net.Error
+// classify wraps an error of the connection in one of this package's errors.
+func (e *exchange) classify(err error) error {
+	var netErr net.Error
 	switch {
 	case errors.Is(err, ErrNotSent), errors.Is(err, ErrBroken):
 		return err
 	case e.ctx.Err() != nil:
 		return errors.Wrap(ErrCancelled, e.ctx.Err().Error())
-	case errors.Is(err, os.ErrDeadlineExceeded), errors.As(err, &timeout) && timeout.Timeout():
+	case errors.Is(err, os.ErrDeadlineExceeded), errors.As(err, &netErr) && netErr.Timeout():
 		return errors.Wrap(ErrTimeout, err.Error())
 	default:
 		return errors.Wrap(ErrBroken, err.Error())
 	}
 }
 
-// keepFor reads how long a backend server keeps an idle connection open from
-// its Keep-Alive header (RFC 2068, 19.7.1.1).
-func keepFor(h http.Header) time.Duration {
-	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
+// keepAliveTimeout returns how long an idle connection may be reused, from the Keep-Alive header
+// (RFC 2068, 19.7.1.1) less keepAliveMargin. Without a valid timeout in the header it is
+// defaultKeepAlive.
+func keepAliveTimeout(h http.Header) time.Duration {
+	for param := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(param), "=")
 		if seconds, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") && seconds >= 0 {
-			return max(0, time.Duration(seconds)*time.Second-closeMargin)
+			return max(0, time.Duration(seconds)*time.Second-keepAliveMargin)
 		}
 	}
-	return idleKept
+	return defaultKeepAlive
 }
--- /dev/null
+++ b/internal/gateway/exchange/pool_test.go
@@ -0,0 +1,124 @@
+package exchange
+
+import (
+	"fmt"
+	"net"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// newEndingPeer starts a listener that closes after delay, counted from the first accepted
+// connection if accepts is set, like a process that is killed. The returned channel receives the
+// time when the listener was closed.
+func newEndingPeer(t *testing.T, accepts bool, delay time.Duration) (Peer, <-chan time.Time) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	closed := make(chan time.Time, 1)
+	stop := func() {
+		time.Sleep(delay)
+		_ = listener.Close()
+		closed <- time.Now()
+	}
+	go func() {
+		if !accepts {
+			stop()
+			return
+		}
+		c, err := listener.Accept()
+		if err != nil {
+			closed <- time.Now()
+			return
+		}
+		stop()
+		_ = c.(*net.TCPConn).SetLinger(0)
+		_ = c.Close()
+	}()
+	return Peer{Addr: listener.Addr().String(), Instance: "i"}, closed
+}
+
+// Guards against mistaking an exiting server for a running one when the probe crosses its exit: the
+// connection opens and is then reset.
+func TestPeerEndingDuringDialRefuses(t *testing.T) {
+	for _, accepts := range []bool{true, false} {
+		for _, delay := range []time.Duration{0, 200 * time.Microsecond, time.Millisecond, 3 * time.Millisecond} {
+			t.Run(fmt.Sprintf("accepts %v/%v", accepts, delay), func(t *testing.T) {
+				t.Parallel()
+				for range 20 {
+					peer, closed := newEndingPeer(t, accepts, delay)
+					start := time.Now()
+					// On a busy machine the listener may have stayed open long enough to count as
+					// running.
+					if !NewPool().Refuses(t.Context(), peer) && (<-closed).Sub(start) < processExitTime {
+						t.Fatal("an exiting server counts as running")
+					}
+				}
+			})
+		}
+	}
+}
+
+// A running server must not be mistaken for an exited one, even if it closes each new connection.
+func TestRunningPeerDoesNotRefuse(t *testing.T) {
+	for name, closes := range map[string]bool{"keeps connections": false, "closes connections": true} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			listener, err := net.Listen("tcp", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer func() { _ = listener.Close() }()
+			go func() {
+				for {
+					c, err := listener.Accept()
+					if err != nil {
+						return
+					}
+					if closes {
+						_ = c.Close()
+					}
+				}
+			}()
+			start := time.Now()
+			if NewPool().Refuses(t.Context(), Peer{Addr: listener.Addr().String(), Instance: "i"}) {
+				t.Error("a running server counts as exited")
+			}
+			if took := time.Since(start); took > 5*refusalCheckTimeout {
+				t.Errorf("took %v, while clients wait", took)
+			}
+		})
+	}
+}
+
+// Guards against sending a request on a connection to a server that may have exited: the first
+// connection opened, but no later one did.
+func TestProbeOfPossiblyEndedPeerIsNotPooled(t *testing.T) {
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = syscall.Close(fd) }()
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	// A backlog of 0 holds one connection; further SYNs are dropped.
+	if err := syscall.Listen(fd, 0); err != nil {
+		t.Fatal(err)
+	}
+	sockaddr, err := syscall.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	port := sockaddr.(*syscall.SockaddrInet4).Port
+	peer, pool := Peer{Addr: fmt.Sprintf("127.0.0.1:%d", port), Instance: "i"}, NewPool()
+	if pool.Refuses(t.Context(), peer) {
+		t.Error("counts as exited, though no connection was refused")
+	}
+	if pooled := len(pool.idle[peer]); pooled != 0 {
+		t.Errorf("%d connections in the pool, want 0", pooled)
+	}
+}
--- /dev/null
+++ b/internal/gateway/followers.go
@@ -0,0 +1,110 @@
+package gateway
+
+import (
+	"time"
+
+	"github.com/applepier/applepier/internal/boottime"
+	"github.com/applepier/applepier/internal/gateway/backend"
+	"github.com/applepier/applepier/internal/gateway/follow"
+	"github.com/applepier/applepier/internal/gateway/routes"
+)
+
+const (
+	// desiredStateMaxWait is how long the store may hold a request for the desired state (a long
+	// poll) where operators set no bound on key revocation. Where they set one, the wait is
+	// proofWaitShare of what the bound leaves after maxFeedSilence, since each response proves only
+	// that the state in force was the newest one second before. The remainder is how long requests
+	// with a key can still be served while the store is unavailable. Only pollers make these calls.
+	desiredStateMaxWait = 2500 * time.Millisecond
+	proofWaitShare      = 0.25
+	// pollerCount is the number of gateways that poll the store frequently to prove that the
+	// desired state is the newest. The others receive the proof by datagram and ask the store only
+	// every nonPollerWait, or at once when the proof is older than proofRenewalShare of the bound.
+	// With three pollers, two may be cut off or dying while the third still provides the proof. The
+	// number is small because calls to the store are paid for.
+	pollerCount       = 3
+	nonPollerWait     = 15 * time.Second
+	proofRenewalShare = 0.7
+	// proofDeliverySlack is how much later than a poller's longest wait a proof may arrive, to
+	// allow for a few lost datagrams.
+	proofDeliverySlack = 400 * time.Millisecond
+	// minProofWait is the shortest wait, used where the bound leaves hardly any time.
+	minProofWait = 200 * time.Millisecond
+	// serverListMaxWait is how long the store may hold a request for the list of backend servers.
+	// It is long because the list proves nothing, each call is paid for, and keep-alive probes
+	// detect a silent connection to the store within three seconds.
+	serverListMaxWait = 15 * time.Second
+	// serverListBatchDelay is the pause after a change of the list of backend servers. It is short
+	// compared to the two seconds within which leaving servers must get no more work, and long
+	// enough that a start of all servers takes a dozen calls rather than one per server.
+	serverListBatchDelay = 250 * time.Millisecond
+	// gatewayListMaxWait is how long the store may hold a request for the list of gateways. Nothing
+	// depends on it being current: gateways not yet listed are known by their datagrams.
+	gatewayListMaxWait = 30 * time.Second
+	// gatewayListBatchDelay is the pause after a change of the list of gateways. When all gateways
+	// start at once, each receives datagrams from all others within two seconds.
+	gatewayListBatchDelay = 2 * time.Second
+)
+
+// newDesiredStateFollower returns the follower of the desired state.
+func (g *gateway) newDesiredStateFollower() *follow.Follower[*routes.Set] {
+	return &follow.Follower[*routes.Set]{
+		Name: "desired state", Source: g.platform.Desired, Sink: g.desiredSink,
+		Wait: g.desiredStateWait, Confirm: g.isPoller, Hurry: g.proofNeedsRenewal, Arriving: &g.receivingState, Idle: func() bool { return g.desiredStateFromPeers() && !g.proofOverdue() }, Defers: g.defersToPollers,
+		Store: &g.storeHealth, Leads: true, Asked: g.platform.Metrics.StoreAsked("targets"), Restored: g.platform.Metrics.StoreRestored("targets"), Log: g.log,
+	}
+}
+
+// desiredStateWait returns how long the store may hold a request for the desired state under the
+// settings in force.
+func (g *gateway) desiredStateWait() time.Duration {
+	if !g.isPoller() {
+		return nonPollerWait
+	}
+	return pollerWait(g.router.Bounds().Proof)
+}
+
+// isPoller reports whether this gateway is one of the pollerCount gateways that poll the store
+// frequently, and again immediately after a change.
+func (g *gateway) isPoller() bool { return g.mesh.Before() < pollerCount }
+
+// proofOverdue reports whether the proof is older than it can get while the pollers receive
+// responses from the store. A poller notices a silent store only by its timeout, which is too late
+// for changes that other gateways must learn within two seconds.
+func (g *gateway) proofOverdue() bool {
+	provenAt := g.holder.ProvenAt()
+	return provenAt != 0 && boottime.Now()-provenAt > maxFeedSilence+pollerWait(g.router.Bounds().Proof)+proofDeliverySlack
+}
+
+// defersToPollers reports whether this gateway leaves polling the store to other gateways.
+func (g *gateway) defersToPollers() bool { return !g.isPoller() }
+
+// proofNeedsRenewal reports whether this gateway must renew the proof of the desired state itself,
+// whether or not it is a poller.
+func (g *gateway) proofNeedsRenewal() bool {
+	maxAge := g.router.Bounds().Proof
+	if maxAge == 0 || g.holder.Version() == 0 {
+		// Without a bound no renewal is needed. Without a state there is nothing to prove, and the
+		// first state ends the pending call.
+		return false
+	}
+	return boottime.Now()-g.holder.ProvenAt() > time.Duration(proofRenewalShare*float64(maxAge))
+}
+
+// pollerWait returns how long the store may hold a poller's request for the desired state, given
+// the maximum age of a proof. A maximum of 0 means no bound.
+func pollerWait(maxProofAge time.Duration) time.Duration {
+	if maxProofAge == 0 {
+		return desiredStateMaxWait
+	}
+	return min(desiredStateMaxWait, max(time.Duration(proofWaitShare*float64(maxProofAge-maxFeedSilence)), minProofWait))
+}
+
+// newServersFollower returns the follower of the list of backend servers.
+func (g *gateway) newServersFollower() *follow.Follower[backend.Info] {
+	return &follow.Follower[backend.Info]{
+		Name: "backend servers", Source: g.platform.Servers, Sink: &serverListSink{registry: g.registry, log: g.log},
+		Wait: follow.Always(serverListMaxWait), Gather: serverListBatchDelay, Idle: func() bool { return g.serversFromPeers() && !g.proofOverdue() }, Defers: g.defersToPollers,
+		Store: &g.storeHealth, Asked: g.platform.Metrics.StoreAsked("backend_servers"), Restored: g.platform.Metrics.StoreRestored("backend_servers"), Log: g.log,
+	}
+}
--- /dev/null
+++ b/internal/gateway/gateway_list.go
@@ -0,0 +1,71 @@
+package gateway
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"github.com/applepier/applepier/internal/gateway/follow"
+	"github.com/applepier/applepier/internal/gateway/peers"
+	"github.com/applepier/applepier/internal/logging"
+)
+
+// staleCheckInterval is the mean interval between checks of the list for gateways that are gone.
+// Each removal costs one write.
+const staleCheckInterval = time.Minute
+
+// followGatewayList follows the list of gateways until all gateways that started at the same time
+// are known. Gateways that start later have read the list and are known by their datagrams.
+func (g *gateway) followGatewayList(ctx context.Context) {
+	follower := follow.Follower[peers.Entry]{
+		Name: "gateways", Source: g.platform.Entries, Sink: g.mesh, Wait: follow.Always(gatewayListMaxWait), Gather: gatewayListBatchDelay,
+		Idle: g.gatewayListFresh, Defers: g.defersToPollers, Store: &g.storeHealth, Asked: g.platform.Metrics.StoreAsked("gateways"), Restored: g.platform.Metrics.StoreRestored("gateways"), Log: g.log,
+	}
+	follower.Run(ctx)
+}
+
+// maintainRegistration registers this gateway in the list of gateways, registers it again if
+// another gateway removed it by mistake, and removes gateways that are gone.
+func (g *gateway) maintainRegistration(ctx context.Context) {
+	g.register(ctx)
+	timer := time.NewTimer(staleCheckDelay())
+	defer timer.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-g.mesh.Unlisted:
+			g.register(ctx)
+		case <-timer.C:
+			g.removeStaleGateways(ctx)
+			timer.Reset(staleCheckDelay())
+		}
+	}
+}
+
+// staleCheckDelay returns a random delay, so that gateways that started together don't all remove
+// the same entries: the others learn of the first removal from the list.
+func staleCheckDelay() time.Duration { return staleCheckInterval/2 + rand.N(staleCheckInterval) }
+
+// register enters this gateway in the list, and retries until that succeeds or ctx ends.
+func (g *gateway) register(ctx context.Context) {
+	g.retryUntilDone(ctx, logging.EventRegisterFailed, func(ctx context.Context) error {
+		err := g.platform.Register(ctx, g.mesh.Self)
+		if err == nil {
+			g.mesh.Registered()
+		}
+		return err
+	})
+}
+
+// removeStaleGateways removes the entries of gateways that are gone. It stops at the first error,
+// which it logs.
+func (g *gateway) removeStaleGateways(ctx context.Context) {
+	for _, name := range g.mesh.Gone() {
+		if err := g.platform.Unregister(ctx, name); err != nil {
+			g.log.Warn(logging.EventRegisterFailed, logging.Peer(name), logging.Reason(err.Error()))
+			return
+		}
+		g.log.Info(logging.EventGatewayGone, logging.Peer(name))
+	}
+}
--- /dev/null
+++ b/internal/gateway/peer_sync.go
@@ -0,0 +1,95 @@
+package gateway
+
+import (
+	"context"
+	"time"
+
+	"github.com/go-faster/errors"
+	"go.uber.org/zap"
+
+	"github.com/applepier/applepier/internal/gateway/handover"
+	"github.com/applepier/applepier/internal/logging"
+)
+
+// peerCheckInterval is how often a gateway checks whether others have newer data.
+const peerCheckInterval = 100 * time.Millisecond
+
+// syncStateFromPeers gets the desired state and the list of backend servers from another gateway
+// while the store doesn't deliver them or isn't polled. So a starting gateway can serve at once,
+// and a gateway that the store rejects still gets changes. Data from another gateway doesn't prove
+// that it is the newest.
+func (g *gateway) syncStateFromPeers(ctx context.Context) {
+	client := handover.NewClient()
+	ticker := time.NewTicker(peerCheckInterval)
+	defer ticker.Stop()
+	var fallback peerFallback
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case now := <-ticker.C:
+			addr, version := g.mesh.Newest()
+			// Data that is already arriving from the store isn't fetched from another gateway too.
+			// Over the same link a large state takes seconds, during which client requests queue
+			// behind it.
+			behind := version > g.holder.Version()
+			if g.stateBehind.set(behind); behind && g.desiredStateFromPeers() {
+				g.fetchFromPeer(ctx, addr, client.Targets)
+				continue
+			}
+			missing := behind && !g.receivingState.Load() || !g.registry.Known()
+			if fallback.due(now, addr != "" && missing) {
+				g.fetchFromPeer(ctx, addr, client.Get)
+			}
+		}
+	}
+}
+
+// fetchFromPeer fetches the state of one gateway and applies it.
+func (g *gateway) fetchFromPeer(ctx context.Context, addr string, fetch func(context.Context, string) (handover.State, error)) {
+	state, err := fetch(ctx, addr)
+	if err == nil {
+		err = g.applyPeerState(addr, state)
+	}
+	switch {
+	case err == nil, ctx.Err() != nil:
+	case errors.Is(err, handover.ErrTooLarge):
+		g.stateBehind.setExpired()
+	default:
+		g.log.Warn(logging.EventHandoverFailed, logging.Peer(addr), logging.Reason(err.Error()))
+	}
+}
+
+// applyPeerState applies the state handed over by another gateway as far as it is newer. The list
+// of backend servers is used only if none is known: the store's own list is newer, or is read again
+// as soon as the store responds. It returns the decoder's error if the document can't be decoded.
+func (g *gateway) applyPeerState(addr string, state handover.State) error {
+	if state.Version > g.holder.Version() {
+		set, err := g.platform.Decode(state.Document)
+		if err != nil {
+			return err
+		}
+		// The handover proves nothing; the other gateway's proof arrives by datagram.
+		if g.holder.Offer(set, 0) {
+			g.log.Info(logging.EventTargetsAdopted, zap.Uint64("version", set.Version), zap.Int("routes", set.Routes()), logging.Peer(addr))
+		}
+	}
+	if len(state.Servers) > 0 && g.registry.Adopt(state.Servers) {
+		g.log.Info(logging.EventServersListed, zap.Int("servers", len(state.Servers)), zap.Int("usable", g.registry.Usable()), logging.Peer(addr))
+	}
+	return nil
+}
+
+// handoverState returns the state that this gateway hands over to others.
+func (g *gateway) handoverState() handover.State {
+	var state handover.State
+	if set := g.holder.Current(); set != nil {
+		state.Version, state.Document = set.Version, set.Document
+	}
+	if g.registry.Known() {
+		for _, s := range g.registry.All() {
+			state.Servers = append(state.Servers, *s.Info())
+		}
+	}
+	return state
+}
--- /dev/null
+++ b/internal/gateway/poll_delegation.go
@@ -0,0 +1,100 @@
+package gateway
+
+import (
+	"context"
+	"time"
+
+	"github.com/applepier/applepier/internal/boottime"
+	"github.com/applepier/applepier/internal/gateway/handover"
+	"github.com/applepier/applepier/internal/gateway/peers"
+	"github.com/applepier/applepier/internal/logging"
+)
+
+// maxPeerLag is how long a gateway tries to get newer data from other gateways, such as changes of
+// the server list, before it polls the store. Added to the second after which the last poller counts as
+// gone, it stays below the two seconds within which leaving servers must get no more work.
+const maxPeerLag = 400 * time.Millisecond
+
+// gatewayListRefresh is the longest time between reads of the gateway list. A gateway removed from
+// the list by mistake is listed again within this time.
+const gatewayListRefresh = time.Minute
+
+// pollStatus returns what this gateway tells other gateways about the store. Pollers also report
+// the position up to which they have read the whole server list, since no other running gateway may
+// know of changes made shortly before. If every gateway reported it, each start of a gateway would
+// make all others poll the store.
+func (g *gateway) pollStatus() peers.Following {
+	status := peers.Following{
+		Able: !g.storeHealth.Away(), Asks: g.servers.Live(), Servers: g.servers.Changed(), Quarantine: g.quarantineLoaded.Load(),
+	}
+	if g.isPoller() {
+		status.Servers = g.servers.Known()
+	}
+	return status
+}
+
+// pollersAvailable reports whether this gateway isn't a poller, and others poll the store and pass
+// on its changes. Without any poller every gateway polls for itself. So does a gateway that hears from half of the listed
+// gateways or fewer: together with those it may be cut off from the store, and it has to find out
+// soon to send clients elsewhere.
+func (g *gateway) pollersAvailable() bool {
+	return !g.isPoller() && g.mesh.Followed() && 2*g.mesh.Gateways() > g.mesh.Listed()
+}
+
+// serversFromPeers reports whether changes of the server list come from other gateways, so that
+// this one needn't poll the store for them.
+func (g *gateway) serversFromPeers() bool {
+	return g.pollersAvailable() && !g.serversBehind.heldLongerThan(maxPeerLag)
+}
+
+// desiredStateFromPeers reports whether the desired state comes from other gateways, so that this
+// one needn't poll the store for it. It is false before the first state and once the proof needs
+// renewal.
+func (g *gateway) desiredStateFromPeers() bool {
+	return g.pollersAvailable() && g.holder.Version() != 0 && !g.proofNeedsRenewal() && !g.stateBehind.heldLongerThan(maxPeerLag)
+}
+
+// gatewayListFresh reports whether the gateway list needn't be read again now. It must be read at
+// least twice, since gateways that started at the same time may have been missing from the first
+// read, and then periodically, since only the list tells of removals.
+func (g *gateway) gatewayListFresh() bool {
+	reads, age := g.mesh.Listings()
+	return g.pollersAvailable() && reads > 1 && age < gatewayListRefresh
+}
+
+// syncServersFromPeers gets changes of the server list from other gateways until ctx ends.
+func (g *gateway) syncServersFromPeers(ctx context.Context) {
+	client := handover.NewClient()
+	ticker := time.NewTicker(peerCheckInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+			g.fetchServerChanges(ctx, client)
+		}
+	}
+}
+
+// fetchServerChanges gets the changes of the server list from a gateway that has newer ones, if
+// there is one.
+func (g *gateway) fetchServerChanges(ctx context.Context, client *handover.Client) {
+	position := g.servers.Position()
+	addr := g.mesh.Ahead(position)
+	if position == 0 || addr == "" {
+		g.serversBehind.set(false)
+		return
+	}
+	g.serversBehind.set(true)
+	changes, err := client.Changes(ctx, addr, position)
+	if err == nil {
+		err = g.servers.Take(boottime.Now(), changes)
+	}
+	switch {
+	case err == nil:
+		g.serversBehind.set(false)
+	case ctx.Err() == nil:
+		g.log.Debug(logging.EventHandoverFailed, logging.Peer(addr), logging.Reason(err.Error()))
+	}
+}
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -7,18 +7,18 @@
 	"github.com/applepier/applepier/internal/settings"
 )
 
-// Other settings of the memory bound what requests in progress may take.
-func TestRequestsInProgressKeepToTheirPartOfTheMemory(t *testing.T) {
-	r := router.New(router.Config{}, boundsOf(settings.Gateway{MemoryMB: 100}), nil)
+// A changed memory setting changes the memory that requests in progress may use.
+func TestRequestMemoryLimitFollowsSettings(t *testing.T) {
+	r := router.New(router.Config{}, routerBounds(settings.Gateway{MemoryMB: 100}), nil)
 	if got := r.Bounds().Held; got != 40*megabyte {
-		t.Errorf("%d bytes of 100 MB", got)
+		t.Errorf("limit is %d bytes for 100 MB of memory", got)
 	}
-	r.SetBounds(boundsOf(settings.Gateway{MemoryMB: 10}))
+	r.SetBounds(routerBounds(settings.Gateway{MemoryMB: 10}))
 	if got := r.Bounds().Held; got != 4*megabyte {
-		t.Errorf("%d bytes of 10 MB, after 100", got)
+		t.Errorf("limit is %d bytes after memory changed from 100 MB to 10 MB", got)
 	}
-	r.SetBounds(boundsOf(settings.Gateway{}))
+	r.SetBounds(routerBounds(settings.Gateway{}))
 	if got := r.Bounds().Held; got != 0 {
-		t.Errorf("%d bytes where there is no bound", got)
+		t.Errorf("limit is %d bytes without a memory setting, want 0", got)
 	}
 }
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -8,9 +8,9 @@
 	"github.com/applepier/applepier/internal/gateway/usage"
 )
 
-// usageExchange is how this gateway exchanges usage with its peers; nil where none is
-// reported.
-func (g *gateway) usageExchange() *peers.Usage {
+// peerUsage returns the functions for exchanging usage with other gateways; nil if usage reporting
+// is disabled.
+func (g *gateway) peerUsage() *peers.Usage {
 	if !g.settings.Usage.Reported() {
 		return nil
 	}
@@ -22,22 +22,22 @@
 	}
 }
 
-// newUsage makes the Reporter, and returns its Counter; nil where nothing is reported.
-func (g *gateway) newUsage() *usage.Counter {
-	s := g.settings.Usage
-	if !s.Reported() {
+// initUsage creates the usage reporter and returns its counter; nil if usage reporting is disabled.
+func (g *gateway) initUsage() *usage.Counter {
+	usageSettings := g.settings.Usage
+	if !usageSettings.Reported() {
 		return nil
 	}
 	g.usage = usage.NewReporter(usage.Config{
 		Name: g.settings.Process, Start: g.mesh.Start(),
-		Windows: usage.Windows{Length: s.Window}, Delay: s.Delay, LeaseTime: s.Lease,
+		Windows: usage.Windows{Length: usageSettings.Window}, Delay: usageSettings.Delay, LeaseTime: usageSettings.Lease,
 		Table: g.platform.Duties, Platform: g.platform.Usage, Now: g.mesh.Time, Others: g.mesh,
-		Able: func() bool { return !g.store.Away() && !g.leaving.Load() }, Observer: g.platform.Metrics.Usage(), Log: g.log,
+		Able: func() bool { return !g.storeHealth.Away() && !g.draining.Load() }, Observer: g.platform.Metrics.Usage(), Log: g.log,
 	})
 	return g.usage.Counter
 }
 
-// reportUsage takes part in the report of usage until ctx ends.
+// reportUsage takes part in usage reporting until ctx ends.
 func (g *gateway) reportUsage(ctx context.Context) {
 	if g.usage != nil {
 		g.usage.Run(ctx)
