--- a/internal/gateway/follow/return_property_test.go
+++ b/internal/gateway/follow/convergence_property_test.go
@@ -15,12 +15,12 @@
 
 // erasStore is a store that may come back from an older copy. An item is a row's key and
 // value.
-type erasStore struct {
+type restorableStore struct {
 	snapshot
-	era   uint64
-	older snapshot
+	era    uint64
+	backup snapshot
 	// lose has the next answer be lost.
-	lose bool
+	loseNext bool
 }
 
 type snapshot struct {
@@ -28,7 +28,7 @@
 	rows    map[string]string
 	changes []change
 	// since is the version from which on the changes are kept.
-	since uint64
+	oldestChange uint64
 }
 
 type change struct {
@@ -43,7 +43,7 @@
 	return s
 }
 
-func (s *erasStore) write(key, value string, removed bool) {
+func (s *restorableStore) write(key, value string, removed bool) {
 	s.version++
 	s.changes = append(s.changes, change{s.version, key, value, removed})
 	if removed {
@@ -53,32 +53,32 @@
 	}
 }
 
-func (s *erasStore) comeBack() {
-	s.snapshot = s.older.clone()
+func (s *restorableStore) restore() {
+	s.snapshot = s.backup.clone()
 	s.era++
 }
 
-func (s *erasStore) lost() error {
-	if s.lose {
-		s.lose = false
+func (s *restorableStore) takeLostError() error {
+	if s.loseNext {
+		s.loseNext = false
 		return errors.New("answer was lost")
 	}
 	return nil
 }
 
-func (s *erasStore) Read(context.Context, string) (Batch[string], error) {
+func (s *restorableStore) Read(context.Context, string) (Batch[string], error) {
 	b := Batch[string]{At: At(s.era, s.version)}
 	for key, value := range s.rows {
 		b.Items = append(b.Items, key+"="+value)
 	}
-	return b, s.lost()
+	return b, s.takeLostError()
 }
 
-func (s *erasStore) Next(_ context.Context, after Position, _ time.Duration) (Batch[string], error) {
-	if err := s.lost(); err != nil {
+func (s *restorableStore) Next(_ context.Context, after Position, _ time.Duration) (Batch[string], error) {
+	if err := s.takeLostError(); err != nil {
 		return Batch[string]{}, err
 	}
-	if after.Era() != s.era || after.Version() < s.since || after.Version() > s.version {
+	if after.Era() != s.era || after.Version() < s.oldestChange || after.Version() > s.version {
 		return Batch[string]{}, ErrHistoryGone
 	}
 	b := Batch[string]{At: At(s.era, s.version)}
@@ -111,14 +111,14 @@
 }
 
 // mirror is a sink that holds what its follower knows.
-type mirror map[string]string
+type mapSink map[string]string
 
-func (m mirror) Reset(_ time.Duration, all Batch[string]) {
+func (m mapSink) Reset(_ time.Duration, all Batch[string]) {
 	clear(m)
 	m.Change(0, all)
 }
 
-func (m mirror) Change(_ time.Duration, c Batch[string]) {
+func (m mapSink) Change(_ time.Duration, c Batch[string]) {
 	for _, key := range c.Removed {
 		delete(m, key)
 	}
@@ -128,49 +128,49 @@
 	}
 }
 
-func (m mirror) Unavailable(error) {}
+func (m mapSink) Unavailable(error) {}
 
-func (mirror) Available() {}
+func (mapSink) Available() {}
 
 // member is a follower that polls when it is told to.
-type member struct {
+type testFollower struct {
 	Follower[string]
-	mirror mirror
+	table mapSink
 }
 
-func newMember(s *erasStore) *member {
-	m := &member{mirror: mirror{}}
-	m.Follower = Follower[string]{Name: "t", Source: s, Sink: m.mirror, Wait: Always(0), Log: zap.NewNop()}
-	return m
+func newTestFollower(s *restorableStore) *testFollower {
+	f := &testFollower{table: mapSink{}}
+	f.Follower = Follower[string]{Name: "t", Source: s, Sink: f.table, Wait: Always(0), Log: zap.NewNop()}
+	return f
 }
 
 // poll does what Run does in one turn.
-func (m *member) poll(ctx context.Context) {
-	err := m.step(ctx, m.Position() != 0 && !(m.gone && m.Position() == m.goneAt))
+func (f *testFollower) poll(ctx context.Context) {
+	err := f.callOnce(ctx, f.Position() != 0 && !(f.historyGone && f.Position() == f.historyGoneAt))
 	if errors.Is(err, ErrHistoryGone) {
-		m.gone, m.goneAt = true, m.Position()
+		f.historyGone, f.historyGoneAt = true, f.Position()
 	}
 }
 
 // share has another follower take what this one knows.
-func (m *member) share(to *member) {
+func (f *testFollower) share(to *testFollower) {
 	if to.Position() == 0 {
 		return
 	}
-	if steps, known := m.Since(to.Position()); known {
+	if deltas, known := f.Since(to.Position()); known {
 		// What can't be taken is asked of the store.
-		_ = to.Take(0, steps)
+		_ = to.Take(0, deltas)
 	}
 }
 
 // Whatever is written, copied, brought back, forgotten, lost and shared: once all have polled
 // again each knows what the store holds.
-func TestFollowersEndWithWhatTheStoreHolds(t *testing.T) {
+func TestFollowersConvergeToStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &erasStore{snapshot: snapshot{rows: map[string]string{}}, older: snapshot{rows: map[string]string{}}}
+		s := &restorableStore{snapshot: snapshot{rows: map[string]string{}}, backup: snapshot{rows: map[string]string{}}}
 		s.write("k0", "first", false)
-		members := []*member{newMember(s), newMember(s), newMember(s)}
-		any := func(label string) *member { return members[rapid.IntRange(0, len(members)-1).Draw(t, label)] }
+		followers := []*testFollower{newTestFollower(s), newTestFollower(s), newTestFollower(s)}
+		pick := func(label string) *testFollower { return followers[rapid.IntRange(0, len(followers)-1).Draw(t, label)] }
 		for n := range rapid.IntRange(5, 60).Draw(t, "steps") {
 			key := fmt.Sprint("k", rapid.IntRange(0, 4).Draw(t, "key"))
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
@@ -179,30 +179,30 @@
 			case 2:
 				s.write(key, "", true)
 			case 3:
-				s.older = s.clone()
+				s.backup = s.clone()
 			case 4:
-				s.comeBack()
+				s.restore()
 			case 5:
-				s.since, s.changes = s.version, nil
+				s.oldestChange, s.changes = s.version, nil
 			case 6:
-				s.lose = true
+				s.loseNext = true
 			case 7:
-				if len(members) < 6 {
-					members = append(members, newMember(s))
+				if len(followers) < 6 {
+					followers = append(followers, newTestFollower(s))
 				}
 			case 8:
-				any("from").share(any("to"))
+				pick("from").share(pick("to"))
 			default:
-				any("polls").poll(t.Context())
+				pick("polls").poll(t.Context())
 			}
 		}
-		s.lose = false
-		for i, m := range members {
+		s.loseNext = false
+		for i, f := range followers {
 			for range 3 {
-				m.poll(t.Context())
+				f.poll(t.Context())
 			}
-			if !maps.Equal(m.mirror, s.rows) {
-				t.Errorf("follower %d at %v knows %v, the store holds %v at era %d, version %d", i, m.Position(), m.mirror, s.rows, s.era, s.version)
+			if !maps.Equal(f.table, s.rows) {
+				t.Errorf("follower %d at %v knows %v, the store holds %v at era %d, version %d", i, f.Position(), f.table, s.rows, s.era, s.version)
 			}
 		}
 	})
--- a/internal/gateway/follow/era_test.go
+++ b/internal/gateway/follow/era_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestLaterErasComeAfterAllVersionsOfEarlierOnes(t *testing.T) {
+func TestPositionsOrderByEraThenVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		version := rapid.Uint64Range(0, 1<<versionBits-1)
 		era := rapid.Uint64Range(0, 1<<16-1)
@@ -28,8 +28,8 @@
 
 // Pages that were read before the store came back from an older copy are of another
 // history than those after.
-func TestPagesOfTwoErasAreNotOneTable(t *testing.T) {
-	src := &source{steps: []step{
+func TestPagedReadRejectsPagesOfTwoEras(t *testing.T) {
+	src := &scriptedSource{calls: []scriptedCall{
 		{batch: Batch[string]{Items: []string{"a"}, At: At(0, 9), More: "b"}},
 		{batch: Batch[string]{Items: []string{"b"}, At: At(1, 4)}},
 		{batch: Batch[string]{Items: []string{"c"}, At: At(1, 4)}},
@@ -45,58 +45,58 @@
 
 // Of many followers of a store that came back one reads the table, and the others have it
 // from that one, and what changed since.
-func TestOneReadsForAllAfterAReturn(t *testing.T) {
+func TestSnapshotIsSharedAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asks := &source{steps: []step{
+		src := &scriptedSource{calls: []scriptedCall{
 			{batch: Batch[string]{Items: []string{"a"}, At: At(0, 9)}},
-			{takes: time.Second, err: ErrHistoryGone},
+			{duration: time.Second, err: ErrHistoryGone},
 			{batch: Batch[string]{Items: []string{"b"}, At: At(1, 4)}},
-			{takes: time.Second, batch: Batch[string]{Items: []string{"c"}, At: At(1, 5)}},
+			{duration: time.Second, batch: Batch[string]{Items: []string{"c"}, At: At(1, 5)}},
 		}}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		first := Follower[string]{Name: "t", Source: asks, Sink: &sink{}, Wait: Always(time.Second), Log: zap.NewNop()}
-		out := &sink{}
+		first := Follower[string]{Name: "t", Source: src, Sink: &recordingSink{}, Wait: Always(time.Second), Log: zap.NewNop()}
+		out := &recordingSink{}
 		restored := 0
 		second := Follower[string]{Name: "t", Sink: out, Restored: func() { restored++ }, Log: zap.NewNop()}
-		second.reset(0, Batch[string]{Items: []string{"a"}, At: At(0, 8)})
+		second.applyFullRead(0, Batch[string]{Items: []string{"a"}, At: At(0, 8)})
 		first.Run(ctx)
 		if first.Changed() != At(1, 5) || second.Position() >= first.Changed() {
 			t.Fatalf("changed at %v, the other is at %v", first.Changed(), second.Position())
 		}
-		steps, known := first.Since(second.Position())
-		if err := second.Take(0, steps); err != nil || !known {
-			t.Fatalf("known %v, %v", known, err)
+		deltas, complete := first.Since(second.Position())
+		if err := second.Take(0, deltas); err != nil || !complete {
+			t.Fatalf("known %v, %v", complete, err)
 		}
-		if got := fmt.Sprint(out.news); got != "[all a all b c]" || second.Position() != At(1, 5) {
+		if got := fmt.Sprint(out.items); got != "[all a all b c]" || second.Position() != At(1, 5) {
 			t.Errorf("news %v, position %v", got, second.Position())
 		}
 		if restored != 1 {
 			t.Errorf("%d returns counted", restored)
 		}
 		// A third one has it from the second.
-		if steps, known = second.Since(At(0, 2)); !known || len(steps) != 2 {
-			t.Errorf("%v, known %v for a third one", steps, known)
+		if deltas, complete = second.Since(At(0, 2)); !complete || len(deltas) != 2 {
+			t.Errorf("%v, known %v for a third one", deltas, complete)
 		}
-		if _, known = second.Since(0); known {
+		if _, complete = second.Since(0); complete {
 			t.Error("who knows nothing yet has it from the store")
 		}
 	})
 }
 
 // An answer that was on its way while the store returned is of another history.
-func TestStepsOfAnotherEraAreNoNews(t *testing.T) {
-	out := &sink{}
+func TestDeltasOfOtherErasAreNotApplied(t *testing.T) {
+	out := &recordingSink{}
 	f := Follower[string]{Name: "t", Sink: out, Log: zap.NewNop()}
-	f.reset(0, Batch[string]{At: At(2, 5)})
-	f.change(0, Batch[string]{Items: []string{"old"}, At: At(1, 9)})
+	f.applyFullRead(0, Batch[string]{At: At(2, 5)})
+	f.applyChanges(0, Batch[string]{Items: []string{"old"}, At: At(1, 9)})
 	if err := f.Take(0, []Step[string]{{From: At(1, 3), To: At(1, 9), Items: []string{"old"}}}); err != nil {
 		t.Error(err)
 	}
 	if err := f.Take(0, []Step[string]{{From: At(1, 3), To: At(3, 1), Items: []string{"new"}}}); err == nil {
 		t.Error("steps over a return were taken")
 	}
-	if len(out.news) != 1 {
-		t.Errorf("news %v", out.news)
+	if len(out.items) != 1 {
+		t.Errorf("news %v", out.items)
 	}
 }
--- a/internal/gateway/follow/follower.go
+++ b/internal/gateway/follow/follower.go
@@ -21,7 +21,7 @@
 )
 
 // errHurried: a call was given up to be made anew.
-var errHurried = errors.New("call was given up to be made anew")
+var errPollCancelled = errors.New("call was given up to be made anew")
 
 // ErrHistoryGone: the changes since a position can't be had any more; the
 // whole has to be read.
@@ -31,20 +31,20 @@
 	// firstPause and longestPause bound the pause after a failed call: short
 	// enough that a store that is back is noticed within a fraction of the
 	// two seconds in which its news has to be in force.
-	firstPause   = 100 * time.Millisecond
-	longestPause = 500 * time.Millisecond
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
 	// recheckWait is how long the store may hold back an answer that is to come
 	// at once.
-	recheckWait = 50 * time.Millisecond
+	immediateWait = 50 * time.Millisecond
 	// hurryEvery is how often is asked whether a call that is held back has to
 	// hurry: short against the second or more that is left then.
-	hurryEvery = 200 * time.Millisecond
+	cancelCheckInterval = 200 * time.Millisecond
 	// longestAway is for how long a follower that doesn't lead waits for the one
 	// that does: a store may answer about one table and not about another.
-	longestAway = 3 * time.Second
+	maxProbeWait = 3 * time.Second
 	// gonePause is the pause before the whole is read again, so that a store
 	// that keeps no history at all isn't read without end.
-	gonePause = 50 * time.Millisecond
+	rereadDelay = 50 * time.Millisecond
 )
 
 // Batch is the answer to a read: all that there is, or the changes.
@@ -130,96 +130,96 @@
 
 	// mu guards at, up to where the table is known, and the order of what the Sink
 	// takes. It comes before the Sink's locks.
-	mu sync.Mutex
-	at Position
+	mu       sync.Mutex
+	position Position
 	// recent is what changed last, and live says that the store is asked and answers.
-	recent recent[T]
-	live   atomic.Bool
+	history history[T]
+	live    atomic.Bool
 
 	failing bool
 	// hurried says that the last call was given up.
-	hurried bool
+	pollCancelled bool
 	// rested says that the store hasn't answered since this follower rested.
-	rested bool
+	wasIdle bool
 	// gone says that the store didn't have the history since goneAt. What others tell may
 	// lead on from there without a read of the whole.
-	gone   bool
-	goneAt Position
+	historyGone   bool
+	historyGoneAt Position
 	// news says that the last answer held some.
-	news bool
+	changed bool
 	// reading is what has been read of the whole table.
-	reading pagedRead[T]
+	fullRead pagedRead[T]
 }
 
 // Run follows until ctx ends.
 func (f *Follower[T]) Run(ctx context.Context) {
 	backOff := backoff.NewExponentialBackOff()
-	backOff.InitialInterval, backOff.MaxInterval = firstPause, longestPause
-	known := false
+	backOff.InitialInterval, backOff.MaxInterval = minRetryDelay, maxRetryDelay
+	tableRead := false
 	for ctx.Err() == nil {
-		if known {
-			f.rest(ctx)
+		if tableRead {
+			f.waitWhileIdle(ctx)
 		}
-		err := f.step(ctx, known && !(f.gone && f.Position() == f.goneAt))
+		err := f.callOnce(ctx, tableRead && !(f.historyGone && f.Position() == f.historyGoneAt))
 		switch {
 		case err == nil:
-			known = true
-			f.answered()
+			tableRead = true
+			f.recordSuccess()
 			backOff.Reset()
 			continue
 		case errors.Is(err, ErrHistoryGone):
-			f.Store.answers()
+			f.Store.markAvailable()
 			f.Sink.Available()
-			f.gone, f.goneAt = true, f.Position()
-			pause.For(ctx, gonePause)
-			f.deferToOthers(ctx)
+			f.historyGone, f.historyGoneAt = true, f.Position()
+			pause.For(ctx, rereadDelay)
+			f.delayFullRead(ctx)
 			continue
-		case errors.Is(err, errHurried):
+		case errors.Is(err, errPollCancelled):
 			continue
 		case ctx.Err() != nil:
 			return
 		}
-		f.failed(err)
+		f.recordFailure(err)
 		pause.For(ctx, backOff.NextBackOff())
 		if f.Store != nil && !f.Leads {
-			f.Store.await(ctx, time.Now().Add(longestAway))
+			f.Store.waitAvailable(ctx, time.Now().Add(maxProbeWait))
 		}
 	}
 }
 
 // step makes one call and hands on what came.
-func (f *Follower[T]) step(ctx context.Context, known bool) error {
+func (f *Follower[T]) callOnce(ctx context.Context, tableRead bool) error {
 	if f.Arriving != nil {
-		ctx = withArrival(ctx, func() { f.Arriving.Store(true) })
+		ctx = withResponseStarted(ctx, func() { f.Arriving.Store(true) })
 		defer f.Arriving.Store(false)
 	}
 	if f.Asked != nil {
 		f.Asked()
 	}
-	moment := boottime.Now()
-	if !known {
-		if err := f.reading.read(ctx, f.Source); err != nil {
+	asOf := boottime.Now()
+	if !tableRead {
+		if err := f.fullRead.read(ctx, f.Source); err != nil {
 			return err
 		}
-		f.reset(f.reading.moment, f.reading.batch)
-		f.reading = pagedRead[T]{}
-		f.gone = false
+		f.applyFullRead(f.fullRead.startedAt, f.fullRead.batch)
+		f.fullRead = pagedRead[T]{}
+		f.historyGone = false
 		if f.Idle != nil {
 			// Others tell in that time that they follow.
 			pause.For(ctx, f.Gather)
 		}
 		return nil
 	}
-	wait := f.wait()
-	batch, err := f.next(ctx, f.Position(), wait)
+	wait := f.nextWait()
+	batch, err := f.pollChanges(ctx, f.Position(), wait)
 	if err != nil {
 		return err
 	}
-	if held := boottime.Now() - moment; batch.empty() && held >= wait {
-		moment += wait
+	if elapsed := boottime.Now() - asOf; batch.empty() && elapsed >= wait {
+		asOf += wait
 	}
-	f.change(moment, batch)
-	f.news = !batch.empty()
+	f.applyChanges(asOf, batch)
+	f.changed = !batch.empty()
 	if !batch.empty() && f.Gather > 0 {
 		pause.For(ctx, f.Gather)
 	}
@@ -227,29 +227,29 @@
 }
 
 // next waits for changes, unless it has to hurry.
-func (f *Follower[T]) next(ctx context.Context, at Position, wait time.Duration) (Batch[T], error) {
-	f.hurried = false
+func (f *Follower[T]) pollChanges(ctx context.Context, after Position, wait time.Duration) (Batch[T], error) {
+	f.pollCancelled = false
 	if f.Hurry == nil {
-		return f.Source.Next(ctx, at, wait)
+		return f.Source.Next(ctx, after, wait)
 	}
-	call, giveUp := context.WithCancel(ctx)
-	defer giveUp()
-	var hurried atomic.Bool
-	var watch conc.WaitGroup
-	watch.Go(func() {
-		for pause.For(call, hurryEvery); call.Err() == nil; pause.For(call, hurryEvery) {
+	callCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	var cancelled atomic.Bool
+	var watcher conc.WaitGroup
+	watcher.Go(func() {
+		for pause.For(callCtx, cancelCheckInterval); callCtx.Err() == nil; pause.For(callCtx, cancelCheckInterval) {
 			if f.Hurry() && (f.Arriving == nil || !f.Arriving.Load()) {
-				hurried.Store(true)
-				giveUp()
+				cancelled.Store(true)
+				cancel()
 			}
 		}
 	})
-	batch, err := f.Source.Next(call, at, wait)
-	giveUp()
-	watch.Wait()
-	if err != nil && hurried.Load() {
-		f.hurried = true
-		return batch, errHurried
+	batch, err := f.Source.Next(callCtx, after, wait)
+	cancel()
+	watcher.Wait()
+	if err != nil && cancelled.Load() {
+		f.pollCancelled = true
+		return batch, errPollCancelled
 	}
 	return batch, err
 }
@@ -258,10 +258,10 @@
 // failure comes at once, so that it is known when the store was back; the first
 // one after a rest, so that others know soon that this one follows; the first
 // one after news where it has to prove them.
-func (f *Follower[T]) wait() time.Duration {
+func (f *Follower[T]) nextWait() time.Duration {
 	longest := f.Wait()
-	if f.failing || f.hurried || f.rested || f.news && f.Confirm != nil && f.Confirm() {
-		return min(longest, recheckWait)
+	if f.failing || f.pollCancelled || f.wasIdle || f.changed && f.Confirm != nil && f.Confirm() {
+		return min(longest, immediateWait)
 	}
 	// Whole milliseconds, in which stores count: one that is rounded down would
 	// seem to have come early, and to prove nothing.
@@ -273,18 +273,18 @@
 	return func() time.Duration { return wait }
 }
 
-func (f *Follower[T]) answered() {
-	f.Store.answers()
+func (f *Follower[T]) recordSuccess() {
+	f.Store.markAvailable()
 	f.live.Store(true)
-	f.rested = false
+	f.wasIdle = false
 	if f.failing {
 		f.failing = false
 		f.Log.Info(logging.EventPlatformUp, zap.String("table", f.Name))
 	}
 }
 
-func (f *Follower[T]) failed(err error) {
-	f.Store.fails()
+func (f *Follower[T]) recordFailure(err error) {
+	f.Store.markUnavailable()
 	f.live.Store(false)
 	f.Sink.Unavailable(err)
 	if !f.failing {
--- a/internal/gateway/follow/follower_test.go
+++ b/internal/gateway/follow/follower_test.go
@@ -12,56 +12,58 @@
 )
 
 // step is what a scripted source answers to one call.
-type step struct {
-	takes time.Duration
-	batch Batch[string]
-	err   error
+type scriptedCall struct {
+	duration time.Duration
+	batch    Batch[string]
+	err      error
 }
 
 // source plays its steps and then waits for the end; it notes what was asked.
-type source struct {
-	steps []step
-	asked []string
+type scriptedSource struct {
+	calls    []scriptedCall
+	requests []string
 }
 
-func (s *source) play(ctx context.Context, what string) (Batch[string], error) {
-	s.asked = append(s.asked, what)
-	if len(s.steps) == 0 {
+func (s *scriptedSource) respond(ctx context.Context, request string) (Batch[string], error) {
+	s.requests = append(s.requests, request)
+	if len(s.calls) == 0 {
 		<-ctx.Done()
 		return Batch[string]{}, ctx.Err()
 	}
-	next := s.steps[0]
-	s.steps = s.steps[1:]
-	time.Sleep(next.takes)
+	next := s.calls[0]
+	s.calls = s.calls[1:]
+	time.Sleep(next.duration)
 	return next.batch, next.err
 }
 
-func (s *source) Read(ctx context.Context, from string) (Batch[string], error) {
-	return s.play(ctx, "read"+from)
+func (s *scriptedSource) Read(ctx context.Context, from string) (Batch[string], error) {
+	return s.respond(ctx, "read"+from)
 }
 
-func (s *source) Next(ctx context.Context, after Position, _ time.Duration) (Batch[string], error) {
-	return s.play(ctx, "next after "+string(rune('0'+after)))
+func (s *scriptedSource) Next(ctx context.Context, after Position, _ time.Duration) (Batch[string], error) {
+	return s.respond(ctx, "next after "+string(rune('0'+after)))
 }
 
-type sink struct {
-	news   []string
-	failed int
+type recordingSink struct {
+	items    []string
+	failures int
 }
 
-func (s *sink) Reset(_ time.Duration, all Batch[string]) {
-	s.news = append(append(s.news, "all"), all.Items...)
+func (s *recordingSink) Reset(_ time.Duration, all Batch[string]) {
+	s.items = append(append(s.items, "all"), all.Items...)
 }
 
-func (s *sink) Change(_ time.Duration, c Batch[string]) { s.news = append(s.news, c.Items...) }
+func (s *recordingSink) Change(_ time.Duration, c Batch[string]) {
+	s.items = append(s.items, c.Items...)
+}
 
-func (s *sink) Unavailable(error) { s.failed++ }
+func (s *recordingSink) Unavailable(error) { s.failures++ }
 
-func (*sink) Available() {}
+func (*recordingSink) Available() {}
 
-func TestFollowerReadsThenFollows(t *testing.T) {
+func TestFollowerReadsTableThenPolls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		src := &source{steps: []step{
+		src := &scriptedSource{calls: []scriptedCall{
 			{err: errors.New("down")},
 			{batch: Batch[string]{Items: []string{"a"}, At: 3}},
 			{batch: Batch[string]{Items: []string{"b"}, At: 5}},
@@ -70,19 +72,19 @@
 			{err: ErrHistoryGone},
 			{batch: Batch[string]{Items: []string{"d"}, At: 9}},
 		}}
-		out := &sink{}
+		out := &recordingSink{}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		f := Follower[string]{Name: "t", Source: src, Sink: out, Wait: Always(time.Second), Log: zap.NewNop()}
 		f.Run(ctx)
-		if got, want := join(src.asked), "read read next after 3 next after 5 next after 5 next after 6 read next after 9"; got != want {
+		if got, want := join(src.requests), "read read next after 3 next after 5 next after 5 next after 6 read next after 9"; got != want {
 			t.Errorf("asked %q, want %q", got, want)
 		}
-		if got, want := join(out.news), "all a b c all d"; got != want {
+		if got, want := join(out.items), "all a b c all d"; got != want {
 			t.Errorf("news %q, want %q", got, want)
 		}
-		if out.failed != 2 {
-			t.Errorf("%d failures told, a lost history is none", out.failed)
+		if out.failures != 2 {
+			t.Errorf("%d failures told, a lost history is none", out.failures)
 		}
 	})
 }
@@ -100,61 +102,63 @@
 
 // The first answer after a failure shows when the store was back; it isn't held
 // back until there is news.
-func TestFirstCallAfterAFailureIsNotHeldBack(t *testing.T) {
+func TestFirstPollAfterFailureIsShort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		held := &holding{}
+		src := &failOnceSource{}
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		defer cancel()
-		f := Follower[string]{Name: "t", Source: held, Sink: &sink{}, Wait: Always(4 * time.Second), Log: zap.NewNop()}
+		f := Follower[string]{Name: "t", Source: src, Sink: &recordingSink{}, Wait: Always(4 * time.Second), Log: zap.NewNop()}
 		f.Run(ctx)
-		if len(held.waits) < 4 || held.waits[0] < 3*time.Second || held.waits[1] > recheckWait || held.waits[2] < 3*time.Second {
-			t.Errorf("waits of %v; the second is the first after a failure", held.waits)
+		if len(src.waits) < 4 || src.waits[0] < 3*time.Second || src.waits[1] > immediateWait || src.waits[2] < 3*time.Second {
+			t.Errorf("waits of %v; the second is the first after a failure", src.waits)
 		}
 	})
 }
 
 // News that come at the end of a wait would leave the proof as old as two waits.
-func TestNewsAreConfirmedAtOnce(t *testing.T) {
+func TestChangesAreConfirmedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		changes := &changing{began: time.Now(), every: 1700 * time.Millisecond}
-		out := &proving{}
+		src := &growingSource{started: time.Now(), interval: 1700 * time.Millisecond}
+		out := &confirmationSink{}
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		defer cancel()
-		f := Follower[string]{Name: "t", Source: changes, Sink: out, Wait: Always(2 * time.Second), Confirm: func() bool { return true }, Log: zap.NewNop()}
+		f := Follower[string]{Name: "t", Source: src, Sink: out, Wait: Always(2 * time.Second), Confirm: func() bool { return true }, Log: zap.NewNop()}
 		f.Run(ctx)
-		if out.longest > 2*time.Second+recheckWait {
-			t.Errorf("%v passed without a proof, a wait is two seconds", out.longest)
+		if out.longestGap > 2*time.Second+immediateWait {
+			t.Errorf("%v passed without a proof, a wait is two seconds", out.longestGap)
 		}
 	})
 }
 
 // proving measures the time between answers that prove what is the newest.
-type proving struct {
-	last    time.Time
-	longest time.Duration
+type confirmationSink struct {
+	lastConfirmed time.Time
+	longestGap    time.Duration
 }
 
-func (p *proving) Reset(time.Duration, Batch[string]) { p.last = time.Now() }
+func (s *confirmationSink) Reset(time.Duration, Batch[string]) { s.lastConfirmed = time.Now() }
 
-func (p *proving) Change(_ time.Duration, changes Batch[string]) {
+func (s *confirmationSink) Change(_ time.Duration, changes Batch[string]) {
 	if changes.empty() {
-		p.longest = max(p.longest, time.Since(p.last))
-		p.last = time.Now()
+		s.longestGap = max(s.longestGap, time.Since(s.lastConfirmed))
+		s.lastConfirmed = time.Now()
 	}
 }
 
-func (p *proving) Unavailable(error) {}
+func (s *confirmationSink) Unavailable(error) {}
 
-func (*proving) Available() {}
+func (*confirmationSink) Available() {}
 
 // holding has no news; its first call that waits fails.
-type holding struct{ waits []time.Duration }
+type failOnceSource struct{ waits []time.Duration }
 
-func (h *holding) Read(context.Context, string) (Batch[string], error) { return Batch[string]{}, nil }
+func (s *failOnceSource) Read(context.Context, string) (Batch[string], error) {
+	return Batch[string]{}, nil
+}
 
-func (h *holding) Next(_ context.Context, _ Position, wait time.Duration) (Batch[string], error) {
-	h.waits = append(h.waits, wait)
-	if len(h.waits) == 1 {
+func (s *failOnceSource) Next(_ context.Context, _ Position, wait time.Duration) (Batch[string], error) {
+	s.waits = append(s.waits, wait)
+	if len(s.waits) == 1 {
 		return Batch[string]{}, errors.New("down")
 	}
 	time.Sleep(wait)
@@ -162,37 +166,39 @@
 }
 
 // Servers that start together change the list one by one.
-func TestChangesThatComeTogetherTakeOneCall(t *testing.T) {
+func TestCloseChangesAreCoalesced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		changes := &changing{began: time.Now(), every: 20 * time.Millisecond}
-		out := &sink{}
+		src := &growingSource{started: time.Now(), interval: 20 * time.Millisecond}
+		out := &recordingSink{}
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
-		f := Follower[string]{Name: "t", Source: changes, Sink: out, Wait: Always(time.Second), Gather: 250 * time.Millisecond, Log: zap.NewNop()}
+		f := Follower[string]{Name: "t", Source: src, Sink: out, Wait: Always(time.Second), Gather: 250 * time.Millisecond, Log: zap.NewNop()}
 		f.Run(ctx)
-		if changes.calls > 15 {
-			t.Errorf("%d calls for 100 changes within two seconds", changes.calls)
+		if src.calls > 15 {
+			t.Errorf("%d calls for 100 changes within two seconds", src.calls)
 		}
-		if got := len(out.news) - 1; got != 100 {
+		if got := len(out.items) - 1; got != 100 {
 			t.Errorf("%d changes of 100 were heard of", got)
 		}
 	})
 }
 
 // changing has an item more ever so often, up to a hundred.
-type changing struct {
-	began time.Time
-	every time.Duration
-	calls int
+type growingSource struct {
+	started  time.Time
+	interval time.Duration
+	calls    int
 }
 
-func (c *changing) Read(context.Context, string) (Batch[string], error) { return Batch[string]{}, nil }
+func (c *growingSource) Read(context.Context, string) (Batch[string], error) {
+	return Batch[string]{}, nil
+}
 
-func (c *changing) Next(ctx context.Context, after Position, wait time.Duration) (Batch[string], error) {
+func (c *growingSource) Next(ctx context.Context, after Position, wait time.Duration) (Batch[string], error) {
 	c.calls++
 	for end := time.Now().Add(wait); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if now := min(Position(time.Since(c.began)/c.every), 100); now > after {
-			return Batch[string]{Items: make([]string, now-after), At: now}, nil
+		if newest := min(Position(time.Since(c.started)/c.interval), 100); newest > after {
+			return Batch[string]{Items: make([]string, newest-after), At: newest}, nil
 		}
 		if ctx.Err() != nil {
 			return Batch[string]{}, ctx.Err()
@@ -203,28 +209,28 @@
 
 // A call that is held back is given up when its proof gets old, and the next one
 // asks for an answer at once; nobody is told of a failure.
-func TestFollowerHurries(t *testing.T) {
+func TestLongPollIsCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		src := &patient{}
-		out := &sink{}
+		src := &slowSource{}
+		out := &recordingSink{}
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		defer cancel()
-		began := time.Now()
-		proved := began
+		started := time.Now()
+		confirmed := started
 		f := Follower[string]{
 			Name: "t", Source: src, Sink: out, Wait: Always(8 * time.Second), Log: zap.NewNop(),
-			Hurry: func() bool { return time.Since(proved) > 3*time.Second },
+			Hurry: func() bool { return time.Since(confirmed) > 3*time.Second },
 		}
-		src.answered = func() { proved = time.Now() }
+		src.onAnswer = func() { confirmed = time.Now() }
 		f.Run(ctx)
-		if out.failed != 0 {
-			t.Errorf("%d failures told", out.failed)
+		if out.failures != 0 {
+			t.Errorf("%d failures told", out.failures)
 		}
-		if len(src.waits) < 8 || src.longest > 3*time.Second+2*hurryEvery {
+		if len(src.waits) < 8 || src.longest > 3*time.Second+2*cancelCheckInterval {
 			t.Errorf("waits of %v, the longest unanswered %v", src.waits, src.longest)
 		}
 		for i := 1; i < len(src.waits); i += 2 {
-			if src.waits[i] != recheckWait {
+			if src.waits[i] != immediateWait {
 				t.Errorf("call %d waits %v after one that was given up", i, src.waits[i])
 			}
 		}
@@ -232,74 +238,74 @@
 }
 
 // patient holds each answer back for the whole wait.
-type patient struct {
+type slowSource struct {
 	waits    []time.Duration
 	longest  time.Duration
-	answered func()
+	onAnswer func()
 }
 
-func (*patient) Read(context.Context, string) (Batch[string], error) {
+func (*slowSource) Read(context.Context, string) (Batch[string], error) {
 	return Batch[string]{At: 1}, nil
 }
 
-func (p *patient) Next(ctx context.Context, _ Position, wait time.Duration) (Batch[string], error) {
-	p.waits = append(p.waits, wait)
-	began := time.Now()
+func (s *slowSource) Next(ctx context.Context, _ Position, wait time.Duration) (Batch[string], error) {
+	s.waits = append(s.waits, wait)
+	started := time.Now()
 	select {
 	case <-ctx.Done():
-		p.longest = max(p.longest, time.Since(began))
+		s.longest = max(s.longest, time.Since(started))
 		return Batch[string]{}, ctx.Err()
 	case <-time.After(wait):
-		p.longest = max(p.longest, time.Since(began))
-		p.answered()
+		s.longest = max(s.longest, time.Since(started))
+		s.onAnswer()
 		return Batch[string]{At: 1}, nil
 	}
 }
 
 // While the store is away one follower asks, and the others wait for its success.
-func TestOneFollowerAsksWhileTheStoreIsAway(t *testing.T) {
+func TestOnlyProbingFollowerCallsUnavailableStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const away = 2 * time.Second
-		began := time.Now()
+		const outage = 2 * time.Second
+		started := time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
 		var store Health
-		leader, other := &outage{until: began.Add(away)}, &outage{until: began.Add(away)}
+		probingSource, waitingSource := &unavailableSource{until: started.Add(outage)}, &unavailableSource{until: started.Add(outage)}
 		var wg conc.WaitGroup
 		for _, f := range []*Follower[string]{
-			{Name: "leads", Source: leader, Sink: &sink{}, Wait: Always(time.Minute), Store: &store, Leads: true, Log: zap.NewNop()},
-			{Name: "waits", Source: other, Sink: &sink{}, Wait: Always(time.Minute), Store: &store, Log: zap.NewNop()},
+			{Name: "leads", Source: probingSource, Sink: &recordingSink{}, Wait: Always(time.Minute), Store: &store, Leads: true, Log: zap.NewNop()},
+			{Name: "waits", Source: waitingSource, Sink: &recordingSink{}, Wait: Always(time.Minute), Store: &store, Log: zap.NewNop()},
 		} {
 			wg.Go(func() { f.Run(ctx) })
 		}
 		wg.Wait()
-		if leader.failed < 4 || other.failed > 2 {
-			t.Errorf("%d and %d calls while the store was away", leader.failed, other.failed)
+		if probingSource.failures < 4 || waitingSource.failures > 2 {
+			t.Errorf("%d and %d calls while the store was away", probingSource.failures, waitingSource.failures)
 		}
 		// Pauses are drawn from up to half as much again.
-		if late := other.back.Sub(began.Add(away)); late > longestPause*3/2+2*awaitEvery {
+		if late := waitingSource.firstSuccess.Sub(started.Add(outage)); late > maxRetryDelay*3/2+2*availabilityCheckInterval {
 			t.Errorf("the one that waits knew %v after the store was back", late)
 		}
 	})
 }
 
 // outage fails until a time.
-type outage struct {
-	until  time.Time
-	failed int
-	back   time.Time
+type unavailableSource struct {
+	until        time.Time
+	failures     int
+	firstSuccess time.Time
 }
 
-func (o *outage) Read(context.Context, string) (Batch[string], error) {
-	if time.Now().Before(o.until) {
-		o.failed++
+func (s *unavailableSource) Read(context.Context, string) (Batch[string], error) {
+	if time.Now().Before(s.until) {
+		s.failures++
 		return Batch[string]{}, errors.New("away")
 	}
-	o.back = time.Now()
+	s.firstSuccess = time.Now()
 	return Batch[string]{At: 1}, nil
 }
 
-func (o *outage) Next(ctx context.Context, _ Position, _ time.Duration) (Batch[string], error) {
+func (s *unavailableSource) Next(ctx context.Context, _ Position, _ time.Duration) (Batch[string], error) {
 	<-ctx.Done()
 	return Batch[string]{}, ctx.Err()
 }
--- a/internal/gateway/follow/paged_read_test.go
+++ b/internal/gateway/follow/paged_read_test.go
@@ -14,9 +14,9 @@
 )
 
 // A page that is refused is asked for again, and not those before it.
-func TestReadGoesOnAtTheRefusedPage(t *testing.T) {
+func TestPagedReadResumesAtFailedPage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		src := &source{steps: []step{
+		src := &scriptedSource{calls: []scriptedCall{
 			{batch: Batch[string]{Items: []string{"a"}, At: 7, More: "/b"}},
 			{err: errors.New("refused")},
 			{batch: Batch[string]{Items: []string{"b"}, Unreadable: []string{"x"}, At: 9, More: "/c"}},
@@ -25,24 +25,24 @@
 			{err: ErrHistoryGone},
 			{batch: Batch[string]{Items: []string{"d"}, At: 20}},
 		}}
-		out := &sink{}
+		out := &recordingSink{}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		f := Follower[string]{Name: "t", Source: src, Sink: out, Wait: Always(time.Second), Log: zap.NewNop()}
 		f.Run(ctx)
-		if got, want := join(src.asked[:7]), "read read/b read/b read/c read/c next after 7 read"; got != want {
+		if got, want := join(src.requests[:7]), "read read/b read/b read/c read/c next after 7 read"; got != want {
 			t.Errorf("asked %q, want %q", got, want)
 		}
-		if got, want := join(out.news), "all a b c all d"; got != want {
+		if got, want := join(out.items), "all a b c all d"; got != want {
 			t.Errorf("news %q, want %q", got, want)
 		}
 	})
 }
 
 // Pages of long ago are read again: the store may have lost what changed since.
-func TestOldPagesAreReadAgain(t *testing.T) {
+func TestOldPagesAreDiscarded(t *testing.T) {
 	var r pagedRead[string]
-	src := &source{steps: []step{
+	src := &scriptedSource{calls: []scriptedCall{
 		{batch: Batch[string]{Items: []string{"a"}, At: 7, More: "/b"}},
 		{err: errors.New("refused")},
 		{batch: Batch[string]{Items: []string{"b"}, At: 9}},
@@ -50,33 +50,33 @@
 	if err := r.read(t.Context(), src); err == nil {
 		t.Fatal("read past a refusal")
 	}
-	r.moment -= 2 * longestReading
+	r.startedAt -= 2 * maxPagedReadAge
 	if err := r.read(t.Context(), src); err != nil {
 		t.Fatal(err)
 	}
-	if got, want := join(src.asked), "read read/b read"; got != want || r.batch.At != 9 {
+	if got, want := join(src.requests), "read read/b read"; got != want || r.batch.At != 9 {
 		t.Errorf("asked %q, want %q; at %d", got, want, r.batch.At)
 	}
 }
 
 // limitedStore answers so many calls a second and refuses the rest.
 type limitedStore struct {
-	mu      sync.Mutex
-	perTick int
-	left    int
-	pages   int
-	calls   int
+	mu        sync.Mutex
+	perTick   int
+	remaining int
+	pages     int
+	calls     int
 }
 
-const limitTick = 10 * time.Millisecond
+const refillInterval = 10 * time.Millisecond
 
 // refill lets as many calls through each tick as the rate allows.
 func (s *limitedStore) refill(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.mu.Lock()
-		s.left = s.perTick
+		s.remaining = s.perTick
 		s.mu.Unlock()
-		time.Sleep(limitTick)
+		time.Sleep(refillInterval)
 	}
 }
 
@@ -86,10 +86,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
-	if s.left == 0 {
+	if s.remaining == 0 {
 		return Batch[string]{}, errors.New("too many calls")
 	}
-	s.left--
+	s.remaining--
 	page, _ := strconv.Atoi(from)
 	batch := Batch[string]{Items: []string{from}, At: 1}
 	if page+1 < s.pages {
@@ -104,34 +104,34 @@
 }
 
 // listener notes when the whole was had.
-type listener struct {
-	all chan<- time.Time
+type resetTimeSink struct {
+	resets chan<- time.Time
 }
 
-func (l listener) Reset(time.Duration, Batch[string])  { l.all <- time.Now() }
-func (l listener) Change(time.Duration, Batch[string]) {}
-func (l listener) Unavailable(error)                   {}
+func (l resetTimeSink) Reset(time.Duration, Batch[string])  { l.resets <- time.Now() }
+func (l resetTimeSink) Change(time.Duration, Batch[string]) {}
+func (l resetTimeSink) Unavailable(error)                   {}
 
-func (listener) Available() {}
+func (resetTimeSink) Available() {}
 
 // Hundreds of gateways that start in one moment, after all were killed, have the
 // list of thousands of servers within two seconds from a store that answers no more
 // calls than they need in one.
-func TestHundredsStartBeforeALimitedStore(t *testing.T) {
+func TestSimultaneousStartWithRateLimitedStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const gateways, perSecond, pages = 300, 2000, 6
 		ctx, cancel := context.WithCancel(t.Context())
-		store := &limitedStore{perTick: perSecond / int(time.Second/limitTick), pages: pages}
+		store := &limitedStore{perTick: perSecond / int(time.Second/refillInterval), pages: pages}
 		var wg conc.WaitGroup
 		wg.Go(func() { store.refill(ctx) })
-		had, begun := make(chan time.Time, gateways), time.Now()
+		resets, started := make(chan time.Time, gateways), time.Now()
 		for range gateways {
-			f := Follower[string]{Name: "t", Source: store, Sink: listener{had}, Wait: Always(15 * time.Second), Log: zap.NewNop()}
+			f := Follower[string]{Name: "t", Source: store, Sink: resetTimeSink{resets}, Wait: Always(15 * time.Second), Log: zap.NewNop()}
 			wg.Go(func() { f.Run(ctx) })
 		}
 		var last time.Duration
 		for range gateways {
-			last = (<-had).Sub(begun)
+			last = (<-resets).Sub(started)
 		}
 		t.Logf("the last of %d gateways had the list after %v; %d calls, %d needed", gateways, last, store.calls, gateways*pages)
 		if last > 2*time.Second {
@@ -144,21 +144,21 @@
 
 // A first page that can't be had leaves nothing behind: what is read later is as new
 // as the call that got it.
-func TestFailedFirstPageLeavesNoMoment(t *testing.T) {
+func TestFailedFirstPageLeavesNoStartTime(t *testing.T) {
 	var r pagedRead[string]
-	src := &source{steps: []step{
+	src := &scriptedSource{calls: []scriptedCall{
 		{err: errors.New("away")},
 		{batch: Batch[string]{Items: []string{"a"}, At: 7}},
 	}}
 	if err := r.read(t.Context(), src); err == nil {
 		t.Fatal("read from a store that is away")
 	}
-	r.moment -= longestReading / 2
-	before := r.moment + longestReading/4
+	r.startedAt -= maxPagedReadAge / 2
+	before := r.startedAt + maxPagedReadAge/4
 	if err := r.read(t.Context(), src); err != nil {
 		t.Fatal(err)
 	}
-	if r.moment < before {
-		t.Errorf("the read counts from a call that failed, %v before", before-r.moment)
+	if r.startedAt < before {
+		t.Errorf("the read counts from a call that failed, %v before", before-r.startedAt)
 	}
 }
--- a/internal/gateway/follow/sharing_test.go
+++ b/internal/gateway/follow/sharing_test.go
@@ -16,13 +16,13 @@
 )
 
 // resting starts a follower that has read its table up to 3 and rests while told.
-func resting(t *testing.T, src *source, out *sink, told *atomic.Bool) *Follower[string] {
+func startIdle(t *testing.T, source *scriptedSource, sink *recordingSink, idle *atomic.Bool) *Follower[string] {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	f := &Follower[string]{
-		Name: "t", Source: src, Sink: out, Wait: Always(time.Second), Gather: 200 * time.Millisecond,
-		Idle: told.Load, Log: zap.NewNop(),
+		Name: "t", Source: source, Sink: sink, Wait: Always(time.Second), Gather: 200 * time.Millisecond,
+		Idle: idle.Load, Log: zap.NewNop(),
 	}
 	go f.Run(ctx)
 	time.Sleep(time.Minute)
@@ -30,77 +30,79 @@
 	return f
 }
 
-func readUpTo3() []step { return []step{{batch: Batch[string]{Items: []string{"a"}, At: 3}}} }
+func readUpToPosition3() []scriptedCall {
+	return []scriptedCall{{batch: Batch[string]{Items: []string{"a"}, At: 3}}}
+}
 
-func TestRestingFollowerAsksNothing(t *testing.T) {
+func TestIdleFollowerMakesNoCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		src := &source{steps: readUpTo3()}
-		var told atomic.Bool
-		told.Store(true)
-		f := resting(t, src, &sink{}, &told)
-		if got := join(src.asked); got != "read" || f.Live() {
+		src := &scriptedSource{calls: readUpToPosition3()}
+		var idle atomic.Bool
+		idle.Store(true)
+		f := startIdle(t, src, &recordingSink{}, &idle)
+		if got := join(src.requests); got != "read" || f.Live() {
 			t.Errorf("asked %q, live %v, while others ask", got, f.Live())
 		}
-		told.Store(false)
+		idle.Store(false)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if got := join(src.asked); got != "read next after 3" {
+		if got := join(src.requests); got != "read next after 3" {
 			t.Errorf("asked %q after nobody else did", got)
 		}
 	})
 }
 
 // Others wait for who follows now to say so.
-func TestFirstCallAfterARestIsNotHeldBack(t *testing.T) {
+func TestFirstPollAfterIdleIsShort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		held := &holding{}
-		var told atomic.Bool
+		src := &failOnceSource{}
+		var idle atomic.Bool
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		f := &Follower[string]{
-			Name: "t", Source: held, Sink: &sink{}, Wait: Always(4 * time.Second), Idle: told.Load, Log: zap.NewNop(),
+			Name: "t", Source: src, Sink: &recordingSink{}, Wait: Always(4 * time.Second), Idle: idle.Load, Log: zap.NewNop(),
 		}
 		var wg conc.WaitGroup
 		wg.Go(func() { f.Run(ctx) })
 		time.Sleep(20 * time.Second)
-		told.Store(true)
+		idle.Store(true)
 		time.Sleep(20 * time.Second)
 		synctest.Wait()
-		before := len(held.waits)
-		told.Store(false)
+		before := len(src.waits)
+		idle.Store(false)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if len(held.waits) <= before || held.waits[before] > recheckWait || !f.Live() {
-			t.Errorf("waits %v after %d before the rest", held.waits, before)
+		if len(src.waits) <= before || src.waits[before] > immediateWait || !f.Live() {
+			t.Errorf("waits %v after %d before the rest", src.waits, before)
 		}
 		cancel()
 		wg.Wait()
 	})
 }
 
-func TestChangesFromOthersAreTakenInOrder(t *testing.T) {
+func TestSharedDeltasAreAppliedInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &sink{}
-		var told atomic.Bool
-		told.Store(true)
-		f := resting(t, &source{steps: readUpTo3()}, out, &told)
+		out := &recordingSink{}
+		var idle atomic.Bool
+		idle.Store(true)
+		f := startIdle(t, &scriptedSource{calls: readUpToPosition3()}, out, &idle)
 		if f.Changed() != 0 || f.Known() != 3 {
 			t.Errorf("changed %d, known %d after the whole table was read", f.Changed(), f.Known())
 		}
-		steps := []Step[string]{{From: 2, To: 3, Items: []string{"old"}}, {From: 3, To: 5, Items: []string{"b"}}, {From: 5, To: 9, Items: []string{"c"}}}
-		if err := f.Take(0, steps); err != nil {
+		deltas := []Step[string]{{From: 2, To: 3, Items: []string{"old"}}, {From: 3, To: 5, Items: []string{"b"}}, {From: 5, To: 9, Items: []string{"c"}}}
+		if err := f.Take(0, deltas); err != nil {
 			t.Fatal(err)
 		}
-		if got := join(out.news); got != "all a b c" || f.Position() != 9 || f.Changed() != 9 {
+		if got := join(out.items); got != "all a b c" || f.Position() != 9 || f.Changed() != 9 {
 			t.Errorf("took %q, is at %d, changed %d", got, f.Position(), f.Changed())
 		}
 		if err := f.Take(0, []Step[string]{{From: 10, To: 12, Items: []string{"d"}}}); !errors.Is(err, ErrGap) {
 			t.Errorf("%v for changes with some missing before them", err)
 		}
-		if got, known := f.Since(3); !known || len(got) != 2 {
-			t.Errorf("hands on %v, %v", got, known)
+		if got, complete := f.Since(3); !complete || len(got) != 2 {
+			t.Errorf("hands on %v, %v", got, complete)
 		}
-		if _, known := f.Since(2); known {
+		if _, complete := f.Since(2); complete {
 			t.Error("claims to know what was before it read the table")
 		}
 	})
@@ -108,60 +110,60 @@
 
 // A call that was made before others told of more may be answered after it, with news
 // that are old by then.
-func TestAnswerThatOthersHaveOvertakenIsDropped(t *testing.T) {
+func TestOutdatedAnswerIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &sink{}
-		var told atomic.Bool
-		src := &source{steps: append(readUpTo3(), step{takes: 2 * time.Minute, batch: Batch[string]{Items: []string{"old"}, At: 5}})}
-		f := resting(t, src, out, &told)
+		out := &recordingSink{}
+		var idle atomic.Bool
+		src := &scriptedSource{calls: append(readUpToPosition3(), scriptedCall{duration: 2 * time.Minute, batch: Batch[string]{Items: []string{"old"}, At: 5}})}
+		f := startIdle(t, src, out, &idle)
 		if err := f.Take(0, []Step[string]{{From: 3, To: 7, Items: []string{"new"}}}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Minute)
 		synctest.Wait()
-		if got := join(out.news); got != "all a new" || f.Position() != 7 {
+		if got := join(out.items); got != "all a new" || f.Position() != 7 {
 			t.Errorf("took %q, is at %d", got, f.Position())
 		}
 	})
 }
 
-func TestRecentIsBounded(t *testing.T) {
-	var r recent[string]
-	r.reset(1, nil)
-	for at := Position(1); at < 2*recentSteps; at++ {
-		r.add(Step[string]{From: at, To: at + 1})
+func TestHistoryIsBounded(t *testing.T) {
+	var h history[string]
+	h.reset(1, nil)
+	for position := Position(1); position < 2*maxHistoryDeltas; position++ {
+		h.add(Step[string]{From: position, To: position + 1})
 	}
-	if _, known := r.since(recentSteps - 1); known || len(r.steps) > recentSteps {
-		t.Errorf("%d steps kept, all after %d known: %v", len(r.steps), recentSteps-1, known)
+	if _, complete := h.since(maxHistoryDeltas - 1); complete || len(h.deltas) > maxHistoryDeltas {
+		t.Errorf("%d steps kept, all after %d known: %v", len(h.deltas), maxHistoryDeltas-1, complete)
 	}
-	if steps, known := r.since(2*recentSteps - 3); !known || len(steps) != 3 || r.changed() != 2*recentSteps {
-		t.Errorf("%d steps, known %v, changed %d", len(steps), known, r.changed())
+	if deltas, complete := h.since(2*maxHistoryDeltas - 3); !complete || len(deltas) != 3 || h.lastChange() != 2*maxHistoryDeltas {
+		t.Errorf("%d steps, known %v, changed %d", len(deltas), complete, h.lastChange())
 	}
 }
 
-func TestRestsAreToldInTheLog(t *testing.T) {
+func TestIdlePeriodsAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, lines := observer.New(zap.InfoLevel)
 		ctx, cancel := context.WithCancel(t.Context())
 		t.Cleanup(cancel)
-		var told atomic.Bool
-		told.Store(true)
-		asked := 0
+		var idle atomic.Bool
+		idle.Store(true)
+		calls := 0
 		f := &Follower[string]{
-			Name: "t", Source: &source{steps: readUpTo3()}, Sink: &sink{}, Wait: Always(time.Second),
-			Idle: told.Load, Asked: func() { asked++ }, Log: zap.New(core),
+			Name: "t", Source: &scriptedSource{calls: readUpToPosition3()}, Sink: &recordingSink{}, Wait: Always(time.Second),
+			Idle: idle.Load, Asked: func() { calls++ }, Log: zap.New(core),
 		}
 		go f.Run(ctx)
 		time.Sleep(time.Minute)
-		told.Store(false)
+		idle.Store(false)
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		all := lines.All()
 		if len(all) != 2 || all[0].Message != logging.EventStoreLeft || all[1].Message != logging.EventStoreAsked {
 			t.Errorf("lines %v", all)
 		}
-		if asked != 2 {
-			t.Errorf("%d calls told, the read and the one after the rest were made", asked)
+		if calls != 2 {
+			t.Errorf("%d calls told, the read and the one after the rest were made", calls)
 		}
 	})
 }
--- /dev/null
+++ b/internal/gateway/usage/checking_platform_test.go
@@ -0,0 +1,65 @@
+package usage
+
+import (
+	"context"
+	"maps"
+	"sync"
+	"testing"
+	"time"
+)
+
+// judge is a platform that takes reports and says what breaks: two of one window that
+// differ, two holders of one generation.
+type checkingPlatform struct {
+	t  *testing.T
+	mu sync.Mutex
+	// answer is what becomes of the next calls; nil for the platform's own answer.
+	respond          func() error
+	accepted         map[uint64]map[string]int64
+	delays           map[uint64]time.Duration
+	holders          map[uint64]string
+	newestGeneration uint64
+	// refused counts the calls that were refused, by generation.
+	fenced      map[uint64]int
+	calls       int
+	holderOrder []string
+}
+
+func newCheckingPlatform(t *testing.T) *checkingPlatform {
+	return &checkingPlatform{t: t, accepted: map[uint64]map[string]int64{}, delays: map[uint64]time.Duration{}, holders: map[uint64]string{}, fenced: map[uint64]int{}}
+}
+
+func (p *checkingPlatform) Report(_ context.Context, h Holder, r Report) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.calls++
+	if p.respond != nil {
+		if err := p.respond(); err != nil {
+			return err
+		}
+	}
+	return p.processReport(h, r)
+}
+
+// execute carries a call out; j.mu is held.
+func (p *checkingPlatform) processReport(h Holder, r Report) error {
+	if other, ok := p.holders[h.Generation]; ok && other != h.Name {
+		p.t.Errorf("%s and %s report under generation %d", other, h.Name, h.Generation)
+	}
+	p.holders[h.Generation] = h.Name
+	if h.Generation < p.newestGeneration {
+		p.fenced[h.Generation]++
+		return ErrDeposed
+	}
+	p.newestGeneration = h.Generation
+	if len(p.holderOrder) == 0 || p.holderOrder[len(p.holderOrder)-1] != h.Name {
+		p.holderOrder = append(p.holderOrder, h.Name)
+	}
+	if before, ok := p.accepted[r.Window]; ok && !maps.Equal(before, r.Counts) {
+		p.t.Errorf("window %d was reported as %v and %v", r.Window, before, r.Counts)
+	}
+	if _, ok := p.accepted[r.Window]; !ok {
+		p.accepted[r.Window], p.delays[r.Window] = maps.Clone(r.Counts), time.Since(fiveSeconds.End(r.Window))
+	}
+	return nil
+}
--- a/internal/gateway/usage/checkpoint.go
+++ b/internal/gateway/usage/checkpoint.go
@@ -25,46 +25,46 @@
 var ErrCorrupt = errors.New("stored usage can't be decoded")
 
 // storedCounts are the counts of one start of a gateway.
-type storedCounts struct {
+type checkpointEntry struct {
 	_      struct{} `cbor:",toarray"`
 	From   Source
 	Counts []Count
 }
 
 // checkpoint encodes the counts of the windows after one, split into rows.
-func (g *Aggregate) checkpoint(after uint64) ([][]byte, error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (a *Aggregate) encodeCheckpoint(lastFinalized uint64) ([][]byte, error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	var rows [][]byte
-	var row []storedCounts
+	var entries []checkpointEntry
 	size := 0
-	for from, t := range g.sources {
-		s := storedCounts{From: from}
-		for key, n := range t.counts {
-			if key.window > after {
-				s.Counts = append(s.Counts, Count{Window: key.window, Customer: key.customer, Requests: n})
+	for from, source := range a.sources {
+		entry := checkpointEntry{From: from}
+		for key, requests := range source.counts {
+			if key.window > lastFinalized {
+				entry.Counts = append(entry.Counts, Count{Window: key.window, Customer: key.customer, Requests: requests})
 			}
 		}
-		if len(s.Counts) == 0 {
+		if len(entry.Counts) == 0 {
 			continue
 		}
-		encoded, err := cbor.Marshal(s)
+		encoded, err := cbor.Marshal(entry)
 		if err != nil {
 			return nil, errors.Wrap(err, "encode counts")
 		}
-		if size += len(encoded); size > maxRowBytes && len(row) > 0 {
-			if rows, err = appendRow(rows, row); err != nil {
+		if size += len(encoded); size > maxRowBytes && len(entries) > 0 {
+			if rows, err = appendRow(rows, entries); err != nil {
 				return nil, err
 			}
-			row, size = nil, len(encoded)
+			entries, size = nil, len(encoded)
 		}
-		row = append(row, s)
+		entries = append(entries, entry)
 	}
-	return appendRow(rows, row)
+	return appendRow(rows, entries)
 }
 
-func appendRow(rows [][]byte, row []storedCounts) ([][]byte, error) {
-	encoded, err := cbor.Marshal(row)
+func appendRow(rows [][]byte, entries []checkpointEntry) ([][]byte, error) {
+	encoded, err := cbor.Marshal(entries)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode counts")
 	}
@@ -73,26 +73,26 @@
 
 // restore merges the rows of a checkpoint. Their sources are not waited for until they send
 // updates.
-func (g *Aggregate) restore(rows []storage.Row) error {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, r := range rows {
-		if len(r.Value) == 0 {
+func (a *Aggregate) restoreCheckpoint(rows []storage.Row) error {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for _, row := range rows {
+		if len(row.Value) == 0 {
 			continue
 		}
-		var all []storedCounts
-		if err := cbor.Unmarshal(r.Value, &all); err != nil {
+		var entries []checkpointEntry
+		if err := cbor.Unmarshal(row.Value, &entries); err != nil {
 			return errors.Wrap(ErrCorrupt, err.Error())
 		}
-		for _, s := range all {
-			g.source(s.From).merge(s.Counts)
+		for _, entry := range entries {
+			a.sourceLocked(entry.From).merge(entry.Counts)
 		}
 	}
 	return nil
 }
 
 // acceptedWrite is the write of the accepted windows.
-func acceptedWrite(windows []uint64) (storage.Write, error) {
+func encodeAccepted(windows []uint64) (storage.Write, error) {
 	value, err := cbor.Marshal(windows)
 	if err != nil {
 		return storage.Write{}, errors.Wrap(err, "encode accepted windows")
@@ -101,7 +101,7 @@
 }
 
 // readAccepted reads them. Reports of which it isn't known are sent once more.
-func readAccepted(row storage.Row) ([]uint64, error) {
+func decodeAccepted(row storage.Row) ([]uint64, error) {
 	var windows []uint64
 	if err := cbor.Unmarshal(row.Value, &windows); err != nil {
 		return nil, errors.Wrap(ErrCorrupt, err.Error())
@@ -111,14 +111,14 @@
 
 // countWrites are the writes of a checkpoint's rows; those of an earlier one that isn't
 // needed any more are emptied.
-func countWrites(rows [][]byte, before int) []storage.Write {
+func checkpointWrites(rows [][]byte, previousRows int) []storage.Write {
 	var writes []storage.Write
-	for i := range max(len(rows), before) {
-		w := storage.Write{Key: fmt.Sprintf("%s%d", countsPrefix, i), Expect: storage.AnyVersion}
+	for i := range max(len(rows), previousRows) {
+		write := storage.Write{Key: fmt.Sprintf("%s%d", countsPrefix, i), Expect: storage.AnyVersion}
 		if i < len(rows) {
-			w.Value = rows[i]
+			write.Value = rows[i]
 		}
-		writes = append(writes, w)
+		writes = append(writes, write)
 	}
 	return writes
 }
--- /dev/null
+++ b/internal/gateway/usage/cluster_test.go
@@ -0,0 +1,242 @@
+package usage
+
+import (
+	"context"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/applepier/applepier/internal/storage"
+	"github.com/applepier/applepier/internal/storage/storagetest"
+)
+
+func singleRow(value []byte) []storage.Row { return []storage.Row{{Value: value}} }
+
+// fleet is a few gateways that exchange updates at once.
+type cluster struct {
+	mu       sync.Mutex
+	nodes    []*node
+	table    *storagetest.Table
+	platform *checkingPlatform
+	// gossiping ends with stop.
+	exchange sync.WaitGroup
+	stop     context.CancelFunc
+}
+
+type node struct {
+	cluster *cluster
+	*Reporter
+	stop context.CancelFunc
+	wg   sync.WaitGroup
+	// cut says that it and the others are partitioned from each other, alone that it has no way
+	// to the store.
+	partitioned, storeUnreachable bool
+}
+
+func newCluster(t *testing.T, names ...string) *cluster {
+	c := &cluster{table: storagetest.NewTable(), platform: newCheckingPlatform(t)}
+	for i, name := range names {
+		c.start(t, name, uint64(i+1))
+	}
+	ctx, stop := context.WithCancel(t.Context())
+	c.stop = stop
+	c.exchange.Go(func() { c.exchangeUpdates(ctx) })
+	return c
+}
+
+func (c *cluster) start(t *testing.T, name string, start uint64) *node {
+	n := &node{cluster: c}
+	n.Reporter = NewReporter(Config{
+		Name: name, Start: start, Windows: fiveSeconds, Delay: 10 * time.Second, LeaseTime: 3 * time.Second,
+		Table: nodeTable{n}, Platform: c.platform, Now: time.Now, Others: n, Able: func() bool { return !n.flag(&n.storeUnreachable) }, Observer: nopObserver{}, Log: zap.NewNop(),
+	})
+	ctx, stop := context.WithCancel(t.Context())
+	n.stop = stop
+	c.mu.Lock()
+	c.nodes = append(c.nodes, n)
+	c.mu.Unlock()
+	n.wg.Go(func() { n.Run(ctx) })
+	return n
+}
+
+// kill ends a member without a word.
+func (c *cluster) kill(n *node) {
+	c.setFlag(&n.partitioned, true)
+	c.setFlag(&n.storeUnreachable, true)
+	c.mu.Lock()
+	for i := range c.nodes {
+		if c.nodes[i] == n {
+			c.nodes = append(c.nodes[:i:i], c.nodes[i+1:]...)
+			break
+		}
+	}
+	c.mu.Unlock()
+	n.stop()
+	n.wg.Wait()
+}
+
+func (c *cluster) setFlag(flag *bool, to bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	*flag = to
+}
+
+func (n *node) flag(flag *bool) bool {
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	return *flag
+}
+
+// gossip sends each member's updates to the others ten times a second.
+func (c *cluster) exchangeUpdates(ctx context.Context) {
+	for ctx.Err() == nil {
+		c.mu.Lock()
+		all := append([]*node(nil), c.nodes...)
+		c.mu.Unlock()
+		for _, to := range all {
+			for _, from := range all {
+				if to != from && !to.flag(&to.partitioned) && !from.flag(&from.partitioned) {
+					s := Source{Gateway: from.Name, Start: from.Start}
+					to.Aggregate.Merge(time.Now(), s, from.Counter.Update(to.Aggregate.Sequence(s)))
+				}
+			}
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+}
+
+func (n *node) reachablePeers() []*node {
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	var all []*node
+	for _, peer := range n.cluster.nodes {
+		if peer != n && !peer.partitioned && !n.partitioned {
+			all = append(all, peer)
+		}
+	}
+	return all
+}
+
+func (n *node) Reporting() bool {
+	for _, peer := range n.reachablePeers() {
+		if peer.Holds() {
+			return true
+		}
+	}
+	return false
+}
+
+func (n *node) Before() int {
+	count := 0
+	for _, peer := range n.reachablePeers() {
+		if peer.Name < n.Name && !peer.flag(&peer.storeUnreachable) {
+			count++
+		}
+	}
+	return count
+}
+
+// way is a member's way to the table.
+type nodeTable struct{ node *node }
+
+func (t nodeTable) Get(ctx context.Context, key string) (storage.Row, error) {
+	if t.node.flag(&t.node.storeUnreachable) {
+		return storage.Row{}, storage.ErrUnavailable
+	}
+	return t.node.cluster.table.Get(ctx, key)
+}
+
+func (t nodeTable) List(ctx context.Context, prefix string) ([]storage.Row, error) {
+	if t.node.flag(&t.node.storeUnreachable) {
+		return nil, storage.ErrUnavailable
+	}
+	return t.node.cluster.table.List(ctx, prefix)
+}
+
+func (t nodeTable) Commit(ctx context.Context, writes []storage.Write) error {
+	if t.node.flag(&t.node.storeUnreachable) {
+		return storage.ErrOutcomeUnknown
+	}
+	return t.node.cluster.table.Commit(ctx, writes)
+}
+
+func (t nodeTable) Era() uint64 { return t.node.cluster.table.Era() }
+
+type nopObserver struct{}
+
+func (nopObserver) Reported(time.Duration, bool) {}
+func (nopObserver) Refused(error)                {}
+
+// holder waits until one member holds the duty.
+func (c *cluster) waitForHolder(t *testing.T) *node {
+	t.Helper()
+	for range 200 {
+		c.mu.Lock()
+		all := append([]*node(nil), c.nodes...)
+		c.mu.Unlock()
+		for _, n := range all {
+			if n.Holds() {
+				return n
+			}
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+	t.Fatal("nobody holds the duty")
+	return nil
+}
+
+// load has each member begin a request of each of two customers ten times a second, for a
+// time.
+func (c *cluster) generateRequests(d time.Duration) {
+	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+		c.mu.Lock()
+		for _, n := range c.nodes {
+			n.Counter.Began("a")
+			n.Counter.Began("b")
+		}
+		c.mu.Unlock()
+	}
+}
+
+// play runs a test in a bubble of its own time, with three gateways of which one holds the
+// duty and has reported.
+func runCluster(t *testing.T, test func(t *testing.T, c *cluster, holder *node)) {
+	synctest.Test(t, func(t *testing.T) {
+		c := newCluster(t, "a", "b", "c")
+		c.generateRequests(15 * time.Second)
+		test(t, c, c.waitForHolder(t))
+		c.mu.Lock()
+		all := append([]*node(nil), c.nodes...)
+		c.mu.Unlock()
+		for _, n := range all {
+			c.kill(n)
+		}
+		c.stop()
+		c.exchange.Wait()
+	})
+}
+
+// expectReported checks that windows have been reported in time, whole to a part.
+func (c *cluster) expectReported(t *testing.T, first, last uint64, want int64, tolerance float64) {
+	t.Helper()
+	c.platform.mu.Lock()
+	defer c.platform.mu.Unlock()
+	for window := first; window <= last; window++ {
+		counts, ok := c.platform.accepted[window]
+		if !ok || c.platform.delays[window] > 10*time.Second {
+			t.Errorf("window %d: reported %v, after %v", window, ok, c.platform.delays[window])
+			continue
+		}
+		if got := float64(counts["a"]); got < float64(want)*(1-tolerance) || got > float64(want)*(1+tolerance) {
+			t.Errorf("window %d: %v requests, want %d", window, got, want)
+		}
+	}
+}
+
+func currentWindow() uint64 { return fiveSeconds.Number(time.Now()) }
+
+// perWindow is what the three members begin for a customer in a window.
+const requestsPerWindow = 150
--- a/internal/gateway/usage/config.go
+++ b/internal/gateway/usage/config.go
@@ -12,12 +12,12 @@
 const (
 	// renewFraction, campaignFraction, marginFraction and backoffFactor are of how long the lease holds: a
 	// holder has two more tries after a renewal that failed.
-	renewFraction    = 3
-	campaignFraction = 4
-	marginFraction   = 5
+	renewDivisor    = 3
+	campaignDivisor = 4
+	marginDivisor   = 5
 	// durationFraction is the part of LeaseTime for which a write of the lease holds: a successor
 	// waits for its end, and two changes of holder take longer than LeaseTime.
-	durationFraction = 0.7
+	leaseDurationFraction = 0.7
 	// backoffFactor is for how many LeaseTimes a holder that was deposed leaves the duty to
 	// others, so that holders never act in the order A, B, A within one.
 	backoffFactor = 1.5
@@ -64,10 +64,10 @@
 }
 
 // timing is the lease's.
-func (c *Config) timing() lease.Timing {
-	held := time.Duration(durationFraction * float64(c.LeaseTime))
+func (c *Config) leaseTiming() lease.Timing {
+	duration := time.Duration(leaseDurationFraction * float64(c.LeaseTime))
 	return lease.Timing{
-		Duration: held, Margin: held / marginFraction, Renew: held / renewFraction, Campaign: held / campaignFraction,
+		Duration: duration, Margin: duration / marginDivisor, Renew: duration / renewDivisor, Campaign: duration / campaignDivisor,
 		Rest: time.Duration(backoffFactor * float64(c.LeaseTime)),
 	}
 }
--- a/internal/gateway/usage/counter.go
+++ b/internal/gateway/usage/counter.go
@@ -9,10 +9,10 @@
 
 const (
 	// maxCounts bounds the counts of an update, which is part of a datagram.
-	maxCounts = 400
+	maxUpdateCounts = 400
 	// maxWindows bounds the windows for which counts are kept: those of a minute or more
 	// in which nobody could report.
-	maxWindows = 24
+	maxRetainedWindows = 24
 )
 
 // Counter counts the requests of this gateway. All methods may be called concurrently.
@@ -23,7 +23,7 @@
 	// mu guards what follows; nothing is locked while it is held.
 	mu       sync.Mutex
 	sequence uint64
-	counts   map[countKey]*counted
+	counts   map[countKey]*requestCount
 }
 
 type countKey struct {
@@ -31,15 +31,15 @@
 	customer string
 }
 
-type counted struct {
+type requestCount struct {
 	requests int64
 	// changed is the sequence of the last change.
-	changed uint64
+	changeSequence uint64
 }
 
 // NewCounter returns a Counter by a clock of true time.
 func NewCounter(w Windows, now func() time.Time) *Counter {
-	return &Counter{windows: w, now: now, counts: map[countKey]*counted{}}
+	return &Counter{windows: w, now: now, counts: map[countKey]*requestCount{}}
 }
 
 // Began counts a request that a backend server began to run now.
@@ -48,21 +48,21 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	key := countKey{window, customer}
-	n := c.counts[key]
-	if n == nil {
-		c.expire(window)
-		n = &counted{}
-		c.counts[key] = n
+	count := c.counts[key]
+	if count == nil {
+		c.expireLocked(window)
+		count = &requestCount{}
+		c.counts[key] = count
 	}
 	c.sequence++
-	n.requests++
-	n.changed = c.sequence
+	count.requests++
+	count.changeSequence = c.sequence
 }
 
 // expire drops windows that are too old to be reported; c.mu is held.
-func (c *Counter) expire(newest uint64) {
+func (c *Counter) expireLocked(newest uint64) {
 	for key := range c.counts {
-		if key.window+maxWindows < newest {
+		if key.window+maxRetainedWindows < newest {
 			delete(c.counts, key)
 		}
 	}
@@ -70,27 +70,27 @@
 
 // Update returns what has changed after a sequence number.
 func (c *Counter) Update(after uint64) Update {
-	upto := c.now().UnixMilli()
+	completeUntil := c.now().UnixMilli()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	type change struct {
 		Count
 		sequence uint64
 	}
-	var changed []change
-	for key, n := range c.counts {
-		if n.changed > after {
-			changed = append(changed, change{Count{Window: key.window, Customer: key.customer, Requests: n.requests}, n.changed})
+	var changes []change
+	for key, count := range c.counts {
+		if count.changeSequence > after {
+			changes = append(changes, change{Count{Window: key.window, Customer: key.customer, Requests: count.requests}, count.changeSequence})
 		}
 	}
-	slices.SortFunc(changed, func(a, b change) int { return cmp.Compare(a.sequence, b.sequence) })
-	u := Update{Sequence: c.sequence, Upto: upto}
-	if len(changed) > maxCounts {
-		changed = changed[:maxCounts]
-		u.Sequence, u.Upto = changed[maxCounts-1].sequence, 0
+	slices.SortFunc(changes, func(a, b change) int { return cmp.Compare(a.sequence, b.sequence) })
+	update := Update{Sequence: c.sequence, CompleteUntil: completeUntil}
+	if len(changes) > maxUpdateCounts {
+		changes = changes[:maxUpdateCounts]
+		update.Sequence, update.CompleteUntil = changes[maxUpdateCounts-1].sequence, 0
 	}
-	for _, ch := range changed {
-		u.Counts = append(u.Counts, ch.Count)
+	for _, change := range changes {
+		update.Counts = append(update.Counts, change.Count)
 	}
-	return u
+	return update
 }
--- a/internal/gateway/usage/finalize.go
+++ b/internal/gateway/usage/finalize.go
@@ -16,14 +16,14 @@
 
 // finalizeDue finalizes the reports of windows as they are complete, until the lease is
 // lost.
-func (r *Reporter) finalizeDue(ctx context.Context, held *lease.Lease) error {
+func (r *Reporter) finalizeLoop(ctx context.Context, heldLease *lease.Lease) error {
 	for ctx.Err() == nil {
-		window, due := r.due()
+		window, due := r.nextDueWindow()
 		if !due {
 			pause.For(ctx, pollInterval)
 			continue
 		}
-		if err := r.finalize(ctx, held, window); err != nil {
+		if err := r.finalize(ctx, heldLease, window); err != nil {
 			return err
 		}
 	}
@@ -31,49 +31,49 @@
 }
 
 // due is the next window whose counts are complete, or have been waited for long enough.
-func (r *Reporter) due() (uint64, bool) {
+func (r *Reporter) nextDueWindow() (uint64, bool) {
 	now := r.Now()
 	r.mu.Lock()
-	window, due := r.ledger.Next(r.Windows.Number(now.Add(-settle)) - 1)
+	window, due := r.ledger.Next(r.Windows.Number(now.Add(-settleDelay)) - 1)
 	r.mu.Unlock()
 	if !due {
 		return 0, false
 	}
-	r.mergeOwn()
+	r.mergeOwnCounts()
 	end := r.Windows.End(window)
-	if now.Sub(end) < time.Duration(waitFraction*float64(r.Delay)) && len(r.missing(window)) > 0 {
+	if now.Sub(end) < time.Duration(maxWaitFraction*float64(r.Delay)) && len(r.incompleteGateways(window)) > 0 {
 		return 0, false
 	}
 	return window, true
 }
 
 // missing names the gateways whose counts of a window aren't complete.
-func (r *Reporter) missing(window uint64) []string {
+func (r *Reporter) incompleteGateways(window uint64) []string {
 	end := r.Windows.End(window)
-	return r.Aggregate.Missing(end.Add(-r.Windows.Length), end)
+	return r.Aggregate.IncompleteGateways(end.Add(-r.Windows.Length), end)
 }
 
 // finalize stores a window's report: it is in the store before it is sent, in one transaction
 // under the lease. What was tried once is tried again unchanged, since a write without an
 // answer may still be carried out.
-func (r *Reporter) finalize(ctx context.Context, held *lease.Lease, window uint64) error {
+func (r *Reporter) finalize(ctx context.Context, heldLease *lease.Lease, window uint64) error {
 	end := r.Windows.End(window)
-	missing := r.missing(window)
+	incomplete := r.incompleteGateways(window)
 	report := Report{Window: window, Counts: r.Aggregate.Sum(window)}
 	for ctx.Err() == nil {
 		r.mu.Lock()
-		next := r.ledger.Finalize(report)
+		nextLedger := r.ledger.Finalize(report)
 		r.mu.Unlock()
-		value, err := cbor.Marshal(next)
+		encoded, err := cbor.Marshal(nextLedger)
 		if err != nil {
 			return errors.Wrap(err, "encode the ledger")
 		}
-		err = held.Commit(ctx, []storage.Write{{Key: ledgerKey, Value: value, Expect: storage.AnyVersion}})
+		err = heldLease.Commit(ctx, []storage.Write{{Key: ledgerKey, Value: encoded, Expect: storage.AnyVersion}})
 		switch {
 		case err == nil:
-			r.finalized(report)
-			r.Log.Info(logging.EventUsageFinalized, zap.Uint64("window", window), zap.Int64("requests", report.total()),
-				zap.Int("customers", len(report.Counts)), zap.Duration("after", r.Now().Sub(end)), zap.Strings("missing", missing))
+			r.recordFinalized(report)
+			r.Log.Info(logging.EventUsageFinalized, zap.Uint64("window", window), zap.Int64("requests", report.totalRequests()),
+				zap.Int("customers", len(report.Counts)), zap.Duration("after", r.Now().Sub(end)), zap.Strings("missing", incomplete))
 			return nil
 		case errors.Is(err, lease.ErrLost):
 			return err
@@ -85,20 +85,20 @@
 }
 
 // finalized notes that a report is stored.
-func (r *Reporter) finalized(report Report) {
+func (r *Reporter) recordFinalized(report Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ledger = r.ledger.Finalize(report)
-	r.own = append(r.own, report)
-	r.own = r.own[max(0, len(r.own)-maxOwn):]
+	r.ownReports = append(r.ownReports, report)
+	r.ownReports = r.ownReports[max(0, len(r.ownReports)-maxOwnReports):]
 	r.Aggregate.Expire(time.Now(), r.ledger.Finalized)
 }
 
 // total adds up the requests of all customers.
-func (r *Report) total() int64 {
-	var n int64
+func (r *Report) totalRequests() int64 {
+	var total int64
 	for _, requests := range r.Counts {
-		n += requests
+		total += requests
 	}
-	return n
+	return total
 }
--- a/internal/gateway/usage/ledger.go
+++ b/internal/gateway/usage/ledger.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // maxPending bounds the reports that wait for the platform: those of a minute.
-const maxPending = 12
+const maxPendingReports = 12
 
 // Ledger is what has been reported, as it is stored under the lease. Its methods decide
 // what may be reported; they return a changed copy. Its fields have numbers for names, so
@@ -19,12 +19,14 @@
 }
 
 // Next is the next window to finalize; false if it isn't over.
-func (l Ledger) Next(over uint64) (uint64, bool) { return l.Finalized + 1, l.Finalized < over }
+func (l Ledger) Next(lastClosed uint64) (uint64, bool) {
+	return l.Finalized + 1, l.Finalized < lastClosed
+}
 
 // Finalize adds a final report. Of more than can be kept the oldest are given up.
 func (l Ledger) Finalize(r Report) Ledger {
 	pending := append(slices.Clone(l.Pending), r)
-	return Ledger{Era: l.Era, Finalized: max(l.Finalized, r.Window), Pending: pending[max(0, len(pending)-maxPending):]}
+	return Ledger{Era: l.Era, Finalized: max(l.Finalized, r.Window), Pending: pending[max(0, len(pending)-maxPendingReports):]}
 }
 
 // Accept notes that the platform has a window's report.
@@ -49,22 +51,22 @@
 // written late by a holder of before: windows that are over are not counted again then.
 // Their reports are sent as they were where this process finalized them, and left out
 // otherwise.
-func Recover(stored Ledger, found bool, m Memory) Ledger {
-	l := Ledger{Era: m.Era, Finalized: stored.Finalized}
-	if m.Era == stored.Era {
+func Recover(stored Ledger, found bool, local Memory) Ledger {
+	l := Ledger{Era: local.Era, Finalized: stored.Finalized}
+	if local.Era == stored.Era {
 		l.Pending = slices.Clone(stored.Pending)
 	}
-	for _, r := range m.Own {
+	for _, r := range local.Own {
 		if r.Window > stored.Finalized {
 			l = l.Finalize(r)
 		}
 	}
 	switch {
-	case m.Era > stored.Era:
-		l.Finalized = max(l.Finalized, m.Over)
+	case local.Era > stored.Era:
+		l.Finalized = max(l.Finalized, local.Over)
 	case !found:
 		// The first holder of all begins with the window of its start.
-		l.Finalized = max(l.Finalized, m.Started-min(m.Started, 1))
+		l.Finalized = max(l.Finalized, local.Started-min(local.Started, 1))
 	}
 	return l
 }
--- a/internal/gateway/usage/reporter.go
+++ b/internal/gateway/usage/reporter.go
@@ -22,15 +22,15 @@
 	// pollInterval is how often a holder looks what is due.
 	pollInterval = 50 * time.Millisecond
 	// settle is how long after a window's end its counts are complete at the soonest.
-	settle = 300 * time.Millisecond
+	settleDelay = 300 * time.Millisecond
 	// waitFraction is the part of the delay for which gateways are waited for whose counts
 	// aren't complete: most that are suspended wake within it, and the rest is for a change
 	// of holder.
-	waitFraction = 0.4
+	maxWaitFraction = 0.4
 	// candidates is how many gateways campaign for the lease at a time.
-	candidates = 2
+	maxCandidates = 2
 	// maxOwn bounds the finalized reports that a process remembers.
-	maxOwn = 2 * maxPending
+	maxOwnReports = 2 * maxPendingReports
 )
 
 // Reporter is a gateway's part in the duty. All methods may be called concurrently.
@@ -46,43 +46,43 @@
 	// mu guards what follows; nothing else is locked while it is held.
 	mu sync.Mutex
 	// holds says that this gateway holds the duty, by ledger.
-	holds  bool
-	ledger Ledger
+	holdsLease bool
+	ledger     Ledger
 	// own are the last reports that this process finalized.
-	own []Report
+	ownReports []Report
 	// accepted are the last windows whose reports the platform accepted.
-	accepted []uint64
+	acceptedWindows []uint64
 	// rows is how many rows the last checkpoint took.
-	rows int
+	checkpointRows int
 }
 
 // NewReporter returns a Reporter; Run starts it.
 func NewReporter(c Config) *Reporter {
 	r := &Reporter{Config: c, Counter: NewCounter(c.Windows, c.Now), Aggregate: NewAggregate(c.Windows, c.Now), started: time.Now()}
-	r.lease = lease.NewTimed(c.Table, leaseName, c.Name, c.timing())
+	r.lease = lease.NewTimed(c.Table, leaseName, c.Name, c.leaseTiming())
 	return r
 }
 
 // Run campaigns for the duty and does it while this gateway holds it, until ctx ends.
 func (r *Reporter) Run(ctx context.Context) {
 	keeper := lease.NewKeeper(r.lease, r.Log)
-	keeper.Standby, keeper.With = r.standby, r.checkpoint
-	keeper.Run(ctx, r.act)
+	keeper.Standby, keeper.With = r.shouldCampaign, r.checkpointWrites
+	keeper.Run(ctx, r.runAsHolder)
 }
 
 // standby reports whether this gateway is to campaign: no live peer holds the duty, and it
 // is one of the first that could. A process that has just started may be on a machine that
 // held the duty under its earlier start.
-func (r *Reporter) standby() bool {
+func (r *Reporter) shouldCampaign() bool {
 	return r.Able() && time.Since(r.started) > time.Duration(backoffFactor*float64(r.LeaseTime)) &&
-		!r.Others.Reporting() && r.Others.Before() < candidates
+		!r.Others.Reporting() && r.Others.Before() < maxCandidates
 }
 
 // Holds reports whether this gateway holds the duty.
 func (r *Reporter) Holds() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.holds
+	return r.holdsLease
 }
 
 // Generation is that of the duty while this gateway holds it; 0 otherwise.
@@ -94,27 +94,27 @@
 }
 
 // act does the duty while the lease is held.
-func (r *Reporter) act(ctx context.Context, held *lease.Lease) error {
-	if err := r.recover(ctx); err != nil {
+func (r *Reporter) runAsHolder(ctx context.Context, heldLease *lease.Lease) error {
+	if err := r.loadState(ctx); err != nil {
 		return err
 	}
-	defer r.leave()
+	defer r.recordLeaseLost()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var background conc.WaitGroup
-	var finalizing error
-	background.Go(func() {
+	var finalizer conc.WaitGroup
+	var finalizeErr error
+	finalizer.Go(func() {
 		defer cancel()
-		finalizing = r.finalizeDue(ctx, held)
+		finalizeErr = r.finalizeLoop(ctx, heldLease)
 	})
-	err := r.sendDue(ctx, held)
+	err := r.sendLoop(ctx, heldLease)
 	cancel()
-	background.Wait()
-	return errors.Join(err, finalizing)
+	finalizer.Wait()
+	return errors.Join(err, finalizeErr)
 }
 
 // recover reads what the holder before has left.
-func (r *Reporter) recover(ctx context.Context) error {
+func (r *Reporter) loadState(ctx context.Context) error {
 	stored, found, err := r.readLedger(ctx)
 	if err != nil {
 		return err
@@ -127,25 +127,25 @@
 	if err != nil {
 		return err
 	}
-	if err := r.Aggregate.restore(counts); err != nil {
+	if err := r.Aggregate.restoreCheckpoint(counts); err != nil {
 		r.Log.Error(logging.EventUsageUnreadable, zap.Error(err))
 	}
 	var era uint64
-	if t, ok := r.Table.(storage.Eras); ok {
-		era = t.Era()
+	if eras, ok := r.Table.(storage.Eras); ok {
+		era = eras.Era()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Now()
 	r.ledger = Recover(stored, found, Memory{
-		Era: era, Own: r.own, Started: r.Windows.Number(now.Add(-time.Since(r.started))), Over: r.Windows.Number(now) - 1,
+		Era: era, Own: r.ownReports, Started: r.Windows.Number(now.Add(-time.Since(r.started))), Over: r.Windows.Number(now) - 1,
 	})
 	for _, window := range accepted {
 		r.ledger = r.ledger.Accept(window)
 	}
-	r.accepted = accepted
-	r.holds = true
-	r.rows = len(counts)
+	r.acceptedWindows = accepted
+	r.holdsLease = true
+	r.checkpointRows = len(counts)
 	r.Log.Info(logging.EventUsageHeld, zap.Uint64("generation", r.lease.Fence()),
 		zap.Uint64("stored", stored.Finalized), zap.Uint64("finalized", r.ledger.Finalized), zap.Int("pending", len(r.ledger.Pending)))
 	return nil
@@ -160,11 +160,11 @@
 	case err != nil:
 		return Ledger{}, false, err
 	}
-	var l Ledger
-	if err := cbor.Unmarshal(row.Value, &l); err != nil {
+	var ledger Ledger
+	if err := cbor.Unmarshal(row.Value, &ledger); err != nil {
 		return Ledger{}, false, errors.Wrap(ErrCorrupt, err.Error())
 	}
-	return l, true, nil
+	return ledger, true, nil
 }
 
 // readAccepted reads which reports the platform is known to have.
@@ -176,44 +176,44 @@
 	case err != nil:
 		return nil, err
 	}
-	return readAccepted(row)
+	return decodeAccepted(row)
 }
 
 // leave notes that the duty isn't held any more.
-func (r *Reporter) leave() {
+func (r *Reporter) recordLeaseLost() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.holds = false
+	r.holdsLease = false
 	r.Log.Info(logging.EventUsageLeft, zap.Uint64("finalized", r.ledger.Finalized), zap.Int("pending", len(r.ledger.Pending)))
 }
 
 // mergeOwn merges this gateway's own counts.
-func (r *Reporter) mergeOwn() {
+func (r *Reporter) mergeOwnCounts() {
 	from := Source{Gateway: r.Name, Start: r.Start}
 	r.Aggregate.Merge(time.Now(), from, r.Counter.Update(r.Aggregate.Sequence(from)))
 }
 
 // checkpoint are the writes from which the next holder restores the counts.
-func (r *Reporter) checkpoint() []storage.Write {
+func (r *Reporter) checkpointWrites() []storage.Write {
 	r.mu.Lock()
-	holds, finalized, before, acceptedWindows := r.holds, r.ledger.Finalized, r.rows, slices.Clone(r.accepted)
+	holdsLease, finalized, previousRows, acceptedWindows := r.holdsLease, r.ledger.Finalized, r.checkpointRows, slices.Clone(r.acceptedWindows)
 	r.mu.Unlock()
-	if !holds {
+	if !holdsLease {
 		return nil
 	}
-	r.mergeOwn()
-	rows, err := r.Aggregate.checkpoint(finalized)
+	r.mergeOwnCounts()
+	rows, err := r.Aggregate.encodeCheckpoint(finalized)
 	if err != nil {
 		r.Log.Error(logging.EventUsageUnreadable, zap.Error(err))
 		return nil
 	}
 	r.mu.Lock()
-	r.rows = len(rows)
+	r.checkpointRows = len(rows)
 	r.mu.Unlock()
-	accepted, err := acceptedWrite(acceptedWindows)
+	acceptedWrite, err := encodeAccepted(acceptedWindows)
 	if err != nil {
 		r.Log.Error(logging.EventUsageUnreadable, zap.Error(err))
 		return nil
 	}
-	return append(countWrites(rows, before), accepted)
+	return append(checkpointWrites(rows, previousRows), acceptedWrite)
 }
--- a/internal/gateway/usage/reporter_test.go
+++ b/internal/gateway/usage/reporter_test.go
@@ -10,12 +10,12 @@
 )
 
 func TestWindowsAreReportedOnce(t *testing.T) {
-	play(t, func(t *testing.T, f *fleet, _ *member) {
-		first := thisWindow()
-		f.load(30 * time.Second)
-		f.expectReported(t, first, thisWindow()-2, perWindow, 0.02)
-		if calls := f.judge.calls; calls > len(f.judge.taken) {
-			t.Errorf("%d calls for %d windows", calls, len(f.judge.taken))
+	runCluster(t, func(t *testing.T, c *cluster, _ *node) {
+		first := currentWindow()
+		c.generateRequests(30 * time.Second)
+		c.expectReported(t, first, currentWindow()-2, requestsPerWindow, 0.02)
+		if calls := c.platform.calls; calls > len(c.platform.accepted) {
+			t.Errorf("%d calls for %d windows", calls, len(c.platform.accepted))
 		}
 	})
 }
@@ -23,18 +23,18 @@
 // A successor has the counts of a holder that is killed, and those of its own that it sent.
 func TestSuccessorReportsInTime(t *testing.T) {
 	for _, after := range []time.Duration{100 * time.Millisecond, 1300 * time.Millisecond, 4900 * time.Millisecond, 5200 * time.Millisecond} {
-		play(t, func(t *testing.T, f *fleet, holder *member) {
-			first := thisWindow()
-			f.load(after)
-			f.kill(holder)
+		runCluster(t, func(t *testing.T, c *cluster, holder *node) {
+			first := currentWindow()
+			c.generateRequests(after)
+			c.kill(holder)
 			// Two go on: what is lost is what the third would have begun.
-			f.load(30 * time.Second)
-			f.expectReported(t, first+2, thisWindow()-2, perWindow*2/3, 0.02)
-			f.judge.mu.Lock()
-			defer f.judge.mu.Unlock()
+			c.generateRequests(30 * time.Second)
+			c.expectReported(t, first+2, currentWindow()-2, requestsPerWindow*2/3, 0.02)
+			c.platform.mu.Lock()
+			defer c.platform.mu.Unlock()
 			for w := first; w < first+2; w++ {
-				if f.judge.at[w] > 10*time.Second || f.judge.taken[w]["a"] < perWindow*2/3*95/100 {
-					t.Errorf("window %d: %v after %v", w, f.judge.taken[w], f.judge.at[w])
+				if c.platform.delays[w] > 10*time.Second || c.platform.accepted[w]["a"] < requestsPerWindow*2/3*95/100 {
+					t.Errorf("window %d: %v after %v", w, c.platform.accepted[w], c.platform.delays[w])
 				}
 			}
 		})
@@ -42,67 +42,67 @@
 }
 
 // All that was sent survives the loss of all gateways.
-func TestCountsOutliveAllGateways(t *testing.T) {
-	play(t, func(t *testing.T, f *fleet, holder *member) {
-		for time.Until(fiveSeconds.End(thisWindow())) > time.Second {
-			f.load(100 * time.Millisecond)
+func TestCountsSurviveRestartOfAllGateways(t *testing.T) {
+	runCluster(t, func(t *testing.T, c *cluster, holder *node) {
+		for time.Until(fiveSeconds.End(currentWindow())) > time.Second {
+			c.generateRequests(100 * time.Millisecond)
 		}
-		window := thisWindow()
-		for _, m := range []string{"a", "b", "c"} {
-			for _, member := range append([]*member(nil), f.members...) {
-				if member.Name == m {
-					f.kill(member)
+		window := currentWindow()
+		for _, name := range []string{"a", "b", "c"} {
+			for _, node := range append([]*node(nil), c.nodes...) {
+				if node.Name == name {
+					c.kill(node)
 				}
 			}
 		}
-		f.start(t, "a", 11)
-		f.start(t, "b", 12)
+		c.start(t, "a", 11)
+		c.start(t, "b", 12)
 		time.Sleep(12 * time.Second)
 		// Four seconds began, and what the last of them had may be lost.
-		began := int64(perWindow) * 4 / 5
-		lost := int64(perWindow) / 5
-		f.expectReported(t, window, window, began-lost/2, float64(lost/2)/float64(began-lost/2))
+		started := int64(requestsPerWindow) * 4 / 5
+		lost := int64(requestsPerWindow) / 5
+		c.expectReported(t, window, window, started-lost/2, float64(lost/2)/float64(started-lost/2))
 	})
 }
 
 // A holder that has no way to the store gives the duty up to one that has.
-func TestHolderWithoutTheStoreGivesUp(t *testing.T) {
-	play(t, func(t *testing.T, f *fleet, holder *member) {
-		first := thisWindow()
-		f.set(&holder.alone, true)
-		f.load(20 * time.Second)
-		f.expectReported(t, first, thisWindow()-2, perWindow, 0.02)
-		f.set(&holder.alone, false)
-		f.load(20 * time.Second)
-		if turns := len(f.judge.turns); turns != 2 {
-			t.Errorf("holders acted in the order %v", f.judge.turns)
+func TestHolderWithoutStoreLosesLease(t *testing.T) {
+	runCluster(t, func(t *testing.T, c *cluster, holder *node) {
+		first := currentWindow()
+		c.setFlag(&holder.storeUnreachable, true)
+		c.generateRequests(20 * time.Second)
+		c.expectReported(t, first, currentWindow()-2, requestsPerWindow, 0.02)
+		c.setFlag(&holder.storeUnreachable, false)
+		c.generateRequests(20 * time.Second)
+		if changes := len(c.platform.holderOrder); changes != 2 {
+			t.Errorf("holders acted in the order %v", c.platform.holderOrder)
 		}
 	})
 }
 
 // Two partitioned halves have one holder, which the store decides.
-func TestHalvesHaveOneHolder(t *testing.T) {
-	play(t, func(t *testing.T, f *fleet, holder *member) {
-		f.set(&holder.cut, true)
-		f.load(40 * time.Second)
-		if turns := f.judge.turns; len(turns) > 1 {
-			t.Errorf("holders acted in the order %v while one had the lease", turns)
+func TestPartitionHasOneHolder(t *testing.T) {
+	runCluster(t, func(t *testing.T, c *cluster, holder *node) {
+		c.setFlag(&holder.partitioned, true)
+		c.generateRequests(40 * time.Second)
+		if order := c.platform.holderOrder; len(order) > 1 {
+			t.Errorf("holders acted in the order %v while one had the lease", order)
 		}
 	})
 }
 
 // While the store is away reports wait; they come once it is back, and once each.
-func TestReportsWaitForTheStore(t *testing.T) {
-	play(t, func(t *testing.T, f *fleet, _ *member) {
-		first := thisWindow()
-		f.table.SetDown(true)
-		f.load(9 * time.Second)
-		f.table.SetDown(false)
-		f.load(20 * time.Second)
-		f.judge.mu.Lock()
-		defer f.judge.mu.Unlock()
-		for w := first; w < thisWindow()-1; w++ {
-			if got := f.judge.taken[w]["a"]; got < perWindow*98/100 || got > perWindow*102/100 {
+func TestReportsResumeAfterStoreOutage(t *testing.T) {
+	runCluster(t, func(t *testing.T, c *cluster, _ *node) {
+		first := currentWindow()
+		c.table.SetDown(true)
+		c.generateRequests(9 * time.Second)
+		c.table.SetDown(false)
+		c.generateRequests(20 * time.Second)
+		c.platform.mu.Lock()
+		defer c.platform.mu.Unlock()
+		for w := first; w < currentWindow()-1; w++ {
+			if got := c.platform.accepted[w]["a"]; got < requestsPerWindow*98/100 || got > requestsPerWindow*102/100 {
 				t.Errorf("window %d: %d requests", w, got)
 			}
 		}
@@ -112,18 +112,18 @@
 // Answers of the store are lost, and writes are carried out late.
 func TestLostAndLateWrites(t *testing.T) {
 	for _, fault := range []storagetest.Fault{storagetest.FaultLost, storagetest.FaultDropped, storagetest.FaultLate, storagetest.FaultDown, storagetest.FaultSlow} {
-		play(t, func(t *testing.T, f *fleet, _ *member) {
-			first := thisWindow()
+		runCluster(t, func(t *testing.T, c *cluster, _ *node) {
+			first := currentWindow()
 			for range 10 {
-				f.table.FailCommits(storagetest.FaultNone, fault, fault, storagetest.FaultNone)
-				f.load(2 * time.Second)
-				f.table.Land()
+				c.table.FailCommits(storagetest.FaultNone, fault, fault, storagetest.FaultNone)
+				c.generateRequests(2 * time.Second)
+				c.table.Land()
 			}
-			f.load(15 * time.Second)
-			f.judge.mu.Lock()
-			defer f.judge.mu.Unlock()
-			for w := first; w < thisWindow()-2; w++ {
-				if got := f.judge.taken[w]["a"]; got < perWindow*95/100 {
+			c.generateRequests(15 * time.Second)
+			c.platform.mu.Lock()
+			defer c.platform.mu.Unlock()
+			for w := first; w < currentWindow()-2; w++ {
+				if got := c.platform.accepted[w]["a"]; got < requestsPerWindow*95/100 {
 					t.Errorf("fault %d, window %d: %d requests", fault, w, got)
 				}
 			}
@@ -132,40 +132,40 @@
 }
 
 // A platform that doesn't answer, or is busy, gets the same report again.
-func TestReportsAreSentAgain(t *testing.T) {
+func TestFailedReportsAreRetried(t *testing.T) {
 	for _, err := range []error{ErrBusy, ErrNoAnswer, ErrRefused} {
-		play(t, func(t *testing.T, f *fleet, _ *member) {
-			first := thisWindow()
+		runCluster(t, func(t *testing.T, c *cluster, _ *node) {
+			first := currentWindow()
 			n := 0
-			f.judge.mu.Lock()
-			f.judge.answer = func() error {
+			c.platform.mu.Lock()
+			c.platform.respond = func() error {
 				if n++; n%4 != 0 {
 					return err
 				}
 				return nil
 			}
-			f.judge.mu.Unlock()
-			f.load(30 * time.Second)
-			f.expectReported(t, first, thisWindow()-3, perWindow, 0.02)
+			c.platform.mu.Unlock()
+			c.generateRequests(30 * time.Second)
+			c.expectReported(t, first, currentWindow()-3, requestsPerWindow, 0.02)
 		})
 	}
 }
 
 // Who is refused since another has a higher generation calls no more under its own, and
 // leaves the duty to others.
-func TestDeposedHolderStepsDown(t *testing.T) {
-	play(t, func(t *testing.T, f *fleet, holder *member) {
+func TestFencedHolderStepsDown(t *testing.T) {
+	runCluster(t, func(t *testing.T, c *cluster, holder *node) {
 		generation := holder.Generation()
-		f.judge.mu.Lock()
-		f.judge.newest = generation + 1
-		f.judge.mu.Unlock()
-		f.load(27 * time.Second)
-		if now := f.holder(t); now.Name == holder.Name || now.Generation() <= generation {
-			t.Errorf("%s holds generation %d after %s was refused with %d", now.Name, now.Generation(), holder.Name, generation)
+		c.platform.mu.Lock()
+		c.platform.newestGeneration = generation + 1
+		c.platform.mu.Unlock()
+		c.generateRequests(27 * time.Second)
+		if current := c.waitForHolder(t); current.Name == holder.Name || current.Generation() <= generation {
+			t.Errorf("%s holds generation %d after %s was refused with %d", current.Name, current.Generation(), holder.Name, generation)
 		}
-		f.judge.mu.Lock()
-		defer f.judge.mu.Unlock()
-		if got := f.judge.refused[generation]; got != 1 {
+		c.platform.mu.Lock()
+		defer c.platform.mu.Unlock()
+		if got := c.platform.fenced[generation]; got != 1 {
 			t.Errorf("%d calls were refused under generation %d, want the one that told of it", got, generation)
 		}
 	})
@@ -173,25 +173,25 @@
 
 // The store comes back from an older copy without the last reports: what may have been
 // sent isn't counted again, and no generation is given out twice.
-func TestNothingIsReportedTwiceAfterAReturn(t *testing.T) {
+func TestNoDuplicateReportsAfterStoreRestore(t *testing.T) {
 	for _, kill := range []bool{false, true} {
-		play(t, func(t *testing.T, f *fleet, holder *member) {
-			older := f.table.Copy()
-			first := thisWindow()
-			f.load(12 * time.Second)
-			before := holder.Generation()
-			f.table.Return(older)
+		runCluster(t, func(t *testing.T, c *cluster, holder *node) {
+			snapshot := c.table.Copy()
+			first := currentWindow()
+			c.generateRequests(12 * time.Second)
+			generation := holder.Generation()
+			c.table.Return(snapshot)
 			if kill {
-				f.kill(holder)
+				c.kill(holder)
 			}
-			f.load(30 * time.Second)
-			if now := f.holder(t); now.Generation() <= before {
-				t.Errorf("generation %d after %d", now.Generation(), before)
+			c.generateRequests(30 * time.Second)
+			if current := c.waitForHolder(t); current.Generation() <= generation {
+				t.Errorf("generation %d after %d", current.Generation(), generation)
 			}
-			f.judge.mu.Lock()
-			defer f.judge.mu.Unlock()
-			for w := first + 4; w < thisWindow()-2; w++ {
-				if _, ok := f.judge.taken[w]; !ok {
+			c.platform.mu.Lock()
+			defer c.platform.mu.Unlock()
+			for w := first + 4; w < currentWindow()-2; w++ {
+				if _, ok := c.platform.accepted[w]; !ok {
 					t.Errorf("window %d isn't reported, killed %v", w, kill)
 				}
 			}
@@ -208,25 +208,25 @@
 		for i := range gateways {
 			names = append(names, fmt.Sprintf("gateway-%02d", i))
 		}
-		f := newFleet(t, names...)
-		f.load(15 * time.Second)
-		first := thisWindow()
-		for _, m := range append([]*member(nil), f.members[:gateways/2]...) {
-			f.kill(m)
+		c := newCluster(t, names...)
+		c.generateRequests(15 * time.Second)
+		first := currentWindow()
+		for _, node := range append([]*node(nil), c.nodes[:gateways/2]...) {
+			c.kill(node)
 		}
-		f.load(20 * time.Second)
-		f.expectReported(t, first+1, thisWindow()-2, gateways/2*perWindow/3, 0.02)
+		c.generateRequests(20 * time.Second)
+		c.expectReported(t, first+1, currentWindow()-2, gateways/2*requestsPerWindow/3, 0.02)
 		holders := 0
-		for _, m := range append([]*member(nil), f.members...) {
-			if m.Holds() {
+		for _, node := range append([]*node(nil), c.nodes...) {
+			if node.Holds() {
 				holders++
 			}
-			f.kill(m)
+			c.kill(node)
 		}
 		if holders != 1 {
 			t.Errorf("%d hold the duty", holders)
 		}
-		f.stop()
-		f.gossiping.Wait()
+		c.stop()
+		c.exchange.Wait()
 	})
 }
--- a/internal/gateway/usage/send.go
+++ b/internal/gateway/usage/send.go
@@ -15,63 +15,63 @@
 
 const (
 	// minRetryPause and maxRetryPause bound the pause before a report is sent again.
-	minRetryPause = 200 * time.Millisecond
-	maxRetryPause = 2 * time.Second
+	minRetryDelay = 200 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
 )
 
 // sending is a report that the platform isn't known to have.
-type sending struct {
-	next time.Time
-	back *backoff.ExponentialBackOff
+type retryState struct {
+	nextAttempt time.Time
+	backOff     *backoff.ExponentialBackOff
 }
 
 // sendDue sends finalized reports until the lease is lost. One that gets no answer
 // doesn't hold up the others.
-func (r *Reporter) sendDue(ctx context.Context, held *lease.Lease) error {
-	waiting := map[uint64]*sending{}
+func (r *Reporter) sendLoop(ctx context.Context, heldLease *lease.Lease) error {
+	retries := map[uint64]*retryState{}
 	for ctx.Err() == nil {
-		report, ok := r.nextToSend(time.Now(), waiting)
+		report, ok := r.nextReportToSend(time.Now(), retries)
 		if !ok {
 			pause.For(ctx, pollInterval)
 			continue
 		}
-		if err := held.Check(); err != nil {
+		if err := heldLease.Check(); err != nil {
 			return err
 		}
-		err := r.Platform.Report(ctx, Holder{Name: r.Name, Generation: held.Fence()}, report)
+		err := r.Platform.Report(ctx, Holder{Name: r.Name, Generation: heldLease.Fence()}, report)
 		switch {
 		case err == nil:
-			delete(waiting, report.Window)
-			r.accept(report)
+			delete(retries, report.Window)
+			r.recordAccepted(report)
 		case errors.Is(err, ErrDeposed):
-			held.Deposed()
+			heldLease.Deposed()
 			r.Observer.Refused(err)
 			return err
 		case errors.Is(err, ErrBusy):
 			// It counts the calls of all duties together.
 			r.Observer.Refused(err)
-			pause.For(ctx, minRetryPause)
+			pause.For(ctx, minRetryDelay)
 		case ctx.Err() == nil:
 			r.Observer.Refused(err)
 			r.Log.Warn(logging.EventUsageFailed, zap.Uint64("window", report.Window), zap.Error(err))
-			waiting[report.Window].next = time.Now().Add(waiting[report.Window].back.NextBackOff())
+			retries[report.Window].nextAttempt = time.Now().Add(retries[report.Window].backOff.NextBackOff())
 		}
 	}
 	return nil
 }
 
 // nextToSend is the oldest report whose time has come.
-func (r *Reporter) nextToSend(now time.Time, waiting map[uint64]*sending) (Report, bool) {
+func (r *Reporter) nextReportToSend(now time.Time, retries map[uint64]*retryState) (Report, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, report := range r.ledger.Pending {
-		s := waiting[report.Window]
-		if s == nil {
-			s = &sending{next: now, back: backoff.NewExponentialBackOff()}
-			s.back.InitialInterval, s.back.MaxInterval = minRetryPause, maxRetryPause
-			waiting[report.Window] = s
+		retry := retries[report.Window]
+		if retry == nil {
+			retry = &retryState{nextAttempt: now, backOff: backoff.NewExponentialBackOff()}
+			retry.backOff.InitialInterval, retry.backOff.MaxInterval = minRetryDelay, maxRetryDelay
+			retries[report.Window] = retry
 		}
-		if !now.Before(s.next) {
+		if !now.Before(retry.nextAttempt) {
 			return report, true
 		}
 	}
@@ -79,14 +79,14 @@
 }
 
 // accept notes that the platform has a report.
-func (r *Reporter) accept(report Report) {
-	after := r.Now().Sub(r.Windows.End(report.Window))
+func (r *Reporter) recordAccepted(report Report) {
+	delay := r.Now().Sub(r.Windows.End(report.Window))
 	r.mu.Lock()
 	r.ledger = r.ledger.Accept(report.Window)
-	r.accepted = append(r.accepted, report.Window)
-	r.accepted = r.accepted[max(0, len(r.accepted)-maxPending):]
+	r.acceptedWindows = append(r.acceptedWindows, report.Window)
+	r.acceptedWindows = r.acceptedWindows[max(0, len(r.acceptedWindows)-maxPendingReports):]
 	r.mu.Unlock()
-	r.Observer.Reported(after, after > r.Delay)
-	r.Log.Info(logging.EventUsageReported, zap.Uint64("window", report.Window), zap.Int64("requests", report.total()),
-		zap.Int("customers", len(report.Counts)), zap.Uint64("generation", r.lease.Fence()), zap.Duration("after", after))
+	r.Observer.Reported(delay, delay > r.Delay)
+	r.Log.Info(logging.EventUsageReported, zap.Uint64("window", report.Window), zap.Int64("requests", report.totalRequests()),
+		zap.Int("customers", len(report.Counts)), zap.Uint64("generation", r.lease.Fence()), zap.Duration("after", delay))
 }
--- a/internal/gateway/usage/update.go
+++ b/internal/gateway/usage/update.go
@@ -22,6 +22,6 @@
 	Sequence uint64 `cbor:"1,keyasint,omitempty"`
 	// Upto is the Unix millisecond, in true time, up to which the counts are complete once
 	// the update is merged; 0 if the update was truncated.
-	Upto   int64   `cbor:"2,keyasint,omitempty"`
-	Counts []Count `cbor:"3,keyasint,omitempty"`
+	CompleteUntil int64   `cbor:"2,keyasint,omitempty"`
+	Counts        []Count `cbor:"3,keyasint,omitempty"`
 }
