--- a/internal/gateway/follow/as_of_test.go
+++ b/internal/gateway/follow/as_of_test.go
@@ -10,7 +10,7 @@
 	"github.com/applepier/applepier/internal/boottime"
 )
 
-// moments keeps when each batch counts from, seen from when it came.
+// ageSink records the age of each batch's as-of time at the moment the batch arrives.
 type ageSink struct{ ages []time.Duration }
 
 func (s *ageSink) Reset(asOf time.Duration, _ Batch[string]) { s.record(asOf) }
@@ -23,8 +23,8 @@
 
 func (s *ageSink) record(asOf time.Duration) { s.ages = append(s.ages, boottime.Now()-asOf) }
 
-// An answer without news that the store held back for the whole wait tells of
-// the end of the wait; any other only of when it was asked for.
+// An answer without changes that the store held back for the whole wait is as of the end of the
+// wait. Every other answer is only as of the start of the call.
 func TestAsOfTimeOfHeldAnswers(t *testing.T) {
 	const wait = 200 * time.Millisecond
 	src := &scriptedSource{calls: []scriptedCall{
@@ -42,13 +42,13 @@
 		t.Fatalf("%d batches", len(seen.ages))
 	}
 	if held := seen.ages[1]; held >= wait {
-		t.Errorf("an answer held for %v is %v old when it comes", wait, held)
+		t.Errorf("an answer without changes that was held for %v is %v old on arrival", wait, held)
 	}
 	if changed := seen.ages[2]; changed < wait {
-		t.Errorf("news of an answer that took %v are %v old", wait, changed)
+		t.Errorf("an answer with changes that took %v is %v old on arrival", wait, changed)
 	}
 	if early := seen.ages[3]; early < wait/4 {
-		t.Errorf("an answer without news that came early is %v old", early)
+		t.Errorf("an early answer without changes is %v old on arrival", early)
 	}
 }
 
@@ -57,7 +57,7 @@
 	f := Follower[string]{Wait: Always(777777777 * time.Nanosecond)}
 	for range 100 {
 		if wait := f.nextWait(); wait%time.Millisecond != 0 || wait > f.Wait() || wait < f.Wait()/2 {
-			t.Fatalf("a wait of %v", wait)
+			t.Fatalf("wait is %v", wait)
 		}
 	}
 }
--- a/internal/gateway/follow/convergence_property_test.go
+++ b/internal/gateway/follow/convergence_property_test.go
@@ -13,13 +13,13 @@
 	"pgregory.net/rapid"
 )
 
-// erasStore is a store that may come back from an older copy. An item is a row's key and
+// restorableStore is a store that can be restored from an older copy. An item is a row's key and
 // value.
 type restorableStore struct {
 	snapshot
 	era    uint64
 	backup snapshot
-	// lose has the next answer be lost.
+	// loseNext makes the next call fail as if its answer were lost.
 	loseNext bool
 }
 
@@ -27,7 +27,7 @@
 	version uint64
 	rows    map[string]string
 	changes []change
-	// since is the version from which on the changes are kept.
+	// oldestChange is the version after which changes are kept.
 	oldestChange uint64
 }
 
@@ -61,7 +61,7 @@
 func (s *restorableStore) takeLostError() error {
 	if s.loseNext {
 		s.loseNext = false
-		return errors.New("answer was lost")
+		return errors.New("answer lost")
 	}
 	return nil
 }
@@ -110,7 +110,7 @@
 	return item, "", false
 }
 
-// mirror is a sink that holds what its follower knows.
+// mapSink is a Sink that holds the table as its follower knows it.
 type mapSink map[string]string
 
 func (m mapSink) Reset(_ time.Duration, all Batch[string]) {
@@ -132,7 +132,7 @@
 
 func (mapSink) Available() {}
 
-// member is a follower that polls when it is told to.
+// testFollower is a Follower that makes a call only when poll is called.
 type testFollower struct {
 	Follower[string]
 	table mapSink
@@ -144,7 +144,7 @@
 	return f
 }
 
-// poll does what Run does in one turn.
+// poll does what one iteration of Run does.
 func (f *testFollower) poll(ctx context.Context) {
 	err := f.callOnce(ctx, f.Position() != 0 && !(f.historyGone && f.Position() == f.historyGoneAt))
 	if errors.Is(err, ErrHistoryGone) {
@@ -152,19 +152,19 @@
 	}
 }
 
-// share has another follower take what this one knows.
+// share applies the changes that this follower knows to another one.
 func (f *testFollower) share(to *testFollower) {
 	if to.Position() == 0 {
 		return
 	}
 	if deltas, known := f.Since(to.Position()); known {
-		// What can't be taken is asked of the store.
+		// Deltas that can't be applied are read from the store instead.
 		_ = to.Take(0, deltas)
 	}
 }
 
-// Whatever is written, copied, brought back, forgotten, lost and shared: once all have polled
-// again each knows what the store holds.
+// Rows are written, copied, restored, compacted, lost and shared in random order. After each
+// follower has polled again, it must know what the store holds.
 func TestFollowersConvergeToStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &restorableStore{snapshot: snapshot{rows: map[string]string{}}, backup: snapshot{rows: map[string]string{}}}
@@ -202,7 +202,7 @@
 				f.poll(t.Context())
 			}
 			if !maps.Equal(f.table, s.rows) {
-				t.Errorf("follower %d at %v knows %v, the store holds %v at era %d, version %d", i, f.Position(), f.table, s.rows, s.era, s.version)
+				t.Errorf("follower %d at position %v has %v, the store has %v at era %d, version %d", i, f.Position(), f.table, s.rows, s.era, s.version)
 			}
 		}
 	})
--- a/internal/gateway/follow/era_test.go
+++ b/internal/gateway/follow/era_test.go
@@ -18,16 +18,16 @@
 		era := rapid.Uint64Range(0, 1<<16-1)
 		p, q := At(era.Draw(t, "era"), version.Draw(t, "version")), At(era.Draw(t, "other"), version.Draw(t, "otherVersion"))
 		if p.Era() < q.Era() && p >= q || p.Era() == q.Era() && (p.Version() < q.Version()) != (p < q) {
-			t.Errorf("%d of era %d and %d of era %d are compared as %v and %v", p.Version(), p.Era(), q.Version(), q.Era(), p, q)
+			t.Errorf("version %d of era %d and version %d of era %d are in the wrong order as %v and %v", p.Version(), p.Era(), q.Version(), q.Era(), p, q)
 		}
 		if read, err := ParsePosition(p.String()); err != nil || read != p {
-			t.Errorf("%v is read as %v, %v", p, read, err)
+			t.Errorf("%v is parsed as %v, error %v", p, read, err)
 		}
 	})
 }
 
-// Pages that were read before the store came back from an older copy are of another
-// history than those after.
+// Pages that were read before the store was restored from an older copy must not be combined with
+// pages that were read afterwards.
 func TestPagedReadRejectsPagesOfTwoEras(t *testing.T) {
 	src := &scriptedSource{calls: []scriptedCall{
 		{batch: Batch[string]{Items: []string{"a"}, At: At(0, 9), More: "b"}},
@@ -36,15 +36,15 @@
 	}}
 	var r pagedRead[string]
 	if err := r.read(t.Context(), src); err == nil {
-		t.Error("pages of two eras were taken")
+		t.Error("pages of two eras were combined")
 	}
 	if err := r.read(t.Context(), src); err != nil || !slices.Equal(r.batch.Items, []string{"c"}) {
-		t.Errorf("%v, %v after a new start", r.batch.Items, err)
+		t.Errorf("items %v, error %v after the read started again", r.batch.Items, err)
 	}
 }
 
-// Of many followers of a store that came back one reads the table, and the others have it
-// from that one, and what changed since.
+// After a restore of the store one follower reads the table. The others get the table and the later
+// changes from that follower.
 func TestSnapshotIsSharedAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &scriptedSource{calls: []scriptedCall{
@@ -62,29 +62,30 @@
 		second.applyFullRead(0, Batch[string]{Items: []string{"a"}, At: At(0, 8)})
 		first.Run(ctx)
 		if first.Changed() != At(1, 5) || second.Position() >= first.Changed() {
-			t.Fatalf("changed at %v, the other is at %v", first.Changed(), second.Position())
+			t.Fatalf("last change at %v, the other follower is at %v", first.Changed(), second.Position())
 		}
 		deltas, complete := first.Since(second.Position())
 		if err := second.Take(0, deltas); err != nil || !complete {
-			t.Fatalf("known %v, %v", complete, err)
+			t.Fatalf("deltas complete: %v, error %v", complete, err)
 		}
 		if got := fmt.Sprint(out.items); got != "[all a all b c]" || second.Position() != At(1, 5) {
-			t.Errorf("news %v, position %v", got, second.Position())
+			t.Errorf("sink got %v, position %v", got, second.Position())
 		}
 		if restored != 1 {
-			t.Errorf("%d returns counted", restored)
+			t.Errorf("OnRestore was called %d times", restored)
 		}
-		// A third one has it from the second.
+		// A third follower gets the table from the second.
 		if deltas, complete = second.Since(At(0, 2)); !complete || len(deltas) != 2 {
-			t.Errorf("%v, known %v for a third one", deltas, complete)
+			t.Errorf("third follower gets %v, complete: %v", deltas, complete)
 		}
 		if _, complete = second.Since(0); complete {
-			t.Error("who knows nothing yet has it from the store")
+			t.Error("deltas were returned for a follower that hasn't read the table")
 		}
 	})
 }
 
-// An answer that was on its way while the store returned is of another history.
+// An answer that was sent before the store was restored belongs to another history and must not be
+// applied.
 func TestDeltasOfOtherErasAreNotApplied(t *testing.T) {
 	out := &recordingSink{}
 	f := Follower[string]{Name: "t", Sink: out, Log: zap.NewNop()}
@@ -94,9 +95,9 @@
 		t.Error(err)
 	}
 	if err := f.Take(0, []Step[string]{{From: At(1, 3), To: At(3, 1), Items: []string{"new"}}}); err == nil {
-		t.Error("steps over a return were taken")
+		t.Error("deltas across a restore were applied")
 	}
 	if len(out.items) != 1 {
-		t.Errorf("news %v", out.items)
+		t.Errorf("sink got %v", out.items)
 	}
 }
--- a/internal/gateway/follow/follower.go
+++ b/internal/gateway/follow/follower.go
@@ -1,6 +1,6 @@
-// Package follow keeps a copy of a table of the platform's store up to date: it
-// reads the whole, then waits for changes, and begins again where the store
-// has lost the history. Start reading at Follower.
+// Package follow keeps a copy of a table of the platform's store up to date. It reads the whole
+// table, then long-polls for changes, and reads the table again if the store no longer has the
+// history of changes. Start reading at Follower.
 package follow
 
 import (
@@ -20,43 +20,42 @@
 	"github.com/applepier/applepier/internal/pause"
 )
 
-// errHurried: a call was given up to be made anew.
-var errPollCancelled = errors.New("call was given up to be made anew")
+// errPollCancelled means that a long poll was cancelled in order to repeat it with a short wait.
+var errPollCancelled = errors.New("long poll was cancelled")
 
-// ErrHistoryGone: the changes since a position can't be had any more; the
-// whole has to be read.
-var ErrHistoryGone = errors.New("history of the store is gone")
+// ErrHistoryGone means that the changes after a position are no longer available, so the whole
+// table has to be read.
+var ErrHistoryGone = errors.New("change history is no longer available")
 
 const (
-	// firstPause and longestPause bound the pause after a failed call: short
-	// enough that a store that is back is noticed within a fraction of the
-	// two seconds in which its news has to be in force.
+	// minRetryDelay and maxRetryDelay bound the delay after a failed call. A follower has to notice
+	// that the store is back within a fraction of the two seconds in which changes have to take
+	// effect.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
-	// recheckWait is how long the store may hold back an answer that is to come
-	// at once.
+	// immediateWait is the maximum wait of a long poll that is to be answered at once.
 	immediateWait = 50 * time.Millisecond
-	// hurryEvery is how often is asked whether a call that is held back has to
-	// hurry: short against the second or more that is left then.
+	// cancelCheckInterval is how often ShouldCancelPoll is called during a long poll. It is short
+	// compared with the second or more that remains when it first returns true.
 	cancelCheckInterval = 200 * time.Millisecond
-	// longestAway is for how long a follower that doesn't lead waits for the one
-	// that does: a store may answer about one table and not about another.
+	// maxProbeWait is how long a follower that doesn't probe the store waits for the one that does.
+	// The limit is needed because a store may answer calls for one table and not for another.
 	maxProbeWait = 3 * time.Second
-	// gonePause is the pause before the whole is read again, so that a store
-	// that keeps no history at all isn't read without end.
+	// rereadDelay is the delay before the whole table is read again, so that a store that keeps no
+	// history isn't read in a tight loop.
 	rereadDelay = 50 * time.Millisecond
 )
 
-// Batch is the answer to a read: all that there is, or the changes.
+// Batch is the answer to a call: a page of the whole table, or changes.
 type Batch[T any] struct {
 	Items   []T
 	Removed []string
-	// Unreadable names the rows that could not be read. What that means for what
-	// was known of them is the sink's to say.
+	// Unreadable names the rows that couldn't be decoded. The Sink decides what becomes of their
+	// earlier values.
 	Unreadable []string
-	// At is the position to go on from.
+	// Position is the position after which to continue.
 	At Position
-	// More is where the next page of a whole table begins; empty after the last.
+	// NextPage is where the next page of the whole table begins; empty on the last page.
 	More string
 }
 
@@ -66,92 +65,93 @@
 
 // Source is a table of the store.
 type Source[T any] interface {
-	// Read returns the page of the whole table that begins at a place, empty for
-	// the first.
+	// Read returns the page of the whole table that begins at from, which is empty for the first
+	// page.
 	Read(ctx context.Context, from string) (Batch[T], error)
-	// Next waits for changes after a position, up to wait; the batch may be
-	// empty. ErrHistoryGone asks for a Read.
+	// Next waits up to wait for changes after a position; the batch may be empty. It returns
+	// ErrHistoryGone if the whole table has to be read.
 	Next(ctx context.Context, after Position, wait time.Duration) (Batch[T], error)
 }
 
-// Sink takes what a Follower learns. The moment is one, on the clock of
-// boottime, before which everything that had happened is in the news: when the
-// call was made, or, where the store held back an answer without news for the
-// whole wait, when the wait was over.
+// Sink receives the table and its changes from a Follower. The first argument is the as-of time on
+// the clock of package boottime: the batch reflects everything that happened before it. It is the
+// time at which the call was made. If the store held back an answer without changes for the whole
+// wait, it is the time at which the wait ended.
 type Sink[T any] interface {
 	Reset(moment time.Duration, all Batch[T])
 	Change(moment time.Duration, changes Batch[T])
-	// Unavailable is told of each failed call, and Available of an answer that holds no
-	// rows: the store answers, though it doesn't have the history that was asked for.
+	// Unavailable is called after each failed call. Available is called after an answer without
+	// rows: the store answers, but doesn't have the requested history.
 	Unavailable(err error)
 	Available()
 }
 
 // Follower follows one table.
 type Follower[T any] struct {
-	// Name is what logs call the table.
+	// Name is the table's name in log lines.
 	Name   string
 	Source Source[T]
 	Sink   Sink[T]
-	// Wait is how long the store may hold back an answer without news, at the
-	// most: each call's wait is drawn from the upper quarter, so that followers
-	// that heard the same news don't all ask at the same time from then on. It
-	// is asked for before each call.
+	// MaxWait returns the maximum time for which the store may hold back an answer without changes.
+	// It is called before each call. The actual wait is drawn from the upper quarter of the range,
+	// so that followers that received the same change don't all call at the same time from then on.
 	Wait func() time.Duration
-	// Gather is the pause after news: what changes meanwhile comes with one
-	// call, and each call is paid for.
+	// CoalesceDelay is the delay after a change. Further changes during the delay are returned by a
+	// single call, which matters because each call is paid for.
 	Gather time.Duration
-	// Confirm says whether the first answer after news isn't to be held back: only
-	// an answer without news proves what was the newest, and it would come late
-	// by what the one with the news has used of its wait. May be nil, for never.
+	// ConfirmChanges reports whether the first call after a change uses a short wait. Only an
+	// answer without changes confirms that the known state is the newest, and with a full wait it
+	// would come later by the time that the call with the change took. May be nil, which means
+	// never.
 	Confirm func() bool
-	// Hurry is asked while the store holds an answer back; when it says so the
-	// call is given up and made anew, to be answered at once. May be nil.
+	// ShouldCancelPoll is called during a long poll. If it returns true, the poll is cancelled and
+	// repeated with a short wait. May be nil.
 	Hurry func() bool
-	// Arriving says whether an answer is on its way, which isn't given up then; may
-	// be nil.
+	// Receiving is set while a response is being received; a long poll isn't cancelled then. May be
+	// nil.
 	Arriving *atomic.Bool
-	// Store is what all followers of one store know of its health; may be nil.
-	// Leads says that this one asks while the store is away: the others wait for
-	// its success, so that an outage costs the calls of one.
+	// StoreHealth is shared by all followers of one store; may be nil. ProbesStore is set for the
+	// follower that keeps calling the store while it is unavailable. The others wait until that one
+	// succeeds, so that an outage costs the calls of one follower only.
 	Store *Health
 	Leads bool
-	// Idle says that others follow the table and tell what changes, so that the
-	// store isn't asked; may be nil, for never.
+	// Idle reports whether other gateways poll the table and share its changes, so that this
+	// follower needn't call the store. May be nil, which means never.
 	Idle func() bool
-	// Defers says that other followers poll the table: after a loss of the history they read
-	// it first. May be nil, for never.
+	// DefersFullRead reports whether other followers poll the table; after a loss of the history
+	// they read it first. May be nil, which means never.
 	Defers func() bool
-	// Asked is told of each call; may be nil.
+	// OnCall is called before each call; may be nil.
 	Asked func()
-	// Restored counts the returns of the store from an older copy; may be nil.
+	// OnRestore is called when the store was restored from an older copy; may be nil.
 	Restored func()
 	Log      *zap.Logger
 
-	// mu guards at, up to where the table is known, and the order of what the Sink
-	// takes. It comes before the Sink's locks.
+	// mu guards position, up to which the table is known, and serializes calls of the Sink with its
+	// changes. It is locked before the Sink's locks.
 	mu       sync.Mutex
 	position Position
-	// recent is what changed last, and live says that the store is asked and answers.
+	// history holds the latest changes. live is set while this follower polls the store and the
+	// store answers.
 	history history[T]
 	live    atomic.Bool
 
 	failing bool
-	// hurried says that the last call was given up.
+	// pollCancelled is set if the last long poll was cancelled.
 	pollCancelled bool
-	// rested says that the store hasn't answered since this follower rested.
+	// wasIdle is set until the store has answered for the first time after an idle period.
 	wasIdle bool
-	// gone says that the store didn't have the history since goneAt. What others tell may
-	// lead on from there without a read of the whole.
+	// historyGone is set if the store didn't have the history after historyGoneAt. Changes that
+	// other gateways share may continue from there without a full read.
 	historyGone   bool
 	historyGoneAt Position
-	// news says that the last answer held some.
+	// changed is set if the last answer held changes.
 	changed bool
-	// reading is what has been read of the whole table.
+	// fullRead holds the pages of the whole table that were read so far.
 	fullRead pagedRead[T]
 }
 
-// Run follows until ctx ends.
+// Run follows the table until ctx ends.
 func (f *Follower[T]) Run(ctx context.Context) {
 	backOff := backoff.NewExponentialBackOff()
 	backOff.InitialInterval, backOff.MaxInterval = minRetryDelay, maxRetryDelay
@@ -187,7 +187,7 @@
 	}
 }
 
-// step makes one call and hands on what came.
+// callOnce reads the whole table or polls once for changes, and applies the result.
 func (f *Follower[T]) callOnce(ctx context.Context, tableRead bool) error {
 	if f.Arriving != nil {
 		ctx = withResponseStarted(ctx, func() { f.Arriving.Store(true) })
@@ -205,7 +205,7 @@
 		f.fullRead = pagedRead[T]{}
 		f.historyGone = false
 		if f.Idle != nil {
-			// Others tell in that time that they follow.
+			// Peers announce during this delay whether they follow the table.
 			pause.For(ctx, f.Gather)
 		}
 		return nil
@@ -226,7 +226,7 @@
 	return nil
 }
 
-// next waits for changes, unless it has to hurry.
+// pollChanges waits for changes unless ShouldCancelPoll cancels the call.
 func (f *Follower[T]) pollChanges(ctx context.Context, after Position, wait time.Duration) (Batch[T], error) {
 	f.pollCancelled = false
 	if f.Hurry == nil {
@@ -254,21 +254,20 @@
 	return batch, err
 }
 
-// wait is how long the store may hold back the next answer. The first one after a
-// failure comes at once, so that it is known when the store was back; the first
-// one after a rest, so that others know soon that this one follows; the first
-// one after news where it has to prove them.
+// nextWait returns the wait of the next call. The wait is short after a failure, to learn when the
+// store was back; after an idle period, so that peers soon learn that this follower polls; and
+// after changes that have to be confirmed.
 func (f *Follower[T]) nextWait() time.Duration {
 	longest := f.Wait()
 	if f.failing || f.pollCancelled || f.wasIdle || f.changed && f.Confirm != nil && f.Confirm() {
 		return min(longest, immediateWait)
 	}
-	// Whole milliseconds, in which stores count: one that is rounded down would
-	// seem to have come early, and to prove nothing.
+	// Stores count whole milliseconds. If the store rounded the wait down, its answer would seem to
+	// have come early and wouldn't count as of the end of the wait.
 	return (longest - rand.N(longest/4+1)).Truncate(time.Millisecond)
 }
 
-// Always is a Wait that doesn't change.
+// FixedWait returns a MaxWait function that always returns the same time.
 func Always(wait time.Duration) func() time.Duration {
 	return func() time.Duration { return wait }
 }
--- a/internal/gateway/follow/follower_test.go
+++ b/internal/gateway/follow/follower_test.go
@@ -11,14 +11,15 @@
 	"go.uber.org/zap"
 )
 
-// step is what a scripted source answers to one call.
+// scriptedCall is the result of one call to a scriptedSource.
 type scriptedCall struct {
 	duration time.Duration
 	batch    Batch[string]
 	err      error
 }
 
-// source plays its steps and then waits for the end; it notes what was asked.
+// scriptedSource returns its scripted results in order, then blocks until the context ends. It
+// records the requests.
 type scriptedSource struct {
 	calls    []scriptedCall
 	requests []string
@@ -78,13 +79,13 @@
 		f := Follower[string]{Name: "t", Source: src, Sink: out, Wait: Always(time.Second), Log: zap.NewNop()}
 		f.Run(ctx)
 		if got, want := join(src.requests), "read read next after 3 next after 5 next after 5 next after 6 read next after 9"; got != want {
-			t.Errorf("asked %q, want %q", got, want)
+			t.Errorf("requests %q, want %q", got, want)
 		}
 		if got, want := join(out.items), "all a b c all d"; got != want {
-			t.Errorf("news %q, want %q", got, want)
+			t.Errorf("sink got %q, want %q", got, want)
 		}
 		if out.failures != 2 {
-			t.Errorf("%d failures told, a lost history is none", out.failures)
+			t.Errorf("sink got %d failures, want 2: a lost history is not a failure", out.failures)
 		}
 	})
 }
@@ -100,8 +101,8 @@
 	return text
 }
 
-// The first answer after a failure shows when the store was back; it isn't held
-// back until there is news.
+// The first answer after a failure shows when the store was back, so the store must not hold it
+// back until there is a change.
 func TestFirstPollAfterFailureIsShort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &failOnceSource{}
@@ -110,12 +111,13 @@
 		f := Follower[string]{Name: "t", Source: src, Sink: &recordingSink{}, Wait: Always(4 * time.Second), Log: zap.NewNop()}
 		f.Run(ctx)
 		if len(src.waits) < 4 || src.waits[0] < 3*time.Second || src.waits[1] > immediateWait || src.waits[2] < 3*time.Second {
-			t.Errorf("waits of %v; the second is the first after a failure", src.waits)
+			t.Errorf("waits %v; the second follows a failure and must be short", src.waits)
 		}
 	})
 }
 
-// News that come at the end of a wait would leave the proof as old as two waits.
+// Without confirmation, a change at the end of a wait would leave the last confirmation as old as
+// two waits.
 func TestChangesAreConfirmedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &growingSource{started: time.Now(), interval: 1700 * time.Millisecond}
@@ -125,12 +127,13 @@
 		f := Follower[string]{Name: "t", Source: src, Sink: out, Wait: Always(2 * time.Second), Confirm: func() bool { return true }, Log: zap.NewNop()}
 		f.Run(ctx)
 		if out.longestGap > 2*time.Second+immediateWait {
-			t.Errorf("%v passed without a proof, a wait is two seconds", out.longestGap)
+			t.Errorf("%v passed without confirmation with a wait of two seconds", out.longestGap)
 		}
 	})
 }
 
-// proving measures the time between answers that prove what is the newest.
+// confirmationSink measures the longest time between answers without changes, which confirm that
+// the known state is the newest.
 type confirmationSink struct {
 	lastConfirmed time.Time
 	longestGap    time.Duration
@@ -149,7 +152,7 @@
 
 func (*confirmationSink) Available() {}
 
-// holding has no news; its first call that waits fails.
+// failOnceSource has no changes; its first long poll fails.
 type failOnceSource struct{ waits []time.Duration }
 
 func (s *failOnceSource) Read(context.Context, string) (Batch[string], error) {
@@ -165,7 +168,8 @@
 	return Batch[string]{}, nil
 }
 
-// Servers that start together change the list one by one.
+// Servers that start together change the table one by one. The follower has to get these changes
+// with few calls.
 func TestCloseChangesAreCoalesced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &growingSource{started: time.Now(), interval: 20 * time.Millisecond}
@@ -178,12 +182,12 @@
 			t.Errorf("%d calls for 100 changes within two seconds", src.calls)
 		}
 		if got := len(out.items) - 1; got != 100 {
-			t.Errorf("%d changes of 100 were heard of", got)
+			t.Errorf("sink got %d of 100 changes", got)
 		}
 	})
 }
 
-// changing has an item more ever so often, up to a hundred.
+// growingSource adds one item each interval, up to a hundred.
 type growingSource struct {
 	started  time.Time
 	interval time.Duration
@@ -207,8 +211,8 @@
 	return Batch[string]{At: after}, nil
 }
 
-// A call that is held back is given up when its proof gets old, and the next one
-// asks for an answer at once; nobody is told of a failure.
+// A long poll is cancelled when the last confirmation gets too old, and the next call uses a short
+// wait. The sink must not see this as a failure.
 func TestLongPollIsCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &slowSource{}
@@ -224,20 +228,20 @@
 		src.onAnswer = func() { confirmed = time.Now() }
 		f.Run(ctx)
 		if out.failures != 0 {
-			t.Errorf("%d failures told", out.failures)
+			t.Errorf("sink got %d failures, want none", out.failures)
 		}
 		if len(src.waits) < 8 || src.longest > 3*time.Second+2*cancelCheckInterval {
-			t.Errorf("waits of %v, the longest unanswered %v", src.waits, src.longest)
+			t.Errorf("waits %v, longest call %v", src.waits, src.longest)
 		}
 		for i := 1; i < len(src.waits); i += 2 {
 			if src.waits[i] != immediateWait {
-				t.Errorf("call %d waits %v after one that was given up", i, src.waits[i])
+				t.Errorf("call %d waits %v after a cancelled call", i, src.waits[i])
 			}
 		}
 	})
 }
 
-// patient holds each answer back for the whole wait.
+// slowSource holds each answer back for the whole wait.
 type slowSource struct {
 	waits    []time.Duration
 	longest  time.Duration
@@ -262,7 +266,8 @@
 	}
 }
 
-// While the store is away one follower asks, and the others wait for its success.
+// While the store is unavailable, one follower calls it and the others wait until that one
+// succeeds.
 func TestOnlyProbingFollowerCallsUnavailableStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const outage = 2 * time.Second
@@ -273,23 +278,23 @@
 		probingSource, waitingSource := &unavailableSource{until: started.Add(outage)}, &unavailableSource{until: started.Add(outage)}
 		var wg conc.WaitGroup
 		for _, f := range []*Follower[string]{
-			{Name: "leads", Source: probingSource, Sink: &recordingSink{}, Wait: Always(time.Minute), Store: &store, Leads: true, Log: zap.NewNop()},
-			{Name: "waits", Source: waitingSource, Sink: &recordingSink{}, Wait: Always(time.Minute), Store: &store, Log: zap.NewNop()},
+			{Name: "probing", Source: probingSource, Sink: &recordingSink{}, Wait: Always(time.Minute), Store: &store, Leads: true, Log: zap.NewNop()},
+			{Name: "waiting", Source: waitingSource, Sink: &recordingSink{}, Wait: Always(time.Minute), Store: &store, Log: zap.NewNop()},
 		} {
 			wg.Go(func() { f.Run(ctx) })
 		}
 		wg.Wait()
 		if probingSource.failures < 4 || waitingSource.failures > 2 {
-			t.Errorf("%d and %d calls while the store was away", probingSource.failures, waitingSource.failures)
+			t.Errorf("%d calls of the probing and %d of the waiting follower while the store was unavailable", probingSource.failures, waitingSource.failures)
 		}
-		// Pauses are drawn from up to half as much again.
+		// The backoff randomizes delays by up to half.
 		if late := waitingSource.firstSuccess.Sub(started.Add(outage)); late > maxRetryDelay*3/2+2*availabilityCheckInterval {
-			t.Errorf("the one that waits knew %v after the store was back", late)
+			t.Errorf("the waiting follower called %v after the store was back", late)
 		}
 	})
 }
 
-// outage fails until a time.
+// unavailableSource fails until a given time.
 type unavailableSource struct {
 	until        time.Time
 	failures     int
@@ -299,7 +304,7 @@
 func (s *unavailableSource) Read(context.Context, string) (Batch[string], error) {
 	if time.Now().Before(s.until) {
 		s.failures++
-		return Batch[string]{}, errors.New("away")
+		return Batch[string]{}, errors.New("unavailable")
 	}
 	s.firstSuccess = time.Now()
 	return Batch[string]{At: 1}, nil
--- a/internal/gateway/follow/health.go
+++ b/internal/gateway/follow/health.go
@@ -8,12 +8,12 @@
 	"github.com/applepier/applepier/internal/pause"
 )
 
-// awaitEvery is how often a follower that waits looks whether the store is back.
+// availabilityCheckInterval is how often a waiting follower checks whether the store is available
+// again.
 const availabilityCheckInterval = 50 * time.Millisecond
 
-// Health is whether a store answers, as far as its followers know. The zero value
-// is a store that does. A nil one knows nothing. All methods may be called
-// concurrently.
+// Health is the availability of a store as its followers observe it. The zero value means
+// available; a nil Health records nothing. All methods may be called concurrently.
 type Health struct{ unavailable atomic.Bool }
 
 func (h *Health) markAvailable() {
@@ -28,10 +28,10 @@
 	}
 }
 
-// Away reports whether the store didn't answer the last call.
+// Unavailable reports whether the last call to the store failed.
 func (h *Health) Away() bool { return h != nil && h.unavailable.Load() }
 
-// await returns when the store answers again, at a time at the latest.
+// waitAvailable waits until the store is available again, the deadline passes or ctx ends.
 func (h *Health) waitAvailable(ctx context.Context, deadline time.Time) {
 	for h.unavailable.Load() && ctx.Err() == nil && time.Now().Before(deadline) {
 		pause.For(ctx, availabilityCheckInterval)
--- a/internal/gateway/follow/history.go
+++ b/internal/gateway/follow/history.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// recentSteps bounds the steps that are kept: those of a minute in which servers are
-// replaced one after the other. Who lacks more reads from the store.
+// maxHistoryDeltas limits the deltas that are kept. It covers a minute in which servers are
+// replaced one after the other; a gateway that lacks more reads from the store.
 const maxHistoryDeltas = 256
 
-// Step is what changed in a table between two positions.
+// Delta is the change of a table between two positions.
 type Step[T any] struct {
 	_          struct{} `cbor:",toarray"`
 	From       Position
@@ -14,25 +14,25 @@
 	Items      []T
 	Removed    []string
 	Unreadable []string
-	// Whole says that Items are the whole table, and that all else is gone from it.
-	Whole bool
+	// Snapshot is set if Items are the whole table, which replaces everything known before.
+	Snapshot bool
 }
 
-// recent is the newest changes of a table, to be handed to others that follow the
-// same one. All methods may be called concurrently.
+// history holds the newest changes of a table, which are shared with other gateways that follow it.
+// All methods may be called concurrently.
 type history[T any] struct {
-	// mu guards what follows; nothing is locked while it is held.
+	// mu guards the fields below; no other lock is taken while it is held.
 	mu sync.Mutex
-	// start is the position from which on steps is complete.
+	// start is the position after which deltas is complete.
 	start  Position
 	deltas []Step[T]
-	// whole is the table as it was at start, where the store has come back from an older
-	// copy then; nil otherwise.
+	// snapshot is the table at start if the store was restored from an older copy at that point;
+	// nil otherwise.
 	snapshot *Step[T]
 }
 
-// reset begins anew at a position. Who knows the table as of an earlier era can go on
-// from whole; nil where it can't be had.
+// reset restarts the history at a position. A follower that knows the table as of an earlier era
+// can continue from the snapshot, which is nil if there is none.
 func (h *history[T]) reset(position Position, snapshot *Step[T]) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -50,7 +50,7 @@
 	}
 }
 
-// changed is the position after the newest change; 0 for none that is known.
+// lastChange returns the position after the newest change; 0 if no change is known.
 func (h *history[T]) lastChange() Position {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -63,8 +63,8 @@
 	return h.deltas[len(h.deltas)-1].To
 }
 
-// known is the same, or, where nothing has changed since the whole table was read, the
-// position of that.
+// lastKnown returns lastChange or, if there has been no change since the whole table was read, the
+// position of that read.
 func (h *history[T]) lastKnown() Position {
 	if position := h.lastChange(); position != 0 {
 		return position
@@ -74,7 +74,7 @@
 	return h.start
 }
 
-// since returns the steps after a position; false if they aren't all known.
+// since returns the deltas after a position; false if not all of them are known.
 func (h *history[T]) since(after Position) ([]Step[T], bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/gateway/follow/idle.go
+++ b/internal/gateway/follow/idle.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// idleEvery is how often a follower that rests looks whether others still follow.
+	// idleCheckInterval is how often an idle follower checks whether other gateways still poll the
+	// table.
 	idleCheckInterval = 50 * time.Millisecond
-	// gossipDelay is how long gateways take to exchange that the store answers them, by which
-	// they know who reads first.
+	// gossipDelay is how long gateways take to tell each other that the store answers them, which
+	// decides which of them reads first.
 	gossipDelay = 150 * time.Millisecond
-	// deferRead is for how long a follower defers reading the whole again to others.
+	// maxFullReadDelay is how long a follower delays a full read to let others read first.
 	maxFullReadDelay = 500 * time.Millisecond
 )
 
-// rest waits while others follow the table.
+// waitWhileIdle waits while other gateways poll the table.
 func (f *Follower[T]) waitWhileIdle(ctx context.Context) {
 	if f.Idle == nil || !f.Idle() {
 		return
@@ -36,7 +37,7 @@
 	}
 }
 
-// deferToOthers gives others the time to read the whole table and to share it.
+// delayFullRead gives other gateways time to read the whole table and to share it.
 func (f *Follower[T]) delayFullRead(ctx context.Context) {
 	if f.Defers != nil {
 		pause.For(ctx, gossipDelay)
--- a/internal/gateway/follow/paged_read.go
+++ b/internal/gateway/follow/paged_read.go
@@ -7,23 +7,23 @@
 	"github.com/applepier/applepier/internal/boottime"
 )
 
-// longestReading is for how long the pages of a table that have been read are kept
-// while the next one can't be had: stores keep their history for longer, so that
-// what has changed since the first page can still be followed.
+// maxPagedReadAge is how long the pages that were read are kept while the next page can't be read.
+// Stores keep their history for longer, so the changes since the first page can still be followed.
 const maxPagedReadAge = 10 * time.Second
 
-// pagedRead is a table that is being read page by page. A page that is refused is asked
-// for again, and not those before it: when hundreds of gateways start at once before
-// a store that answers so many calls a second, each that began anew would take the
-// calls that the others need.
+// pagedRead is a read of the whole table in pages. A page that fails is requested again without the
+// pages before it. If hundreds of gateways start at once and the store limits the rate of calls,
+// gateways that restarted from the first page would use up the calls that the others need.
 type pagedRead[T any] struct {
-	// batch holds the pages that were read; it has no More before the first.
+	// batch holds the pages that were read. Its NextPage is empty before the first page.
 	batch Batch[T]
-	// moment is when the first page was asked for, by the call that got it.
+	// startedAt is the boot time at which the call that returned the first page was made.
 	startedAt time.Duration
 }
 
-// read reads the rest of the table; what has been read is kept for the next try.
+// read reads the remaining pages. After an error it keeps the pages that were read for the next
+// attempt. It returns ErrHistoryGone if the store was restored from an older copy between two
+// pages.
 func (r *pagedRead[T]) read(ctx context.Context, source Source[T]) error {
 	if now := boottime.Now(); r.batch.More == "" || now-r.startedAt > maxPagedReadAge {
 		*r = pagedRead[T]{startedAt: now}
@@ -34,7 +34,7 @@
 			return err
 		}
 		if r.batch.More != "" && page.At.Era() != r.batch.At.Era() {
-			// The pages before are of a history that is gone.
+			// The previous pages belong to a history that no longer exists.
 			*r = pagedRead[T]{}
 			return ErrHistoryGone
 		}
@@ -45,8 +45,8 @@
 	}
 }
 
-// add takes a page. What changes between two pages is seen again by following from
-// the first page's position.
+// addPage appends a page. It keeps the lowest position, so changes that happened between two pages
+// are returned again when following from there.
 func (r *pagedRead[T]) addPage(page Batch[T]) {
 	b := &r.batch
 	b.Items = append(b.Items, page.Items...)
--- a/internal/gateway/follow/paged_read_test.go
+++ b/internal/gateway/follow/paged_read_test.go
@@ -13,14 +13,14 @@
 	"go.uber.org/zap"
 )
 
-// A page that is refused is asked for again, and not those before it.
+// A page that fails is requested again without the pages before it.
 func TestPagedReadResumesAtFailedPage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &scriptedSource{calls: []scriptedCall{
 			{batch: Batch[string]{Items: []string{"a"}, At: 7, More: "/b"}},
-			{err: errors.New("refused")},
+			{err: errors.New("rejected")},
 			{batch: Batch[string]{Items: []string{"b"}, Unreadable: []string{"x"}, At: 9, More: "/c"}},
-			{err: errors.New("refused")},
+			{err: errors.New("rejected")},
 			{batch: Batch[string]{Items: []string{"c"}, At: 8}},
 			{err: ErrHistoryGone},
 			{batch: Batch[string]{Items: []string{"d"}, At: 20}},
@@ -31,35 +31,35 @@
 		f := Follower[string]{Name: "t", Source: src, Sink: out, Wait: Always(time.Second), Log: zap.NewNop()}
 		f.Run(ctx)
 		if got, want := join(src.requests[:7]), "read read/b read/b read/c read/c next after 7 read"; got != want {
-			t.Errorf("asked %q, want %q", got, want)
+			t.Errorf("requests %q, want %q", got, want)
 		}
 		if got, want := join(out.items), "all a b c all d"; got != want {
-			t.Errorf("news %q, want %q", got, want)
+			t.Errorf("sink got %q, want %q", got, want)
 		}
 	})
 }
 
-// Pages of long ago are read again: the store may have lost what changed since.
+// Pages that are too old are read again, since the store may have lost the changes since then.
 func TestOldPagesAreDiscarded(t *testing.T) {
 	var r pagedRead[string]
 	src := &scriptedSource{calls: []scriptedCall{
 		{batch: Batch[string]{Items: []string{"a"}, At: 7, More: "/b"}},
-		{err: errors.New("refused")},
+		{err: errors.New("rejected")},
 		{batch: Batch[string]{Items: []string{"b"}, At: 9}},
 	}}
 	if err := r.read(t.Context(), src); err == nil {
-		t.Fatal("read past a refusal")
+		t.Fatal("no error from a failed page")
 	}
 	r.startedAt -= 2 * maxPagedReadAge
 	if err := r.read(t.Context(), src); err != nil {
 		t.Fatal(err)
 	}
 	if got, want := join(src.requests), "read read/b read"; got != want || r.batch.At != 9 {
-		t.Errorf("asked %q, want %q; at %d", got, want, r.batch.At)
+		t.Errorf("requests %q, want %q; position %d", got, want, r.batch.At)
 	}
 }
 
-// limitedStore answers so many calls a second and refuses the rest.
+// limitedStore limits the rate of successful calls and rejects the rest.
 type limitedStore struct {
 	mu        sync.Mutex
 	perTick   int
@@ -70,7 +70,7 @@
 
 const refillInterval = 10 * time.Millisecond
 
-// refill lets as many calls through each tick as the rate allows.
+// refill resets the number of allowed calls in each interval.
 func (s *limitedStore) refill(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.mu.Lock()
@@ -103,7 +103,7 @@
 	return Batch[string]{At: after}, ctx.Err()
 }
 
-// listener notes when the whole was had.
+// resetTimeSink sends the time at which the whole table was received.
 type resetTimeSink struct {
 	resets chan<- time.Time
 }
@@ -114,9 +114,9 @@
 
 func (resetTimeSink) Available() {}
 
-// Hundreds of gateways that start in one moment, after all were killed, have the
-// list of thousands of servers within two seconds from a store that answers no more
-// calls than they need in one.
+// Hundreds of gateways restart at the same moment after all were killed. They must have the list of
+// thousands of servers within two seconds, from a store that answers no more calls in one second
+// than they need in total.
 func TestSimultaneousStartWithRateLimitedStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const gateways, perSecond, pages = 300, 2000, 6
@@ -133,25 +133,25 @@
 		for range gateways {
 			last = (<-resets).Sub(started)
 		}
-		t.Logf("the last of %d gateways had the list after %v; %d calls, %d needed", gateways, last, store.calls, gateways*pages)
+		t.Logf("the last of %d gateways received the table after %v; %d calls, %d needed", gateways, last, store.calls, gateways*pages)
 		if last > 2*time.Second {
-			t.Errorf("the last of %d gateways had the list after %v", gateways, last)
+			t.Errorf("the last of %d gateways received the table after %v", gateways, last)
 		}
 		cancel()
 		wg.Wait()
 	})
 }
 
-// A first page that can't be had leaves nothing behind: what is read later is as new
-// as the call that got it.
+// A first page that fails must not leave a start time behind: what is read later is as of the call
+// that returned it.
 func TestFailedFirstPageLeavesNoStartTime(t *testing.T) {
 	var r pagedRead[string]
 	src := &scriptedSource{calls: []scriptedCall{
-		{err: errors.New("away")},
+		{err: errors.New("unavailable")},
 		{batch: Batch[string]{Items: []string{"a"}, At: 7}},
 	}}
 	if err := r.read(t.Context(), src); err == nil {
-		t.Fatal("read from a store that is away")
+		t.Fatal("no error from an unavailable store")
 	}
 	r.startedAt -= maxPagedReadAge / 2
 	before := r.startedAt + maxPagedReadAge/4
@@ -159,6 +159,6 @@
 		t.Fatal(err)
 	}
 	if r.startedAt < before {
-		t.Errorf("the read counts from a call that failed, %v before", before-r.startedAt)
+		t.Errorf("the read is as of a call that failed, %v too early", before-r.startedAt)
 	}
 }
--- a/internal/gateway/follow/position.go
+++ b/internal/gateway/follow/position.go
@@ -6,33 +6,33 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrPosition: a text doesn't name a position.
-var ErrPosition = errors.New("position can't be read")
+// ErrPosition is returned for a text that isn't a position.
+var ErrPosition = errors.New("invalid position")
 
-// versionBits are the low bits of a Position, for the version; the era has the rest.
+// versionBits is the number of low bits of a Position that hold the version; the rest holds the
+// era.
 const versionBits = 48
 
-// Position is a version of the store in an era. A store that comes back from an older
-// copy gives its versions out again, in the next era: all positions of an era come after
-// all of earlier ones, so that positions are compared as numbers. The zero value is no
-// position.
+// Position is a version of the store in an era. A store that is restored from an older copy reuses
+// its version numbers in the next era. All positions of an era are greater than those of earlier
+// eras, so positions can be compared as numbers. The zero value means no position.
 type Position uint64
 
-// At is the position of a version in an era.
+// NewPosition returns the position of a version in an era.
 func At(era, version uint64) Position {
 	return Position(era<<versionBits | version&(1<<versionBits-1))
 }
 
-// Era counts the store's returns from older copies.
+// Era returns the number of times that the store has been restored from an older copy.
 func (p Position) Era() uint64 { return uint64(p) >> versionBits }
 
-// Version is the store's version; it says nothing in another era.
+// Version returns the store's version, which is only comparable within one era.
 func (p Position) Version() uint64 { return uint64(p) & (1<<versionBits - 1) }
 
-// String is what ParsePosition reads.
+// String formats the position in decimal, as ParsePosition reads it.
 func (p Position) String() string { return strconv.FormatUint(uint64(p), 10) }
 
-// ParsePosition reads a position; ErrPosition for a text that names none.
+// ParsePosition parses a position; it returns ErrPosition if the text isn't one.
 func ParsePosition(text string) (Position, error) {
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
--- a/internal/gateway/follow/response_started.go
+++ b/internal/gateway/follow/response_started.go
@@ -2,18 +2,18 @@
 
 import "context"
 
-// arrivalKey is where a call's context has what is told when its answer begins.
+// responseStartedKey is the context key of the function to call when a response starts.
 type responseStartedKey struct{}
 
-// Arrives is called by a Source when the answer to a call begins to come: from
-// then on the call isn't held back any more, but on its way.
+// ResponseStarted is called by a Source, with the context of the call, when the response starts to
+// arrive. The store no longer holds back the answer then.
 func Arrives(ctx context.Context) {
 	if notify, ok := ctx.Value(responseStartedKey{}).(func()); ok {
 		notify()
 	}
 }
 
-// withArrival has told called when the answer to a call begins to come.
+// withResponseStarted returns a context with which ResponseStarted calls notify.
 func withResponseStarted(ctx context.Context, notify func()) context.Context {
 	return context.WithValue(ctx, responseStartedKey{}, notify)
 }
--- a/internal/gateway/follow/sharing.go
+++ b/internal/gateway/follow/sharing.go
@@ -9,32 +9,32 @@
 	"github.com/applepier/applepier/internal/logging"
 )
 
-// ErrGap: steps begin after the position that they are to follow.
-var ErrGap = errors.New("changes in between are missing")
+// ErrGap is returned if deltas begin after the position that is known.
+var ErrGap = errors.New("changes before the deltas are missing")
 
-// Changed is the position after the newest change that this follower knows of, from
-// the store or from another gateway; 0 for none since it read the whole table.
+// LastChange returns the position after the newest change that is known from the store or from
+// another gateway; 0 if there was none since the whole table was read.
 func (f *Follower[T]) Changed() Position { return f.history.lastChange() }
 
-// Known is the same, or, for none, the position at which the whole table was read: what
-// had changed before that it knows, but not what it was.
+// LastKnown returns LastChange or, if that is 0, the position at which the whole table was read.
+// The table includes the changes before that position, but the single changes aren't known.
 func (f *Follower[T]) Known() Position { return f.history.lastKnown() }
 
-// Since returns what changed after a position; false if not all of it is known.
+// DeltasSince returns the changes after a position; false if not all of them are known.
 func (f *Follower[T]) Since(after Position) ([]Step[T], bool) { return f.history.since(after) }
 
-// Position is up to where the table is known; 0 before it has been read.
+// Position returns the position up to which the table is known; 0 before it has been read.
 func (f *Follower[T]) Position() Position {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.position
 }
 
-// Live reports whether the store is asked and answers.
+// Live reports whether this follower polls the store and the store answers.
 func (f *Follower[T]) Live() bool { return f.live.Load() }
 
-// Take takes what another follower of the table had from the store, as far as it is
-// news; ErrGap if it begins too late.
+// ApplyDeltas applies the changes that another follower received from the store, and skips those
+// that are already known. It returns ErrGap if changes are missing before the deltas.
 func (f *Follower[T]) Take(asOf time.Duration, deltas []Step[T]) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -42,7 +42,7 @@
 		if delta.To <= f.position {
 			continue
 		}
-		if delta.Whole && f.position != 0 && delta.To.Era() > f.position.Era() {
+		if delta.Snapshot && f.position != 0 && delta.To.Era() > f.position.Era() {
 			f.replaceLocked(asOf, Batch[T]{Items: delta.Items, Unreadable: delta.Unreadable, At: delta.To})
 			continue
 		}
@@ -56,15 +56,16 @@
 	return nil
 }
 
-// reset takes the whole table.
+// applyFullRead replaces the table with the result of a full read.
 func (f *Follower[T]) applyFullRead(asOf time.Duration, table Batch[T]) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.replaceLocked(asOf, table)
 }
 
-// restart takes the whole table; f.mu is held. After a return of the store from an older
-// copy other followers can go on from it: not all of them have to read it.
+// replaceLocked replaces the whole table; f.mu must be held. If the store was restored from an
+// older copy, the table is kept as a snapshot, so that not all other followers have to read it from
+// the store.
 func (f *Follower[T]) replaceLocked(asOf time.Duration, table Batch[T]) {
 	var snapshot *Step[T]
 	if f.position != 0 && table.At.Era() > f.position.Era() {
@@ -74,15 +75,15 @@
 		if f.Restored != nil {
 			f.Restored()
 		}
-		snapshot = &Step[T]{To: table.At, Items: table.Items, Unreadable: table.Unreadable, Whole: true}
+		snapshot = &Step[T]{To: table.At, Items: table.Items, Unreadable: table.Unreadable, Snapshot: true}
 	}
 	f.Sink.Reset(asOf, table)
 	f.position = table.At
 	f.history.reset(table.At, snapshot)
 }
 
-// change takes the store's answer to a call that asked for what came after a position.
-// Others may have told of it meanwhile, and of more.
+// applyChanges applies the store's answer to a call for the changes after a position. It ignores
+// the answer if other gateways have shared later changes meanwhile.
 func (f *Follower[T]) applyChanges(asOf time.Duration, changes Batch[T]) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/follow/sharing_test.go
+++ b/internal/gateway/follow/sharing_test.go
@@ -15,7 +15,8 @@
 	"github.com/applepier/applepier/internal/logging"
 )
 
-// resting starts a follower that has read its table up to 3 and rests while told.
+// startIdle starts a follower that has read its table up to position 3 and is idle while the flag
+// is set.
 func startIdle(t *testing.T, source *scriptedSource, sink *recordingSink, idle *atomic.Bool) *Follower[string] {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -41,18 +42,19 @@
 		idle.Store(true)
 		f := startIdle(t, src, &recordingSink{}, &idle)
 		if got := join(src.requests); got != "read" || f.Live() {
-			t.Errorf("asked %q, live %v, while others ask", got, f.Live())
+			t.Errorf("requests %q, live %v, while idle", got, f.Live())
 		}
 		idle.Store(false)
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if got := join(src.requests); got != "read next after 3" {
-			t.Errorf("asked %q after nobody else did", got)
+			t.Errorf("requests %q after the idle period", got)
 		}
 	})
 }
 
-// Others wait for who follows now to say so.
+// Other gateways wait for the news that this one polls the store, so its first answer after an idle
+// period must not be held back.
 func TestFirstPollAfterIdleIsShort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &failOnceSource{}
@@ -73,7 +75,7 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if len(src.waits) <= before || src.waits[before] > immediateWait || !f.Live() {
-			t.Errorf("waits %v after %d before the rest", src.waits, before)
+			t.Errorf("waits %v, of which %d were before the idle period", src.waits, before)
 		}
 		cancel()
 		wg.Wait()
@@ -87,29 +89,29 @@
 		idle.Store(true)
 		f := startIdle(t, &scriptedSource{calls: readUpToPosition3()}, out, &idle)
 		if f.Changed() != 0 || f.Known() != 3 {
-			t.Errorf("changed %d, known %d after the whole table was read", f.Changed(), f.Known())
+			t.Errorf("last change %d, last known %d after the whole table was read", f.Changed(), f.Known())
 		}
 		deltas := []Step[string]{{From: 2, To: 3, Items: []string{"old"}}, {From: 3, To: 5, Items: []string{"b"}}, {From: 5, To: 9, Items: []string{"c"}}}
 		if err := f.Take(0, deltas); err != nil {
 			t.Fatal(err)
 		}
 		if got := join(out.items); got != "all a b c" || f.Position() != 9 || f.Changed() != 9 {
-			t.Errorf("took %q, is at %d, changed %d", got, f.Position(), f.Changed())
+			t.Errorf("sink got %q, position %d, last change %d", got, f.Position(), f.Changed())
 		}
 		if err := f.Take(0, []Step[string]{{From: 10, To: 12, Items: []string{"d"}}}); !errors.Is(err, ErrGap) {
-			t.Errorf("%v for changes with some missing before them", err)
+			t.Errorf("error %v for deltas after a gap, want ErrGap", err)
 		}
 		if got, complete := f.Since(3); !complete || len(got) != 2 {
-			t.Errorf("hands on %v, %v", got, complete)
+			t.Errorf("shares deltas %v, complete: %v", got, complete)
 		}
 		if _, complete := f.Since(2); complete {
-			t.Error("claims to know what was before it read the table")
+			t.Error("claims to know the changes before the table was read")
 		}
 	})
 }
 
-// A call that was made before others told of more may be answered after it, with news
-// that are old by then.
+// Other gateways may share later changes during a call. The answer to that call is then outdated
+// and must be dropped.
 func TestOutdatedAnswerIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &recordingSink{}
@@ -122,7 +124,7 @@
 		time.Sleep(2 * time.Minute)
 		synctest.Wait()
 		if got := join(out.items); got != "all a new" || f.Position() != 7 {
-			t.Errorf("took %q, is at %d", got, f.Position())
+			t.Errorf("sink got %q, position %d", got, f.Position())
 		}
 	})
 }
@@ -134,10 +136,10 @@
 		h.add(Step[string]{From: position, To: position + 1})
 	}
 	if _, complete := h.since(maxHistoryDeltas - 1); complete || len(h.deltas) > maxHistoryDeltas {
-		t.Errorf("%d steps kept, all after %d known: %v", len(h.deltas), maxHistoryDeltas-1, complete)
+		t.Errorf("%d deltas kept, complete after %d: %v", len(h.deltas), maxHistoryDeltas-1, complete)
 	}
 	if deltas, complete := h.since(2*maxHistoryDeltas - 3); !complete || len(deltas) != 3 || h.lastChange() != 2*maxHistoryDeltas {
-		t.Errorf("%d steps, known %v, changed %d", len(deltas), complete, h.lastChange())
+		t.Errorf("%d deltas, complete: %v, last change %d", len(deltas), complete, h.lastChange())
 	}
 }
 
@@ -160,10 +162,10 @@
 		synctest.Wait()
 		all := lines.All()
 		if len(all) != 2 || all[0].Message != logging.EventStoreLeft || all[1].Message != logging.EventStoreAsked {
-			t.Errorf("lines %v", all)
+			t.Errorf("log lines %v", all)
 		}
 		if calls != 2 {
-			t.Errorf("%d calls told, the read and the one after the rest were made", calls)
+			t.Errorf("%d calls counted, want 2: the full read and the poll after the idle period", calls)
 		}
 	})
 }
--- a/internal/gateway/usage/aggregator.go
+++ b/internal/gateway/usage/aggregator.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// forgetSource is how long a source without counts is kept after its last update.
+// sourceExpiry is how long a source without counts is kept after its last update.
 const sourceExpiry = time.Minute
 
-// Aggregate merges the counts of all gateways. All methods may be called concurrently.
-type Aggregate struct {
+// Aggregator merges the counts of all gateways. All methods may be called concurrently.
+type Aggregator struct {
 	windows Windows
 	clock   func() time.Time
 
-	// mu guards what follows; nothing is locked while it is held.
+	// mu guards the fields below; no other lock is taken while it is held.
 	mu      sync.Mutex
 	sources map[Source]*sourceCounts
-	// latest is the start of each gateway that sent the last update.
+	// latestStarts holds, by gateway, the process start that sent the most recent update.
 	latestStarts map[string]uint64
-	// current is the window of the last update.
+	// currentWindow is the window in which the last update was merged.
 	currentWindow uint64
 }
 
-// sourceCounts are the counts of one start of a gateway.
+// sourceCounts holds the counts of one gateway process.
 type sourceCounts struct {
 	sequence      uint64
 	completeUntil int64
@@ -32,14 +32,15 @@
 	counts        map[countKey]int64
 }
 
-// NewAggregate returns an empty Aggregate by a clock of true time.
-func NewAggregate(w Windows, clock func() time.Time) *Aggregate {
-	return &Aggregate{windows: w, clock: clock, sources: map[Source]*sourceCounts{}, latestStarts: map[string]uint64{}}
+// NewAggregator returns an empty Aggregator. The clock returns the gateways' common time of day.
+func NewAggregator(w Windows, clock func() time.Time) *Aggregator {
+	return &Aggregator{windows: w, clock: clock, sources: map[Source]*sourceCounts{}, latestStarts: map[string]uint64{}}
 }
 
-// Merge merges an update. Counts of windows that are too old to be reported, or that have
-// not begun, are of a gateway whose clock is wrong.
-func (a *Aggregate) Merge(now time.Time, from Source, update Update) {
+// Merge merges an update that was received at the given time. It discards counts of windows that
+// are too old to be reported or lie more than one window ahead: they come from a gateway whose
+// clock is wrong.
+func (a *Aggregator) Merge(now time.Time, from Source, update Update) {
 	current := a.windows.Number(a.clock())
 	oldest := current - min(current, maxRetainedWindows+1)
 	update.Counts = slices.DeleteFunc(slices.Clone(update.Counts), func(c Count) bool { return c.Window <= oldest || c.Window > current+1 })
@@ -55,8 +56,9 @@
 	a.latestStarts[from.Gateway] = from.Start
 }
 
-// source returns the counts of a start; g.mu is held.
-func (a *Aggregate) sourceLocked(from Source) *sourceCounts {
+// sourceLocked returns the counts of a gateway process and creates them if there are none; a.mu
+// must be held.
+func (a *Aggregator) sourceLocked(from Source) *sourceCounts {
 	counts := a.sources[from]
 	if counts == nil {
 		counts = &sourceCounts{counts: map[countKey]int64{}}
@@ -65,7 +67,7 @@
 	return counts
 }
 
-// merge merges cumulative counts: the highest is the newest.
+// merge merges cumulative counts: for each key the highest value is the newest.
 func (s *sourceCounts) merge(counts []Count) {
 	for _, c := range counts {
 		key := countKey{c.Window, c.Customer}
@@ -73,8 +75,9 @@
 	}
 }
 
-// Sequence is the last change received from a start, to be acknowledged.
-func (a *Aggregate) Sequence(from Source) uint64 {
+// LastSequence returns the sequence number of the last change received from a gateway process, to
+// be acknowledged to it; 0 if none was received.
+func (a *Aggregator) Sequence(from Source) uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if counts := a.sources[from]; counts != nil {
@@ -83,8 +86,8 @@
 	return 0
 }
 
-// Sum adds up a window's counts by customer.
-func (a *Aggregate) Sum(window uint64) map[string]int64 {
+// Sum returns the number of requests in a window by customer, over all gateways.
+func (a *Aggregator) Sum(window uint64) map[string]int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	sum := map[string]int64{}
@@ -98,9 +101,10 @@
 	return sum
 }
 
-// Missing names the gateways whose counts between two moments aren't complete. One whose
-// last update is older than both has none.
-func (a *Aggregate) IncompleteGateways(begin, end time.Time) []string {
+// IncompleteGateways returns the sorted names of the gateways whose counts are complete to a point
+// within [begin, end) only. A gateway whose counts end before begin isn't included: it has stopped
+// or has no counts in the interval.
+func (a *Aggregator) IncompleteGateways(begin, end time.Time) []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var names []string
@@ -114,15 +118,16 @@
 	return names
 }
 
-// Expire drops the counts of all windows up to one, and sources that are gone.
-func (a *Aggregate) Expire(now time.Time, lastExpired uint64) {
+// Expire deletes the counts of all windows up to and including lastExpired, and the sources that
+// have no counts and sent no update for sourceExpiry.
+func (a *Aggregator) Expire(now time.Time, lastExpired uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.expireLocked(now, lastExpired)
 }
 
-// expire is Expire; g.mu is held.
-func (a *Aggregate) expireLocked(now time.Time, lastExpired uint64) {
+// expireLocked implements Expire; a.mu must be held.
+func (a *Aggregator) expireLocked(now time.Time, lastExpired uint64) {
 	for from, source := range a.sources {
 		maps.DeleteFunc(source.counts, func(key countKey, _ int64) bool { return key.window <= lastExpired })
 		if len(source.counts) > 0 || now.Sub(source.lastReceived) <= sourceExpiry {
--- a/internal/gateway/usage/checking_platform_test.go
+++ b/internal/gateway/usage/checking_platform_test.go
@@ -8,18 +8,19 @@
 	"time"
 )
 
-// judge is a platform that takes reports and says what breaks: two of one window that
-// differ, two holders of one generation.
+// checkingPlatform is a Platform that accepts reports and fails the test if two reports of one
+// window differ or two holders use the same generation.
 type checkingPlatform struct {
 	t  *testing.T
 	mu sync.Mutex
-	// answer is what becomes of the next calls; nil for the platform's own answer.
+	// respond, if set, is called first on each call; a non-nil error is returned to the caller
+	// instead of processing the report.
 	respond          func() error
 	accepted         map[uint64]map[string]int64
 	delays           map[uint64]time.Duration
 	holders          map[uint64]string
 	newestGeneration uint64
-	// refused counts the calls that were refused, by generation.
+	// fenced counts the calls that were rejected for their old generation, by generation.
 	fenced      map[uint64]int
 	calls       int
 	holderOrder []string
@@ -41,10 +42,10 @@
 	return p.processReport(h, r)
 }
 
-// execute carries a call out; j.mu is held.
+// processReport checks and stores a report; p.mu must be held.
 func (p *checkingPlatform) processReport(h Holder, r Report) error {
 	if other, ok := p.holders[h.Generation]; ok && other != h.Name {
-		p.t.Errorf("%s and %s report under generation %d", other, h.Name, h.Generation)
+		p.t.Errorf("%s and %s both sent reports with generation %d", other, h.Name, h.Generation)
 	}
 	p.holders[h.Generation] = h.Name
 	if h.Generation < p.newestGeneration {
@@ -56,7 +57,7 @@
 		p.holderOrder = append(p.holderOrder, h.Name)
 	}
 	if before, ok := p.accepted[r.Window]; ok && !maps.Equal(before, r.Counts) {
-		p.t.Errorf("window %d was reported as %v and %v", r.Window, before, r.Counts)
+		p.t.Errorf("window %d was reported with different counts: %v and %v", r.Window, before, r.Counts)
 	}
 	if _, ok := p.accepted[r.Window]; !ok {
 		p.accepted[r.Window], p.delays[r.Window] = maps.Clone(r.Counts), time.Since(fiveSeconds.End(r.Window))
--- a/internal/gateway/usage/checkpoint.go
+++ b/internal/gateway/usage/checkpoint.go
@@ -10,29 +10,31 @@
 )
 
 const (
-	// ledgerKey is the row of the Ledger, and countsPrefix begins the rows of what was
-	// gathered and isn't reported yet.
+	// ledgerKey is the key of the row that holds the Ledger. countsPrefix begins the keys of the
+	// rows that hold the counts that aren't finalized yet.
 	ledgerKey = "usage/ledger"
-	// acceptedKey is the row of the windows whose reports the platform is known to have. It
-	// is apart from the ledger, which must never be written over by an older one.
+	// acceptedKey is the key of the row that lists the windows whose reports the platform has
+	// accepted. It is separate from the ledger's row because that row must never be overwritten
+	// with an older ledger.
 	acceptedKey  = "usage/accepted"
 	countsPrefix = "usage/counts/"
-	// maxRowBytes bounds a row of counts; the store takes 64 KB.
+	// maxRowBytes limits a row of counts; the store accepts 64 KB.
 	maxRowBytes = 48 << 10
 )
 
-// ErrCorrupt: a stored row doesn't hold what this version of the program writes.
-var ErrCorrupt = errors.New("stored usage can't be decoded")
+// ErrCorrupt is returned if a stored row can't be decoded by this version of the program.
+var ErrCorrupt = errors.New("cannot decode stored usage")
 
-// storedCounts are the counts of one start of a gateway.
+// checkpointEntry holds the counts of one gateway process.
 type checkpointEntry struct {
 	_      struct{} `cbor:",toarray"`
 	From   Source
 	Counts []Count
 }
 
-// checkpoint encodes the counts of the windows after one, split into rows.
-func (a *Aggregate) encodeCheckpoint(lastFinalized uint64) ([][]byte, error) {
+// encodeCheckpoint encodes the counts of the windows after lastFinalized, split into rows of about
+// maxRowBytes.
+func (a *Aggregator) encodeCheckpoint(lastFinalized uint64) ([][]byte, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var rows [][]byte
@@ -71,9 +73,9 @@
 	return append(rows, encoded), nil
 }
 
-// restore merges the rows of a checkpoint. Their sources are not waited for until they send
-// updates.
-func (a *Aggregate) restoreCheckpoint(rows []storage.Row) error {
+// restoreCheckpoint merges the rows of a checkpoint. IncompleteGateways doesn't return the sources
+// of these rows until they send updates.
+func (a *Aggregator) restoreCheckpoint(rows []storage.Row) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, row := range rows {
@@ -91,7 +93,7 @@
 	return nil
 }
 
-// acceptedWrite is the write of the accepted windows.
+// encodeAccepted returns the write that stores the accepted windows.
 func encodeAccepted(windows []uint64) (storage.Write, error) {
 	value, err := cbor.Marshal(windows)
 	if err != nil {
@@ -100,7 +102,8 @@
 	return storage.Write{Key: acceptedKey, Value: value, Expect: storage.AnyVersion}, nil
 }
 
-// readAccepted reads them. Reports of which it isn't known are sent once more.
+// decodeAccepted decodes the accepted windows. Reports of windows that aren't listed are sent once
+// more.
 func decodeAccepted(row storage.Row) ([]uint64, error) {
 	var windows []uint64
 	if err := cbor.Unmarshal(row.Value, &windows); err != nil {
@@ -109,8 +112,8 @@
 	return windows, nil
 }
 
-// countWrites are the writes of a checkpoint's rows; those of an earlier one that isn't
-// needed any more are emptied.
+// checkpointWrites returns the writes that store a checkpoint's rows. Rows of the previous
+// checkpoint that are no longer needed are emptied.
 func checkpointWrites(rows [][]byte, previousRows int) []storage.Write {
 	var writes []storage.Write
 	for i := range max(len(rows), previousRows) {
--- a/internal/gateway/usage/cluster_test.go
+++ b/internal/gateway/usage/cluster_test.go
@@ -15,13 +15,13 @@
 
 func singleRow(value []byte) []storage.Row { return []storage.Row{{Value: value}} }
 
-// fleet is a few gateways that exchange updates at once.
+// cluster is a set of gateways that exchange updates in one process.
 type cluster struct {
 	mu       sync.Mutex
 	nodes    []*node
 	table    *storagetest.Table
 	platform *checkingPlatform
-	// gossiping ends with stop.
+	// exchange waits for the goroutine that exchanges updates, which ends when stop is called.
 	exchange sync.WaitGroup
 	stop     context.CancelFunc
 }
@@ -31,8 +31,8 @@
 	*Reporter
 	stop context.CancelFunc
 	wg   sync.WaitGroup
-	// cut says that it and the others are partitioned from each other, alone that it has no way
-	// to the store.
+	// partitioned cuts the node off from all other nodes, storeUnreachable cuts it off from the
+	// store.
 	partitioned, storeUnreachable bool
 }
 
@@ -62,7 +62,7 @@
 	return n
 }
 
-// kill ends a member without a word.
+// kill stops a node without letting it release its lease or send further updates.
 func (c *cluster) kill(n *node) {
 	c.setFlag(&n.partitioned, true)
 	c.setFlag(&n.storeUnreachable, true)
@@ -90,7 +90,7 @@
 	return *flag
 }
 
-// gossip sends each member's updates to the others ten times a second.
+// exchangeUpdates sends each node's updates to the others ten times a second.
 func (c *cluster) exchangeUpdates(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.mu.Lock()
@@ -139,7 +139,7 @@
 	return count
 }
 
-// way is a member's way to the table.
+// nodeTable is the table as a node accesses it.
 type nodeTable struct{ node *node }
 
 func (t nodeTable) Get(ctx context.Context, key string) (storage.Row, error) {
@@ -170,7 +170,7 @@
 func (nopObserver) Reported(time.Duration, bool) {}
 func (nopObserver) Refused(error)                {}
 
-// holder waits until one member holds the duty.
+// waitForHolder waits until one node holds the lease, and returns it.
 func (c *cluster) waitForHolder(t *testing.T) *node {
 	t.Helper()
 	for range 200 {
@@ -184,12 +184,12 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	t.Fatal("nobody holds the duty")
+	t.Fatal("no node holds the lease")
 	return nil
 }
 
-// load has each member begin a request of each of two customers ten times a second, for a
-// time.
+// generateRequests has each node start one request for each of two customers ten times a second,
+// for the given time.
 func (c *cluster) generateRequests(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		c.mu.Lock()
@@ -201,8 +201,8 @@
 	}
 }
 
-// play runs a test in a bubble of its own time, with three gateways of which one holds the
-// duty and has reported.
+// runCluster runs a test in a synctest bubble with three gateways, one of which holds the lease and
+// has sent reports.
 func runCluster(t *testing.T, test func(t *testing.T, c *cluster, holder *node)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, "a", "b", "c")
@@ -219,7 +219,8 @@
 	})
 }
 
-// expectReported checks that windows have been reported in time, whole to a part.
+// expectReported checks that each window was reported within ten seconds of its end, with the
+// wanted number of requests within a relative tolerance.
 func (c *cluster) expectReported(t *testing.T, first, last uint64, want int64, tolerance float64) {
 	t.Helper()
 	c.platform.mu.Lock()
@@ -227,7 +228,7 @@
 	for window := first; window <= last; window++ {
 		counts, ok := c.platform.accepted[window]
 		if !ok || c.platform.delays[window] > 10*time.Second {
-			t.Errorf("window %d: reported %v, after %v", window, ok, c.platform.delays[window])
+			t.Errorf("window %d: reported %v, %v after its end", window, ok, c.platform.delays[window])
 			continue
 		}
 		if got := float64(counts["a"]); got < float64(want)*(1-tolerance) || got > float64(want)*(1+tolerance) {
@@ -238,5 +239,5 @@
 
 func currentWindow() uint64 { return fiveSeconds.Number(time.Now()) }
 
-// perWindow is what the three members begin for a customer in a window.
+// requestsPerWindow is the number of requests that three nodes start for one customer in a window.
 const requestsPerWindow = 150
--- a/internal/gateway/usage/config.go
+++ b/internal/gateway/usage/config.go
@@ -10,60 +10,63 @@
 )
 
 const (
-	// renewFraction, campaignFraction, marginFraction and backoffFactor are of how long the lease holds: a
-	// holder has two more tries after a renewal that failed.
+	// renewDivisor, campaignDivisor and marginDivisor divide the lease's duration into the
+	// intervals of its timing. Renewing every third of the duration leaves a holder two more
+	// attempts after a renewal that failed.
 	renewDivisor    = 3
 	campaignDivisor = 4
 	marginDivisor   = 5
-	// durationFraction is the part of LeaseTime for which a write of the lease holds: a successor
-	// waits for its end, and two changes of holder take longer than LeaseTime.
+	// leaseDurationFraction is the lease's duration as a fraction of LeaseTime. A successor waits
+	// for the lease to expire, so two changes of holder take longer than LeaseTime.
 	leaseDurationFraction = 0.7
-	// backoffFactor is for how many LeaseTimes a holder that was deposed leaves the duty to
-	// others, so that holders never act in the order A, B, A within one.
+	// backoffFactor is the time, in units of LeaseTime, for which a holder that was fenced off
+	// doesn't campaign, so that holders never act in the order A, B, A within one LeaseTime.
 	backoffFactor = 1.5
 )
 
-// Config is what a Reporter needs.
+// Config holds the settings and dependencies of a Reporter.
 type Config struct {
-	// Name is the VM's, Start the process's.
+	// Name is the VM's name, and Start identifies this run of the process.
 	Name  string
 	Start uint64
-	// Windows are those that are reported, within Delay after their end.
+	// Windows are the windows to report, each within Delay after its end.
 	Windows Windows
 	Delay   time.Duration
-	// LeaseTime is within what time two holders may not act by turns.
+	// LeaseTime is the interval within which two holders must not act in alternation.
 	LeaseTime time.Duration
 	Table     storage.Table
 	Platform  Platform
-	// Now is true time.
+	// Now returns the gateways' common time of day, which doesn't depend on this VM's clock alone.
 	Now func() time.Time
-	// Others is what its peers have sent.
-	Others Others
-	// Able says whether this gateway may take the duty: the store answers it, and it
-	// isn't leaving.
+	// Peers reports what the other gateways have sent.
+	Others Peers
+	// Eligible reports whether this gateway may hold the lease: the store answers it and it isn't
+	// shutting down.
 	Able func() bool
-	// Observer counts what becomes of reports.
+	// Observer is told the outcome of each attempt to send a report.
 	Observer Observer
 	Log      *zap.Logger
 }
 
-// Others is what a Reporter knows of its peers.
-type Others interface {
-	// Reporting says whether a live peer holds the duty.
+// Peers is what a Reporter knows of the other gateways.
+type Peers interface {
+	// HasUsageReporter reports whether a live peer holds the lease.
 	Reporting() bool
-	// Before counts those that come before this one as candidates for the duty.
+	// PrecedingPeers returns the number of peers that precede this gateway as candidates for the
+	// lease.
 	Before() int
 }
 
-// Observer counts what becomes of reports.
+// Observer counts the outcomes of reports.
 type Observer interface {
-	// Reported counts a report that the platform accepted, some time after its window's end.
+	// ReportAccepted counts a report that the platform accepted at the given time after the end of
+	// its window. It is late if that time exceeds Config.Delay.
 	Reported(after time.Duration, late bool)
-	// Refused counts a report that was not accepted.
+	// ReportFailed counts an attempt to send a report that was not accepted.
 	Refused(err error)
 }
 
-// timing is the lease's.
+// leaseTiming returns the timing of the lease.
 func (c *Config) leaseTiming() lease.Timing {
 	duration := time.Duration(leaseDurationFraction * float64(c.LeaseTime))
 	return lease.Timing{
--- a/internal/gateway/usage/counter.go
+++ b/internal/gateway/usage/counter.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// maxCounts bounds the counts of an update, which is part of a datagram.
+	// maxUpdateCounts limits the counts of an update, which is part of a datagram.
 	maxUpdateCounts = 400
-	// maxWindows bounds the windows for which counts are kept: those of a minute or more
-	// in which nobody could report.
+	// maxRetainedWindows limits the windows whose counts are kept. It covers a minute or more in
+	// which no gateway could send reports.
 	maxRetainedWindows = 24
 )
 
@@ -20,7 +20,7 @@
 	windows Windows
 	now     func() time.Time
 
-	// mu guards what follows; nothing is locked while it is held.
+	// mu guards the fields below; no other lock is taken while it is held.
 	mu       sync.Mutex
 	sequence uint64
 	counts   map[countKey]*requestCount
@@ -33,16 +33,16 @@
 
 type requestCount struct {
 	requests int64
-	// changed is the sequence of the last change.
+	// changeSequence is the sequence number of the last change.
 	changeSequence uint64
 }
 
-// NewCounter returns a Counter by a clock of true time.
+// NewCounter returns an empty Counter. The clock returns the gateways' common time of day.
 func NewCounter(w Windows, now func() time.Time) *Counter {
 	return &Counter{windows: w, now: now, counts: map[countKey]*requestCount{}}
 }
 
-// Began counts a request that a backend server began to run now.
+// Add counts a request that a backend server starts to run now.
 func (c *Counter) Began(customer string) {
 	window := c.windows.Number(c.now())
 	c.mu.Lock()
@@ -59,7 +59,7 @@
 	count.changeSequence = c.sequence
 }
 
-// expire drops windows that are too old to be reported; c.mu is held.
+// expireLocked deletes the counts of windows that are too old to be reported; c.mu must be held.
 func (c *Counter) expireLocked(newest uint64) {
 	for key := range c.counts {
 		if key.window+maxRetainedWindows < newest {
@@ -68,7 +68,8 @@
 	}
 }
 
-// Update returns what has changed after a sequence number.
+// UpdateSince returns the counts that changed after a sequence number. If there are more than
+// maxUpdateCounts, the update is truncated to the oldest changes and its CompleteUntil is 0.
 func (c *Counter) Update(after uint64) Update {
 	completeUntil := c.now().UnixMilli()
 	c.mu.Lock()
--- a/internal/gateway/usage/counter_test.go
+++ b/internal/gateway/usage/counter_test.go
@@ -14,7 +14,7 @@
 	noon        = time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 )
 
-// inWindow is a clock that stands in a window.
+// clockInWindow returns a clock that is stopped within a window.
 func clockInWindow(number uint64) func() time.Time {
 	return func() time.Time { return fiveSeconds.End(number).Add(-time.Second) }
 }
@@ -22,20 +22,20 @@
 func TestWindowsNumberedFromUnixEpoch(t *testing.T) {
 	at := time.Unix(353445120*5, 0)
 	if got := fiveSeconds.Number(at.Add(time.Second)); got != 353445120 {
-		t.Errorf("window %d", got)
+		t.Errorf("window number %d", got)
 	}
 	if got := fiveSeconds.End(353445120); !got.Equal(at.Add(5 * time.Second)) {
-		t.Errorf("it ends at %v", got)
+		t.Errorf("window ends at %v", got)
 	}
 }
 
-// Updates that are lost, doubled, late or too large for a datagram leave the receiver with
-// what was counted, once one has come that tells all.
+// Updates may be lost, duplicated, reordered or truncated. Once a final update arrives that covers
+// all changes, the receiver must have the sender's counts.
 func TestUpdatesConvergeAfterLossDuplicationAndReordering(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := noon
 		counter := NewCounter(fiveSeconds, func() time.Time { return now })
-		aggregate := NewAggregate(fiveSeconds, func() time.Time { return now })
+		aggregate := NewAggregator(fiveSeconds, func() time.Time { return now })
 		from := Source{Gateway: "a", Start: 1}
 		want := map[countKey]int64{}
 		var sent []Update
@@ -60,33 +60,34 @@
 		maps.DeleteFunc(want, func(k countKey, _ int64) bool { return k.window+maxRetainedWindows < newest })
 		for key, requests := range want {
 			if got := aggregate.Sum(key.window)[key.customer]; got != requests {
-				t.Fatalf("%d of %v, counted %d", got, key, requests)
+				t.Fatalf("aggregated %d requests of %v, counted %d", got, key, requests)
 			}
 		}
 		if incomplete := aggregate.IncompleteGateways(time.Time{}, now); len(incomplete) > 0 {
-			t.Errorf("%v are missing", incomplete)
+			t.Errorf("counts of %v are incomplete", incomplete)
 		}
 	})
 }
 
-// An update of which only a part fits says so, and the next ones tell the rest.
+// An update that doesn't fit into a datagram is marked as incomplete, and later updates carry the
+// rest.
 func TestLargeUpdateIsSplit(t *testing.T) {
 	counter := NewCounter(fiveSeconds, func() time.Time { return noon })
 	for i := range 2*maxUpdateCounts + 7 {
 		counter.Began(fmt.Sprint("customer-", i))
 	}
-	aggregate, from := NewAggregate(fiveSeconds, func() time.Time { return noon }), Source{Gateway: "a", Start: 1}
+	aggregate, from := NewAggregator(fiveSeconds, func() time.Time { return noon }), Source{Gateway: "a", Start: 1}
 	for parts := 1; ; parts++ {
 		update := counter.Update(aggregate.Sequence(from))
 		aggregate.Merge(noon, from, update)
 		if update.CompleteUntil != 0 {
 			if parts != 3 {
-				t.Errorf("%d parts", parts)
+				t.Errorf("update was split into %d parts", parts)
 			}
 			break
 		}
 		if len(aggregate.IncompleteGateways(time.Time{}, noon)) != 1 {
-			t.Error("complete after a part")
+			t.Error("counts are complete after a truncated update")
 		}
 	}
 	if got := len(aggregate.Sum(fiveSeconds.Number(noon))); got != 2*maxUpdateCounts+7 {
@@ -94,10 +95,10 @@
 	}
 }
 
-// Counts of an earlier start of a gateway are added to those of the later one, and
-// only the later one is waited for.
+// Counts of a gateway's earlier process are added to those of its current one, and only the current
+// process can be incomplete.
 func TestOnlyLatestStartIsIncomplete(t *testing.T) {
-	aggregate := NewAggregate(fiveSeconds, clockInWindow(7))
+	aggregate := NewAggregator(fiveSeconds, clockInWindow(7))
 	counts := []Count{{Window: 7, Customer: "a", Requests: 3}}
 	aggregate.Merge(noon, Source{Gateway: "x", Start: 1}, Update{Sequence: 3, CompleteUntil: 100, Counts: counts})
 	aggregate.Merge(noon, Source{Gateway: "x", Start: 2}, Update{Sequence: 3, CompleteUntil: 900, Counts: counts})
@@ -105,25 +106,25 @@
 		t.Errorf("%d requests", got)
 	}
 	if incomplete := aggregate.IncompleteGateways(time.UnixMilli(0), time.UnixMilli(500)); len(incomplete) != 0 {
-		t.Errorf("%v are waited for", incomplete)
+		t.Errorf("incomplete gateways %v, want none", incomplete)
 	}
 	if incomplete := aggregate.IncompleteGateways(time.UnixMilli(600), time.UnixMilli(1000)); len(incomplete) != 1 {
-		t.Errorf("%v are waited for, one has sent a part", incomplete)
+		t.Errorf("incomplete gateways %v, want the one that has sent a part", incomplete)
 	}
-	// One whose last update is before the window is gone, or had nothing.
+	// A gateway whose last update ends before the interval has stopped or had no counts in it.
 	if incomplete := aggregate.IncompleteGateways(time.UnixMilli(1000), time.UnixMilli(1500)); len(incomplete) != 0 {
-		t.Errorf("%v are waited for", incomplete)
+		t.Errorf("incomplete gateways %v, want none", incomplete)
 	}
 	aggregate.Expire(noon.Add(2*sourceExpiry), 7)
 	if len(aggregate.sources)+len(aggregate.latestStarts) != 0 {
-		t.Error("sources are kept without an update for a minute")
+		t.Error("sources without an update are kept after their expiry")
 	}
 }
 
-// A checkpoint holds all that isn't reported, in rows that the store takes.
+// A checkpoint holds all counts that aren't finalized, in rows that are small enough for the store.
 func TestCheckpointRestoresAllCounts(t *testing.T) {
 	const gateways, customers = 68, 400
-	aggregate := NewAggregate(fiveSeconds, clockInWindow(5))
+	aggregate := NewAggregator(fiveSeconds, clockInWindow(5))
 	for i := range gateways {
 		var counts []Count
 		for c := range customers {
@@ -135,7 +136,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored := NewAggregate(fiveSeconds, clockInWindow(5))
+	restored := NewAggregator(fiveSeconds, clockInWindow(5))
 	for _, w := range checkpointWrites(rows, 0) {
 		if len(w.Value) > maxRowBytes*4/3 {
 			t.Errorf("row of %d bytes", len(w.Value))
@@ -145,20 +146,20 @@
 		}
 	}
 	if got := restored.Sum(5); len(got) != customers || got["customer-007"] != gateways {
-		t.Errorf("%d customers, %d of one", len(got), got["customer-007"])
+		t.Errorf("%d customers, %d requests of one", len(got), got["customer-007"])
 	}
 	if writes := checkpointWrites(nil, len(rows)); len(writes) != len(rows) || writes[0].Value != nil {
-		t.Error("rows of before aren't emptied")
+		t.Error("rows of the previous checkpoint aren't emptied")
 	}
 	if rows, err := aggregate.encodeCheckpoint(5); err != nil || len(rows) != 1 {
-		t.Errorf("%d rows of what is reported, %v", len(rows), err)
+		t.Errorf("%d rows after all windows were finalized, error %v", len(rows), err)
 	}
 }
 
-// A gateway that only receives updates, and never reports, keeps a bounded part of them.
+// A gateway that only receives updates and never sends reports keeps a bounded number of counts.
 func TestAggregateIsBounded(t *testing.T) {
 	now := noon
-	aggregate := NewAggregate(fiveSeconds, func() time.Time { return now })
+	aggregate := NewAggregator(fiveSeconds, func() time.Time { return now })
 	first := fiveSeconds.Number(noon)
 	for i := range uint64(500) {
 		now = now.Add(5 * time.Second)
@@ -174,10 +175,10 @@
 	}
 }
 
-// A gateway whose clock is hours off, until it hears of the others, takes no counts of theirs
-// away.
+// The clock of a gateway may be hours off until it hears from the others. Its updates must not
+// displace the counts of the other gateways.
 func TestWrongClockDropsNoValidCounts(t *testing.T) {
-	aggregate := NewAggregate(fiveSeconds, clockInWindow(5000))
+	aggregate := NewAggregator(fiveSeconds, clockInWindow(5000))
 	aggregate.Merge(noon, Source{Gateway: "right", Start: 1}, Update{Counts: []Count{{Window: 5000, Customer: "a", Requests: 3}}})
 	aggregate.Merge(noon, Source{Gateway: "wrong", Start: 1}, Update{Counts: []Count{{Window: 9000, Customer: "a", Requests: 1}, {Window: 100, Customer: "a", Requests: 1}}})
 	aggregate.Merge(noon, Source{Gateway: "right", Start: 1}, Update{Counts: []Count{{Window: 5001, Customer: "a", Requests: 1}}})
--- a/internal/gateway/usage/finalize.go
+++ b/internal/gateway/usage/finalize.go
@@ -14,8 +14,8 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// finalizeDue finalizes the reports of windows as they are complete, until the lease is
-// lost.
+// finalizeLoop finalizes the reports of windows as they become due. It returns an error if the
+// lease is lost, and nil when ctx ends while no report is being stored.
 func (r *Reporter) finalizeLoop(ctx context.Context, heldLease *lease.Lease) error {
 	for ctx.Err() == nil {
 		window, due := r.nextDueWindow()
@@ -30,7 +30,8 @@
 	return nil
 }
 
-// due is the next window whose counts are complete, or have been waited for long enough.
+// nextDueWindow returns the next window to finalize if all gateways' counts of it are complete or
+// the maximum wait for them is over; false if no window is due.
 func (r *Reporter) nextDueWindow() (uint64, bool) {
 	now := r.Now()
 	r.mu.Lock()
@@ -47,15 +48,15 @@
 	return window, true
 }
 
-// missing names the gateways whose counts of a window aren't complete.
+// incompleteGateways returns the names of the gateways whose counts of a window aren't complete.
 func (r *Reporter) incompleteGateways(window uint64) []string {
 	end := r.Windows.End(window)
 	return r.Aggregate.IncompleteGateways(end.Add(-r.Windows.Length), end)
 }
 
-// finalize stores a window's report: it is in the store before it is sent, in one transaction
-// under the lease. What was tried once is tried again unchanged, since a write without an
-// answer may still be carried out.
+// finalize stores a window's report in a transaction under the lease, before the report is sent for
+// the first time. A failed write is retried with the same report, since a write without an answer
+// may still take effect.
 func (r *Reporter) finalize(ctx context.Context, heldLease *lease.Lease, window uint64) error {
 	end := r.Windows.End(window)
 	incomplete := r.incompleteGateways(window)
@@ -66,7 +67,7 @@
 		r.mu.Unlock()
 		encoded, err := cbor.Marshal(nextLedger)
 		if err != nil {
-			return errors.Wrap(err, "encode the ledger")
+			return errors.Wrap(err, "encode ledger")
 		}
 		err = heldLease.Commit(ctx, []storage.Write{{Key: ledgerKey, Value: encoded, Expect: storage.AnyVersion}})
 		switch {
@@ -84,7 +85,7 @@
 	return ctx.Err()
 }
 
-// finalized notes that a report is stored.
+// recordFinalized updates the local state after a report was stored.
 func (r *Reporter) recordFinalized(report Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,7 +95,7 @@
 	r.Aggregate.Expire(time.Now(), r.ledger.Finalized)
 }
 
-// total adds up the requests of all customers.
+// totalRequests returns the number of requests of all customers.
 func (r *Report) totalRequests() int64 {
 	var total int64
 	for _, requests := range r.Counts {
--- a/internal/gateway/usage/ledger.go
+++ b/internal/gateway/usage/ledger.go
@@ -2,55 +2,57 @@
 
 import "slices"
 
-// maxPending bounds the reports that wait for the platform: those of a minute.
+// maxPendingReports limits the reports that wait to be accepted by the platform; it covers one
+// minute.
 const maxPendingReports = 12
 
-// Ledger is what has been reported, as it is stored under the lease. Its methods decide
-// what may be reported; they return a changed copy. Its fields have numbers for names, so
-// that two releases read each other's.
+// Ledger is the state of reporting that is stored under the lease. Its methods decide which windows
+// may be reported and return a modified copy. Its fields are encoded with integer keys so that
+// different releases can read each other's rows.
 type Ledger struct {
-	// Era is of the store's history in which it was written.
+	// Era is the era of the store in which the ledger was written: the number of times that the
+	// store has been restored from an older copy.
 	Era uint64 `cbor:"1,keyasint,omitempty"`
-	// Finalized is the last window with a final report. All before it have one too, or are
-	// left out for good.
+	// Finalized is the last window with a final report. Each earlier window has one too or is never
+	// reported.
 	Finalized uint64 `cbor:"2,keyasint,omitempty"`
-	// Pending are the final reports that the platform isn't known to have, oldest first.
+	// Pending holds the final reports that the platform isn't known to have accepted, oldest first.
 	Pending []Report `cbor:"3,keyasint,omitempty"`
 }
 
-// Next is the next window to finalize; false if it isn't over.
+// NextWindow returns the next window to finalize, and whether it has closed; lastClosed is the last
+// window that has.
 func (l Ledger) Next(lastClosed uint64) (uint64, bool) {
 	return l.Finalized + 1, l.Finalized < lastClosed
 }
 
-// Finalize adds a final report. Of more than can be kept the oldest are given up.
+// Finalize adds a final report. If there are more than maxPendingReports, the oldest are dropped.
 func (l Ledger) Finalize(r Report) Ledger {
 	pending := append(slices.Clone(l.Pending), r)
 	return Ledger{Era: l.Era, Finalized: max(l.Finalized, r.Window), Pending: pending[max(0, len(pending)-maxPendingReports):]}
 }
 
-// Accept notes that the platform has a window's report.
+// Accept removes a window's report, which the platform has accepted, from the pending ones.
 func (l Ledger) Accept(window uint64) Ledger {
 	pending := slices.DeleteFunc(slices.Clone(l.Pending), func(r Report) bool { return r.Window == window })
 	return Ledger{Era: l.Era, Finalized: l.Finalized, Pending: pending}
 }
 
-// Memory is what a process knows beside what is stored.
+// LocalState is what a process knows in addition to the stored ledger.
 type Memory struct {
-	// Era is of the store's history now.
+	// Era is the store's current era.
 	Era uint64
-	// Own are the last reports that this process finalized.
+	// OwnReports are the last reports that this process finalized.
 	Own []Report
-	// Started is the window in which the process started, and Over the last one that is
-	// over.
+	// StartWindow is the window in which the process started, and LastClosedWindow the last window
+	// that has ended.
 	Started, Over uint64
 }
 
-// Recover is the Ledger that a new holder goes on from. After a return of the store from
-// an older copy, what is stored may lack reports that were sent, or hold one that was
-// written late by a holder of before: windows that are over are not counted again then.
-// Their reports are sent as they were where this process finalized them, and left out
-// otherwise.
+// RecoverLedger returns the Ledger with which a new holder continues. After the store was restored
+// from an older copy, the stored ledger may lack reports that were sent, or hold one that a
+// previous holder wrote late. Windows that have closed are therefore not counted again: reports
+// that this process finalized are sent unchanged, and the other windows are never reported.
 func Recover(stored Ledger, found bool, local Memory) Ledger {
 	l := Ledger{Era: local.Era, Finalized: stored.Finalized}
 	if local.Era == stored.Era {
@@ -65,7 +67,7 @@
 	case local.Era > stored.Era:
 		l.Finalized = max(l.Finalized, local.Over)
 	case !found:
-		// The first holder of all begins with the window of its start.
+		// The first holder ever starts with the window in which its process started.
 		l.Finalized = max(l.Finalized, local.Started-min(local.Started, 1))
 	}
 	return l
--- a/internal/gateway/usage/ledger_test.go
+++ b/internal/gateway/usage/ledger_test.go
@@ -29,14 +29,14 @@
 		finalized uint64
 		pending   []uint64
 	}{
-		"the first holder ever begins with its start's window": {Ledger{}, false, Memory{Started: 50, Over: 60}, 49, nil},
-		"as stored":                       {Ledger{Finalized: 60, Pending: reportsFor(59, 60)}, true, Memory{Started: 50, Over: 62}, 60, []uint64{59, 60}},
-		"a restart of all":                {Ledger{Finalized: 57}, true, Memory{Started: 62, Over: 62}, 57, nil},
-		"lost, and this process has none": {Ledger{Finalized: 57, Pending: reportsFor(57)}, true, Memory{Era: 1, Over: 60}, 60, nil},
-		"lost, and this process has some": {Ledger{Finalized: 57}, true, Memory{Era: 1, Own: reportsFor(56, 57, 58, 59), Over: 59}, 59, []uint64{58, 59}},
-		"lost before the copy held any":   {Ledger{}, false, Memory{Era: 2, Started: 50, Over: 60}, 60, nil},
-		"stored after the return":         {Ledger{Era: 1, Finalized: 58}, true, Memory{Era: 1, Own: reportsFor(57), Over: 60}, 58, nil},
-		"at the beginning of time":        {Ledger{}, false, Memory{}, 0, nil},
+		"first holder ever starts with its start window": {Ledger{}, false, Memory{Started: 50, Over: 60}, 49, nil},
+		"same era, stored ledger":                        {Ledger{Finalized: 60, Pending: reportsFor(59, 60)}, true, Memory{Started: 50, Over: 62}, 60, []uint64{59, 60}},
+		"restart of all gateways":                        {Ledger{Finalized: 57}, true, Memory{Started: 62, Over: 62}, 57, nil},
+		"restored, no own reports":                       {Ledger{Finalized: 57, Pending: reportsFor(57)}, true, Memory{Era: 1, Over: 60}, 60, nil},
+		"restored, some own reports":                     {Ledger{Finalized: 57}, true, Memory{Era: 1, Own: reportsFor(56, 57, 58, 59), Over: 59}, 59, []uint64{58, 59}},
+		"restored from a copy without a ledger":          {Ledger{}, false, Memory{Era: 2, Started: 50, Over: 60}, 60, nil},
+		"ledger stored after the restore":                {Ledger{Era: 1, Finalized: 58}, true, Memory{Era: 1, Own: reportsFor(57), Over: 60}, 58, nil},
+		"all zero":                                       {Ledger{}, false, Memory{}, 0, nil},
 	}
 	for name, c := range cases {
 		got := Recover(c.stored, c.found, c.memory)
@@ -52,11 +52,11 @@
 		ledger = ledger.Finalize(reportsFor(w)[0])
 	}
 	if len(ledger.Pending) != maxPendingReports || ledger.Pending[0].Window != 2*maxPendingReports+1 || ledger.Finalized != 3*maxPendingReports {
-		t.Errorf("%v pending, finalized %d", pendingWindows(ledger), ledger.Finalized)
+		t.Errorf("pending %v, finalized %d", pendingWindows(ledger), ledger.Finalized)
 	}
 	before := pendingWindows(ledger)
 	if after := ledger.Accept(ledger.Finalized); len(after.Pending) != maxPendingReports-1 || !slices.Equal(pendingWindows(ledger), before) {
-		t.Errorf("%v pending after one was accepted, %v before", pendingWindows(after), pendingWindows(ledger))
+		t.Errorf("pending %v after one was accepted, original ledger %v", pendingWindows(after), pendingWindows(ledger))
 	}
 	if w, due := ledger.Next(ledger.Finalized); due || w != ledger.Finalized+1 {
 		t.Errorf("window %d, due %v", w, due)
--- a/internal/gateway/usage/reporter.go
+++ b/internal/gateway/usage/reporter.go
@@ -17,75 +17,76 @@
 )
 
 const (
-	// leaseName is the lease under which reports are made.
+	// leaseName is the name of the lease under which reports are sent.
 	leaseName = "usage"
-	// pollInterval is how often a holder looks what is due.
+	// pollInterval is how often the holder checks for reports that are due.
 	pollInterval = 50 * time.Millisecond
-	// settle is how long after a window's end its counts are complete at the soonest.
+	// settleDelay is the minimum time after a window's end before its counts can be complete.
 	settleDelay = 300 * time.Millisecond
-	// waitFraction is the part of the delay for which gateways are waited for whose counts
-	// aren't complete: most that are suspended wake within it, and the rest is for a change
-	// of holder.
+	// maxWaitFraction is the part of Delay for which the holder waits for gateways whose counts are
+	// incomplete. Most gateways that are suspended resume within that time; the rest of Delay is
+	// left for a change of holder.
 	maxWaitFraction = 0.4
-	// candidates is how many gateways campaign for the lease at a time.
+	// maxCandidates is the number of gateways that campaign for the lease at the same time.
 	maxCandidates = 2
-	// maxOwn bounds the finalized reports that a process remembers.
+	// maxOwnReports limits the finalized reports that a process remembers.
 	maxOwnReports = 2 * maxPendingReports
 )
 
-// Reporter is a gateway's part in the duty. All methods may be called concurrently.
+// Reporter counts this gateway's requests, campaigns for the reporting lease, and sends the reports
+// of all gateways while it holds the lease. All methods may be called concurrently.
 //
-// Lock order: mu before those of Counter and Aggregate.
+// Lock order: mu before the locks of Counter and Aggregator.
 type Reporter struct {
 	Config
 	Counter   *Counter
-	Aggregate *Aggregate
+	Aggregate *Aggregator
 	started   time.Time
 	lease     *lease.Lease
 
-	// mu guards what follows; nothing else is locked while it is held.
+	// mu guards the fields below.
 	mu sync.Mutex
-	// holds says that this gateway holds the duty, by ledger.
+	// holdsLease is set while this gateway holds the lease and has loaded the ledger.
 	holdsLease bool
 	ledger     Ledger
-	// own are the last reports that this process finalized.
+	// ownReports are the last reports that this process finalized.
 	ownReports []Report
-	// accepted are the last windows whose reports the platform accepted.
+	// acceptedWindows are the last windows whose reports the platform accepted.
 	acceptedWindows []uint64
-	// rows is how many rows the last checkpoint took.
+	// checkpointRows is the number of rows of the last checkpoint.
 	checkpointRows int
 }
 
-// NewReporter returns a Reporter; Run starts it.
+// NewReporter returns a Reporter, which is started with Run.
 func NewReporter(c Config) *Reporter {
-	r := &Reporter{Config: c, Counter: NewCounter(c.Windows, c.Now), Aggregate: NewAggregate(c.Windows, c.Now), started: time.Now()}
+	r := &Reporter{Config: c, Counter: NewCounter(c.Windows, c.Now), Aggregate: NewAggregator(c.Windows, c.Now), started: time.Now()}
 	r.lease = lease.NewTimed(c.Table, leaseName, c.Name, c.leaseTiming())
 	return r
 }
 
-// Run campaigns for the duty and does it while this gateway holds it, until ctx ends.
+// Run campaigns for the lease and sends reports while this gateway holds it, until ctx ends.
 func (r *Reporter) Run(ctx context.Context) {
 	keeper := lease.NewKeeper(r.lease, r.Log)
 	keeper.Standby, keeper.With = r.shouldCampaign, r.checkpointWrites
 	keeper.Run(ctx, r.runAsHolder)
 }
 
-// standby reports whether this gateway is to campaign: no live peer holds the duty, and it
-// is one of the first that could. A process that has just started may be on a machine that
-// held the duty under its earlier start.
+// shouldCampaign reports whether this gateway should campaign: it is eligible, no live peer holds
+// the lease, and fewer than maxCandidates peers precede it. A process that has just started waits,
+// since its VM may have held the lease before the restart.
 func (r *Reporter) shouldCampaign() bool {
 	return r.Able() && time.Since(r.started) > time.Duration(backoffFactor*float64(r.LeaseTime)) &&
 		!r.Others.Reporting() && r.Others.Before() < maxCandidates
 }
 
-// Holds reports whether this gateway holds the duty.
+// HoldsLease reports whether this gateway holds the lease and sends reports.
 func (r *Reporter) Holds() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.holdsLease
 }
 
-// Generation is that of the duty while this gateway holds it; 0 otherwise.
+// Generation returns the lease's generation while this gateway holds it; 0 otherwise.
 func (r *Reporter) Generation() uint64 {
 	if !r.Holds() {
 		return 0
@@ -93,7 +94,7 @@
 	return r.lease.Fence()
 }
 
-// act does the duty while the lease is held.
+// runAsHolder finalizes and sends reports until the lease is lost or ctx ends.
 func (r *Reporter) runAsHolder(ctx context.Context, heldLease *lease.Lease) error {
 	if err := r.loadState(ctx); err != nil {
 		return err
@@ -113,7 +114,7 @@
 	return errors.Join(err, finalizeErr)
 }
 
-// recover reads what the holder before has left.
+// loadState loads the state that the previous holder stored.
 func (r *Reporter) loadState(ctx context.Context) error {
 	stored, found, err := r.readLedger(ctx)
 	if err != nil {
@@ -151,7 +152,7 @@
 	return nil
 }
 
-// readLedger reads the stored Ledger; false where there is none.
+// readLedger reads the stored Ledger; false if none is stored.
 func (r *Reporter) readLedger(ctx context.Context) (Ledger, bool, error) {
 	row, err := r.Table.Get(ctx, ledgerKey)
 	switch {
@@ -167,7 +168,7 @@
 	return ledger, true, nil
 }
 
-// readAccepted reads which reports the platform is known to have.
+// readAccepted reads the windows whose reports the platform is known to have accepted.
 func (r *Reporter) readAccepted(ctx context.Context) ([]uint64, error) {
 	row, err := r.Table.Get(ctx, acceptedKey)
 	switch {
@@ -179,7 +180,7 @@
 	return decodeAccepted(row)
 }
 
-// leave notes that the duty isn't held any more.
+// recordLeaseLost updates the local state when this gateway no longer holds the lease.
 func (r *Reporter) recordLeaseLost() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -187,13 +188,14 @@
 	r.Log.Info(logging.EventUsageLeft, zap.Uint64("finalized", r.ledger.Finalized), zap.Int("pending", len(r.ledger.Pending)))
 }
 
-// mergeOwn merges this gateway's own counts.
+// mergeOwnCounts merges this gateway's own counts into the Aggregator.
 func (r *Reporter) mergeOwnCounts() {
 	from := Source{Gateway: r.Name, Start: r.Start}
 	r.Aggregate.Merge(time.Now(), from, r.Counter.Update(r.Aggregate.Sequence(from)))
 }
 
-// checkpoint are the writes from which the next holder restores the counts.
+// checkpointWrites returns the writes from which the next holder restores the counts; nil if this
+// gateway doesn't hold the lease.
 func (r *Reporter) checkpointWrites() []storage.Write {
 	r.mu.Lock()
 	holdsLease, finalized, previousRows, acceptedWindows := r.holdsLease, r.ledger.Finalized, r.checkpointRows, slices.Clone(r.acceptedWindows)
--- a/internal/gateway/usage/reporter_test.go
+++ b/internal/gateway/usage/reporter_test.go
@@ -20,28 +20,29 @@
 	})
 }
 
-// A successor has the counts of a holder that is killed, and those of its own that it sent.
+// A holder that is killed loses no counts: its successor has them from the updates that were sent,
+// and reports the windows in time.
 func TestSuccessorReportsInTime(t *testing.T) {
 	for _, after := range []time.Duration{100 * time.Millisecond, 1300 * time.Millisecond, 4900 * time.Millisecond, 5200 * time.Millisecond} {
 		runCluster(t, func(t *testing.T, c *cluster, holder *node) {
 			first := currentWindow()
 			c.generateRequests(after)
 			c.kill(holder)
-			// Two go on: what is lost is what the third would have begun.
+			// Two nodes continue; only the requests that the third would have started are missing.
 			c.generateRequests(30 * time.Second)
 			c.expectReported(t, first+2, currentWindow()-2, requestsPerWindow*2/3, 0.02)
 			c.platform.mu.Lock()
 			defer c.platform.mu.Unlock()
 			for w := first; w < first+2; w++ {
 				if c.platform.delays[w] > 10*time.Second || c.platform.accepted[w]["a"] < requestsPerWindow*2/3*95/100 {
-					t.Errorf("window %d: %v after %v", w, c.platform.accepted[w], c.platform.delays[w])
+					t.Errorf("window %d: counts %v, accepted %v after its end", w, c.platform.accepted[w], c.platform.delays[w])
 				}
 			}
 		})
 	}
 }
 
-// All that was sent survives the loss of all gateways.
+// Counts that were sent survive the end of all gateways, from the stored checkpoint.
 func TestCountsSurviveRestartOfAllGateways(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster, holder *node) {
 		for time.Until(fiveSeconds.End(currentWindow())) > time.Second {
@@ -58,14 +59,14 @@
 		c.start(t, "a", 11)
 		c.start(t, "b", 12)
 		time.Sleep(12 * time.Second)
-		// Four seconds began, and what the last of them had may be lost.
+		// Each node started requests for four seconds; those of the last second may be lost.
 		started := int64(requestsPerWindow) * 4 / 5
 		lost := int64(requestsPerWindow) / 5
 		c.expectReported(t, window, window, started-lost/2, float64(lost/2)/float64(started-lost/2))
 	})
 }
 
-// A holder that has no way to the store gives the duty up to one that has.
+// A holder that can't reach the store loses the lease to a gateway that can.
 func TestHolderWithoutStoreLosesLease(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster, holder *node) {
 		first := currentWindow()
@@ -75,23 +76,23 @@
 		c.setFlag(&holder.storeUnreachable, false)
 		c.generateRequests(20 * time.Second)
 		if changes := len(c.platform.holderOrder); changes != 2 {
-			t.Errorf("holders acted in the order %v", c.platform.holderOrder)
+			t.Errorf("holders sent reports in the order %v, want one change", c.platform.holderOrder)
 		}
 	})
 }
 
-// Two partitioned halves have one holder, which the store decides.
+// When the network is partitioned, the store decides which side has the only holder.
 func TestPartitionHasOneHolder(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster, holder *node) {
 		c.setFlag(&holder.partitioned, true)
 		c.generateRequests(40 * time.Second)
 		if order := c.platform.holderOrder; len(order) > 1 {
-			t.Errorf("holders acted in the order %v while one had the lease", order)
+			t.Errorf("holders sent reports in the order %v, want a single holder", order)
 		}
 	})
 }
 
-// While the store is away reports wait; they come once it is back, and once each.
+// Reports wait while the store is unavailable, and all are sent once it is back.
 func TestReportsResumeAfterStoreOutage(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster, _ *node) {
 		first := currentWindow()
@@ -109,7 +110,7 @@
 	})
 }
 
-// Answers of the store are lost, and writes are carried out late.
+// The store's answers get lost and writes take effect late.
 func TestLostAndLateWrites(t *testing.T) {
 	for _, fault := range []storagetest.Fault{storagetest.FaultLost, storagetest.FaultDropped, storagetest.FaultLate, storagetest.FaultDown, storagetest.FaultSlow} {
 		runCluster(t, func(t *testing.T, c *cluster, _ *node) {
@@ -131,7 +132,7 @@
 	}
 }
 
-// A platform that doesn't answer, or is busy, gets the same report again.
+// A report that the platform doesn't answer, rejects or is too busy to accept is sent again.
 func TestFailedReportsAreRetried(t *testing.T) {
 	for _, err := range []error{ErrBusy, ErrNoAnswer, ErrRefused} {
 		runCluster(t, func(t *testing.T, c *cluster, _ *node) {
@@ -151,8 +152,8 @@
 	}
 }
 
-// Who is refused since another has a higher generation calls no more under its own, and
-// leaves the duty to others.
+// A holder that the platform rejects because of a higher generation makes no more calls under its
+// own generation and leaves the lease to another gateway.
 func TestFencedHolderStepsDown(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster, holder *node) {
 		generation := holder.Generation()
@@ -161,18 +162,18 @@
 		c.platform.mu.Unlock()
 		c.generateRequests(27 * time.Second)
 		if current := c.waitForHolder(t); current.Name == holder.Name || current.Generation() <= generation {
-			t.Errorf("%s holds generation %d after %s was refused with %d", current.Name, current.Generation(), holder.Name, generation)
+			t.Errorf("%s holds generation %d after %s was rejected with %d", current.Name, current.Generation(), holder.Name, generation)
 		}
 		c.platform.mu.Lock()
 		defer c.platform.mu.Unlock()
 		if got := c.platform.fenced[generation]; got != 1 {
-			t.Errorf("%d calls were refused under generation %d, want the one that told of it", got, generation)
+			t.Errorf("%d calls with generation %d were rejected, want 1", got, generation)
 		}
 	})
 }
 
-// The store comes back from an older copy without the last reports: what may have been
-// sent isn't counted again, and no generation is given out twice.
+// The store is restored from an older copy without the last reports. Windows that may have been
+// sent are not counted again, and no generation is used twice.
 func TestNoDuplicateReportsAfterStoreRestore(t *testing.T) {
 	for _, kill := range []bool{false, true} {
 		runCluster(t, func(t *testing.T, c *cluster, holder *node) {
@@ -186,21 +187,21 @@
 			}
 			c.generateRequests(30 * time.Second)
 			if current := c.waitForHolder(t); current.Generation() <= generation {
-				t.Errorf("generation %d after %d", current.Generation(), generation)
+				t.Errorf("generation is %d after the restore, %d before", current.Generation(), generation)
 			}
 			c.platform.mu.Lock()
 			defer c.platform.mu.Unlock()
 			for w := first + 4; w < currentWindow()-2; w++ {
 				if _, ok := c.platform.accepted[w]; !ok {
-					t.Errorf("window %d isn't reported, killed %v", w, kill)
+					t.Errorf("window %d isn't reported (holder killed: %v)", w, kill)
 				}
 			}
 		})
 	}
 }
 
-// At the size of the largest deployment of today one of all reports, and a herd that is
-// killed takes at most what it hasn't sent.
+// With 68 gateways, the size of the largest deployment, exactly one sends reports. When half of
+// them are killed at once, only counts that they had not sent yet are lost.
 func TestManyGatewaysHaveOneReporter(t *testing.T) {
 	const gateways = 68
 	synctest.Test(t, func(t *testing.T) {
@@ -224,7 +225,7 @@
 			c.kill(node)
 		}
 		if holders != 1 {
-			t.Errorf("%d hold the duty", holders)
+			t.Errorf("%d nodes hold the lease, want 1", holders)
 		}
 		c.stop()
 		c.exchange.Wait()
--- a/internal/gateway/usage/send.go
+++ b/internal/gateway/usage/send.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// minRetryPause and maxRetryPause bound the pause before a report is sent again.
+	// minRetryDelay and maxRetryDelay bound the time before a report is sent again.
 	minRetryDelay = 200 * time.Millisecond
 	maxRetryDelay = 2 * time.Second
 )
 
-// sending is a report that the platform isn't known to have.
+// retryState is the retry schedule of a report that the platform isn't known to have accepted.
 type retryState struct {
 	nextAttempt time.Time
 	backOff     *backoff.ExponentialBackOff
 }
 
-// sendDue sends finalized reports until the lease is lost. One that gets no answer
-// doesn't hold up the others.
+// sendLoop sends finalized reports until the lease is lost or ctx ends. A report without an answer
+// doesn't delay the others.
 func (r *Reporter) sendLoop(ctx context.Context, heldLease *lease.Lease) error {
 	retries := map[uint64]*retryState{}
 	for ctx.Err() == nil {
@@ -48,7 +48,8 @@
 			r.Observer.Refused(err)
 			return err
 		case errors.Is(err, ErrBusy):
-			// It counts the calls of all duties together.
+			// The platform's limit applies to all lease holders' calls together, so this pauses all
+			// reports.
 			r.Observer.Refused(err)
 			pause.For(ctx, minRetryDelay)
 		case ctx.Err() == nil:
@@ -60,7 +61,8 @@
 	return nil
 }
 
-// nextToSend is the oldest report whose time has come.
+// nextReportToSend returns the oldest pending report whose next attempt is due; false if there is
+// none.
 func (r *Reporter) nextReportToSend(now time.Time, retries map[uint64]*retryState) (Report, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,7 +80,7 @@
 	return Report{}, false
 }
 
-// accept notes that the platform has a report.
+// recordAccepted updates the local state after the platform accepted a report.
 func (r *Reporter) recordAccepted(report Report) {
 	delay := r.Now().Sub(r.Windows.End(report.Window))
 	r.mu.Lock()
--- a/internal/gateway/usage/update.go
+++ b/internal/gateway/usage/update.go
@@ -1,13 +1,13 @@
 package usage
 
-// Source is a start of a gateway's process.
+// Source identifies one run of a gateway's process.
 type Source struct {
 	_       struct{} `cbor:",toarray"`
 	Gateway string
 	Start   uint64
 }
 
-// Count is how many requests began for a customer in a window.
+// Count is the number of requests that started for a customer in a window.
 type Count struct {
 	_        struct{} `cbor:",toarray"`
 	Window   uint64
@@ -15,13 +15,15 @@
 	Requests int64
 }
 
-// Update is a delta of a gateway's counts: those that changed since the last change that
-// the receiver acknowledged.
+// Update holds the counts of a gateway that changed after the last change that the receiver
+// acknowledged.
 type Update struct {
-	// Sequence is that of the last change in this update or before it.
+	// Sequence is the sequence number of the last change that this update and those before it
+	// cover.
 	Sequence uint64 `cbor:"1,keyasint,omitempty"`
-	// Upto is the Unix millisecond, in true time, up to which the counts are complete once
-	// the update is merged; 0 if the update was truncated.
+	// CompleteUntil is the time, in Unix milliseconds of the gateways' common time of day, up to
+	// which the receiver's counts are complete once the update is merged; 0 if the update was
+	// truncated.
 	CompleteUntil int64   `cbor:"2,keyasint,omitempty"`
 	Counts        []Count `cbor:"3,keyasint,omitempty"`
 }
--- a/internal/gateway/usage/usage.go
+++ b/internal/gateway/usage/usage.go
@@ -1,12 +1,12 @@
-// Package usage counts the requests that backend servers began to run for each customer,
-// aggregates the counts of all gateways and reports them to the platform: once for each
-// window of time, by one gateway at a time. Start reading at Reporter; what may be sent
-// when is decided by Ledger.
+// Package usage counts the requests that backend servers started to run for each customer,
+// aggregates the counts of all gateways and reports them to the platform: once for each time
+// window, by one gateway at a time. Start reading at Reporter; Ledger decides which windows may be
+// reported.
 //
-// Counts are cumulative by gateway, start of its process, window and customer, so that
-// updates may be lost, repeated or reordered. A report is stored under the
-// reporter's lease before it is sent for the first time, and sent as it is stored from
-// then on, by whoever holds the lease: the platform never gets two that differ.
+// Counts are cumulative per gateway, process start, window and customer, so updates may be lost,
+// repeated or reordered. A report is stored under the reporter's lease before it is sent for the
+// first time. After that every lease holder sends it as stored, so the platform never receives two
+// different reports of one window.
 package usage
 
 import (
@@ -15,36 +15,37 @@
 	"github.com/go-faster/errors"
 )
 
-// Errors of a Platform.
+// Errors returned by a Platform.
 var (
-	// ErrDeposed: the platform has seen a higher generation.
-	ErrDeposed = errors.New("a later holder has reported")
-	// ErrBusy: the platform took nothing, and asks for less.
-	ErrBusy = errors.New("platform takes no more calls for now")
-	// ErrNoAnswer: the report may have been taken, or may be later.
-	ErrNoAnswer = errors.New("report was not answered")
-	// ErrRefused: the platform doesn't take this report.
-	ErrRefused = errors.New("report was refused")
+	// ErrFenced means that the platform has seen a higher generation.
+	ErrDeposed = errors.New("platform has seen a higher generation")
+	// ErrBusy means that the platform did not accept the report because it receives too many calls.
+	ErrBusy = errors.New("platform is busy")
+	// ErrNoResponse means that the platform may have accepted the report or may still do so.
+	ErrNoAnswer = errors.New("no response to report")
+	// ErrRejected means that the platform does not accept this report.
+	ErrRefused = errors.New("platform rejected report")
 )
 
-// Holder is who reports.
+// Holder identifies the lease holder that sends a report.
 type Holder struct {
-	// Name is the VM's.
+	// Name is the VM's name.
 	Name string
-	// Generation grows with each change of holder.
+	// Generation is the lease's fencing token, which increases with each change of holder.
 	Generation uint64
 }
 
-// Report is what is reported of a window.
+// Report holds the counts of one window.
 type Report struct {
 	_      struct{} `cbor:",toarray"`
 	Window uint64
-	// Counts are of requests, by customer; customers without any are left out.
+	// Counts holds the number of requests by customer, without customers that have none.
 	Counts map[string]int64
 }
 
-// Platform takes reports.
+// Platform receives reports.
 type Platform interface {
-	// Report sends a report: ErrDeposed, ErrBusy, ErrNoAnswer or ErrRefused.
+	// Report sends a report. It returns ErrFenced, ErrBusy, ErrNoResponse or ErrRejected, possibly
+	// wrapped, if the report isn't known to have been accepted.
 	Report(ctx context.Context, h Holder, r Report) error
 }
--- a/internal/gateway/usage/windows.go
+++ b/internal/gateway/usage/windows.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Windows numbers spans of time of equal length from the start of 1970 on.
+// Windows numbers consecutive time windows of equal length, starting at the Unix epoch.
 type Windows struct{ Length time.Duration }
 
-// Number is the window of a moment.
+// Number returns the number of the window that contains a time.
 func (w Windows) Number(at time.Time) uint64 {
 	return uint64(at.UnixNano() / int64(w.Length))
 }
 
-// End is the first moment after a window.
+// End returns the first moment after a window.
 func (w Windows) End(number uint64) time.Time {
 	return time.Unix(0, int64(number+1)*int64(w.Length))
 }
