--- a/internal/gateway/follow/as_of_test.go
+++ b/internal/gateway/follow/as_of_test.go
@@ -33,21 +33,21 @@
 		{duration: wait, batch: Batch[string]{At: 2, Items: []string{"news"}}},
 		{duration: wait / 4, batch: Batch[string]{At: 2}},
 	}}
-	seen := &ageSink{}
+	sink := &ageSink{}
 	ctx, cancel := context.WithTimeout(t.Context(), 5*wait)
 	defer cancel()
-	f := Follower[string]{Name: "t", Source: src, Sink: seen, Wait: Always(wait), Log: zap.NewNop()}
+	f := Follower[string]{Name: "t", Source: src, Sink: sink, Wait: Always(wait), Log: zap.NewNop()}
 	f.Run(ctx)
-	if len(seen.ages) != 4 {
-		t.Fatalf("%d batches", len(seen.ages))
+	if len(sink.ages) != 4 {
+		t.Fatalf("%d batches", len(sink.ages))
 	}
-	if held := seen.ages[1]; held >= wait {
+	if held := sink.ages[1]; held >= wait {
 		t.Errorf("an answer without changes that was held for %v is %v old on arrival", wait, held)
 	}
-	if changed := seen.ages[2]; changed < wait {
+	if changed := sink.ages[2]; changed < wait {
 		t.Errorf("an answer with changes that took %v is %v old on arrival", wait, changed)
 	}
-	if early := seen.ages[3]; early < wait/4 {
+	if early := sink.ages[3]; early < wait/4 {
 		t.Errorf("an early answer without changes is %v old on arrival", early)
 	}
 }
--- a/internal/gateway/follow/convergence_property_test.go
+++ b/internal/gateway/follow/convergence_property_test.go
@@ -27,8 +27,8 @@
 	version uint64
 	rows    map[string]string
 	changes []change
-	// oldestChange is the version after which changes are kept.
-	oldestChange uint64
+	// historyStart is the version after which changes are kept.
+	historyStart uint64
 }
 
 type change struct {
@@ -67,33 +67,33 @@
 }
 
 func (s *restorableStore) Read(context.Context, string) (Batch[string], error) {
-	b := Batch[string]{At: At(s.era, s.version)}
+	batch := Batch[string]{At: At(s.era, s.version)}
 	for key, value := range s.rows {
-		b.Items = append(b.Items, key+"="+value)
+		batch.Items = append(batch.Items, key+"="+value)
 	}
-	return b, s.takeLostError()
+	return batch, s.takeLostError()
 }
 
 func (s *restorableStore) Next(_ context.Context, after Position, _ time.Duration) (Batch[string], error) {
 	if err := s.takeLostError(); err != nil {
 		return Batch[string]{}, err
 	}
-	if after.Era() != s.era || after.Version() < s.oldestChange || after.Version() > s.version {
+	if after.Era() != s.era || after.Version() < s.historyStart || after.Version() > s.version {
 		return Batch[string]{}, ErrHistoryGone
 	}
-	b := Batch[string]{At: At(s.era, s.version)}
-	for _, c := range s.changes {
+	batch := Batch[string]{At: At(s.era, s.version)}
+	for _, change := range s.changes {
 		switch {
-		case c.version <= after.Version():
-		case c.removed:
-			b.Removed = append(b.Removed, c.key)
-			b.Items = slices.DeleteFunc(b.Items, func(item string) bool { return keyOf(item) == c.key })
+		case change.version <= after.Version():
+		case change.removed:
+			batch.Removed = append(batch.Removed, change.key)
+			batch.Items = slices.DeleteFunc(batch.Items, func(item string) bool { return keyOf(item) == change.key })
 		default:
-			b.Removed = slices.DeleteFunc(b.Removed, func(key string) bool { return key == c.key })
-			b.Items = append(b.Items, c.key+"="+c.value)
+			batch.Removed = slices.DeleteFunc(batch.Removed, func(key string) bool { return key == change.key })
+			batch.Items = append(batch.Items, change.key+"="+change.value)
 		}
 	}
-	return b, nil
+	return batch, nil
 }
 
 func keyOf(item string) string {
@@ -113,22 +113,22 @@
 // mapSink is a Sink that holds the table as its follower knows it.
 type mapSink map[string]string
 
-func (m mapSink) Reset(_ time.Duration, all Batch[string]) {
-	clear(m)
-	m.Change(0, all)
+func (s mapSink) Reset(_ time.Duration, all Batch[string]) {
+	clear(s)
+	s.Change(0, all)
 }
 
-func (m mapSink) Change(_ time.Duration, c Batch[string]) {
-	for _, key := range c.Removed {
-		delete(m, key)
+func (s mapSink) Change(_ time.Duration, changes Batch[string]) {
+	for _, key := range changes.Removed {
+		delete(s, key)
 	}
-	for _, item := range c.Items {
+	for _, item := range changes.Items {
 		key, value, _ := splitItem(item)
-		m[key] = value
+		s[key] = value
 	}
 }
 
-func (m mapSink) Unavailable(error) {}
+func (s mapSink) Unavailable(error) {}
 
 func (mapSink) Available() {}
 
@@ -138,9 +138,9 @@
 	table mapSink
 }
 
-func newTestFollower(s *restorableStore) *testFollower {
+func newTestFollower(store *restorableStore) *testFollower {
 	f := &testFollower{table: mapSink{}}
-	f.Follower = Follower[string]{Name: "t", Source: s, Sink: f.table, Wait: Always(0), Log: zap.NewNop()}
+	f.Follower = Follower[string]{Name: "t", Source: store, Sink: f.table, Wait: Always(0), Log: zap.NewNop()}
 	return f
 }
 
@@ -157,7 +157,7 @@
 	if to.Position() == 0 {
 		return
 	}
-	if deltas, known := f.Since(to.Position()); known {
+	if deltas, complete := f.Since(to.Position()); complete {
 		// Deltas that can't be applied are read from the store instead.
 		_ = to.Take(0, deltas)
 	}
@@ -167,28 +167,28 @@
 // follower has polled again, it must know what the store holds.
 func TestFollowersConvergeToStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &restorableStore{snapshot: snapshot{rows: map[string]string{}}, backup: snapshot{rows: map[string]string{}}}
-		s.write("k0", "first", false)
-		followers := []*testFollower{newTestFollower(s), newTestFollower(s), newTestFollower(s)}
+		store := &restorableStore{snapshot: snapshot{rows: map[string]string{}}, backup: snapshot{rows: map[string]string{}}}
+		store.write("k0", "first", false)
+		followers := []*testFollower{newTestFollower(store), newTestFollower(store), newTestFollower(store)}
 		pick := func(label string) *testFollower { return followers[rapid.IntRange(0, len(followers)-1).Draw(t, label)] }
-		for n := range rapid.IntRange(5, 60).Draw(t, "steps") {
+		for i := range rapid.IntRange(5, 60).Draw(t, "steps") {
 			key := fmt.Sprint("k", rapid.IntRange(0, 4).Draw(t, "key"))
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0, 1:
-				s.write(key, fmt.Sprint(n), false)
+				store.write(key, fmt.Sprint(i), false)
 			case 2:
-				s.write(key, "", true)
+				store.write(key, "", true)
 			case 3:
-				s.backup = s.clone()
+				store.backup = store.clone()
 			case 4:
-				s.restore()
+				store.restore()
 			case 5:
-				s.oldestChange, s.changes = s.version, nil
+				store.historyStart, store.changes = store.version, nil
 			case 6:
-				s.loseNext = true
+				store.loseNext = true
 			case 7:
 				if len(followers) < 6 {
-					followers = append(followers, newTestFollower(s))
+					followers = append(followers, newTestFollower(store))
 				}
 			case 8:
 				pick("from").share(pick("to"))
@@ -196,13 +196,13 @@
 				pick("polls").poll(t.Context())
 			}
 		}
-		s.loseNext = false
+		store.loseNext = false
 		for i, f := range followers {
 			for range 3 {
 				f.poll(t.Context())
 			}
-			if !maps.Equal(f.table, s.rows) {
-				t.Errorf("follower %d at position %v has %v, the store has %v at era %d, version %d", i, f.Position(), f.table, s.rows, s.era, s.version)
+			if !maps.Equal(f.table, store.rows) {
+				t.Errorf("follower %d at position %v has %v, the store has %v at era %d, version %d", i, f.Position(), f.table, store.rows, store.era, store.version)
 			}
 		}
 	})
--- a/internal/gateway/follow/era_test.go
+++ b/internal/gateway/follow/era_test.go
@@ -56,9 +56,9 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		first := Follower[string]{Name: "t", Source: src, Sink: &recordingSink{}, Wait: Always(time.Second), Log: zap.NewNop()}
-		out := &recordingSink{}
+		sink := &recordingSink{}
 		restored := 0
-		second := Follower[string]{Name: "t", Sink: out, Restored: func() { restored++ }, Log: zap.NewNop()}
+		second := Follower[string]{Name: "t", Sink: sink, Restored: func() { restored++ }, Log: zap.NewNop()}
 		second.applyFullRead(0, Batch[string]{Items: []string{"a"}, At: At(0, 8)})
 		first.Run(ctx)
 		if first.Changed() != At(1, 5) || second.Position() >= first.Changed() {
@@ -68,7 +68,7 @@
 		if err := second.Take(0, deltas); err != nil || !complete {
 			t.Fatalf("deltas complete: %v, error %v", complete, err)
 		}
-		if got := fmt.Sprint(out.items); got != "[all a all b c]" || second.Position() != At(1, 5) {
+		if got := fmt.Sprint(sink.items); got != "[all a all b c]" || second.Position() != At(1, 5) {
 			t.Errorf("sink got %v, position %v", got, second.Position())
 		}
 		if restored != 1 {
@@ -87,8 +87,8 @@
 // An answer that was sent before the store was restored belongs to another history and must not be
 // applied.
 func TestDeltasOfOtherErasAreNotApplied(t *testing.T) {
-	out := &recordingSink{}
-	f := Follower[string]{Name: "t", Sink: out, Log: zap.NewNop()}
+	sink := &recordingSink{}
+	f := Follower[string]{Name: "t", Sink: sink, Log: zap.NewNop()}
 	f.applyFullRead(0, Batch[string]{At: At(2, 5)})
 	f.applyChanges(0, Batch[string]{Items: []string{"old"}, At: At(1, 9)})
 	if err := f.Take(0, []Step[string]{{From: At(1, 3), To: At(1, 9), Items: []string{"old"}}}); err != nil {
@@ -97,7 +97,7 @@
 	if err := f.Take(0, []Step[string]{{From: At(1, 3), To: At(3, 1), Items: []string{"new"}}}); err == nil {
 		t.Error("deltas across a restore were applied")
 	}
-	if len(out.items) != 1 {
-		t.Errorf("sink got %v", out.items)
+	if len(sink.items) != 1 {
+		t.Errorf("sink got %v", sink.items)
 	}
 }
--- a/internal/gateway/follow/follower.go
+++ b/internal/gateway/follow/follower.go
@@ -73,13 +73,13 @@
 	Next(ctx context.Context, after Position, wait time.Duration) (Batch[T], error)
 }
 
-// Sink receives the table and its changes from a Follower. The first argument is the as-of time on
+// Sink receives the table and its changes from a Follower. The asOf time is on
 // the clock of package boottime: the batch reflects everything that happened before it. It is the
 // time at which the call was made. If the store held back an answer without changes for the whole
 // wait, it is the time at which the wait ended.
 type Sink[T any] interface {
-	Reset(moment time.Duration, all Batch[T])
-	Change(moment time.Duration, changes Batch[T])
+	Reset(asOf time.Duration, table Batch[T])
+	Change(asOf time.Duration, changes Batch[T])
 	// Unavailable is called after each failed call. Available is called after an answer without
 	// rows: the store answers, but doesn't have the requested history.
 	Unavailable(err error)
@@ -255,8 +255,8 @@
 }
 
 // nextWait returns the wait of the next call. The wait is short after a failure, to learn when the
-// store was back; after an idle period, so that peers soon learn that this follower polls; and
-// after changes that have to be confirmed.
+// store was back; after a cancelled poll; after an idle period, so that peers soon learn that this
+// follower polls; and after changes that have to be confirmed.
 func (f *Follower[T]) nextWait() time.Duration {
 	longest := f.Wait()
 	if f.failing || f.pollCancelled || f.wasIdle || f.changed && f.Confirm != nil && f.Confirm() {
--- a/internal/gateway/follow/follower_test.go
+++ b/internal/gateway/follow/follower_test.go
@@ -54,8 +54,8 @@
 	s.items = append(append(s.items, "all"), all.Items...)
 }
 
-func (s *recordingSink) Change(_ time.Duration, c Batch[string]) {
-	s.items = append(s.items, c.Items...)
+func (s *recordingSink) Change(_ time.Duration, changes Batch[string]) {
+	s.items = append(s.items, changes.Items...)
 }
 
 func (s *recordingSink) Unavailable(error) { s.failures++ }
@@ -73,19 +73,19 @@
 			{err: ErrHistoryGone},
 			{batch: Batch[string]{Items: []string{"d"}, At: 9}},
 		}}
-		out := &recordingSink{}
+		sink := &recordingSink{}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		f := Follower[string]{Name: "t", Source: src, Sink: out, Wait: Always(time.Second), Log: zap.NewNop()}
+		f := Follower[string]{Name: "t", Source: src, Sink: sink, Wait: Always(time.Second), Log: zap.NewNop()}
 		f.Run(ctx)
 		if got, want := join(src.requests), "read read next after 3 next after 5 next after 5 next after 6 read next after 9"; got != want {
 			t.Errorf("requests %q, want %q", got, want)
 		}
-		if got, want := join(out.items), "all a b c all d"; got != want {
+		if got, want := join(sink.items), "all a b c all d"; got != want {
 			t.Errorf("sink got %q, want %q", got, want)
 		}
-		if out.failures != 2 {
-			t.Errorf("sink got %d failures, want 2: a lost history is not a failure", out.failures)
+		if sink.failures != 2 {
+			t.Errorf("sink got %d failures, want 2: a lost history is not a failure", sink.failures)
 		}
 	})
 }
@@ -121,13 +121,13 @@
 func TestChangesAreConfirmedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &growingSource{started: time.Now(), interval: 1700 * time.Millisecond}
-		out := &confirmationSink{}
+		sink := &confirmationSink{}
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		defer cancel()
-		f := Follower[string]{Name: "t", Source: src, Sink: out, Wait: Always(2 * time.Second), Confirm: func() bool { return true }, Log: zap.NewNop()}
+		f := Follower[string]{Name: "t", Source: src, Sink: sink, Wait: Always(2 * time.Second), Confirm: func() bool { return true }, Log: zap.NewNop()}
 		f.Run(ctx)
-		if out.longestGap > 2*time.Second+immediateWait {
-			t.Errorf("%v passed without confirmation with a wait of two seconds", out.longestGap)
+		if sink.longestGap > 2*time.Second+immediateWait {
+			t.Errorf("%v passed without confirmation with a wait of two seconds", sink.longestGap)
 		}
 	})
 }
@@ -173,15 +173,15 @@
 func TestCloseChangesAreCoalesced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &growingSource{started: time.Now(), interval: 20 * time.Millisecond}
-		out := &recordingSink{}
+		sink := &recordingSink{}
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
-		f := Follower[string]{Name: "t", Source: src, Sink: out, Wait: Always(time.Second), Gather: 250 * time.Millisecond, Log: zap.NewNop()}
+		f := Follower[string]{Name: "t", Source: src, Sink: sink, Wait: Always(time.Second), Gather: 250 * time.Millisecond, Log: zap.NewNop()}
 		f.Run(ctx)
 		if src.calls > 15 {
 			t.Errorf("%d calls for 100 changes within two seconds", src.calls)
 		}
-		if got := len(out.items) - 1; got != 100 {
+		if got := len(sink.items) - 1; got != 100 {
 			t.Errorf("sink got %d of 100 changes", got)
 		}
 	})
@@ -194,14 +194,14 @@
 	calls    int
 }
 
-func (c *growingSource) Read(context.Context, string) (Batch[string], error) {
+func (s *growingSource) Read(context.Context, string) (Batch[string], error) {
 	return Batch[string]{}, nil
 }
 
-func (c *growingSource) Next(ctx context.Context, after Position, wait time.Duration) (Batch[string], error) {
-	c.calls++
+func (s *growingSource) Next(ctx context.Context, after Position, wait time.Duration) (Batch[string], error) {
+	s.calls++
 	for end := time.Now().Add(wait); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if newest := min(Position(time.Since(c.started)/c.interval), 100); newest > after {
+		if newest := min(Position(time.Since(s.started)/s.interval), 100); newest > after {
 			return Batch[string]{Items: make([]string, newest-after), At: newest}, nil
 		}
 		if ctx.Err() != nil {
@@ -216,19 +216,19 @@
 func TestLongPollIsCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &slowSource{}
-		out := &recordingSink{}
+		sink := &recordingSink{}
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		defer cancel()
 		started := time.Now()
 		confirmed := started
 		f := Follower[string]{
-			Name: "t", Source: src, Sink: out, Wait: Always(8 * time.Second), Log: zap.NewNop(),
+			Name: "t", Source: src, Sink: sink, Wait: Always(8 * time.Second), Log: zap.NewNop(),
 			Hurry: func() bool { return time.Since(confirmed) > 3*time.Second },
 		}
 		src.onAnswer = func() { confirmed = time.Now() }
 		f.Run(ctx)
-		if out.failures != 0 {
-			t.Errorf("sink got %d failures, want none", out.failures)
+		if sink.failures != 0 {
+			t.Errorf("sink got %d failures, want none", sink.failures)
 		}
 		if len(src.waits) < 8 || src.longest > 3*time.Second+2*cancelCheckInterval {
 			t.Errorf("waits %v, longest call %v", src.waits, src.longest)
--- a/internal/gateway/follow/paged_read.go
+++ b/internal/gateway/follow/paged_read.go
@@ -48,11 +48,11 @@
 // addPage appends a page. It keeps the lowest position, so changes that happened between two pages
 // are returned again when following from there.
 func (r *pagedRead[T]) addPage(page Batch[T]) {
-	b := &r.batch
-	b.Items = append(b.Items, page.Items...)
-	b.Unreadable = append(b.Unreadable, page.Unreadable...)
-	if b.At == 0 || page.At < b.At {
-		b.At = page.At
+	batch := &r.batch
+	batch.Items = append(batch.Items, page.Items...)
+	batch.Unreadable = append(batch.Unreadable, page.Unreadable...)
+	if batch.At == 0 || page.At < batch.At {
+		batch.At = page.At
 	}
-	b.More = page.More
+	batch.More = page.More
 }
--- a/internal/gateway/follow/paged_read_test.go
+++ b/internal/gateway/follow/paged_read_test.go
@@ -25,15 +25,15 @@
 			{err: ErrHistoryGone},
 			{batch: Batch[string]{Items: []string{"d"}, At: 20}},
 		}}
-		out := &recordingSink{}
+		sink := &recordingSink{}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		f := Follower[string]{Name: "t", Source: src, Sink: out, Wait: Always(time.Second), Log: zap.NewNop()}
+		f := Follower[string]{Name: "t", Source: src, Sink: sink, Wait: Always(time.Second), Log: zap.NewNop()}
 		f.Run(ctx)
 		if got, want := join(src.requests[:7]), "read read/b read/b read/c read/c next after 7 read"; got != want {
 			t.Errorf("requests %q, want %q", got, want)
 		}
-		if got, want := join(out.items), "all a b c all d"; got != want {
+		if got, want := join(sink.items), "all a b c all d"; got != want {
 			t.Errorf("sink got %q, want %q", got, want)
 		}
 	})
@@ -108,15 +108,15 @@
 	resets chan<- time.Time
 }
 
-func (l resetTimeSink) Reset(time.Duration, Batch[string])  { l.resets <- time.Now() }
-func (l resetTimeSink) Change(time.Duration, Batch[string]) {}
-func (l resetTimeSink) Unavailable(error)                   {}
+func (s resetTimeSink) Reset(time.Duration, Batch[string])  { s.resets <- time.Now() }
+func (s resetTimeSink) Change(time.Duration, Batch[string]) {}
+func (s resetTimeSink) Unavailable(error)                   {}
 
 func (resetTimeSink) Available() {}
 
 // Hundreds of gateways restart at the same moment after all were killed. They must have the list of
-// thousands of servers within two seconds, from a store that answers no more calls in one second
-// than they need in total.
+// thousands of servers within two seconds, although the store's rate limit allows hardly more calls
+// in one second than they need in total.
 func TestSimultaneousStartWithRateLimitedStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const gateways, perSecond, pages = 300, 2000, 6
--- a/internal/gateway/follow/position.go
+++ b/internal/gateway/follow/position.go
@@ -7,7 +7,7 @@
 )
 
 // ErrPosition is returned for a text that isn't a position.
-var ErrPosition = errors.New("invalid position")
+var ErrInvalidPosition = errors.New("invalid position")
 
 // versionBits is the number of low bits of a Position that hold the version; the rest holds the
 // era.
@@ -36,7 +36,7 @@
 func ParsePosition(text string) (Position, error) {
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, errors.Wrap(ErrPosition, err.Error())
+		return 0, errors.Wrap(ErrInvalidPosition, err.Error())
 	}
 	return Position(n), nil
 }
--- a/internal/gateway/follow/sharing_test.go
+++ b/internal/gateway/follow/sharing_test.go
@@ -53,8 +53,8 @@
 	})
 }
 
-// Other gateways wait for the news that this one polls the store, so its first answer after an idle
-// period must not be held back.
+// Other gateways wait until this one announces that it polls the store, so its first answer after
+// an idle period must not be held back.
 func TestFirstPollAfterIdleIsShort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &failOnceSource{}
@@ -84,10 +84,10 @@
 
 func TestSharedDeltasAreAppliedInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &recordingSink{}
+		sink := &recordingSink{}
 		var idle atomic.Bool
 		idle.Store(true)
-		f := startIdle(t, &scriptedSource{calls: readUpToPosition3()}, out, &idle)
+		f := startIdle(t, &scriptedSource{calls: readUpToPosition3()}, sink, &idle)
 		if f.Changed() != 0 || f.Known() != 3 {
 			t.Errorf("last change %d, last known %d after the whole table was read", f.Changed(), f.Known())
 		}
@@ -95,7 +95,7 @@
 		if err := f.Take(0, deltas); err != nil {
 			t.Fatal(err)
 		}
-		if got := join(out.items); got != "all a b c" || f.Position() != 9 || f.Changed() != 9 {
+		if got := join(sink.items); got != "all a b c" || f.Position() != 9 || f.Changed() != 9 {
 			t.Errorf("sink got %q, position %d, last change %d", got, f.Position(), f.Changed())
 		}
 		if err := f.Take(0, []Step[string]{{From: 10, To: 12, Items: []string{"d"}}}); !errors.Is(err, ErrGap) {
@@ -114,16 +114,16 @@
 // and must be dropped.
 func TestOutdatedAnswerIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &recordingSink{}
+		sink := &recordingSink{}
 		var idle atomic.Bool
 		src := &scriptedSource{calls: append(readUpToPosition3(), scriptedCall{duration: 2 * time.Minute, batch: Batch[string]{Items: []string{"old"}, At: 5}})}
-		f := startIdle(t, src, out, &idle)
+		f := startIdle(t, src, sink, &idle)
 		if err := f.Take(0, []Step[string]{{From: 3, To: 7, Items: []string{"new"}}}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Minute)
 		synctest.Wait()
-		if got := join(out.items); got != "all a new" || f.Position() != 7 {
+		if got := join(sink.items); got != "all a new" || f.Position() != 7 {
 			t.Errorf("sink got %q, position %d", got, f.Position())
 		}
 	})
--- a/internal/gateway/usage/aggregator.go
+++ b/internal/gateway/usage/aggregator.go
@@ -40,7 +40,7 @@
 // Merge merges an update that was received at the given time. It discards counts of windows that
 // are too old to be reported or lie more than one window ahead: they come from a gateway whose
 // clock is wrong.
-func (a *Aggregator) Merge(now time.Time, from Source, update Update) {
+func (a *Aggregator) Merge(now time.Time, source Source, update Update) {
 	current := a.windows.Number(a.clock())
 	oldest := current - min(current, maxRetainedWindows+1)
 	update.Counts = slices.DeleteFunc(slices.Clone(update.Counts), func(c Count) bool { return c.Window <= oldest || c.Window > current+1 })
@@ -50,19 +50,19 @@
 		a.currentWindow = current
 		a.expireLocked(now, oldest)
 	}
-	counts := a.sourceLocked(from)
+	counts := a.sourceLocked(source)
 	counts.merge(update.Counts)
 	counts.sequence, counts.completeUntil, counts.lastReceived = max(counts.sequence, update.Sequence), max(counts.completeUntil, update.CompleteUntil), now
-	a.latestStarts[from.Gateway] = from.Start
+	a.latestStarts[source.Gateway] = source.Start
 }
 
 // sourceLocked returns the counts of a gateway process and creates them if there are none; a.mu
 // must be held.
-func (a *Aggregator) sourceLocked(from Source) *sourceCounts {
-	counts := a.sources[from]
+func (a *Aggregator) sourceLocked(source Source) *sourceCounts {
+	counts := a.sources[source]
 	if counts == nil {
 		counts = &sourceCounts{counts: map[countKey]int64{}}
-		a.sources[from] = counts
+		a.sources[source] = counts
 	}
 	return counts
 }
@@ -77,10 +77,10 @@
 
 // LastSequence returns the sequence number of the last change received from a gateway process, to
 // be acknowledged to it; 0 if none was received.
-func (a *Aggregator) Sequence(from Source) uint64 {
+func (a *Aggregator) Sequence(source Source) uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if counts := a.sources[from]; counts != nil {
+	if counts := a.sources[source]; counts != nil {
 		return counts.sequence
 	}
 	return 0
@@ -101,9 +101,9 @@
 	return sum
 }
 
-// IncompleteGateways returns the sorted names of the gateways whose counts are complete to a point
-// within [begin, end) only. A gateway whose counts end before begin isn't included: it has stopped
-// or has no counts in the interval.
+// IncompleteGateways returns the sorted names of the gateways whose counts are complete up to a time
+// t with begin <= t < end. A gateway whose counts end before begin isn't included: it has stopped or
+// has no counts in the interval.
 func (a *Aggregator) IncompleteGateways(begin, end time.Time) []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -128,14 +128,14 @@
 
 // expireLocked implements Expire; a.mu must be held.
 func (a *Aggregator) expireLocked(now time.Time, lastExpired uint64) {
-	for from, source := range a.sources {
-		maps.DeleteFunc(source.counts, func(key countKey, _ int64) bool { return key.window <= lastExpired })
-		if len(source.counts) > 0 || now.Sub(source.lastReceived) <= sourceExpiry {
+	for source, counts := range a.sources {
+		maps.DeleteFunc(counts.counts, func(key countKey, _ int64) bool { return key.window <= lastExpired })
+		if len(counts.counts) > 0 || now.Sub(counts.lastReceived) <= sourceExpiry {
 			continue
 		}
-		delete(a.sources, from)
-		if a.latestStarts[from.Gateway] == from.Start {
-			delete(a.latestStarts, from.Gateway)
+		delete(a.sources, source)
+		if a.latestStarts[source.Gateway] == source.Start {
+			delete(a.latestStarts, source.Gateway)
 		}
 	}
 }
--- a/internal/gateway/usage/checkpoint.go
+++ b/internal/gateway/usage/checkpoint.go
@@ -40,9 +40,9 @@
 	var rows [][]byte
 	var entries []checkpointEntry
 	size := 0
-	for from, source := range a.sources {
-		entry := checkpointEntry{From: from}
-		for key, requests := range source.counts {
+	for source, counts := range a.sources {
+		entry := checkpointEntry{From: source}
+		for key, requests := range counts.counts {
 			if key.window > lastFinalized {
 				entry.Counts = append(entry.Counts, Count{Window: key.window, Customer: key.customer, Requests: requests})
 			}
--- a/internal/gateway/usage/cluster_test.go
+++ b/internal/gateway/usage/cluster_test.go
@@ -78,10 +78,10 @@
 	n.wg.Wait()
 }
 
-func (c *cluster) setFlag(flag *bool, to bool) {
+func (c *cluster) setFlag(flag *bool, value bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	*flag = to
+	*flag = value
 }
 
 func (n *node) flag(flag *bool) bool {
@@ -94,13 +94,13 @@
 func (c *cluster) exchangeUpdates(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.mu.Lock()
-		all := append([]*node(nil), c.nodes...)
+		nodes := append([]*node(nil), c.nodes...)
 		c.mu.Unlock()
-		for _, to := range all {
-			for _, from := range all {
+		for _, to := range nodes {
+			for _, from := range nodes {
 				if to != from && !to.flag(&to.partitioned) && !from.flag(&from.partitioned) {
-					s := Source{Gateway: from.Name, Start: from.Start}
-					to.Aggregate.Merge(time.Now(), s, from.Counter.Update(to.Aggregate.Sequence(s)))
+					source := Source{Gateway: from.Name, Start: from.Start}
+					to.Aggregate.Merge(time.Now(), source, from.Counter.Update(to.Aggregate.Sequence(source)))
 				}
 			}
 		}
@@ -111,13 +111,13 @@
 func (n *node) reachablePeers() []*node {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
-	var all []*node
+	var peers []*node
 	for _, peer := range n.cluster.nodes {
 		if peer != n && !peer.partitioned && !n.partitioned {
-			all = append(all, peer)
+			peers = append(peers, peer)
 		}
 	}
-	return all
+	return peers
 }
 
 func (n *node) Reporting() bool {
@@ -175,9 +175,9 @@
 	t.Helper()
 	for range 200 {
 		c.mu.Lock()
-		all := append([]*node(nil), c.nodes...)
+		nodes := append([]*node(nil), c.nodes...)
 		c.mu.Unlock()
-		for _, n := range all {
+		for _, n := range nodes {
 			if n.Holds() {
 				return n
 			}
@@ -209,9 +209,9 @@
 		c.generateRequests(15 * time.Second)
 		test(t, c, c.waitForHolder(t))
 		c.mu.Lock()
-		all := append([]*node(nil), c.nodes...)
+		nodes := append([]*node(nil), c.nodes...)
 		c.mu.Unlock()
-		for _, n := range all {
+		for _, n := range nodes {
 			c.kill(n)
 		}
 		c.stop()
--- a/internal/gateway/usage/counter_test.go
+++ b/internal/gateway/usage/counter_test.go
@@ -36,7 +36,7 @@
 		now := noon
 		counter := NewCounter(fiveSeconds, func() time.Time { return now })
 		aggregate := NewAggregator(fiveSeconds, func() time.Time { return now })
-		from := Source{Gateway: "a", Start: 1}
+		source := Source{Gateway: "a", Start: 1}
 		want := map[countKey]int64{}
 		var sent []Update
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -48,14 +48,14 @@
 			case 2:
 				now = now.Add(time.Duration(rapid.IntRange(0, 7000).Draw(t, "ms")) * time.Millisecond)
 			case 3:
-				sent = append(sent, counter.Update(aggregate.Sequence(from)))
+				sent = append(sent, counter.Update(aggregate.Sequence(source)))
 			case 4:
 				if len(sent) > 0 {
-					aggregate.Merge(now, from, sent[rapid.IntRange(0, len(sent)-1).Draw(t, "which")])
+					aggregate.Merge(now, source, sent[rapid.IntRange(0, len(sent)-1).Draw(t, "which")])
 				}
 			}
 		}
-		aggregate.Merge(now, from, counter.Update(aggregate.Sequence(from)))
+		aggregate.Merge(now, source, counter.Update(aggregate.Sequence(source)))
 		newest := fiveSeconds.Number(now)
 		maps.DeleteFunc(want, func(k countKey, _ int64) bool { return k.window+maxRetainedWindows < newest })
 		for key, requests := range want {
@@ -76,10 +76,10 @@
 	for i := range 2*maxUpdateCounts + 7 {
 		counter.Began(fmt.Sprint("customer-", i))
 	}
-	aggregate, from := NewAggregator(fiveSeconds, func() time.Time { return noon }), Source{Gateway: "a", Start: 1}
+	aggregate, source := NewAggregator(fiveSeconds, func() time.Time { return noon }), Source{Gateway: "a", Start: 1}
 	for parts := 1; ; parts++ {
-		update := counter.Update(aggregate.Sequence(from))
-		aggregate.Merge(noon, from, update)
+		update := counter.Update(aggregate.Sequence(source))
+		aggregate.Merge(noon, source, update)
 		if update.CompleteUntil != 0 {
 			if parts != 3 {
 				t.Errorf("update was split into %d parts", parts)
@@ -157,14 +157,14 @@
 }
 
 // A gateway that only receives updates and never sends reports keeps a bounded number of counts.
-func TestAggregateIsBounded(t *testing.T) {
+func TestAggregatorIsBounded(t *testing.T) {
 	now := noon
 	aggregate := NewAggregator(fiveSeconds, func() time.Time { return now })
 	first := fiveSeconds.Number(noon)
 	for i := range uint64(500) {
 		now = now.Add(5 * time.Second)
-		from := Source{Gateway: fmt.Sprint("gateway-", i%3), Start: i / 50}
-		aggregate.Merge(now, from, Update{Sequence: i, CompleteUntil: now.UnixMilli(), Counts: []Count{{Window: first + i, Customer: "a", Requests: 1}}})
+		source := Source{Gateway: fmt.Sprint("gateway-", i%3), Start: i / 50}
+		aggregate.Merge(now, source, Update{Sequence: i, CompleteUntil: now.UnixMilli(), Counts: []Count{{Window: first + i, Customer: "a", Requests: 1}}})
 	}
 	counts := 0
 	for _, source := range aggregate.sources {
--- a/internal/gateway/usage/reporter.go
+++ b/internal/gateway/usage/reporter.go
@@ -190,8 +190,8 @@
 
 // mergeOwnCounts merges this gateway's own counts into the Aggregator.
 func (r *Reporter) mergeOwnCounts() {
-	from := Source{Gateway: r.Name, Start: r.Start}
-	r.Aggregate.Merge(time.Now(), from, r.Counter.Update(r.Aggregate.Sequence(from)))
+	source := Source{Gateway: r.Name, Start: r.Start}
+	r.Aggregate.Merge(time.Now(), source, r.Counter.Update(r.Aggregate.Sequence(source)))
 }
 
 // checkpointWrites returns the writes from which the next holder restores the counts; nil if this
