--- a/internal/gateway/follow/follower.go
+++ b/internal/gateway/follow/follower.go
@@ -73,10 +73,10 @@
 	Next(ctx context.Context, after Position, wait time.Duration) (Batch[T], error)
 }
 
-// Sink receives the table and its changes from a Follower. The asOf time is on
-// the clock of package boottime: the batch reflects everything that happened before it. It is the
-// time at which the call was made. If the store held back an answer without changes for the whole
-// wait, it is the time at which the wait ended.
+// Sink receives the table and its changes from a Follower. The asOf time is on the clock of package
+// boottime: the batch reflects everything that happened before it. It is the time at which the call
+// was made. If the store held back an answer without changes for the whole wait, it is the time at
+// which the wait ended.
 type Sink[T any] interface {
 	Reset(asOf time.Duration, table Batch[T])
 	Change(asOf time.Duration, changes Batch[T])
