--- /dev/null
+++ b/internal/gateway/follow/history.go
@@ -0,0 +1,95 @@
+package follow
+
+import "sync"
+
+// maxHistoryDeltas limits the deltas that are kept. It covers a minute in which servers are
+// replaced one after the other; a gateway that lacks more reads from the store.
+const maxHistoryDeltas = 256
+
+// Delta is the change of a table between two positions.
+type Step[T any] struct {
+	_          struct{} `cbor:",toarray"`
+	From       Position
+	To         Position
+	Items      []T
+	Removed    []string
+	Unreadable []string
+	// Snapshot is set if Items are the whole table, which replaces everything known before.
+	Snapshot bool
+}
+
+// history holds the newest changes of a table, which are shared with other gateways that follow it.
+// All methods may be called concurrently.
+type history[T any] struct {
+	// mu guards the fields below; no other lock is taken while it is held.
+	mu sync.Mutex
+	// start is the position after which deltas is complete.
+	start  Position
+	deltas []Step[T]
+	// snapshot is the table at start if the store was restored from an older copy at that point;
+	// nil otherwise.
+	snapshot *Step[T]
+}
+
+// reset restarts the history at a position. A follower that knows the table as of an earlier era
+// can continue from the snapshot, which is nil if there is none.
+func (h *history[T]) reset(position Position, snapshot *Step[T]) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.start, h.deltas, h.snapshot = position, nil, snapshot
+}
+
+func (h *history[T]) add(delta Step[T]) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.deltas = append(h.deltas, delta)
+	if len(h.deltas) > maxHistoryDeltas {
+		h.start = h.deltas[0].To
+		h.deltas = h.deltas[1:]
+		h.snapshot = nil
+	}
+}
+
+// lastChange returns the position after the newest change; 0 if no change is known.
+func (h *history[T]) lastChange() Position {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if len(h.deltas) == 0 {
+		if h.snapshot != nil {
+			return h.start
+		}
+		return 0
+	}
+	return h.deltas[len(h.deltas)-1].To
+}
+
+// lastKnown returns lastChange or, if there has been no change since the whole table was read, the
+// position of that read.
+func (h *history[T]) lastKnown() Position {
+	if position := h.lastChange(); position != 0 {
+		return position
+	}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.start
+}
+
+// since returns the deltas after a position; false if not all of them are known.
+func (h *history[T]) since(after Position) ([]Step[T], bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	var deltas []Step[T]
+	switch {
+	case h.start != 0 && after >= h.start:
+	case h.snapshot != nil && after != 0 && after.Era() < h.snapshot.To.Era():
+		deltas = append(deltas, *h.snapshot)
+	default:
+		return nil, false
+	}
+	for _, delta := range h.deltas {
+		if delta.To > after {
+			deltas = append(deltas, delta)
+		}
+	}
+	return deltas, true
+}
--- /dev/null
+++ b/internal/gateway/follow/idle.go
@@ -0,0 +1,51 @@
+package follow
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/applepier/applepier/internal/logging"
+	"github.com/applepier/applepier/internal/pause"
+)
+
+const (
+	// idleCheckInterval is how often an idle follower checks whether other gateways still poll the
+	// table.
+	idleCheckInterval = 50 * time.Millisecond
+	// gossipDelay is how long gateways take to tell each other that the store answers them, which
+	// decides which of them reads first.
+	gossipDelay = 150 * time.Millisecond
+	// maxFullReadDelay is how long a follower delays a full read to let others read first.
+	maxFullReadDelay = 500 * time.Millisecond
+)
+
+// waitWhileIdle waits while other gateways poll the table.
+func (f *Follower[T]) waitWhileIdle(ctx context.Context) {
+	if f.Idle == nil || !f.Idle() {
+		return
+	}
+	f.live.Store(false)
+	f.wasIdle = true
+	f.Log.Info(logging.EventStoreLeft, zap.String("table", f.Name))
+	for f.Idle() && ctx.Err() == nil {
+		pause.For(ctx, idleCheckInterval)
+	}
+	if ctx.Err() == nil {
+		f.Log.Info(logging.EventStoreAsked, zap.String("table", f.Name))
+	}
+}
+
+// delayFullRead gives other gateways time to read the whole table and to share it.
+func (f *Follower[T]) delayFullRead(ctx context.Context) {
+	if f.Defers != nil {
+		pause.For(ctx, gossipDelay)
+	}
+	for deadline := time.Now().Add(maxFullReadDelay); f.Idle != nil && f.Defers != nil && time.Now().Before(deadline) && ctx.Err() == nil; {
+		if !f.Defers() || f.Idle() {
+			return
+		}
+		pause.For(ctx, idleCheckInterval)
+	}
+}
--- a/internal/gateway/follow/sharing.go
+++ b/internal/gateway/follow/sharing.go
@@ -9,89 +9,90 @@
 	"github.com/applepier/applepier/internal/logging"
 )
 
-// ErrGap: steps begin after the position that they are to follow.
-var ErrGap = errors.New("changes in between are missing")
+// ErrGap is returned if deltas begin after the position that is known.
+var ErrGap = errors.New("changes before the deltas are missing")
 
-// Changed is the position after the newest change that this follower knows of, from
-// the store or from another gateway; 0 for none since it read the whole table.
-func (f *Follower[T]) Changed() Position { return f.recent.changed() }
+// LastChange returns the position after the newest change that is known from the store or from
+// another gateway; 0 if there was none since the whole table was read.
+func (f *Follower[T]) Changed() Position { return f.history.lastChange() }
 
-// Known is the same, or, for none, the position at which the whole table was read: what
-// had changed before that it knows, but not what it was.
-func (f *Follower[T]) Known() Position { return f.recent.known() }
+// LastKnown returns LastChange or, if that is 0, the position at which the whole table was read.
+// The table includes the changes before that position, but the single changes aren't known.
+func (f *Follower[T]) Known() Position { return f.history.lastKnown() }
 
-// Since returns what changed after a position; false if not all of it is known.
-func (f *Follower[T]) Since(at Position) ([]Step[T], bool) { return f.recent.since(at) }
+// DeltasSince returns the changes after a position; false if not all of them are known.
+func (f *Follower[T]) Since(after Position) ([]Step[T], bool) { return f.history.since(after) }
 
-// Position is up to where the table is known; 0 before it has been read.
+// Position returns the position up to which the table is known; 0 before it has been read.
 func (f *Follower[T]) Position() Position {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.at
+	return f.position
 }
 
-// Live reports whether the store is asked and answers.
+// Live reports whether this follower polls the store and the store answers.
 func (f *Follower[T]) Live() bool { return f.live.Load() }
 
-// Take takes what another follower of the table had from the store, as far as it is
-// news; ErrGap if it begins too late.
-func (f *Follower[T]) Take(moment time.Duration, steps []Step[T]) error {
+// ApplyDeltas applies the changes that another follower received from the store, and skips those
+// that are already known. It returns ErrGap if changes are missing before the deltas.
+func (f *Follower[T]) Take(asOf time.Duration, deltas []Step[T]) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, s := range steps {
-		if s.To <= f.at {
+	for _, delta := range deltas {
+		if delta.To <= f.position {
 			continue
 		}
-		if s.Whole && f.at != 0 && s.To.Era() > f.at.Era() {
-			f.restart(moment, Batch[T]{Items: s.Items, Unreadable: s.Unreadable, At: s.To})
+		if delta.Snapshot && f.position != 0 && delta.To.Era() > f.position.Era() {
+			f.replaceLocked(asOf, Batch[T]{Items: delta.Items, Unreadable: delta.Unreadable, At: delta.To})
 			continue
 		}
-		if s.From > f.at || s.From.Era() != f.at.Era() || f.at == 0 {
+		if delta.From > f.position || delta.From.Era() != f.position.Era() || f.position == 0 {
 			return ErrGap
 		}
-		f.Sink.Change(moment, Batch[T]{Items: s.Items, Removed: s.Removed, Unreadable: s.Unreadable, At: s.To})
-		f.at = s.To
-		f.recent.add(s)
+		f.Sink.Change(asOf, Batch[T]{Items: delta.Items, Removed: delta.Removed, Unreadable: delta.Unreadable, At: delta.To})
+		f.position = delta.To
+		f.history.add(delta)
 	}
 	return nil
 }
 
-// reset takes the whole table.
-func (f *Follower[T]) reset(moment time.Duration, all Batch[T]) {
+// applyFullRead replaces the table with the result of a full read.
+func (f *Follower[T]) applyFullRead(asOf time.Duration, table Batch[T]) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.restart(moment, all)
+	f.replaceLocked(asOf, table)
 }
 
-// restart takes the whole table; f.mu is held. After a return of the store from an older
-// copy other followers can go on from it: not all of them have to read it.
-func (f *Follower[T]) restart(moment time.Duration, all Batch[T]) {
-	var whole *Step[T]
-	if f.at != 0 && all.At.Era() > f.at.Era() {
+// replaceLocked replaces the whole table; f.mu must be held. If the store was restored from an
+// older copy, the table is kept as a snapshot, so that not all other followers have to read it from
+// the store.
+func (f *Follower[T]) replaceLocked(asOf time.Duration, table Batch[T]) {
+	var snapshot *Step[T]
+	if f.position != 0 && table.At.Era() > f.position.Era() {
 		f.Log.Warn(logging.EventStoreRestored, zap.String("table", f.Name),
-			zap.Uint64("era_before", f.at.Era()), zap.Uint64("era", all.At.Era()),
-			zap.Uint64("version_before", f.at.Version()), zap.Uint64("version", all.At.Version()), zap.Int("rows", len(all.Items)))
+			zap.Uint64("era_before", f.position.Era()), zap.Uint64("era", table.At.Era()),
+			zap.Uint64("version_before", f.position.Version()), zap.Uint64("version", table.At.Version()), zap.Int("rows", len(table.Items)))
 		if f.Restored != nil {
 			f.Restored()
 		}
-		whole = &Step[T]{To: all.At, Items: all.Items, Unreadable: all.Unreadable, Whole: true}
+		snapshot = &Step[T]{To: table.At, Items: table.Items, Unreadable: table.Unreadable, Snapshot: true}
 	}
-	f.Sink.Reset(moment, all)
-	f.at = all.At
-	f.recent.reset(all.At, whole)
+	f.Sink.Reset(asOf, table)
+	f.position = table.At
+	f.history.reset(table.At, snapshot)
 }
 
-// change takes the store's answer to a call that asked for what came after a position.
-// Others may have told of it meanwhile, and of more.
-func (f *Follower[T]) change(moment time.Duration, changes Batch[T]) {
+// applyChanges applies the store's answer to a call for the changes after a position. It ignores
+// the answer if other gateways have shared later changes meanwhile.
+func (f *Follower[T]) applyChanges(asOf time.Duration, changes Batch[T]) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if changes.At < f.at || changes.At.Era() != f.at.Era() {
+	if changes.At < f.position || changes.At.Era() != f.position.Era() {
 		return
 	}
-	f.Sink.Change(moment, changes)
+	f.Sink.Change(asOf, changes)
 	if !changes.empty() {
-		f.recent.add(Step[T]{From: f.at, To: changes.At, Items: changes.Items, Removed: changes.Removed, Unreadable: changes.Unreadable})
+		f.history.add(Step[T]{From: f.position, To: changes.At, Items: changes.Items, Removed: changes.Removed, Unreadable: changes.Unreadable})
 	}
-	f.at = changes.At
+	f.position = changes.At
 }
--- a/internal/gateway/usage/checkpoint.go
+++ b/internal/gateway/usage/checkpoint.go
@@ -10,89 +10,91 @@
 )
 
 const (
-	// ledgerKey is the row of the Ledger, and countsPrefix begins the rows of what was
-	// gathered and isn't reported yet.
+	// ledgerKey is the key of the row that holds the Ledger. countsPrefix begins the keys of the
+	// rows that hold the counts that aren't finalized yet.
 	ledgerKey = "usage/ledger"
-	// acceptedKey is the row of the windows whose reports the platform is known to have. It
-	// is apart from the ledger, which must never be written over by an older one.
+	// acceptedKey is the key of the row that lists the windows whose reports the platform has
+	// accepted. It is separate from the ledger's row because that row must never be overwritten
+	// with an older ledger.
 	acceptedKey  = "usage/accepted"
 	countsPrefix = "usage/counts/"
-	// maxRowBytes bounds a row of counts; the store takes 64 KB.
+	// maxRowBytes limits a row of counts; the store accepts 64 KB.
 	maxRowBytes = 48 << 10
 )
 
-// ErrCorrupt: a stored row doesn't hold what this version of the program writes.
-var ErrCorrupt = errors.New("stored usage can't be decoded")
+// ErrCorrupt is returned if a stored row can't be decoded by this version of the program.
+var ErrCorrupt = errors.New("cannot decode stored usage")
 
-// storedCounts are the counts of one start of a gateway.
-type storedCounts struct {
+// checkpointEntry holds the counts of one gateway process.
+type checkpointEntry struct {
 	_      struct{} `cbor:",toarray"`
 	From   Source
 	Counts []Count
 }
 
-// checkpoint encodes the counts of the windows after one, split into rows.
-func (g *Aggregate) checkpoint(after uint64) ([][]byte, error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// encodeCheckpoint encodes the counts of the windows after lastFinalized, split into rows of about
+// maxRowBytes.
+func (a *Aggregator) encodeCheckpoint(lastFinalized uint64) ([][]byte, error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	var rows [][]byte
-	var row []storedCounts
+	var entries []checkpointEntry
 	size := 0
-	for from, t := range g.sources {
-		s := storedCounts{From: from}
-		for key, n := range t.counts {
-			if key.window > after {
-				s.Counts = append(s.Counts, Count{Window: key.window, Customer: key.customer, Requests: n})
+	for source, counts := range a.sources {
+		entry := checkpointEntry{From: source}
+		for key, requests := range counts.counts {
+			if key.window > lastFinalized {
+				entry.Counts = append(entry.Counts, Count{Window: key.window, Customer: key.customer, Requests: requests})
 			}
 		}
-		if len(s.Counts) == 0 {
+		if len(entry.Counts) == 0 {
 			continue
 		}
-		encoded, err := cbor.Marshal(s)
+		encoded, err := cbor.Marshal(entry)
 		if err != nil {
 			return nil, errors.Wrap(err, "encode counts")
 		}
-		if size += len(encoded); size > maxRowBytes && len(row) > 0 {
-			if rows, err = appendRow(rows, row); err != nil {
+		if size += len(encoded); size > maxRowBytes && len(entries) > 0 {
+			if rows, err = appendRow(rows, entries); err != nil {
 				return nil, err
 			}
-			row, size = nil, len(encoded)
+			entries, size = nil, len(encoded)
 		}
-		row = append(row, s)
+		entries = append(entries, entry)
 	}
-	return appendRow(rows, row)
+	return appendRow(rows, entries)
 }
 
-func appendRow(rows [][]byte, row []storedCounts) ([][]byte, error) {
-	encoded, err := cbor.Marshal(row)
+func appendRow(rows [][]byte, entries []checkpointEntry) ([][]byte, error) {
+	encoded, err := cbor.Marshal(entries)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode counts")
 	}
 	return append(rows, encoded), nil
 }
 
-// restore merges the rows of a checkpoint. Their sources are not waited for until they send
-// updates.
-func (g *Aggregate) restore(rows []storage.Row) error {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, r := range rows {
-		if len(r.Value) == 0 {
+// restoreCheckpoint merges the rows of a checkpoint. IncompleteGateways doesn't return the sources
+// of these rows until they send updates.
+func (a *Aggregator) restoreCheckpoint(rows []storage.Row) error {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for _, row := range rows {
+		if len(row.Value) == 0 {
 			continue
 		}
-		var all []storedCounts
-		if err := cbor.Unmarshal(r.Value, &all); err != nil {
+		var entries []checkpointEntry
+		if err := cbor.Unmarshal(row.Value, &entries); err != nil {
 			return errors.Wrap(ErrCorrupt, err.Error())
 		}
-		for _, s := range all {
-			g.source(s.From).merge(s.Counts)
+		for _, entry := range entries {
+			a.sourceLocked(entry.From).merge(entry.Counts)
 		}
 	}
 	return nil
 }
 
-// acceptedWrite is the write of the accepted windows.
-func acceptedWrite(windows []uint64) (storage.Write, error) {
+// encodeAccepted returns the write that stores the accepted windows.
+func encodeAccepted(windows []uint64) (storage.Write, error) {
 	value, err := cbor.Marshal(windows)
 	if err != nil {
 		return storage.Write{}, errors.Wrap(err, "encode accepted windows")
@@ -100,8 +102,9 @@
 	return storage.Write{Key: acceptedKey, Value: value, Expect: storage.AnyVersion}, nil
 }
 
-// readAccepted reads them. Reports of which it isn't known are sent once more.
-func readAccepted(row storage.Row) ([]uint64, error) {
+// decodeAccepted decodes the accepted windows. Reports of windows that aren't listed are sent once
+// more.
+func decodeAccepted(row storage.Row) ([]uint64, error) {
 	var windows []uint64
 	if err := cbor.Unmarshal(row.Value, &windows); err != nil {
 		return nil, errors.Wrap(ErrCorrupt, err.Error())
@@ -109,16 +112,16 @@
 	return windows, nil
 }
 
-// countWrites are the writes of a checkpoint's rows; those of an earlier one that isn't
-// needed any more are emptied.
-func countWrites(rows [][]byte, before int) []storage.Write {
+// checkpointWrites returns the writes that store a checkpoint's rows. Rows of the previous
+// checkpoint that are no longer needed are emptied.
+func checkpointWrites(rows [][]byte, previousRows int) []storage.Write {
 	var writes []storage.Write
-	for i := range max(len(rows), before) {
-		w := storage.Write{Key: fmt.Sprintf("%s%d", countsPrefix, i), Expect: storage.AnyVersion}
+	for i := range max(len(rows), previousRows) {
+		write := storage.Write{Key: fmt.Sprintf("%s%d", countsPrefix, i), Expect: storage.AnyVersion}
 		if i < len(rows) {
-			w.Value = rows[i]
+			write.Value = rows[i]
 		}
-		writes = append(writes, w)
+		writes = append(writes, write)
 	}
 	return writes
 }
