--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,8 +1,9 @@
-// Package agent is the process beside a backend server, and the only way to
-// it. Entries place tickets; the agent orders them by the policy, grants the
-// best one when its backend server has room, runs the granted request and
-// relays the answer. It therefore knows exactly what runs there. Start
-// reading at Agent, then at table, which holds the state.
+// Package agent implements the process that runs beside a backend server and
+// is the only client of it. Entries submit tickets for their requests. The
+// agent queues the tickets by policy and issues a grant for the next one when
+// the backend server has capacity. It then runs the granted request and
+// relays the response, so it knows exactly what runs on the backend server.
+// Start reading at Agent, then at dispatcher, which holds the state.
 package agent
 
 import (
@@ -28,115 +29,122 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// ErrSettle: what the engine still runs from before could not be settled.
-var ErrSettle = errors.New("cannot settle the engine's earlier runs")
+// ErrCancelEarlierRuns means that the runs that the engine still has from an
+// earlier incarnation of the agent could not be listed or cancelled.
+var ErrCancelEarlierRuns = errors.New("cannot cancel the engine's earlier runs")
 
 const (
-	// probeEvery is how often the engine is asked whether it is there.
-	probeEvery = time.Second
-	// probeTimeout bounds one such call; two that fail in a row mean down.
+	// probeInterval is the time between two probes of the backend server.
+	probeInterval = time.Second
+	// probeTimeout bounds one probe.
 	probeTimeout = time.Second
-	// probeFailures is how many probes in a row must fail.
-	probeFailures = 2
-	// eventRing is how many events the time line keeps.
-	eventRing = 16384
+	// maxProbeFailures is the number of consecutive failed probes after which
+	// the backend server counts as down.
+	maxProbeFailures = 2
+	// eventCapacity is the number of events that the timeline keeps.
+	eventCapacity = 16384
 )
 
-// Agent is the process beside one backend server.
+// Agent controls admission to one backend server and runs requests on it.
+// Exactly one of engine and service is set.
 type Agent struct {
 	settings    settings.Agent
 	incarnation string
 	systemKey   string
 	log         *zap.Logger
 
-	model   engine.Engine
+	engine  engine.Engine
 	service engine.Service
 
-	clock   timeline.Clock
-	ring    *timeline.Ring
-	holder  *targets.Holder
-	metrics *metrics.Metrics
-	list    storage.VMList
-	tables  storage.Table
+	clock    timeline.Clock
+	events   *timeline.Ring
+	targets  *targets.Holder
+	metrics  *metrics.Metrics
+	vmList   storage.VMList
+	rowStore storage.Table
 
-	// listMu is a leaf; it guards vms.
-	listMu sync.Mutex
-	vms    []storage.VM
+	// vmsMu guards vms. No other lock is acquired while it is held.
+	vmsMu sync.Mutex
+	vms   []storage.VM
 
-	table *table
+	dispatcher *dispatcher
 }
 
-// New returns an agent for its settings; systemKey tells its peers.
-func New(s settings.Agent, systemKey string, log *zap.Logger) *Agent {
-	a := &Agent{settings: s, incarnation: ids.New(), systemKey: systemKey, log: log, holder: targets.NewHolder(), metrics: metrics.New()}
-	a.ring = timeline.NewRing(s.Process, &a.clock, eventRing)
-	a.table = newTable(a.incarnation, s.Backend.Serves, a.ring, a.holder, a.metrics.Queue)
-	services := counted.New(storage.NewHTTP(s.Platform.URL), a.metrics.Platform)
-	a.list = services
-	a.tables = services
-	a.metrics.OnRead(func() { a.metrics.TargetsVersion(a.holder.Current().Version) })
-	a.connectBackend()
+// New returns an Agent with the settings cfg. systemKey authenticates the
+// other processes of the system.
+func New(cfg settings.Agent, systemKey string, log *zap.Logger) *Agent {
+	a := &Agent{settings: cfg, incarnation: ids.New(), systemKey: systemKey, log: log, targets: targets.NewHolder(), metrics: metrics.New()}
+	a.events = timeline.NewRing(cfg.Process, &a.clock, eventCapacity)
+	a.dispatcher = newDispatcher(a.incarnation, cfg.Backend.Serves, a.events, a.targets, a.metrics.Queue)
+	platform := counted.New(storage.NewHTTP(cfg.Platform.URL), a.metrics.Platform)
+	a.vmList = platform
+	a.rowStore = platform
+	a.metrics.OnRead(func() { a.metrics.TargetsVersion(a.targets.Current().Version) })
+	a.setBackendClient()
 	return a
 }
 
-func (a *Agent) connectBackend() {
+func (a *Agent) setBackendClient() {
 	if a.settings.Backend.Kind == settings.BackendService {
 		a.service = engine.NewService(a.settings.Backend.URL)
 		return
 	}
-	a.model = engine.NewClient(a.settings.Backend.URL)
+	a.engine = engine.NewClient(a.settings.Backend.URL)
 }
 
-// Run does the agent's background work until ctx ends: it settles what the
-// engine still runs from an earlier incarnation, then grants.
+// Run does the agent's background work until ctx ends. Grants are issued only
+// after the engine's runs from an earlier incarnation have been cancelled.
 func (a *Agent) Run(ctx context.Context) {
 	var wg conc.WaitGroup
-	wg.Go(func() { a.settleAndProbe(ctx) })
-	wg.Go(func() { a.table.keepTime(ctx) })
-	wg.Go(func() { a.spread(ctx) })
-	wg.Go(func() { a.followList(ctx) })
-	wg.Go(func() { a.followOrders(ctx) })
+	wg.Go(func() { a.cancelEarlierRunsAndProbe(ctx) })
+	wg.Go(func() { a.dispatcher.runTimers(ctx) })
+	wg.Go(func() { a.broadcastTargetChanges(ctx) })
+	wg.Go(func() { a.pollVMList(ctx) })
+	wg.Go(func() { a.executeOrders(ctx) })
 	wg.Wait()
 }
 
-// Leave refuses new work from now on and tells all entries.
-func (a *Agent) Leave() {
-	a.table.leave()
+// Drain refuses new and waiting tickets from now on and notifies all entries.
+// Issued grants stay usable and runs complete.
+func (a *Agent) Drain() {
+	a.dispatcher.drain()
 }
 
-// Drained is closed when the agent is leaving and nothing runs any more.
-func (a *Agent) Drained() <-chan struct{} { return a.table.drained }
+// Drained returns a channel that is closed when the agent is draining and no
+// grant is issued or running.
+func (a *Agent) Drained() <-chan struct{} { return a.dispatcher.drained }
 
-// settleAndProbe first cancels the engine's runs from before this start, so
-// that nothing runs which this agent doesn't know of, then watches the engine.
-func (a *Agent) settleAndProbe(ctx context.Context) {
-	settled := false
+// cancelEarlierRunsAndProbe cancels the engine's runs from an earlier
+// incarnation, so that the agent knows of all runs, and then probes the backend
+// server periodically.
+func (a *Agent) cancelEarlierRunsAndProbe(ctx context.Context) {
+	cancelled := false
 	wasUp := false
 	failures := 0
-	timer := time.NewTicker(probeEvery)
-	defer timer.Stop()
+	ticker := time.NewTicker(probeInterval)
+	defer ticker.Stop()
 	for {
-		err := a.probe(ctx, &settled)
+		err := a.probe(ctx, &cancelled)
 		if err != nil {
 			failures++
 		} else {
 			failures = 0
 		}
-		up := settled && failures < probeFailures
-		a.table.setEngine(up)
-		a.logEngine(wasUp, up, err)
+		up := cancelled && failures < maxProbeFailures
+		a.dispatcher.setEngineUp(up)
+		a.logBackendState(wasUp, up, err)
 		wasUp = up
 		select {
 		case <-ctx.Done():
 			return
-		case <-timer.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// logEngine tells when the backend server came or went; a start without it is
-// told by the first probes.
-func (a *Agent) logEngine(wasUp, up bool, err error) {
+// logBackendState logs each change between up and down. While the backend
+// server stays down, or a single probe fails, errors are logged at debug level.
+func (a *Agent) logBackendState(wasUp, up bool, err error) {
 	switch {
 	case up && !wasUp:
 		a.log.Info(logging.EventEngineUp)
@@ -147,70 +155,71 @@
 	}
 }
 
-func (a *Agent) probe(ctx context.Context, settled *bool) error {
+func (a *Agent) probe(ctx context.Context, cancelled *bool) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	if a.model == nil {
-		*settled = true
+	if a.engine == nil {
+		*cancelled = true
 		return a.probeService(ctx)
 	}
-	if !*settled {
-		if err := a.settle(ctx); err != nil {
-			return errors.Wrap(ErrSettle, err.Error())
+	if !*cancelled {
+		if err := a.cancelEarlierRuns(ctx); err != nil {
+			return errors.Wrap(ErrCancelEarlierRuns, err.Error())
 		}
-		*settled = true
+		*cancelled = true
 	}
-	if _, err := a.model.Load(ctx); err != nil {
+	if _, err := a.engine.Load(ctx); err != nil {
 		return errors.Wrap(err, "probe engine")
 	}
 	return nil
 }
 
-// probeService only opens a connection: a plain service has no call that is
-// known to be free of effects.
+// probeService only opens a TCP connection, because no request to a plain
+// service is known to be free of side effects.
 func (a *Agent) probeService(ctx context.Context) error {
-	base, err := url.Parse(a.settings.Backend.URL)
+	serviceURL, err := url.Parse(a.settings.Backend.URL)
 	if err != nil {
-		return errors.Wrap(err, "parse service's address")
+		return errors.Wrap(err, "parse service URL")
 	}
 	var dialer net.Dialer
-	conn, err := dialer.DialContext(ctx, "tcp", base.Host)
+	conn, err := dialer.DialContext(ctx, "tcp", serviceURL.Host)
 	if err != nil {
 		return errors.Wrap(err, "probe service")
 	}
 	if err := conn.Close(); err != nil {
-		return errors.Wrap(err, "close probe")
+		return errors.Wrap(err, "close probe connection")
 	}
 	return nil
 }
 
-func (a *Agent) settle(ctx context.Context) error {
-	ids, err := a.model.Running(ctx)
+func (a *Agent) cancelEarlierRuns(ctx context.Context) error {
+	runIDs, err := a.engine.Running(ctx)
 	if err != nil {
 		return errors.Wrap(err, "list runs")
 	}
-	for _, id := range ids {
-		if err := a.model.Cancel(ctx, id); err != nil {
+	for _, id := range runIDs {
+		if err := a.engine.Cancel(ctx, id); err != nil {
 			return errors.Wrap(err, "cancel run")
 		}
 	}
 	return nil
 }
 
-// spread tells all entries when newer targets are in force here.
-func (a *Agent) spread(ctx context.Context) {
+// broadcastTargetChanges sends all entries a message with the new version
+// whenever the agent's targets change. Each message carries the version.
+func (a *Agent) broadcastTargetChanges(ctx context.Context) {
 	for {
-		changed := a.holder.Changed()
+		changed := a.targets.Changed()
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-			a.table.broadcast(wire.Message{})
+			a.dispatcher.broadcast(wire.Message{})
 		}
 	}
 }
 
-func (a *Agent) local() wire.Local {
-	version := func() uint64 { return a.holder.Current().Version }
+func (a *Agent) connOptions() wire.Local {
+	version := func() uint64 { return a.targets.Current().Version }
 	return wire.Local{Clock: &a.clock, TargetsVersion: version, Traffic: a.metrics.Control}
 }
--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -13,19 +13,19 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// readyEngine streams the given number of tokens without a pause.
-type readyEngine struct {
+// instantEngine streams the given number of tokens without delay.
+type instantEngine struct {
 	engine.Engine
 	tokens int
 }
 
-func (e *readyEngine) Start(context.Context, engine.Run) (engine.Stream, error) {
-	return &readyStream{left: e.tokens}, nil
+func (e *instantEngine) Start(context.Context, engine.Run) (engine.Stream, error) {
+	return &instantStream{left: e.tokens}, nil
 }
 
-type readyStream struct{ left int }
+type instantStream struct{ left int }
 
-func (s *readyStream) Next() (engine.Chunk, error) {
+func (s *instantStream) Next() (engine.Chunk, error) {
 	if s.left == 0 {
 		return engine.Chunk{}, io.EOF
 	}
@@ -33,15 +33,15 @@
 	return engine.Chunk{Data: benchChunk, Tokens: 1}, nil
 }
 
-func (s *readyStream) Close() error { return nil }
+func (s *instantStream) Close() error { return nil }
 
 var benchChunk = []byte(`{"id":"chatcmpl-1","object":"chat.completion.chunk","created":1,"model":"m","choices":[{"index":0,"delta":{"content":"w2de "},"finish_reason":null}]}`)
 
-// BenchmarkRelayedToken passes one token from the engine's client through the
-// policy and over loopback to a reader, both ends in this process.
+// BenchmarkRelayedToken measures the relay of one token from a fake engine
+// through the scheduler and over loopback to a reader in the same process.
 func BenchmarkRelayedToken(b *testing.B) {
-	server, grant := newRunningAgent(b, &readyEngine{tokens: b.N})
-	body, err := cbor.Marshal(runOf(grant))
+	server, grant := newTestAgent(b, &instantEngine{tokens: b.N})
+	body, err := cbor.Marshal(newRunRequest(grant))
 	if err != nil {
 		b.Fatal(err)
 	}
--- /dev/null
+++ b/internal/agent/dispatcher_state.go
@@ -0,0 +1,93 @@
+package agent
+
+import (
+	"time"
+
+	"github.com/applepier/applepier/internal/timeline"
+	"github.com/applepier/applepier/internal/wire"
+)
+
+// unavailableRetryAfter is the delay after which a caller may retry when no
+// engine of the fleet is available. Entries try other engines first.
+const unavailableRetryAfter = 2 * time.Second
+
+// unavailableLocked reports whether new tickets are refused, and why. Called
+// with mu held.
+func (d *dispatcher) unavailableLocked() (wire.Reason, bool) {
+	if d.draining {
+		return wire.ReasonLeaving, true
+	}
+	if !d.engineUp {
+		return wire.ReasonEngineDown, true
+	}
+	if d.switching {
+		return wire.ReasonSwitching, true
+	}
+	return "", false
+}
+
+// drain refuses new and waiting tickets. Issued grants stay usable and runs
+// complete.
+func (d *dispatcher) drain() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !d.draining {
+		d.events.Record(timeline.KindLeave, "", "", "takes no new work")
+	}
+	d.draining = true
+	d.refuseWaiting(wire.ReasonLeaving)
+	d.broadcastLocked(wire.Message{Status: d.statusLocked(0)})
+	d.signalIfDrained()
+}
+
+// setEngineUp records whether the backend server is reachable. When it goes
+// down, all waiting tickets are refused.
+func (d *dispatcher) setEngineUp(up bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if up == d.engineUp {
+		return
+	}
+	d.engineUp = up
+	if !up {
+		d.refuseWaiting(wire.ReasonEngineDown)
+	}
+	d.broadcastLocked(wire.Message{Status: d.statusLocked(0)})
+}
+
+// signalIfDrained closes drained when the agent is draining and no grant is
+// issued or running. Called with mu held.
+func (d *dispatcher) signalIfDrained() {
+	if !d.draining || len(d.grants.running) > 0 || len(d.grants.issued) > 0 {
+		return
+	}
+	d.drainOnce.Do(func() { close(d.drained) })
+}
+
+// unavailable reports whether new tickets are refused, and why.
+func (d *dispatcher) unavailable() (wire.Reason, bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.unavailableLocked()
+}
+
+// status returns the status that answers the Ping with number seq.
+func (d *dispatcher) status(seq uint64) *wire.Status {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.statusLocked(seq)
+}
+
+// statusLocked returns the status; seq is zero when it answers no Ping. Called
+// with mu held.
+func (d *dispatcher) statusLocked(seq uint64) *wire.Status {
+	load := d.scheduler.Load()
+	return &wire.Status{
+		Seq:        seq,
+		Waiting:    load.Waiting,
+		Running:    load.Running,
+		Limit:      load.Limit,
+		Leaving:    d.draining,
+		EngineDown: !d.engineUp || d.switching,
+	}
+}
--- a/internal/agent/grant.go
+++ b/internal/agent/grant.go
@@ -5,30 +5,32 @@
 	"time"
 )
 
-// grantState is where a grant stands.
+// grantState is the state of a grant.
 type grantState int
 
 const (
-	// grantOffered: sent to the entry, not yet taken up.
-	grantOffered grantState = iota
-	// grantUsed: the run has started, and may have ended.
+	// grantIssued means sent to the entry and not yet used.
+	grantIssued grantState = iota
+	// grantUsed means that the run has started and may have ended.
 	grantUsed
-	// grantLapsed: not taken up in time, declined or voided; never usable.
-	grantLapsed
+	// grantExpired means not used in time, declined or voided. The grant can
+	// never be used.
+	grantExpired
 )
 
-// grant is one single-use right to run a request. The table's lock guards it.
+// grant is a single-use permission to run a request. The dispatcher's lock
+// guards it.
 type grant struct {
-	id       string
-	ticketID string
-	request  string
-	attempt  int
-	class    string
-	tier     int
-	offered  time.Time
-	ended    time.Time
-	state    grantState
-	// streaming says that the first token has come.
+	id        string
+	ticketID  string
+	requestID string
+	attempt   int
+	class     string
+	tier      int
+	issuedAt  time.Time
+	endedAt   time.Time
+	state     grantState
+	// streaming is set when the first token has been received.
 	streaming bool
 
 	// cancel is closed to preempt the run.
--- a/internal/agent/routes.go
+++ b/internal/agent/routes.go
@@ -16,9 +16,10 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// listEvery is how often an agent reads the VM list: to learn that its own VM
-// is leaving, when no entry tells it, and to hand the list to fresh VMs.
-const listEvery = 5 * time.Second
+// vmListInterval is the time between two reads of the VM list. The agent
+// reads it to learn that its own VM is leaving even if no entry reports that,
+// and to pass the list on to new VMs.
+const vmListInterval = 5 * time.Second
 
 func (a *Agent) routes() http.Handler {
 	system := auth.System(a.systemKey)
@@ -27,51 +28,52 @@
 	router.Handler(http.MethodPost, wire.RunPath, system(http.HandlerFunc(a.serveRun)))
 	router.Handler(http.MethodGet, peer.StatePath, system(peer.Handler(a.peerState)))
 	router.Handler(http.MethodGet, peer.VersionPath, system(peer.VersionHandler(a.peerVersion)))
-	router.Handler(http.MethodGet, timeline.PathEvents, system(timeline.Handler(a.ring)))
+	router.Handler(http.MethodGet, timeline.PathEvents, system(timeline.Handler(a.events)))
 	metrics.Register(router, a.metrics, a.ready)
 	return router
 }
 
 func (a *Agent) peerVersion() peer.Version {
-	return peer.Version{Process: a.settings.Process, Targets: a.holder.Current().Version}
+	return peer.Version{Process: a.settings.Process, Targets: a.targets.Current().Version}
 }
 
 func (a *Agent) peerState() peer.State {
-	a.listMu.Lock()
-	defer a.listMu.Unlock()
-	return peer.State{Process: a.settings.Process, Targets: a.holder.Current(), VMs: a.vms}
+	a.vmsMu.Lock()
+	defer a.vmsMu.Unlock()
+	return peer.State{Process: a.settings.Process, Targets: a.targets.Current(), VMs: a.vms}
 }
 
-// followList reads the VM list until ctx ends; while the platform is down the
-// agent goes on with what it knows. If a peer that was asked for newer targets
-// has not answered, it asks around again.
-func (a *Agent) followList(ctx context.Context) {
-	timer := time.NewTicker(listEvery)
-	defer timer.Stop()
+// pollVMList reads the VM list periodically until ctx ends. While the platform
+// is down, the agent keeps the last list. If the agent's targets are outdated
+// because a peer has not answered a request for newer ones, pollVMList asks all
+// entries again.
+func (a *Agent) pollVMList(ctx context.Context) {
+	ticker := time.NewTicker(vmListInterval)
+	defer ticker.Stop()
 	for {
-		if vms, err := a.list.VMs(ctx); err != nil {
+		if vms, err := a.vmList.VMs(ctx); err != nil {
 			a.log.Warn(logging.EventPlatformDown, logging.Reason(err.Error()))
 		} else {
-			a.adoptList(vms)
+			a.updateVMs(vms)
 		}
-		if a.holder.Behind() {
-			a.table.broadcast(wire.Message{})
+		if a.targets.Behind() {
+			a.dispatcher.broadcast(wire.Message{})
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-timer.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-func (a *Agent) adoptList(vms []storage.VM) {
-	a.listMu.Lock()
+func (a *Agent) updateVMs(vms []storage.VM) {
+	a.vmsMu.Lock()
 	a.vms = vms
-	a.listMu.Unlock()
+	a.vmsMu.Unlock()
 	for _, vm := range vms {
 		if vm.Name == a.settings.Process && vm.Leaving {
-			a.Leave()
+			a.Drain()
 		}
 	}
 }
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -16,27 +16,28 @@
 )
 
 const (
-	// maxRunRequest bounds a granted request in bytes: the entry's bound on a
-	// body and room for the rest.
-	maxRunRequest = 5 << 20
-	// runReadTimeout bounds the reading of a body from an entry.
-	runReadTimeout = 10 * time.Second
+	// maxRunRequestBytes bounds a run request: the entry's limit for a body
+	// plus space for the other fields.
+	maxRunRequestBytes = 5 << 20
+	// runBodyTimeout bounds the reading of a run request from an entry.
+	runBodyTimeout = 10 * time.Second
 )
 
-// serveRun runs a granted request and relays its answer. What goes wrong is
-// told in frames too, so that the entry has one thing to read.
+// serveRun runs a granted request and relays its response. Once the run
+// request is decoded, failures are reported in frames as well, so that the
+// entry has a single format to parse.
 func (a *Agent) serveRun(w http.ResponseWriter, r *http.Request) {
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(runReadTimeout))
+	_ = control.SetReadDeadline(time.Now().Add(runBodyTimeout))
 	var req wire.RunRequest
-	body := http.MaxBytesReader(w, r.Body, maxRunRequest)
+	body := http.MaxBytesReader(w, r.Body, maxRunRequestBytes)
 	if err := cbor.NewDecoder(body).Decode(&req); err != nil {
 		http.Error(w, "malformed run request", http.StatusBadRequest)
 		return
 	}
 	_ = control.SetReadDeadline(time.Time{})
 	out := wire.NewFrameWriter(w)
-	g, ok := a.table.take(&req)
+	g, ok := a.dispatcher.useGrant(&req)
 	if !ok {
 		_ = out.Write(wire.Frame{Kind: wire.FrameFail, Fail: wire.FailNotRun})
 		return
@@ -45,10 +46,10 @@
 	defer cancel()
 	run := &run{agent: a, grant: g, req: &req, out: out, cancel: cancel}
 	outcome := run.serve(ctx)
-	a.table.finish(g, outcome)
+	a.dispatcher.finishRun(g, outcome)
 }
 
-// run is one granted request on its backend server.
+// run is the execution of one granted request on the backend server.
 type run struct {
 	agent  *Agent
 	grant  *grant
@@ -58,31 +59,32 @@
 }
 
 func (r *run) serve(ctx context.Context) policy.Outcome {
-	steps := make(chan step)
+	results := make(chan frameResult)
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	defer r.cancel()
-	wg.Go(func() { r.produce(ctx, steps) })
-	return r.relay(ctx, steps)
+	wg.Go(func() { r.readBackend(ctx, results) })
+	return r.relay(ctx, results)
 }
 
-// produce starts the run and hands its steps over. It stands beside relay, so
-// that heartbeats go on while the backend server takes its time to start.
-func (r *run) produce(ctx context.Context, steps chan<- step) {
+// readBackend starts the run and sends its frames to results. It runs
+// concurrently with relay, so that heartbeats continue while the backend server
+// is slow to start the run.
+func (r *run) readBackend(ctx context.Context, results chan<- frameResult) {
 	source, err := r.start(ctx)
 	if err != nil {
-		hand(ctx, steps, step{err: err, notStarted: true})
+		sendResult(ctx, results, frameResult{err: err, notStarted: true})
 		return
 	}
 	defer source.Close()
-	pump(ctx, source, steps)
+	sendFrames(ctx, source, results)
 }
 
-func (r *run) start(ctx context.Context) (source, error) {
+func (r *run) start(ctx context.Context) (frameSource, error) {
 	if r.agent.service != nil {
-		return startService(ctx, r.agent.service, r.req)
+		return startServiceCall(ctx, r.agent.service, r.req)
 	}
-	stream, err := r.agent.model.Start(ctx, engine.Run{
+	stream, err := r.agent.engine.Start(ctx, engine.Run{
 		ID:         r.grant.ticketID,
 		Priority:   r.grant.tier,
 		Body:       r.req.Body,
@@ -94,36 +96,38 @@
 	return &engineSource{stream: stream}, nil
 }
 
-// relay passes steps on as frames, with heartbeats between them. The backend
-// server's silence is counted in heartbeats that were due, not by a timer: while a
-// write to the entry is held up or the process stands still, one is due at the
-// most, and a step that has come goes before it.
-func (r *run) relay(ctx context.Context, steps <-chan step) policy.Outcome {
+// relay writes frames to the entry, with heartbeats between them. It measures
+// the backend server's idle time as the number of heartbeat ticks without a
+// frame, not with a timer. While a write to the entry blocks or the process is
+// paused, at most one tick accumulates, and a frame that is ready is handled
+// before that tick, so such a pause never counts as idle time of the backend
+// server.
+func (r *run) relay(ctx context.Context, results <-chan frameResult) policy.Outcome {
 	heartbeat := time.NewTicker(wire.HeartbeatEvery)
 	defer heartbeat.Stop()
-	bounds := r.bounds()
-	bound, silent := bounds.first, time.Duration(0)
+	timeouts := r.idleTimeouts()
+	timeout, idle := timeouts.first, time.Duration(0)
 	for {
-		s, came := step{}, true
+		result, received := frameResult{}, true
 		select {
-		case s = <-steps:
+		case result = <-results:
 		case <-heartbeat.C:
-			s, came = handed(steps)
+			result, received = pollResult(results)
 		case <-r.grant.cancel:
 			_ = r.out.Write(wire.Frame{Kind: wire.FrameFail, Fail: wire.FailPreempted})
 			return policy.OutcomeCancelled
 		case <-ctx.Done():
 			return policy.OutcomeCancelled
 		}
-		if came {
-			bound, silent = bounds.next, 0
-			if outcome, ended := r.pass(ctx, s); ended {
+		if received {
+			timeout, idle = timeouts.next, 0
+			if outcome, ended := r.relayResult(ctx, result); ended {
 				return outcome
 			}
 			continue
 		}
-		// The first heartbeat may have been due at once after a step.
-		if silent += wire.HeartbeatEvery; silent > bound {
+		// The first tick may come immediately after a frame, hence ">".
+		if idle += wire.HeartbeatEvery; idle > timeout {
 			return r.fail(ctx, wire.FailCut, engine.ErrCut)
 		}
 		if err := r.out.Write(wire.Frame{Kind: wire.FrameHeartbeat}); err != nil {
@@ -132,34 +136,35 @@
 	}
 }
 
-// pass passes one step on and reports whether the run has ended with it.
-func (r *run) pass(ctx context.Context, s step) (outcome policy.Outcome, ended bool) {
-	if s.notStarted {
-		return r.fail(ctx, startFailure(s.err), s.err), true
+// relayResult writes one frame, or the failure or end of the run, to the
+// entry. It reports whether the run has ended.
+func (r *run) relayResult(ctx context.Context, result frameResult) (outcome policy.Outcome, ended bool) {
+	if result.notStarted {
+		return r.fail(ctx, startFailKind(result.err), result.err), true
 	}
-	if s.err != nil {
-		return r.end(ctx, s.err), true
+	if result.err != nil {
+		return r.finish(ctx, result.err), true
 	}
-	if s.frame.Tokens > 0 {
-		r.agent.table.tokens(r.grant, s.frame.Tokens)
+	if result.frame.Tokens > 0 {
+		r.agent.dispatcher.recordTokens(r.grant, result.frame.Tokens)
 	}
-	if err := r.out.Write(s.frame); err != nil {
+	if err := r.out.Write(result.frame); err != nil {
 		return policy.OutcomeCancelled, true
 	}
 	return outcome, false
 }
 
-// handed returns a step that waits to be taken.
-func handed(steps <-chan step) (s step, ok bool) {
+// pollResult returns a result if one is ready, without blocking.
+func pollResult(results <-chan frameResult) (result frameResult, ok bool) {
 	select {
-	case s = <-steps:
-		return s, true
+	case result = <-results:
+		return result, true
 	default:
-		return s, false
+		return result, false
 	}
 }
 
-func (r *run) end(ctx context.Context, err error) policy.Outcome {
+func (r *run) finish(ctx context.Context, err error) policy.Outcome {
 	if !errors.Is(err, io.EOF) {
 		return r.fail(ctx, wire.FailCut, err)
 	}
@@ -169,15 +174,15 @@
 	return policy.OutcomeWhole
 }
 
-// bounds are those for the kind of backend server.
-func (r *run) bounds() silence {
+// idleTimeouts returns the timeouts for the kind of backend server.
+func (r *run) idleTimeouts() idleTimeouts {
 	if r.agent.service != nil {
-		return serviceSilence
+		return serviceIdleTimeouts
 	}
-	return engineSilence
+	return engineIdleTimeouts
 }
 
-func startFailure(err error) wire.FailKind {
+func startFailKind(err error) wire.FailKind {
 	var rejected *engine.RejectedError
 	switch {
 	case errors.As(err, &rejected):
--- a/internal/agent/run_test.go
+++ b/internal/agent/run_test.go
@@ -16,7 +16,7 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// slowEngine starts a run only when it is released.
+// slowEngine blocks the start of a run until release is closed.
 type slowEngine struct {
 	engine.Engine
 	release chan struct{}
@@ -37,31 +37,32 @@
 
 func (emptyStream) Close() error { return nil }
 
-// newRunningAgent is an agent beside the engine, with one grant on offer.
-func newRunningAgent(t testing.TB, e engine.Engine) (*httptest.Server, *wire.Grant) {
+// newTestAgent returns a server for run requests to an agent of the engine e,
+// and an issued grant.
+func newTestAgent(t testing.TB, e engine.Engine) (*httptest.Server, *wire.Grant) {
 	t.Helper()
 	a := New(settings.Agent{
 		Process:  "agent",
 		Platform: settings.Platform{URL: "http://127.0.0.1:1"},
 		Backend:  settings.Backend{Kind: settings.BackendEngine, Serves: "model", URL: "http://127.0.0.1:1"},
 	}, "key", zap.NewNop())
-	a.model = e
-	a.table.setEngine(true)
-	sent := &sentTo{}
-	s := &session{agent: a, conn: sent}
-	a.table.join(s, a.hello)
-	a.table.place(s, testTicket("r"))
+	a.engine = e
+	a.dispatcher.setEngineUp(true)
+	sender := &recordingSender{}
+	s := &session{agent: a, conn: sender}
+	a.dispatcher.addSession(s, a.newHello)
+	a.dispatcher.enqueue(s, testTicket("r"))
 	server := httptest.NewServer(http.HandlerFunc(a.serveRun))
 	t.Cleanup(server.Close)
-	return server, sent.grants()[0]
+	return server, sender.grants()[0]
 }
 
-// An engine that sends nothing until it has read a long prompt once made the
-// entry take the agent for silent.
-func TestHeartbeatsGoOnWhileTheEngineStarts(t *testing.T) {
+// An engine that sends nothing while it prefills a long prompt must not stop
+// the agent's heartbeats; the entry once treated such an agent as unresponsive.
+func TestHeartbeatsDuringSlowEngineStart(t *testing.T) {
 	slow := &slowEngine{release: make(chan struct{})}
-	server, grant := newRunningAgent(t, slow)
-	body, err := cbor.Marshal(runOf(grant))
+	server, grant := newTestAgent(t, slow)
+	body, err := cbor.Marshal(newRunRequest(grant))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -14,57 +14,59 @@
 	"github.com/applepier/applepier/internal/settings"
 )
 
-// Errors of an agent's start.
+// Errors returned by Serve.
 var (
-	// ErrListen: the address of the settings can't be listened on.
+	// ErrListen means that the agent can't listen on the configured address.
 	ErrListen = errors.New("cannot listen")
-	// ErrKeys: a key of the settings can't be read.
+	// ErrKeys means that a configured key can't be read.
 	ErrKeys = errors.New("cannot read keys")
 )
 
 const (
-	// headerTimeout bounds the reading of a request's headers.
+	// headerTimeout bounds the reading of a request's header.
 	headerTimeout = 10 * time.Second
-	// idleTimeout closes an entry's connection for bodies that asks nothing;
-	// above the entry's own, so that the entry closes it first.
+	// idleTimeout is the time after which an idle connection for run requests
+	// is closed. It is longer than the entry's own idle timeout, so that the
+	// entry closes the connection first.
 	idleTimeout = time.Minute
 )
 
-// Serve runs an agent until ctx ends, then shuts it down gracefully: it grants
-// nothing more and ends what runs.
-func Serve(ctx context.Context, s settings.Agent, log *zap.Logger) error {
-	systemKey, err := s.Keys.System.Read()
+// Serve runs an agent until ctx ends and then shuts it down gracefully: it
+// refuses new tickets and returns when the issued grants and runs have ended.
+// It returns ErrKeys or ErrListen when the agent can't start.
+func Serve(ctx context.Context, cfg settings.Agent, log *zap.Logger) error {
+	systemKey, err := cfg.Keys.System.Read()
 	if err != nil {
 		return errors.Wrap(ErrKeys, err.Error())
 	}
-	listener, err := net.Listen("tcp", s.Listen)
+	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return errors.Wrap(ErrListen, err.Error())
 	}
-	return New(s, systemKey, log).serve(ctx, listener)
+	return New(cfg, systemKey, log).serve(ctx, listener)
 }
 
 func (a *Agent) serve(ctx context.Context, listener net.Listener) error {
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+	workCtx, cancelWork := context.WithCancel(context.WithoutCancel(ctx))
 	server := &http.Server{Handler: a.routes(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	var wg conc.WaitGroup
-	wg.Go(func() { a.Run(work) })
+	wg.Go(func() { a.Run(workCtx) })
 	wg.Go(func() { _ = server.Serve(listener) })
 	a.log.Info(logging.EventStarted, zap.String("listen", listener.Addr().String()))
 	<-ctx.Done()
-	a.Leave()
+	a.Drain()
 	a.log.Info(logging.EventStopping)
 	<-a.Drained()
-	stop()
-	a.table.closeSessions()
+	cancelWork()
+	a.dispatcher.closeSessions()
 	_ = server.Shutdown(context.Background())
 	wg.Wait()
 	return nil
 }
 
-// ready says whether the agent grants.
+// ready returns an error with the reason while the agent issues no grants.
 func (a *Agent) ready() error {
-	if reason, closed := a.table.state(); closed {
+	if reason, unavailable := a.dispatcher.unavailable(); unavailable {
 		return errors.New(string(reason))
 	}
 	return nil
--- a/internal/agent/service_source.go
+++ b/internal/agent/service_source.go
@@ -11,55 +11,56 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// pieceBytes is how much of a plain service's body one frame carries.
-const pieceBytes = 32 << 10
+// maxBodyFrameBytes bounds the part of a response body in one frame.
+const maxBodyFrameBytes = 32 << 10
 
-// serviceSource is a plain service's answer: its head, then its body.
+// serviceSource is the frameSource of a plain service's response: one head
+// frame with the status and header, then the body.
 type serviceSource struct {
-	answer *engine.ServiceAnswer
-	headed bool
-	buffer []byte
+	response *engine.ServiceResponse
+	headSent bool
+	buffer   []byte
 }
 
-func startService(ctx context.Context, s engine.Service, req *wire.RunRequest) (source, error) {
-	answer, err := s.Do(ctx, engine.ServiceCall{
+func startServiceCall(ctx context.Context, service engine.Service, req *wire.RunRequest) (frameSource, error) {
+	response, err := service.Do(ctx, engine.ServiceCall{
 		ID:     ticketID(req.Request, req.Attempt),
 		Method: req.Method,
 		Path:   req.Path,
-		Header: headerOf(req.Header),
+		Header: toHTTPHeader(req.Header),
 		Body:   req.Body,
 	})
 	if err != nil {
 		return nil, errors.Wrap(err, "call service")
 	}
-	return &serviceSource{answer: answer, buffer: make([]byte, pieceBytes)}, nil
+	return &serviceSource{response: response, buffer: make([]byte, maxBodyFrameBytes)}, nil
 }
 
-func headerOf(lines []wire.Header) http.Header {
+func toHTTPHeader(fields []wire.Header) http.Header {
 	h := make(http.Header)
-	for _, line := range lines {
-		h.Add(line.Name, line.Value)
+	for _, field := range fields {
+		h.Add(field.Name, field.Value)
 	}
 	return h
 }
 
-func linesOf(h http.Header) []wire.Header {
-	var lines []wire.Header
+func toWireHeaders(h http.Header) []wire.Header {
+	var fields []wire.Header
 	for name, values := range h {
 		for _, value := range values {
-			lines = append(lines, wire.Header{Name: name, Value: value})
+			fields = append(fields, wire.Header{Name: name, Value: value})
 		}
 	}
-	return lines
+	return fields
 }
 
 func (s *serviceSource) Next() (wire.Frame, error) {
-	if !s.headed {
-		s.headed = true
-		return wire.Frame{Kind: wire.FrameHead, Status: s.answer.Status, Header: linesOf(s.answer.Header)}, nil
+	if !s.headSent {
+		s.headSent = true
+		return wire.Frame{Kind: wire.FrameHead, Status: s.response.Status, Header: toWireHeaders(s.response.Header)}, nil
 	}
 	for {
-		n, err := s.answer.Body.Read(s.buffer)
+		n, err := s.response.Body.Read(s.buffer)
 		if n > 0 {
 			return wire.Frame{Kind: wire.FrameData, Data: append([]byte(nil), s.buffer[:n]...)}, nil
 		}
@@ -67,14 +68,14 @@
 			return wire.Frame{}, io.EOF
 		}
 		if err != nil {
-			return wire.Frame{}, errors.Wrap(err, "read service's answer")
+			return wire.Frame{}, errors.Wrap(err, "read service response")
 		}
 	}
 }
 
 func (s *serviceSource) Close() error {
-	if err := s.answer.Body.Close(); err != nil {
-		return errors.Wrap(err, "close service's answer")
+	if err := s.response.Body.Close(); err != nil {
+		return errors.Wrap(err, "close service response")
 	}
 	return nil
 }
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -9,43 +9,43 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// session is one entry's control connection.
+// session is the control connection of one entry.
 type session struct {
-	agent *Agent
-	conn  sender
-	entry string
-	// joined numbers the sessions in the order of their beginnings.
-	joined uint64
+	agent     *Agent
+	conn      sender
+	entryName string
+	// seq is the session's sequence number in the order of connection.
+	seq uint64
 }
 
 // sender is the sending side of a control connection.
 type sender interface {
-	// Send never blocks.
+	// Send queues a message without blocking.
 	Send(m wire.Message) error
-	// End ends the connection.
+	// End closes the connection.
 	End()
 }
 
-// serveConnect takes an entry's control connection until it ends.
+// serveConnect handles the control connection of an entry until it ends.
 func (a *Agent) serveConnect(w http.ResponseWriter, r *http.Request) {
-	conn, err := wire.Accept(w, r, a.local())
+	conn, err := wire.Accept(w, r, a.connOptions())
 	if err != nil {
 		return
 	}
 	defer conn.Close()
 	s := &session{agent: a, conn: conn}
-	a.table.join(s, a.hello)
-	defer a.table.part(s)
+	a.dispatcher.addSession(s, a.newHello)
+	defer a.dispatcher.removeSession(s)
 	s.serve(r.Context(), conn)
 }
 
-func (a *Agent) hello(serves string) *wire.Hello {
+func (a *Agent) newHello(served string) *wire.Hello {
 	return &wire.Hello{
 		Process:     a.settings.Process,
 		Incarnation: a.incarnation,
 		Zone:        a.settings.Zone,
-		Serves:      serves,
-		Loads:       a.model != nil,
+		Serves:      served,
+		Loads:       a.engine != nil,
 	}
 }
 
@@ -53,7 +53,7 @@
 	for {
 		m, err := conn.Receive(ctx)
 		if err != nil {
-			s.agent.log.Info(logging.EventDisconnected, logging.Peer(s.entry), logging.Reason(err.Error()))
+			s.agent.log.Info(logging.EventDisconnected, logging.Peer(s.entryName), logging.Reason(err.Error()))
 			return
 		}
 		s.handle(m)
@@ -61,42 +61,43 @@
 }
 
 func (s *session) handle(m wire.Message) {
-	s.compareTargets(m)
+	s.syncTargets(m)
 	switch {
 	case m.Hello != nil:
-		s.entry = m.Hello.Process
-		s.agent.ring.Record(timeline.KindJoin, "", "", m.Hello.Process)
+		s.entryName = m.Hello.Process
+		s.agent.events.Record(timeline.KindJoin, "", "", m.Hello.Process)
 	case m.Ticket != nil:
-		s.agent.table.place(s, m.Ticket)
+		s.agent.dispatcher.enqueue(s, m.Ticket)
 	case m.Withdraw != nil:
-		s.agent.table.withdraw(s, m.Withdraw)
+		s.agent.dispatcher.withdraw(s, m.Withdraw)
 	case m.Void != nil:
-		result := s.agent.table.void(m.Void.Grant)
+		result := s.agent.dispatcher.voidGrant(m.Void.Grant)
 		s.send(wire.Message{Voided: &wire.Voided{Grant: m.Void.Grant, Result: result}})
 	case m.Ping != nil:
-		s.send(wire.Message{Status: s.agent.table.statusNow(m.Ping.Seq)})
+		s.send(wire.Message{Status: s.agent.dispatcher.status(m.Ping.Seq)})
 	}
 }
 
-// compareTargets asks for newer targets, hands out ours, or tells an entry
-// that is behind.
-func (s *session) compareTargets(m wire.Message) {
-	if m.NewSet != nil && s.agent.holder.Offer(m.NewSet) {
-		s.agent.ring.Record(timeline.KindTargetChange, "", "", "")
+// syncTargets compares the targets version in m with the agent's version. It
+// requests newer targets, sends the agent's targets on request, and notifies an
+// entry that has an older version.
+func (s *session) syncTargets(m wire.Message) {
+	if m.NewSet != nil && s.agent.targets.Offer(m.NewSet) {
+		s.agent.events.Record(timeline.KindTargetChange, "", "", "")
 	}
 	if m.WantSet != nil {
-		s.send(wire.Message{NewSet: s.agent.holder.Current()})
+		s.send(wire.Message{NewSet: s.agent.targets.Current()})
 		return
 	}
-	have := s.agent.holder.Current().Version
-	if s.agent.holder.Ask(m.Targets) {
+	current := s.agent.targets.Current().Version
+	if s.agent.targets.Ask(m.Targets) {
 		s.send(wire.Message{WantSet: &wire.WantSet{}})
 	}
-	if m.Targets < have {
+	if m.Targets < current {
 		s.send(wire.Message{})
 	}
 }
 
-// send drops what can't be sent: the connection is then over, and the entry
-// places its tickets elsewhere.
+// send ignores errors: they mean that the connection has ended, and the entry
+// then submits its tickets elsewhere.
 func (s *session) send(m wire.Message) { _ = s.conn.Send(m) }
--- a/internal/agent/ticket.go
+++ b/internal/agent/ticket.go
@@ -9,21 +9,22 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// ticket is a request that waits here, and the session to answer to.
+// ticket is a waiting request and the session that its messages go to.
 type ticket struct {
-	policy  policy.Ticket
-	session *session
-	request string
-	attempt int
+	policy    policy.Ticket
+	session   *session
+	requestID string
+	attempt   int
 }
 
-func ticketID(request string, attempt int) string {
-	return fmt.Sprintf("%s#%d", request, attempt)
+func ticketID(requestID string, attempt int) string {
+	return fmt.Sprintf("%s#%d", requestID, attempt)
 }
 
-// newTicket takes the tier and targets from set, which is the newest known
-// here; an entry that has not yet seen a change doesn't hold it up.
-func newTicket(now time.Time, s *session, m *wire.Ticket, set *targets.Set) *ticket {
+// newTicket returns the ticket for the message m. The tier and the latency
+// targets come from desired, the newest targets known to the agent, so that a
+// change applies even if the entry has not yet received it.
+func newTicket(now time.Time, s *session, m *wire.Ticket, desired *targets.Set) *ticket {
 	t := policy.Ticket{
 		ID:       ticketID(m.Request, m.Attempt),
 		Class:    m.Class,
@@ -38,10 +39,10 @@
 
 		Preemptible: m.Preemptible,
 	}
-	if c, ok := set.Class(m.Class); ok {
+	if c, ok := desired.Class(m.Class); ok {
 		t.Tier = policy.Tier(c.Tier)
 		t.FirstToken = c.FirstToken
 		t.BetweenTokens = c.BetweenTokens
 	}
-	return &ticket{policy: t, session: s, request: m.Request, attempt: m.Attempt}
+	return &ticket{policy: t, session: s, requestID: m.Request, attempt: m.Attempt}
 }
--- a/internal/agent/ticket_test.go
+++ b/internal/agent/ticket_test.go
@@ -8,7 +8,7 @@
 	"github.com/applepier/applepier/policy"
 )
 
-func TestTicketTellsThePolicyWhatItsDeadlineIsFor(t *testing.T) {
+func TestNewTicketCopiesSchedulingFields(t *testing.T) {
 	m := testTicket("r")
 	m.Preemptible = true
 	m.Asks = 4
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -14,11 +14,11 @@
 
 // Headers of a run.
 const (
-	// HeaderRequestID carries the run's id.
+	// HeaderRequestID carries the run's ID.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderPriority carries the run's priority; lower goes first.
+	// HeaderPriority carries the run's priority; lower numbers run first.
 	HeaderPriority = "X-Priority"
-	// HeaderResumeFrom carries how many tokens of the answer to leave out.
+	// HeaderResumeFrom carries the number of tokens to skip in the response.
 	HeaderResumeFrom = "X-Resume-From"
 )
 
@@ -30,29 +30,29 @@
 	pathOrders      = "/orders"
 )
 
-// Client is an Engine that is reached over HTTP.
+// Client implements Engine over HTTP.
 type Client struct {
-	baseURL string
-	runs    http.RoundTripper
-	control *http.Client
-	orders  *http.Client
+	baseURL       string
+	runTransport  http.RoundTripper
+	controlClient *http.Client
+	orderClient   *http.Client
 }
 
 var _ Engine = (*Client)(nil)
 
-// NewClient returns a Client of the engine at baseURL, for example
+// NewClient returns a Client for the engine at baseURL, for example
 // "http://127.0.0.1:9000".
 func NewClient(baseURL string) *Client {
-	oneShot := newOneShotTransport()
+	noReuse := newNoReuseTransport()
 	return &Client{
-		baseURL: baseURL,
-		runs:    oneShot,
-		control: newHTTPClient(newControlTransport()),
-		orders:  newHTTPClient(oneShot),
+		baseURL:       baseURL,
+		runTransport:  noReuse,
+		controlClient: newHTTPClient(newKeepAliveTransport()),
+		orderClient:   newHTTPClient(noReuse),
 	}
 }
 
-// Start implements Engine. ctx governs the whole stream, not only its start.
+// Start implements Engine. Cancelling ctx ends the stream as well.
 func (c *Client) Start(ctx context.Context, run Run) (Stream, error) {
 	body, err := streamingBody(run.Body)
 	if err != nil {
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, errors.Wrap(ErrUnreachable, err.Error())
 	}
-	resp, err := c.runs.RoundTrip(req)
+	resp, err := c.runTransport.RoundTrip(req)
 	if err != nil {
 		return nil, startError(&trace, err)
 	}
@@ -76,13 +76,13 @@
 // Cancel implements Engine.
 func (c *Client) Cancel(ctx context.Context, id string) error {
 	path := pathRuns + "/" + url.PathEscape(id) + "/cancel"
-	return c.call(ctx, c.control, http.MethodPost, path, nil, nil)
+	return c.call(ctx, c.controlClient, http.MethodPost, path, nil, nil)
 }
 
 // Running implements Engine.
 func (c *Client) Running(ctx context.Context) ([]string, error) {
 	var list RunList
-	if err := c.call(ctx, c.control, http.MethodGet, pathRuns, nil, &list); err != nil {
+	if err := c.call(ctx, c.controlClient, http.MethodGet, pathRuns, nil, &list); err != nil {
 		return nil, err
 	}
 	return list.Runs, nil
@@ -91,7 +91,7 @@
 // Load implements Engine.
 func (c *Client) Load(ctx context.Context) (Load, error) {
 	var load Load
-	err := c.call(ctx, c.control, http.MethodGet, pathLoad, nil, &load)
+	err := c.call(ctx, c.controlClient, http.MethodGet, pathLoad, nil, &load)
 	return load, err
 }
 
@@ -101,11 +101,11 @@
 	if err != nil {
 		return errors.Wrap(err, "encode order")
 	}
-	return c.call(ctx, c.orders, http.MethodPost, pathOrders, body, nil)
+	return c.call(ctx, c.orderClient, http.MethodPost, pathOrders, body, nil)
 }
 
-// call makes one control call and decodes its answer into result unless that
-// is nil.
+// call makes one control call and decodes the response into result unless it is
+// nil. Status 409 is ErrStaleFencingToken.
 func (c *Client) call(ctx context.Context, client *http.Client, method, path string, body []byte, result any) error {
 	var trace connectTrace
 	req, err := http.NewRequestWithContext(trace.attach(ctx), method, c.baseURL+path, bytes.NewReader(body))
@@ -127,13 +127,13 @@
 		return nil
 	}
 	if err := json.NewDecoder(resp.Body).Decode(result); err != nil {
-		return errors.Wrap(err, "decode engine's answer")
+		return errors.Wrap(err, "decode engine response")
 	}
 	return nil
 }
 
-// newRunRequest builds the request of a run. Its body can't be rewound, so
-// that net/http has no way to send it twice.
+// newRunRequest returns the HTTP request of a run. Its body can't be rewound, so
+// that net/http can't send it twice.
 func newRunRequest(ctx context.Context, target string, run Run, body []byte) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target, io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -16,15 +16,15 @@
 
 const chatBody = `{"model":"m","messages":[{"role":"user","content":"a < b"}],"stream":false}`
 
-func serve(t *testing.T, handler http.HandlerFunc) string {
+func serveHTTP(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	return server.URL
 }
 
-// closedAddress returns a base URL on which nothing listens.
-func closedAddress(t *testing.T) string {
+// closedURL returns a base URL on which nothing listens.
+func closedURL(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,10 +34,10 @@
 	return "http://" + listener.Addr().String()
 }
 
-func TestStartAsksForAStream(t *testing.T) {
+func TestStartRequestsStreaming(t *testing.T) {
 	var body []byte
 	var header http.Header
-	url := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	url := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ = io.ReadAll(r.Body)
 		header = r.Header
 		_, _ = io.WriteString(w, "data: [DONE]\n\n")
@@ -64,17 +64,17 @@
 	}
 }
 
-func TestStreamWithoutEndMarkIsCut(t *testing.T) {
+func TestStreamWithoutDoneMarkerIsTruncated(t *testing.T) {
 	const token = `data: {"choices":[{"delta":{"content":"x"}}]}` + "\n\n"
 	streams := map[string]string{
-		"connection ends":  token,
-		"half an event":    token + `data: {"choi`,
-		"error and mark":   token + `data: {"error":{"message":"oops"}}` + "\n\ndata: [DONE]\n\n",
-		"event isn't JSON": token + "data: oops\n\ndata: [DONE]\n\n",
+		"connection closed":     token,
+		"half an event":         token + `data: {"choi`,
+		"error and done marker": token + `data: {"error":{"message":"oops"}}` + "\n\ndata: [DONE]\n\n",
+		"event isn't JSON":      token + "data: oops\n\ndata: [DONE]\n\n",
 	}
 	for name, text := range streams {
 		t.Run(name, func(t *testing.T) {
-			url := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) })
+			url := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) })
 			stream, err := engine.NewClient(url).Start(context.Background(), engine.Run{Body: []byte(chatBody)})
 			if err != nil {
 				t.Fatal(err)
@@ -91,11 +91,11 @@
 	}
 }
 
-func TestStartSaysWhetherItStarted(t *testing.T) {
-	answer := func(status int) string {
-		return serve(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) })
+func TestStartErrorTellsWhetherRunStarted(t *testing.T) {
+	urlWithStatus := func(status int) string {
+		return serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) })
 	}
-	cut := serve(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+	abortingURL := serveHTTP(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	cases := []struct {
 		name        string
 		url         string
@@ -103,13 +103,13 @@
 		unreachable bool
 		rejected    int
 	}{
-		{name: "nobody listens", url: closedAddress(t), body: chatBody, unreachable: true},
-		{name: "malformed body", url: closedAddress(t), body: `[]`, rejected: 400},
-		{name: "not found", url: answer(404), body: chatBody, rejected: 404},
-		{name: "busy", url: answer(429), body: chatBody, rejected: 429},
-		{name: "unavailable", url: answer(503), body: chatBody, rejected: 503},
-		{name: "failed inside", url: answer(500), body: chatBody},
-		{name: "cut after the request", url: cut, body: chatBody},
+		{name: "nothing listens", url: closedURL(t), body: chatBody, unreachable: true},
+		{name: "malformed body", url: closedURL(t), body: `[]`, rejected: 400},
+		{name: "not found", url: urlWithStatus(404), body: chatBody, rejected: 404},
+		{name: "busy", url: urlWithStatus(429), body: chatBody, rejected: 429},
+		{name: "unavailable", url: urlWithStatus(503), body: chatBody, rejected: 503},
+		{name: "internal error", url: urlWithStatus(500), body: chatBody},
+		{name: "connection aborted after the request", url: abortingURL, body: chatBody},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -128,13 +128,12 @@
 	}
 }
 
-// TestRunsAreNeverSentTwice closes each connection after its first request,
-// with an answer to a first run before, so that a kept connection would be
-// found closed.
-func TestRunsAreNeverSentTwice(t *testing.T) {
-	var calls atomic.Int32
-	url := serve(t, func(w http.ResponseWriter, _ *http.Request) {
-		if calls.Add(1) > 1 {
+// The service answers the first call and aborts the connection of each further
+// one. On a reused connection net/http would resend the idempotent second call.
+func TestServiceCallIsNeverResent(t *testing.T) {
+	var requests atomic.Int32
+	url := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
+		if requests.Add(1) > 1 {
 			panic(http.ErrAbortHandler)
 		}
 		_, _ = io.WriteString(w, "data: [DONE]\n\n")
@@ -144,42 +143,42 @@
 		ID: "r1#1", Method: http.MethodGet, Path: "/gate",
 		Header: http.Header{"Idempotency-Key": {"k"}},
 	}
-	answer, err := service.Do(context.Background(), call)
+	response, err := service.Do(context.Background(), call)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadAll(answer.Body); err != nil {
+	if _, err := io.ReadAll(response.Body); err != nil {
 		t.Fatal(err)
 	}
-	_ = answer.Body.Close()
+	_ = response.Body.Close()
 	if _, err := service.Do(context.Background(), call); err == nil || errors.Is(err, engine.ErrUnreachable) {
 		t.Fatalf("second call: got %v, want an error that leaves the outcome open", err)
 	}
-	if got := calls.Load(); got != 2 {
-		t.Fatalf("calls that came: got %d, want 2", got)
+	if got := requests.Load(); got != 2 {
+		t.Fatalf("requests received: got %d, want 2", got)
 	}
 }
 
-func TestServicePassesOnButNotHopHeaders(t *testing.T) {
+func TestServiceDropsHopByHopHeaders(t *testing.T) {
 	var got *http.Request
-	url := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	url := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		got = r
 		body, _ := io.ReadAll(r.Body)
 		w.Header().Set("X-Docket", "7")
 		w.WriteHeader(http.StatusTeapot)
 		_, _ = w.Write(body)
 	})
-	answer, err := engine.NewService(url).Do(context.Background(), engine.ServiceCall{
+	response, err := engine.NewService(url).Do(context.Background(), engine.ServiceCall{
 		ID: "r2#1", Method: http.MethodPut, Path: "/gate/4?x=1", Body: []byte("weigh"),
 		Header: http.Header{"Connection": {"X-Hop"}, "X-Hop": {"1"}, "Te": {"gzip"}, "X-Kept": {"2"}},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	body, err := io.ReadAll(answer.Body)
-	if err != nil || string(body) != "weigh" || answer.Status != http.StatusTeapot || answer.Header.Get("X-Docket") != "7" {
-		t.Fatalf("answer: %d %v %q %v", answer.Status, answer.Header, body, err)
+	defer func() { _ = response.Body.Close() }()
+	body, err := io.ReadAll(response.Body)
+	if err != nil || string(body) != "weigh" || response.Status != http.StatusTeapot || response.Header.Get("X-Docket") != "7" {
+		t.Fatalf("answer: %d %v %q %v", response.Status, response.Header, body, err)
 	}
 	if got.Method != http.MethodPut || got.RequestURI != "/gate/4?x=1" || got.Header.Get("X-Request-Id") != "r2#1" {
 		t.Errorf("request: %s %s %v", got.Method, got.RequestURI, got.Header)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine is what an agent knows of its backend server, which runs on
-// the same VM: a model's engine or a plain service. Engines stream tokens,
-// honour priorities, resume and cancel streams, report load with a lag and
-// take orders. Start reading at Engine.
+// Package engine is an agent's client for its backend server, which runs on the
+// same VM and is either an inference engine or a plain HTTP service. Engines
+// stream tokens, honour priorities, resume and cancel streams, report their load
+// with a delay and accept orders. Start reading at Engine.
 package engine
 
 import (
@@ -13,83 +13,87 @@
 
 // Errors of an engine.
 var (
-	// ErrUnreachable: the engine did not take the call; the run has not
-	// started.
+	// ErrUnreachable means that the backend server did not receive the call,
+	// so the run has not started.
 	ErrUnreachable = errors.New("engine is unreachable")
-	// ErrCut: the stream ended without the engine's own end mark.
-	ErrCut = errors.New("engine's stream was cut")
-	// ErrFenced: the engine refused an order with an old fencing number.
-	ErrFenced = errors.New("fencing number is old")
+	// ErrTruncated means that the stream ended without the engine's end marker.
+	ErrCut = errors.New("engine stream ended before its end marker")
+	// ErrStaleFencingToken means that the engine refused an order because it
+	// has seen a higher fencing token.
+	ErrFenced = errors.New("stale fencing token")
 )
 
-// RejectedError is the engine's own refusal of a request; it did not run.
+// RejectedError means that the engine refused a request, which did not run.
 type RejectedError struct {
 	// Status is the engine's HTTP status.
 	Status int
-	// Body is the engine's error body, passed on to the caller.
+	// Body is the engine's error body, which is relayed to the caller. It is
+	// truncated to 64 KiB.
 	Body []byte
 }
 
 func (e *RejectedError) Error() string { return "engine rejected the request" }
 
-// Run is one run of a request on an engine.
+// Run describes one execution of a request on an engine.
 type Run struct {
-	// ID identifies the run: the request id and its attempt.
+	// ID identifies the run. It consists of the request ID and the attempt.
 	ID string
-	// Priority is the tier; the engine serves lower numbers first.
+	// Priority is the tier; the engine runs lower numbers first.
 	Priority int
-	// Body is the chat completion request, in OpenAI's JSON.
+	// Body is the chat completion request in OpenAI's JSON format.
 	Body []byte
-	// ResumeFrom is the number of tokens the caller already has; the engine
-	// continues after them. Zero starts at the beginning.
+	// ResumeFrom is the number of tokens that the caller already has. The
+	// engine continues after them; zero starts at the beginning.
 	ResumeFrom int
 }
 
-// Chunk is one step of a run's answer.
+// Chunk is one event of a run's response stream.
 type Chunk struct {
-	// Data is one chat.completion.chunk in OpenAI's JSON.
+	// Data is one chat.completion.chunk in OpenAI's JSON format.
 	Data []byte
-	// Tokens is how many tokens it carries.
+	// Tokens is the number of tokens in the chunk.
 	Tokens int
 }
 
-// Stream is the answer of a run as it comes.
+// Stream is the streamed response of a run.
 type Stream interface {
-	// Next returns the next chunk; io.EOF after the engine's own end mark,
-	// ErrCut when the stream ends without it.
+	// Next returns the next chunk. It returns io.EOF after the engine's end
+	// marker, and ErrTruncated when the stream ends without it.
 	Next() (Chunk, error)
-	// Close ends the stream; an unfinished run is cancelled.
+	// Close closes the stream and cancels an unfinished run.
 	Close() error
 }
 
-// Load is the engine's own report, which describes the past.
+// Load is a load report of the engine. It lags behind the current load.
 type Load struct {
-	// Running and Waiting are the engine's streams, of all its users.
+	// Running and Waiting count the engine's streams, those of other clients
+	// included.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// At is when the report was made.
+	// ReportedAt is the time of the report.
 	At time.Time `json:"at"`
 }
 
-// Order is an instruction to an engine, given under a lease.
+// Order is an instruction to an engine from the holder of a lease.
 type Order struct {
-	// Fence is the fencing number of the lease it is given under.
+	// FencingToken is the fencing token of that lease.
 	Fence uint64 `json:"fence"`
 	// LoadModel is the model to load.
 	LoadModel string `json:"load_model"`
 }
 
-// Engine is a model's engine.
+// Engine is the interface of an inference engine.
 type Engine interface {
-	// Start starts a run: ErrUnreachable or a RejectedError when it has
-	// certainly not started, another error when that is unknown.
+	// Start starts a run. It returns ErrUnreachable or a RejectedError when the
+	// run has certainly not started, and another error when that is unknown.
 	Start(ctx context.Context, run Run) (Stream, error)
-	// Cancel ends a run; no error when there is none.
+	// Cancel cancels a run. It returns nil when no such run exists.
 	Cancel(ctx context.Context, id string) error
-	// Running lists the runs that the engine has now.
+	// RunIDs returns the IDs of all runs of the engine, waiting ones included.
 	Running(ctx context.Context) ([]string, error)
-	// Load reads the engine's report.
+	// Load returns the engine's latest load report.
 	Load(ctx context.Context) (Load, error)
-	// Order gives an order; ErrFenced when its number is old.
+	// SendOrder sends an order. It returns ErrStaleFencingToken when the engine
+	// has seen a higher fencing token.
 	Order(ctx context.Context, order Order) error
 }
--- a/internal/engine/service.go
+++ b/internal/engine/service.go
@@ -6,34 +6,36 @@
 	"net/http"
 )
 
-// ServiceCall is one call of a plain service.
+// ServiceRequest is one call of a plain service.
 type ServiceCall struct {
-	// ID identifies the run: the request id and its attempt.
+	// ID identifies the run. It consists of the request ID and the attempt.
 	ID string
 	// Method is the HTTP method.
 	Method string
-	// Path is the path on the service, with its query.
+	// Path is the path on the service including the query.
 	Path string
-	// Header holds the caller's headers; those of a single connection are
-	// left out on the way.
+	// Header holds the caller's headers. Hop-by-hop headers are not sent to the
+	// service.
 	Header http.Header
 	// Body is the caller's body; it may be empty.
 	Body []byte
 }
 
-// ServiceAnswer is a plain service's answer. Its reader must be closed.
-type ServiceAnswer struct {
+// ServiceResponse is a plain service's response. The caller must close Body.
+type ServiceResponse struct {
 	// Status is the HTTP status.
 	Status int
-	// Header holds the service's headers.
+	// Header holds the service's headers without hop-by-hop headers.
 	Header http.Header
-	// Body reads the answer; a cut connection is an error, not io.EOF.
+	// Body is the response body. Reading it returns an error other than io.EOF
+	// when the connection breaks.
 	Body io.ReadCloser
 }
 
-// Service is a plain service.
+// Service is the interface of a plain service.
 type Service interface {
-	// Do makes a call: ErrUnreachable when it has certainly not started,
-	// another error when that is unknown. Any status is an answer.
-	Do(ctx context.Context, call ServiceCall) (*ServiceAnswer, error)
+	// Do makes a call. It returns ErrUnreachable when the call has certainly
+	// not started, and another error when that is unknown. No HTTP status is an
+	// error.
+	Do(ctx context.Context, call ServiceCall) (*ServiceResponse, error)
 }
--- a/internal/engine/serviceclient.go
+++ b/internal/engine/service_client.go
@@ -10,14 +10,14 @@
 	"github.com/go-faster/errors"
 )
 
-// hopHeaders concern a single connection and are not passed on (RFC 9110,
+// hopByHopHeaders apply to a single connection and are not forwarded (RFC 9110,
 // section 7.6.1).
-var hopHeaders = []string{
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// ServiceClient is a Service that is reached over HTTP.
+// ServiceClient implements Service over HTTP.
 type ServiceClient struct {
 	baseURL   string
 	transport http.RoundTripper
@@ -25,14 +25,14 @@
 
 var _ Service = (*ServiceClient)(nil)
 
-// NewService returns a client of the plain service at baseURL.
+// NewServiceClient returns a client for the plain service at baseURL.
 func NewService(baseURL string) *ServiceClient {
-	return &ServiceClient{baseURL: baseURL, transport: newOneShotTransport()}
+	return &ServiceClient{baseURL: baseURL, transport: newNoReuseTransport()}
 }
 
-// Do implements Service. It follows no redirect. ctx governs the answer's
-// body as well.
-func (s *ServiceClient) Do(ctx context.Context, call ServiceCall) (*ServiceAnswer, error) {
+// Do implements Service. It follows no redirects. Cancelling ctx also aborts
+// reading the response body.
+func (s *ServiceClient) Do(ctx context.Context, call ServiceCall) (*ServiceResponse, error) {
 	var trace connectTrace
 	req, err := s.newRequest(trace.attach(ctx), call)
 	if err != nil {
@@ -42,8 +42,8 @@
 	if err != nil {
 		return nil, startError(&trace, err)
 	}
-	removeHopHeaders(resp.Header)
-	return &ServiceAnswer{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}, nil
+	removeHopByHopHeaders(resp.Header)
+	return &ServiceResponse{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}, nil
 }
 
 func (s *ServiceClient) newRequest(ctx context.Context, call ServiceCall) (*http.Request, error) {
@@ -59,18 +59,20 @@
 	if call.Header != nil {
 		req.Header = call.Header.Clone()
 	}
-	removeHopHeaders(req.Header)
+	removeHopByHopHeaders(req.Header)
 	req.Header.Set(HeaderRequestID, call.ID)
 	return req, nil
 }
 
-func removeHopHeaders(header http.Header) {
+// removeHopByHopHeaders removes the hop-by-hop headers and those that the
+// Connection header names.
+func removeHopByHopHeaders(header http.Header) {
 	for _, line := range header.Values("Connection") {
 		for name := range strings.SplitSeq(line, ",") {
 			header.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 }
--- a/internal/engine/sse.go
+++ b/internal/engine/sse.go
@@ -9,58 +9,59 @@
 	"github.com/go-faster/errors"
 )
 
-// maxEventSize bounds one line of a stream, in bytes.
-const maxEventSize = 1 << 20
+// maxLineBytes bounds one line of a stream.
+const maxLineBytes = 1 << 20
 
 var (
-	dataField = []byte("data:")
-	endMark   = []byte("[DONE]")
+	dataField  = []byte("data:")
+	doneMarker = []byte("[DONE]")
 )
 
-// sseStream reads server-sent events with one chat.completion.chunk each.
+// sseStream implements Stream for server-sent events, each of which carries one
+// chat.completion.chunk.
 type sseStream struct {
-	body  io.ReadCloser
-	lines *bufio.Scanner
-	ended bool
+	body    io.ReadCloser
+	scanner *bufio.Scanner
+	done    bool
 }
 
 func newSSEStream(body io.ReadCloser) *sseStream {
-	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, maxEventSize)
-	return &sseStream{body: body, lines: lines}
+	scanner := bufio.NewScanner(body)
+	scanner.Buffer(nil, maxLineBytes)
+	return &sseStream{body: body, scanner: scanner}
 }
 
 // Next implements Stream.
 func (s *sseStream) Next() (Chunk, error) {
-	if s.ended {
+	if s.done {
 		return Chunk{}, io.EOF
 	}
-	for s.lines.Scan() {
-		data, ok := bytes.CutPrefix(s.lines.Bytes(), dataField)
+	for s.scanner.Scan() {
+		data, ok := bytes.CutPrefix(s.scanner.Bytes(), dataField)
 		if !ok {
 			continue
 		}
 		data = bytes.TrimSpace(data)
-		if bytes.Equal(data, endMark) {
-			s.ended = true
+		if bytes.Equal(data, doneMarker) {
+			s.done = true
 			return Chunk{}, io.EOF
 		}
 		return decodeChunk(data)
 	}
-	if err := s.lines.Err(); err != nil {
+	if err := s.scanner.Err(); err != nil {
 		return Chunk{}, errors.Wrap(ErrCut, err.Error())
 	}
 	return Chunk{}, ErrCut
 }
 
-// Close implements Stream. The connection is closed with it, and engines end
-// the run of a client that has gone.
+// Close implements Stream. It closes the connection, upon which engines cancel
+// the run.
 func (s *sseStream) Close() error {
 	return s.body.Close()
 }
 
-// chunkContent is what is read of a chunk.
-type chunkContent struct {
+// chunkFields holds the fields of a chunk that this package reads.
+type chunkFields struct {
 	Choices []struct {
 		Delta struct {
 			Content string `json:"content"`
@@ -69,18 +70,19 @@
 	Error json.RawMessage `json:"error"`
 }
 
-// decodeChunk counts a chunk's tokens. Engines report an error in the middle
-// of a stream as an event and send the end mark after it; that stream is cut.
+// decodeChunk returns the chunk in data with its token count. It returns
+// ErrTruncated for an event that reports an error, because engines send the end
+// marker even after an error in the middle of a stream.
 func decodeChunk(data []byte) (Chunk, error) {
-	var content chunkContent
-	if err := json.Unmarshal(data, &content); err != nil {
+	var fields chunkFields
+	if err := json.Unmarshal(data, &fields); err != nil {
 		return Chunk{}, errors.Wrap(ErrCut, "event is not JSON")
 	}
-	if len(content.Error) > 0 && string(content.Error) != "null" {
+	if len(fields.Error) > 0 && string(fields.Error) != "null" {
 		return Chunk{}, errors.Wrap(ErrCut, "engine reported an error")
 	}
 	chunk := Chunk{Data: bytes.Clone(data)}
-	if len(content.Choices) > 0 && content.Choices[0].Delta.Content != "" {
+	if len(fields.Choices) > 0 && fields.Choices[0].Delta.Content != "" {
 		chunk.Tokens = 1
 	}
 	return chunk, nil
--- a/internal/engine/transport.go
+++ b/internal/engine/transport.go
@@ -12,33 +12,33 @@
 const (
 	// dialTimeout bounds connecting to a backend server on the same VM.
 	dialTimeout = time.Second
-	// controlTimeout bounds a call that isn't a run, so that a frozen engine
-	// can't hold its agent up.
+	// controlTimeout bounds a call that isn't a run, so that an unresponsive
+	// engine can't block the agent.
 	controlTimeout = 2 * time.Second
-	// maxErrorBody is how much of a backend server's error body is kept.
-	maxErrorBody = 64 << 10
+	// maxErrorBodyBytes bounds the part of an error body that is kept.
+	maxErrorBodyBytes = 64 << 10
 )
 
-// newOneShotTransport returns a transport that opens a connection for each
-// request. net/http sends some requests again when a kept connection turns
-// out to be closed; on a new connection it never does, so that a run starts
-// at most once.
-func newOneShotTransport() *http.Transport {
-	t := newControlTransport()
+// newNoReuseTransport returns a transport that opens a new connection for each
+// request. net/http resends some requests when a reused connection turns out to
+// be closed. It never does so on a new connection, so a run starts at most once.
+func newNoReuseTransport() *http.Transport {
+	t := newKeepAliveTransport()
 	t.DisableKeepAlives = true
 	return t
 }
 
-// newControlTransport returns a transport that keeps connections, for calls
-// that are idempotent.
-func newControlTransport() *http.Transport {
+// newKeepAliveTransport returns a transport that reuses connections, for
+// idempotent calls.
+func newKeepAliveTransport() *http.Transport {
 	return &http.Transport{
 		DialContext:        (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		DisableCompression: true,
 	}
 }
 
-// newHTTPClient follows no redirect, which would send an order again.
+// newHTTPClient returns a client that follows no redirects, because a redirect
+// would send an order again.
 func newHTTPClient(transport *http.Transport) *http.Client {
 	return &http.Client{
 		Transport: transport,
@@ -49,12 +49,12 @@
 	}
 }
 
-// connectTrace notes whether a request got a connection.
+// connectTrace records whether a request obtained a connection.
 type connectTrace struct {
 	connected atomic.Bool
 }
 
-// attach returns a context under which the trace is kept.
+// attach returns a context that records into the trace.
 func (c *connectTrace) attach(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { c.connected.Store(true) },
