--- a/internal/agent/dispatcher_test.go
+++ b/internal/agent/dispatcher_test.go
@@ -51,7 +51,7 @@
 	return d, s, sender
 }
 
-func testHello(serves string) *wire.Hello { return &wire.Hello{Serves: serves} }
+func testHello(served string) *wire.Hello { return &wire.Hello{Serves: served} }
 
 func testTicket(request string) *wire.Ticket {
 	return &wire.Ticket{Request: request, Attempt: 1, Class: "hazard-flag", Customer: "c", Serves: "model", SlackMS: 5000, Size: 10, Copies: 1}
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -100,8 +100,8 @@
 // the backend server's idle time as the number of heartbeat ticks without a
 // frame, not with a timer. While a write to the entry blocks or the process is
 // paused, at most one tick accumulates, and a frame that is ready is handled
-// before that tick, so such a pause never counts as idle time of the backend
-// server.
+// before that tick. Such a pause thus adds at most one heartbeat interval to the
+// idle time, and none if a frame is ready.
 func (r *run) relay(ctx context.Context, results <-chan frameResult) policy.Outcome {
 	heartbeat := time.NewTicker(wire.HeartbeatEvery)
 	defer heartbeat.Stop()
--- a/internal/agent/run_test.go
+++ b/internal/agent/run_test.go
@@ -84,6 +84,6 @@
 		}
 	}
 	if f.Kind != wire.FrameEnd {
-		t.Fatalf("after the start: got %v, want the end", f.Kind)
+		t.Fatalf("after the start: got %v, want the end frame", f.Kind)
 	}
 }
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -85,7 +85,7 @@
 				t.Fatalf("first chunk: got %d tokens, %v", chunk.Tokens, err)
 			}
 			if _, err := stream.Next(); !errors.Is(err, engine.ErrCut) {
-				t.Fatalf("second chunk: got %v, want ErrCut", err)
+				t.Fatalf("second chunk: got %v, want ErrTruncated", err)
 			}
 		})
 	}
@@ -178,7 +178,7 @@
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	if err != nil || string(body) != "weigh" || response.Status != http.StatusTeapot || response.Header.Get("X-Docket") != "7" {
-		t.Fatalf("answer: %d %v %q %v", response.Status, response.Header, body, err)
+		t.Fatalf("response: %d %v %q %v", response.Status, response.Header, body, err)
 	}
 	if got.Method != http.MethodPut || got.RequestURI != "/gate/4?x=1" || got.Header.Get("X-Request-Id") != "r2#1" {
 		t.Errorf("request: %s %s %v", got.Method, got.RequestURI, got.Header)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -16,8 +16,8 @@
 	// ErrUnreachable means that the backend server did not receive the call,
 	// so the run has not started.
 	ErrUnreachable = errors.New("engine is unreachable")
-	// ErrTruncated means that the stream ended without the engine's end marker.
-	ErrCut = errors.New("engine stream ended before its end marker")
+	// ErrTruncated means that the stream ended without the engine's done marker.
+	ErrCut = errors.New("engine stream ended without its done marker")
 	// ErrStaleFencingToken means that the engine refused an order because it
 	// has seen a higher fencing token.
 	ErrFenced = errors.New("stale fencing token")
@@ -57,8 +57,8 @@
 
 // Stream is the streamed response of a run.
 type Stream interface {
-	// Next returns the next chunk. It returns io.EOF after the engine's end
-	// marker, and ErrTruncated when the stream ends without it.
+	// Next returns the next chunk. It returns io.EOF after the engine's
+	// done marker, and ErrTruncated when the stream ends without it.
 	Next() (Chunk, error)
 	// Close closes the stream and cancels an unfinished run.
 	Close() error
--- a/internal/engine/sse.go
+++ b/internal/engine/sse.go
@@ -13,7 +13,8 @@
 const maxLineBytes = 1 << 20
 
 var (
-	dataField  = []byte("data:")
+	dataField = []byte("data:")
+	// doneMarker is the data of the last event of a complete stream.
 	doneMarker = []byte("[DONE]")
 )
 
@@ -71,7 +72,7 @@
 }
 
 // decodeChunk returns the chunk in data with its token count. It returns
-// ErrTruncated for an event that reports an error, because engines send the end
+// ErrTruncated for an event that reports an error, because engines send the done
 // marker even after an error in the middle of a stream.
 func decodeChunk(data []byte) (Chunk, error) {
 	var fields chunkFields
