--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -12,146 +12,148 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// tokensFrom answers with the tokens that the caller doesn't have yet, and is
-// cut after the given number of them.
-func tokensFrom(answer []string, cutAfter int) func(*wire.FrameWriter, wire.RunRequest) {
+// streamTokens returns a script that streams the tokens after ResumeFrom and
+// cuts the stream after cutAfter of them.
+func streamTokens(tokens []string, cutAfter int) func(*wire.FrameWriter, wire.RunRequest) {
 	return func(w *wire.FrameWriter, r wire.RunRequest) {
-		for i, text := range answer[r.ResumeFrom:] {
+		for i, text := range tokens[r.ResumeFrom:] {
 			if i == cutAfter {
 				return
 			}
-			token(w, text)
+			writeToken(w, text)
 		}
-		finish(w)
+		writeEnd(w)
 	}
 }
 
-const never = -1
+const neverCut = -1
 
-func TestFirstGrantRunsAndTheOtherIsDeclined(t *testing.T) {
-	answer := tokensFrom([]string{"a", "b"}, never)
+func TestOnlyFirstGrantRuns(t *testing.T) {
+	answer := streamTokens([]string{"a", "b"}, neverCut)
 	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", answer), newFakeAgent(t, "two", answer)}}
 	sink := &fakeSink{}
 	result := newTestDispatcher(agents).Do(t.Context(), testRequest(true), sink)
-	if result.Outcome != Whole || sink.text != "ab" || result.Tokens != 2 {
-		t.Fatalf("got %+v with %q", result, sink.text)
+	if result.Outcome != Whole || sink.received != "ab" || result.Tokens != 2 {
+		t.Fatalf("got %+v with %q", result, sink.received)
 	}
-	runs := len(agents.agents[0].taken()) + len(agents.agents[1].taken())
+	runs := len(agents.agents[0].receivedRuns()) + len(agents.agents[1].receivedRuns())
 	if runs != 1 {
 		t.Fatalf("runs: got %d, want 1", runs)
 	}
 }
 
-func TestCutStreamIsResumedFromWhatTheCallerHas(t *testing.T) {
+func TestCutStreamResumesAfterDeliveredTokens(t *testing.T) {
 	answer := []string{"a", "b", "c", "d"}
-	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", tokensFrom(answer, 2))}}
+	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", streamTokens(answer, 2))}}
 	sink := &fakeSink{}
 	result := newTestDispatcher(agents).Do(t.Context(), testRequest(true), sink)
-	if result.Outcome != Whole || sink.text != "abcd" {
-		t.Fatalf("got %+v with %q", result, sink.text)
+	if result.Outcome != Whole || sink.received != "abcd" {
+		t.Fatalf("got %+v with %q", result, sink.received)
 	}
-	runs := agents.agents[0].taken()
+	runs := agents.agents[0].receivedRuns()
 	if len(runs) < 2 || runs[1].ResumeFrom != 2 {
 		t.Fatalf("runs: %+v", runs)
 	}
 }
 
-func TestPreemptedRunsAreContinuedWhateverTheBudget(t *testing.T) {
-	const preemptions = 15 // more than attempts and the retry budget allow
+func TestPreemptedRunsResumeOutsideBudget(t *testing.T) {
+	const preemptions = 15 // exceeds both maxAttempts and the retry budget
 	answer := make([]string, preemptions+1)
 	for i := range answer {
 		answer[i] = string(rune('a' + i))
 	}
 	agent := newFakeAgent(t, "one", func(w *wire.FrameWriter, r wire.RunRequest) {
-		token(w, answer[r.ResumeFrom])
+		writeToken(w, answer[r.ResumeFrom])
 		if r.ResumeFrom < preemptions {
 			_ = w.Write(wire.Frame{Kind: wire.FrameFail, Fail: wire.FailPreempted})
 			return
 		}
-		finish(w)
+		writeEnd(w)
 	})
 	sink := &fakeSink{}
 	result := newTestDispatcher(&fakeAgents{agents: []*fakeAgent{agent}}).Do(t.Context(), testRequest(true), sink)
-	if result.Outcome != Whole || sink.text != strings.Join(answer, "") {
-		t.Fatalf("got %+v with %q", result, sink.text)
+	if result.Outcome != Whole || sink.received != strings.Join(answer, "") {
+		t.Fatalf("got %+v with %q", result, sink.received)
 	}
 }
 
-// drain spends the retry budget, as the loss of many streams at once does.
-func drain(d *Dispatcher) {
-	for d.shared.allowRetry(time.Now()) {
+// exhaustRetryBudget uses up the retry budget, as the loss of many streams at
+// once does.
+func exhaustRetryBudget(d *Dispatcher) {
+	for d.policies.allowRetry(time.Now()) {
 	}
 }
 
-func TestStreamCutOnceIsContinuedWhateverTheBudget(t *testing.T) {
+func TestFirstCutResumesOutsideBudget(t *testing.T) {
 	answer := []string{"a", "b", "c", "d"}
-	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", tokensFrom(answer, 2))}}
+	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", streamTokens(answer, 2))}}
 	sink := &fakeSink{}
 	dispatcher := newTestDispatcher(agents)
-	drain(dispatcher)
+	exhaustRetryBudget(dispatcher)
 	result := dispatcher.Do(t.Context(), testRequest(true), sink)
-	if result.Outcome != Whole || sink.text != "abcd" {
-		t.Fatalf("got %+v with %q", result, sink.text)
+	if result.Outcome != Whole || sink.received != "abcd" {
+		t.Fatalf("got %+v with %q", result, sink.received)
 	}
 }
 
-// Servers that break each stream off again and again must not get their load
-// back as retries.
-func TestFurtherCutsAreRetriedWithinTheBudget(t *testing.T) {
+// Guards against servers that break every stream getting their load back as
+// retries: only the first interruption is outside the retry budget.
+func TestFurtherCutsUseRetryBudget(t *testing.T) {
 	answer := []string{"a", "b", "c", "d", "e"}
-	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", tokensFrom(answer, 1))}}
+	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", streamTokens(answer, 1))}}
 	dispatcher := newTestDispatcher(agents)
-	drain(dispatcher)
+	exhaustRetryBudget(dispatcher)
 	result := dispatcher.Do(t.Context(), testRequest(true), &fakeSink{})
 	if result.Outcome != Failed || result.Reason != "retry_budget" {
 		t.Fatalf("got %+v", result)
 	}
-	if runs := len(agents.agents[0].taken()); runs != 2 {
+	if runs := len(agents.agents[0].receivedRuns()); runs != 2 {
 		t.Fatalf("runs: got %d, want 2", runs)
 	}
 }
 
-// A server that fails before its first token gives nothing to go on with.
-func TestRunWithoutATokenIsRetriedWithinTheBudget(t *testing.T) {
-	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", tokensFrom([]string{"a"}, 0))}}
+// A run that fails before its first token has nothing to resume, so the
+// exemption of interrupted streams from the budget does not apply.
+func TestRunWithoutTokensUsesRetryBudget(t *testing.T) {
+	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", streamTokens([]string{"a"}, 0))}}
 	dispatcher := newTestDispatcher(agents)
-	drain(dispatcher)
+	exhaustRetryBudget(dispatcher)
 	result := dispatcher.Do(t.Context(), testRequest(true), &fakeSink{})
 	if result.Outcome != Failed || result.Reason != "retry_budget" {
 		t.Fatalf("got %+v", result)
 	}
 }
 
-func TestRequestThatRanInPartSkipsAdmission(t *testing.T) {
+func TestPartlyRunRequestSkipsAdmission(t *testing.T) {
 	cases := map[string]struct {
-		end  end
+		end  attemptResult
 		want bool
 	}{
-		"preempted":         {end{kind: endPreempted}, true},
-		"cut":               {end{kind: endCut}, true},
-		"certainly not run": {end{kind: endNotRun}, false},
+		"preempted": {attemptResult{outcome: attemptPreempted}, true},
+		"cut":       {attemptResult{outcome: attemptInterrupted}, true},
+		"not run":   {attemptResult{outcome: attemptNotRun}, false},
 	}
 	for name, c := range cases {
 		j := &job{dispatcher: newTestDispatcher(&fakeAgents{}), request: testRequest(true), attempt: 1}
-		j.decide(c.end)
+		j.evaluate(c.end)
 		if got := j.ticket().Retry; got != c.want {
 			t.Errorf("%s: skips admission: got %v, want %v", name, got, c.want)
 		}
 	}
 }
 
-func TestTicketSaysHowManyAgentsAreAsked(t *testing.T) {
-	for agents, want := range map[int]int{1: 1, 3: 3, 9: maxRefusals} {
-		if got := asksOf(policy.TopTier+1, agents); got != want {
+func TestMaxAgentsAsked(t *testing.T) {
+	for agents, want := range map[int]int{1: 1, 3: 3, 9: maxOverloadRefusals} {
+		if got := maxAgentsAsked(policy.TopTier+1, agents); got != want {
 			t.Errorf("of %d agents: got %d, want %d", agents, got, want)
 		}
 	}
-	if got := asksOf(policy.TopTier, 9); got != 9 {
+	if got := maxAgentsAsked(policy.TopTier, 9); got != 9 {
 		t.Errorf("top tier: got %d of 9", got)
 	}
 }
 
-func TestOnlyWorkThatCanBeResumedMayBePreempted(t *testing.T) {
+func TestOnlyResumableRequestsArePreemptible(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
 		request := testRequest(repeatable)
 		j := &job{request: request, attempt: 1}
@@ -160,38 +162,38 @@
 		}
 		request.Class.BetweenTokens = 50 * time.Millisecond
 		if j.ticket().Preemptible {
-			t.Error("an answer with a target between tokens may be preempted")
+			t.Error("a request with a target between tokens is preemptible")
 		}
 		request.Class.BetweenTokens = 0
 		request.Call = &Call{}
 		if j.ticket().Preemptible {
-			t.Error("a plain service's call may be preempted")
+			t.Error("a call of a plain HTTP service is preemptible")
 		}
 	}
 }
 
-func TestWorkThatMustNotBeRepeatedEndsUnknown(t *testing.T) {
-	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", tokensFrom([]string{"a", "b"}, 1))}}
+func TestNonRepeatableRequestEndsUnknown(t *testing.T) {
+	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", streamTokens([]string{"a", "b"}, 1))}}
 	result := newTestDispatcher(agents).Do(t.Context(), testRequest(false), &fakeSink{})
 	if result.Outcome != Unknown {
 		t.Fatalf("got %+v, want unknown", result)
 	}
-	if runs := agents.agents[0].taken(); len(runs) != 1 {
+	if runs := agents.agents[0].receivedRuns(); len(runs) != 1 {
 		t.Fatalf("runs: got %d, want 1", len(runs))
 	}
 }
 
-func TestVoidedGrantMayBeSentAgain(t *testing.T) {
+func TestRequestIsRetriedAfterGrantIsVoided(t *testing.T) {
 	first := true
 	agent := newFakeAgent(t, "one", nil)
-	agent.void = wire.VoidDone
+	agent.voidResult = wire.VoidDone
 	agent.script = func(w *wire.FrameWriter, r wire.RunRequest) {
 		if first {
 			first = false
 			return
 		}
-		token(w, "a")
-		finish(w)
+		writeToken(w, "a")
+		writeEnd(w)
 	}
 	agents := &fakeAgents{agents: []*fakeAgent{agent}}
 	result := newTestDispatcher(agents).Do(t.Context(), testRequest(false), &fakeSink{})
@@ -200,32 +202,32 @@
 	}
 }
 
-func TestRefusedEverywhereIsNotRun(t *testing.T) {
+func TestRequestRefusedByAllAgentsIsNotRun(t *testing.T) {
 	one := newFakeAgent(t, "one", nil)
-	one.refuse = wire.ReasonOverload
+	one.refusalReason = wire.ReasonOverload
 	two := newFakeAgent(t, "two", nil)
-	two.refuse = wire.ReasonOverload
+	two.refusalReason = wire.ReasonOverload
 	agents := &fakeAgents{agents: []*fakeAgent{one, two}}
 	result := newTestDispatcher(agents).Do(t.Context(), testRequest(true), &fakeSink{})
 	if result.Outcome != NotRun || result.RetryAfter <= 0 {
-		t.Fatalf("got %+v, want not run with a time to come back", result)
+		t.Fatalf("got %+v, want not run with RetryAfter", result)
 	}
 }
 
-func TestAgentsThatTakeNoWorkAreNotAskedWithoutEnd(t *testing.T) {
+func TestLeavingAgentsAreNotAskedForever(t *testing.T) {
 	agent := newFakeAgent(t, "one", nil)
-	agent.refuse = wire.ReasonLeaving
+	agent.refusalReason = wire.ReasonLeaving
 	result := newTestDispatcher(&fakeAgents{agents: []*fakeAgent{agent}}).Do(t.Context(), testRequest(true), &fakeSink{})
 	if result.Outcome != NotRun || result.Reason != "no_backend_server" {
 		t.Fatalf("got %+v", result)
 	}
 }
 
-func TestRefusedAfterAPartRanIsNotCalledNotRun(t *testing.T) {
+func TestRefusalAfterPartialRunIsFailed(t *testing.T) {
 	agent := newFakeAgent(t, "one", nil)
 	agent.script = func(w *wire.FrameWriter, _ wire.RunRequest) {
-		token(w, "a")
-		agent.refuse = wire.ReasonOverload
+		writeToken(w, "a")
+		agent.refusalReason = wire.ReasonOverload
 	}
 	agents := &fakeAgents{agents: []*fakeAgent{agent}}
 	result := newTestDispatcher(agents).Do(t.Context(), testRequest(true), &fakeSink{})
@@ -234,37 +236,37 @@
 	}
 }
 
-func TestSilentStreamIsCut(t *testing.T) {
+func TestSilentStreamTimesOut(t *testing.T) {
 	release := make(chan struct{})
 	silent := newFakeAgent(t, "silent", func(w *wire.FrameWriter, _ wire.RunRequest) {
-		token(w, "a")
+		writeToken(w, "a")
 		<-release
 	})
 	t.Cleanup(func() { close(release) })
 	agents := &fakeAgents{agents: []*fakeAgent{silent}}
 	result := newTestDispatcher(agents).Do(t.Context(), testRequest(false), &fakeSink{})
 	if result.Outcome != Unknown || result.Reason != "stream_silent" {
-		t.Fatalf("got %+v, want a silent stream's unknown", result)
+		t.Fatalf("got %+v, want unknown with reason stream_silent", result)
 	}
 }
 
-// guardDown is a table service that is down.
-type guardDown struct{}
+// failingGrantRecorder simulates an unavailable table service.
+type failingGrantRecorder struct{}
 
-func (guardDown) Take(context.Context, string, string) error { return errors.New("down") }
+func (failingGrantRecorder) Take(context.Context, string, string) error { return errors.New("down") }
 
-func TestUnrecordedClaimIsNotSent(t *testing.T) {
+func TestRequestIsNotSentWithoutRecordedGrant(t *testing.T) {
 	agent := newFakeAgent(t, "one", nil)
 	agents := &fakeAgents{agents: []*fakeAgent{agent}}
 	request := testRequest(false)
-	request.Guard = guardDown{}
+	request.Guard = failingGrantRecorder{}
 	result := newTestDispatcher(agents).Do(t.Context(), request, &fakeSink{})
-	if result.Outcome != NotRun || len(agent.taken()) != 0 {
-		t.Fatalf("got %+v with %d runs, want not run", result, len(agent.taken()))
+	if result.Outcome != NotRun || len(agent.receivedRuns()) != 0 {
+		t.Fatalf("got %+v with %d runs, want not run", result, len(agent.receivedRuns()))
 	}
 }
 
-func TestCallerThatGoesWithdrawsItsTickets(t *testing.T) {
+func TestCancelledRequestEndsGone(t *testing.T) {
 	agents := &fakeAgents{}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
--- a/internal/entry/dispatch/dispatcher.go
+++ b/internal/entry/dispatch/dispatcher.go
@@ -1,7 +1,7 @@
-// Package dispatch carries a request from its ticket to its one final answer:
-// it places tickets at some agents, takes the first grant, sends the body,
-// relays the stream, and decides what a failure means for the request. Start
-// reading at Dispatcher.Do.
+// Package dispatch executes requests on backend servers through their agents.
+// For each request it places tickets at some agents, accepts the first grant,
+// sends the body, relays the response stream, and decides after a failure
+// whether to retry. Start reading at Dispatcher.Do.
 package dispatch
 
 import (
@@ -18,23 +18,29 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// Agents is what a Dispatcher needs of the fleet.
+// Agents is the part of the fleet that a Dispatcher uses.
 type Agents interface {
+	// Candidates lists the agents of a model or service that can take a ticket.
 	Candidates(serves string) []policy.Candidate
+	// Place sends a ticket; it returns false if the agent is not connected.
 	Place(agent string, t *wire.Ticket, l Listener) bool
+	// Withdraw cancels a ticket.
 	Withdraw(agent, request string, attempt int)
+	// Void asks an agent to make an unused grant unusable.
 	Void(ctx context.Context, agent, grant string) (wire.VoidResult, error)
+	// Addr returns an agent's host:port; false if the agent is not known.
 	Addr(agent string) (string, bool)
 }
 
-// Listener hears what becomes of an attempt's tickets.
+// TicketHandler receives the replies to an attempt's tickets. See
+// fleet.TicketHandler.
 type Listener = interface {
 	Granted(agent, grant string) bool
 	Refused(agent string, reason wire.Reason, retryAfter time.Duration)
 	Lost(agent string)
 }
 
-// Config is what a Dispatcher works with.
+// Config holds the dependencies of a Dispatcher.
 type Config struct {
 	Zone      string
 	SystemKey string
@@ -46,57 +52,62 @@
 	Log       *zap.Logger
 }
 
-// Dispatcher carries requests. It is safe for concurrent use.
+// Dispatcher executes requests on backend servers. It is safe for concurrent
+// use.
 type Dispatcher struct {
-	config Config
-	shared shared
-	client *http.Client
+	config   Config
+	policies sharedPolicies
+	client   *http.Client
 }
 
 const (
-	// connectTimeout bounds the opening of a connection for a body.
+	// connectTimeout bounds the dial of a connection to an agent's HTTP port.
 	connectTimeout = time.Second
-	// maxIdlePerAgent keeps connections for bodies open between requests.
-	maxIdlePerAgent = 16
-	// idleTimeout closes them; below the agent's own idle timeout.
-	idleTimeout = 30 * time.Second
+	// maxIdleConnsPerAgent is the number of idle HTTP connections kept open to
+	// each agent.
+	maxIdleConnsPerAgent = 16
+	// idleConnTimeout closes idle HTTP connections. It must be shorter than the
+	// agent's own idle timeout.
+	idleConnTimeout = 30 * time.Second
 )
 
-// New returns a Dispatcher.
+// New returns a Dispatcher that uses the dependencies in c.
 func New(c Config) *Dispatcher {
 	dialer := &net.Dialer{Timeout: connectTimeout}
 	transport := &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConnsPerHost: maxIdlePerAgent,
-		IdleConnTimeout:     idleTimeout,
+		MaxIdleConnsPerHost: maxIdleConnsPerAgent,
+		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
 	return &Dispatcher{
-		config: c,
-		shared: shared{placer: c.Placer, ejector: c.Ejector, budget: c.Budget},
-		client: &http.Client{Transport: transport},
+		config:   c,
+		policies: sharedPolicies{placer: c.Placer, ejector: c.Ejector, budget: c.Budget},
+		client:   &http.Client{Transport: transport},
 	}
 }
 
-// Do carries one request to its final answer.
+// Do executes one request, writes its response to sink and returns the final
+// result. It blocks until the request is decided or ctx ends.
 func (d *Dispatcher) Do(ctx context.Context, r *Request, sink Sink) Result {
-	d.shared.fresh(time.Now())
+	d.policies.recordRequest(time.Now())
 	j := &job{dispatcher: d, request: r, sink: sink}
-	result := j.carry(ctx)
-	result.Tokens = j.tokens
-	result.Sent = j.sent
+	result := j.execute(ctx)
+	result.Tokens = j.tokensDelivered
+	result.Sent = j.bodySent
 	result.Attempts = j.attempt
-	result.FirstToken = j.firstToken
-	d.record(r, result)
+	result.FirstToken = j.timeToFirstToken
+	d.recordResult(r, result)
 	return result
 }
 
-// Forget drops what is remembered of an agent that has gone; VMs' names are
-// never used again.
-func (d *Dispatcher) Forget(agent string) { d.shared.forget(agent) }
+// ForgetAgent removes the failure history of an agent that was removed from the
+// fleet. VM names are never reused.
+func (d *Dispatcher) Forget(agent string) { d.policies.forgetAgent(agent) }
 
-func (d *Dispatcher) record(r *Request, result Result) {
-	kind, event := endOf(result.Outcome)
+// recordResult writes the final result to the timeline and the log.
+func (d *Dispatcher) recordResult(r *Request, result Result) {
+	kind, event := eventsFor(result.Outcome)
 	d.config.Ring.Record(kind, r.ID, r.Class.Name, result.Reason)
 	d.config.Log.Info(event,
 		logging.Request(r.ID),
@@ -111,8 +122,8 @@
 	)
 }
 
-// endOf names an outcome on the time line and in the log.
-func endOf(o Outcome) (timeline.Kind, string) {
+// eventsFor returns the timeline event kind and the log event for an outcome.
+func eventsFor(o Outcome) (timeline.Kind, string) {
 	switch o {
 	case NotRun, Rejected:
 		return timeline.KindRefusal, logging.EventRequestRefused
--- a/internal/entry/dispatch/fake_test.go
+++ b/internal/entry/dispatch/fake_test.go
@@ -20,15 +20,15 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// fakeAgent grants or refuses at once and runs what its script says.
+// fakeAgent grants or refuses tickets immediately and runs its script.
 type fakeAgent struct {
 	name   string
 	server *httptest.Server
-	// refuse is set for an agent that turns tickets away.
-	refuse wire.Reason
-	// void is the answer to Void; none when empty.
-	void wire.VoidResult
-	// script writes the answer.
+	// refusalReason is the reason for refusing all tickets; empty grants them.
+	refusalReason wire.Reason
+	// voidResult is the reply to Void; with none, Void fails.
+	voidResult wire.VoidResult
+	// script writes the response frames.
 	script func(w *wire.FrameWriter, r wire.RunRequest)
 
 	mu   sync.Mutex
@@ -55,13 +55,14 @@
 	a.script(wire.NewFrameWriter(w), req)
 }
 
-func (a *fakeAgent) taken() []wire.RunRequest {
+func (a *fakeAgent) receivedRuns() []wire.RunRequest {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.runs
 }
 
-// fakeAgents is a fleet of them; withdrawn collects the tickets taken back.
+// fakeAgents implements Agents. withdrawn lists the agents whose tickets were
+// withdrawn.
 type fakeAgents struct {
 	agents []*fakeAgent
 
@@ -88,8 +89,8 @@
 
 func (f *fakeAgents) Place(agent string, t *wire.Ticket, l Listener) bool {
 	a := f.find(agent)
-	if a.refuse != "" {
-		go l.Refused(agent, a.refuse, 3*time.Second)
+	if a.refusalReason != "" {
+		go l.Refused(agent, a.refusalReason, 3*time.Second)
 		return true
 	}
 	go func() {
@@ -107,7 +108,7 @@
 }
 
 func (f *fakeAgents) Void(_ context.Context, agent, _ string) (wire.VoidResult, error) {
-	if result := f.find(agent).void; result != "" {
+	if result := f.find(agent).voidResult; result != "" {
 		return result, nil
 	}
 	return "", fleet.ErrNoAnswer
@@ -117,11 +118,11 @@
 	return strings.TrimPrefix(f.find(agent).server.URL, "http://"), true
 }
 
-// fakeSink keeps what the caller got.
-type fakeSink struct{ text string }
+// fakeSink collects the data that the caller received.
+type fakeSink struct{ received string }
 
 func (s *fakeSink) Frame(f wire.Frame) error {
-	s.text += string(f.Data)
+	s.received += string(f.Data)
 	return nil
 }
 
@@ -147,9 +148,9 @@
 	}
 }
 
-// token writes one token's frame.
-func token(w *wire.FrameWriter, text string) {
+// writeToken writes a data frame with one token.
+func writeToken(w *wire.FrameWriter, text string) {
 	_ = w.Write(wire.Frame{Kind: wire.FrameData, Data: []byte(text), Tokens: 1})
 }
 
-func finish(w *wire.FrameWriter) { _ = w.Write(wire.Frame{Kind: wire.FrameEnd}) }
+func writeEnd(w *wire.FrameWriter) { _ = w.Write(wire.Frame{Kind: wire.FrameEnd}) }
--- a/internal/entry/dispatch/head_test.go
+++ b/internal/entry/dispatch/head_test.go
@@ -13,65 +13,65 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// lateTransport has a response's head after a time, whatever has become of the
-// request meanwhile, and keeps the request.
-type lateTransport struct {
-	after   time.Duration
-	request *http.Request
-	closed  bool
+// delayedTransport returns the response headers after a delay, even if the
+// request was cancelled meanwhile, and keeps the request.
+type delayedTransport struct {
+	delay      time.Duration
+	request    *http.Request
+	bodyClosed bool
 }
 
 // RoundTrip implements http.RoundTripper.
-func (l *lateTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	l.request = r
-	time.Sleep(l.after)
-	body := &lateBody{Reader: strings.NewReader("x"), transport: l}
+func (t *delayedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	t.request = r
+	time.Sleep(t.delay)
+	body := &closeTrackingBody{Reader: strings.NewReader("x"), transport: t}
 	return &http.Response{StatusCode: http.StatusOK, Body: body, Request: r}, nil
 }
 
-type lateBody struct {
+type closeTrackingBody struct {
 	io.Reader
-	transport *lateTransport
+	transport *delayedTransport
 }
 
 // Close implements io.Closer.
-func (b *lateBody) Close() error {
-	b.transport.closed = true
+func (b *closeTrackingBody) Close() error {
+	b.transport.bodyClosed = true
 	return nil
 }
 
-func awaitLate(t *testing.T, after time.Duration) (*lateTransport, *http.Response, error) {
+func requestWithDelayedHead(t *testing.T, delay time.Duration) (*delayedTransport, *http.Response, error) {
 	t.Helper()
 	d := newTestDispatcher(&fakeAgents{})
-	late := &lateTransport{after: after}
-	d.client = &http.Client{Transport: late}
+	transport := &delayedTransport{delay: delay}
+	d.client = &http.Client{Transport: transport}
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://agent/", http.NoBody)
 	if err != nil {
 		t.Fatal(err)
 	}
-	response, err := d.awaitHead(req)
-	return late, response, err
+	response, err := d.doWithHeadTimeout(req)
+	return transport, response, err
 }
 
-// A response was once handed on whose context the timer had ended, so that not
-// a byte of it could be read.
-func TestResponseThatIsHandedOnIsNotCutAnyMore(t *testing.T) {
-	for _, after := range []time.Duration{0, wire.SilenceBound - 1, wire.SilenceBound, wire.SilenceBound + 1} {
+// Guards against returning a response whose context the head timeout has
+// already cancelled: no byte of its body could be read.
+func TestReturnedResponseIsNotCancelledByHeadTimeout(t *testing.T) {
+	for _, delay := range []time.Duration{0, wire.SilenceBound - 1, wire.SilenceBound, wire.SilenceBound + 1} {
 		synctest.Test(t, func(t *testing.T) {
-			late, response, err := awaitLate(t, after)
+			transport, response, err := requestWithDelayedHead(t, delay)
 			time.Sleep(2 * wire.SilenceBound)
 			synctest.Wait()
-			if after < wire.SilenceBound && err != nil {
-				t.Fatalf("head after %v: got %v", after, err)
+			if delay < wire.SilenceBound && err != nil {
+				t.Fatalf("head after %v: got %v", delay, err)
 			}
 			if err != nil {
-				if response != nil || !late.closed || !errors.Is(err, wire.ErrSilent) {
-					t.Fatalf("head after %v: got %v with %v, body closed: %v", after, response, err, late.closed)
+				if response != nil || !transport.bodyClosed || !errors.Is(err, wire.ErrSilent) {
+					t.Fatalf("head after %v: got %v with %v, body closed: %v", delay, response, err, transport.bodyClosed)
 				}
 				return
 			}
-			if cause := late.request.Context().Err(); cause != nil {
-				t.Fatalf("head after %v: handed on, and its context has ended: %v", after, cause)
+			if cause := transport.request.Context().Err(); cause != nil {
+				t.Fatalf("head after %v: returned, but its context is cancelled: %v", delay, cause)
 			}
 		})
 	}
--- a/internal/entry/dispatch/job.go
+++ b/internal/entry/dispatch/job.go
@@ -9,121 +9,132 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// maxAttempts bounds the runs of one request; the retry budget bounds those
-// of all.
+// maxAttempts bounds the attempts of one request, not counting preempted ones.
+// The retry budget bounds the retries of all requests together.
 const maxAttempts = 5
 
-// job is one request on its way. Only the goroutine of its caller uses it.
+// job is the state of one request across its attempts. Only the goroutine that
+// called Dispatcher.Do uses it.
 type job struct {
 	dispatcher *Dispatcher
 	request    *Request
 	sink       Sink
 
-	attempt   int
-	preempted int
-	tokens    int
-	// had is how many of tokens the caller had when the last attempt began.
-	had int
-	// continued says that a stream that was cut has been continued.
-	continued  bool
-	sent       bool
-	started    bool
-	firstToken time.Duration
+	// attempt is the number of the current attempt, from 1.
+	attempt         int
+	preemptions     int
+	tokensDelivered int
+	// tokensBeforeAttempt is the value of tokensDelivered when the last attempt
+	// began.
+	tokensBeforeAttempt int
+	// resumedOutsideBudget is set once an interrupted stream was resumed
+	// without using the retry budget.
+	resumedOutsideBudget bool
+	bodySent             bool
+	mayHaveRun           bool
+	timeToFirstToken     time.Duration
 }
 
-// carry tries until an attempt decides the request.
-func (j *job) carry(ctx context.Context) Result {
+// execute runs attempts until one of them yields a final result.
+func (j *job) execute(ctx context.Context) Result {
 	for {
 		j.attempt++
-		o, refused := j.find(ctx)
+		grant, refused := j.acquireGrant(ctx)
 		if refused != nil {
-			return j.afterRefusal(*refused)
+			return j.refusalResult(*refused)
 		}
-		j.had = j.tokens
-		end := j.run(ctx, o)
-		if result, final := j.decide(end); final {
+		j.tokensBeforeAttempt = j.tokensDelivered
+		attempted := j.runAttempt(ctx, grant)
+		if result, final := j.evaluate(attempted); final {
 			return result
 		}
-		j.dispatcher.config.Ring.Record(timeline.KindRetry, j.request.ID, j.request.Class.Name, end.reason)
+		j.dispatcher.config.Ring.Record(timeline.KindRetry, j.request.ID, j.request.Class.Name, attempted.reason)
 	}
 }
 
-// afterRefusal: a request that was refused after an earlier attempt had run in
-// part can't be called not run.
-func (j *job) afterRefusal(refused Result) Result {
-	if refused.Outcome == NotRun && j.started {
+// refusalResult turns NotRun into Failed if an earlier attempt may have run.
+func (j *job) refusalResult(refused Result) Result {
+	if refused.Outcome == NotRun && j.mayHaveRun {
 		return Result{Outcome: Failed, Reason: refused.Reason, RetryAfter: refused.RetryAfter}
 	}
 	return refused
 }
 
-// decide says what the end of an attempt means: a final result, or a retry.
-func (j *job) decide(e end) (Result, bool) {
-	switch e.kind {
-	case endWhole:
+// evaluate returns the final result after an attempt, or false if the request
+// is to be retried.
+func (j *job) evaluate(attempted attemptResult) (Result, bool) {
+	switch attempted.outcome {
+	case attemptCompleted:
 		return Result{Outcome: Whole, Reason: "whole"}, true
-	case endRejected:
-		return Result{Outcome: Rejected, Reason: "rejected", Status: e.status, Body: e.body}, true
-	case endGone:
+	case attemptRejected:
+		return Result{Outcome: Rejected, Reason: "rejected", Status: attempted.httpStatus, Body: attempted.body}, true
+	case attemptCancelled:
 		return Result{Outcome: Gone, Reason: "caller_gone"}, true
-	case endBlocked:
-		return Result{Outcome: NotRun, Reason: e.reason, RetryAfter: emptyWait}, true
-	case endNotRun:
-		return j.retryOr(Result{Outcome: NotRun, Reason: e.reason, RetryAfter: emptyWait})
+	case attemptBlocked:
+		return Result{Outcome: NotRun, Reason: attempted.reason, RetryAfter: noAgentTimeout}, true
+	case attemptNotRun:
+		return j.retryOrReturn(Result{Outcome: NotRun, Reason: attempted.reason, RetryAfter: noAgentTimeout})
 	}
-	j.started = true
-	if e.kind == endPreempted && j.request.resumable() {
-		// No failure: neither the budget nor the bound on attempts is for it.
-		// The policy lets a resumed run get on before it is stopped again.
-		j.preempted++
-		j.started = true
+	j.mayHaveRun = true
+	if attempted.outcome == attemptPreempted && j.request.resumable() {
+		// Preemption is not a failure, so it uses neither the retry budget nor
+		// the attempt limit. The agents' scheduling policy lets a resumed run
+		// make progress before it preempts it again.
+		j.preemptions++
+		j.mayHaveRun = true
 		return Result{}, false
 	}
 	if !j.request.Repeatable {
-		return Result{Outcome: Unknown, Reason: e.reason}, true
+		return Result{Outcome: Unknown, Reason: attempted.reason}, true
 	}
-	if j.answered() && !j.request.resumable() {
-		return Result{Outcome: Failed, Reason: e.reason}, true
+	if j.answerBegun() && !j.request.resumable() {
+		return Result{Outcome: Failed, Reason: attempted.reason}, true
 	}
-	return j.retryOr(Result{Outcome: Failed, Reason: e.reason})
+	return j.retryOrReturn(Result{Outcome: Failed, Reason: attempted.reason})
 }
 
-// answered reports whether the caller already has a part of the answer.
-func (j *job) answered() bool { return j.firstToken > 0 }
+// answerBegun reports whether the caller has received a part of the response.
+func (j *job) answerBegun() bool { return j.timeToFirstToken > 0 }
 
-func (j *job) retryOr(last Result) (Result, bool) {
-	if j.attempt-j.preempted >= maxAttempts {
-		return j.afterRefusal(last), true
+// retryOrReturn returns false if the request may be retried, otherwise the
+// final result derived from last.
+func (j *job) retryOrReturn(last Result) (Result, bool) {
+	if j.attempt-j.preemptions >= maxAttempts {
+		return j.refusalResult(last), true
 	}
-	if j.continuesOnce() {
+	if j.resumesOutsideBudget() {
 		return Result{}, false
 	}
-	if !j.dispatcher.shared.allowRetry(time.Now()) {
+	if !j.dispatcher.policies.allowRetry(time.Now()) {
 		last.Reason = "retry_budget"
-		return j.afterRefusal(last), true
+		return j.refusalResult(last), true
 	}
 	return Result{}, false
 }
 
-// continuesOnce reports whether the request is a stream that got on before it was
-// cut, for the first time: it is continued whatever the retry budget. An
-// availability zone that is lost cuts many streams at once, and giving one up wastes
-// what its caller has, while the rest of it is no more work than was let in. Further
-// cuts count, so that servers that break off every stream don't get their load back.
-func (j *job) continuesOnce() bool {
-	if j.continued || !j.request.resumable() || j.tokens == j.had {
+// resumesOutsideBudget reports whether an interrupted stream is resumed without
+// using the retry budget. That is so the first time a stream is interrupted
+// after it has delivered tokens in the attempt. Losing an availability zone
+// interrupts many streams at once; giving one up wastes the tokens that its
+// caller already has, and the rest of it is work that was already admitted.
+// Further interruptions use the budget, so that servers that break every stream
+// do not get their load back as retries.
+func (j *job) resumesOutsideBudget() bool {
+	if j.resumedOutsideBudget || !j.request.resumable() || j.tokensDelivered == j.tokensBeforeAttempt {
 		return false
 	}
-	j.continued = true
+	j.resumedOutsideBudget = true
 	return true
 }
 
 func (j *job) tier() policy.Tier { return policy.Tier(j.request.Class.Tier) }
 
+// ticket builds the current attempt's ticket. A request that may have run skips
+// admission control (Retry).
 func (j *job) ticket() *wire.Ticket {
 	r := j.request
-	within, due := r.Class.Deadline()
-	slack := within - time.Since(r.Arrived)
+	timeLimit, due := r.Class.Deadline()
+	slack := timeLimit - time.Since(r.Arrived)
 	return &wire.Ticket{
 		Request:  r.ID,
 		Attempt:  j.attempt,
@@ -135,7 +146,7 @@
 		Size:     r.Size,
 		Prefix:   r.Prefix,
 		Copies:   policy.Copies(j.tier()),
-		Retry:    j.started,
+		Retry:    j.mayHaveRun,
 
 		Preemptible: r.preemptible(),
 		Serves:      r.Serves,
--- a/internal/entry/dispatch/request.go
+++ b/internal/entry/dispatch/request.go
@@ -7,47 +7,51 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// Request is a caller's request, read and checked.
+// Request is a caller's request, parsed and validated.
 type Request struct {
-	// ID is unique; it names the request in logs and on the time line.
+	// ID is the unique request ID, used in logs and on the timeline.
 	ID string
-	// Class is the class of work, as the targets had it on arrival.
+	// Class is the request's class from the targets in force on arrival.
 	Class targets.Class
-	// Customer is whom the work is for.
+	// Customer is the name of the customer that the request is accounted to.
 	Customer string
-	// Serves is the model or plain service it runs on.
+	// Serves is the name of the model or plain HTTP service that runs the
+	// request.
 	Serves string
-	// Arrived is when the entry had it whole.
+	// Arrived is the time when the entry had read the whole request.
 	Arrived time.Time
-	// Size is the estimated work in tokens.
+	// EstimatedTokens is the estimated amount of work in tokens.
 	Size int
-	// Prefix hashes the prompt's beginning.
+	// PrefixHash is a hash of the beginning of the prompt.
 	Prefix uint64
-	// Repeatable says whether it may run again when its outcome is unknown.
+	// Repeatable is set if the request may run again when the outcome of an
+	// attempt is unknown.
 	Repeatable bool
-	// Body is what the backend server gets.
+	// Body is the body sent to the backend server.
 	Body []byte
-	// Call is set for a plain service's call.
+	// ServiceCall is set for a request to a plain HTTP service, nil for a
+	// model.
 	Call *Call
-	// Guard is asked before a grant is taken up; nil for work without an
-	// idempotency key.
+	// GrantRecorder is called before a grant is used; nil for a request without
+	// an idempotency key.
 	Guard Guard
 }
 
-// Call is what a plain service's request has beside its body.
+// ServiceCall holds the method, path and headers of a request to a plain HTTP
+// service.
 type Call struct {
 	Method string
 	Path   string
 	Header []wire.Header
 }
 
-// resumable reports whether a cut answer can be continued: a model's stream,
-// not a plain service's bytes.
+// resumable reports whether an interrupted response can be continued. Only a
+// model's token stream can; the bytes of a plain HTTP service cannot.
 func (r *Request) resumable() bool { return r.Repeatable && r.Call == nil }
 
 // preemptible reports whether a run may be stopped for an urgent one and
-// continued later without its answer being late for that alone: a pause breaks
-// a target between tokens.
+// resumed later without making its response late. A pause would break a target
+// for the time between tokens.
 func (r *Request) preemptible() bool {
 	return r.resumable() && r.Class.BetweenTokens == 0
 }
--- a/internal/entry/dispatch/result.go
+++ b/internal/entry/dispatch/result.go
@@ -2,41 +2,45 @@
 
 import "time"
 
-// Outcome is the one final answer to a request.
+// Outcome is the final outcome of a request.
 type Outcome string
 
 // Outcomes of a request.
 const (
-	// Whole: the caller got the whole answer.
+	// Completed: the caller got the complete response.
 	Whole Outcome = "whole"
-	// NotRun: it certainly did not run.
+	// NotRun: the request did not run.
 	NotRun Outcome = "not_run"
-	// Rejected: the backend server refused it; it did not run.
+	// Rejected: the backend server rejected the request; it did not run.
 	Rejected Outcome = "rejected"
-	// Failed: it ran and was cut off; part of the answer may have been given.
+	// Failed: the request ran or may have run and was interrupted; the caller
+	// may have received a part of the response.
 	Failed Outcome = "failed"
-	// Unknown: it may have run, and must not be repeated.
+	// Unknown: the request may have run and must not be repeated.
 	Unknown Outcome = "unknown"
-	// Gone: the caller went away.
+	// Cancelled: the caller disconnected.
 	Gone Outcome = "gone"
 )
 
-// Result is what became of a request.
+// Result is the final result of a request.
 type Result struct {
 	Outcome Outcome
-	// Reason is a short word for logs, metrics and the caller.
+	// Reason is a short code for logs, metrics and the caller.
 	Reason string
-	// RetryAfter is when coming back is expected to succeed, with NotRun.
+	// RetryAfter is the time after which a retry is expected to succeed. It is
+	// set with NotRun.
 	RetryAfter time.Duration
-	// Status and Body are the backend server's, with Rejected.
+	// Status and Body are the backend server's HTTP status and body. They are
+	// set with Rejected.
 	Status int
 	Body   []byte
-	// Sent says that the body may have reached an agent.
+	// BodySent is set if the body may have reached an agent.
 	Sent bool
-	// Tokens is how many tokens the caller got.
+	// Tokens is the number of tokens delivered to the caller.
 	Tokens int
-	// Attempts is how many runs were tried.
+	// Attempts is the number of attempts.
 	Attempts int
-	// FirstToken is the time from arrival to the first token; zero if none.
+	// FirstToken is the time from arrival to the first token; zero if there was
+	// none.
 	FirstToken time.Duration
 }
--- a/internal/entry/dispatch/run.go
+++ b/internal/entry/dispatch/run.go
@@ -16,66 +16,70 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// errCaller: the sink refused a frame; the caller has gone.
-var errCaller = errors.New("caller has gone")
+// errCallerGone is returned when the sink fails, which means that the caller
+// disconnected.
+var errCallerGone = errors.New("caller disconnected")
 
-// run sends the body with its grant and relays the answer.
-func (j *job) run(ctx context.Context, o offer) end {
+// runAttempt sends the body with a grant and relays the response.
+func (j *job) runAttempt(ctx context.Context, grant acceptedGrant) attemptResult {
 	if guard := j.request.Guard; guard != nil {
-		if err := guard.Take(ctx, o.agent, o.grant); err != nil {
-			j.voidQuietly(ctx, o)
-			return end{kind: endBlocked, reason: "claim_unavailable"}
+		if err := guard.Take(ctx, grant.agent, grant.id); err != nil {
+			j.voidBestEffort(ctx, grant)
+			return attemptResult{outcome: attemptBlocked, reason: "claim_unavailable"}
 		}
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	j.dispatcher.config.Ring.Record(timeline.KindSent, j.request.ID, j.request.Class.Name, o.agent)
-	j.sent = true
-	response, err := j.send(ctx, o)
+	j.dispatcher.config.Ring.Record(timeline.KindSent, j.request.ID, j.request.Class.Name, grant.agent)
+	j.bodySent = true
+	response, err := j.send(ctx, grant)
 	if err != nil {
-		return j.sendFailed(ctx, o, err)
+		return j.classifySendError(ctx, grant, err)
 	}
 	defer response.Body.Close()
-	e := j.relay(ctx, response.Body, cancel)
-	if e.kind == endCut && !j.answered() {
-		e = j.settle(ctx, o, e)
+	result := j.relay(ctx, response.Body, cancel)
+	if result.outcome == attemptInterrupted && !j.answerBegun() {
+		result = j.voidInterrupted(ctx, grant, result)
 	}
-	j.observe(o, e)
-	return e
+	j.reportToEjector(grant, result)
+	return result
 }
 
-func (j *job) voidQuietly(ctx context.Context, o offer) {
-	_, _ = j.dispatcher.config.Agents.Void(context.WithoutCancel(ctx), o.agent, o.grant)
+// voidBestEffort voids an unused grant and ignores errors.
+func (j *job) voidBestEffort(ctx context.Context, grant acceptedGrant) {
+	_, _ = j.dispatcher.config.Agents.Void(context.WithoutCancel(ctx), grant.agent, grant.id)
 }
 
-func (j *job) send(ctx context.Context, o offer) (*http.Response, error) {
-	addr, ok := j.dispatcher.config.Agents.Addr(o.agent)
+// send posts the run request to the agent. The error is a dial error if the
+// agent is no longer known.
+func (j *job) send(ctx context.Context, grant acceptedGrant) (*http.Response, error) {
+	addr, ok := j.dispatcher.config.Agents.Addr(grant.agent)
 	if !ok {
-		return nil, &net.OpError{Op: "dial", Err: errors.New("agent has left")}
+		return nil, &net.OpError{Op: "dial", Err: errors.New("agent is not in the fleet")}
 	}
-	body, err := cbor.Marshal(j.runRequest(o))
+	body, err := cbor.Marshal(j.newRunRequest(grant))
 	if err != nil {
 		return nil, errors.Wrap(err, "encode run request")
 	}
-	// A reader that is not one of the known buffers leaves GetBody unset, so
-	// that the transport never sends the body a second time by itself. A
-	// grant is single use, so a second one would only be refused.
+	// Hiding the reader's type leaves GetBody unset, so that the transport
+	// never resends the body by itself. Grants are single-use: a second request
+	// would only be refused.
 	reader := struct{ io.Reader }{bytes.NewReader(body)}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+wire.RunPath, reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make run request")
+		return nil, errors.Wrap(err, "create run request")
 	}
 	req.ContentLength = int64(len(body))
 	req.Header.Set("Authorization", "Bearer "+j.dispatcher.config.SystemKey)
-	return j.dispatcher.awaitHead(req)
+	return j.dispatcher.doWithHeadTimeout(req)
 }
 
-func (j *job) runRequest(o offer) *wire.RunRequest {
+func (j *job) newRunRequest(grant acceptedGrant) *wire.RunRequest {
 	r := &wire.RunRequest{
-		Grant:      o.grant,
+		Grant:      grant.id,
 		Request:    j.request.ID,
 		Attempt:    j.attempt,
-		ResumeFrom: j.tokens,
+		ResumeFrom: j.tokensDelivered,
 		Body:       j.request.Body,
 	}
 	if call := j.request.Call; call != nil {
@@ -86,16 +90,17 @@
 	return r
 }
 
-// awaitHead bounds the wait for the agent's first bytes, which come with its
-// first heartbeat at the latest. A response that it returns isn't cut any more:
-// where the wait was given up while the head came, nothing of the response can
-// be read, and it counts as silent.
-func (d *Dispatcher) awaitHead(req *http.Request) (*http.Response, error) {
+// doWithHeadTimeout sends a request and bounds the wait for the response
+// headers. The agent sends them with its first heartbeat at the latest. A
+// returned response is no longer subject to the timeout. If the headers arrive
+// while the timeout expires, the context is already cancelled and the body
+// cannot be read, so wire.ErrSilent is returned.
+func (d *Dispatcher) doWithHeadTimeout(req *http.Request) (*http.Response, error) {
 	ctx, cancel := context.WithCancelCause(req.Context())
-	silence := wire.NewSilence(func() { cancel(wire.ErrSilent) })
-	silence.Begin()
+	watchdog := wire.NewSilence(func() { cancel(wire.ErrSilent) })
+	watchdog.Begin()
 	response, err := d.client.Do(req.WithContext(ctx))
-	inTime := silence.End()
+	inTime := watchdog.End()
 	if err != nil {
 		cancel(nil)
 		return nil, errors.Wrap(err, "send body")
@@ -107,99 +112,107 @@
 	return response, nil
 }
 
-// sendFailed tells what certainly did not run from what may have.
-func (j *job) sendFailed(ctx context.Context, o offer, err error) end {
+// classifySendError distinguishes requests that did not run from those that may
+// have run.
+func (j *job) classifySendError(ctx context.Context, grant acceptedGrant, err error) attemptResult {
 	if ctx.Err() != nil {
-		return end{kind: endGone}
+		return attemptResult{outcome: attemptCancelled}
 	}
-	var op *net.OpError
-	if errors.As(err, &op) && op.Op == "dial" {
-		e := end{kind: endNotRun, reason: "agent_unreachable"}
-		j.observe(o, e)
-		return e
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
+		result := attemptResult{outcome: attemptNotRun, reason: "agent_unreachable"}
+		j.reportToEjector(grant, result)
+		return result
 	}
-	e := j.settle(ctx, o, end{kind: endCut, reason: "no_answer"})
-	j.observe(o, e)
-	return e
+	result := j.voidInterrupted(ctx, grant, attemptResult{outcome: attemptInterrupted, reason: "no_answer"})
+	j.reportToEjector(grant, result)
+	return result
 }
 
-// settle asks the agent whether a grant whose run showed no sign was used.
-func (j *job) settle(ctx context.Context, o offer, e end) end {
-	result, err := j.dispatcher.config.Agents.Void(context.WithoutCancel(ctx), o.agent, o.grant)
+// voidInterrupted asks the agent to void the grant of an interrupted attempt
+// that has delivered nothing. If the agent confirms, the grant was not used and
+// the request did not run; otherwise it returns the interrupted result
+// unchanged.
+func (j *job) voidInterrupted(ctx context.Context, grant acceptedGrant, interrupted attemptResult) attemptResult {
+	result, err := j.dispatcher.config.Agents.Void(context.WithoutCancel(ctx), grant.agent, grant.id)
 	if err == nil && result == wire.VoidDone {
-		return end{kind: endNotRun, reason: "grant_voided"}
+		return attemptResult{outcome: attemptNotRun, reason: "grant_voided"}
 	}
-	return e
+	return interrupted
 }
 
-func (j *job) observe(o offer, e end) {
+// reportToEjector records the result of an attempt for outlier ejection.
+func (j *job) reportToEjector(grant acceptedGrant, result attemptResult) {
 	outcome := policy.OutcomeWhole
-	switch e.kind {
-	case endCut:
+	switch result.outcome {
+	case attemptInterrupted:
 		outcome = policy.OutcomeFailed
-	case endNotRun:
+	case attemptNotRun:
 		outcome = policy.OutcomeLapsed
-	case endGone, endRejected, endBlocked, endPreempted:
+	case attemptCancelled, attemptRejected, attemptBlocked, attemptPreempted:
 		outcome = policy.OutcomeCancelled
 	}
-	j.dispatcher.shared.observe(time.Now(), o.agent, outcome)
+	j.dispatcher.policies.recordOutcome(time.Now(), grant.agent, outcome)
 }
 
-// relay passes frames to the caller until the stream's end.
-func (j *job) relay(ctx context.Context, body io.Reader, cancel func()) end {
+// relay passes frames to the caller until the stream ends.
+func (j *job) relay(ctx context.Context, body io.Reader, cancel func()) attemptResult {
 	frames := wire.NewFrameReader(body, cancel)
 	defer frames.Close()
 	for {
 		f, err := frames.Next()
 		if err != nil {
-			return j.streamFailed(ctx, err)
+			return j.classifyStreamError(ctx, err)
 		}
 		switch f.Kind {
 		case wire.FrameEnd:
-			return end{kind: endWhole}
+			return attemptResult{outcome: attemptCompleted}
 		case wire.FrameFail:
-			return failed(f)
+			return classifyFailFrame(f)
 		case wire.FrameData, wire.FrameHead:
 			if err := j.deliver(f); err != nil {
-				return end{kind: endGone}
+				return attemptResult{outcome: attemptCancelled}
 			}
 		}
 	}
 }
 
-func (j *job) streamFailed(ctx context.Context, err error) end {
+// classifyStreamError converts an error of the frame reader to a result.
+func (j *job) classifyStreamError(ctx context.Context, err error) attemptResult {
 	if errors.Is(err, wire.ErrSilent) {
-		return end{kind: endCut, reason: "stream_silent"}
+		return attemptResult{outcome: attemptInterrupted, reason: "stream_silent"}
 	}
 	if ctx.Err() != nil {
-		return end{kind: endGone}
+		return attemptResult{outcome: attemptCancelled}
 	}
-	return end{kind: endCut, reason: "stream_cut"}
+	return attemptResult{outcome: attemptInterrupted, reason: "stream_cut"}
 }
 
+// deliver passes a frame to the sink and counts its tokens.
 func (j *job) deliver(f wire.Frame) error {
-	if f.Kind == wire.FrameData && (f.Tokens > 0 || j.request.Call != nil) && j.firstToken == 0 {
-		j.firstToken = time.Since(j.request.Arrived)
+	if f.Kind == wire.FrameData && (f.Tokens > 0 || j.request.Call != nil) && j.timeToFirstToken == 0 {
+		j.timeToFirstToken = time.Since(j.request.Arrived)
 		j.dispatcher.config.Ring.Record(timeline.KindFirstToken, j.request.ID, j.request.Class.Name, "")
 	}
 	if err := j.sink.Frame(f); err != nil {
-		return errors.Wrap(errCaller, err.Error())
+		return errors.Wrap(errCallerGone, err.Error())
 	}
-	j.tokens += f.Tokens
+	j.tokensDelivered += f.Tokens
 	return nil
 }
 
-func failed(f wire.Frame) end {
+// classifyFailFrame converts a failure reported by the agent to a result.
+func classifyFailFrame(f wire.Frame) attemptResult {
 	switch f.Fail {
 	case wire.FailNotRun:
-		return end{kind: endNotRun, reason: "not_started"}
+		return attemptResult{outcome: attemptNotRun, reason: "not_started"}
 	case wire.FailRejected:
-		return end{kind: endRejected, status: f.Status, body: f.Data}
+		return attemptResult{outcome: attemptRejected, httpStatus: f.Status, body: f.Data}
 	case wire.FailPreempted:
-		return end{kind: endPreempted, reason: "preempted"}
+		return attemptResult{outcome: attemptPreempted, reason: "preempted"}
 	case wire.FailUnknown:
-		return end{kind: endCut, reason: "start_unknown"}
+		return attemptResult{outcome: attemptInterrupted, reason: "start_unknown"}
 	default:
-		return end{kind: endCut, reason: "engine_cut"}
+		return attemptResult{outcome: attemptInterrupted, reason: "engine_cut"}
 	}
 }
--- a/internal/entry/dispatch/sink.go
+++ b/internal/entry/dispatch/sink.go
@@ -2,8 +2,9 @@
 
 import "github.com/applepier/applepier/internal/wire"
 
-// Sink takes the answer as it comes. An error means that the caller has gone.
+// Sink receives the response as it is streamed. An error means that the caller
+// disconnected.
 type Sink interface {
-	// Frame takes a FrameHead or FrameData.
+	// WriteFrame writes a FrameHead or FrameData to the caller.
 	Frame(f wire.Frame) error
 }
--- a/internal/entry/fleet/calls.go
+++ b/internal/entry/fleet/agent_calls.go
@@ -9,7 +9,8 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// Candidates lists the agents of a model or service that may take a ticket.
+// Candidates returns the connected agents of a model or plain HTTP service that
+// can take a ticket.
 func (f *Fleet) Candidates(serves string) []policy.Candidate {
 	var candidates []policy.Candidate
 	for _, l := range f.snapshot() {
@@ -20,7 +21,8 @@
 	return candidates
 }
 
-// Serves lists the models or services that any listed VM has.
+// Serves returns the sorted names of the models and plain HTTP services that
+// listed VMs serve.
 func (f *Fleet) Serves() []string {
 	vms, _ := f.VMs()
 	var names []string
@@ -33,32 +35,35 @@
 	return slices.Compact(names)
 }
 
-// Place sends a ticket to an agent; false means that it can't be reached now.
-func (f *Fleet) Place(agent string, t *wire.Ticket, listener Listener) bool {
-	l, ok := f.find(agent)
-	return ok && l.place(t, listener)
+// Place sends a ticket to an agent; handler receives the reply. It returns
+// false if the agent is not connected.
+func (f *Fleet) Place(agent string, t *wire.Ticket, handler TicketHandler) bool {
+	l, ok := f.findLink(agent)
+	return ok && l.place(t, handler)
 }
 
-// Withdraw takes a ticket back from an agent.
+// Withdraw cancels a ticket at an agent. Nothing is sent if the ticket has been
+// answered already.
 func (f *Fleet) Withdraw(agent, request string, attempt int) {
-	if l, ok := f.find(agent); ok {
+	if l, ok := f.findLink(agent); ok {
 		l.withdraw(request, attempt)
 	}
 }
 
-// Void asks an agent to make a grant unusable; ErrNoAnswer when it can't be
-// asked.
+// Void asks an agent to make an unused grant unusable and returns the agent's
+// answer. It returns ErrNoAnswer if the agent is not connected or does not
+// answer in time.
 func (f *Fleet) Void(ctx context.Context, agent, grant string) (wire.VoidResult, error) {
-	l, ok := f.find(agent)
+	l, ok := f.findLink(agent)
 	if !ok {
 		return "", ErrNoAnswer
 	}
 	return l.void(ctx, grant)
 }
 
-// Addr is an agent's address.
+// Addr returns an agent's address; false if this entry does not connect to it.
 func (f *Fleet) Addr(agent string) (string, bool) {
-	l, ok := f.find(agent)
+	l, ok := f.findLink(agent)
 	if !ok {
 		return "", false
 	}
--- /dev/null
+++ b/internal/entry/fleet/agent_info.go
@@ -0,0 +1,93 @@
+package fleet
+
+import (
+	"time"
+
+	"github.com/applepier/applepier/internal/storage"
+	"github.com/applepier/applepier/policy"
+)
+
+// AgentInfo is what is known of one agent, and how old that is.
+type AgentInfo struct {
+	VM        storage.VM
+	Connected bool
+	Leaving   bool
+	// BackendServerDown is set if the agent cannot reach its backend server.
+	EngineDown bool
+	// Waiting and Running count requests and Limit bounds Running, as of the
+	// last Status.
+	Waiting, Running, Limit int
+	// LastHeard is when the last message was received; zero if none was.
+	Seen time.Time
+	// TargetsVersion is the version of the targets in force there then.
+	Targets uint64
+	// Serves is the model or plain HTTP service as reported by the agent. The
+	// VM list may be out of date when an address was reassigned to another VM.
+	Serves string
+	// CanLoadModels is set if the backend server accepts orders to load a
+	// model.
+	Loads bool
+}
+
+// Agents returns what is known of each agent that this entry connects to.
+func (f *Fleet) Agents() []AgentInfo {
+	var agents []AgentInfo
+	for _, l := range f.snapshot() {
+		agents = append(agents, l.info())
+	}
+	return agents
+}
+
+func (l *link) info() AgentInfo {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return AgentInfo{
+		VM:         l.vm,
+		Connected:  l.conn != nil,
+		Leaving:    l.vm.Leaving || l.status.Leaving,
+		EngineDown: l.status.EngineDown,
+		Waiting:    l.status.Waiting,
+		Running:    l.status.Running,
+		Limit:      l.status.Limit,
+		Seen:       l.lastHeard,
+		Targets:    l.targetsVersion,
+		Serves:     l.hello.Serves,
+		Loads:      l.hello.Loads,
+	}
+}
+
+// candidate returns the agent as a placement candidate; false if it cannot take
+// tickets for serves.
+func (l *link) candidate(serves string) (policy.Candidate, bool) {
+	info := l.info()
+	if info.Serves != serves || !info.Connected || info.Leaving || info.EngineDown {
+		return policy.Candidate{}, false
+	}
+	return policy.Candidate{
+		Name:    info.VM.Name,
+		Zone:    info.VM.Zone,
+		Waiting: info.Waiting,
+		Running: info.Running,
+		Limit:   info.Limit,
+		Seen:    info.Seen,
+	}, true
+}
+
+// hasPendingWork reports whether a ticket or a void is unanswered.
+func (l *link) hasPendingWork() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.pending.count() > 0 || len(l.pendingVoids) > 0
+}
+
+func (l *link) updateVM(vm storage.VM) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.vm = vm
+}
+
+func (l *link) addr() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.vm.Addr
+}
--- a/internal/entry/fleet/bench_test.go
+++ b/internal/entry/fleet/bench_test.go
@@ -20,27 +20,27 @@
 )
 
 const (
-	// benchModels times subsetSize are the links of the benchmark.
+	// benchModels times subsetSize is the number of links in the benchmark.
 	benchModels = 8
-	// benchSpan is over how long their bytes are counted.
-	benchSpan = 30 * time.Second
+	// benchDuration is how long the traffic is counted.
+	benchDuration = 30 * time.Second
 )
 
-// countedBytes is the traffic of a process, both ways.
-type countedBytes struct{ atomic.Int64 }
+// trafficCounter counts the bytes that a process sends and receives.
+type trafficCounter struct{ atomic.Int64 }
 
-func (c *countedBytes) Sent(bytes int)     { c.Add(int64(bytes)) }
-func (c *countedBytes) Received(bytes int) { c.Add(int64(bytes)) }
+func (c *trafficCounter) Sent(bytes int)     { c.Add(int64(bytes)) }
+func (c *trafficCounter) Received(bytes int) { c.Add(int64(bytes)) }
 
-// silentListener hears nothing that matters here.
-type silentListener struct{}
+// nopTicketHandler accepts all grants and ignores all other replies.
+type nopTicketHandler struct{}
 
-func (silentListener) Granted(string, string) bool                { return true }
-func (silentListener) Refused(string, wire.Reason, time.Duration) {}
-func (silentListener) Lost(string)                                {}
+func (nopTicketHandler) Granted(string, string) bool                { return true }
+func (nopTicketHandler) Refused(string, wire.Reason, time.Duration) {}
+func (nopTicketHandler) Lost(string)                                {}
 
-// waitingAgent answers pings and lets tickets wait.
-func waitingAgent(local wire.Local) http.HandlerFunc {
+// pingOnlyAgent answers pings and leaves tickets waiting.
+func pingOnlyAgent(local wire.Local) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		conn, err := wire.Accept(w, r, local)
 		if err != nil {
@@ -59,15 +59,16 @@
 	}
 }
 
-func benchLocal(t wire.Traffic) wire.Local {
+func testLocal(t wire.Traffic) wire.Local {
 	return wire.Local{Clock: &timeline.Clock{}, TargetsVersion: func() uint64 { return 0 }, Traffic: t}
 }
 
-// BenchmarkWatching is what an entry sends and receives to watch 192
-// connections, each with tickets that wait the whole time: B/s at the entry,
-// without the tickets. Run it with -benchtime 1x; it takes half a minute a tier.
+// BenchmarkWatching measures the traffic of an entry that monitors 192
+// connections, each with a ticket waiting the whole time: bytes per second sent
+// and received at the entry, without the tickets. Run it with -benchtime 1x; it
+// takes half a minute per tier.
 func BenchmarkWatching(b *testing.B) {
-	web := httptest.NewServer(waitingAgent(benchLocal(&countedBytes{})))
+	web := httptest.NewServer(pingOnlyAgent(testLocal(&trafficCounter{})))
 	b.Cleanup(web.Close)
 	var vms []storage.VM
 	for i := range benchModels * subsetSize {
@@ -76,29 +77,29 @@
 	for _, tier := range []int{0, 2} {
 		b.Run(fmt.Sprintf("tier=%d", tier), func(b *testing.B) {
 			for b.Loop() {
-				b.ReportMetric(watchedBytes(b, vms, tier)/benchSpan.Seconds(), "B/s")
+				b.ReportMetric(measureTraffic(b, vms, tier)/benchDuration.Seconds(), "B/s")
 			}
 		})
 	}
 }
 
-func watchedBytes(b *testing.B, vms []storage.VM, tier int) float64 {
-	var traffic countedBytes
-	f, stop := runFleet(benchLocal(&traffic), vms...)
+func measureTraffic(b *testing.B, vms []storage.VM, tier int) float64 {
+	var traffic trafficCounter
+	f, stop := runFleet(testLocal(&traffic), vms...)
 	for _, vm := range vms {
 		t := &wire.Ticket{Request: "r-" + vm.Name, Attempt: 1, Tier: tier, Serves: vm.Serves}
-		for !f.Place(vm.Name, t, silentListener{}) {
+		for !f.Place(vm.Name, t, nopTicketHandler{}) {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	start := traffic.Load()
-	time.Sleep(benchSpan)
+	time.Sleep(benchDuration)
 	bytes := traffic.Load() - start
 	stop()
 	return float64(bytes)
 }
 
-// runFleet runs a Fleet with a list of VMs until stop.
+// runFleet runs a Fleet with the given VMs until stop is called.
 func runFleet(local wire.Local, vms ...storage.VM) (f *Fleet, stop func()) {
 	f = New(Config{
 		Process: "entry-1", Local: local, Holder: targets.NewHolder(),
--- a/internal/entry/fleet/fleet.go
+++ b/internal/entry/fleet/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet is what an entry knows of the agents: who is there, who
-// leaves, and a connection to a subset of them. Addresses come from the
-// platform's VM list, which lags; what an agent says of itself comes sooner
-// and goes before it. Start reading at Fleet.
+// Package fleet maintains an entry's connections to a subset of the agents and
+// what is known of each agent. Addresses come from the platform's VM list,
+// which lags; what an agent reports about itself is newer and takes precedence.
+// Start reading at Fleet.
 package fleet
 
 import (
@@ -20,17 +20,20 @@
 )
 
 const (
-	// ListEvery is how often the VM list is read, which lags by more anyway.
-	ListEvery = 3 * time.Second
-	// subsetSize is to how many agents of one model or service an entry
-	// connects. At the target size (100 engines a model) an agent then has
-	// about 100 entries' connections, and a request still has 24 engines to
-	// choose from; today's fleets (at most 18) are covered whole.
+	// VMListInterval is how often the VM list is read. The list itself lags by
+	// more.
+	VMListInterval = 3 * time.Second
+	// subsetSize is the maximum number of agents of one model or plain HTTP
+	// service that an entry connects to. At the target size (100 backend
+	// servers per model) each agent then has connections from about 100
+	// entries, and a request can choose among 24 backend servers. Today's
+	// fleets (at most 18) are covered completely.
 	subsetSize = 24
 )
 
-// Config is what a Fleet works with.
+// Config holds the settings and dependencies of a Fleet.
 type Config struct {
+	// Process is this entry's name, Zone its availability zone.
 	Process   string
 	Zone      string
 	SystemKey string
@@ -39,54 +42,59 @@
 	List      storage.VMList
 	Ring      *timeline.Ring
 	Log       *zap.Logger
-	// Fallback is asked for the VM list while the platform is down.
+	// FallbackVMList returns the VM list while the platform is unavailable. It
+	// is only called until a first list was read.
 	Fallback func(ctx context.Context) ([]storage.VM, error)
-	// Gone hears of each agent that this entry no longer connects to. It must
-	// not call the Fleet.
+	// OnAgentRemoved is called for each agent that this entry no longer
+	// connects to, with the Fleet's lock held. It must not call the Fleet.
 	Gone func(agent string)
 }
 
-// Fleet holds the links. Lock order: Fleet.mu before link.mu.
+// Fleet maintains the links to the agents. It is safe for concurrent use. Lock
+// order: Fleet.mu before link.mu.
 type Fleet struct {
 	config Config
 
-	mu     sync.Mutex
-	vms    []storage.VM
-	listed time.Time
-	links  map[string]*member
-	wg     conc.WaitGroup
+	mu       sync.Mutex
+	vms      []storage.VM
+	listedAt time.Time
+	links    map[string]*managedLink
+	wg       conc.WaitGroup
 }
 
-// member is a link and the way to end it.
-type member struct {
+// managedLink is a link and the function that ends it.
+type managedLink struct {
 	link   *link
 	cancel context.CancelFunc
 }
 
-// New returns a Fleet that knows nobody yet.
+// New returns a Fleet without any agents. Run connects to them.
 func New(c Config) *Fleet {
-	return &Fleet{config: c, links: make(map[string]*member)}
+	return &Fleet{config: c, links: make(map[string]*managedLink)}
 }
 
-// Run follows the VM list until ctx ends.
+// Run keeps the links up to date with the VM list and announces changed targets
+// until ctx ends, then waits for the links to close.
 func (f *Fleet) Run(ctx context.Context) {
-	f.wg.Go(func() { f.spread(ctx) })
-	timer := time.NewTicker(ListEvery)
-	defer timer.Stop()
+	f.wg.Go(func() { f.announceChanges(ctx) })
+	ticker := time.NewTicker(VMListInterval)
+	defer ticker.Stop()
 	for {
 		f.refresh(ctx)
 		if f.config.Holder.Behind() {
-			f.announce()
+			f.announceTargets()
 		}
 		select {
 		case <-ctx.Done():
 			f.wg.Wait()
 			return
-		case <-timer.C:
+		case <-ticker.C:
 		}
 	}
 }
 
+// refresh reads the VM list. It keeps the last list if the platform is
+// unavailable.
 func (f *Fleet) refresh(ctx context.Context) {
 	vms, err := f.config.List.VMs(ctx)
 	if err != nil && f.Known() {
@@ -100,38 +108,39 @@
 		f.config.Log.Warn(logging.EventPlatformDown, logging.Reason(err.Error()))
 		return
 	}
-	f.adopt(ctx, vms)
+	f.applyVMList(ctx, vms)
 }
 
-// Known reports whether a VM list was ever read.
+// HasVMList reports whether a VM list was ever read.
 func (f *Fleet) Known() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.listed.IsZero()
+	return !f.listedAt.IsZero()
 }
 
-// VMs returns the last list that was read and when.
+// VMs returns the last VM list and the time when it was read.
 func (f *Fleet) VMs() ([]storage.VM, time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.vms, f.listed
+	return f.vms, f.listedAt
 }
 
-func (f *Fleet) adopt(ctx context.Context, vms []storage.VM) {
+// applyVMList stores a VM list and adds and removes links accordingly.
+func (f *Fleet) applyVMList(ctx context.Context, vms []storage.VM) {
 	wanted := f.subset(vms)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.vms = vms
-	f.listed = time.Now()
-	f.drop(wanted)
-	f.add(ctx, wanted)
+	f.listedAt = time.Now()
+	f.removeLinks(wanted)
+	f.addLinks(ctx, wanted)
 }
 
-// drop ends the links to VMs that are no longer wanted, unless an answer is
-// still expected there.
-func (f *Fleet) drop(wanted map[string]storage.VM) {
+// removeLinks ends the links to VMs that are not wanted, except those with
+// pending tickets or voids. The caller must hold f.mu.
+func (f *Fleet) removeLinks(wanted map[string]storage.VM) {
 	for name, m := range f.links {
-		if _, ok := wanted[name]; ok || m.link.busy() {
+		if _, ok := wanted[name]; ok || m.link.hasPendingWork() {
 			continue
 		}
 		m.cancel()
@@ -141,39 +150,45 @@
 	}
 }
 
-func (f *Fleet) add(ctx context.Context, wanted map[string]storage.VM) {
+// addLinks updates the existing links and starts the missing ones. The caller
+// must hold f.mu.
+func (f *Fleet) addLinks(ctx context.Context, wanted map[string]storage.VM) {
 	for name, vm := range wanted {
 		if m, ok := f.links[name]; ok {
-			m.link.update(vm)
+			m.link.updateVM(vm)
 			continue
 		}
 		linkCtx, cancel := context.WithCancel(ctx)
 		l := newLink(f, vm)
-		f.links[name] = &member{link: l, cancel: cancel}
+		f.links[name] = &managedLink{link: l, cancel: cancel}
 		f.config.Ring.Record(timeline.KindJoin, "", "", name)
 		f.wg.Go(func() { l.run(linkCtx) })
 	}
 }
 
-// spread tells all agents when newer targets are in force here.
-func (f *Fleet) spread(ctx context.Context) {
+// announceChanges announces the targets to all agents whenever newer ones come
+// into force here.
+func (f *Fleet) announceChanges(ctx context.Context) {
 	for {
 		changed := f.config.Holder.Changed()
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-			f.announce()
+			f.announceTargets()
 		}
 	}
 }
 
-func (f *Fleet) announce() {
+// announceTargets sends an empty message to all agents; each message carries
+// the sender's targets version.
+func (f *Fleet) announceTargets() {
 	for _, l := range f.snapshot() {
 		l.send(wire.Message{})
 	}
 }
 
+// snapshot returns the current links, so that callers can use them without f.mu.
 func (f *Fleet) snapshot() []*link {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -184,7 +199,7 @@
 	return links
 }
 
-func (f *Fleet) find(agent string) (*link, bool) {
+func (f *Fleet) findLink(agent string) (*link, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m, ok := f.links[agent]
--- a/internal/entry/fleet/fleet_test.go
+++ b/internal/entry/fleet/fleet_test.go
@@ -13,7 +13,7 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-func TestAgentsThatLeaveTheListAreForgotten(t *testing.T) {
+func TestUnlistedAgentsAreRemoved(t *testing.T) {
 	var gone []string
 	clock := &timeline.Clock{}
 	f := New(Config{
@@ -26,17 +26,17 @@
 	})
 	stays := storage.VM{Name: "stays", Addr: "127.0.0.1:1", Role: storage.RoleBackend, Serves: "m"}
 	leaves := storage.VM{Name: "leaves", Addr: "127.0.0.1:1", Role: storage.RoleBackend, Serves: "m"}
-	f.adopt(t.Context(), []storage.VM{stays, leaves})
-	f.adopt(t.Context(), []storage.VM{stays})
+	f.applyVMList(t.Context(), []storage.VM{stays, leaves})
+	f.applyVMList(t.Context(), []storage.VM{stays})
 	if !slices.Equal(gone, []string{"leaves"}) {
 		t.Fatalf("gone: %q", gone)
 	}
-	if _, ok := f.find("stays"); !ok {
-		t.Fatal("an agent that is still listed was dropped")
+	if _, ok := f.findLink("stays"); !ok {
+		t.Fatal("an agent that is still listed was removed")
 	}
 }
 
-func TestSubsetIsStableAsVMsComeAndGo(t *testing.T) {
+func TestSubsetIsStable(t *testing.T) {
 	f := New(Config{Process: "entry"})
 	var vms []storage.VM
 	for i := range 100 {
--- a/internal/entry/fleet/link.go
+++ b/internal/entry/fleet/link.go
@@ -8,75 +8,81 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// link is this entry's connection to one agent. It dials again by itself.
-// Lock order: link.mu is a leaf but for the connection, whose Send never
-// blocks; listeners are called without it.
+// link maintains the connection to one agent and redials when it is lost. Lock
+// order: link.mu is a leaf except for the connection's lock; wire.Conn.Send
+// never blocks. Ticket handlers are called without link.mu.
 type link struct {
 	fleet *Fleet
-	// name is the VM's, which never changes; the rest of its row may.
+	// name is the VM's name, which never changes; its other properties may.
 	name string
 
-	mu       sync.Mutex
-	vm       storage.VM
-	conn     *wire.Conn
-	status   wire.Status
-	hello    wire.Hello
-	seen     time.Time
-	targets  uint64
-	tickets  waitingTickets
-	voids    map[string]chan wire.VoidResult
-	liveness liveness
-	pingSeq  uint64
-	// told is closed with the next Status; nil when nobody waits for it.
-	told chan struct{}
+	mu             sync.Mutex
+	vm             storage.VM
+	conn           *wire.Conn
+	status         wire.Status
+	hello          wire.Hello
+	lastHeard      time.Time
+	targetsVersion uint64
+	pending        pendingTickets
+	pendingVoids   map[string]chan wire.VoidResult
+	liveness       liveness
+	pingSeq        uint64
+	// statusUpdated is closed when the next Status arrives; nil if nobody
+	// waits.
+	statusUpdated chan struct{}
 }
 
 func newLink(f *Fleet, vm storage.VM) *link {
 	return &link{
-		fleet:   f,
-		name:    vm.Name,
-		vm:      vm,
-		tickets: newWaitingTickets(),
-		voids:   make(map[string]chan wire.VoidResult),
+		fleet:        f,
+		name:         vm.Name,
+		vm:           vm,
+		pending:      newPendingTickets(),
+		pendingVoids: make(map[string]chan wire.VoidResult),
 	}
 }
 
-// watch says how closely to look at the connection; the lock is held.
-func (l *link) watch() watch {
+// currentWatchLevel returns how closely to monitor the connection. The caller
+// must hold l.mu.
+func (l *link) currentWatchLevel() watchLevel {
 	switch {
-	case l.tickets.urgent > 0 || len(l.voids) > 0:
+	case l.pending.urgentCount > 0 || len(l.pendingVoids) > 0:
 		return watchUrgent
-	case l.tickets.count() > 0:
+	case l.pending.count() > 0:
 		return watchWaiting
 	default:
 		return watchIdle
 	}
 }
 
+// handle processes a message from the agent.
 func (l *link) handle(m wire.Message) {
 	l.mu.Lock()
-	l.seen = time.Now()
-	l.liveness.noteSeen(l.seen)
-	l.targets = m.Targets
+	l.lastHeard = time.Now()
+	l.liveness.messageReceived(l.lastHeard)
+	l.targetsVersion = m.Targets
 	if m.Status != nil {
-		l.noteStatus(*m.Status)
+		l.storeStatus(*m.Status)
 	}
 	if m.Hello != nil {
 		l.hello = *m.Hello
 	}
 	l.mu.Unlock()
-	l.compareTargets(m)
+	l.syncTargets(m)
 	switch {
 	case m.Grant != nil:
-		l.granted(m.Grant)
+		l.handleGrant(m.Grant)
 	case m.Refuse != nil:
-		l.refused(m.Refuse)
+		l.handleRefusal(m.Refuse)
 	case m.Voided != nil:
-		l.voided(m.Voided)
+		l.handleVoided(m.Voided)
 	}
 }
 
-func (l *link) compareTargets(m wire.Message) {
+// syncTargets compares the agent's targets version with the one held here,
+// requests a newer set and sends or announces the current one if the agent's is
+// older.
+func (l *link) syncTargets(m wire.Message) {
 	holder := l.fleet.config.Holder
 	if m.NewSet != nil {
 		holder.Offer(m.NewSet)
@@ -85,66 +91,70 @@
 		l.send(wire.Message{NewSet: holder.Current()})
 		return
 	}
-	have := holder.Current().Version
+	current := holder.Current().Version
 	if holder.Ask(m.Targets) {
 		l.send(wire.Message{WantSet: &wire.WantSet{}})
 	}
-	if m.Targets < have && m.WantSet == nil {
+	if m.Targets < current && m.WantSet == nil {
 		l.send(wire.Message{})
 	}
 }
 
-// granted hands a grant to its attempt; one that nobody waits for is declined
-// at once, so that the engine's slot doesn't wait until it lapses.
-func (l *link) granted(g *wire.Grant) {
-	listener, ok := l.takeListener(attemptKey{g.Request, g.Attempt})
-	if !ok || !listener.Granted(l.name, g.ID) {
-		l.send(wire.Message{Withdraw: &wire.Withdraw{Request: g.Request, Attempt: g.Attempt}})
+// handleGrant passes a grant to its attempt. A grant that is not accepted or
+// that no attempt waits for is declined immediately, so that the backend
+// server's slot is not blocked until the grant expires.
+func (l *link) handleGrant(grant *wire.Grant) {
+	handler, ok := l.removePending(attemptKey{grant.Request, grant.Attempt})
+	if !ok || !handler.Granted(l.name, grant.ID) {
+		l.send(wire.Message{Withdraw: &wire.Withdraw{Request: grant.Request, Attempt: grant.Attempt}})
 	}
 }
 
-func (l *link) refused(r *wire.Refuse) {
-	listener, ok := l.takeListener(attemptKey{r.Request, r.Attempt})
+func (l *link) handleRefusal(refusal *wire.Refuse) {
+	handler, ok := l.removePending(attemptKey{refusal.Request, refusal.Attempt})
 	if ok {
-		listener.Refused(l.name, r.Reason, time.Duration(r.RetryAfterMS)*time.Millisecond)
+		handler.Refused(l.name, refusal.Reason, time.Duration(refusal.RetryAfterMS)*time.Millisecond)
 	}
 }
 
-func (l *link) takeListener(key attemptKey) (Listener, bool) {
+// removePending removes a ticket and returns its handler; false if it is not
+// pending.
+func (l *link) removePending(key attemptKey) (TicketHandler, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.tickets.take(key)
+	return l.pending.remove(key)
 }
 
-// place sends a ticket; false means that this agent has no connection now.
-func (l *link) place(t *wire.Ticket, listener Listener) bool {
+// place sends a ticket. It returns false if there is no connection.
+func (l *link) place(t *wire.Ticket, handler TicketHandler) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn == nil {
 		return false
 	}
 	key := attemptKey{t.Request, t.Attempt}
-	l.tickets.add(key, t.Tier, listener)
+	l.pending.add(key, t.Tier, handler)
 	if err := l.conn.Send(wire.Message{Ticket: t}); err != nil {
-		l.tickets.take(key)
+		l.pending.remove(key)
 		return false
 	}
-	l.liveness.noteTicket(time.Now())
+	l.liveness.ticketPlaced(time.Now())
 	return true
 }
 
-// withdraw takes a ticket back.
+// withdraw cancels a ticket that has not been answered.
 func (l *link) withdraw(request string, attempt int) {
-	if _, ok := l.takeListener(attemptKey{request, attempt}); ok {
+	if _, ok := l.removePending(attemptKey{request, attempt}); ok {
 		l.send(wire.Message{Withdraw: &wire.Withdraw{Request: request, Attempt: attempt}})
 	}
 }
 
+// send sends a message if there is a connection; otherwise it is dropped.
 func (l *link) send(m wire.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn != nil {
 		_ = l.conn.Send(m)
-		l.liveness.noteSent(time.Now())
+		l.liveness.messageSent(time.Now())
 	}
 }
--- a/internal/entry/fleet/link_conn.go
+++ b/internal/entry/fleet/link_conn.go
@@ -13,29 +13,31 @@
 )
 
 const (
-	// redialFrom and redialTo bound the pause between two dials.
-	redialFrom = 100 * time.Millisecond
-	redialTo   = 2 * time.Second
+	// minRedialDelay and maxRedialDelay bound the delay between two dials,
+	// which doubles with each failure and has jitter.
+	minRedialDelay = 100 * time.Millisecond
+	maxRedialDelay = 2 * time.Second
 )
 
-// run keeps the connection up until ctx ends.
+// run keeps a connection to the agent open until ctx ends.
 func (l *link) run(ctx context.Context) {
-	wait := redialFrom
+	delay := minRedialDelay
 	for ctx.Err() == nil {
 		conn, err := wire.Dial(ctx, l.addr(), l.fleet.config.SystemKey, l.fleet.config.Local)
 		if err != nil {
-			wait = min(2*wait, redialTo)
+			delay = min(2*delay, maxRedialDelay)
 		} else {
-			wait = redialFrom
-			l.serve(ctx, conn)
+			delay = minRedialDelay
+			l.serveConn(ctx, conn)
 		}
-		pause.For(ctx, wait/2+rand.N(wait/2))
+		pause.For(ctx, delay/2+rand.N(delay/2))
 	}
 }
 
-func (l *link) serve(ctx context.Context, conn *wire.Conn) {
-	var pinger conc.WaitGroup
-	defer pinger.Wait()
+// serveConn processes messages until the connection fails or ctx ends.
+func (l *link) serveConn(ctx context.Context, conn *wire.Conn) {
+	var monitor conc.WaitGroup
+	defer monitor.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	l.attach(conn)
@@ -43,7 +45,7 @@
 	log.Info(logging.EventConnected)
 	stop := context.AfterFunc(ctx, conn.Close)
 	defer stop()
-	pinger.Go(func() { l.ping(ctx, conn) })
+	monitor.Go(func() { l.monitorLiveness(ctx, conn) })
 	for {
 		m, err := conn.Receive(ctx)
 		if err != nil {
@@ -56,15 +58,17 @@
 	l.detach(conn)
 }
 
+// attach makes conn the current connection and sends Hello.
 func (l *link) attach(conn *wire.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conn = conn
-	l.liveness = liveness{quiet: time.Now()}
+	l.liveness = liveness{silentSince: time.Now()}
 	_ = conn.Send(wire.Message{Hello: &wire.Hello{Process: l.fleet.config.Process, Zone: l.fleet.config.Zone}})
 }
 
-// detach tells every attempt that waits here that its ticket is gone.
+// detach clears the connection and reports Lost to the handlers of all pending
+// tickets.
 func (l *link) detach(conn *wire.Conn) {
 	l.mu.Lock()
 	if l.conn != conn {
@@ -72,21 +76,22 @@
 		return
 	}
 	l.conn = nil
-	lost := l.tickets.byAttempt
-	l.tickets = newWaitingTickets()
-	for _, answer := range l.voids {
+	lost := l.pending.byAttempt
+	l.pending = newPendingTickets()
+	for _, answer := range l.pendingVoids {
 		close(answer)
 	}
-	l.voids = make(map[string]chan wire.VoidResult)
+	l.pendingVoids = make(map[string]chan wire.VoidResult)
 	l.mu.Unlock()
 	for _, t := range lost {
-		t.listener.Lost(l.name)
+		t.handler.Lost(l.name)
 	}
 }
 
-// ping watches a connection for signs of life, as liveness says.
-func (l *link) ping(ctx context.Context, conn *wire.Conn) {
-	timer := time.NewTimer(pingEvery)
+// monitorLiveness sends pings and closes the connection when the agent counts
+// as dead. See liveness.
+func (l *link) monitorLiveness(ctx context.Context, conn *wire.Conn) {
+	timer := time.NewTimer(minPingInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -94,24 +99,26 @@
 			return
 		case <-timer.C:
 		}
-		seq, ask, dead, next := l.pingState()
+		seq, sendPing, dead, untilNextCheck := l.nextPing()
 		if dead {
 			conn.Close()
 			return
 		}
-		if ask {
+		if sendPing {
 			_ = conn.Send(wire.Message{Ping: &wire.Ping{Seq: seq}})
 		}
-		timer.Reset(next)
+		timer.Reset(untilNextCheck)
 	}
 }
 
-func (l *link) pingState() (seq uint64, ask, dead bool, next time.Duration) {
+// nextPing returns whether to send a ping with seq now, whether the agent counts
+// as dead, and the time until the next check.
+func (l *link) nextPing() (seq uint64, sendPing, dead bool, untilNextCheck time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	w := l.watch()
-	ask, dead = l.liveness.check(now, w)
+	level := l.currentWatchLevel()
+	sendPing, dead = l.liveness.check(now, level)
 	l.pingSeq++
-	return l.pingSeq, ask, dead, l.liveness.next(now, w)
+	return l.pingSeq, sendPing, dead, l.liveness.nextCheck(now, level)
 }
--- a/internal/entry/fleet/link_void.go
+++ b/internal/entry/fleet/link_void.go
@@ -9,26 +9,27 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// voidTimeout bounds the wait for the answer to Void.
+// voidTimeout bounds the wait for the answer to a Void message.
 const voidTimeout = 2 * time.Second
 
-// ErrNoAnswer: the agent could not be asked, or did not answer.
+// ErrNoAnswer is returned if an agent could not be asked or did not answer.
 var ErrNoAnswer = errors.New("agent did not answer")
 
-func (l *link) voided(v *wire.Voided) {
+// handleVoided passes the answer to a Void to its caller.
+func (l *link) handleVoided(v *wire.Voided) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if answer, ok := l.voids[v.Grant]; ok {
-		delete(l.voids, v.Grant)
+	if answer, ok := l.pendingVoids[v.Grant]; ok {
+		delete(l.pendingVoids, v.Grant)
 		answer <- v.Result
 	}
 }
 
-// void asks the agent to make a grant unusable.
+// void asks the agent to make a grant unusable and waits for its answer.
 func (l *link) void(ctx context.Context, grant string) (wire.VoidResult, error) {
 	answer := make(chan wire.VoidResult, 1)
-	defer l.forgetVoid(grant)
-	if !l.askVoid(grant, answer) {
+	defer l.removeVoid(grant)
+	if !l.sendVoid(grant, answer) {
 		return "", ErrNoAnswer
 	}
 	ctx, cancel := context.WithTimeout(ctx, voidTimeout)
@@ -44,20 +45,22 @@
 	}
 }
 
-func (l *link) askVoid(grant string, answer chan wire.VoidResult) bool {
+// sendVoid sends a Void and registers answer for its result; false if it could
+// not be sent.
+func (l *link) sendVoid(grant string, answer chan wire.VoidResult) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn == nil {
 		return false
 	}
-	l.voids[grant] = answer
+	l.pendingVoids[grant] = answer
 	return l.conn.Send(wire.Message{Void: &wire.Void{Grant: grant}}) == nil
 }
 
-// forgetVoid ends the wait for an answer, also for one that didn't come: a link
-// that waits is watched closely.
-func (l *link) forgetVoid(grant string) {
+// removeVoid ends the wait for an answer, also if none arrived: a link with a
+// pending void is monitored at watchUrgent.
+func (l *link) removeVoid(grant string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.voids, grant)
+	delete(l.pendingVoids, grant)
 }
--- a/internal/entry/fleet/liveness.go
+++ b/internal/entry/fleet/liveness.go
@@ -3,123 +3,129 @@
 import "time"
 
 const (
-	// pingEvery is how long a connection with work outstanding may stay
-	// without any sign of life before it is asked for one. While urgent work
-	// is outstanding that holds all the time, so that a silent connection is
-	// found within pingEvery + pongBound, 1.3 s.
-	pingEvery = 300 * time.Millisecond
-	// pingMost is to how much that time grows while the same less urgent
-	// tickets wait and the agent answers: it doubles with each answer, so that
-	// it stays near the time that they have waited already. A silent
-	// connection with only these is found within pingMost + pongBound, 10.6 s;
-	// within 1.3 s if it was silent when the last of them was placed. At the
-	// target size an entry with all of its 288 connections busy sends and
-	// receives 1.8 KB/s for it, against 58 KB/s at pingEvery.
-	pingMost = 32 * pingEvery
-	// pongBound is when a connection that gives none counts as dead: three
-	// pings, so that one delayed answer on a busy machine isn't taken for it.
-	pongBound = time.Second
-	// idleAsk is how long a message may stay without any sign of life before
-	// the agent is asked for one, when no work is outstanding. Most messages
-	// are answered or followed by others sooner and cost no ping.
-	idleAsk = time.Second
+	// minPingInterval is how long a connection with pending work may be silent
+	// before the agent is pinged. It applies all the time while urgent work is
+	// pending, so that a silent connection is detected within minPingInterval +
+	// pongTimeout, 1.3 s.
+	minPingInterval = 300 * time.Millisecond
+	// maxPingInterval bounds the ping interval while the same less urgent
+	// tickets wait and the agent answers. The interval doubles with each
+	// answer, so it stays close to the time that the tickets have waited
+	// already. With only such tickets, a silent connection is detected within
+	// maxPingInterval + pongTimeout, 10.6 s; within 1.3 s if it was already
+	// silent when the last ticket was placed. At the target size, an entry with
+	// all of its 288 connections busy sends and receives 1.8 KB/s of pings,
+	// against 58 KB/s at minPingInterval.
+	maxPingInterval = 32 * minPingInterval
+	// pongTimeout is how long after the first unanswered ping a connection
+	// counts as dead. It covers three pings, so that one delayed answer on a
+	// busy machine does not close the connection.
+	pongTimeout = time.Second
+	// unansweredPingDelay is how long the agent may be silent after a message
+	// before it is pinged, when no work is pending. Most messages are answered
+	// or followed by others sooner and need no ping.
+	unansweredPingDelay = time.Second
 )
 
-// watch is how closely a connection is looked at.
-type watch int
+// watchLevel is how closely a connection is monitored.
+type watchLevel int
 
 const (
-	// watchIdle: no work is outstanding.
-	watchIdle watch = iota
-	// watchWaiting: tickets of less urgent tiers wait.
+	// watchIdle: no work is pending.
+	watchIdle watchLevel = iota
+	// watchWaiting: only tickets of less urgent tiers are pending.
 	watchWaiting
-	// watchUrgent: a ticket of an urgent tier waits, or the answer to a Void.
+	// watchUrgent: a ticket of an urgent tier or the answer to a Void is
+	// pending.
 	watchUrgent
 )
 
-// liveness tells when a connection has gone silent. A connection that nothing
-// is sent on costs nothing: it is looked at while work is outstanding, and
-// after a message that no sign of life has followed. The latter finds a silent
-// connection whose tickets are all granted elsewhere, which would otherwise
-// swallow news of targets for good. The link's lock guards it.
+// liveness detects silent connections. A connection without traffic is not
+// pinged: it is monitored while work is pending, and after a message until the
+// agent is heard from again. The latter detects a silent connection whose
+// tickets were all granted by other agents; otherwise it would lose
+// announcements of targets indefinitely. It is guarded by the link's lock.
 type liveness struct {
-	// quiet is since when nothing was heard: the last sign of life, or the
-	// last ticket, whose answer is then given pingEvery to come.
-	quiet time.Time
-	// sent is the first message since the last sign of life, asked the first
-	// ping; zero when there is none.
-	sent  time.Time
-	asked time.Time
-	// pause is the silence after which the agent is asked, while no urgent
-	// work is outstanding; zero means pingEvery.
-	pause time.Duration
+	// silentSince is the time of the last received message or of the last
+	// placed ticket, whichever is later. The agent has minPingInterval to
+	// answer a ticket.
+	silentSince time.Time
+	// unansweredSince is the time of the first message sent since the last
+	// received one; pingedAt is the time of the first ping. Both are zero if
+	// there is none.
+	unansweredSince time.Time
+	pingedAt        time.Time
+	// pingInterval is the silence after which the agent is pinged while no
+	// urgent work is pending; zero means minPingInterval.
+	pingInterval time.Duration
 }
 
-// noteSent notes a message that is neither a ping nor a ticket.
-func (v *liveness) noteSent(now time.Time) {
-	if v.sent.IsZero() {
-		v.sent = now
+// messageSent records a sent message other than a ping or a ticket.
+func (l *liveness) messageSent(now time.Time) {
+	if l.unansweredSince.IsZero() {
+		l.unansweredSince = now
 	}
 }
 
-// noteTicket notes a ticket that was placed.
-func (v *liveness) noteTicket(now time.Time) {
-	v.noteSent(now)
-	v.quiet = now
-	v.pause = pingEvery
+// ticketPlaced records a sent ticket and resets the ping interval.
+func (l *liveness) ticketPlaced(now time.Time) {
+	l.messageSent(now)
+	l.silentSince = now
+	l.pingInterval = minPingInterval
 }
 
-// noteSeen notes a sign of life.
-func (v *liveness) noteSeen(now time.Time) {
-	if !v.asked.IsZero() {
-		v.pause = min(2*max(v.pause, pingEvery), pingMost)
+// messageReceived records a received message. If it follows a ping, the ping
+// interval doubles.
+func (l *liveness) messageReceived(now time.Time) {
+	if !l.pingedAt.IsZero() {
+		l.pingInterval = min(2*max(l.pingInterval, minPingInterval), maxPingInterval)
 	}
-	v.quiet = now
-	v.sent = time.Time{}
-	v.asked = time.Time{}
+	l.silentSince = now
+	l.unansweredSince = time.Time{}
+	l.pingedAt = time.Time{}
 }
 
-// check reports whether the agent is to be asked for a sign of life now, or
-// has left one out for too long.
-func (v *liveness) check(now time.Time, w watch) (ask, dead bool) {
-	if !v.asked.IsZero() {
-		return true, now.Sub(v.asked) >= pongBound
+// check reports whether to ping the agent now, and whether it counts as dead
+// because it left a ping unanswered for pongTimeout.
+func (l *liveness) check(now time.Time, level watchLevel) (sendPing, dead bool) {
+	if !l.pingedAt.IsZero() {
+		return true, now.Sub(l.pingedAt) >= pongTimeout
 	}
-	due, ok := v.due(w)
+	due, ok := l.pingDue(level)
 	if !ok || now.Before(due) {
 		return false, false
 	}
-	v.asked = now
+	l.pingedAt = now
 	return true, false
 }
 
-// next is after how long to check again: pingEvery, or sooner if something
-// falls due before.
-func (v *liveness) next(now time.Time, w watch) time.Duration {
-	due, ok := v.due(w)
-	if !v.asked.IsZero() {
-		due, ok = v.asked.Add(pongBound), true
+// nextCheck returns the time until the next check: minPingInterval, or less if
+// a ping or the pong timeout is due sooner.
+func (l *liveness) nextCheck(now time.Time, level watchLevel) time.Duration {
+	due, ok := l.pingDue(level)
+	if !l.pingedAt.IsZero() {
+		due, ok = l.pingedAt.Add(pongTimeout), true
 	}
 	if !ok {
-		return pingEvery
+		return minPingInterval
 	}
-	return min(max(due.Sub(now), time.Millisecond), pingEvery)
+	return min(max(due.Sub(now), time.Millisecond), minPingInterval)
 }
 
-// due is when the agent is to be asked; false when there is no need.
-func (v *liveness) due(w watch) (time.Time, bool) {
+// pingDue returns the time of the next ping; false if none is needed.
+func (l *liveness) pingDue(level watchLevel) (time.Time, bool) {
 	var due time.Time
-	switch w {
+	switch level {
 	case watchUrgent:
-		due = v.quiet.Add(pingEvery)
+		due = l.silentSince.Add(minPingInterval)
 	case watchWaiting:
-		due = v.quiet.Add(max(v.pause, pingEvery))
+		due = l.silentSince.Add(max(l.pingInterval, minPingInterval))
 	}
-	if v.sent.IsZero() {
-		return due, w != watchIdle
+	if l.unansweredSince.IsZero() {
+		return due, level != watchIdle
 	}
-	unanswered := v.sent.Add(idleAsk)
-	if w == watchIdle || unanswered.Before(due) {
+	unanswered := l.unansweredSince.Add(unansweredPingDelay)
+	if level == watchIdle || unanswered.Before(due) {
 		due = unanswered
 	}
 	return due, true
--- a/internal/entry/fleet/liveness_test.go
+++ b/internal/entry/fleet/liveness_test.go
@@ -5,139 +5,142 @@
 	"time"
 )
 
-// livenessPlay plays a connection in virtual time.
-type livenessPlay struct {
+// livenessSimulation simulates a connection in virtual time.
+type livenessSimulation struct {
 	liveness
 	now time.Time
 	end time.Time
-	// answers says that the agent answers at once.
-	answers bool
-	pings   int
+	// responsive is set if the agent answers pings immediately.
+	responsive bool
+	pings      int
 }
 
-func newLivenessPlay(answers bool) *livenessPlay {
+func newLivenessSimulation(responsive bool) *livenessSimulation {
 	start := time.Unix(0, 0)
-	return &livenessPlay{liveness: liveness{quiet: start}, now: start, answers: answers}
+	return &livenessSimulation{liveness: liveness{silentSince: start}, now: start, responsive: responsive}
 }
 
-// run checks as a link does, for d or until the connection counts as dead.
-func (p *livenessPlay) run(d time.Duration, w watch) (dead bool) {
-	p.end = p.now.Add(d)
-	for p.now.Before(p.end) {
-		ask, dead := p.check(p.now, w)
+// run checks the connection as a link does, for d or until it counts as dead.
+func (s *livenessSimulation) run(d time.Duration, level watchLevel) (dead bool) {
+	s.end = s.now.Add(d)
+	for s.now.Before(s.end) {
+		sendPing, dead := s.check(s.now, level)
 		if dead {
 			return true
 		}
-		if ask {
-			p.pings++
+		if sendPing {
+			s.pings++
 		}
-		if ask && p.answers {
-			p.noteSeen(p.now)
+		if sendPing && s.responsive {
+			s.messageReceived(s.now)
 		}
-		p.now = p.now.Add(p.next(p.now, w))
+		s.now = s.now.Add(s.nextCheck(s.now, level))
 	}
 	return false
 }
 
-// found is how long after now the silent connection counts as dead.
-func (p *livenessPlay) found(t *testing.T, w watch) time.Duration {
+// detectionDelay stops the agent's answers and returns the time until the
+// connection counts as dead.
+func (s *livenessSimulation) detectionDelay(t *testing.T, level watchLevel) time.Duration {
 	t.Helper()
-	p.answers = false
-	silent := p.now
-	if !p.run(time.Hour, w) {
-		t.Fatal("a silent connection was never found")
+	s.responsive = false
+	silentFrom := s.now
+	if !s.run(time.Hour, level) {
+		t.Fatal("a silent connection was never detected")
 	}
-	return p.now.Sub(silent)
+	return s.now.Sub(silentFrom)
 }
 
-func (p *livenessPlay) wantPings(t *testing.T, want int) {
+func (s *livenessSimulation) wantPings(t *testing.T, want int) {
 	t.Helper()
-	if p.pings != want {
-		t.Fatalf("%d pings, want %d", p.pings, want)
+	if s.pings != want {
+		t.Fatalf("%d pings, want %d", s.pings, want)
 	}
 }
 
-func TestLivenessCostsNothingWhenIdle(t *testing.T) {
-	p := newLivenessPlay(false)
+func TestLivenessSendsNoPingsWhenIdle(t *testing.T) {
+	p := newLivenessSimulation(false)
 	if p.run(100*time.Second, watchIdle) {
 		t.Fatal("an idle connection counts as dead")
 	}
 	p.wantPings(t, 0)
 }
 
-func TestLivenessAsksNothingOfOneThatIsHeard(t *testing.T) {
-	p := newLivenessPlay(true)
-	p.noteTicket(p.now)
+func TestLivenessSendsNoPingsToActiveAgent(t *testing.T) {
+	p := newLivenessSimulation(true)
+	p.ticketPlaced(p.now)
 	for range 100 {
-		p.noteSeen(p.now)
-		p.run(pingEvery-time.Millisecond, watchUrgent)
+		p.messageReceived(p.now)
+		p.run(minPingInterval-time.Millisecond, watchUrgent)
 	}
 	p.wantPings(t, 0)
 }
 
-func TestLivenessUrgent(t *testing.T) {
-	p := newLivenessPlay(true)
-	p.noteTicket(p.now)
+func TestLivenessPingsUrgentAtMinInterval(t *testing.T) {
+	p := newLivenessSimulation(true)
+	p.ticketPlaced(p.now)
 	p.run(30*time.Second, watchUrgent)
 	p.wantPings(t, 99)
-	if got := p.found(t, watchUrgent); got > pingEvery+pongBound {
-		t.Fatalf("found after %v", got)
+	if got := p.detectionDelay(t, watchUrgent); got > minPingInterval+pongTimeout {
+		t.Fatalf("detected after %v", got)
 	}
 }
 
-func TestLivenessBacksOffWhileTicketsWait(t *testing.T) {
-	p := newLivenessPlay(true)
-	p.noteTicket(p.now)
+func TestLivenessBacksOffWhileTicketsPending(t *testing.T) {
+	p := newLivenessSimulation(true)
+	p.ticketPlaced(p.now)
 	p.run(30*time.Second, watchWaiting)
 	p.wantPings(t, 7)
-	if got := p.found(t, watchWaiting); got > pingMost+pongBound {
-		t.Fatalf("found after %v", got)
+	if got := p.detectionDelay(t, watchWaiting); got > maxPingInterval+pongTimeout {
+		t.Fatalf("detected after %v", got)
 	}
 }
 
-// A connection that has been silent since before a new ticket is found as
-// soon as an urgent ticket's, however rarely it was asked.
-func TestLivenessNewTicket(t *testing.T) {
-	p := newLivenessPlay(true)
-	p.noteTicket(p.now)
+// A connection that went silent before a new ticket is detected as fast as with
+// an urgent ticket, even if the ping interval had grown.
+func TestLivenessNewTicketResetsBackoff(t *testing.T) {
+	p := newLivenessSimulation(true)
+	p.ticketPlaced(p.now)
 	p.run(30*time.Second, watchWaiting)
-	p.noteTicket(p.now)
-	if got := p.found(t, watchWaiting); got != pingEvery+pongBound {
-		t.Fatalf("found after %v", got)
+	p.ticketPlaced(p.now)
+	if got := p.detectionDelay(t, watchWaiting); got != minPingInterval+pongTimeout {
+		t.Fatalf("detected after %v", got)
 	}
 }
 
-// An urgent ticket beside others is not watched at their pace.
-func TestLivenessUrgentAmongWaiting(t *testing.T) {
-	p := newLivenessPlay(true)
-	p.noteTicket(p.now)
+// An urgent ticket among others is monitored at minPingInterval.
+func TestLivenessUrgentIgnoresBackoff(t *testing.T) {
+	p := newLivenessSimulation(true)
+	p.ticketPlaced(p.now)
 	p.run(30*time.Second, watchWaiting)
-	if got := p.found(t, watchUrgent); got > pingEvery+pongBound {
-		t.Fatalf("found after %v", got)
+	if got := p.detectionDelay(t, watchUrgent); got > minPingInterval+pongTimeout {
+		t.Fatalf("detected after %v", got)
 	}
 }
 
-// A message that nothing follows is asked about after idleAsk, at any pace.
+// An unanswered message triggers a ping after unansweredPingDelay at every
+// watch level.
 func TestLivenessUnansweredMessage(t *testing.T) {
-	for _, w := range []watch{watchIdle, watchWaiting} {
-		p := newLivenessPlay(true)
-		p.noteTicket(p.now)
+	for _, level := range []watchLevel{watchIdle, watchWaiting} {
+		p := newLivenessSimulation(true)
+		p.ticketPlaced(p.now)
 		p.run(30*time.Second, watchWaiting)
-		p.noteSent(p.now)
-		if got := p.found(t, w); got > idleAsk+pongBound {
-			t.Errorf("watch %d: found after %v", w, got)
+		p.messageSent(p.now)
+		if got := p.detectionDelay(t, level); got > unansweredPingDelay+pongTimeout {
+			t.Errorf("watch level %d: detected after %v", level, got)
 		}
 	}
 }
 
-// An old message that an answer has followed is not held against new work.
-func TestLivenessOldMessage(t *testing.T) {
-	p := newLivenessPlay(true)
-	p.noteSent(p.now)
+// A message that was answered does not cause a ping when a new ticket is
+// placed.
+func TestLivenessAnsweredMessageDoesNotTriggerPing(t *testing.T) {
+	p := newLivenessSimulation(true)
+	p.messageSent(p.now)
 	p.run(5*time.Second, watchIdle)
 	p.wantPings(t, 1)
-	p.noteTicket(p.now)
-	if ask, dead := p.check(p.now, watchWaiting); ask || dead {
-		t.Fatalf("at once: ask %t, dead %t", ask, dead)
+	p.ticketPlaced(p.now)
+	if sendPing, dead := p.check(p.now, watchWaiting); sendPing || dead {
+		t.Fatalf("immediately: ping %t, dead %t", sendPing, dead)
 	}
 }
--- a/internal/entry/fleet/ask_test.go
+++ b/internal/entry/fleet/refresh_status_test.go
@@ -10,8 +10,9 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// TestAskStatus: an agent that says nothing unasked is seen as it is now.
-func TestAskStatus(t *testing.T) {
+// TestRefreshStatus guards against showing operators an outdated status of an
+// agent that sends none unasked.
+func TestRefreshStatus(t *testing.T) {
 	f := runWithOneAgent(t)
 	ctx := t.Context()
 	for deadline := time.Now().Add(time.Minute); ; time.Sleep(time.Millisecond) {
@@ -25,9 +26,9 @@
 	}
 }
 
-// TestUnansweredVoidIsForgotten: an agent that doesn't answer isn't watched as
-// if an urgent request waited there for as long as the connection lasts.
-func TestUnansweredVoidIsForgotten(t *testing.T) {
+// TestUnansweredVoidIsRemoved guards against an unanswered Void keeping the
+// connection at watchUrgent for as long as it lasts.
+func TestUnansweredVoidIsRemoved(t *testing.T) {
 	f := runWithOneAgent(t)
 	for deadline := time.Now().Add(time.Minute); ; time.Sleep(time.Millisecond) {
 		if agents := f.Agents(); len(agents) == 1 && agents[0].Connected {
@@ -37,26 +38,26 @@
 			t.Fatal("the agent is not connected")
 		}
 	}
-	l, _ := f.find(agentName)
+	l, _ := f.findLink(agentName)
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	if _, err := f.Void(ctx, agentName, "grant-1"); err == nil {
-		t.Error("an agent that says nothing has voided a grant")
+		t.Error("Void succeeded without an answer from the agent")
 	}
-	if l.busy() {
-		t.Error("the connection still waits for the answer")
+	if l.hasPendingWork() {
+		t.Error("the unanswered Void is still pending")
 	}
 }
 
-// agentName is the one agent's of runWithOneAgent.
+// agentName is the name of the agent started by runWithOneAgent.
 const agentName = "backend-1"
 
-// runWithOneAgent runs a Fleet with one agent, which answers nothing but pings.
+// runWithOneAgent runs a Fleet with one agent, which only answers pings.
 func runWithOneAgent(t *testing.T) *Fleet {
-	web := httptest.NewServer(waitingAgent(benchLocal(&countedBytes{})))
+	web := httptest.NewServer(pingOnlyAgent(testLocal(&trafficCounter{})))
 	t.Cleanup(web.Close)
 	vm := storage.VM{Name: agentName, Addr: strings.TrimPrefix(web.URL, "http://"), Role: storage.RoleBackend, Serves: "m"}
-	f, stop := runFleet(benchLocal(&countedBytes{}), vm)
+	f, stop := runFleet(testLocal(&trafficCounter{}), vm)
 	t.Cleanup(stop)
 	return f
 }
--- a/internal/entry/fleet/subset.go
+++ b/internal/entry/fleet/subset.go
@@ -9,8 +9,9 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// subset picks, for each model and service, the agents this entry connects
-// to, by rendezvous hashing: stable as VMs come and go, and even over entries.
+// subset selects the agents that this entry connects to, up to subsetSize for
+// each model and plain HTTP service. Rendezvous hashing keeps the selection
+// stable as VMs come and go, and spreads entries evenly over agents.
 func (f *Fleet) subset(vms []storage.VM) map[string]storage.VM {
 	byServes := make(map[string][]storage.VM)
 	for _, vm := range vms {
@@ -28,11 +29,12 @@
 	return wanted
 }
 
+// compareRendezvous orders VMs by a hash of this entry's and the VM's name.
 func (f *Fleet) compareRendezvous(a, b storage.VM) int {
-	ha := xxhash.Sum64String(f.config.Process + "/" + a.Name)
-	hb := xxhash.Sum64String(f.config.Process + "/" + b.Name)
-	if ha != hb {
-		if ha < hb {
+	hashA := xxhash.Sum64String(f.config.Process + "/" + a.Name)
+	hashB := xxhash.Sum64String(f.config.Process + "/" + b.Name)
+	if hashA != hashB {
+		if hashA < hashB {
 			return -1
 		}
 		return 1
