--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestCutStreamResumesAfterDeliveredTokens(t *testing.T) {
+func TestInterruptedStreamResumesAfterDeliveredTokens(t *testing.T) {
 	answer := []string{"a", "b", "c", "d"}
 	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", streamTokens(answer, 2))}}
 	sink := &fakeSink{}
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestFirstCutResumesOutsideBudget(t *testing.T) {
+func TestFirstInterruptionResumesOutsideBudget(t *testing.T) {
 	answer := []string{"a", "b", "c", "d"}
 	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", streamTokens(answer, 2))}}
 	sink := &fakeSink{}
@@ -98,7 +98,7 @@
 
 // Guards against servers that break every stream getting their load back as
 // retries: only the first interruption is outside the retry budget.
-func TestFurtherCutsUseRetryBudget(t *testing.T) {
+func TestFurtherInterruptionsUseRetryBudget(t *testing.T) {
 	answer := []string{"a", "b", "c", "d", "e"}
 	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", streamTokens(answer, 1))}}
 	dispatcher := newTestDispatcher(agents)
@@ -126,8 +126,8 @@
 
 func TestPartlyRunRequestSkipsAdmission(t *testing.T) {
 	cases := map[string]struct {
-		end  attemptResult
-		want bool
+		result attemptResult
+		want   bool
 	}{
 		"preempted": {attemptResult{outcome: attemptPreempted}, true},
 		"cut":       {attemptResult{outcome: attemptInterrupted}, true},
@@ -135,7 +135,7 @@
 	}
 	for name, c := range cases {
 		j := &job{dispatcher: newTestDispatcher(&fakeAgents{}), request: testRequest(true), attempt: 1}
-		j.evaluate(c.end)
+		j.evaluate(c.result)
 		if got := j.ticket().Retry; got != c.want {
 			t.Errorf("%s: skips admission: got %v, want %v", name, got, c.want)
 		}
@@ -266,7 +266,7 @@
 	}
 }
 
-func TestCancelledRequestEndsGone(t *testing.T) {
+func TestDisconnectedCallerEndsCancelled(t *testing.T) {
 	agents := &fakeAgents{}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
--- a/internal/entry/dispatch/run.go
+++ b/internal/entry/dispatch/run.go
@@ -22,8 +22,8 @@
 
 // runAttempt sends the body with a grant and relays the response.
 func (j *job) runAttempt(ctx context.Context, grant acceptedGrant) attemptResult {
-	if guard := j.request.Guard; guard != nil {
-		if err := guard.Take(ctx, grant.agent, grant.id); err != nil {
+	if recorder := j.request.Guard; recorder != nil {
+		if err := recorder.Take(ctx, grant.agent, grant.id); err != nil {
 			j.voidBestEffort(ctx, grant)
 			return attemptResult{outcome: attemptBlocked, reason: "claim_unavailable"}
 		}
--- a/internal/entry/fleet/agent_info.go
+++ b/internal/entry/fleet/agent_info.go
@@ -12,7 +12,8 @@
 	VM        storage.VM
 	Connected bool
 	Leaving   bool
-	// BackendServerDown is set if the agent cannot reach its backend server.
+	// BackendServerDown is set if the agent's backend server cannot be reached
+	// or is loading a model.
 	EngineDown bool
 	// Waiting and Running count requests and Limit bounds Running, as of the
 	// last Status.
--- a/internal/entry/fleet/fleet_test.go
+++ b/internal/entry/fleet/fleet_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestSubsetIsStable(t *testing.T) {
+func TestSubsetIsStableAcrossVMChanges(t *testing.T) {
 	f := New(Config{Process: "entry"})
 	var vms []storage.VM
 	for i := range 100 {
