--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -11,62 +11,65 @@
 	"github.com/go-faster/errors"
 )
 
-// Conn is a caller's connection. It rests from the end of an answer to the first
-// byte of the next request, which is sooner than net/http counts: for that it is
-// idle until a request's whole head has been read.
+// Conn is a client connection. It is idle from the end of a response to the first byte
+// of the next request. net/http leaves its own idle state later: only when the whole
+// request header has been read.
 //
-// Only who reads it ends a rest: the rest's end is a deadline for reading, and
-// where that has passed the connection is looked at once more before it counts
-// as over. Closed from anywhere else, it could be closed under a request that
-// has just been read and handed on.
+// Only the reading goroutine ends an idle period: the end is a read deadline, and after
+// it has passed the connection is read for idleGrace more before it counts as expired.
+// If another goroutine closed the connection, it could do so under a request that has
+// just been read and passed to the handler.
 type Conn struct {
 	net.Conn
 	server *Server
-	// mu guards what follows; nothing is locked while it is held.
+	// mu guards the fields up to readAhead; no other lock is taken while it is held.
 	mu    sync.Mutex
 	phase phase
-	// since is when the rest began, and rested how long the last one was.
-	since  time.Time
-	rested time.Duration
-	// looked says that the connection is being looked at once more.
-	looked bool
-	// leaving says that the process stops: rests are over at once.
-	leaving bool
-	// watched says that the next read is net/http's watch on the caller.
-	watched  bool
-	requests int
-	end      Cause
-	// deadline says that a read ended by a deadline during the last request.
-	deadline bool
-	// ahead is what came while a request was in progress, and begun says that
-	// some of that was handed out and is a request's. Only who reads touches
-	// them, and net/http lets one read at a time.
-	ahead []byte
-	begun bool
+	// idleSince is when the current idle period began; idleTime is the length of the
+	// last one.
+	idleSince time.Time
+	idleTime  time.Duration
+	// inGrace is set while the connection is read once more after its idle deadline.
+	inGrace bool
+	// draining is set when the process stops: idle connections are closed at once.
+	draining bool
+	// backgroundNext is set when the next read is net/http's background read, which
+	// detects a client that disconnects during its request.
+	backgroundNext bool
+	requests       int
+	closeReason    CloseReason
+	// deadlineHit is set when a read deadline expired during the last request.
+	deadlineHit bool
+	// readAhead holds bytes that arrived while a request was in progress. nextBegun is
+	// set when some of them were returned to net/http and belong to the next request.
+	// Only the reading goroutine uses both fields, and net/http runs one read at a
+	// time.
+	readAhead []byte
+	nextBegun bool
 }
 
 // Read implements net.Conn.
 func (c *Conn) Read(p []byte) (int, error) {
-	if c.watches(p) {
-		return c.watch(p)
+	if c.isBackgroundRead(p) {
+		return c.backgroundRead(p)
 	}
-	if len(c.ahead) > 0 {
-		n := c.nextAhead(p)
-		c.woke(p[:n])
+	if len(c.readAhead) > 0 {
+		n := c.takeReadAhead(p)
+		c.received(p[:n])
 		return n, nil
 	}
 	for {
 		n, err := c.Conn.Read(p)
 		switch {
 		case n > 0:
-			c.woke(p[:n])
+			c.received(p[:n])
 			return n, err
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			if !c.goesOn() {
+			if !c.extendDeadline() {
 				return 0, err
 			}
 		case err != nil:
-			c.broke(err)
+			c.recordReadError(err)
 			return 0, err
 		default:
 			return 0, nil
@@ -74,176 +77,179 @@
 	}
 }
 
-// woke notes what came: a request's first byte ends a rest, and from it on its
-// head has its time. Line ends between requests, which some callers send too many
-// of, are none.
-func (c *Conn) woke(p []byte) {
+// received updates the phase after a read: the first byte of a request ends the idle
+// period and starts the header timeout. Line ends between requests, which some clients
+// send in excess, are ignored.
+func (c *Conn) received(p []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase != fresh && c.phase != resting || blank(p) {
+	if c.phase != phaseNew && c.phase != phaseIdle || onlyNewlines(p) {
 		return
 	}
-	c.phase, c.rested = begun, time.Since(c.since)
-	// On a connection that fails here the next read fails too.
-	_ = c.Conn.SetReadDeadline(time.Now().Add(c.server.headTime))
+	c.phase, c.idleTime = phaseHeader, time.Since(c.idleSince)
+	// If this fails, the next read fails too.
+	_ = c.Conn.SetReadDeadline(time.Now().Add(c.server.headerTimeout))
 }
 
-// goesOn reports whether to read on, under another deadline, after one has passed.
-// It isn't to while a request is in progress: then the deadline is net/http's or
-// the handler's own.
-func (c *Conn) goesOn() bool {
+// extendDeadline sets a new read deadline after one has passed and reports whether to
+// continue reading. It returns false while a request is in progress: then the deadline
+// is net/http's or the handler's own.
+func (c *Conn) extendDeadline() bool {
 	c.mu.Lock()
-	if c.phase != resting && (c.phase != fresh || !c.leaving) {
-		c.deadline = true
+	if c.phase != phaseIdle && (c.phase != phaseNew || !c.draining) {
+		c.deadlineHit = true
 		c.mu.Unlock()
 		return false
 	}
 	now := time.Now()
-	next := c.due()
+	deadline := c.idleDeadline()
 	switch {
-	case now.Before(next):
-		// The limit was raised.
-	case !c.looked:
-		c.looked = true
-		next = now.Add(lastLook)
+	case now.Before(deadline):
+		// The idle timeout was raised.
+	case !c.inGrace:
+		c.inGrace = true
+		deadline = now.Add(idleGrace)
 	default:
-		c.phase, c.end = over, CauseIdle
-		rested, requests := now.Sub(c.since), c.requests
+		c.phase, c.closeReason = phaseClosing, ReasonIdle
+		idleTime, requests := now.Sub(c.idleSince), c.requests
 		c.mu.Unlock()
-		c.server.idled(c.RemoteAddr(), rested, requests)
+		c.server.logIdleClose(c.RemoteAddr(), idleTime, requests)
 		return false
 	}
-	err := c.Conn.SetReadDeadline(next)
+	err := c.Conn.SetReadDeadline(deadline)
 	c.mu.Unlock()
 	return err == nil
 }
 
-// due is when the rest is over under the limit in force. The lock is held.
-func (c *Conn) due() time.Time {
+// idleDeadline returns the end of the idle period under the current idle timeout. The
+// caller holds mu.
+func (c *Conn) idleDeadline() time.Time {
 	switch {
-	case !c.leaving:
-		return c.since.Add(c.server.limit() + idleMargin)
-	case c.phase == fresh:
-		return c.since.Add(firstRequest)
+	case !c.draining:
+		return c.idleSince.Add(c.server.idleTimeout() + idleMargin)
+	case c.phase == phaseNew:
+		return c.idleSince.Add(firstRequestTimeout)
 	default:
-		return c.since
+		return c.idleSince
 	}
 }
 
-// SetReadDeadline implements net.Conn. net/http sets none while a connection
-// rests, and this is where the end of its rest comes in; and none before it
-// watches a caller whose request is in progress.
+// SetReadDeadline implements net.Conn. net/http clears the deadline when a connection
+// becomes idle, and the idle deadline is set here instead. It also clears the deadline
+// before its background read during a request.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.watched = c.phase == busy && t.IsZero()
+	c.backgroundNext = c.phase == phaseActive && t.IsZero()
 	switch {
-	case c.phase == resting && t.IsZero(), c.phase == fresh && c.leaving:
-		t = c.due()
-	case c.phase == begun && t.IsZero():
-		t = time.Now().Add(c.server.headTime)
-	case c.phase == over:
-		t = c.since
+	case c.phase == phaseIdle && t.IsZero(), c.phase == phaseNew && c.draining:
+		t = c.idleDeadline()
+	case c.phase == phaseHeader && t.IsZero():
+		t = time.Now().Add(c.server.headerTimeout)
+	case c.phase == phaseClosing:
+		t = c.idleSince
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// leave has the connection end as soon as it rests.
-func (c *Conn) leave() {
+// startDrain makes the connection close as soon as it is idle.
+func (c *Conn) startDrain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaving = true
-	if c.phase == fresh || c.phase == resting {
-		// On a connection that is closed already there is nothing to be ended.
-		_ = c.Conn.SetReadDeadline(c.due())
+	c.draining = true
+	if c.phase == phaseNew || c.phase == phaseIdle {
+		// An error means that the connection is closed already.
+		_ = c.Conn.SetReadDeadline(c.idleDeadline())
 	}
 }
 
-// lower has the rest end by the limit in force.
-func (c *Conn) lower() {
+// applyIdleTimeout moves the deadline of an idle connection to that of the current idle
+// timeout.
+func (c *Conn) applyIdleTimeout() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase == resting && !c.looked {
-		// On a connection that is closed already there is nothing to be ended.
-		_ = c.Conn.SetReadDeadline(c.due())
+	if c.phase == phaseIdle && !c.inGrace {
+		// An error means that the connection is closed already.
+		_ = c.Conn.SetReadDeadline(c.idleDeadline())
 	}
 }
 
-// state notes what net/http says of the connection, from who reads it.
-func (c *Conn) state(s http.ConnState) {
+// stateChanged handles a net/http state change. It runs on the reading goroutine.
+func (c *Conn) stateChanged(s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch s {
 	case http.StateNew:
-		c.since = time.Now()
+		c.idleSince = time.Now()
 	case http.StateActive:
-		if c.phase == resting {
-			// Its head came together with the request before.
-			c.rested = 0
+		if c.phase == phaseIdle {
+			// The header arrived together with the previous request.
+			c.idleTime = 0
 		}
-		c.phase, c.deadline, c.begun = busy, false, false
+		c.phase, c.deadlineHit, c.nextBegun = phaseActive, false, false
 		c.requests++
-		// The head's time is over. A connection that fails here fails the
-		// request's next read too.
+		// The header timeout no longer applies. If this fails, the request's next read
+		// fails too.
 		_ = c.Conn.SetReadDeadline(time.Time{})
 	case http.StateIdle:
-		c.since, c.looked, c.watched = time.Now(), false, false
+		c.idleSince, c.inGrace, c.backgroundNext = time.Now(), false, false
 		switch {
-		case c.leaving:
-			// What would follow would be broken off at the end of the stop.
-			c.phase, c.ahead = over, nil
-		case c.begun || !blank(c.ahead):
-			c.phase, c.rested = begun, 0
+		case c.draining:
+			// A further request would be aborted at the end of the drain.
+			c.phase, c.readAhead = phaseClosing, nil
+		case c.nextBegun || !onlyNewlines(c.readAhead):
+			c.phase, c.idleTime = phaseHeader, 0
 		default:
-			c.phase = resting
+			c.phase = phaseIdle
 		}
 	}
 }
 
 // Close implements net.Conn.
 func (c *Conn) Close() error {
-	c.ended(CauseHere)
+	c.recordCloseReason(ReasonServerClosed)
 	return c.Conn.Close()
 }
 
-// CloseWrite ends this side's half, which net/http does before it closes a
-// connection with bytes unread.
+// CloseWrite shuts down the sending side, which net/http does before it closes a
+// connection with unread bytes. It returns http.ErrNotSupported when the underlying
+// connection has no CloseWrite.
 func (c *Conn) CloseWrite() error {
-	half, ok := c.Conn.(interface{ CloseWrite() error })
+	closer, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
 		return http.ErrNotSupported
 	}
-	return half.CloseWrite()
+	return closer.CloseWrite()
 }
 
-// stands says how the connection stands.
-func (c *Conn) stands() End {
+// status returns a snapshot for the log.
+func (c *Conn) status() End {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e := End{Cause: c.end, Rested: c.rested, Requests: c.requests}
-	if e.Cause == CauseNone && c.deadline {
-		e.Cause = CauseDeadline
+	status := End{Cause: c.closeReason, Rested: c.idleTime, Requests: c.requests}
+	if status.Cause == ReasonNone && c.deadlineHit {
+		status.Cause = ReasonReadDeadline
 	}
-	return e
+	return status
 }
 
-// broke notes an error of reading.
-func (c *Conn) broke(err error) {
+// recordReadError records the close reason that a read error stands for.
+func (c *Conn) recordReadError(err error) {
 	switch {
 	case errors.Is(err, net.ErrClosed):
-		c.ended(CauseHere)
+		c.recordCloseReason(ReasonServerClosed)
 	case errors.Is(err, io.EOF):
-		c.ended(CauseCaller)
+		c.recordCloseReason(ReasonClientClosed)
 	default:
-		c.ended(CauseBroken)
+		c.recordCloseReason(ReasonBroken)
 	}
 }
 
-// ended notes the first cause; what follows is its consequence.
-func (c *Conn) ended(cause Cause) {
+// recordCloseReason keeps the first reason; later ones are consequences of it.
+func (c *Conn) recordCloseReason(reason CloseReason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.end == CauseNone {
-		c.end = cause
+	if c.closeReason == ReasonNone {
+		c.closeReason = reason
 	}
 }
--- a/internal/callers/context.go
+++ b/internal/callers/context.go
@@ -5,32 +5,33 @@
 	"net"
 )
 
-// connKey is where a request's context has its connection.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// withConn gives requests their connection; it is net/http's ConnContext.
+// withConn stores the connection in the context of its requests; it is net/http's
+// ConnContext hook.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// EndOf says how the connection of a request's context stands; zero where it
-// has none.
+// ConnStatusOf returns the status of the connection of a request's context, or the zero
+// value if the context has none.
 func EndOf(ctx context.Context) End {
-	if c, ok := ctx.Value(connKey{}).(*Conn); ok {
-		return c.stands()
+	if conn, ok := ctx.Value(connKey{}).(*Conn); ok {
+		return conn.status()
 	}
 	return End{}
 }
 
-// Reset has the connection of a request's context end with a reset when it is
-// closed, so that an answer that ends with it doesn't look whole.
+// ResetOnClose makes the connection of a request's context close with a TCP reset, so
+// that a response whose end is marked by the close isn't taken for complete.
 func Reset(ctx context.Context) {
-	c, ok := ctx.Value(connKey{}).(*Conn)
+	conn, ok := ctx.Value(connKey{}).(*Conn)
 	if !ok {
 		return
 	}
-	if lingers, ok := c.Conn.(interface{ SetLinger(int) error }); ok {
-		// On a connection that is closed already there is nothing to be reset.
-		_ = lingers.SetLinger(0)
+	if tcp, ok := conn.Conn.(interface{ SetLinger(int) error }); ok {
+		// An error means that the connection is closed already.
+		_ = tcp.SetLinger(0)
 	}
 }
--- a/internal/callers/errors.go
+++ b/internal/callers/errors.go
@@ -2,6 +2,6 @@
 
 import "github.com/go-faster/errors"
 
-// ErrBrokenOff: requests were still in progress when the time to end them was
-// up; their connections were closed.
-var ErrBrokenOff = errors.New("requests are broken off")
+// ErrDrainTimeout: requests were still in progress when the drain's context ended;
+// their connections were closed.
+var ErrDrainTimeout = errors.New("drain timed out: requests in progress were aborted")
--- a/internal/callers/listener.go
+++ b/internal/callers/listener.go
@@ -2,7 +2,7 @@
 
 import "net"
 
-// listener accepts callers' connections as Conns.
+// listener wraps each accepted connection in a Conn.
 type listener struct {
 	net.Listener
 	server *Server
--- a/internal/callers/phase.go
+++ b/internal/callers/phase.go
@@ -1,17 +1,17 @@
 package callers
 
-// phase is what a connection does.
+// phase is the stage of a connection's life cycle.
 type phase int
 
 const (
-	// fresh: it was opened, and nothing came yet.
-	fresh phase = iota
-	// resting: the last answer has been given, and nothing came since.
-	resting
-	// begun: a request has begun to come, and its head isn't whole.
-	begun
-	// busy: a request is in progress.
-	busy
-	// over: it ends as soon as it is read.
-	over
+	// phaseNew: the connection was opened and has received nothing yet.
+	phaseNew phase = iota
+	// phaseIdle: the last response is complete, and nothing has been received since.
+	phaseIdle
+	// phaseHeader: a request header has been received in part.
+	phaseHeader
+	// phaseActive: a request is in progress.
+	phaseActive
+	// phaseClosing: the connection closes at its next read.
+	phaseClosing
 )
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -1,8 +1,8 @@
-// Package callers holds callers' connections: it serves what is asked on them,
-// ends those that rest too long, and ends all in a graceful stop. Neither closes
-// one under a request that has begun to come, but for what a stop breaks off when
-// its time is up. It tells what ended a connection. Start reading at Server and
-// Conn.
+// Package callers serves HTTP clients' connections: it closes those that stay idle for
+// too long, and drains all of them in a graceful stop. Neither closes a connection on
+// which a request has begun to arrive, except for requests that are still in progress
+// when the drain times out. It also reports why a connection was closed. Start reading
+// at Server and Conn.
 package callers
 
 import (
@@ -18,142 +18,144 @@
 )
 
 const (
-	// idleMargin is how much longer than the limit a connection stays open, so
-	// that a request of a caller that keeps to it doesn't cross the close.
+	// idleMargin is how much longer than the idle timeout a connection stays open, so
+	// that the request of a client that keeps to the timeout doesn't cross the close.
 	idleMargin = time.Second
-	// lastLook is how long a connection whose rest is over is looked at once
-	// more. What has arrived is seen at once; the time is for a process that
-	// stands still between setting the deadline and reading: a VM with a small
-	// part of a core gets none for up to a tenth of a second.
-	lastLook = 250 * time.Millisecond
-	// firstRequest is how long a connection that was opened just before a stop
-	// may take to ask. Requests that are taken later would be broken off at the
-	// end of a short grace period.
-	firstRequest = 250 * time.Millisecond
+	// idleGrace is how long a connection is read once more after its idle deadline.
+	// Bytes that have arrived are read at once; the time is for a process that is not
+	// scheduled between setting the deadline and reading: a VM with a small share of a
+	// core gets none for up to 100 ms.
+	idleGrace = 250 * time.Millisecond
+	// firstRequestTimeout bounds the wait for the first byte on a connection that was
+	// opened just before a drain. Requests accepted later would be aborted at the end
+	// of a short grace period.
+	firstRequestTimeout = 250 * time.Millisecond
 )
 
-// Config is what a Server needs.
+// Config holds a Server's settings; all fields are required.
 type Config struct {
 	Handler http.Handler
-	// HeaderTime bounds the reading of a request's head; MaxHeader its bytes.
+	// HeaderTimeout bounds the reading of a request's header, and MaxHeaderBytes its
+	// size.
 	HeaderTime time.Duration
 	MaxHeader  int
-	// Limit is how long a connection may ask nothing. It may change while the
-	// server runs: what is in force at the end of a rest counts, and of one that
-	// was lowered Lower has to tell.
+	// IdleTimeout returns how long a connection may be idle. The value may change while
+	// the server runs: the one at the end of an idle period applies. After it was
+	// lowered, ApplyIdleTimeout must be called.
 	Limit func() time.Duration
 	Log   *zap.Logger
 }
 
-// Server serves callers on one listener.
+// Server serves the clients of one listener.
 type Server struct {
-	http     *http.Server
-	listener net.Listener
-	limit    func() time.Duration
-	headTime time.Duration
-	log      *zap.Logger
-	// accepted is closed when no connection comes any more.
-	accepted chan struct{}
-	// mu guards what follows. A Conn's lock comes after it.
-	mu      sync.Mutex
-	open    map[*Conn]struct{}
-	leaving bool
-	// empty is closed when the server leaves and no connection is open.
-	empty chan struct{}
+	http          *http.Server
+	listener      net.Listener
+	idleTimeout   func() time.Duration
+	headerTimeout time.Duration
+	log           *zap.Logger
+	// acceptDone is closed when no more connections are accepted.
+	acceptDone chan struct{}
+	// mu guards the fields below. It is locked before a Conn's mu.
+	mu       sync.Mutex
+	conns    map[*Conn]struct{}
+	draining bool
+	// drained is closed when the server drains and no connection is open.
+	drained chan struct{}
 }
 
-// New returns a Server. It owns the listener.
-func New(l net.Listener, c Config) *Server {
+// New returns a Server that owns l. Serve starts it.
+func New(l net.Listener, config Config) *Server {
 	s := &Server{
-		listener: l, limit: c.Limit, headTime: c.HeaderTime, log: c.Log,
-		accepted: make(chan struct{}), open: map[*Conn]struct{}{}, empty: make(chan struct{}),
+		listener: l, idleTimeout: config.Limit, headerTimeout: config.HeaderTime, log: config.Log,
+		acceptDone: make(chan struct{}), conns: map[*Conn]struct{}{}, drained: make(chan struct{}),
 	}
 	s.http = &http.Server{
-		Handler: c.Handler, ReadHeaderTimeout: c.HeaderTime, MaxHeaderBytes: c.MaxHeader,
-		ConnState: s.state, ConnContext: withConn, ErrorLog: errorLog(c.Log),
-		// Its own answer to a question about the whole server would be a success
-		// that no backend server gave.
+		Handler: config.Handler, ReadHeaderTimeout: config.HeaderTime, MaxHeaderBytes: config.MaxHeader,
+		ConnState: s.connStateChanged, ConnContext: withConn, ErrorLog: newErrorLog(config.Log),
+		// net/http would answer OPTIONS * itself, with a success that no backend server
+		// gave.
 		DisableGeneralOptionsHandler: true,
 	}
 	return s
 }
 
-// Serve serves until Drain or Close.
+// Serve accepts and serves connections until Drain or Close.
 func (s *Server) Serve() {
-	defer close(s.accepted)
-	// It returns when the listener has been closed, which is what ends it.
+	defer close(s.acceptDone)
+	// The error says only that the listener was closed, which is how Serve ends.
 	_ = s.http.Serve(listener{s.listener, s})
 }
 
-// Drain takes no connection any more, lets what is in progress end, and closes
-// each connection as soon as it rests. When ctx ends it closes the rest, with
-// ErrBrokenOff. Serve has to have been called, or to be called.
+// Drain stops accepting connections, lets requests in progress finish and closes each
+// connection as soon as it is idle. When ctx ends first, it closes the remaining
+// connections and returns ErrDrainTimeout. It waits for Serve to return, so Serve must
+// have been called or be called concurrently.
 //
-// net/http's own Shutdown isn't used: it closes connections on which a request's
-// head is still on its way, and drops requests that it has just read.
+// http.Server.Shutdown isn't used: it closes connections on which a request header is
+// still arriving, and drops requests that it has just read.
 func (s *Server) Drain(ctx context.Context) error {
-	// A listener that is closed already is as good.
+	// An error means that the listener is closed already.
 	_ = s.listener.Close()
-	<-s.accepted
-	s.leave()
+	<-s.acceptDone
+	s.startDrain()
 	select {
-	case <-s.empty:
+	case <-s.drained:
 		return nil
 	case <-ctx.Done():
 		_ = s.Close()
-		return ErrBrokenOff
+		return ErrDrainTimeout
 	}
 }
 
-// Close ends everything at once.
+// Close closes the listener and all connections at once.
 func (s *Server) Close() error { return s.http.Close() }
 
-// Lower has rests end by a limit that was lowered since they began.
+// ApplyIdleTimeout applies a lowered idle timeout to connections that are idle already.
 func (s *Server) Lower() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.open {
-		c.lower()
+	for c := range s.conns {
+		c.applyIdleTimeout()
 	}
 }
 
-func (s *Server) leave() {
+func (s *Server) startDrain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.leaving {
+	if s.draining {
 		return
 	}
-	s.leaving = true
-	for c := range s.open {
-		c.leave()
+	s.draining = true
+	for c := range s.conns {
+		c.startDrain()
 	}
-	if len(s.open) == 0 {
-		close(s.empty)
+	if len(s.conns) == 0 {
+		close(s.drained)
 	}
 }
 
-// state is net/http's ConnState hook.
-func (s *Server) state(nc net.Conn, to http.ConnState) {
+// connStateChanged is net/http's ConnState hook.
+func (s *Server) connStateChanged(nc net.Conn, state http.ConnState) {
 	c, ok := nc.(*Conn)
 	if !ok {
 		return
 	}
-	c.state(to)
+	c.stateChanged(state)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	switch to {
+	switch state {
 	case http.StateNew:
-		s.open[c] = struct{}{}
+		s.conns[c] = struct{}{}
 	case http.StateClosed, http.StateHijacked:
-		delete(s.open, c)
-		if s.leaving && len(s.open) == 0 {
-			close(s.empty)
+		delete(s.conns, c)
+		if s.draining && len(s.conns) == 0 {
+			close(s.drained)
 		}
 	}
 }
 
-// idled tells of a connection that ends because it rests.
-func (s *Server) idled(peer net.Addr, rested time.Duration, requests int) {
-	s.log.Info(logging.EventCallerClosed, logging.Reason(string(CauseIdle)), logging.Peer(peer.String()),
-		zap.Duration("rested", rested), zap.Duration("limit", s.limit()), zap.Int("requests", requests))
+// logIdleClose logs that an idle connection is closed.
+func (s *Server) logIdleClose(peer net.Addr, idleTime time.Duration, requests int) {
+	s.log.Info(logging.EventCallerClosed, logging.Reason(string(ReasonIdle)), logging.Peer(peer.String()),
+		zap.Duration("rested", idleTime), zap.Duration("limit", s.idleTimeout()), zap.Int("requests", requests))
 }
--- a/internal/callers/server_test.go
+++ b/internal/callers/server_test.go
@@ -19,13 +19,13 @@
 	"github.com/applepier/applepier/internal/logging"
 )
 
-// pipes is a listener of connections within the process.
-type pipes struct {
+// pipeListener is a listener for in-process connections.
+type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
 }
 
-func (l *pipes) Accept() (net.Conn, error) {
+func (l *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
 		return c, nil
@@ -34,7 +34,7 @@
 	}
 }
 
-func (l *pipes) Close() error {
+func (l *pipeListener) Close() error {
 	select {
 	case <-l.closed:
 	default:
@@ -43,208 +43,208 @@
 	return nil
 }
 
-func (l *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// site is a Server in a bubble, and callers of it.
-type site struct {
+// testServer is a Server in a synctest bubble whose clients connect by pipes.
+type testServer struct {
 	*Server
-	t     *testing.T
-	pipes *pipes
-	limit atomic.Int64
-	over  chan struct{}
+	t            *testing.T
+	pipeListener *pipeListener
+	timeout      atomic.Int64
+	serveDone    chan struct{}
 }
 
-func newSite(t *testing.T, handler http.HandlerFunc, log *zap.Logger) *site {
-	s := &site{t: t, pipes: &pipes{make(chan net.Conn), make(chan struct{})}, over: make(chan struct{})}
-	s.limit.Store(int64(10 * time.Second))
-	s.Server = New(s.pipes, Config{Handler: handler, HeaderTime: headTime, MaxHeader: 1 << 16, Limit: s.inForce, Log: log})
-	go func() { defer close(s.over); s.Serve() }()
-	return s
+func newTestServer(t *testing.T, handler http.HandlerFunc, log *zap.Logger) *testServer {
+	server := &testServer{t: t, pipeListener: &pipeListener{make(chan net.Conn), make(chan struct{})}, serveDone: make(chan struct{})}
+	server.timeout.Store(int64(10 * time.Second))
+	server.Server = New(server.pipeListener, Config{Handler: handler, HeaderTime: testHeaderTimeout, MaxHeader: 1 << 16, Limit: server.currentTimeout, Log: log})
+	go func() { defer close(server.serveDone); server.Serve() }()
+	return server
 }
 
-// inForce is the limit for idle connections.
-func (s *site) inForce() time.Duration { return time.Duration(s.limit.Load()) }
+// currentTimeout returns the idle timeout.
+func (s *testServer) currentTimeout() time.Duration { return time.Duration(s.timeout.Load()) }
 
-// end ends the server at once.
-func (s *site) end() {
+// shutdown closes the server at once.
+func (s *testServer) shutdown() {
 	_ = s.Close()
-	<-s.over
+	<-s.serveDone
 }
 
-// dial opens a caller's connection.
-func (s *site) dial() (net.Conn, *bufio.Reader) {
-	ours, theirs := net.Pipe()
-	s.pipes.conns <- ours
-	return theirs, bufio.NewReader(theirs)
+// dial opens a client connection.
+func (s *testServer) dial() (net.Conn, *bufio.Reader) {
+	serverEnd, clientEnd := net.Pipe()
+	s.pipeListener.conns <- serverEnd
+	return clientEnd, bufio.NewReader(clientEnd)
 }
 
-// headTime bounds the reading of a head.
-const headTime = 10 * time.Second
+// testHeaderTimeout bounds the reading of a request header.
+const testHeaderTimeout = 10 * time.Second
 
-// whole is an answer's body.
-const whole = "done"
+// responseBody is the body of every response.
+const responseBody = "done"
 
-const get = "GET / HTTP/1.1\r\nHost: h.example\r\n\r\n"
+const simpleGet = "GET / HTTP/1.1\r\nHost: h.example\r\n\r\n"
 
-func answered(in *bufio.Reader) error {
-	resp, err := http.ReadResponse(in, nil)
+func readResponse(reader *bufio.Reader) error {
+	resp, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		return err
 	}
 	body, err := io.ReadAll(resp.Body)
-	if err == nil && (resp.StatusCode != http.StatusOK || string(body) != whole) {
+	if err == nil && (resp.StatusCode != http.StatusOK || string(body) != responseBody) {
 		err = errors.Errorf("status %d, %q", resp.StatusCode, body)
 	}
 	return err
 }
 
-func ask(c net.Conn, in *bufio.Reader) error {
-	if _, err := io.WriteString(c, get); err != nil {
+func roundTrip(conn net.Conn, reader *bufio.Reader) error {
+	if _, err := io.WriteString(conn, simpleGet); err != nil {
 		return err
 	}
-	return answered(in)
+	return readResponse(reader)
 }
 
-// lasting answers after as long as the request's path says, or at once.
-func lasting(w http.ResponseWriter, r *http.Request) {
-	if long, err := time.ParseDuration(strings.TrimPrefix(r.URL.Path, "/")); err == nil {
+// delayHandler responds after the duration in the request's path, or at once.
+func delayHandler(w http.ResponseWriter, r *http.Request) {
+	if delay, err := time.ParseDuration(strings.TrimPrefix(r.URL.Path, "/")); err == nil {
 		select {
-		case <-time.After(long):
+		case <-time.After(delay):
 		case <-r.Context().Done():
 			panic(http.ErrAbortHandler)
 		}
 	}
-	_, _ = io.WriteString(w, whole)
+	_, _ = io.WriteString(w, responseBody)
 }
 
-func TestRestsEndAfterTheLimitInForce(t *testing.T) {
+func TestIdleConnectionClosesAfterCurrentTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, lines := observer.New(zap.InfoLevel)
-		s := newSite(t, lasting, zap.New(core))
+		s := newTestServer(t, delayHandler, zap.New(core))
 		c, in := s.dial()
-		if err := ask(c, in); err != nil {
+		if err := roundTrip(c, in); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(s.inForce() - time.Second)
-		// A request that lasts longer than the limit isn't a rest.
+		time.Sleep(s.currentTimeout() - time.Second)
+		// A request that takes longer than the idle timeout isn't idle time.
 		if _, err := io.WriteString(c, "GET /1m HTTP/1.1\r\nHost: h.example\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
-		s.limit.Store(int64(4 * time.Second))
-		if err := answered(in); err != nil {
+		s.timeout.Store(int64(4 * time.Second))
+		if err := readResponse(in); err != nil {
 			t.Fatal(err)
 		}
 		began := time.Now()
 		if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Errorf("the rest ends with %v", err)
+			t.Errorf("idle connection: read error %v, want EOF", err)
 		}
-		if took := time.Since(began); took != s.inForce()+idleMargin+lastLook {
+		if took := time.Since(began); took != s.currentTimeout()+idleMargin+idleGrace {
 			t.Errorf("closed after %v", took)
 		}
 		synctest.Wait()
-		if len(s.open) != 0 {
-			t.Error("a closed connection counts as open")
+		if len(s.conns) != 0 {
+			t.Error("a closed connection is still tracked as open")
 		}
 		if lines.FilterMessage(logging.EventCallerClosed).Len() != 1 {
-			t.Errorf("lines: %v", lines.All())
+			t.Errorf("log lines: %v", lines.All())
 		}
-		s.end()
+		s.shutdown()
 	})
 }
 
-func TestRaisedLimitHoldsForRestsThatHaveBegun(t *testing.T) {
+func TestRaisedTimeoutAppliesToIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, lasting, zap.NewNop())
+		s := newTestServer(t, delayHandler, zap.NewNop())
 		c, in := s.dial()
-		if err := ask(c, in); err != nil {
+		if err := roundTrip(c, in); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		s.limit.Store(int64(time.Minute))
+		s.timeout.Store(int64(time.Minute))
 		time.Sleep(50 * time.Second)
-		if err := ask(c, in); err != nil {
-			t.Errorf("after 51 s of rest under a limit of a minute: %v", err)
+		if err := roundTrip(c, in); err != nil {
+			t.Errorf("request after 51 s idle with a timeout of one minute: %v", err)
 		}
-		s.end()
+		s.shutdown()
 	})
 }
 
-func TestLoweredLimitHoldsForRestsThatHaveBegun(t *testing.T) {
+func TestLoweredTimeoutAppliesToIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, lasting, zap.NewNop())
+		s := newTestServer(t, delayHandler, zap.NewNop())
 		c, in := s.dial()
-		if err := ask(c, in); err != nil {
+		if err := roundTrip(c, in); err != nil {
 			t.Fatal(err)
 		}
 		began := time.Now()
-		s.limit.Store(int64(time.Second))
+		s.timeout.Store(int64(time.Second))
 		s.Lower()
 		if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Errorf("the rest ends with %v", err)
+			t.Errorf("idle connection: read error %v, want EOF", err)
 		}
-		if took := time.Since(began); took != time.Second+idleMargin+lastLook {
+		if took := time.Since(began); took != time.Second+idleMargin+idleGrace {
 			t.Errorf("closed after %v", took)
 		}
-		s.end()
+		s.shutdown()
 	})
 }
 
-// What has arrived by the end of a rest is served, though nobody has read it yet.
-func TestWhatArrivedByTheEndOfARestIsServed(t *testing.T) {
+// A request that has arrived by the idle deadline is served even if it hasn't been read
+// yet.
+func TestRequestReceivedAtIdleTimeoutIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, lasting, zap.NewNop())
+		s := newTestServer(t, delayHandler, zap.NewNop())
 		for range 100 {
 			c, in := s.dial()
-			if err := ask(c, in); err != nil {
+			if err := roundTrip(c, in); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(s.inForce() + idleMargin)
-			if err := ask(c, in); err != nil {
-				t.Errorf("asked at the very end of a rest: %v", err)
+			time.Sleep(s.currentTimeout() + idleMargin)
+			if err := roundTrip(c, in); err != nil {
+				t.Errorf("request at the idle deadline: %v", err)
 			}
 			_ = c.Close()
 		}
-		s.end()
+		s.shutdown()
 	})
 }
 
-// A request that came together with the one before it isn't a rest, however
-// long it lasts and its body takes.
-func TestRequestThatCameWithTheOneBeforeIsServed(t *testing.T) {
+// A pipelined request doesn't count as idle time, however long it and its body take.
+func TestPipelinedRequestIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, func(w http.ResponseWriter, r *http.Request) {
+		s := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			if _, err := io.ReadAll(r.Body); err != nil {
 				t.Errorf("reading a body: %v", err)
 			}
-			lasting(w, r)
+			delayHandler(w, r)
 		}, zap.NewNop())
 		c, in := s.dial()
 		go func() {
-			_, _ = io.WriteString(c, get+"POST /1m HTTP/1.1\r\nHost: h.example\r\nContent-Length: 4\r\n\r\n")
-			time.Sleep(s.inForce() + 2*idleMargin)
+			_, _ = io.WriteString(c, simpleGet+"POST /1m HTTP/1.1\r\nHost: h.example\r\nContent-Length: 4\r\n\r\n")
+			time.Sleep(s.currentTimeout() + 2*idleMargin)
 			_, _ = io.WriteString(c, "body")
 		}()
 		for range 2 {
-			if err := answered(in); err != nil {
+			if err := readResponse(in); err != nil {
 				t.Error(err)
 			}
 		}
-		s.end()
+		s.shutdown()
 	})
 }
 
 func TestDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, lasting, zap.NewNop())
-		rests, restsIn := s.dial()
-		if err := ask(rests, restsIn); err != nil {
+		s := newTestServer(t, delayHandler, zap.NewNop())
+		idle, idleReader := s.dial()
+		if err := roundTrip(idle, idleReader); err != nil {
 			t.Fatal(err)
 		}
-		works, worksIn := s.dial()
-		if _, err := io.WriteString(works, "GET /3s HTTP/1.1\r\nHost: h.example\r\n\r\n"); err != nil {
+		active, activeReader := s.dial()
+		if _, err := io.WriteString(active, "GET /3s HTTP/1.1\r\nHost: h.example\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
-		opened, openedIn := s.dial()
+		fresh, freshReader := s.dial()
 		synctest.Wait()
 		began := time.Now()
 		drained := make(chan time.Duration)
@@ -254,118 +254,117 @@
 			}
 			drained <- time.Since(began)
 		}()
-		if _, err := restsIn.ReadByte(); !errors.Is(err, io.EOF) || time.Since(began) > lastLook {
-			t.Errorf("a connection that rests ends with %v after %v", err, time.Since(began))
+		if _, err := idleReader.ReadByte(); !errors.Is(err, io.EOF) || time.Since(began) > idleGrace {
+			t.Errorf("idle connection: read error %v after %v", err, time.Since(began))
 		}
-		time.Sleep(firstRequest / 2)
-		if err := ask(opened, openedIn); err != nil {
-			t.Errorf("a connection opened just before: %v", err)
+		time.Sleep(firstRequestTimeout / 2)
+		if err := roundTrip(fresh, freshReader); err != nil {
+			t.Errorf("connection opened just before the drain: %v", err)
 		}
-		if err := answered(worksIn); err != nil {
-			t.Errorf("a request in progress: %v", err)
+		if err := readResponse(activeReader); err != nil {
+			t.Errorf("request in progress: %v", err)
 		}
 		if took := <-drained; took != 3*time.Second {
 			t.Errorf("drained after %v", took)
 		}
-		<-s.over
+		<-s.serveDone
 	})
 }
 
-// What was in progress at a stop ends, and nothing follows it on its connection:
-// a request that is taken late would be broken off at the end of the grace
-// period.
-func TestNothingFollowsWhatADrainLetsEnd(t *testing.T) {
-	for name, beside := range map[string]string{"asked after the answer": "", "asked beside the request": get} {
+// A request in progress at a drain finishes, and no further request is accepted on its
+// connection: one accepted late would be aborted at the end of the grace period.
+func TestDrainServesNoFurtherRequests(t *testing.T) {
+	for name, pipelined := range map[string]string{"sent after the response": "", "pipelined with the request": simpleGet} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				var handed atomic.Int32
-				s := newSite(t, func(w http.ResponseWriter, r *http.Request) { handed.Add(1); lasting(w, r) }, zap.NewNop())
+				var handled atomic.Int32
+				s := newTestServer(t, func(w http.ResponseWriter, r *http.Request) { handled.Add(1); delayHandler(w, r) }, zap.NewNop())
 				c, in := s.dial()
 				if _, err := io.WriteString(c, "GET /3s HTTP/1.1\r\nHost: h.example\r\n\r\n"); err != nil {
 					t.Fatal(err)
 				}
 				synctest.Wait()
-				if _, err := io.WriteString(c, beside); err != nil {
+				if _, err := io.WriteString(c, pipelined); err != nil {
 					t.Fatal(err)
 				}
 				drained := make(chan error)
 				go func() { drained <- s.Drain(t.Context()) }()
-				if err := answered(in); err != nil {
+				if err := readResponse(in); err != nil {
 					t.Error(err)
 				}
-				if beside == "" {
-					// Whether it can still be written is up to the server.
-					_, _ = io.WriteString(c, get)
+				if pipelined == "" {
+					// The server may accept or reject the bytes.
+					_, _ = io.WriteString(c, simpleGet)
 				}
-				if err := answered(in); err == nil {
-					t.Error("a request that followed was answered")
+				if err := readResponse(in); err == nil {
+					t.Error("a later request was served")
 				}
 				if err := <-drained; err != nil {
 					t.Error(err)
 				}
-				<-s.over
-				if n := handed.Load(); n != 1 {
-					t.Errorf("%d requests were handed on", n)
+				<-s.serveDone
+				if n := handled.Load(); n != 1 {
+					t.Errorf("%d requests were handled", n)
 				}
 			})
 		})
 	}
 }
 
-func TestDrainBreaksOffWhatLastsTooLong(t *testing.T) {
+func TestDrainTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, lasting, zap.NewNop())
+		s := newTestServer(t, delayHandler, zap.NewNop())
 		c, in := s.dial()
 		if _, err := io.WriteString(c, "GET /1h HTTP/1.1\r\nHost: h.example\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		if err := s.Drain(ctx); !errors.Is(err, ErrBrokenOff) {
+		if err := s.Drain(ctx); !errors.Is(err, ErrDrainTimeout) {
 			t.Errorf("got %v", err)
 		}
-		if err := answered(in); err == nil {
-			t.Error("a request that was broken off has an answer")
+		if err := readResponse(in); err == nil {
+			t.Error("an aborted request got a response")
 		}
-		<-s.over
+		<-s.serveDone
 	})
 }
 
-func TestDrainOfNothing(t *testing.T) {
+func TestDrainWithoutConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, lasting, zap.NewNop())
+		s := newTestServer(t, delayHandler, zap.NewNop())
 		if err := s.Drain(t.Context()); err != nil {
 			t.Error(err)
 		}
-		<-s.over
+		<-s.serveDone
 	})
 }
 
-// What ended a connection is told from one that this process closed.
-func TestEndOfAConnection(t *testing.T) {
+// The close reason distinguishes a close by the client from one by this process.
+func TestCloseReason(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ends := make(chan End, 1)
-		s := newSite(t, func(_ http.ResponseWriter, r *http.Request) {
+		statuses := make(chan End, 1)
+		s := newTestServer(t, func(_ http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
-			ends <- EndOf(r.Context())
+			statuses <- EndOf(r.Context())
 		}, zap.NewNop())
 		c, _ := s.dial()
-		if _, err := io.WriteString(c, get); err != nil {
+		if _, err := io.WriteString(c, simpleGet); err != nil {
 			t.Fatal(err)
 		}
 		synctest.Wait()
 		_ = c.Close()
-		if e := <-ends; e.Cause != CauseCaller || e.Requests != 1 {
-			t.Errorf("the caller closed: %+v", e)
+		if status := <-statuses; status.Cause != ReasonClientClosed || status.Requests != 1 {
+			t.Errorf("closed by the client: %+v", status)
 		}
 		c, _ = s.dial()
-		if _, err := io.WriteString(c, get); err != nil {
+		if _, err := io.WriteString(c, simpleGet); err != nil {
 			t.Fatal(err)
 		}
 		synctest.Wait()
-		s.end()
-		if e := <-ends; e.Cause != CauseHere {
-			t.Errorf("closed here: %+v", e)
+		s.shutdown()
+		if status := <-statuses; status.Cause != ReasonServerClosed {
+			t.Errorf("closed by the server: %+v", status)
 		}
 	})
 }
@@ -373,15 +372,15 @@
 func TestPanicsAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, lines := observer.New(zap.InfoLevel)
-		s := newSite(t, func(http.ResponseWriter, *http.Request) { panic("broken") }, zap.New(core))
+		s := newTestServer(t, func(http.ResponseWriter, *http.Request) { panic("broken") }, zap.New(core))
 		c, in := s.dial()
-		if err := ask(c, in); err == nil {
-			t.Error("an answer by a handler that panicked")
+		if err := roundTrip(c, in); err == nil {
+			t.Error("got a response from a handler that panicked")
 		}
 		synctest.Wait()
 		if lines.FilterMessage(logging.EventServerError).Len() != 1 {
-			t.Errorf("lines: %v", lines.All())
+			t.Errorf("log lines: %v", lines.All())
 		}
-		s.end()
+		s.shutdown()
 	})
 }
