--- a/internal/wire/bench_test.go
+++ b/internal/wire/bench_test.go
@@ -19,31 +19,32 @@
 )
 
 const (
-	benchRequest = "AZPx8no7fG2On6-rLD1OXw"
-	benchGrant   = "AZPx8no7fG2On6-rLD1OYA-12345"
-	// targetClasses and targetCustomers are the target size.
-	targetClasses   = 60
-	targetCustomers = 400
+	benchRequestID = "AZPx8no7fG2On6-rLD1OXw"
+	benchGrantID   = "AZPx8no7fG2On6-rLD1OYA-12345"
+	// benchClasses and benchCustomers are the numbers of classes and customers at the
+	// system's target size.
+	benchClasses   = 60
+	benchCustomers = 400
 )
 
-// benchMessages are the messages of one request's life, with values of the
-// usual length.
+// benchMessages returns the messages of one request's life cycle, with values of usual
+// length.
 func benchMessages() map[string]Message {
 	stamp := timeline.Stamp{Wall: 1_764_000_000_000_000_000, Logical: 3}
 	status := &Status{Waiting: 12, Running: 8, Limit: 16}
 	messages := map[string]Message{
 		"ticket": {Ticket: &Ticket{
-			Request: benchRequest, Attempt: 1, Class: "hazard-flag", Tier: 0, Customer: "customer-042",
+			Request: benchRequestID, Attempt: 1, Class: "hazard-flag", Tier: 0, Customer: "customer-042",
 			SlackMS: 850, Size: 1200, Prefix: 0x9e3779b97f4a7c15, Copies: 2, Serves: "model-07",
 		}},
-		"withdraw": {Withdraw: &Withdraw{Request: benchRequest, Attempt: 1}},
-		"grant":    {Grant: &Grant{Request: benchRequest, Attempt: 1, ID: benchGrant}, Status: status},
-		"refuse":   {Refuse: &Refuse{Request: benchRequest, Attempt: 1, Reason: ReasonOverload, RetryAfterMS: 2500}, Status: status},
+		"withdraw": {Withdraw: &Withdraw{Request: benchRequestID, Attempt: 1}},
+		"grant":    {Grant: &Grant{Request: benchRequestID, Attempt: 1, ID: benchGrantID}, Status: status},
+		"refuse":   {Refuse: &Refuse{Request: benchRequestID, Attempt: 1, Reason: ReasonOverload, RetryAfterMS: 2500}, Status: status},
 		"ping":     {Ping: &Ping{Seq: 100_000}},
 		"status":   {Status: &Status{Seq: 100_000, Waiting: 12, Running: 8, Limit: 16}},
 		"version":  {},
 		"want_set": {WantSet: &WantSet{}},
-		"set":      {NewSet: benchSet()},
+		"set":      {NewSet: benchTargetSet()},
 	}
 	for name, m := range messages {
 		m.Stamp = stamp
@@ -53,21 +54,21 @@
 	return messages
 }
 
-func benchSet() *targets.Set {
+func benchTargetSet() *targets.Set {
 	set := &targets.Set{Version: 1000}
-	for i := range targetClasses {
+	for i := range benchClasses {
 		set.Classes = append(set.Classes, targets.Class{
 			Name: fmt.Sprintf("class-%02d", i), Tier: i % (targets.MaxTier + 1), Model: fmt.Sprintf("model-%02d", i%12),
 			FirstToken: 850 * time.Millisecond, BetweenTokens: 26 * time.Millisecond, Completion: time.Minute,
 		})
 	}
-	for i := range targetCustomers {
+	for i := range benchCustomers {
 		set.Customers = append(set.Customers, targets.Customer{Name: fmt.Sprintf("customer-%03d", i), KeyHash: fmt.Sprintf("%064x", i)})
 	}
 	return set
 }
 
-// BenchmarkCodec encodes and decodes one message; wire-B is its size.
+// BenchmarkCodec encodes and decodes one message; wire-B is its encoded size in bytes.
 func BenchmarkCodec(b *testing.B) {
 	for name, message := range benchMessages() {
 		b.Run(name, func(b *testing.B) {
@@ -89,15 +90,15 @@
 	}
 }
 
-// BenchmarkConn sends a ticket and waits for its grant over a control
-// connection on loopback. cpu-ns is the CPU time of both ends together for the
-// two messages; ns/op has the waiting for the other end in it as well.
+// BenchmarkConn sends a ticket and waits for its grant over a control connection on
+// loopback. cpu-ns/op is the CPU time of both ends for the two messages; ns/op also
+// includes the wait for the other end.
 func BenchmarkConn(b *testing.B) {
 	clock := &timeline.Clock{}
-	local := Local{Clock: clock, TargetsVersion: func() uint64 { return 1000 }, Traffic: metrics.New().Control}
+	config := Local{Clock: clock, TargetsVersion: func() uint64 { return 1000 }, Traffic: metrics.New().Control}
 	messages := benchMessages()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		conn, err := Accept(w, r, local)
+		conn, err := Accept(w, r, config)
 		if err != nil {
 			return
 		}
@@ -112,7 +113,7 @@
 		}
 	}))
 	defer server.Close()
-	conn, err := Dial(b.Context(), strings.TrimPrefix(server.URL, "http://"), "", local)
+	conn, err := Dial(b.Context(), strings.TrimPrefix(server.URL, "http://"), "", config)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -130,13 +131,13 @@
 	b.ReportMetric(float64(cpuTime(b)-before)/float64(b.N), "cpu-ns/op")
 }
 
-// BenchmarkConnMemory keeps a connection for each round and tells what both of
-// its ends hold; run it with -benchtime 300x or so.
+// BenchmarkConnMemory opens one connection per iteration and reports the memory held by
+// both of its ends. Run it with a fixed count, such as -benchtime 300x.
 func BenchmarkConnMemory(b *testing.B) {
-	local := Local{Clock: &timeline.Clock{}, TargetsVersion: func() uint64 { return 1000 }, Traffic: metrics.New().Control}
+	config := Local{Clock: &timeline.Clock{}, TargetsVersion: func() uint64 { return 1000 }, Traffic: metrics.New().Control}
 	done := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		conn, err := Accept(w, r, local)
+		conn, err := Accept(w, r, config)
 		if err != nil {
 			return
 		}
@@ -145,28 +146,28 @@
 	}))
 	defer server.Close()
 	defer close(done)
-	before := memory()
+	before := liveMemory()
 	var conns []*Conn
 	for range b.N {
-		conn, err := Dial(b.Context(), strings.TrimPrefix(server.URL, "http://"), "", local)
+		conn, err := Dial(b.Context(), strings.TrimPrefix(server.URL, "http://"), "", config)
 		if err != nil {
 			b.Fatal(err)
 		}
 		defer conn.Close()
 		conns = append(conns, conn)
 	}
-	b.ReportMetric(float64(memory()-before)/float64(len(conns)), "B/conn")
+	b.ReportMetric(float64(liveMemory()-before)/float64(len(conns)), "B/conn")
 }
 
-// memory is what live objects and stacks take.
-func memory() uint64 {
+// liveMemory returns the bytes used by the heap and stacks after a garbage collection.
+func liveMemory() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return stats.HeapAlloc + stats.StackInuse
 }
 
-// cpuTime is the process's CPU time, user and system.
+// cpuTime returns the process's CPU time, user and system.
 func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -16,57 +16,60 @@
 
 // Errors of a connection.
 var (
-	// ErrClosed: the connection has ended.
+	// ErrClosed: the connection is closed.
 	ErrClosed = errors.New("control connection is closed")
-	// ErrBacklog: the peer does not read; the connection is given up.
-	ErrBacklog = errors.New("control connection's send queue is full")
-	// ErrMalformed: the peer sent what is no Message.
+	// ErrSendQueueFull: the peer doesn't read fast enough; the connection is closed.
+	ErrSendQueueFull = errors.New("control connection's send queue is full")
+	// ErrMalformed: the peer sent data that isn't a Message; the connection is closed.
 	ErrMalformed = errors.New("malformed control message")
 )
 
 const (
-	// sendQueue bounds the messages that wait for a slow peer. At 256 a
-	// burst of tickets fits; a peer that lets more pile up has stopped.
-	sendQueue = 256
-	// writeTimeout bounds one write; past it the peer has stopped reading.
+	// sendQueueSize bounds the messages that wait for a slow peer. 256 holds a burst of
+	// tickets; a peer that falls further behind has stopped reading.
+	sendQueueSize = 256
+	// writeTimeout bounds one write; a peer that takes longer has stopped reading.
 	writeTimeout = 2 * time.Second
-	// maxMessage bounds one message in bytes; the largest is a whole Set.
-	maxMessage = 4 << 20
-	// dialTimeout bounds the opening of a connection.
+	// maxMessageBytes bounds one message; the largest holds a whole targets.Set.
+	maxMessageBytes = 4 << 20
+	// dialTimeout bounds the dial and the WebSocket handshake.
 	dialTimeout = 2 * time.Second
 )
 
-// Traffic counts what control costs a process.
+// TrafficCounter counts a process's control messages and their bytes.
 type Traffic interface {
-	// Sent and Received count one message of so many bytes.
+	// Sent and Received count one message of the given encoded size.
 	Sent(bytes int)
 	Received(bytes int)
 }
 
-// Local is what a process's own side of all its connections shares.
+// Config holds what all control connections of a process share. All fields are
+// required.
 type Local struct {
-	// Clock stamps each message and observes the peers' stamps.
+	// Clock stamps outgoing messages and observes the stamps of incoming ones.
 	Clock *timeline.Clock
-	// TargetsVersion tells the version in force, sent with each message.
+	// TargetsVersion returns the version of the targets in force, which is sent with
+	// each message.
 	TargetsVersion func() uint64
-	// Traffic counts them.
+	// Traffic counts the messages.
 	Traffic Traffic
 }
 
-// Conn is a control connection: typed messages over a WebSocket. Send never
-// blocks; Receive is called from one goroutine.
+// Conn is a control connection: typed messages over a WebSocket. Send never blocks.
+// Receive must not be called concurrently.
 type Conn struct {
-	ws    *websocket.Conn
-	local Local
+	ws     *websocket.Conn
+	config Local
 
-	out    chan Message
-	done   chan struct{}
-	close  sync.Once
-	writer conc.WaitGroup
+	sendQueue chan Message
+	done      chan struct{}
+	closeOnce sync.Once
+	writer    conc.WaitGroup
 }
 
-// Dial opens a connection to an agent at addr (host:port) with the system key.
-func Dial(ctx context.Context, addr, key string, local Local) (*Conn, error) {
+// Dial opens a connection to an agent at addr (host:port), authenticated with the
+// system key. It times out after dialTimeout.
+func Dial(ctx context.Context, addr, key string, config Local) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	header := http.Header{"Authorization": {"Bearer " + key}}
@@ -74,27 +77,27 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "dial agent")
 	}
-	return newConn(ws, local), nil
+	return newConn(ws, config), nil
 }
 
-// Accept takes a connection that an entry opens.
-func Accept(w http.ResponseWriter, r *http.Request, local Local) (*Conn, error) {
+// Accept upgrades an entry's HTTP request to a control connection.
+func Accept(w http.ResponseWriter, r *http.Request, config Local) (*Conn, error) {
 	ws, err := websocket.Accept(w, r, nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "accept entry")
 	}
-	return newConn(ws, local), nil
+	return newConn(ws, config), nil
 }
 
-func newConn(ws *websocket.Conn, local Local) *Conn {
-	ws.SetReadLimit(maxMessage)
-	c := &Conn{ws: ws, local: local, out: make(chan Message, sendQueue), done: make(chan struct{})}
-	c.writer.Go(c.write)
+func newConn(ws *websocket.Conn, config Local) *Conn {
+	ws.SetReadLimit(maxMessageBytes)
+	c := &Conn{ws: ws, config: config, sendQueue: make(chan Message, sendQueueSize), done: make(chan struct{})}
+	c.writer.Go(c.writeLoop)
 	return c
 }
 
-// Send queues a message: ErrClosed when the connection has ended, ErrBacklog
-// when the peer does not read, which also ends it.
+// Send queues a message. It returns ErrClosed when the connection is closed, and
+// ErrSendQueueFull when the peer doesn't read, which also closes the connection.
 func (c *Conn) Send(m Message) error {
 	select {
 	case <-c.done:
@@ -102,15 +105,16 @@
 	default:
 	}
 	select {
-	case c.out <- m:
+	case c.sendQueue <- m:
 		return nil
 	default:
 		c.End()
-		return ErrBacklog
+		return ErrSendQueueFull
 	}
 }
 
-// Receive returns the next message. Any error ends the connection.
+// Receive returns the next message. Errors are ErrClosed or ErrMalformed, and any of
+// them closes the connection.
 func (c *Conn) Receive(ctx context.Context) (Message, error) {
 	_, data, err := c.ws.Read(ctx)
 	if err != nil {
@@ -122,36 +126,36 @@
 		c.End()
 		return Message{}, errors.Wrap(ErrMalformed, err.Error())
 	}
-	c.local.Traffic.Received(len(data))
-	c.local.Clock.Observe(m.Stamp)
+	c.config.Traffic.Received(len(data))
+	c.config.Clock.Observe(m.Stamp)
 	return m, nil
 }
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed with the connection.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// Close ends the connection and waits for its writer.
+// Close closes the connection and waits for its writer goroutine.
 func (c *Conn) Close() {
 	c.End()
 	c.writer.Wait()
 }
 
-// End ends the connection. It does not wait for the peer: one that has gone
-// silent would hold it.
+// CloseNow closes the connection without a closing handshake, which a peer that doesn't
+// respond would delay.
 func (c *Conn) End() {
-	c.close.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.done)
 		_ = c.ws.CloseNow()
 	})
 }
 
-func (c *Conn) write() {
+func (c *Conn) writeLoop() {
 	for {
 		select {
 		case <-c.done:
 			return
-		case m := <-c.out:
-			if err := c.writeOne(m); err != nil {
+		case m := <-c.sendQueue:
+			if err := c.writeMessage(m); err != nil {
 				c.End()
 				return
 			}
@@ -159,9 +163,9 @@
 	}
 }
 
-func (c *Conn) writeOne(m Message) error {
-	m.Stamp = c.local.Clock.Now()
-	m.Targets = c.local.TargetsVersion()
+func (c *Conn) writeMessage(m Message) error {
+	m.Stamp = c.config.Clock.Now()
+	m.Targets = c.config.TargetsVersion()
 	data, err := cbor.Marshal(m)
 	if err != nil {
 		return errors.Wrap(err, "encode message")
@@ -171,6 +175,6 @@
 	if err := c.ws.Write(ctx, websocket.MessageBinary, data); err != nil {
 		return errors.Wrap(err, "write message")
 	}
-	c.local.Traffic.Sent(len(data))
+	c.config.Traffic.Sent(len(data))
 	return nil
 }
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -1,56 +1,57 @@
 package wire
 
-// FrameKind says what a frame of an answer's stream carries.
+// FrameKind is the type of a frame in a response stream.
 type FrameKind uint8
 
-// Kinds of frames. A stream without FrameEnd or FrameFail is not whole.
+// Frame kinds. A stream without FrameEnd or FrameFail is incomplete.
 const (
-	// FrameData carries a piece of the answer.
+	// FrameData carries a part of the response.
 	FrameData FrameKind = iota + 1
-	// FrameHeartbeat shows that a silent stream is alive.
+	// FrameHeartbeat shows that a stream without data is alive.
 	FrameHeartbeat
-	// FrameEnd ends a whole answer.
+	// FrameEnd marks the end of a complete response.
 	FrameEnd
-	// FrameFail ends a stream that failed; Fail says how.
+	// FrameFail ends a failed stream; Fail holds the kind of failure.
 	FrameFail
-	// FrameHead carries a plain service's status and headers.
+	// FrameHeaders carries the status and headers of a plain service's response.
 	FrameHead
 )
 
-// FailKind says what a failed run means for the request.
+// FailKind tells whether a failed run was executed.
 type FailKind string
 
-// Kinds of failure.
+// Failure kinds.
 const (
-	// FailNotRun: it certainly did not run.
+	// FailNotRun: the run was certainly not executed.
 	FailNotRun FailKind = "not_run"
-	// FailRejected: the backend server refused it; it did not run.
+	// FailRejected: the backend server rejected the run; it was not executed.
 	FailRejected FailKind = "rejected"
-	// FailCut: it ran and was cut off.
+	// FailInterrupted: the run started and was interrupted.
 	FailCut FailKind = "cut"
-	// FailPreempted: it ran and was stopped in favour of urgent work; nothing
-	// is wrong with the backend server.
+	// FailPreempted: the run started and was stopped in favour of urgent work.
+	// It doesn't indicate a fault of the backend server.
 	FailPreempted FailKind = "preempted"
-	// FailUnknown: it may have run.
+	// FailUnknown: the run may have been executed.
 	FailUnknown FailKind = "unknown"
 )
 
-// Frame is one frame of an answer on its way from agent to entry.
+// Frame is one frame of a response stream from an agent to an entry.
 type Frame struct {
 	Kind FrameKind `cbor:"1,keyasint"`
-	// Data is a chat.completion.chunk, a plain service's bytes, or the
-	// backend server's error body.
+	// Data is a chat.completion.chunk, a part of a plain service's response body, or
+	// the backend server's error body.
 	Data []byte `cbor:"2,keyasint,omitempty"`
-	// Tokens is how many tokens Data carries.
+	// Tokens is the number of tokens in Data.
 	Tokens int `cbor:"3,keyasint,omitempty"`
-	// Fail is set with FrameFail.
+	// Fail is the kind of failure, with FrameFail.
 	Fail FailKind `cbor:"4,keyasint,omitempty"`
-	// Status and Header are a backend server's, with FrameHead or FrameFail.
+	// Status and Header are those of the backend server's response, with FrameHeaders
+	// or FrameFail.
 	Status int      `cbor:"5,keyasint,omitempty"`
 	Header []Header `cbor:"6,keyasint,omitempty"`
 }
 
-// Header is one HTTP header line of a plain service's answer.
+// Header is one HTTP header field of a plain service's request or response.
 type Header struct {
 	Name  string `cbor:"1,keyasint"`
 	Value string `cbor:"2,keyasint"`
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -1,6 +1,5 @@
-// Package wire holds the messages between the system's processes, their CBOR
-// encoding and the WebSocket connection that carries them. Start reading at
-// Message.
+// Package wire defines the messages between the system's processes, their CBOR encoding
+// and the WebSocket connection that carries them. Start reading at Message.
 package wire
 
 import (
@@ -9,14 +8,13 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// Message is the envelope of one message between an entry and an agent.
-// At most one of the pointers is set, but that a Status may ride along: with a
-// Hello, Grant or Refuse of an agent. With none set, the message tells the
-// version of the targets only.
+// Message is the envelope of every message between an entry and an agent. At most one
+// of the pointers is set, except that an agent may add a Status to a Hello, Grant or
+// Refuse. With none set, the message only announces the version of the targets.
 type Message struct {
-	// Stamp passes on the sender's hybrid logical clock.
+	// Stamp is the sender's hybrid logical clock.
 	Stamp timeline.Stamp `cbor:"1,keyasint"`
-	// Targets is the version of the targets that the sender has in force.
+	// TargetsVersion is the version of the targets in force at the sender.
 	Targets uint64 `cbor:"2,keyasint"`
 
 	Hello    *Hello       `cbor:"10,keyasint,omitempty"`
@@ -32,135 +30,144 @@
 	WantSet  *WantSet     `cbor:"20,keyasint,omitempty"`
 }
 
-// Hello opens a connection, from both sides.
+// Hello is the first message on a connection, in both directions.
 type Hello struct {
-	// Process is the sender's VM name.
+	// Process is the name of the sender's VM.
 	Process string `cbor:"1,keyasint"`
-	// Incarnation is new with each start of the process.
+	// Incarnation identifies one start of the process.
 	Incarnation string `cbor:"2,keyasint"`
 	// Zone is the sender's availability zone.
 	Zone string `cbor:"3,keyasint"`
-	// Serves names the model or plain service behind an agent.
+	// Serves is the model or plain service behind an agent.
 	Serves string `cbor:"4,keyasint,omitempty"`
-	// Loads says that the backend server takes orders to load a model.
+	// LoadsModels is set when the backend server can be ordered to load a model.
 	Loads bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Ticket asks an agent for a grant, from an entry.
+// Ticket is an entry's request for a grant from an agent.
 type Ticket struct {
-	// Request identifies the caller's request; Attempt numbers our tries.
+	// RequestID identifies the client's request; Attempt numbers the entry's attempts
+	// to run it.
 	Request string `cbor:"1,keyasint"`
 	Attempt int    `cbor:"2,keyasint"`
 
 	Class    string `cbor:"3,keyasint"`
 	Tier     int    `cbor:"4,keyasint"`
 	Customer string `cbor:"5,keyasint"`
-	// SlackMS is how many milliseconds remain until Due must be reached to
-	// meet the target. It is relative, since VMs' clocks differ.
+	// SlackMS is the time in milliseconds until DeadlineMilestone must be reached to
+	// meet the latency target. It is relative because the VMs' clocks differ.
 	SlackMS int64 `cbor:"6,keyasint"`
-	// Due is the milestone that the target is for.
+	// DeadlineMilestone is the milestone that the latency target applies to.
 	Due policy.Milestone `cbor:"13,keyasint,omitempty"`
-	// Size is the estimated work in tokens.
+	// Size is the estimated work in tokens, prompt and answer together.
 	Size int `cbor:"7,keyasint"`
-	// Prefix is a hash of the prompt's beginning, for the prefix cache.
+	// PrefixHash is a hash of the prompt's beginning, for the prefix cache.
 	Prefix uint64 `cbor:"8,keyasint"`
-	// Copies is at how many agents the request holds a ticket.
+	// Copies is the number of agents at which the request holds a ticket at the same
+	// time.
 	Copies int `cbor:"9,keyasint"`
-	// Asks is how many agents the request asks before it is refused for good.
+	// MaxEngines is the number of agents, each with one engine, that are asked before
+	// the request is refused for good.
 	Asks int `cbor:"14,keyasint,omitempty"`
-	// Retry marks a request that ran in part before: it is never refused for
-	// its estimated wait, since its caller holds half an answer.
+	// Retry marks a request that was executed in part before. It is never refused for
+	// its estimated wait, because its client already has a part of the answer.
 	Retry bool `cbor:"10,keyasint,omitempty"`
-	// Serves is the model or plain service that is asked for; an agent whose
-	// engine has loaded another since refuses the ticket.
+	// Serves is the requested model or plain service. An agent whose engine has loaded
+	// another model since refuses the ticket.
 	Serves string `cbor:"11,keyasint"`
-	// Preemptible says that the run may be stopped for an urgent one: the
-	// entry continues it elsewhere.
+	// Preemptible is set when the run may be stopped for an urgent one; the entry then
+	// continues it elsewhere.
 	Preemptible bool `cbor:"12,keyasint,omitempty"`
 }
 
-// Withdraw takes a ticket back, or declines its grant.
+// Withdraw cancels a ticket or declines its grant.
 type Withdraw struct {
 	Request string `cbor:"1,keyasint"`
 	Attempt int    `cbor:"2,keyasint"`
 }
 
-// Grant offers an engine's room to a ticket. It is single use and lapses.
+// Grant offers a slot of the agent's engine to a ticket. It can be used once and
+// expires.
 type Grant struct {
 	Request string `cbor:"1,keyasint"`
 	Attempt int    `cbor:"2,keyasint"`
-	// ID names the grant; it carries the agent's incarnation.
+	// ID identifies the grant and contains the agent's incarnation.
 	ID string `cbor:"3,keyasint"`
 }
 
-// Reason says why an agent refused a ticket.
+// Reason tells why an agent refused a ticket.
 type Reason string
 
-// Reasons of a refusal; the request was certainly not run.
+// Reasons for a refusal. In all cases the request was not executed.
 const (
-	// ReasonOverload: it can't meet its target here.
+	// ReasonOverload: the request can't meet its latency target at this agent.
 	ReasonOverload Reason = "overload"
-	// ReasonLeaving: the agent takes no new work.
+	// ReasonDraining: the agent accepts no new work.
 	ReasonLeaving Reason = "leaving"
-	// ReasonQueueFull: the bounded queue is full.
+	// ReasonQueueFull: the agent's bounded queue is full.
 	ReasonQueueFull Reason = "queue_full"
-	// ReasonSwitching: the engine loads another model, or has done so.
+	// ReasonSwitching: the engine is loading another model or has done so.
 	ReasonSwitching Reason = "switching"
 	// ReasonEngineDown: the engine can't be reached.
 	ReasonEngineDown Reason = "engine_down"
 )
 
-// Refuse turns a ticket away.
+// Refuse rejects a ticket.
 type Refuse struct {
 	Request string `cbor:"1,keyasint"`
 	Attempt int    `cbor:"2,keyasint"`
 	Reason  Reason `cbor:"3,keyasint"`
-	// RetryAfterMS is when coming back is expected to succeed.
+	// RetryAfterMS is the time in milliseconds after which a retry is expected to
+	// succeed.
 	RetryAfterMS int64 `cbor:"4,keyasint"`
 }
 
-// Void asks an agent to make a grant unusable.
+// Void asks an agent to invalidate a grant.
 type Void struct {
 	Grant string `cbor:"1,keyasint"`
 }
 
-// VoidResult is the agent's atomic answer to Void.
+// VoidResult is an agent's response to Void. The check and the invalidation are one
+// atomic step.
 type VoidResult string
 
 // Results of Void.
 const (
-	// VoidDone: the grant was not used and never will be; it was not run.
+	// VoidDone: the grant was not used and can't be used any more; the request was not
+	// executed.
 	VoidDone VoidResult = "voided"
-	// VoidStarted: the grant was used; the request has started.
+	// VoidStarted: the grant was used, and the request has started.
 	VoidStarted VoidResult = "started"
-	// VoidUnknown: the grant is from an earlier incarnation of the agent.
+	// VoidUnknown: an earlier incarnation of the agent issued the grant.
 	VoidUnknown VoidResult = "unknown"
 )
 
-// Voided answers Void.
+// Voided is the response to Void.
 type Voided struct {
 	Grant  string     `cbor:"1,keyasint"`
 	Result VoidResult `cbor:"2,keyasint"`
 }
 
-// Ping asks for a Status at once; its absence shows a silent connection.
+// Ping requests an immediate Status. A missing response shows that the connection is
+// dead.
 type Ping struct {
 	Seq uint64 `cbor:"1,keyasint"`
 }
 
-// Status is what an agent tells of itself.
+// Status is an agent's report of its load and state.
 type Status struct {
-	// Seq repeats the Ping's; zero when the agent sent it unasked.
+	// Seq is the Seq of the Ping, or zero in a Status that wasn't requested.
 	Seq uint64 `cbor:"1,keyasint"`
-	// Waiting counts tickets, Running counts runs, Limit is how many may run.
+	// Waiting is the number of queued tickets, Running the number of active runs, and
+	// Limit the number of runs allowed at the same time.
 	Waiting int `cbor:"2,keyasint"`
 	Running int `cbor:"3,keyasint"`
 	Limit   int `cbor:"4,keyasint"`
-	// Leaving agents take no new work.
+	// Draining is set when the agent accepts no new work.
 	Leaving bool `cbor:"5,keyasint,omitempty"`
-	// EngineDown says that the engine can't be reached, or loads a model.
+	// EngineDown is set when the engine can't be reached or is loading a model.
 	EngineDown bool `cbor:"6,keyasint,omitempty"`
 }
 
-// WantSet asks the other side for its targets.
+// GetTargets requests the peer's target set.
 type WantSet struct{}
--- a/internal/wire/run.go
+++ b/internal/wire/run.go
@@ -1,22 +1,22 @@
 package wire
 
-// RunPath is the agent's HTTP path that takes a granted request's body.
+// RunPath is the agent's HTTP path for the RunRequest of a granted request.
 const RunPath = "/v1/run"
 
-// ConnectPath is the agent's HTTP path of the control connection.
+// ConnectPath is the agent's HTTP path for control connections.
 const ConnectPath = "/v1/connect"
 
-// RunRequest is the body that an entry sends with a grant.
+// RunRequest is the HTTP body with which an entry uses a grant.
 type RunRequest struct {
-	// Grant is the grant's id.
+	// GrantID is the ID of the grant.
 	Grant   string `cbor:"1,keyasint"`
 	Request string `cbor:"2,keyasint"`
 	Attempt int    `cbor:"3,keyasint"`
-	// ResumeFrom is how many tokens the caller already has.
+	// ResumeFrom is the number of tokens that the client has already received.
 	ResumeFrom int `cbor:"4,keyasint,omitempty"`
-	// Body is the caller's request body.
+	// Body is the client's request body.
 	Body []byte `cbor:"5,keyasint"`
-	// Method, Path and Header are set for a plain service's call.
+	// Method, Path and Header are those of a call to a plain service.
 	Method string   `cbor:"6,keyasint,omitempty"`
 	Path   string   `cbor:"7,keyasint,omitempty"`
 	Header []Header `cbor:"8,keyasint,omitempty"`
--- a/internal/wire/stream.go
+++ b/internal/wire/stream.go
@@ -9,36 +9,39 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrNoEnd: a stream ended without FrameEnd or FrameFail; its answer is not
-// whole.
-var ErrNoEnd = errors.New("stream ended without a terminal frame")
+// ErrTruncated: a stream ended without FrameEnd or FrameFail, so its response is
+// incomplete.
+var ErrTruncated = errors.New("stream ended without a terminal frame")
 
-// ErrSilent: a stream sent nothing, not even a heartbeat, past its bound.
-var ErrSilent = errors.New("stream went silent")
+// ErrHeartbeatTimeout: a stream sent nothing, not even a heartbeat, for
+// HeartbeatTimeout.
+var ErrSilent = errors.New("no data or heartbeat on the stream within the timeout")
 
 const (
-	// HeartbeatEvery is how often an agent sends on a stream with no data.
+	// HeartbeatInterval is how often an agent sends a heartbeat on a stream without
+	// data.
 	HeartbeatEvery = 500 * time.Millisecond
-	// SilenceBound is when a stream counts as dead that sends nothing to who
-	// waits for it, whatever TCP says: four heartbeats and some room for a busy
-	// machine.
+	// HeartbeatTimeout is how long a reader waits for data or a heartbeat before it
+	// treats the stream as dead, whatever TCP reports: four heartbeat intervals and a
+	// margin for a busy machine.
 	SilenceBound = 3 * time.Second
-	// frameWriteTimeout bounds one frame's write to a peer that stops reading.
+	// frameWriteTimeout bounds the write of one frame to a peer that stops reading.
 	frameWriteTimeout = 10 * time.Second
 )
 
-// FrameWriter writes frames on an HTTP response, each flushed at once.
+// FrameWriter writes frames to an HTTP response and flushes after each.
 type FrameWriter struct {
 	enc     *cbor.Encoder
 	control *http.ResponseController
 }
 
-// NewFrameWriter returns a writer of frames on w.
+// NewFrameWriter returns a FrameWriter on w.
 func NewFrameWriter(w http.ResponseWriter) *FrameWriter {
 	return &FrameWriter{enc: cbor.NewEncoder(w), control: http.NewResponseController(w)}
 }
 
-// Write sends one frame; an error means that the entry has gone.
+// Write sends one frame. An error means that the entry has disconnected or stopped
+// reading.
 func (w *FrameWriter) Write(f Frame) error {
 	_ = w.control.SetWriteDeadline(time.Now().Add(frameWriteTimeout))
 	if err := w.enc.Encode(f); err != nil {
@@ -50,47 +53,47 @@
 	return nil
 }
 
-// FrameReader reads frames and gives up on a stream that goes silent. Only a
-// read that waits for bytes counts as silent: what its user does between two
-// frames may take its time.
+// FrameReader reads frames and detects a dead stream. The timeout runs only while a
+// read waits for bytes; the time that the consumer takes between two frames doesn't
+// count.
 type FrameReader struct {
-	from    io.Reader
-	dec     *cbor.Decoder
-	silence *Silence
+	src      io.Reader
+	dec      *cbor.Decoder
+	watchdog *Silence
 }
 
-// NewFrameReader reads frames from r; cut is called when a read of r has waited
-// for SilenceBound, and must make it return.
-func NewFrameReader(r io.Reader, cut func()) *FrameReader {
-	fr := &FrameReader{from: r, silence: NewSilence(cut)}
-	fr.dec = cbor.NewDecoder(readFunc(fr.read))
+// NewFrameReader returns a FrameReader on r. onTimeout is called when a read of r has
+// waited for HeartbeatTimeout, and must make that read return.
+func NewFrameReader(r io.Reader, onTimeout func()) *FrameReader {
+	fr := &FrameReader{src: r, watchdog: NewSilence(onTimeout)}
+	fr.dec = cbor.NewDecoder(readerFunc(fr.read))
 	return fr
 }
 
-// Next returns the next frame, heartbeats included: ErrNoEnd when the stream
-// ends, ErrSilent when it went silent.
+// Next returns the next frame, heartbeats included. It returns ErrTruncated when the
+// stream ends, and ErrHeartbeatTimeout when it timed out.
 func (r *FrameReader) Next() (Frame, error) {
 	var f Frame
 	if err := r.dec.Decode(&f); err != nil {
-		if r.silence.Over() {
+		if r.watchdog.Over() {
 			return Frame{}, ErrSilent
 		}
-		return Frame{}, errors.Wrap(ErrNoEnd, err.Error())
+		return Frame{}, errors.Wrap(ErrTruncated, err.Error())
 	}
 	return f, nil
 }
 
 func (r *FrameReader) read(p []byte) (int, error) {
-	r.silence.Begin()
-	defer r.silence.End()
-	return r.from.Read(p)
+	r.watchdog.Begin()
+	defer r.watchdog.End()
+	return r.src.Read(p)
 }
 
-// Close stops the watch for silence.
-func (r *FrameReader) Close() { r.silence.End() }
+// Close stops the watchdog. It doesn't close the underlying reader.
+func (r *FrameReader) Close() { r.watchdog.End() }
 
-// readFunc is a function as a reader.
-type readFunc func(p []byte) (int, error)
+// readerFunc adapts a function to io.Reader.
+type readerFunc func(p []byte) (int, error)
 
 // Read implements io.Reader.
-func (f readFunc) Read(p []byte) (int, error) { return f(p) }
+func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
--- a/internal/wire/stream_test.go
+++ b/internal/wire/stream_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// errors.Wrap of go-faster makes an error of nil as well, which once made
-// every frame that was written look like a lost entry.
-func TestWriteOfFrameSucceeds(t *testing.T) {
+// Guards against a write error on success: go-faster's errors.Wrap returns an error for
+// nil too, so that every written frame was reported as a disconnected entry.
+func TestFrameWriterReturnsNilOnSuccess(t *testing.T) {
 	recorder := httptest.NewRecorder()
 	if err := NewFrameWriter(recorder).Write(Frame{Kind: FrameEnd}); err != nil {
 		t.Fatal(err)
--- a/internal/wire/suspended_test.go
+++ b/internal/wire/suspended_test.go
@@ -13,13 +13,13 @@
 	"github.com/go-faster/errors"
 )
 
-// envStoppedReader makes a process of this test binary the reader of
-// TestReaderThatStoodStillReadsOn.
-const envStoppedReader = "WIRE_TEST_STOPPED_READER"
+// envSuspendedReader makes a child process of this test binary the reader of
+// TestSuspendedReaderResumes.
+const envSuspendedReader = "WIRE_TEST_STOPPED_READER"
 
-// readStdin reads frames from the standard input to FrameEnd, and tells each on
-// the standard error by a byte.
-func readStdin(t *testing.T) {
+// readFramesFromStdin reads frames from standard input up to FrameEnd and writes one
+// byte to standard error for each.
+func readFramesFromStdin(t *testing.T) {
 	r := NewFrameReader(os.Stdin, func() { os.Exit(3) })
 	defer r.Close()
 	for {
@@ -34,65 +34,64 @@
 	}
 }
 
-// A process that stands still finds the bytes that came and its timer due at
-// once when it goes on: the bytes count.
-func TestReaderThatStoodStillReadsOn(t *testing.T) {
-	if os.Getenv(envStoppedReader) != "" {
-		readStdin(t)
+// Guards against a timeout after a suspension: a process that resumes finds its timer
+// expired and received bytes ready at the same time, and the bytes must be read.
+func TestSuspendedReaderResumes(t *testing.T) {
+	if os.Getenv(envSuspendedReader) != "" {
+		readFramesFromStdin(t)
 		return
 	}
 	const readers = 10
-	failed := make(chan error, readers)
+	results := make(chan error, readers)
 	for range readers {
-		go func() { failed <- standStill() }()
+		go func() { results <- suspendReader() }()
 	}
 	for range readers {
-		if err := <-failed; err != nil {
+		if err := <-results; err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-func standStill() error {
-	cmd := exec.Command(os.Args[0], "-test.run=^TestReaderThatStoodStillReadsOn$")
-	cmd.Env = append(os.Environ(), envStoppedReader+"=1")
-	to, err := cmd.StdinPipe()
+func suspendReader() error {
+	cmd := exec.Command(os.Args[0], "-test.run=^TestSuspendedReaderResumes$")
+	cmd.Env = append(os.Environ(), envSuspendedReader+"=1")
+	stdin, err := cmd.StdinPipe()
 	if err != nil {
-		return errors.Wrap(err, "input")
+		return errors.Wrap(err, "open standard input")
 	}
-	told, err := cmd.StderrPipe()
+	progress, err := cmd.StderrPipe()
 	if err != nil {
-		return errors.Wrap(err, "output")
+		return errors.Wrap(err, "open standard error")
 	}
 	if err := cmd.Start(); err != nil {
-		return errors.Wrap(err, "start")
+		return errors.Wrap(err, "start reader")
 	}
 	defer func() { _ = cmd.Process.Kill() }()
-	enc := cbor.NewEncoder(to)
+	enc := cbor.NewEncoder(stdin)
 	if err := enc.Encode(Frame{Kind: FrameHeartbeat}); err != nil {
-		return errors.Wrap(err, "first frame")
+		return errors.Wrap(err, "send first frame")
 	}
-	if _, err := io.ReadFull(told, make([]byte, 1)); err != nil {
-		return errors.Wrap(err, "first frame told")
+	if _, err := io.ReadFull(progress, make([]byte, 1)); err != nil {
+		return errors.Wrap(err, "wait for the first frame to be read")
 	}
 	if err := cmd.Process.Signal(syscall.SIGSTOP); err != nil {
-		return errors.Wrap(err, "stop")
+		return errors.Wrap(err, "suspend reader")
 	}
 	var frames bytes.Buffer
 	_ = cbor.NewEncoder(&frames).Encode(Frame{Kind: FrameHeartbeat})
 	_ = cbor.NewEncoder(&frames).Encode(Frame{Kind: FrameEnd})
-	if _, err := to.Write(frames.Bytes()); err != nil {
-		return errors.Wrap(err, "frames")
+	if _, err := stdin.Write(frames.Bytes()); err != nil {
+		return errors.Wrap(err, "send frames")
 	}
-	// The time that passes is what is tested here: the bound passes while the
-	// process stands still.
+	// The test needs real time: the timeout must expire while the process is suspended.
 	time.Sleep(SilenceBound + HeartbeatEvery)
 	if err := cmd.Process.Signal(syscall.SIGCONT); err != nil {
-		return errors.Wrap(err, "continue")
+		return errors.Wrap(err, "resume reader")
 	}
-	_, _ = io.Copy(io.Discard, told)
+	_, _ = io.Copy(io.Discard, progress)
 	if err := cmd.Wait(); err != nil {
-		return errors.Wrap(err, "cut though frames had come")
+		return errors.Wrap(err, "reader failed although frames had arrived")
 	}
 	return nil
 }
--- a/internal/wire/watchdog.go
+++ b/internal/wire/watchdog.go
@@ -5,92 +5,96 @@
 	"time"
 )
 
-// silenceParts is in how many parts of HeartbeatEvery SilenceBound is counted.
-const silenceParts = int(SilenceBound / HeartbeatEvery)
+// timeoutTicks is the number of ticks of HeartbeatInterval that make up
+// HeartbeatTimeout.
+const timeoutTicks = int(SilenceBound / HeartbeatEvery)
 
-// Silence ends a wait for a peer that has sent nothing for SilenceBound. It
-// counts only while Begin and End enclose a wait, and part by part, the next one
-// set when the last has been seen: a process that stood still finds its timer
-// due and what has come at once when it goes on, and however long it stood
-// still, it counts one part only.
+// Watchdog ends a wait for a peer that has sent nothing for HeartbeatTimeout. It runs
+// only between Start and Stop.
+//
+// The timeout is counted in ticks, and each tick is scheduled when the previous one has
+// fired. A process that was suspended finds both its timer expired and received data
+// ready when it resumes; however long the suspension lasted, it counts as one tick, so
+// the data is read before the watchdog expires.
 type Silence struct {
-	cut func()
+	onTimeout func()
 
 	mu      sync.Mutex
 	timer   *time.Timer
 	waiting bool
-	// set is when the timer was set last, and left how many parts of the bound
-	// are left from then.
-	set  time.Time
-	left int
-	over bool
+	// tickStart is when the current tick began, and ticksLeft the number of ticks until
+	// expiry, the current one included.
+	tickStart time.Time
+	ticksLeft int
+	expired   bool
 }
 
-// NewSilence returns one that calls cut once when a wait was silent for too long;
-// cut must make what waits return.
-func NewSilence(cut func()) *Silence {
-	s := &Silence{cut: cut}
-	s.timer = time.AfterFunc(HeartbeatEvery, s.due)
-	s.timer.Stop()
-	return s
+// NewWatchdog returns a stopped watchdog that calls onTimeout once on expiry. onTimeout
+// must make the pending wait return.
+func NewSilence(onTimeout func()) *Silence {
+	w := &Silence{onTimeout: onTimeout}
+	w.timer = time.AfterFunc(HeartbeatEvery, w.endTick)
+	w.timer.Stop()
+	return w
 }
 
-// Begin begins a wait.
-func (s *Silence) Begin() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.over {
+// Start begins a wait. It does nothing after expiry.
+func (w *Silence) Begin() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.expired {
 		return
 	}
-	s.waiting = true
-	s.left = silenceParts
-	s.next()
+	w.waiting = true
+	w.ticksLeft = timeoutTicks
+	w.startTick()
 }
 
-// End ends a wait and reports whether it wasn't cut; then it won't be.
-func (s *Silence) End() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.waiting = false
-	// A part that is due already finds that nobody waits.
-	s.timer.Stop()
-	return !s.over
+// Stop ends a wait and reports whether the watchdog hasn't expired; if so, it can't
+// expire before the next Start.
+func (w *Silence) End() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.waiting = false
+	// A tick that has already fired finds waiting unset.
+	w.timer.Stop()
+	return !w.expired
 }
 
-// Over reports whether a wait was cut.
-func (s *Silence) Over() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.over
+// Expired reports whether the watchdog has expired.
+func (w *Silence) Over() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.expired
 }
 
-// next sets the timer to the end of a part.
-func (s *Silence) next() {
-	s.set = time.Now()
-	s.timer.Reset(HeartbeatEvery)
+// startTick schedules the end of a tick. The caller holds mu.
+func (w *Silence) startTick() {
+	w.tickStart = time.Now()
+	w.timer.Reset(HeartbeatEvery)
 }
 
-// due ends a part of a silent wait.
-func (s *Silence) due() {
-	if s.count() {
-		s.cut()
+// endTick runs when a tick fires.
+func (w *Silence) endTick() {
+	if w.countTick() {
+		w.onTimeout()
 	}
 }
 
-// count reports whether the wait was silent for too long.
-func (s *Silence) count() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !s.waiting || time.Since(s.set) < HeartbeatEvery {
-		// What was due was a part of an earlier wait.
+// countTick counts a tick and reports whether the watchdog has expired with it.
+func (w *Silence) countTick() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if !w.waiting || time.Since(w.tickStart) < HeartbeatEvery {
+		// The tick belongs to an earlier wait.
 		return false
 	}
-	s.left--
-	if s.left > 0 {
-		s.next()
+	w.ticksLeft--
+	if w.ticksLeft > 0 {
+		w.startTick()
 		return false
 	}
-	s.waiting = false
-	s.over = true
+	w.waiting = false
+	w.expired = true
 	return true
 }
--- a/internal/wire/watchdog_test.go
+++ b/internal/wire/watchdog_test.go
@@ -11,8 +11,8 @@
 	"github.com/go-faster/errors"
 )
 
-// framesOf is a stream of that many heartbeats.
-func framesOf(t *testing.T, n int) *bytes.Buffer {
+// heartbeatFrames returns a stream of n heartbeats.
+func heartbeatFrames(t *testing.T, n int) *bytes.Buffer {
 	t.Helper()
 	var b bytes.Buffer
 	enc := cbor.NewEncoder(&b)
@@ -24,12 +24,12 @@
 	return &b
 }
 
-// A consumer that is slow with one frame once lost a stream whose next frame
-// had long been there.
-func TestFrameThatHasComeIsNoSilence(t *testing.T) {
+// Guards against a timeout while the consumer processes a frame: a slow consumer lost
+// its stream although the next frame had already arrived.
+func TestSlowConsumerDoesNotTimeOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cut := 0
-		r := NewFrameReader(framesOf(t, 2), func() { cut++ })
+		timeouts := 0
+		r := NewFrameReader(heartbeatFrames(t, 2), func() { timeouts++ })
 		defer r.Close()
 		for range 2 {
 			if _, err := r.Next(); err != nil {
@@ -38,23 +38,23 @@
 			time.Sleep(SilenceBound + time.Millisecond)
 			synctest.Wait()
 		}
-		if cut != 0 {
-			t.Fatalf("cut %d times while nobody waited for a frame", cut)
+		if timeouts != 0 {
+			t.Fatalf("timed out %d times without a pending read", timeouts)
 		}
 	})
 }
 
-func TestReadThatWaitsIsCutAtTheBound(t *testing.T) {
+func TestBlockedReadTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		from, to := io.Pipe()
-		cuts := 0
-		r := NewFrameReader(from, func() { cuts++; from.Close() })
+		pipeReader, pipeWriter := io.Pipe()
+		timeouts := 0
+		r := NewFrameReader(pipeReader, func() { timeouts++; pipeReader.Close() })
 		defer r.Close()
-		// Frames that come later than one part of the bound, but within it.
+		// Frames that arrive later than one tick, but within the timeout.
 		go func() {
 			for range 3 {
 				time.Sleep(SilenceBound - time.Millisecond)
-				_, _ = to.Write(framesOf(t, 1).Bytes())
+				_, _ = pipeWriter.Write(heartbeatFrames(t, 1).Bytes())
 			}
 		}()
 		for range 3 {
@@ -64,10 +64,10 @@
 		}
 		began := time.Now()
 		if _, err := r.Next(); !errors.Is(err, ErrSilent) {
-			t.Fatalf("got %v, want ErrSilent", err)
+			t.Fatalf("got %v, want ErrHeartbeatTimeout", err)
 		}
-		if took := time.Since(began); took != SilenceBound || cuts != 1 {
-			t.Fatalf("cut %d times, after %v; want once after %v", cuts, took, SilenceBound)
+		if took := time.Since(began); took != SilenceBound || timeouts != 1 {
+			t.Fatalf("timed out %d times, after %v; want once after %v", timeouts, took, SilenceBound)
 		}
 	})
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -16,17 +16,17 @@
 	"github.com/applepier/applepier/internal/timeline"
 )
 
-func testLocal(version uint64) Local {
+func testConfig(version uint64) Local {
 	return Local{Clock: &timeline.Clock{}, TargetsVersion: func() uint64 { return version }, Traffic: metrics.New().Control}
 }
 
-// connectPair returns both ends of one connection.
+// connectPair returns the two ends of one connection.
 func connectPair(t *testing.T) (entry, agent *Conn) {
 	t.Helper()
 	accepted := make(chan *Conn, 1)
 	release := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		c, err := Accept(w, r, testLocal(7))
+		c, err := Accept(w, r, testConfig(7))
 		if err != nil {
 			t.Errorf("accept: %v", err)
 			return
@@ -34,7 +34,7 @@
 		accepted <- c
 		<-release
 	}))
-	entry, err := Dial(t.Context(), strings.TrimPrefix(server.URL, "http://"), "key", testLocal(3))
+	entry, err := Dial(t.Context(), strings.TrimPrefix(server.URL, "http://"), "key", testConfig(3))
 	if err != nil {
 		t.Fatalf("dial: %v", err)
 	}
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestFrameReaderTellsACutStreamFromAWholeOne(t *testing.T) {
+func TestFrameReaderReportsMissingEndFrame(t *testing.T) {
 	var stream bytes.Buffer
 	enc := cbor.NewEncoder(&stream)
 	for _, f := range []Frame{{Kind: FrameData, Data: []byte("a"), Tokens: 1}, {Kind: FrameEnd}} {
@@ -93,19 +93,19 @@
 			t.Fatalf("frame: got %v, %v; want kind %d", f.Kind, err, want)
 		}
 	}
-	if _, err := r.Next(); !errors.Is(err, ErrNoEnd) {
-		t.Fatalf("after the end: got %v, want ErrNoEnd", err)
+	if _, err := r.Next(); !errors.Is(err, ErrTruncated) {
+		t.Fatalf("after the end: got %v, want ErrTruncated", err)
 	}
 }
 
-func TestFrameReaderStopsInsideAFrame(t *testing.T) {
+func TestFrameReaderReportsPartialFrame(t *testing.T) {
 	data, err := cbor.Marshal(Frame{Kind: FrameData, Data: []byte("some text")})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := NewFrameReader(io.LimitReader(bytes.NewReader(data), int64(len(data)-1)), func() {})
 	defer r.Close()
-	if _, err := r.Next(); !errors.Is(err, ErrNoEnd) {
-		t.Fatalf("half a frame: got %v, want ErrNoEnd", err)
+	if _, err := r.Next(); !errors.Is(err, ErrTruncated) {
+		t.Fatalf("partial frame: got %v, want ErrTruncated", err)
 	}
 }
