--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -31,7 +31,7 @@
 	idleTime  time.Duration
 	// inGrace is set while the connection is read once more after its idle deadline.
 	inGrace bool
-	// draining is set when the process stops: idle connections are closed at once.
+	// draining is set when the process stops: idle periods end at once.
 	draining bool
 	// backgroundNext is set when the next read is net/http's background read, which
 	// detects a client that disconnects during its request.
