--- a/internal/targets/bench_test.go
+++ b/internal/targets/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The target size.
+// Numbers of classes and customers at the size the system is designed for.
 const (
 	targetClasses   = 60
 	targetCustomers = 400
@@ -27,8 +27,8 @@
 	return set
 }
 
-// BenchmarkSetJSON is what a process pays to read a new version from the table
-// service; json-B is the size of the row's Set.
+// BenchmarkSetJSON measures decoding a new version read from the table service.
+// The metric json-B is the encoded size of the Set in bytes.
 func BenchmarkSetJSON(b *testing.B) {
 	data, err := json.Marshal(benchSet())
 	if err != nil {
@@ -44,7 +44,7 @@
 	b.ReportMetric(float64(len(data)), "json-B")
 }
 
-// BenchmarkClass is what a request pays to find the last class.
+// BenchmarkClass measures the lookup of the last class, the worst case for a request.
 func BenchmarkClass(b *testing.B) {
 	set := benchSet()
 	last := set.Classes[targetClasses-1].Name
--- a/internal/targets/edit.go
+++ b/internal/targets/edit.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Clone returns a copy that may be changed.
+// Clone returns a copy of s that the caller may modify.
 func (s *Set) Clone() *Set {
 	return &Set{
 		Version:   s.Version,
@@ -14,13 +14,13 @@
 	}
 }
 
-// Sort brings classes and customers in order of name.
+// Sort sorts classes and customers by name.
 func (s *Set) Sort() {
 	slices.SortStableFunc(s.Classes, func(a, b Class) int { return cmp.Compare(a.Name, b.Name) })
 	slices.SortStableFunc(s.Customers, func(a, b Customer) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Customer finds a customer by name.
+// Customer returns the customer with the given name, and false if there is none.
 func (s *Set) Customer(name string) (Customer, bool) {
 	for _, c := range s.Customers {
 		if c.Name == name {
@@ -30,26 +30,26 @@
 	return Customer{}, false
 }
 
-// PutClass adds the class, or replaces the one of its name. It is for a Clone
-// that is not published yet.
+// PutClass adds the class or replaces the one with the same name. Call it only
+// on a Clone that is not published yet.
 func (s *Set) PutClass(class Class) {
 	s.Classes = slices.DeleteFunc(s.Classes, func(c Class) bool { return c.Name == class.Name })
 	s.Classes = append(s.Classes, class)
 	s.Sort()
 }
 
-// PutCustomer adds the customer, or replaces the one of its name. It is for a
-// Clone that is not published yet.
+// PutCustomer adds the customer or replaces the one with the same name. Call it
+// only on a Clone that is not published yet.
 func (s *Set) PutCustomer(customer Customer) {
 	s.RemoveCustomer(customer.Name)
 	s.Customers = append(s.Customers, customer)
 	s.Sort()
 }
 
-// RemoveCustomer removes a customer and reports whether there was one. It is
-// for a Clone that is not published yet.
+// RemoveCustomer removes the customer with the given name and reports whether
+// it existed. Call it only on a Clone that is not published yet.
 func (s *Set) RemoveCustomer(name string) bool {
-	before := len(s.Customers)
+	oldCount := len(s.Customers)
 	s.Customers = slices.DeleteFunc(s.Customers, func(c Customer) bool { return c.Name == name })
-	return len(s.Customers) < before
+	return len(s.Customers) < oldCount
 }
--- a/internal/targets/met.go
+++ b/internal/targets/measurement.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Measured is what a caller got of one whole answer.
+// Measurement holds the measured latencies of one complete response.
 type Measured struct {
 	// FirstToken is the time from arrival to the first token or byte.
 	FirstToken time.Duration
-	// Took is the time from arrival to the end.
+	// Duration is the time from arrival to the end of the response.
 	Took time.Duration
-	// Tokens is how many came; zero for a plain service.
+	// Tokens is the number of tokens received; zero for a plain service.
 	Tokens int
 }
 
-// Met reports whether a whole answer met every target of its class. The target
-// between tokens is held against the answer's mean.
+// MeetsTargets reports whether a complete response met every target of its
+// class. BetweenTokens is compared with the mean inter-token latency.
 func (c Class) Met(m Measured) bool {
 	if c.FirstToken > 0 && m.FirstToken > c.FirstToken {
 		return false
--- a/internal/targets/problem.go
+++ b/internal/targets/problem.go
@@ -2,15 +2,15 @@
 
 import "strings"
 
-// Problem is one thing that is wrong with a request of an operator.
+// Problem describes one invalid field in an operator's request.
 type Problem struct {
-	// Field names what is wrong, for example "classes.hazard-flag.tier".
+	// Field is the path of the invalid field, for example "classes.hazard-flag.tier".
 	Field string `json:"field"`
-	// Reason says what is wrong with it, and what would be right.
+	// Reason describes the error and which values are valid.
 	Reason string `json:"reason"`
 }
 
-// ValidationError holds all problems of a Set at once.
+// ValidationError reports all invalid fields of a Set.
 type ValidationError struct {
 	Problems []Problem
 }
@@ -23,7 +23,7 @@
 	return "invalid targets: " + strings.Join(lines, "; ")
 }
 
-// Prefixed returns the problems with prefix before each field.
+// PrefixFields returns a copy of problems with prefix prepended to each Field.
 func Prefixed(prefix string, problems []Problem) []Problem {
 	prefixed := make([]Problem, len(problems))
 	for i, p := range problems {
--- a/internal/targets/set.go
+++ b/internal/targets/set.go
@@ -1,12 +1,13 @@
-// Package targets holds what operators state: classes of work with their
-// latency targets and tiers, and customers. A Set is one immutable version of
-// all of it and is swapped whole; a Holder keeps the newest Set a process has
-// seen and never goes back to an older one. Start reading at Set.
+// Package targets defines the operators' configuration: request classes with
+// their latency targets and priority tiers, and customers. A Set is one
+// immutable version of the whole configuration and is replaced as a unit. A
+// Cache holds the newest Set that a process has received and never reverts to
+// an older one. Start reading at Set.
 package targets
 
 import "slices"
 
-// Customer is a firm's account that sends requests.
+// Customer is a company's account, on whose behalf requests are sent.
 type Customer struct {
 	// Name identifies the customer.
 	Name string `json:"name"`
@@ -15,9 +16,10 @@
 	KeyHash string `json:"key_hash"`
 }
 
-// Set is one version of all targets. It is immutable once published.
+// Set is one version of all classes and customers. It is immutable once published.
 type Set struct {
-	// Version grows by one with each accepted change; zero means none yet.
+	// Version increases by one with each accepted change; zero means that
+	// there was no change yet.
 	Version uint64 `json:"version"`
 	// Classes are sorted by name.
 	Classes []Class `json:"classes"`
@@ -25,7 +27,8 @@
 	Customers []Customer `json:"customers"`
 }
 
-// Class finds a class by name, retired ones included.
+// Class returns the class with the given name, retired ones included, and false
+// if there is none.
 func (s *Set) Class(name string) (Class, bool) {
 	for _, c := range s.Classes {
 		if c.Name == name {
@@ -35,7 +38,7 @@
 	return Class{}, false
 }
 
-// ClassNames lists the classes that take requests, in order of name.
+// ClassNames returns the sorted names of the classes that are not retired.
 func (s *Set) ClassNames() []string {
 	names := make([]string, 0, len(s.Classes))
 	for _, c := range s.Classes {
--- a/internal/targets/store/errors.go
+++ b/internal/targets/store/errors.go
@@ -8,18 +8,20 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-// Errors of a Store.
+// Errors returned by Store and Poller.
 var (
-	// ErrUnavailable: the table service did not answer; nothing was changed.
-	ErrUnavailable = errors.New("targets can't be reached, nothing was changed")
-	// ErrCorrupt: a row doesn't hold what this version of the program writes.
+	// ErrUnavailable means that the table service did not respond; nothing
+	// was changed.
+	ErrUnavailable = errors.New("table service for targets is unavailable, nothing was changed")
+	// ErrCorrupt means that a stored row is not in the format that this
+	// version of the program writes.
 	ErrCorrupt = errors.New("stored targets can't be decoded")
 )
 
-// ConflictError says that a change was made upon a version that isn't the
+// ConflictError reports that a change was based on a version that isn't the
 // newest; nothing was changed.
 type ConflictError struct {
-	// Base is the version that the change was made upon.
+	// Base is the version that the change was based on.
 	Base uint64
 	// Newer is the newest Set.
 	Newer *targets.Set
@@ -29,14 +31,15 @@
 	return fmt.Sprintf("targets are at version %d, the change was made upon version %d", e.Newer.Version, e.Base)
 }
 
-// UnsettledError says that a change may have taken effect, or may yet. The
-// caller reads the targets again once the table service answers.
+// OutcomeUnknownError reports that a change may have taken effect or may still
+// take effect. The caller should read the targets again once the table service
+// responds.
 type UnsettledError struct {
-	// Change is the id of the change.
+	// Change is the ID of the change.
 	Change string
-	// Version is the one the targets have if it took effect.
+	// Version is the version of the targets if the change took effect.
 	Version uint64
-	// Cause is the last error of the table service.
+	// Cause is the last error returned by the table service.
 	Cause error
 }
 
@@ -44,5 +47,5 @@
 	return fmt.Sprintf("change %s to version %d may or may not have taken effect: %v", e.Change, e.Version, e.Cause)
 }
 
-// Unwrap returns the last error of the table service.
+// Unwrap returns Cause.
 func (e *UnsettledError) Unwrap() error { return e.Cause }
--- a/internal/targets/store/poller.go
+++ b/internal/targets/store/poller.go
@@ -14,36 +14,39 @@
 
 // Timing of a Poller.
 const (
-	// PollInterval is the mean time between two reads of the head. Together
-	// with the spreading to agents it must fit 14 seconds; a longer one saves
-	// reads, of which 3 seconds cost 137 a second at 410 entries.
+	// PollInterval is the mean time between two reads of the head row.
+	// Polling plus propagation to the agents must take at most 14 seconds.
+	// With 410 entries, 3 seconds cause 137 reads per second; a longer
+	// interval would cause fewer.
 	PollInterval = 3 * time.Second
-	// pollJitter spreads the reads of entries that started together; each
-	// interval is PollInterval plus or minus up to this.
+	// pollJitter is the maximum random deviation of an interval from
+	// PollInterval. It spreads out the reads of entries that started at the
+	// same time.
 	pollJitter = PollInterval / 4
-	// pollLimit bounds one poll, so that a call that never returns doesn't
-	// stop the polling.
-	pollLimit = 5 * time.Second
+	// pollTimeout limits one poll, so that a call that never returns doesn't
+	// stop polling.
+	pollTimeout = 5 * time.Second
 )
 
-// Poller offers newer Sets from a Store to a Holder.
+// Poller periodically reads the Store and updates a Cache with newer Sets.
 type Poller struct {
-	store  *Store
-	holder *targets.Holder
-	log    *zap.Logger
+	store *Store
+	cache *targets.Holder
+	log   *zap.Logger
 }
 
-// NewPoller returns a Poller; Run starts it. A nil log logs nothing.
-func NewPoller(store *Store, holder *targets.Holder, log *zap.Logger) *Poller {
+// NewPoller returns a Poller that is started by Run. If log is nil, nothing is
+// logged.
+func NewPoller(store *Store, cache *targets.Holder, log *zap.Logger) *Poller {
 	if log == nil {
 		log = zap.NewNop()
 	}
-	return &Poller{store: store, holder: holder, log: log}
+	return &Poller{store: store, cache: cache, log: log}
 }
 
-// Run polls at once and then at jittered intervals until ctx ends. While the
-// table service is down it keeps the interval: the load of polling is the
-// same as when the service is up, and recovery is noticed within it.
+// Run polls immediately and then at jittered intervals until ctx ends. It
+// doesn't back off while the table service is down: polling causes the same
+// load as when the service is up, and recovery is detected within one interval.
 func (p *Poller) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := p.Poll(ctx); err != nil && ctx.Err() == nil {
@@ -53,23 +56,23 @@
 	}
 }
 
-// Poll reads the head once and, when it is newer than the Holder's Set, offers
-// the stored Set. It returns ErrUnavailable or ErrCorrupt.
+// Poll reads the head row once and, if its version is newer than the Cache's,
+// loads the stored Set into the Cache. It returns ErrUnavailable or ErrCorrupt.
 func (p *Poller) Poll(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, pollLimit)
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	version, err := p.store.Version(ctx)
 	if err != nil {
 		return err
 	}
-	if version <= p.holder.Current().Version {
+	if version <= p.cache.Current().Version {
 		return nil
 	}
 	set, err := p.store.Load(ctx)
 	if err != nil {
 		return err
 	}
-	if p.holder.Offer(set) {
+	if p.cache.Offer(set) {
 		p.log.Info(logging.EventTargetsAdopted, zap.Uint64("version", set.Version), zap.String("source", "table"))
 	}
 	return nil
--- a/internal/targets/store/record.go
+++ b/internal/targets/store/record.go
@@ -10,37 +10,38 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-// Keys of the two rows.
+// Keys of the two rows that store the targets.
 const (
 	headKey = "targets/head"
 	setKey  = "targets/set"
 )
 
-// keptChanges is how many ids of changes the set's row remembers. An operator
-// whose acknowledgement was lost finds the change by its id while fewer than
-// this many others came after it within confirm.Limit.
-const keptChanges = 32
+// maxChangeIDs is the number of change IDs kept in the set row. If the response
+// to a write is lost, the change is found by its ID as long as fewer than this
+// many other changes follow within confirm.Timeout.
+const maxChangeIDs = 32
 
-// headRecord is the value of the head's row.
+// headRecord is the value of the head row.
 type headRecord struct {
 	Version uint64 `json:"version"`
 }
 
-// setRecord is the value of the set's row.
+// setRecord is the value of the set row.
 type setRecord struct {
 	Set *targets.Set `json:"set"`
-	// Changes are the ids of the latest changes, oldest first.
+	// Changes are the IDs of the latest changes, oldest first.
 	Changes []string `json:"changes"`
 }
 
-// storedSet is what was read from the set's row.
+// storedSet is the decoded content of the set row.
 type storedSet struct {
-	set     *targets.Set
-	changes []string
-	// rowVersion is the row's; zero when there is none.
+	set       *targets.Set
+	changeIDs []string
+	// rowVersion is the version of the row; zero if the row doesn't exist.
 	rowVersion uint64
 }
 
+// parseSet decodes the set row. It returns ErrCorrupt if that fails.
 func parseSet(row storage.Row) (storedSet, error) {
 	var record setRecord
 	if err := json.Unmarshal(row.Value, &record); err != nil {
@@ -49,22 +50,23 @@
 	if record.Set == nil {
 		return storedSet{}, ErrCorrupt
 	}
-	return storedSet{set: record.Set, changes: record.Changes, rowVersion: row.Version}, nil
+	return storedSet{set: record.Set, changeIDs: record.Changes, rowVersion: row.Version}, nil
 }
 
-// holds reports whether a change is among the latest.
-func (s storedSet) holds(change string) bool {
-	return slices.Contains(s.changes, change)
+// containsChange reports whether the ID is among those of the latest changes.
+func (s storedSet) containsChange(changeID string) bool {
+	return slices.Contains(s.changeIDs, changeID)
 }
 
-// writes returns the transaction that replaces the stored Set by next. The
-// set's row guards both, since the head is never written without it.
-func (s storedSet) writes(next *targets.Set, change string) ([]storage.Write, error) {
-	changes := append(slices.Clone(s.changes), change)
-	if len(changes) > keptChanges {
-		changes = changes[len(changes)-keptChanges:]
+// transaction returns the writes that replace the stored Set by next. Only the
+// write of the set row is conditional; it protects both rows, because the head
+// row is never written without it.
+func (s storedSet) transaction(next *targets.Set, changeID string) ([]storage.Write, error) {
+	changeIDs := append(slices.Clone(s.changeIDs), changeID)
+	if len(changeIDs) > maxChangeIDs {
+		changeIDs = changeIDs[len(changeIDs)-maxChangeIDs:]
 	}
-	set, err := json.Marshal(setRecord{Set: next, Changes: changes})
+	set, err := json.Marshal(setRecord{Set: next, Changes: changeIDs})
 	if err != nil {
 		return nil, errors.Wrap(err, "encode the targets")
 	}
--- a/internal/targets/store/size_test.go
+++ b/internal/targets/store/size_test.go
@@ -9,8 +9,8 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-// At the target size the set's row has to stay small enough for one read.
-func TestRowAtTheTargetSize(t *testing.T) {
+// At the target size the set row must stay small enough for one read.
+func TestSetRowSizeAtTargetSize(t *testing.T) {
 	table := storagetest.NewTable()
 	_, err := New(table).Change(t.Context(), 0, func(set *targets.Set) error {
 		for i := range 400 {
@@ -28,8 +28,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("set's row: %d bytes", len(row.Value))
+	t.Logf("set row: %d bytes", len(row.Value))
 	if len(row.Value) > 64<<10 {
-		t.Fatalf("set's row: %d bytes, want at most 64 KiB", len(row.Value))
+		t.Fatalf("set row: %d bytes, want at most 64 KiB", len(row.Value))
 	}
 }
--- a/internal/targets/store/store.go
+++ b/internal/targets/store/store.go
@@ -1,24 +1,25 @@
-// Package store keeps the targets in the platform's table service, under one
-// version number, written by compare-and-set. Start reading at Store.
+// Package store persists the targets in the platform's table service. All
+// targets share one version number and are updated by compare-and-set. Start
+// reading at Store.
 //
 // # Layout
 //
-// Two rows are written together in each change. The row "targets/set" holds
-// the whole Set; the row "targets/head" holds only its version. A process that
-// polls reads the head, some tens of bytes, and reads the set only when the
-// head is newer than what it has.
+// Each change writes two rows in one transaction. The row "targets/set" holds
+// the whole Set; the row "targets/head" holds only its version. A polling
+// process reads the head row, a few tens of bytes, and reads the set row only
+// when the head has a newer version than its own.
 //
-// At the target size, 410 entries poll the head every PollInterval, which is
-// 137 reads a second, and 1,000 changes a day add 5 reads a second on average
-// and another 137 a second at most in the seconds after a change. Agents
-// don't poll; they learn the targets from the entries they talk to. If the
-// 1,200 agents polled as well, the head alone would take 537 reads a second,
-// a quarter of what the table service gives to everything.
+// At the target size, 410 entries poll the head row every PollInterval, which
+// is 137 reads per second. 1,000 changes per day add 5 reads per second on
+// average, and at most another 137 per second in the seconds after a change.
+// Agents don't poll; they receive the targets from the entries they are
+// connected to. If the 1,200 agents polled as well, the head row alone would
+// take 537 reads per second, a quarter of the table service's total capacity.
 //
-// One row for the whole set rather than a row a class: a reader gets one
-// consistent version with one read, and no mixture of two versions can be
-// seen. The row is small: the bounds in package targets keep it below a
-// megabyte, and 400 customers with 50 classes take about 50 KB.
+// The whole Set is in one row, not one row per class, so that a reader gets a
+// consistent version with one read and never sees a mixture of two versions.
+// The row is small: the limits in package targets keep it below one megabyte,
+// and 400 customers with 50 classes take about 50 KB.
 package store
 
 import (
@@ -33,18 +34,18 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-// Store reads and changes the targets in the table service.
+// Store reads and updates the targets in the table service.
 type Store struct {
 	table storage.Table
 }
 
-// New returns a Store on the table service.
+// New returns a Store that uses the given table service.
 func New(table storage.Table) *Store {
 	return &Store{table: table}
 }
 
-// Load reads the newest Set; an empty one of version zero before the first
-// change. It returns ErrUnavailable or ErrCorrupt.
+// Load returns the newest Set, or an empty one of version zero before the first
+// change. Its errors are ErrUnavailable and ErrCorrupt.
 func (s *Store) Load(ctx context.Context) (*targets.Set, error) {
 	stored, err := s.read(ctx)
 	if err != nil {
@@ -53,8 +54,8 @@
 	return stored.set, nil
 }
 
-// Version reads the version of the newest Set; zero before the first change.
-// It returns ErrUnavailable or ErrCorrupt.
+// Version returns the version of the newest Set, or zero before the first
+// change. Its errors are ErrUnavailable and ErrCorrupt.
 func (s *Store) Version(ctx context.Context) (uint64, error) {
 	row, err := s.table.Get(ctx, headKey)
 	if errors.Is(err, storage.ErrNotFound) {
@@ -74,10 +75,11 @@
 // result as the next version. It returns the new Set only after the write is
 // confirmed. Errors:
 //
-//   - a ConflictError when base isn't the newest version;
-//   - the error of edit as it is, or a targets.ValidationError;
-//   - ErrUnavailable when nothing was written;
-//   - an UnsettledError when nobody can tell.
+//   - a *ConflictError if base isn't the newest version;
+//   - the error returned by edit, unwrapped, or a *targets.ValidationError;
+//   - ErrUnavailable if nothing was written;
+//   - ErrCorrupt if the stored Set can't be decoded;
+//   - an *OutcomeUnknownError if the outcome of the write can't be determined.
 func (s *Store) Change(ctx context.Context, base uint64, edit func(*targets.Set) error) (*targets.Set, error) {
 	stored, err := s.read(ctx)
 	if err != nil {
@@ -99,42 +101,42 @@
 }
 
 func (s *Store) write(ctx context.Context, stored storedSet, next *targets.Set) (*targets.Set, error) {
-	change := uuid.NewString()
-	writes, err := stored.writes(next, change)
+	changeID := uuid.NewString()
+	writes, err := stored.transaction(next, changeID)
 	if err != nil {
 		return nil, err
 	}
 	err = confirm.Commit(ctx, s.table, writes, func(ctx context.Context) (confirm.Verdict, error) {
-		return s.verdict(ctx, stored.rowVersion, change)
+		return s.checkOutcome(ctx, stored.rowVersion, changeID)
 	})
 	switch {
 	case err == nil:
 		return next, nil
 	case errors.Is(err, confirm.ErrConflict):
-		return nil, s.conflict(ctx, stored.set.Version)
+		return nil, s.conflictError(ctx, stored.set.Version)
 	case errors.Is(err, confirm.ErrUnavailable):
 		return nil, errors.Join(ErrUnavailable, err)
 	}
-	return nil, &UnsettledError{Change: change, Version: next.Version, Cause: err}
+	return nil, &UnsettledError{Change: changeID, Version: next.Version, Cause: err}
 }
 
-// verdict finds out whether a change took effect, also when later changes were
-// made upon it.
-func (s *Store) verdict(ctx context.Context, rowVersion uint64, change string) (confirm.Verdict, error) {
-	now, err := s.read(ctx)
+// checkOutcome determines whether a change took effect, even if later changes
+// were based on it.
+func (s *Store) checkOutcome(ctx context.Context, rowVersion uint64, changeID string) (confirm.Verdict, error) {
+	stored, err := s.read(ctx)
 	switch {
 	case err != nil:
 		return 0, err
-	case now.holds(change):
+	case stored.containsChange(changeID):
 		return confirm.Written, nil
-	case now.rowVersion != rowVersion:
+	case stored.rowVersion != rowVersion:
 		return confirm.Overtaken, nil
 	}
 	return confirm.Pending, nil
 }
 
-// conflict reads the newer Set for a ConflictError.
-func (s *Store) conflict(ctx context.Context, base uint64) error {
+// conflict reads the newest Set and returns a ConflictError with it.
+func (s *Store) conflictError(ctx context.Context, base uint64) error {
 	newer, err := s.Load(ctx)
 	if err != nil {
 		return err
@@ -142,6 +144,7 @@
 	return &ConflictError{Base: base, Newer: newer}
 }
 
+// read returns the decoded set row, or an empty Set before the first change.
 func (s *Store) read(ctx context.Context) (storedSet, error) {
 	row, err := s.table.Get(ctx, setKey)
 	if errors.Is(err, storage.ErrNotFound) {
--- a/internal/targets/store/store_test.go
+++ b/internal/targets/store/store_test.go
@@ -14,7 +14,7 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-func add(name string) func(*targets.Set) error {
+func addClass(name string) func(*targets.Set) error {
 	return func(set *targets.Set) error {
 		set.PutClass(targets.Class{Name: name, Model: "apple-avustaja", FirstToken: time.Second})
 		return nil
@@ -23,14 +23,14 @@
 
 func mustChange(t *testing.T, s *Store, base uint64, name string) *targets.Set {
 	t.Helper()
-	set, err := s.Change(t.Context(), base, add(name))
+	set, err := s.Change(t.Context(), base, addClass(name))
 	if err != nil {
-		t.Fatalf("change upon version %d: %v", base, err)
+		t.Fatalf("change based on version %d: %v", base, err)
 	}
 	return set
 }
 
-func TestChangeIsReadBackWhole(t *testing.T) {
+func TestChangeIsReadBackCompletely(t *testing.T) {
 	s := New(storagetest.NewTable())
 	mustChange(t, s, 0, "planner-question")
 	mustChange(t, s, 1, "hazard-flag")
@@ -47,17 +47,17 @@
 	}
 }
 
-func TestChangeUnderFaultsOfTheTable(t *testing.T) {
+func TestChangeWithTableFaults(t *testing.T) {
 	tests := []struct {
 		name   string
 		faults []storagetest.Fault
 		want   error
 		next   uint64
 	}{
-		{"answer lost after the write", []storagetest.Fault{storagetest.FaultLost}, nil, 1},
-		{"call lost before the write", []storagetest.Fault{storagetest.FaultDropped}, nil, 1},
-		{"call delayed past the answer", []storagetest.Fault{storagetest.FaultLate}, nil, 1},
-		{"no answer in time", []storagetest.Fault{storagetest.FaultSlow}, nil, 1},
+		{"response lost after the write", []storagetest.Fault{storagetest.FaultLost}, nil, 1},
+		{"request lost before the write", []storagetest.Fault{storagetest.FaultDropped}, nil, 1},
+		{"request delayed past the response", []storagetest.Fault{storagetest.FaultLate}, nil, 1},
+		{"no response in time", []storagetest.Fault{storagetest.FaultSlow}, nil, 1},
 		{"service down", []storagetest.Fault{storagetest.FaultDown}, ErrUnavailable, 0},
 	}
 	for _, tt := range tests {
@@ -66,7 +66,7 @@
 				table := storagetest.NewTable()
 				s := New(table)
 				table.FailCommits(tt.faults...)
-				_, err := s.Change(t.Context(), 0, add("hazard-flag"))
+				_, err := s.Change(t.Context(), 0, addClass("hazard-flag"))
 				if !errors.Is(err, tt.want) {
 					t.Fatalf("got %v, want %v", err, tt.want)
 				}
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestSecondOfTwoOperatorsSeesTheNewerSet(t *testing.T) {
+func TestConcurrentChangeReturnsNewerSet(t *testing.T) {
 	table := storagetest.NewTable()
 	s := New(table)
 	var once atomic.Bool
@@ -89,7 +89,7 @@
 			mustChange(t, New(table), 0, "gate-check")
 		}
 	})
-	_, err := s.Change(t.Context(), 0, add("hazard-flag"))
+	_, err := s.Change(t.Context(), 0, addClass("hazard-flag"))
 	var conflict *ConflictError
 	if !errors.As(err, &conflict) {
 		t.Fatalf("got %v, want a conflict", err)
@@ -102,49 +102,51 @@
 	}
 }
 
-// The answer to the first change is lost and, before it is read back, others
-// change the targets: the first operator must still be told that it was taken.
-func TestLostAnswerIsFoundUnderLaterChanges(t *testing.T) {
+// If the response to a change is lost and other operators change the targets
+// before the read-back, the first operator must still learn that the change was
+// accepted.
+func TestLostResponseWithLaterChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
-		s := New(readBackAfter{table, func() {
+		s := New(tableWithCommitHook{table, func() {
 			mustChange(t, New(table), 1, "gate-check")
 			mustChange(t, New(table), 2, "tank-alert")
 		}})
 		table.FailCommits(storagetest.FaultLost)
-		set, err := s.Change(t.Context(), 0, add("hazard-flag"))
+		set, err := s.Change(t.Context(), 0, addClass("hazard-flag"))
 		if err != nil || set.Version != 1 {
 			t.Fatalf("got %+v, %v, want version 1 accepted", set, err)
 		}
 	})
 }
 
-// readBackAfter runs others once between a commit and what follows it.
-type readBackAfter struct {
+// tableWithCommitHook calls afterCommit after each commit, before the caller
+// sees the result.
+type tableWithCommitHook struct {
 	*storagetest.Table
-	others func()
+	afterCommit func()
 }
 
-func (r readBackAfter) Commit(ctx context.Context, writes []storage.Write) error {
-	err := r.Table.Commit(ctx, writes)
-	r.others()
+func (t tableWithCommitHook) Commit(ctx context.Context, writes []storage.Write) error {
+	err := t.Table.Commit(ctx, writes)
+	t.afterCommit()
 	return err
 }
 
-func TestUnsettledChangeSaysSo(t *testing.T) {
+func TestChangeWithUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
-		s := New(readBackAfter{table, func() { table.SetDown(true) }})
+		s := New(tableWithCommitHook{table, func() { table.SetDown(true) }})
 		table.FailCommits(storagetest.FaultLost)
-		_, err := s.Change(t.Context(), 0, add("hazard-flag"))
-		var unsettled *UnsettledError
-		if !errors.As(err, &unsettled) || unsettled.Version != 1 {
-			t.Fatalf("got %v, want an unsettled change to version 1", err)
+		_, err := s.Change(t.Context(), 0, addClass("hazard-flag"))
+		var unknown *UnsettledError
+		if !errors.As(err, &unknown) || unknown.Version != 1 {
+			t.Fatalf("got %v, want an unknown outcome of the change to version 1", err)
 		}
 	})
 }
 
-func TestRefusedChangeWritesNothing(t *testing.T) {
+func TestInvalidChangeWritesNothing(t *testing.T) {
 	table := storagetest.NewTable()
 	s := New(table)
 	_, err := s.Change(t.Context(), 0, func(set *targets.Set) error {
@@ -160,20 +162,20 @@
 	}
 }
 
-func TestPollerFollowsAndSurvivesAnOutage(t *testing.T) {
+func TestPollerRecoversFromOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
 		s := New(table)
 		mustChange(t, s, 0, "hazard-flag")
-		holder := targets.NewHolder()
+		cache := targets.NewHolder()
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			NewPoller(s, holder, nil).Run(ctx)
+			NewPoller(s, cache, nil).Run(ctx)
 		}()
 		synctest.Wait()
-		if got := holder.Current().Version; got != 1 {
+		if got := cache.Current().Version; got != 1 {
 			t.Fatalf("version after the first poll: %d", got)
 		}
 		table.SetDown(true)
@@ -182,7 +184,7 @@
 		mustChange(t, s, 1, "gate-check")
 		time.Sleep(PollInterval + pollJitter)
 		synctest.Wait()
-		if got := holder.Current().Version; got != 2 {
+		if got := cache.Current().Version; got != 2 {
 			t.Fatalf("version one interval after the outage: %d", got)
 		}
 		cancel()
@@ -190,12 +192,12 @@
 	})
 }
 
-func TestIdlePollIsOneSmallRead(t *testing.T) {
+func TestIdlePollReadsOnlyHead(t *testing.T) {
 	table := storagetest.NewTable()
 	s := New(table)
 	mustChange(t, s, 0, "hazard-flag")
-	holder := targets.NewHolder()
-	p := NewPoller(s, holder, nil)
+	cache := targets.NewHolder()
+	p := NewPoller(s, cache, nil)
 	if err := p.Poll(t.Context()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/targets/validate.go
+++ b/internal/targets/validate.go
@@ -5,22 +5,23 @@
 	"regexp"
 )
 
-// Bounds of a Set. They keep it, in all processes, below a megabyte, with
-// room for ten times the customers of the target size.
+// Limits of a Set. They keep it below one megabyte in every process, and allow
+// ten times the number of customers of the target size.
 const (
-	// MaxClasses bounds the classes, retired ones included.
+	// MaxClasses is the maximum number of classes, retired ones included.
 	MaxClasses = 256
-	// MaxCustomers bounds the customers.
+	// MaxCustomers is the maximum number of customers.
 	MaxCustomers = 4000
 )
 
-// namePattern is what names of classes, customers, models and services look
-// like. It has no separator of URLs, log lines or table keys.
+// namePattern matches valid names of classes, customers, models and services.
+// It excludes characters that separate parts of URLs, log lines or table keys.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-const nameReason = "must be 1 to 63 letters, digits, dots, hyphens or underscores, beginning with a letter or digit"
+const invalidNameReason = "must be 1 to 63 letters, digits, dots, hyphens or underscores, beginning with a letter or digit"
 
-// Validate returns a ValidationError with every problem of the Set, or nil.
+// Validate returns nil if the Set is valid, or a *ValidationError that lists
+// every invalid field.
 func (s *Set) Validate() error {
 	var problems []Problem
 	problems = append(problems, s.classProblems()...)
--- a/internal/targets/validate_class.go
+++ b/internal/targets/validate_class.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// MaxTarget is the longest latency target. A longer one is a slip of the unit.
+// MaxTarget is the longest latency target that is accepted. A longer one is
+// most likely given in the wrong unit.
 const MaxTarget = 24 * time.Hour
 
-// Problems returns everything that is wrong with the class by itself. Fields
-// are named as in the class's JSON.
+// Problems returns the invalid fields of the class, without comparing it with
+// other classes. Fields have their JSON names.
 func (c Class) Problems() []Problem {
 	var problems []Problem
 	if !namePattern.MatchString(c.Name) {
-		problems = append(problems, Problem{Field: "name", Reason: nameReason})
+		problems = append(problems, Problem{Field: "name", Reason: invalidNameReason})
 	}
 	if c.Tier < 0 || c.Tier > MaxTier {
 		problems = append(problems, Problem{Field: "tier", Reason: fmt.Sprintf("must be 0 (most urgent) to %d (least urgent)", MaxTier)})
@@ -29,9 +30,9 @@
 	case c.Model != "" && c.Service != "":
 		return []Problem{{Field: "service", Reason: "only one of model and service may be set"}}
 	case c.Model != "" && !namePattern.MatchString(c.Model):
-		return []Problem{{Field: "model", Reason: nameReason}}
+		return []Problem{{Field: "model", Reason: invalidNameReason}}
 	case c.Service != "" && !namePattern.MatchString(c.Service):
-		return []Problem{{Field: "service", Reason: nameReason}}
+		return []Problem{{Field: "service", Reason: invalidNameReason}}
 	}
 	return nil
 }
--- a/internal/targets/validate_test.go
+++ b/internal/targets/validate_test.go
@@ -13,7 +13,7 @@
 	return Class{Name: "hazard-flag", Model: "apple-avustaja", FirstToken: time.Second}
 }
 
-func TestProblemsOfAClass(t *testing.T) {
+func TestClassProblems(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(c *Class)
@@ -47,12 +47,12 @@
 	}
 }
 
-func TestValidateTellsAllProblemsAtOnce(t *testing.T) {
+func TestValidateReportsAllProblems(t *testing.T) {
 	hash := strings.Repeat("0a", 32)
-	broken := validClass()
-	broken.Tier = 7
+	duplicate := validClass()
+	duplicate.Tier = 7
 	set := &Set{
-		Classes:   []Class{validClass(), broken},
+		Classes:   []Class{validClass(), duplicate},
 		Customers: []Customer{{Name: "kaivonkansi", KeyHash: hash}, {Name: "ledger", KeyHash: hash}, {Name: "ledger", KeyHash: "AB"}},
 	}
 	var invalid *ValidationError
