--- a/internal/storage/bench_test.go
+++ b/internal/storage/bench_test.go
@@ -6,11 +6,12 @@
 	"testing"
 )
 
-// targetVMs is the VM list at the target size: 410 entries and 1,200 engines.
+// targetVMs is the length of the VM list at the target size: 410 entries and
+// 1,200 engines.
 const targetVMs = 1610
 
-// BenchmarkVMList is what one read of the whole list costs its reader;
-// json-B is its size.
+// BenchmarkVMList measures decoding the whole VM list. The metric json-B is its
+// encoded size in bytes.
 func BenchmarkVMList(b *testing.B) {
 	var vms []VM
 	for i := range targetVMs {
--- a/internal/storage/confirm/confirm.go
+++ b/internal/storage/confirm/confirm.go
@@ -1,6 +1,6 @@
-// Package confirm writes to the table service and returns only once the
-// outcome is known, or says that it isn't. A lost acknowledgement is settled
-// by reading back. Start reading at Commit.
+// Package confirm commits writes to the table service and determines their
+// outcome. If a response is lost, it reads the rows back to find out whether the
+// writes took effect. Start reading at Commit.
 package confirm
 
 import (
@@ -13,68 +13,70 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// Errors of Commit.
+// Errors returned by Commit.
 var (
-	// ErrUnavailable: the service did not take the writes; nothing was
-	// written and nothing will be.
+	// ErrUnavailable means that the service did not accept the writes;
+	// nothing was written and nothing will be.
 	ErrUnavailable = errors.New("table service is unavailable, nothing was written")
-	// ErrConflict: another writer was first; nothing was written and nothing
-	// will be.
-	ErrConflict = errors.New("another writer was first")
-	// ErrUnsettled: the writes may have taken effect, or may yet, and the
-	// service did not say in time.
-	ErrUnsettled = errors.New("outcome of the write could not be settled in time")
+	// ErrConflict means that another writer changed a row first; nothing was
+	// written and nothing will be.
+	ErrConflict = errors.New("another writer changed the row first")
+	// ErrOutcomeUnknown means that the outcome could not be determined within
+	// Timeout: the writes may have taken effect or may still take effect.
+	ErrUnsettled = errors.New("outcome of the write could not be determined in time")
 )
 
-// Bounds of settling a write.
+// Timing of Commit.
 const (
-	// Limit is how long Commit tries to settle an unknown outcome. An
-	// operator waits for it; the limit is well below the 14 seconds in which
-	// a change has to be in force.
+	// Timeout limits how long Commit tries to determine the outcome. An
+	// operator waits for it, and it must be well below the 14 seconds within
+	// which a change has to be in force.
 	Limit = 5 * time.Second
-	// callLimit bounds one call, so that a call that never returns leaves
-	// time to read back.
-	callLimit = 2 * time.Second
-	// firstPause and longestPause bound the pauses between tries.
-	firstPause   = 20 * time.Millisecond
-	longestPause = 500 * time.Millisecond
+	// callTimeout limits one call, so that time is left to read back after a
+	// call that never returns.
+	callTimeout = 2 * time.Second
+	// initialBackoff and maxBackoff limit the pauses between attempts.
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = 500 * time.Millisecond
 )
 
-// Verdict is what reading back showed.
+// Outcome is the result of reading back.
 type Verdict int
 
-// Verdicts of reading back.
+// Outcomes of reading back.
 const (
-	// Pending: the rows are as they were before the writes. That doesn't
-	// mean that they won't be written: the call may still be on its way.
+	// Pending means that the rows are unchanged. They may still be written,
+	// because the request may be delayed on its way to the service.
 	Pending Verdict = iota + 1
-	// Written: the writes took effect.
+	// Written means that the writes took effect.
 	Written
-	// Overtaken: another writer changed the rows, so that these writes can
-	// no longer take effect.
+	// Superseded means that another writer changed the rows, so that these
+	// writes can no longer take effect.
 	Overtaken
 )
 
-// ReadBack reads the rows and finds out whether the writes took effect. It
-// recognizes them by an id that is unique to them.
+// ReadBack reads the rows and determines whether the writes took effect. It must
+// identify them by an ID that is unique to these writes.
 type ReadBack func(ctx context.Context) (Verdict, error)
 
-// Commit commits the writes, at least one of which must expect a version.
+// Commit commits the writes, at least one of which must expect a version. It
+// returns nil, ErrUnavailable, ErrConflict or ErrOutcomeUnknown.
 //
-// While the outcome is unknown it reads back, and commits the same writes
-// again if the rows are unchanged: at most one of the two can take effect,
-// since both expect the same version. Stopping at "unchanged" instead would
-// be wrong, because a delayed call could still land.
+// While the outcome is unknown, it reads the rows back and, if they are
+// unchanged, commits the same writes again. At most one of the commits can take
+// effect, because they expect the same version. Reporting failure as soon as the
+// rows are found unchanged would be wrong, because a delayed request could still
+// be applied.
 func Commit(ctx context.Context, table storage.Table, writes []storage.Write, readBack ReadBack) error {
 	ctx, cancel := context.WithTimeout(ctx, Limit)
 	defer cancel()
-	a := attempt{table: table, writes: writes, readBack: readBack}
-	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval = firstPause
-	pauses.MaxInterval = longestPause
+	op := commitOperation{table: table, writes: writes, readBack: readBack}
+	policy := backoff.NewExponentialBackOff()
+	policy.InitialInterval = initialBackoff
+	policy.MaxInterval = maxBackoff
 	_, err := backoff.Retry(ctx, func() (struct{}, error) {
-		return struct{}{}, a.try(ctx)
-	}, backoff.WithBackOff(pauses), backoff.WithMaxElapsedTime(Limit))
+		return struct{}{}, op.try(ctx)
+	}, backoff.WithBackOff(policy), backoff.WithMaxElapsedTime(Limit))
 	switch {
 	case err == nil:
 		return nil
@@ -84,54 +86,59 @@
 	return errors.Join(ErrUnsettled, err)
 }
 
-// attempt is one Commit in progress.
-type attempt struct {
+// commitOperation is the state of one call of Commit.
+type commitOperation struct {
 	table    storage.Table
 	writes   []storage.Write
 	readBack ReadBack
-	// doubt says that an earlier try may have taken effect, or may yet.
-	doubt bool
+	// outcomeUnknown is true if an earlier attempt may have taken effect or
+	// may still take effect.
+	outcomeUnknown bool
 }
 
-func (a *attempt) try(ctx context.Context) error {
-	err := a.commit(ctx)
+// try makes one attempt. It returns nil once the writes have taken effect, and a
+// permanent error once they can't take effect any more.
+func (op *commitOperation) try(ctx context.Context) error {
+	err := op.commit(ctx)
 	switch {
 	case err == nil:
 		return nil
 	case errors.Is(err, storage.ErrUnavailable):
-		return a.refused(err, ErrUnavailable)
-	case errors.Is(err, storage.ErrConflict) && !a.doubt:
+		return op.rejected(err, ErrUnavailable)
+	case errors.Is(err, storage.ErrConflict) && !op.outcomeUnknown:
 		return backoff.Permanent(ErrConflict)
 	}
-	a.doubt = true
-	return a.settle(ctx)
+	op.outcomeUnknown = true
+	return op.checkOutcome(ctx)
 }
 
-func (a *attempt) commit(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+func (op *commitOperation) commit(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return a.table.Commit(ctx, a.writes)
+	return op.table.Commit(ctx, op.writes)
 }
 
-// refused turns a certain refusal into a final error, unless an earlier try is
-// still in doubt.
-func (a *attempt) refused(err, final error) error {
-	if a.doubt {
+// rejected returns final as a permanent error, or err if the outcome of an
+// earlier attempt is unknown.
+func (op *commitOperation) rejected(err, final error) error {
+	if op.outcomeUnknown {
 		return err
 	}
 	return backoff.Permanent(final)
 }
 
-func (a *attempt) settle(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+// checkOutcome reads the rows back and maps the outcome to the result of an
+// attempt.
+func (op *commitOperation) checkOutcome(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	verdict, err := a.readBack(ctx)
+	outcome, err := op.readBack(ctx)
 	switch {
 	case err != nil:
 		return err
-	case verdict == Written:
+	case outcome == Written:
 		return nil
-	case verdict == Overtaken:
+	case outcome == Overtaken:
 		return backoff.Permanent(ErrConflict)
 	}
 	return storage.ErrOutcomeUnknown
--- a/internal/storage/confirm/confirm_test.go
+++ b/internal/storage/confirm/confirm_test.go
@@ -13,13 +13,13 @@
 	"github.com/applepier/applepier/internal/storage/storagetest"
 )
 
-const key = "row"
+const rowKey = "row"
 
-// create writes the row with the given content, which must not exist.
-func create(ctx context.Context, table *storagetest.Table, content string) error {
-	writes := []storage.Write{{Key: key, Value: []byte(content)}}
+// createRow writes the row with the given content. The row must not exist yet.
+func createRow(ctx context.Context, table *storagetest.Table, content string) error {
+	writes := []storage.Write{{Key: rowKey, Value: []byte(content)}}
 	return confirm.Commit(ctx, table, writes, func(ctx context.Context) (confirm.Verdict, error) {
-		row, err := table.Get(ctx, key)
+		row, err := table.Get(ctx, rowKey)
 		switch {
 		case errors.Is(err, storage.ErrNotFound):
 			return confirm.Pending, nil
@@ -32,12 +32,12 @@
 	})
 }
 
-func TestCommitUnderFaults(t *testing.T) {
+func TestCommitWithFaults(t *testing.T) {
 	const (
-		lost    = storagetest.FaultLost
-		dropped = storagetest.FaultDropped
-		late    = storagetest.FaultLate
-		down    = storagetest.FaultDown
+		responseLost = storagetest.FaultLost
+		requestLost  = storagetest.FaultDropped
+		delayed      = storagetest.FaultLate
+		unavailable  = storagetest.FaultDown
 	)
 	tests := []struct {
 		name   string
@@ -45,24 +45,24 @@
 		want   error
 	}{
 		{"no fault", nil, nil},
-		{"down", []storagetest.Fault{down}, confirm.ErrUnavailable},
-		{"answer lost", []storagetest.Fault{lost}, nil},
-		{"call lost", []storagetest.Fault{dropped}, nil},
-		{"call lost three times", []storagetest.Fault{dropped, dropped, dropped}, nil},
-		{"call late", []storagetest.Fault{late}, nil},
-		{"call lost, then down", []storagetest.Fault{dropped, down, lost}, nil},
+		{"unavailable", []storagetest.Fault{unavailable}, confirm.ErrUnavailable},
+		{"response lost", []storagetest.Fault{responseLost}, nil},
+		{"request lost", []storagetest.Fault{requestLost}, nil},
+		{"request lost three times", []storagetest.Fault{requestLost, requestLost, requestLost}, nil},
+		{"request delayed", []storagetest.Fault{delayed}, nil},
+		{"request lost, then unavailable", []storagetest.Fault{requestLost, unavailable, responseLost}, nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				table := storagetest.NewTable()
 				table.FailCommits(tt.faults...)
-				err := create(t.Context(), table, "ours")
+				err := createRow(t.Context(), table, "ours")
 				if !errors.Is(err, tt.want) {
 					t.Fatalf("got %v, want %v", err, tt.want)
 				}
-				if landed := table.Land(); landed != 0 {
-					t.Fatalf("a late call took effect %d times after the outcome was told", landed)
+				if applied := table.Land(); applied != 0 {
+					t.Fatalf("a delayed request took effect %d times after the outcome was returned", applied)
 				}
 			})
 		})
@@ -73,18 +73,18 @@
 	for _, fault := range []storagetest.Fault{storagetest.FaultNone, storagetest.FaultDropped} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storagetest.NewTable()
-			if err := create(t.Context(), table, "theirs"); err != nil {
+			if err := createRow(t.Context(), table, "theirs"); err != nil {
 				t.Fatal(err)
 			}
 			table.FailCommits(fault)
-			if err := create(t.Context(), table, "ours"); !errors.Is(err, confirm.ErrConflict) {
+			if err := createRow(t.Context(), table, "ours"); !errors.Is(err, confirm.ErrConflict) {
 				t.Fatalf("fault %v: got %v, want a conflict", fault, err)
 			}
 		})
 	}
 }
 
-func TestCommitSaysThatItCouldNotSettle(t *testing.T) {
+func TestCommitWithUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
 		table.FailCommits(storagetest.FaultLate)
@@ -93,30 +93,30 @@
 				table.SetDown(true)
 			}
 		})
-		if err := create(t.Context(), table, "ours"); !errors.Is(err, confirm.ErrUnsettled) {
-			t.Fatalf("got %v, want an unsettled outcome", err)
+		if err := createRow(t.Context(), table, "ours"); !errors.Is(err, confirm.ErrUnsettled) {
+			t.Fatalf("got %v, want an unknown outcome", err)
 		}
 	})
 }
 
-func TestSlowServiceEndsWithTheContext(t *testing.T) {
+func TestCommitTimeoutWithUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
 		table.FailCommits(storagetest.FaultSlow)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if err := create(ctx, table, "ours"); !errors.Is(err, confirm.ErrUnsettled) {
-			t.Fatalf("got %v, want an unsettled outcome", err)
+		if err := createRow(ctx, table, "ours"); !errors.Is(err, confirm.ErrUnsettled) {
+			t.Fatalf("got %v, want an unknown outcome", err)
 		}
 	})
 }
 
-func TestOneSlowCallLeavesTimeToSettle(t *testing.T) {
+func TestCommitAfterOneSlowCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
 		table.FailCommits(storagetest.FaultSlow)
-		if err := create(t.Context(), table, "ours"); err != nil {
-			t.Fatalf("got %v, want the write to be settled after one slow call", err)
+		if err := createRow(t.Context(), table, "ours"); err != nil {
+			t.Fatalf("got %v, want a confirmed write after one slow call", err)
 		}
 	})
 }
--- a/internal/storage/counted/counted.go
+++ b/internal/storage/counted/counted.go
@@ -1,5 +1,5 @@
-// Package counted counts the calls to the platform's services in the metrics.
-// Start reading at New.
+// Package counted wraps the platform's services to count calls and failures in
+// the metrics. Start reading at New.
 package counted
 
 import (
@@ -11,14 +11,15 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// Services are all that the platform offers.
+// Services combines all services of the platform.
 type Services interface {
 	storage.Table
 	storage.Objects
 	storage.VMList
 }
 
-// Platform passes each call on and counts it.
+// Platform implements Services. It forwards each call to the wrapped Services
+// and counts it.
 type Platform struct {
 	services Services
 	calls    *metrics.Platform
@@ -26,7 +27,7 @@
 
 var _ Services = (*Platform)(nil)
 
-// New returns services whose calls are counted in calls.
+// New returns a Platform that forwards to services and counts in calls.
 func New(services Services, calls *metrics.Platform) *Platform {
 	return &Platform{services: services, calls: calls}
 }
@@ -34,48 +35,48 @@
 // Get implements storage.Table.
 func (p *Platform) Get(ctx context.Context, key string) (storage.Row, error) {
 	row, err := p.services.Get(ctx, key)
-	p.calls.Read(failure(err))
+	p.calls.Read(countableFailure(err))
 	return row, err
 }
 
 // List implements storage.Table.
 func (p *Platform) List(ctx context.Context, prefix string) ([]storage.Row, error) {
 	rows, err := p.services.List(ctx, prefix)
-	p.calls.Read(failure(err))
+	p.calls.Read(countableFailure(err))
 	return rows, err
 }
 
 // Commit implements storage.Table.
 func (p *Platform) Commit(ctx context.Context, writes []storage.Write) error {
 	err := p.services.Commit(ctx, writes)
-	p.calls.Write(failure(err))
+	p.calls.Write(countableFailure(err))
 	return err
 }
 
-// PutObject implements storage.Objects.
+// PutObject implements storage.ObjectStore.
 func (p *Platform) PutObject(ctx context.Context, key string, value []byte) error {
 	err := p.services.PutObject(ctx, key, value)
-	p.calls.Write(failure(err))
+	p.calls.Write(countableFailure(err))
 	return err
 }
 
-// GetObject implements storage.Objects.
+// GetObject implements storage.ObjectStore.
 func (p *Platform) GetObject(ctx context.Context, key string) ([]byte, error) {
 	value, err := p.services.GetObject(ctx, key)
-	p.calls.Read(failure(err))
+	p.calls.Read(countableFailure(err))
 	return value, err
 }
 
 // VMs implements storage.VMList.
 func (p *Platform) VMs(ctx context.Context) ([]storage.VM, error) {
 	vms, err := p.services.VMs(ctx)
-	p.calls.Read(failure(err))
+	p.calls.Read(countableFailure(err))
 	return vms, err
 }
 
-// failure drops the errors by which a healthy service answers: there is no
-// such row, or it is at another version.
-func failure(err error) error {
+// countableFailure returns err, or nil for ErrNotFound and ErrConflict, which a
+// healthy service returns in normal operation.
+func countableFailure(err error) error {
 	if errors.Is(err, storage.ErrNotFound) || errors.Is(err, storage.ErrConflict) {
 		return nil
 	}
--- a/internal/storage/counted/counted_test.go
+++ b/internal/storage/counted/counted_test.go
@@ -11,8 +11,8 @@
 	"github.com/applepier/applepier/internal/storage/storagetest"
 )
 
-// services are the platform's in memory.
-type services struct {
+// fakeServices combines the in-memory fakes of the platform's services.
+type fakeServices struct {
 	*storagetest.Table
 	*storagetest.Objects
 	*storagetest.VMList
@@ -20,17 +20,17 @@
 
 func TestCallsAndFailuresAreCounted(t *testing.T) {
 	table := storagetest.NewTable()
-	m := metrics.New()
-	p := New(services{Table: table}, m.Platform)
+	registry := metrics.New()
+	platform := New(fakeServices{Table: table}, registry.Platform)
 
-	_, _ = p.Get(t.Context(), "none")
-	_ = p.Commit(t.Context(), []storage.Write{{Key: "a", Expect: 0}})
-	_ = p.Commit(t.Context(), []storage.Write{{Key: "a", Expect: 0}})
+	_, _ = platform.Get(t.Context(), "none")
+	_ = platform.Commit(t.Context(), []storage.Write{{Key: "a", Expect: 0}})
+	_ = platform.Commit(t.Context(), []storage.Write{{Key: "a", Expect: 0}})
 	table.SetDown(true)
-	_, _ = p.List(t.Context(), "a")
+	_, _ = platform.List(t.Context(), "a")
 
 	recorder := httptest.NewRecorder()
-	m.Serve(recorder, httptest.NewRequest(http.MethodGet, metrics.PathMetrics, nil))
+	registry.Serve(recorder, httptest.NewRequest(http.MethodGet, metrics.PathMetrics, nil))
 	for _, want := range []string{
 		`applepier_platform_calls_total{operation="read"} 2`,
 		`applepier_platform_calls_total{operation="write"} 2`,
--- a/internal/storage/platform.go
+++ b/internal/storage/platform.go
@@ -1,7 +1,6 @@
-// Package storage is what the processes know of the platform: a
-// transactional table service, an object store and a list of VMs. The
-// interfaces are narrow; one implementation speaks the platform's HTTP
-// protocol. Start reading at Table.
+// Package storage defines the interfaces to the platform's services: a
+// transactional table service, an object store and a list of VMs. HTTPClient
+// implements them on the platform's HTTP API. Start reading at Table.
 package storage
 
 import (
@@ -10,17 +9,18 @@
 	"github.com/go-faster/errors"
 )
 
-// Errors of the platform's services.
+// Errors returned by the platform's services.
 var (
-	// ErrUnavailable: the service did not take the call; nothing was written.
+	// ErrUnavailable means that the service did not accept the call; nothing
+	// was written.
 	ErrUnavailable = errors.New("platform service is unavailable")
-	// ErrOutcomeUnknown: the answer was lost; a write may have taken effect.
-	// The caller settles it by reading back.
+	// ErrOutcomeUnknown means that the response was lost; a write may have
+	// taken effect. The caller determines the outcome by reading back.
 	ErrOutcomeUnknown = errors.New("outcome of the write is unknown")
-	// ErrConflict: a row was not at the version that a write expected;
-	// nothing of the transaction was written.
+	// ErrConflict means that a row did not have the version that a write
+	// expected; no write of the transaction was applied.
 	ErrConflict = errors.New("row is at another version")
-	// ErrNotFound: there is no such row or object.
+	// ErrNotFound means that the row or object doesn't exist.
 	ErrNotFound = errors.New("not found")
 )
 
@@ -30,18 +30,18 @@
 	Key string `json:"key"`
 	// Value is opaque to the service.
 	Value []byte `json:"value"`
-	// Version grows with each write of the row; the first is 1.
+	// Version increases with each write of the row; the first is 1.
 	Version uint64 `json:"version"`
 }
 
-// AnyVersion as a Write's Expect writes whatever the row's version is.
+// AnyVersion, as the value of Write.Expect, makes the write unconditional.
 const AnyVersion = ^uint64(0)
 
-// Write is one conditional write of a transaction.
+// Write is one write of a transaction, conditional on the version of the row.
 type Write struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value,omitempty"`
-	// Expect is the version the row must have; 0 means it must not exist.
+	// Expect is the version the row must have; 0 means that it must not exist.
 	Expect uint64 `json:"expect"`
 	// Delete removes the row instead of writing Value.
 	Delete bool `json:"delete,omitempty"`
@@ -49,32 +49,35 @@
 
 // Table is the transactional table service.
 type Table interface {
-	// Get reads one row; ErrNotFound or ErrUnavailable.
+	// Get returns one row. Its errors are ErrNotFound and ErrUnavailable.
 	Get(ctx context.Context, key string) (Row, error)
-	// List reads the rows whose keys start with prefix, in order of key.
+	// List returns the rows whose keys start with prefix, sorted by key. Its
+	// error is ErrUnavailable.
 	List(ctx context.Context, prefix string) ([]Row, error)
-	// Commit applies all writes or none: ErrConflict, ErrUnavailable or
-	// ErrOutcomeUnknown.
+	// Commit applies all writes or none. Its errors are ErrConflict,
+	// ErrUnavailable and ErrOutcomeUnknown.
 	Commit(ctx context.Context, writes []Write) error
 }
 
-// Eras is implemented by a Table whose service may come back from an older copy: what was
-// written since is gone, and versions are given out again.
+// EraReporter is implemented by a Table whose service may be restored from an older
+// backup. Writes made after the backup are then lost, and their row versions are assigned
+// again. Each restore begins a new era.
 type Eras interface {
-	// Era counts the returns that are known of. A Get whose answer is of another era than
-	// that of before the call is ErrUnavailable, and such a Commit ErrOutcomeUnknown.
+	// Era returns the number of restores detected so far. If the era changes during a
+	// call, Get returns ErrUnavailable and Commit returns ErrOutcomeUnknown.
 	Era() uint64
 }
 
-// Objects is the object store.
+// ObjectStore is the object store service.
 type Objects interface {
-	// PutObject stores a value; ErrUnavailable or ErrOutcomeUnknown.
+	// PutObject stores a value. Its errors are ErrUnavailable and
+	// ErrOutcomeUnknown.
 	PutObject(ctx context.Context, key string, value []byte) error
-	// GetObject reads a value; ErrNotFound or ErrUnavailable.
+	// GetObject returns a value. Its errors are ErrNotFound and ErrUnavailable.
 	GetObject(ctx context.Context, key string) ([]byte, error)
 }
 
-// VMRole is what runs on a VM.
+// VMRole is the kind of process that runs on a VM.
 type VMRole string
 
 // Roles of VMs.
@@ -83,25 +86,26 @@
 	RoleBackend VMRole = "backend"
 )
 
-// VM is one row of the platform's list, which lags.
+// VM is one item of the platform's VM list, which is eventually consistent.
 type VM struct {
-	// Name identifies the VM and is never used again after it has gone.
+	// Name identifies the VM and is not reused after the VM is removed.
 	Name string `json:"name"`
-	// Addr is the host:port where the system's processes reach the one on it:
-	// an agent's listen address, an entry's admin_listen.
+	// Addr is the host:port at which other processes connect to the process
+	// on the VM: an agent's listen address or an entry's admin_listen.
 	Addr string `json:"addr"`
-	// Zone is its availability zone.
+	// Zone is the VM's availability zone.
 	Zone string `json:"zone"`
-	// Role says whether it is an entry VM or a backend server's.
+	// Role distinguishes entry VMs from backend server VMs.
 	Role VMRole `json:"role"`
-	// Leaving VMs take no new work.
+	// Leaving means that the VM is being drained and accepts no new requests.
 	Leaving bool `json:"leaving,omitempty"`
-	// Serves names the model or plain service of a backend server VM.
+	// Serves names the model or plain service that a backend server VM runs.
 	Serves string `json:"serves,omitempty"`
 }
 
-// VMList is the platform's lagging list of live and leaving VMs.
+// VMList is the platform's list of live and leaving VMs. It is eventually
+// consistent.
 type VMList interface {
-	// VMs reads the list; ErrUnavailable.
+	// VMs returns the list. Its error is ErrUnavailable.
 	VMs(ctx context.Context) ([]VM, error)
 }
--- a/internal/storage/status.go
+++ b/internal/storage/status.go
@@ -6,7 +6,7 @@
 	"github.com/go-faster/errors"
 )
 
-// readStatus turns a read's HTTP status into this layer's error.
+// readStatus maps the HTTP status of a read to one of this package's errors.
 func readStatus(status int) error {
 	switch {
 	case status < http.StatusMultipleChoices:
@@ -18,9 +18,9 @@
 	}
 }
 
-// writeStatus turns a write's HTTP status into this layer's error. A client
-// error and "service unavailable" are refusals: nothing was written. Any other
-// error status leaves the outcome open.
+// writeStatus maps the HTTP status of a write to one of this package's errors.
+// After a 4xx status or 503 Service Unavailable nothing was written. After any
+// other error status the outcome is unknown.
 func writeStatus(status int) error {
 	switch {
 	case status < http.StatusMultipleChoices:
--- a/internal/storage/storagetest/fault.go
+++ b/internal/storage/storagetest/fault.go
@@ -1,21 +1,23 @@
 package storagetest
 
-// Fault is what goes wrong with one Commit.
+// Fault is a fault that is injected into one Commit.
 type Fault int
 
-// Faults of a Commit.
+// Faults of Commit.
 const (
-	// FaultNone lets the commit through.
+	// FaultNone injects no fault.
 	FaultNone Fault = iota
-	// FaultDown refuses it; nothing is written.
+	// FaultUnavailable rejects the commit; nothing is written.
 	FaultDown
-	// FaultLost writes it and loses the answer.
+	// FaultResponseLost applies the commit and loses the response.
 	FaultLost
-	// FaultDropped loses the call; nothing is written and nobody knows.
+	// FaultRequestLost loses the request: nothing is written, and the caller
+	// gets ErrOutcomeUnknown.
 	FaultDropped
-	// FaultLate loses the answer and keeps the call back until Land.
+	// FaultDelayed loses the response and delays the request until
+	// Table.ApplyDelayed is called.
 	FaultLate
-	// FaultSlow waits until the caller's context ends; nothing is written
-	// and nobody knows.
+	// FaultTimeout blocks until the caller's context ends: nothing is
+	// written, and the caller gets ErrOutcomeUnknown.
 	FaultSlow
 )
--- a/internal/storage/storagetest/objects.go
+++ b/internal/storage/storagetest/objectstore.go
@@ -8,43 +8,43 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// Objects is a storage.Objects in memory.
+// ObjectStore is an in-memory storage.ObjectStore.
 type Objects struct {
-	mu      sync.Mutex
-	objects map[string][]byte
-	down    bool
+	mu          sync.Mutex
+	objects     map[string][]byte
+	unavailable bool
 }
 
 var _ storage.Objects = (*Objects)(nil)
 
-// NewObjects returns an empty object store.
+// NewObjectStore returns an empty ObjectStore.
 func NewObjects() *Objects {
 	return &Objects{objects: map[string][]byte{}}
 }
 
-// SetDown makes all calls fail with ErrUnavailable, or ends that.
-func (o *Objects) SetDown(down bool) {
+// SetUnavailable sets whether all calls fail with storage.ErrUnavailable.
+func (o *Objects) SetDown(unavailable bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.down = down
+	o.unavailable = unavailable
 }
 
-// PutObject implements storage.Objects.
+// PutObject implements storage.ObjectStore.
 func (o *Objects) PutObject(ctx context.Context, key string, value []byte) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.down || ctx.Err() != nil {
+	if o.unavailable || ctx.Err() != nil {
 		return storage.ErrUnavailable
 	}
 	o.objects[key] = slices.Clone(value)
 	return nil
 }
 
-// GetObject implements storage.Objects.
+// GetObject implements storage.ObjectStore.
 func (o *Objects) GetObject(ctx context.Context, key string) ([]byte, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.down || ctx.Err() != nil {
+	if o.unavailable || ctx.Err() != nil {
 		return nil, storage.ErrUnavailable
 	}
 	value, ok := o.objects[key]
--- a/internal/storage/storagetest/era.go
+++ b/internal/storage/storagetest/snapshot.go
@@ -8,25 +8,26 @@
 
 var _ storage.Eras = (*Table)(nil)
 
-// Copy is what a Table held at a moment.
+// Snapshot is the content of a Table at one point in time.
 type Copy struct{ rows map[string]storage.Row }
 
-// Copy keeps what the table holds now.
+// Snapshot returns the current content of the table.
 func (t *Table) Copy() Copy {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return Copy{maps.Clone(t.rows)}
 }
 
-// Return has the table come back from a copy, in the next era.
-func (t *Table) Return(from Copy) {
+// Restore replaces the content of the table by that of the snapshot and begins
+// a new era.
+func (t *Table) Return(snapshot Copy) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.rows = maps.Clone(from.rows)
+	t.rows = maps.Clone(snapshot.rows)
 	t.era++
 }
 
-// Era implements storage.Eras.
+// Era implements storage.EraReporter.
 func (t *Table) Era() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/storage/storagetest/table.go
+++ b/internal/storage/storagetest/table.go
@@ -1,5 +1,5 @@
-// Package storagetest is an in-memory platform with faults, for unit tests.
-// Start reading at Table.
+// Package storagetest provides in-memory fakes of the platform's services with
+// fault injection, for unit tests. Start reading at Table.
 package storagetest
 
 import (
@@ -12,17 +12,18 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// Table is a storage.Table in memory whose calls fail on demand.
+// Table is an in-memory storage.Table with fault injection. It is safe for
+// concurrent use.
 type Table struct {
-	mu      sync.Mutex
-	rows    map[string]storage.Row
-	down    bool
-	faults  []Fault
-	late    [][]storage.Write
-	before  func(writes []storage.Write)
-	reads   int
-	commits int
-	era     uint64
+	mu           sync.Mutex
+	rows         map[string]storage.Row
+	unavailable  bool
+	faults       []Fault
+	delayed      [][]storage.Write
+	beforeCommit func(writes []storage.Write)
+	reads        int
+	commits      int
+	era          uint64
 }
 
 var _ storage.Table = (*Table)(nil)
@@ -32,51 +33,52 @@
 	return &Table{rows: map[string]storage.Row{}}
 }
 
-// SetDown makes all calls fail with ErrUnavailable, or ends that.
-func (t *Table) SetDown(down bool) {
+// SetUnavailable sets whether all calls fail with storage.ErrUnavailable.
+func (t *Table) SetDown(unavailable bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.down = down
+	t.unavailable = unavailable
 }
 
-// FailCommits assigns one fault to each of the following commits, in order.
+// InjectFaults assigns one fault to each of the following commits, in order.
 func (t *Table) FailCommits(faults ...Fault) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults = append(t.faults, faults...)
 }
 
-// BeforeCommit sets a function that runs before each commit is applied,
-// without the table's lock; nil removes it. It may use the table.
+// BeforeCommit sets a function that is called before each commit is applied;
+// nil removes it. The table isn't locked during the call, so that the function
+// may use it.
 func (t *Table) BeforeCommit(f func(writes []storage.Write)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.before = f
+	t.beforeCommit = f
 }
 
-// Land applies the commits that FaultLate kept back and counts those that
-// took effect.
+// ApplyDelayed applies the commits delayed by FaultDelayed and returns how many
+// of them took effect.
 func (t *Table) Land() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	landed := 0
-	for _, writes := range t.late {
+	applied := 0
+	for _, writes := range t.delayed {
 		if t.apply(writes) == nil {
-			landed++
+			applied++
 		}
 	}
-	t.late = nil
-	return landed
+	t.delayed = nil
+	return applied
 }
 
-// Reads counts the calls of Get and List so far.
+// Reads returns the number of calls of Get and List so far.
 func (t *Table) Reads() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.reads
 }
 
-// Commits counts the calls of Commit so far.
+// Commits returns the number of calls of Commit so far.
 func (t *Table) Commits() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,7 +90,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reads++
-	if t.down || ctx.Err() != nil {
+	if t.unavailable || ctx.Err() != nil {
 		return storage.Row{}, storage.ErrUnavailable
 	}
 	row, ok := t.rows[key]
@@ -103,7 +105,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reads++
-	if t.down || ctx.Err() != nil {
+	if t.unavailable || ctx.Err() != nil {
 		return nil, storage.ErrUnavailable
 	}
 	var rows []storage.Row
@@ -120,8 +122,8 @@
 	if ctx.Err() != nil {
 		return storage.ErrUnavailable
 	}
-	if before := t.hook(); before != nil {
-		before(writes)
+	if hook := t.beforeCommitHook(); hook != nil {
+		hook(writes)
 	}
 	fault := t.nextFault()
 	if fault == FaultSlow {
@@ -133,14 +135,15 @@
 	return t.commit(fault, writes)
 }
 
+// commit applies the writes, or simulates the fault. The caller holds t.mu.
 func (t *Table) commit(fault Fault, writes []storage.Write) error {
 	switch {
-	case t.down || fault == FaultDown:
+	case t.unavailable || fault == FaultDown:
 		return storage.ErrUnavailable
 	case fault == FaultDropped:
 		return storage.ErrOutcomeUnknown
 	case fault == FaultLate:
-		t.late = append(t.late, slices.Clone(writes))
+		t.delayed = append(t.delayed, slices.Clone(writes))
 		return storage.ErrOutcomeUnknown
 	}
 	err := t.apply(writes)
@@ -150,6 +153,7 @@
 	return err
 }
 
+// apply applies all writes, or returns ErrConflict. The caller holds t.mu.
 func (t *Table) apply(writes []storage.Write) error {
 	for _, w := range writes {
 		if w.Expect != storage.AnyVersion && t.rows[w.Key].Version != w.Expect {
@@ -167,12 +171,13 @@
 	return nil
 }
 
-func (t *Table) hook() func([]storage.Write) {
+func (t *Table) beforeCommitHook() func([]storage.Write) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.before
+	return t.beforeCommit
 }
 
+// nextFault counts a commit and returns the fault assigned to it.
 func (t *Table) nextFault() Fault {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/storage/storagetest/table_test.go
+++ b/internal/storage/storagetest/table_test.go
@@ -9,7 +9,7 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-func TestFaultsOfACommit(t *testing.T) {
+func TestCommitFaults(t *testing.T) {
 	tests := []struct {
 		name    string
 		fault   Fault
@@ -18,10 +18,10 @@
 		landed  int
 	}{
 		{"none", FaultNone, nil, true, 0},
-		{"down", FaultDown, storage.ErrUnavailable, false, 0},
-		{"lost", FaultLost, storage.ErrOutcomeUnknown, true, 0},
-		{"dropped", FaultDropped, storage.ErrOutcomeUnknown, false, 0},
-		{"late", FaultLate, storage.ErrOutcomeUnknown, false, 1},
+		{"unavailable", FaultDown, storage.ErrUnavailable, false, 0},
+		{"response lost", FaultLost, storage.ErrOutcomeUnknown, true, 0},
+		{"request lost", FaultDropped, storage.ErrOutcomeUnknown, false, 0},
+		{"delayed", FaultLate, storage.ErrOutcomeUnknown, false, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -36,7 +36,7 @@
 				t.Errorf("written: got %v, want %v", got, tt.written)
 			}
 			if got := table.Land(); got != tt.landed {
-				t.Errorf("landed: got %d, want %d", got, tt.landed)
+				t.Errorf("applied late: got %d, want %d", got, tt.landed)
 			}
 		})
 	}
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestSlowCommitEndsWithItsContext(t *testing.T) {
+func TestTimedOutCommitEndsWithContext(t *testing.T) {
 	table := NewTable()
 	table.FailCommits(FaultSlow)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/storage/transaction.go
+++ b/internal/storage/transaction.go
@@ -1,6 +1,7 @@
 package storage
 
-// Transaction is the body of a commit: all of its writes or none.
+// Transaction is the body of a commit request. Either all of its writes are
+// applied or none.
 type Transaction struct {
 	Writes []Write `json:"writes"`
 }
--- a/internal/storage/vms.go
+++ b/internal/storage/vms.go
@@ -10,60 +10,62 @@
 	"github.com/go-faster/errors"
 )
 
-// readVMs is the last VM list read and the ETag it came with. The list has
-// some 165 KB at 1,610 VMs and changes a few times an hour, while every process
-// reads it every few seconds: without the condition these reads would be most
-// of what the control costs.
-type readVMs struct {
+// vmListCache holds the last VM list that was read, with its ETag. The list
+// takes about 165 KB for 1,610 VMs and changes a few times per hour, but every
+// process reads it every few seconds. Without conditional requests these reads
+// would be most of the control traffic.
+type vmListCache struct {
 	mu   sync.Mutex
 	etag string
 	vms  []VM
 }
 
-func (r *readVMs) tag() string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.etag
+func (c *vmListCache) currentETag() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.etag
 }
 
-// keep notes a list; without an ETag the next read is of the whole list.
-func (r *readVMs) keep(etag string, vms []VM) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.etag = etag
-	r.vms = vms
+// store replaces the cached list. If etag is empty, the next read is
+// unconditional.
+func (c *vmListCache) store(etag string, vms []VM) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.etag = etag
+	c.vms = vms
 }
 
-// copyOf returns the list that came with etag; false when another read has
-// replaced it meanwhile.
-func (r *readVMs) copyOf(etag string) ([]VM, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if etag == "" || r.etag != etag {
+// load returns a copy of the list that has the given ETag. It returns false if
+// a concurrent read has replaced that list.
+func (c *vmListCache) load(etag string) ([]VM, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if etag == "" || c.etag != etag {
 		return nil, false
 	}
-	return slices.Clone(r.vms), true
+	return slices.Clone(c.vms), true
 }
 
-// VMs implements VMList. It reads the list only when it has changed since the
-// last read (RFC 9110, 13.1.2); a platform that sends no ETag is read whole.
-func (h *HTTP) VMs(ctx context.Context) ([]VM, error) {
-	etag := h.lastVMs.tag()
-	answer, err := h.readIf(ctx, pathVMs, etag)
+// VMs implements VMList. It sends the last ETag in If-None-Match (RFC 9110,
+// section 13.1.2) and returns the cached list if the platform responds with 304.
+// If the platform sends no ETag, it reads the whole list each time.
+func (c *HTTP) VMs(ctx context.Context) ([]VM, error) {
+	etag := c.vmCache.currentETag()
+	resp, err := c.readIfChanged(ctx, pathVMs, etag)
 	if err != nil {
 		return nil, err
 	}
-	if answer.status == http.StatusNotModified {
-		vms, ok := h.lastVMs.copyOf(etag)
+	if resp.status == http.StatusNotModified {
+		vms, ok := c.vmCache.load(etag)
 		if !ok {
-			return nil, errors.Wrap(ErrUnavailable, "not modified, but the list is not at hand")
+			return nil, errors.Wrap(ErrUnavailable, "response is 304 Not Modified, but the cached list was replaced")
 		}
 		return vms, nil
 	}
 	var vms []VM
-	if err := json.Unmarshal(answer.body, &vms); err != nil {
-		return nil, errors.Wrap(ErrUnavailable, "answer is not JSON")
+	if err := json.Unmarshal(resp.body, &vms); err != nil {
+		return nil, errors.Wrap(ErrUnavailable, "response is not JSON")
 	}
-	h.lastVMs.keep(answer.etag, slices.Clone(vms))
+	c.vmCache.store(resp.etag, slices.Clone(vms))
 	return vms, nil
 }
