--- a/internal/storage/confirm/confirm.go
+++ b/internal/storage/confirm/confirm.go
@@ -63,7 +63,7 @@
 // returns nil, ErrUnavailable, ErrConflict or ErrOutcomeUnknown.
 //
 // While the outcome is unknown, it reads the rows back and, if they are
-// unchanged, commits the same writes again. At most one of the commits can take
+// unchanged, commits the same writes again. At most one of the two commits can take
 // effect, because they expect the same version. Reporting failure as soon as the
 // rows are found unchanged would be wrong, because a delayed request could still
 // be applied.
--- a/internal/storage/storagetest/table_test.go
+++ b/internal/storage/storagetest/table_test.go
@@ -11,11 +11,11 @@
 
 func TestCommitFaults(t *testing.T) {
 	tests := []struct {
-		name    string
-		fault   Fault
-		err     error
-		written bool
-		landed  int
+		name        string
+		fault       Fault
+		err         error
+		written     bool
+		appliedLate int
 	}{
 		{"none", FaultNone, nil, true, 0},
 		{"unavailable", FaultDown, storage.ErrUnavailable, false, 0},
@@ -35,8 +35,8 @@
 			if got := err == nil; got != tt.written {
 				t.Errorf("written: got %v, want %v", got, tt.written)
 			}
-			if got := table.Land(); got != tt.landed {
-				t.Errorf("applied late: got %d, want %d", got, tt.landed)
+			if got := table.Land(); got != tt.appliedLate {
+				t.Errorf("applied late: got %d, want %d", got, tt.appliedLate)
 			}
 		})
 	}
--- a/internal/targets/store/store.go
+++ b/internal/targets/store/store.go
@@ -135,7 +135,7 @@
 	return confirm.Pending, nil
 }
 
-// conflict reads the newest Set and returns a ConflictError with it.
+// conflictError reads the newest Set and returns a ConflictError with it.
 func (s *Store) conflictError(ctx context.Context, base uint64) error {
 	newer, err := s.Load(ctx)
 	if err != nil {
