--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,14 +1,16 @@
-// Package admin is the administration API of an entry, in JSON over HTTP, by
-// which operators read and change classes and customers and see the fleet.
-// Start reading at Config and API.Register.
+// Package admin implements the administration API of an entry: JSON over HTTP
+// for reading and changing classes and customers and for inspecting the fleet.
+// The main entry points are Config and API.Register.
 //
-// Each answer about targets carries their version, as "version" and as the
-// ETag. A change names the version it was made upon in If-Match: without it
-// the answer is 428, and 409 with the newer state when the targets have
-// changed since. A change is whole or not at all, and is accepted only once it
-// is durable; ?wait=14s holds the answer until the change is in force in all
-// processes heard from. Durations are strings with a unit, as "850ms". A bad
-// request is told all its problems at once, each with field and reason.
+// Each response about targets carries their version, both in the "version"
+// field and as the ETag. A change must send the version it is based on in
+// If-Match. Without If-Match the response is 428; if the targets have changed
+// since that version, it is 409 with the newer state. Changes are atomic and
+// are accepted only after they are durable. With ?wait=14s the response is
+// delayed until every process with a recent status has applied the change, or
+// until the wait time is over. Durations are strings with a unit, such as
+// "850ms". The response to an invalid request lists all its problems, each
+// with a field and a reason.
 package admin
 
 import (
@@ -22,62 +24,64 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-// Prefix begins the path of every resource.
+// Prefix is the path prefix of all administration API resources.
 const Prefix = "/admin/v1"
 
-// Store is where targets are kept; targets/store.Store is one.
+// Store loads and changes the stored targets. targets/store.Store implements it.
 type Store interface {
 	Load(ctx context.Context) (*targets.Set, error)
 	Change(ctx context.Context, base uint64, edit func(*targets.Set) error) (*targets.Set, error)
 }
 
-// Config is what an API works on.
+// Config holds the dependencies and the access key of an API.
 type Config struct {
-	// Store keeps the targets.
+	// Store loads and changes the targets.
 	Store Store
-	// Holder has the targets in force here; accepted changes go there at once.
+	// Holder holds the targets applied in this process. Accepted changes are
+	// offered to it immediately.
 	Holder *targets.Holder
-	// Fleet is what is known of the other processes.
+	// Fleet reports the status of all processes and backend servers.
 	Fleet Fleet
-	// OperatorKey is required of every request; empty refuses all.
+	// OperatorKey is the key that every request must carry. If it is empty, all
+	// requests are rejected.
 	OperatorKey string
-	// Spread is called with the version of a change that is durable, before
-	// it is answered, and returns when another process has it or none has
-	// been reached in a short time. A change is then in force also if the
-	// table service goes down and this process dies with its answer. May be
-	// nil.
+	// Propagate is called with the version of a durable change before the
+	// response is sent. It returns once another process has the version, or
+	// after a short time if none could be reached. The change therefore takes
+	// effect even if the table service goes down and this process dies right
+	// after the response. May be nil.
 	Spread func(ctx context.Context, version uint64)
-	// Log may be nil.
+	// Log receives the API's log messages. Nil disables logging.
 	Log *zap.Logger
 }
 
-// API is the administration API.
+// API serves the administration API over HTTP.
 type API struct {
-	store  Store
-	holder *targets.Holder
-	fleet  Fleet
-	spread func(ctx context.Context, version uint64)
-	guard  auth.Middleware
-	log    *zap.Logger
+	store           Store
+	holder          *targets.Holder
+	fleet           Fleet
+	propagate       func(ctx context.Context, version uint64)
+	requireOperator auth.Middleware
+	log             *zap.Logger
 }
 
-// New returns the API; Register brings it into a router.
+// New returns an API. Use Register to add its routes to a router.
 func New(config Config) *API {
 	log := config.Log
 	if log == nil {
 		log = zap.NewNop()
 	}
 	return &API{
-		store:  config.Store,
-		holder: config.Holder,
-		fleet:  config.Fleet,
-		spread: config.Spread,
-		guard:  auth.Operator(config.OperatorKey),
-		log:    log,
+		store:           config.Store,
+		holder:          config.Holder,
+		fleet:           config.Fleet,
+		propagate:       config.Spread,
+		requireOperator: auth.Operator(config.OperatorKey),
+		log:             log,
 	}
 }
 
-// Register adds all resources to the router.
+// Register adds the routes of all resources to router.
 func (a *API) Register(router *httprouter.Router) {
 	a.handle(router, http.MethodGet, "/classes", a.listClasses)
 	a.handle(router, http.MethodGet, "/classes/:name", a.getClass)
@@ -88,15 +92,15 @@
 	a.handle(router, http.MethodGet, "/customers/:name", a.getCustomer)
 	a.handle(router, http.MethodPut, "/customers/:name", a.putCustomer)
 	a.handle(router, http.MethodDelete, "/customers/:name", a.removeCustomer)
-	a.handle(router, http.MethodGet, "/engines", a.listEngines)
+	a.handle(router, http.MethodGet, "/engines", a.listBackendServers)
 	a.handle(router, http.MethodGet, "/status", a.status)
 }
 
 func (a *API) handle(router *httprouter.Router, method, path string, handler http.HandlerFunc) {
-	router.Handler(method, Prefix+path, a.guard(handler))
+	router.Handler(method, Prefix+path, a.requireOperator(handler))
 }
 
-// pathName is the name in the request's path.
-func pathName(r *http.Request) string {
+// resourceName returns the class or customer name in the request path.
+func resourceName(r *http.Request) string {
 	return httprouter.ParamsFromContext(r.Context()).ByName("name")
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -22,10 +22,10 @@
 
 const (
 	operatorKey = "operators-secret"
-	flagBody    = `{"tier": 0, "model": "apple-avustaja", "first_token": "850ms"}`
+	classBody   = `{"tier": 0, "model": "apple-avustaja", "first_token": "850ms"}`
 )
 
-// fakeFleet answers what it is told.
+// fakeFleet returns the processes of its function and one fixed backend server.
 type fakeFleet struct {
 	processes func() []Process
 }
@@ -35,87 +35,87 @@
 	return []Engine{{VM: "e1", Serves: "apple-avustaja", Limit: 4, Heard: true, Age: time.Second}}
 }
 
-// bench is an API on a table in memory.
-type bench struct {
+// testAPI is an API with an in-memory table.
+type testAPI struct {
 	table  *storagetest.Table
 	holder *targets.Holder
 	router *httprouter.Router
-	// inForce is the version that the process "a" tells.
-	inForce atomic.Uint64
+	// reportedVersion is the targets version that process "a" reports.
+	reportedVersion atomic.Uint64
 }
 
-func newBench() *bench {
-	b := &bench{table: storagetest.NewTable(), holder: targets.NewHolder(), router: httprouter.New()}
+func newTestAPI() *testAPI {
+	api := &testAPI{table: storagetest.NewTable(), holder: targets.NewHolder(), router: httprouter.New()}
 	fleet := fakeFleet{processes: func() []Process {
-		return []Process{{Name: "a", Heard: true, Version: b.inForce.Load()}, {Name: "silent", Heard: true, Age: time.Minute}, {Name: "never"}}
+		return []Process{{Name: "a", Heard: true, Version: api.reportedVersion.Load()}, {Name: "silent", Heard: true, Age: time.Minute}, {Name: "never"}}
 	}}
-	New(Config{Store: store.New(b.table), Holder: b.holder, Fleet: fleet, OperatorKey: operatorKey}).Register(b.router)
-	return b
+	New(Config{Store: store.New(api.table), Holder: api.holder, Fleet: fleet, OperatorKey: operatorKey}).Register(api.router)
+	return api
 }
 
-// do sends a request; an empty version sends no If-Match.
-func (b *bench) do(method, path, version, body string) *httptest.ResponseRecorder {
+// send sends a request. If version is empty, it omits If-Match.
+func (api *testAPI) send(method, path, version, body string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, Prefix+path, strings.NewReader(body))
 	auth.SetBearer(r.Header, operatorKey)
 	if version != "" {
 		r.Header.Set("If-Match", `"`+version+`"`)
 	}
 	w := httptest.NewRecorder()
-	b.router.ServeHTTP(w, r)
+	api.router.ServeHTTP(w, r)
 	return w
 }
 
-// want checks an answer's status and returns its body decoded.
-func want[T any](t *testing.T, w *httptest.ResponseRecorder, status int) T {
+// decodeResponse checks a response's status and returns its decoded body.
+func decodeResponse[T any](t *testing.T, w *httptest.ResponseRecorder, status int) T {
 	t.Helper()
-	var answer T
+	var response T
 	if w.Code != status {
 		t.Fatalf("status: got %d, want %d: %s", w.Code, status, w.Body)
 	}
-	if err := json.Unmarshal(w.Body.Bytes(), &answer); err != nil {
+	if err := json.Unmarshal(w.Body.Bytes(), &response); err != nil {
 		t.Fatal(err)
 	}
-	return answer
+	return response
 }
 
-// UnmarshalJSON lets the tests read what the API writes.
-func (d *duration) UnmarshalJSON(raw []byte) error {
+// UnmarshalJSON lets the tests decode the API's responses.
+func (d *jsonDuration) UnmarshalJSON(raw []byte) error {
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
 		return err
 	}
 	parsed, err := time.ParseDuration(text)
-	*d = duration(parsed)
+	*d = jsonDuration(parsed)
 	return err
 }
 
-func TestLifeOfAClass(t *testing.T) {
-	b := newBench()
-	created := want[changeAnswer](t, b.do(http.MethodPut, "/classes/hazard-flag", "0", flagBody), http.StatusOK)
-	if !created.Accepted || created.Version != 1 || created.Class.FirstToken != duration(850*time.Millisecond) {
+func TestClassLifecycle(t *testing.T) {
+	api := newTestAPI()
+	created := decodeResponse[changeResponse](t, api.send(http.MethodPut, "/classes/hazard-flag", "0", classBody), http.StatusOK)
+	if !created.Accepted || created.Version != 1 || created.Class.FirstToken != jsonDuration(850*time.Millisecond) {
 		t.Fatalf("created: %+v", created)
 	}
-	if b.holder.Current().Version != 1 {
-		t.Fatal("the accepted change is not in force here")
+	if api.holder.Current().Version != 1 {
+		t.Fatal("the accepted change is not applied in this process")
 	}
-	patched := want[changeAnswer](t, b.do(http.MethodPatch, "/classes/hazard-flag", "1", `{"completion": "3s", "repeatable": true}`), http.StatusOK)
-	if c := patched.Class; c.Completion != duration(3*time.Second) || c.FirstToken != duration(850*time.Millisecond) || !c.Repeatable {
+	patched := decodeResponse[changeResponse](t, api.send(http.MethodPatch, "/classes/hazard-flag", "1", `{"completion": "3s", "repeatable": true}`), http.StatusOK)
+	if c := patched.Class; c.Completion != jsonDuration(3*time.Second) || c.FirstToken != jsonDuration(850*time.Millisecond) || !c.Repeatable {
 		t.Fatalf("patched: %+v", c)
 	}
-	want[changeAnswer](t, b.do(http.MethodPatch, "/classes/hazard-flag", "2", `{"first_token": null}`), http.StatusOK)
-	retired := want[changeAnswer](t, b.do(http.MethodDelete, "/classes/hazard-flag", "3", ""), http.StatusOK)
+	decodeResponse[changeResponse](t, api.send(http.MethodPatch, "/classes/hazard-flag", "2", `{"first_token": null}`), http.StatusOK)
+	retired := decodeResponse[changeResponse](t, api.send(http.MethodDelete, "/classes/hazard-flag", "3", ""), http.StatusOK)
 	if !retired.Class.Retired || retired.Class.FirstToken != 0 {
 		t.Fatalf("retired: %+v", retired.Class)
 	}
-	w := b.do(http.MethodGet, "/classes/hazard-flag", "", "")
-	got := want[resourceAnswer](t, w, http.StatusOK)
+	w := api.send(http.MethodGet, "/classes/hazard-flag", "", "")
+	got := decodeResponse[resourceResponse](t, w, http.StatusOK)
 	if got.Version != 4 || got.Source != sourceTable || w.Header().Get("ETag") != `"4"` {
 		t.Fatalf("read: %+v, ETag %s", got, w.Header().Get("ETag"))
 	}
-	want[errorAnswer](t, b.do(http.MethodDelete, "/classes/other", "4", ""), http.StatusNotFound)
+	decodeResponse[errorResponse](t, api.send(http.MethodDelete, "/classes/other", "4", ""), http.StatusNotFound)
 }
 
-func TestEveryProblemOfARequestAtOnce(t *testing.T) {
+func TestAllProblemsAreReported(t *testing.T) {
 	tests := []struct {
 		name, method, path, version, body string
 		status                            int
@@ -128,122 +128,122 @@
 		{"no object", http.MethodPut, "/classes/x", "0", `[`, 400, []string{"body"}},
 		{"patch", http.MethodPatch, "/classes/hazard-flag", "1", `{"tier":-1,"first_token":null}`, 400, []string{"tier", "first_token"}},
 		{"customer", http.MethodPut, "/customers/b%20d", "1", `{"key_hash":"xyz"}`, 400, []string{"name", "key_hash"}},
-		{"no version", http.MethodPut, "/classes/x", "", flagBody, 428, nil},
+		{"no version", http.MethodPut, "/classes/x", "", classBody, 428, nil},
 	}
-	b := newBench()
-	want[changeAnswer](t, b.do(http.MethodPut, "/classes/hazard-flag", "0", flagBody), http.StatusOK)
+	api := newTestAPI()
+	decodeResponse[changeResponse](t, api.send(http.MethodPut, "/classes/hazard-flag", "0", classBody), http.StatusOK)
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			answer := want[errorAnswer](t, b.do(tt.method, tt.path, tt.version, tt.body), tt.status)
+			response := decodeResponse[errorResponse](t, api.send(tt.method, tt.path, tt.version, tt.body), tt.status)
 			var got []string
-			for _, p := range answer.Problems {
+			for _, p := range response.Problems {
 				got = append(got, p.Field)
 			}
 			if !slices.Equal(got, tt.fields) {
 				t.Fatalf("fields: got %v, want %v", got, tt.fields)
 			}
-			if version := b.holder.Current().Version; version != 1 {
-				t.Fatalf("version after a refused request: %d", version)
+			if version := api.holder.Current().Version; version != 1 {
+				t.Fatalf("version after a rejected request: %d", version)
 			}
 		})
 	}
-	want[errorAnswer](t, b.do(http.MethodPut, "/classes/x", "1", strings.Repeat(" ", maxBody+1)), http.StatusRequestEntityTooLarge)
+	decodeResponse[errorResponse](t, api.send(http.MethodPut, "/classes/x", "1", strings.Repeat(" ", maxBodyBytes+1)), http.StatusRequestEntityTooLarge)
 }
 
-func TestSecondOperatorSeesTheNewerState(t *testing.T) {
-	b := newBench()
-	want[changeAnswer](t, b.do(http.MethodPut, "/classes/hazard-flag", "0", flagBody), http.StatusOK)
-	w := b.do(http.MethodPut, "/classes/hazard-flag", "0", strings.Replace(flagBody, "850ms", "2s", 1))
-	conflict := want[errorAnswer](t, w, http.StatusConflict)
-	if conflict.Version != 1 || conflict.Class == nil || conflict.Class.FirstToken != duration(850*time.Millisecond) || w.Header().Get("ETag") != `"1"` {
+func TestVersionConflictReturnsCurrentState(t *testing.T) {
+	api := newTestAPI()
+	decodeResponse[changeResponse](t, api.send(http.MethodPut, "/classes/hazard-flag", "0", classBody), http.StatusOK)
+	w := api.send(http.MethodPut, "/classes/hazard-flag", "0", strings.Replace(classBody, "850ms", "2s", 1))
+	conflict := decodeResponse[errorResponse](t, w, http.StatusConflict)
+	if conflict.Version != 1 || conflict.Class == nil || conflict.Class.FirstToken != jsonDuration(850*time.Millisecond) || w.Header().Get("ETag") != `"1"` {
 		t.Fatalf("conflict: %+v", conflict)
 	}
 }
 
-func TestChangeUnderFaults(t *testing.T) {
+func TestChangeWithTableFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench()
-		b.table.FailCommits(storagetest.FaultLost)
-		accepted := want[changeAnswer](t, b.do(http.MethodPut, "/classes/hazard-flag", "0", flagBody), http.StatusOK)
+		api := newTestAPI()
+		api.table.FailCommits(storagetest.FaultLost)
+		accepted := decodeResponse[changeResponse](t, api.send(http.MethodPut, "/classes/hazard-flag", "0", classBody), http.StatusOK)
 		if accepted.Version != 1 {
-			t.Fatalf("after a lost answer: %+v", accepted)
+			t.Fatalf("after a lost commit response: %+v", accepted)
 		}
-		b.table.SetDown(true)
-		w := b.do(http.MethodPut, "/classes/gate-check", "1", flagBody)
-		if answer := want[errorAnswer](t, w, http.StatusServiceUnavailable); answer.Error.Code != codeUnavailable || w.Header().Get("Retry-After") == "" {
-			t.Fatalf("while the table is down: %+v", answer)
+		api.table.SetDown(true)
+		w := api.send(http.MethodPut, "/classes/gate-check", "1", classBody)
+		if response := decodeResponse[errorResponse](t, w, http.StatusServiceUnavailable); response.Error.Code != codeTableUnavailable || w.Header().Get("Retry-After") == "" {
+			t.Fatalf("while the table is down: %+v", response)
 		}
-		read := want[classesAnswer](t, b.do(http.MethodGet, "/classes", "", ""), http.StatusOK)
+		read := decodeResponse[classesResponse](t, api.send(http.MethodGet, "/classes", "", ""), http.StatusOK)
 		if read.Source != sourceMemory || read.Version != 1 || len(read.Classes) != 1 {
 			t.Fatalf("read while the table is down: %+v", read)
 		}
-		b.table.SetDown(false)
-		b.table.FailCommits(storagetest.FaultLate)
-		b.table.BeforeCommit(func([]storage.Write) { b.table.SetDown(b.table.Commits() > 1) })
-		unknown := want[errorAnswer](t, b.do(http.MethodPut, "/classes/gate-check", "1", flagBody), http.StatusGatewayTimeout)
+		api.table.SetDown(false)
+		api.table.FailCommits(storagetest.FaultLate)
+		api.table.BeforeCommit(func([]storage.Write) { api.table.SetDown(api.table.Commits() > 1) })
+		unknown := decodeResponse[errorResponse](t, api.send(http.MethodPut, "/classes/gate-check", "1", classBody), http.StatusGatewayTimeout)
 		if unknown.Error.Code != codeOutcomeUnknown || unknown.Version != 2 {
 			t.Fatalf("unknown outcome: %+v", unknown)
 		}
 	})
 }
 
-func TestNewCustomerGetsItsKeyOnce(t *testing.T) {
-	b := newBench()
-	created := want[changeAnswer](t, b.do(http.MethodPut, "/customers/ledger", "0", ""), http.StatusOK)
+func TestGeneratedKeyIsReturnedOnce(t *testing.T) {
+	api := newTestAPI()
+	created := decodeResponse[changeResponse](t, api.send(http.MethodPut, "/customers/ledger", "0", ""), http.StatusOK)
 	r := httptest.NewRequest(http.MethodPost, "/", nil)
 	auth.SetBearer(r.Header, created.APIKey)
-	if name, err := auth.Caller(b.holder.Current(), false, r); err != nil || name != "ledger" {
+	if name, err := auth.Caller(api.holder.Current(), false, r); err != nil || name != "ledger" {
 		t.Fatalf("caller with the new key: %q, %v", name, err)
 	}
 	for _, path := range []string{"/customers", "/customers/ledger"} {
-		body := b.do(http.MethodGet, path, "", "").Body.String()
+		body := api.send(http.MethodGet, path, "", "").Body.String()
 		if strings.Contains(body, created.APIKey) || strings.Contains(body, auth.HashKey(created.APIKey)) {
-			t.Fatalf("%s tells the key or its hash: %s", path, body)
+			t.Fatalf("%s: the response contains the key or its hash: %s", path, body)
 		}
 	}
-	given := want[changeAnswer](t, b.do(http.MethodPut, "/customers/kaivonkansi", "1", `{"key_hash":"`+auth.HashKey("k")+`"}`), http.StatusOK)
+	given := decodeResponse[changeResponse](t, api.send(http.MethodPut, "/customers/kaivonkansi", "1", `{"key_hash":"`+auth.HashKey("k")+`"}`), http.StatusOK)
 	if given.APIKey != "" {
-		t.Fatal("a key was made although a hash was given")
+		t.Fatal("a key was generated although a hash was given")
 	}
-	want[changeAnswer](t, b.do(http.MethodDelete, "/customers/ledger", "2", ""), http.StatusOK)
-	if _, err := auth.Caller(b.holder.Current(), false, r); err == nil {
+	decodeResponse[changeResponse](t, api.send(http.MethodDelete, "/customers/ledger", "2", ""), http.StatusOK)
+	if _, err := auth.Caller(api.holder.Current(), false, r); err == nil {
 		t.Fatal("the key of a removed customer still works")
 	}
 }
 
-func TestWaitNamesWhoIsNotHeardFrom(t *testing.T) {
+func TestWaitForPropagation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench()
-		began := time.Now()
-		late := want[changeAnswer](t, b.do(http.MethodPut, "/classes/hazard-flag?wait=14s", "0", flagBody), http.StatusOK)
-		if late.Spread.InForce || !slices.Equal(late.Spread.Behind, []string{"a"}) || time.Since(began) != 14*time.Second {
-			t.Fatalf("one process stays behind: %+v after %v", late.Spread, time.Since(began))
+		api := newTestAPI()
+		start := time.Now()
+		late := decodeResponse[changeResponse](t, api.send(http.MethodPut, "/classes/hazard-flag?wait=14s", "0", classBody), http.StatusOK)
+		if late.Propagation.Applied || !slices.Equal(late.Propagation.Behind, []string{"a"}) || time.Since(start) != 14*time.Second {
+			t.Fatalf("one process has an older version: %+v after %v", late.Propagation, time.Since(start))
 		}
-		time.AfterFunc(2*time.Second, func() { b.inForce.Store(2) })
-		began = time.Now()
-		done := want[changeAnswer](t, b.do(http.MethodPut, "/classes/hazard-flag?wait=14s", "1", flagBody), http.StatusOK)
-		if !done.Spread.InForce || !slices.Equal(done.Spread.NotHeardFrom, []string{"silent", "never"}) {
-			t.Fatalf("all heard from have it: %+v", done.Spread)
+		time.AfterFunc(2*time.Second, func() { api.reportedVersion.Store(2) })
+		start = time.Now()
+		done := decodeResponse[changeResponse](t, api.send(http.MethodPut, "/classes/hazard-flag?wait=14s", "1", classBody), http.StatusOK)
+		if !done.Propagation.Applied || !slices.Equal(done.Propagation.NotHeardFrom, []string{"silent", "never"}) {
+			t.Fatalf("all processes with a recent status have applied it: %+v", done.Propagation)
 		}
-		if took := time.Since(began); took > 2*time.Second+awaitInterval {
-			t.Fatalf("answered after %v", took)
+		if elapsed := time.Since(start); elapsed > 2*time.Second+propagationPollInterval {
+			t.Fatalf("response after %v", elapsed)
 		}
-		status := want[statusAnswer](t, b.do(http.MethodGet, "/status", "", ""), http.StatusOK)
-		if status.InForceHere != 2 || len(status.Processes) != 3 || status.Processes[1].Heard {
+		status := decodeResponse[statusResponse](t, api.send(http.MethodGet, "/status", "", ""), http.StatusOK)
+		if status.LocalVersion != 2 || len(status.Processes) != 3 || status.Processes[1].HasRecentStatus {
 			t.Fatalf("status: %+v", status)
 		}
-		engines := want[enginesAnswer](t, b.do(http.MethodGet, "/engines", "", ""), http.StatusOK)
-		if len(engines.Engines) != 1 || *engines.Engines[0].Age != duration(time.Second) {
+		engines := decodeResponse[backendServersResponse](t, api.send(http.MethodGet, "/engines", "", ""), http.StatusOK)
+		if len(engines.BackendServers) != 1 || *engines.BackendServers[0].StatusAge != jsonDuration(time.Second) {
 			t.Fatalf("engines: %+v", engines)
 		}
 	})
 }
 
-func TestOperatorsKeyIsRequired(t *testing.T) {
-	b := newBench()
+func TestOperatorKeyIsRequired(t *testing.T) {
+	api := newTestAPI()
 	for _, path := range []string{"/classes", "/customers", "/engines", "/status"} {
 		w := httptest.NewRecorder()
-		b.router.ServeHTTP(w, httptest.NewRequest(http.MethodGet, Prefix+path, nil))
+		api.router.ServeHTTP(w, httptest.NewRequest(http.MethodGet, Prefix+path, nil))
 		if w.Code != http.StatusUnauthorized {
 			t.Errorf("%s without a key: %d", path, w.Code)
 		}
--- a/internal/admin/change.go
+++ b/internal/admin/change.go
@@ -15,86 +15,90 @@
 	"github.com/applepier/applepier/internal/targets/store"
 )
 
-// Bounds of a request.
+// Limits of change requests.
 const (
-	// maxBody is far more than any resource needs.
-	maxBody = 64 << 10
-	// maxWait bounds the wait option, so that waiting requests stay few.
+	// maxBodyBytes is far more than any resource needs.
+	maxBodyBytes = 64 << 10
+	// maxWait limits the wait parameter, so that few requests wait at a time.
 	maxWait = time.Minute
-	// retryAfter is when to come back while the table service is down, in
-	// seconds.
-	retryAfter = "5"
+	// retryAfterSeconds is the Retry-After value sent while the table service
+	// is down.
+	retryAfterSeconds = "5"
 )
 
-// errNoResource: the change is about a class or customer that isn't there.
-var errNoResource = errors.New("no such class or customer")
+// errResourceNotFound reports a change to a class or customer that does not
+// exist.
+var errResourceNotFound = errors.New("no such class or customer")
 
-// change is one request to change the targets.
-type change struct {
-	// base is the version that the change was made upon.
-	base uint64
-	// hasBase is false when the request names none.
-	hasBase bool
-	// wait is how long to wait until the change is in force; zero for not.
+// changeRequest holds the parsed parts of a request that changes the targets.
+type changeRequest struct {
+	// baseVersion is the targets version that the change is based on.
+	baseVersion uint64
+	// hasBaseVersion is false if the request has no If-Match header.
+	hasBaseVersion bool
+	// wait is the maximum time to wait until the change is applied. Zero
+	// disables waiting.
 	wait time.Duration
 	body []byte
-	// problems are what is wrong with all of these.
+	// problems lists the validation errors of all parts of the request.
 	problems []targets.Problem
 }
 
-// readChange reads the parts that all changes have. It reports false after it
-// has answered itself.
-func readChange(w http.ResponseWriter, r *http.Request) (*change, bool) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+// parseChangeRequest reads the body, If-Match and the wait parameter. If the
+// body is too large, it writes the error response and returns false. Other
+// errors are added to the problems of the returned request.
+func parseChangeRequest(w http.ResponseWriter, r *http.Request) (*changeRequest, bool) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if _, tooLarge := errors.Into[*http.MaxBytesError](err); tooLarge {
-		writeJSON(w, http.StatusRequestEntityTooLarge, newError(codeTooLarge, "the body must be at most "+strconv.Itoa(maxBody)+" bytes"))
+		writeJSON(w, http.StatusRequestEntityTooLarge, newErrorResponse(codeBodyTooLarge, "the body must be at most "+strconv.Itoa(maxBodyBytes)+" bytes"))
 		return nil, false
 	}
-	c := &change{body: body}
+	c := &changeRequest{body: body}
 	if err != nil {
-		c.problem("body", "could not be read")
+		c.addProblem("body", "could not be read")
 	}
-	c.readBase(r)
-	c.readWait(r)
+	c.parseIfMatch(r)
+	c.parseWait(r)
 	return c, true
 }
 
-func (c *change) readBase(r *http.Request) {
+func (c *changeRequest) parseIfMatch(r *http.Request) {
 	values := r.Header.Values("If-Match")
 	if len(values) == 0 {
 		return
 	}
-	c.hasBase = true
+	c.hasBaseVersion = true
 	text := strings.Trim(strings.Join(values, ","), `" `)
-	base, err := strconv.ParseUint(text, 10, 64)
+	version, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		c.problem("If-Match", `must be one version, as "7", from the ETag of an answer`)
+		c.addProblem("If-Match", `must be one version, as "7", from the ETag of an answer`)
 	}
-	c.base = base
+	c.baseVersion = version
 }
 
-func (c *change) readWait(r *http.Request) {
+func (c *changeRequest) parseWait(r *http.Request) {
 	text := r.URL.Query().Get("wait")
 	if text == "" {
 		return
 	}
 	wait, err := time.ParseDuration(text)
 	if err != nil || wait < 0 || wait > maxWait {
-		c.problem("wait", "must be a duration from 0s to "+maxWait.String()+", as 14s")
+		c.addProblem("wait", "must be a duration from 0s to "+maxWait.String()+", as 14s")
 	}
 	c.wait = wait
 }
 
-func (c *change) problem(field, reason string) {
+func (c *changeRequest) addProblem(field, reason string) {
 	c.problems = append(c.problems, targets.Problem{Field: field, Reason: reason})
 }
 
-// refused answers a request that can't be tried, and reports that it did.
-func (c *change) refused(w http.ResponseWriter) bool {
-	if !c.hasBase {
-		answer := newError(codeNoVersion, "a change needs If-Match with the version it was made upon, from the ETag of an answer")
-		answer.Problems = c.problems
-		writeJSON(w, http.StatusPreconditionRequired, answer)
+// rejectInvalid writes an error response if the request has no base version or
+// has problems, and reports whether it did.
+func (c *changeRequest) rejectInvalid(w http.ResponseWriter) bool {
+	if !c.hasBaseVersion {
+		response := newErrorResponse(codeVersionRequired, "a change needs If-Match with the version it was made upon, from the ETag of an answer")
+		response.Problems = c.problems
+		writeJSON(w, http.StatusPreconditionRequired, response)
 		return true
 	}
 	if len(c.problems) > 0 {
@@ -105,47 +109,47 @@
 }
 
 func writeProblems(w http.ResponseWriter, problems []targets.Problem) {
-	answer := newError(codeInvalid, "the request is invalid, nothing was changed")
-	answer.Problems = problems
-	writeJSON(w, http.StatusBadRequest, answer)
+	response := newErrorResponse(codeInvalidRequest, "the request is invalid, nothing was changed")
+	response.Problems = problems
+	writeJSON(w, http.StatusBadRequest, response)
 }
 
-// resource adds the state of the class or customer that a request is about to
-// an answer.
-type resource func(set *targets.Set, class **classView, customer **customerView)
+// attachFunc fills the class or customer of a response from set. It leaves both
+// unset if the resource does not exist.
+type attachFunc func(set *targets.Set, class **classView, customer **customerView)
 
-// apply makes the change and answers. The answer says accepted only after the
-// store has confirmed the change.
-func (a *API) apply(w http.ResponseWriter, r *http.Request, c *change, edit func(*targets.Set) error, state resource, apiKey string) {
-	if c.refused(w) {
+// applyChange stores the change and writes the response. The response reports
+// the change as accepted only after the store has confirmed it.
+func (a *API) applyChange(w http.ResponseWriter, r *http.Request, change *changeRequest, edit func(*targets.Set) error, attach attachFunc, apiKey string) {
+	if change.rejectInvalid(w) {
 		return
 	}
-	set, err := a.store.Change(r.Context(), c.base, edit)
+	set, err := a.store.Change(r.Context(), change.baseVersion, edit)
 	if err != nil {
-		a.writeChangeError(w, err, state)
+		a.writeChangeError(w, err, attach)
 		return
 	}
 	a.holder.Offer(set)
-	if a.spread != nil {
-		a.spread(r.Context(), set.Version)
+	if a.propagate != nil {
+		a.propagate(r.Context(), set.Version)
 	}
 	a.log.Info(logging.EventTargetsChanged, zap.Uint64("version", set.Version), zap.String("resource", r.URL.Path), zap.String("method", r.Method))
-	answer := changeAnswer{Accepted: true, Version: set.Version, APIKey: apiKey}
-	state(set, &answer.Class, &answer.Customer)
-	if c.wait > 0 {
-		answer.Spread = a.await(r.Context(), set.Version, c.wait)
+	response := changeResponse{Accepted: true, Version: set.Version, APIKey: apiKey}
+	attach(set, &response.Class, &response.Customer)
+	if change.wait > 0 {
+		response.Propagation = a.awaitPropagation(r.Context(), set.Version, change.wait)
 	}
-	setVersion(w, set.Version)
-	writeJSON(w, http.StatusOK, answer)
+	setETag(w, set.Version)
+	writeJSON(w, http.StatusOK, response)
 }
 
-func (a *API) writeChangeError(w http.ResponseWriter, err error, state resource) {
+func (a *API) writeChangeError(w http.ResponseWriter, err error, attach attachFunc) {
 	if conflict, ok := errors.Into[*store.ConflictError](err); ok {
-		answer := newError(codeConflict, err.Error()+"; nothing was changed")
-		answer.Version = conflict.Newer.Version
-		state(conflict.Newer, &answer.Class, &answer.Customer)
-		setVersion(w, conflict.Newer.Version)
-		writeJSON(w, http.StatusConflict, answer)
+		response := newErrorResponse(codeVersionConflict, err.Error()+"; nothing was changed")
+		response.Version = conflict.Newer.Version
+		attach(conflict.Newer, &response.Class, &response.Customer)
+		setETag(w, conflict.Newer.Version)
+		writeJSON(w, http.StatusConflict, response)
 		return
 	}
 	if invalid, ok := errors.Into[*targets.ValidationError](err); ok {
@@ -153,19 +157,19 @@
 		return
 	}
 	if unsettled, ok := errors.Into[*store.UnsettledError](err); ok {
-		answer := newError(codeOutcomeUnknown, "the change may or may not have taken effect, or may yet; read the targets again once the table service answers")
-		answer.Version = unsettled.Version
-		writeJSON(w, http.StatusGatewayTimeout, answer)
+		response := newErrorResponse(codeOutcomeUnknown, "the change may or may not have taken effect, or may yet; read the targets again once the table service answers")
+		response.Version = unsettled.Version
+		writeJSON(w, http.StatusGatewayTimeout, response)
 		return
 	}
 	switch {
-	case errors.Is(err, errNoResource):
+	case errors.Is(err, errResourceNotFound):
 		writeNotFound(w, err.Error())
 	case errors.Is(err, store.ErrUnavailable):
-		w.Header().Set("Retry-After", retryAfter)
-		writeJSON(w, http.StatusServiceUnavailable, newError(codeUnavailable, "the table service is down, nothing was changed"))
+		w.Header().Set("Retry-After", retryAfterSeconds)
+		writeJSON(w, http.StatusServiceUnavailable, newErrorResponse(codeTableUnavailable, "the table service is down, nothing was changed"))
 	default:
 		a.log.Error(logging.EventAdminChangeFailed, zap.Error(err))
-		writeJSON(w, http.StatusInternalServerError, newError(codeInternal, "the change failed, nothing was changed"))
+		writeJSON(w, http.StatusInternalServerError, newErrorResponse(codeInternal, "the change failed, nothing was changed"))
 	}
 }
--- a/internal/admin/classes.go
+++ b/internal/admin/classes.go
@@ -7,112 +7,113 @@
 )
 
 func (a *API) listClasses(w http.ResponseWriter, r *http.Request) {
-	set, from := a.read(r.Context())
-	answer := classesAnswer{Version: set.Version, Source: from, Classes: []*classView{}}
+	set, source := a.loadTargets(r.Context())
+	response := classesResponse{Version: set.Version, Source: source, Classes: []*classView{}}
 	for _, c := range set.Classes {
-		answer.Classes = append(answer.Classes, viewClass(c))
+		response.Classes = append(response.Classes, newClassView(c))
 	}
-	setVersion(w, set.Version)
-	writeJSON(w, http.StatusOK, answer)
+	setETag(w, set.Version)
+	writeJSON(w, http.StatusOK, response)
 }
 
 func (a *API) getClass(w http.ResponseWriter, r *http.Request) {
-	set, from := a.read(r.Context())
-	setVersion(w, set.Version)
-	class, ok := set.Class(pathName(r))
+	set, source := a.loadTargets(r.Context())
+	setETag(w, set.Version)
+	class, ok := set.Class(resourceName(r))
 	if !ok {
 		writeNotFound(w, "no class has this name")
 		return
 	}
-	writeJSON(w, http.StatusOK, resourceAnswer{Version: set.Version, Source: from, Class: viewClass(class)})
+	writeJSON(w, http.StatusOK, resourceResponse{Version: set.Version, Source: source, Class: newClassView(class)})
 }
 
-// putClass creates a class, or replaces the one of its name.
+// putClass creates a class or replaces the existing class of that name.
 func (a *API) putClass(w http.ResponseWriter, r *http.Request) {
-	c, ok := readChange(w, r)
+	change, ok := parseChangeRequest(w, r)
 	if !ok {
 		return
 	}
-	name := pathName(r)
-	f := parseFields(c.body)
-	if !f.broken && !f.has("tier") {
-		// Zero is the most urgent tier, which nobody should get by omission.
-		f.problem("tier", "must be set")
+	name := resourceName(r)
+	decoder := newObjectDecoder(change.body)
+	if !decoder.malformed && !decoder.has("tier") {
+		// An omitted tier would decode as 0, the most urgent tier.
+		decoder.addProblem("tier", "must be set")
 	}
-	class := readClass(f, targets.Class{Name: name})
-	c.problems = append(c.problems, f.finishWith(class.Problems())...)
-	a.apply(w, r, c, func(set *targets.Set) error {
+	class := decodeClass(decoder, targets.Class{Name: name})
+	change.problems = append(change.problems, decoder.finishWith(class.Problems())...)
+	a.applyChange(w, r, change, func(set *targets.Set) error {
 		set.PutClass(class)
 		return nil
-	}, classState(name), "")
+	}, attachClass(name), "")
 }
 
-// patchClass changes the given fields of a class and leaves the others.
+// patchClass changes the fields of a class that the body contains.
 func (a *API) patchClass(w http.ResponseWriter, r *http.Request) {
-	c, ok := readChange(w, r)
+	change, ok := parseChangeRequest(w, r)
 	if !ok {
 		return
 	}
-	name := pathName(r)
-	f := parseFields(c.body)
-	readClass(f, targets.Class{Name: name})
-	c.problems = append(c.problems, f.finish()...)
-	a.apply(w, r, c, func(set *targets.Set) error {
+	name := resourceName(r)
+	decoder := newObjectDecoder(change.body)
+	decodeClass(decoder, targets.Class{Name: name})
+	change.problems = append(change.problems, decoder.finish()...)
+	a.applyChange(w, r, change, func(set *targets.Set) error {
 		class, ok := set.Class(name)
 		if !ok {
-			return errNoResource
+			return errResourceNotFound
 		}
-		class = readClass(parseFields(c.body), class)
+		class = decodeClass(newObjectDecoder(change.body), class)
 		if problems := class.Problems(); len(problems) > 0 {
 			return &targets.ValidationError{Problems: problems}
 		}
 		set.PutClass(class)
 		return nil
-	}, classState(name), "")
+	}, attachClass(name), "")
 }
 
-// retireClass makes a class take no new requests. It stays listed, since
-// requests of it may still run, and PUT or PATCH can bring it back.
+// retireClass marks a class as retired, so that it takes no new requests. The
+// class stays listed because its requests may still be running, and PUT or
+// PATCH can reactivate it.
 func (a *API) retireClass(w http.ResponseWriter, r *http.Request) {
-	c, ok := readChange(w, r)
+	change, ok := parseChangeRequest(w, r)
 	if !ok {
 		return
 	}
-	name := pathName(r)
-	a.apply(w, r, c, func(set *targets.Set) error {
+	name := resourceName(r)
+	a.applyChange(w, r, change, func(set *targets.Set) error {
 		class, ok := set.Class(name)
 		if !ok {
-			return errNoResource
+			return errResourceNotFound
 		}
 		class.Retired = true
 		set.PutClass(class)
 		return nil
-	}, classState(name), "")
+	}, attachClass(name), "")
 }
 
-// readClass puts the fields of a body over a class.
-func readClass(f *fields, class targets.Class) targets.Class {
+// decodeClass returns class with the fields in the body replaced.
+func decodeClass(decoder *objectDecoder, class targets.Class) targets.Class {
 	name := class.Name
-	f.text("name", &name)
+	decoder.stringField("name", &name)
 	if name != class.Name {
-		f.problem("name", "must be the name in the path")
+		decoder.addProblem("name", "must be the name in the path")
 	}
-	f.number("tier", &class.Tier)
-	f.text("model", &class.Model)
-	f.text("service", &class.Service)
-	f.duration("first_token", &class.FirstToken)
-	f.duration("between_tokens", &class.BetweenTokens)
-	f.duration("completion", &class.Completion)
-	f.flag("repeatable", &class.Repeatable)
-	f.flag("retired", &class.Retired)
+	decoder.intField("tier", &class.Tier)
+	decoder.stringField("model", &class.Model)
+	decoder.stringField("service", &class.Service)
+	decoder.durationField("first_token", &class.FirstToken)
+	decoder.durationField("between_tokens", &class.BetweenTokens)
+	decoder.durationField("completion", &class.Completion)
+	decoder.boolField("repeatable", &class.Repeatable)
+	decoder.boolField("retired", &class.Retired)
 	return class
 }
 
-// classState adds a class to an answer.
-func classState(name string) resource {
+// attachClass returns an attachFunc for the named class.
+func attachClass(name string) attachFunc {
 	return func(set *targets.Set, class **classView, _ **customerView) {
 		if c, ok := set.Class(name); ok {
-			*class = viewClass(c)
+			*class = newClassView(c)
 		}
 	}
 }
--- a/internal/admin/customers.go
+++ b/internal/admin/customers.go
@@ -8,75 +8,76 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-// apiKeyPrefix lets people and scanners for leaked secrets recognize a key.
+// apiKeyPrefix marks API keys so that people and secret scanners recognize them.
 const apiKeyPrefix = "applepier_"
 
 func (a *API) listCustomers(w http.ResponseWriter, r *http.Request) {
-	set, from := a.read(r.Context())
-	answer := customersAnswer{Version: set.Version, Source: from, Customers: []customerView{}}
+	set, source := a.loadTargets(r.Context())
+	response := customersResponse{Version: set.Version, Source: source, Customers: []customerView{}}
 	for _, c := range set.Customers {
-		answer.Customers = append(answer.Customers, customerView{Name: c.Name})
+		response.Customers = append(response.Customers, customerView{Name: c.Name})
 	}
-	setVersion(w, set.Version)
-	writeJSON(w, http.StatusOK, answer)
+	setETag(w, set.Version)
+	writeJSON(w, http.StatusOK, response)
 }
 
 func (a *API) getCustomer(w http.ResponseWriter, r *http.Request) {
-	set, from := a.read(r.Context())
-	setVersion(w, set.Version)
-	customer, ok := set.Customer(pathName(r))
+	set, source := a.loadTargets(r.Context())
+	setETag(w, set.Version)
+	customer, ok := set.Customer(resourceName(r))
 	if !ok {
 		writeNotFound(w, "no customer has this name")
 		return
 	}
-	writeJSON(w, http.StatusOK, resourceAnswer{Version: set.Version, Source: from, Customer: &customerView{Name: customer.Name}})
+	writeJSON(w, http.StatusOK, resourceResponse{Version: set.Version, Source: source, Customer: &customerView{Name: customer.Name}})
 }
 
-// putCustomer creates a customer, or gives an existing one another key. It
-// takes the key's hash from the body, or makes a new key and tells it once.
+// putCustomer creates a customer or replaces the key of an existing one. It
+// uses the key hash in the body. If there is none, it generates a key and
+// returns it in this response only.
 func (a *API) putCustomer(w http.ResponseWriter, r *http.Request) {
-	c, ok := readChange(w, r)
+	change, ok := parseChangeRequest(w, r)
 	if !ok {
 		return
 	}
-	customer := targets.Customer{Name: pathName(r)}
-	f := parseFields(c.body)
+	customer := targets.Customer{Name: resourceName(r)}
+	decoder := newObjectDecoder(change.body)
 	name := customer.Name
-	f.text("name", &name)
+	decoder.stringField("name", &name)
 	if name != customer.Name {
-		f.problem("name", "must be the name in the path")
+		decoder.addProblem("name", "must be the name in the path")
 	}
-	given := f.has("key_hash")
-	f.text("key_hash", &customer.KeyHash)
+	hasKeyHash := decoder.has("key_hash")
+	decoder.stringField("key_hash", &customer.KeyHash)
 	apiKey := ""
-	if !given {
+	if !hasKeyHash {
 		apiKey = apiKeyPrefix + rand.Text()
 		customer.KeyHash = auth.HashKey(apiKey)
 	}
-	c.problems = append(c.problems, f.finishWith(customer.Problems())...)
-	a.apply(w, r, c, func(set *targets.Set) error {
+	change.problems = append(change.problems, decoder.finishWith(customer.Problems())...)
+	a.applyChange(w, r, change, func(set *targets.Set) error {
 		set.PutCustomer(customer)
 		return nil
-	}, customerState(customer.Name), apiKey)
+	}, attachCustomer(customer.Name), apiKey)
 }
 
-// removeCustomer removes a customer, whose key is refused from then on.
+// removeCustomer removes a customer. Its key is rejected from then on.
 func (a *API) removeCustomer(w http.ResponseWriter, r *http.Request) {
-	c, ok := readChange(w, r)
+	change, ok := parseChangeRequest(w, r)
 	if !ok {
 		return
 	}
-	name := pathName(r)
-	a.apply(w, r, c, func(set *targets.Set) error {
+	name := resourceName(r)
+	a.applyChange(w, r, change, func(set *targets.Set) error {
 		if !set.RemoveCustomer(name) {
-			return errNoResource
+			return errResourceNotFound
 		}
 		return nil
-	}, customerState(name), "")
+	}, attachCustomer(name), "")
 }
 
-// customerState adds a customer to an answer.
-func customerState(name string) resource {
+// attachCustomer returns an attachFunc for the named customer.
+func attachCustomer(name string) attachFunc {
 	return func(set *targets.Set, _ **classView, customer **customerView) {
 		if c, ok := set.Customer(name); ok {
 			*customer = &customerView{Name: c.Name}
--- a/internal/admin/duration.go
+++ b/internal/admin/duration.go
@@ -5,15 +5,18 @@
 	"time"
 )
 
-// duration is a time.Duration as a string with a unit in JSON.
-type duration time.Duration
+// jsonDuration is a time.Duration that is encoded in JSON as a string with a
+// unit.
+type jsonDuration time.Duration
 
-// MarshalJSON writes the duration as in "850ms".
-func (d duration) MarshalJSON() ([]byte, error) {
+// MarshalJSON encodes the duration in the format of time.Duration.String, for
+// example "850ms".
+func (d jsonDuration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// age rounds for reading; less than a millisecond is of no use to operators.
-func age(d time.Duration) duration {
-	return duration(d.Round(time.Millisecond))
+// roundAge rounds an age to milliseconds for display; operators do not need
+// more precision.
+func roundAge(d time.Duration) jsonDuration {
+	return jsonDuration(d.Round(time.Millisecond))
 }
--- a/internal/admin/fleet.go
+++ b/internal/admin/fleet.go
@@ -2,57 +2,63 @@
 
 import "time"
 
-// heardWithin is how recently a process must have been heard from to count as
-// such. Connected processes are heard from far more often; 10 seconds leave
-// time to name a silent one within the 14 seconds of a change.
-const heardWithin = 10 * time.Second
+// maxStatusAge is the maximum age of a status that counts as recent. Connected
+// processes report far more often. 10 seconds are short enough to report a
+// silent process within the 14 seconds of a change.
+const maxStatusAge = 10 * time.Second
 
-// Fleet is what this process knows of all processes, itself included.
+// Fleet reports the status of all processes, including this one, as known to
+// this process.
 type Fleet interface {
-	// Processes lists entries and agents, those never heard from included.
+	// Processes returns all entries and agents, including those without a
+	// status.
 	Processes() []Process
-	// Engines lists the backend servers behind the agents.
+	// BackendServers returns the backend servers of the agents.
 	Engines() []Engine
 }
 
-// Process is what is known of one process.
+// Process is the last known status of a process.
 type Process struct {
-	// Name is its VM's name.
+	// Name is the name of its VM.
 	Name string
 	// Zone is its availability zone.
 	Zone string
 	// Role is "entry" or "agent".
 	Role string
-	// Version is that of the targets it last said to have in force.
+	// TargetsVersion is the version of the targets that the process last
+	// reported as applied.
 	Version uint64
-	// Heard says that it was ever heard from; Age is how long ago that was.
+	// HasStatus is true if the process has ever reported its status. StatusAge
+	// is the time since its last report.
 	Heard bool
 	Age   time.Duration
-	// Leaving processes take no new work.
+	// Leaving is true if the process takes no new work.
 	Leaving bool
 }
 
-// heard reports whether the process was heard from recently.
-func (p Process) heard() bool {
-	return p.Heard && p.Age <= heardWithin
+// hasRecentStatus reports whether the last status is at most maxStatusAge old.
+func (p Process) hasRecentStatus() bool {
+	return p.Heard && p.Age <= maxStatusAge
 }
 
-// Engine is what is known of one backend server.
+// BackendServer is the last known status of a backend server.
 type Engine struct {
-	// VM is the name of its VM and Zone its availability zone.
+	// VM is the name of its VM. Zone is its availability zone.
 	VM   string
 	Zone string
-	// Serves is its model or plain service.
+	// Serves is the name of the model or plain service that it runs.
 	Serves string
-	// Running and Waiting count runs and tickets; Limit is how many may run.
+	// Running is the number of runs, Waiting the number of tickets, and Limit
+	// the maximum number of concurrent runs.
 	Running int
 	Waiting int
 	Limit   int
-	// Leaving says that its agent takes no new work, Down that the agent
-	// can't reach it.
+	// Leaving is true if its agent takes no new work. Down is true if the agent
+	// can't reach the backend server.
 	Leaving bool
 	Down    bool
-	// Heard says that its agent was ever heard from; Age is how long ago.
+	// HasStatus is true if its agent has ever reported its status. StatusAge is
+	// the time since that agent's last report.
 	Heard bool
 	Age   time.Duration
 }
--- /dev/null
+++ b/internal/admin/load.go
@@ -0,0 +1,30 @@
+package admin
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/applepier/applepier/internal/logging"
+	"github.com/applepier/applepier/internal/targets"
+)
+
+// loadTimeout limits the read of the newest targets. After it, the targets
+// applied in this process are returned instead.
+const loadTimeout = 2 * time.Second
+
+// loadTargets returns the newest targets and their source. It reads from the
+// table service, so that operators see a change immediately through every
+// entry. If that fails, it returns the targets applied in this process.
+func (a *API) loadTargets(ctx context.Context) (*targets.Set, targetsSource) {
+	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
+	defer cancel()
+	set, err := a.store.Load(ctx)
+	if err != nil {
+		a.log.Warn(logging.EventAdminReadFailed, zap.Error(err))
+		return a.holder.Current(), sourceMemory
+	}
+	a.holder.Offer(set)
+	return set, sourceTable
+}
--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -5,57 +5,59 @@
 	"time"
 )
 
-// status tells the version in force by process.
+// status writes the targets version that each process has applied.
 func (a *API) status(w http.ResponseWriter, r *http.Request) {
-	set, from := a.read(r.Context())
+	set, source := a.loadTargets(r.Context())
 	processes := a.fleet.Processes()
-	answer := statusAnswer{
-		Version:     set.Version,
-		Source:      from,
-		InForceHere: a.holder.Current().Version,
-		Spread:      spreadOf(processes, set.Version),
-		Processes:   []processView{},
+	response := statusResponse{
+		Version:      set.Version,
+		Source:       source,
+		LocalVersion: a.holder.Current().Version,
+		Propagation:  propagationOf(processes, set.Version),
+		Processes:    []processView{},
 	}
 	for _, p := range processes {
-		answer.Processes = append(answer.Processes, processView{
-			Name:    p.Name,
-			Zone:    p.Zone,
-			Role:    p.Role,
-			Version: p.Version,
-			Heard:   p.heard(),
-			Age:     ageIf(p.Heard, p.Age),
-			Leaving: p.Leaving,
+		response.Processes = append(response.Processes, processView{
+			Name:            p.Name,
+			Zone:            p.Zone,
+			Role:            p.Role,
+			Version:         p.Version,
+			HasRecentStatus: p.hasRecentStatus(),
+			StatusAge:       optionalAge(p.Heard, p.Age),
+			Leaving:         p.Leaving,
 		})
 	}
-	setVersion(w, set.Version)
-	writeJSON(w, http.StatusOK, answer)
+	setETag(w, set.Version)
+	writeJSON(w, http.StatusOK, response)
 }
 
-// listEngines tells of the backend servers as this process sees them.
-func (a *API) listEngines(w http.ResponseWriter, _ *http.Request) {
+// listBackendServers writes the status of the backend servers as known to this
+// process.
+func (a *API) listBackendServers(w http.ResponseWriter, _ *http.Request) {
 	version := a.holder.Current().Version
-	answer := enginesAnswer{Version: version, Engines: []engineView{}}
+	response := backendServersResponse{Version: version, BackendServers: []backendServerView{}}
 	for _, e := range a.fleet.Engines() {
-		answer.Engines = append(answer.Engines, engineView{
-			VM:      e.VM,
-			Zone:    e.Zone,
-			Serves:  e.Serves,
-			Running: e.Running,
-			Waiting: e.Waiting,
-			Limit:   e.Limit,
-			Leaving: e.Leaving,
-			Down:    e.Down,
-			Age:     ageIf(e.Heard, e.Age),
+		response.BackendServers = append(response.BackendServers, backendServerView{
+			VM:        e.VM,
+			Zone:      e.Zone,
+			Serves:    e.Serves,
+			Running:   e.Running,
+			Waiting:   e.Waiting,
+			Limit:     e.Limit,
+			Leaving:   e.Leaving,
+			Down:      e.Down,
+			StatusAge: optionalAge(e.Heard, e.Age),
 		})
 	}
-	setVersion(w, version)
-	writeJSON(w, http.StatusOK, answer)
+	setETag(w, version)
+	writeJSON(w, http.StatusOK, response)
 }
 
-func ageIf(heard bool, d time.Duration) *duration {
-	if !heard {
+// optionalAge returns the rounded age, or nil if there is no status.
+func optionalAge(hasStatus bool, d time.Duration) *jsonDuration {
+	if !hasStatus {
 		return nil
 	}
-	rounded := age(d)
+	rounded := roundAge(d)
 	return &rounded
 }
--- a/internal/admin/views.go
+++ b/internal/admin/views.go
@@ -2,132 +2,135 @@
 
 import "github.com/applepier/applepier/internal/targets"
 
-// source says where the targets of an answer were read.
-type source string
+// targetsSource identifies where the targets in a response come from.
+type targetsSource string
 
 const (
-	// sourceTable: from the table service, so they are the newest.
-	sourceTable source = "table"
-	// sourceMemory: the table service is down; these are the ones in force in
-	// this process.
-	sourceMemory source = "memory"
+	// sourceTable means the table service; the targets are the newest.
+	sourceTable targetsSource = "table"
+	// sourceMemory means the memory of this process: the table service could
+	// not be read, and these are the targets applied here.
+	sourceMemory targetsSource = "memory"
 )
 
-// classView is a class in JSON.
+// classView is the JSON representation of a class.
 type classView struct {
-	Name          string   `json:"name"`
-	Tier          int      `json:"tier"`
-	Model         string   `json:"model,omitempty"`
-	Service       string   `json:"service,omitempty"`
-	FirstToken    duration `json:"first_token,omitzero"`
-	BetweenTokens duration `json:"between_tokens,omitzero"`
-	Completion    duration `json:"completion,omitzero"`
-	Repeatable    bool     `json:"repeatable"`
-	Retired       bool     `json:"retired"`
+	Name          string       `json:"name"`
+	Tier          int          `json:"tier"`
+	Model         string       `json:"model,omitempty"`
+	Service       string       `json:"service,omitempty"`
+	FirstToken    jsonDuration `json:"first_token,omitzero"`
+	BetweenTokens jsonDuration `json:"between_tokens,omitzero"`
+	Completion    jsonDuration `json:"completion,omitzero"`
+	Repeatable    bool         `json:"repeatable"`
+	Retired       bool         `json:"retired"`
 }
 
-func viewClass(c targets.Class) *classView {
+func newClassView(c targets.Class) *classView {
 	return &classView{
 		Name:          c.Name,
 		Tier:          c.Tier,
 		Model:         c.Model,
 		Service:       c.Service,
-		FirstToken:    duration(c.FirstToken),
-		BetweenTokens: duration(c.BetweenTokens),
-		Completion:    duration(c.Completion),
+		FirstToken:    jsonDuration(c.FirstToken),
+		BetweenTokens: jsonDuration(c.BetweenTokens),
+		Completion:    jsonDuration(c.Completion),
 		Repeatable:    c.Repeatable,
 		Retired:       c.Retired,
 	}
 }
 
-// customerView is a customer in JSON, without the key's hash.
+// customerView is the JSON representation of a customer. It omits the hash of
+// the API key.
 type customerView struct {
 	Name string `json:"name"`
 }
 
-// classesAnswer lists the classes.
-type classesAnswer struct {
-	Version uint64       `json:"version"`
-	Source  source       `json:"source"`
-	Classes []*classView `json:"classes"`
+// classesResponse is the body of a response that lists all classes.
+type classesResponse struct {
+	Version uint64        `json:"version"`
+	Source  targetsSource `json:"source"`
+	Classes []*classView  `json:"classes"`
 }
 
-// customersAnswer lists the customers.
-type customersAnswer struct {
+// customersResponse is the body of a response that lists all customers.
+type customersResponse struct {
 	Version   uint64         `json:"version"`
-	Source    source         `json:"source"`
+	Source    targetsSource  `json:"source"`
 	Customers []customerView `json:"customers"`
 }
 
-// resourceAnswer tells of one class or customer.
-type resourceAnswer struct {
+// resourceResponse is the body of a response with one class or customer.
+type resourceResponse struct {
 	Version  uint64        `json:"version"`
-	Source   source        `json:"source"`
+	Source   targetsSource `json:"source"`
 	Class    *classView    `json:"class,omitempty"`
 	Customer *customerView `json:"customer,omitempty"`
 }
 
-// changeAnswer says that a change was accepted.
-type changeAnswer struct {
+// changeResponse is the body of the response to an accepted change.
+type changeResponse struct {
 	Accepted bool          `json:"accepted"`
 	Version  uint64        `json:"version"`
 	Class    *classView    `json:"class,omitempty"`
 	Customer *customerView `json:"customer,omitempty"`
-	// APIKey is a new customer's key, which is told only here.
+	// APIKey is the generated key of a customer. No other response contains it.
 	APIKey string `json:"api_key,omitempty"`
-	// Spread is told when the request asked to wait.
-	Spread *spread `json:"spread,omitempty"`
+	// Propagation is set if the request had a wait time.
+	Propagation *propagation `json:"spread,omitempty"`
 }
 
-// spread says where a version is in force.
-type spread struct {
-	// InForce says that it is in all processes heard from.
-	InForce bool `json:"in_force"`
-	// Behind names the processes heard from that have an older version.
+// propagation describes which processes have applied a targets version.
+type propagation struct {
+	// Applied is true if all processes with a recent status have applied the
+	// version.
+	Applied bool `json:"in_force"`
+	// Behind lists the processes with a recent status and an older version.
 	Behind []string `json:"behind"`
-	// NotHeardFrom names the processes of which nothing recent is known.
+	// NotHeardFrom lists the processes without a recent status.
 	NotHeardFrom []string `json:"not_heard_from"`
 }
 
-// processView is a process in JSON.
+// processView is the JSON representation of a process.
 type processView struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
 	Role    string `json:"role"`
 	Version uint64 `json:"version"`
-	// Heard says that it was heard from recently; Age is how long ago it was,
-	// absent when it never was.
-	Heard   bool      `json:"heard"`
-	Age     *duration `json:"age,omitempty"`
-	Leaving bool      `json:"leaving"`
+	// HasRecentStatus is true if the last status is at most maxStatusAge old.
+	// StatusAge is nil if the process has never reported its status.
+	HasRecentStatus bool          `json:"heard"`
+	StatusAge       *jsonDuration `json:"age,omitempty"`
+	Leaving         bool          `json:"leaving"`
 }
 
-// engineView is a backend server in JSON.
-type engineView struct {
-	VM      string    `json:"vm"`
-	Zone    string    `json:"zone"`
-	Serves  string    `json:"serves"`
-	Running int       `json:"running"`
-	Waiting int       `json:"waiting"`
-	Limit   int       `json:"limit"`
-	Leaving bool      `json:"leaving"`
-	Down    bool      `json:"down"`
-	Age     *duration `json:"age,omitempty"`
+// backendServerView is the JSON representation of a backend server.
+type backendServerView struct {
+	VM        string        `json:"vm"`
+	Zone      string        `json:"zone"`
+	Serves    string        `json:"serves"`
+	Running   int           `json:"running"`
+	Waiting   int           `json:"waiting"`
+	Limit     int           `json:"limit"`
+	Leaving   bool          `json:"leaving"`
+	Down      bool          `json:"down"`
+	StatusAge *jsonDuration `json:"age,omitempty"`
 }
 
-// statusAnswer tells of all processes.
-type statusAnswer struct {
-	// Version is the newest, by Source.
-	Version uint64 `json:"version"`
-	Source  source `json:"source"`
-	// InForceHere is the version in force in the process that answers.
-	InForceHere uint64        `json:"in_force_here"`
-	Spread      spread        `json:"spread"`
-	Processes   []processView `json:"processes"`
+// statusResponse is the body of a response with the status of all processes.
+type statusResponse struct {
+	// Version is the newest targets version according to Source.
+	Version uint64        `json:"version"`
+	Source  targetsSource `json:"source"`
+	// LocalVersion is the version applied in the responding process.
+	LocalVersion uint64        `json:"in_force_here"`
+	Propagation  propagation   `json:"spread"`
+	Processes    []processView `json:"processes"`
 }
 
-// enginesAnswer lists the backend servers.
-type enginesAnswer struct {
-	Version uint64       `json:"version"`
-	Engines []engineView `json:"engines"`
+// backendServersResponse is the body of a response that lists all backend
+// servers.
+type backendServersResponse struct {
+	Version        uint64              `json:"version"`
+	BackendServers []backendServerView `json:"engines"`
 }
