--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -29,7 +29,12 @@
 
 // Store loads and changes the stored targets. targets/store.Store implements it.
 type Store interface {
+	// Load returns the newest targets.
 	Load(ctx context.Context) (*targets.Set, error)
+	// Change applies edit to the targets at version base and returns the new
+	// targets once they are durable. Errors include *store.ConflictError,
+	// *store.UnsettledError, store.ErrUnavailable, *targets.ValidationError and
+	// the errors of edit.
 	Change(ctx context.Context, base uint64, edit func(*targets.Set) error) (*targets.Set, error)
 }
 
--- a/internal/admin/fleet.go
+++ b/internal/admin/fleet.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// maxStatusAge is the maximum age of a status that counts as recent. Connected
-// processes report far more often. 10 seconds are short enough to report a
-// silent process within the 14 seconds of a change.
+// maxStatusAge is the maximum age of a status that counts as recent. The
+// status of connected processes is refreshed far more often. 10 seconds are
+// short enough to report a silent process within the 14 seconds of a change.
 const maxStatusAge = 10 * time.Second
 
 // Fleet reports the status of all processes, including this one, as known to
--- a/internal/agentcli/agentcli.go
+++ b/internal/agentcli/agentcli.go
@@ -1,5 +1,5 @@
-// Package agentcli is the command line of applepier-agent, the process beside
-// a backend server. Start reading at Run.
+// Package agentcli implements the command line of applepier-agent, the process
+// that runs next to a backend server. The main entry point is Run.
 package agentcli
 
 import (
@@ -15,7 +15,7 @@
 // Serve runs an agent until ctx is done and then shuts down gracefully.
 type Serve func(ctx context.Context, settings settings.Agent, log *zap.Logger) error
 
-// Run runs the command line in args, which starts with the program's name, and
+// Run executes the command line in args, where args[0] is the program name, and
 // returns the exit code.
 func Run(ctx context.Context, args []string, out, errOut io.Writer, serve Serve) program.ExitCode {
 	return program.Program[settings.Agent]{
@@ -23,11 +23,11 @@
 		Usage:    "the process of applepier beside a backend server",
 		Example:  "examples/agent.yaml",
 		Load:     settings.LoadAgent,
-		Identify: identify,
+		Identify: processIdentity,
 		Serve:    serve,
 	}.Run(ctx, args, out, errOut)
 }
 
-func identify(agent settings.Agent) program.Identity {
+func processIdentity(agent settings.Agent) program.Identity {
 	return program.Identity{Process: agent.Process, LogLevel: agent.Log.Level}
 }
--- a/internal/agentcli/agentcli_test.go
+++ b/internal/agentcli/agentcli_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestServeGetsTheSettings(t *testing.T) {
+func TestServeReceivesSettings(t *testing.T) {
 	var got settings.Agent
 	serve := func(_ context.Context, s settings.Agent, _ *zap.Logger) error {
 		got = s
--- a/internal/auth/auth.go
+++ b/internal/auth/auth.go
@@ -1,6 +1,6 @@
-// Package auth tells callers, operators and the system's own processes apart
-// by their keys. Keys are compared in constant time, and neither keys nor
-// their hashes are logged or put into errors. Start reading at Caller.
+// Package auth authenticates customers, operators and the system's own processes
+// by their keys. Keys are compared in constant time. Neither keys nor their
+// hashes appear in logs or errors. The main entry point is AuthenticateCustomer.
 package auth
 
 import (
@@ -15,28 +15,31 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-// CustomerHeader names the customer of a caller without an API key, on entries
-// that trust what is in front of them.
+// CustomerHeader is the request header that names the customer of a request
+// without an API key. Only entries that trust the proxy in front of them use it.
 const CustomerHeader = "X-Applepier-Customer"
 
-// Errors of Caller.
+// Errors of AuthenticateCustomer.
 var (
-	// ErrNoKey: the request carries no API key, and no trusted header.
+	// ErrNoKey is returned for a request without an API key and without a
+	// trusted CustomerHeader.
 	ErrNoKey = errors.New("no API key: send it as Authorization: Bearer KEY")
-	// ErrUnknownKey: no customer has this API key.
+	// ErrUnknownKey is returned if no customer has the API key.
 	ErrUnknownKey = errors.New("API key is not known")
-	// ErrUnknownCustomer: the trusted header names no customer.
+	// ErrUnknownCustomer is returned if the trusted CustomerHeader names an
+	// unknown customer.
 	ErrUnknownCustomer = errors.New("customer in " + CustomerHeader + " is not known")
 )
 
 const bearerPrefix = "Bearer "
 
-// Caller returns the name of the customer that a request is for. An API key
-// decides if there is one, also when it is wrong; otherwise CustomerHeader
-// does, if it is trusted. Errors: ErrNoKey, ErrUnknownKey, ErrUnknownCustomer.
+// AuthenticateCustomer returns the name of the customer that sent the request.
+// If the request has an API key, only the key counts, even if it is wrong.
+// Otherwise CustomerHeader is used if trustHeader is set. The error is ErrNoKey,
+// ErrUnknownKey or ErrUnknownCustomer.
 func Caller(set *targets.Set, trustHeader bool, r *http.Request) (string, error) {
-	if key := bearer(r); key != "" {
-		return byKey(set, key)
+	if key := bearerToken(r); key != "" {
+		return customerByKey(set, key)
 	}
 	name := r.Header.Get(CustomerHeader)
 	if !trustHeader || name == "" {
@@ -48,25 +51,26 @@
 	return name, nil
 }
 
-// HashKey returns the SHA-256 of an API key in hexadecimal, as
-// targets.Customer keeps it.
+// HashKey returns the SHA-256 hash of an API key in hexadecimal, the format of
+// targets.Customer.KeyHash.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// SetBearer makes a request carry a key of the system or of an operator.
+// SetBearer sets the Authorization header to a bearer token with the given key.
 func SetBearer(h http.Header, key string) {
 	h.Set("Authorization", bearerPrefix+key)
 }
 
-// byKey compares with the hashes of all customers, so that the time it takes
-// doesn't depend on which one matches.
-func byKey(set *targets.Set, key string) (string, error) {
-	hash := []byte(HashKey(key))
+// customerByKey returns the name of the customer with the API key, or
+// ErrUnknownKey. It compares the key with the hashes of all customers, so that
+// its duration does not depend on which one matches.
+func customerByKey(set *targets.Set, key string) (string, error) {
+	keyHash := []byte(HashKey(key))
 	name := ""
 	for _, c := range set.Customers {
-		if subtle.ConstantTimeCompare(hash, []byte(c.KeyHash)) == 1 {
+		if subtle.ConstantTimeCompare(keyHash, []byte(c.KeyHash)) == 1 {
 			name = c.Name
 		}
 	}
@@ -76,9 +80,9 @@
 	return name, nil
 }
 
-// bearer returns the request's key, empty when there is none. The scheme's
-// name is not case-sensitive.
-func bearer(r *http.Request) string {
+// bearerToken returns the request's bearer token, or "" if there is none. The
+// scheme name is case-insensitive.
+func bearerToken(r *http.Request) string {
 	value := r.Header.Get("Authorization")
 	if len(value) < len(bearerPrefix) || !strings.EqualFold(value[:len(bearerPrefix)], bearerPrefix) {
 		return ""
--- a/internal/auth/auth_test.go
+++ b/internal/auth/auth_test.go
@@ -11,7 +11,7 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-func TestCaller(t *testing.T) {
+func TestAuthenticateCustomer(t *testing.T) {
 	set := &targets.Set{Customers: []targets.Customer{
 		{Name: "kaivonkansi", KeyHash: HashKey("key-k")},
 		{Name: "ledger", KeyHash: HashKey("key-l")},
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestMiddleware(t *testing.T) {
+func TestRequireOperatorKey(t *testing.T) {
 	tests := []struct {
 		name, key, sent string
 		status          int
@@ -58,18 +58,18 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			h := Operator(tt.key)(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			handler := Operator(tt.key)(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(http.StatusNoContent)
 			}))
 			r := httptest.NewRequest(http.MethodGet, "/", nil)
 			SetBearer(r.Header, tt.sent)
 			w := httptest.NewRecorder()
-			h.ServeHTTP(w, r)
+			handler.ServeHTTP(w, r)
 			if w.Code != tt.status {
 				t.Fatalf("status: got %d, want %d", w.Code, tt.status)
 			}
 			if tt.sent != "" && strings.Contains(w.Body.String(), tt.sent) {
-				t.Fatal("the answer repeats the key")
+				t.Fatal("the response contains the key")
 			}
 		})
 	}
--- a/internal/auth/bench_test.go
+++ b/internal/auth/bench_test.go
@@ -8,8 +8,9 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-// BenchmarkCaller is what a request pays to find its customer among 400.
-func BenchmarkCaller(b *testing.B) {
+// BenchmarkAuthenticateCustomer measures the lookup of a customer by API key
+// among 400 customers.
+func BenchmarkAuthenticateCustomer(b *testing.B) {
 	set := &targets.Set{}
 	for i := range 400 {
 		key := fmt.Sprintf("key-of-customer-%03d", i)
--- a/internal/auth/middleware.go
+++ b/internal/auth/middleware.go
@@ -7,30 +7,34 @@
 	"net/http"
 )
 
-// Middleware guards a handler.
+// Middleware wraps a handler and rejects unauthorized requests.
 type Middleware func(http.Handler) http.Handler
 
-// Operator lets requests with the operators' key through and answers 401 to
-// others. With an empty key nothing is let through.
+// RequireOperatorKey returns a middleware that accepts only requests with the
+// operator key and responds with 401 to all others. An empty key rejects every
+// request.
 func Operator(key string) Middleware {
-	return require(key, "the operators' key is required: send it as Authorization: Bearer KEY")
+	return requireKey(key, "the operators' key is required: send it as Authorization: Bearer KEY")
 }
 
-// System lets requests of the system's own processes through and answers 401
-// to others. With an empty key nothing is let through.
+// RequireSystemKey returns a middleware that accepts only requests with the key
+// of the system's own processes and responds with 401 to all others. An empty
+// key rejects every request.
 func System(key string) Middleware {
-	return require(key, "this address is for the system's own processes")
+	return requireKey(key, "this address is for the system's own processes")
 }
 
-func require(key, reason string) Middleware {
-	want := sha256.Sum256([]byte(key))
+// requireKey returns a middleware that responds with 401 and the message to
+// requests without the key.
+func requireKey(key, message string) Middleware {
+	wantHash := sha256.Sum256([]byte(key))
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			// Hashes are compared, since the comparison would otherwise tell
-			// the key's length.
-			got := sha256.Sum256([]byte(bearer(r)))
-			if key == "" || subtle.ConstantTimeCompare(got[:], want[:]) != 1 {
-				refuse(w, reason)
+			// Hashes have equal lengths; comparing the keys themselves would
+			// reveal the key's length through the response time.
+			gotHash := sha256.Sum256([]byte(bearerToken(r)))
+			if key == "" || subtle.ConstantTimeCompare(gotHash[:], wantHash[:]) != 1 {
+				writeUnauthorized(w, message)
 				return
 			}
 			next.ServeHTTP(w, r)
@@ -38,21 +42,21 @@
 	}
 }
 
-// refusal is the body of a 401, in the form of OpenAI's errors.
-type refusal struct {
-	Error refusalError `json:"error"`
+// errorResponse is the body of a 401 response, in the format of OpenAI errors.
+type errorResponse struct {
+	Error errorInfo `json:"error"`
 }
 
-type refusalError struct {
+type errorInfo struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
 	Code    string `json:"code"`
 }
 
-func refuse(w http.ResponseWriter, reason string) {
+func writeUnauthorized(w http.ResponseWriter, message string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("WWW-Authenticate", "Bearer")
 	w.WriteHeader(http.StatusUnauthorized)
-	// A caller that has gone away needs no answer.
-	_ = json.NewEncoder(w).Encode(refusal{Error: refusalError{Message: reason, Type: "authentication_error", Code: "unauthorized"}})
+	// A write error means that the client has disconnected.
+	_ = json.NewEncoder(w).Encode(errorResponse{Error: errorInfo{Message: message, Type: "authentication_error", Code: "unauthorized"}})
 }
--- a/internal/cli/change.go
+++ b/internal/cli/change.go
@@ -11,13 +11,13 @@
 	"github.com/applepier/applepier/internal/program"
 )
 
-// Flags of all commands that change something.
+// Flags of all commands that change targets.
 const (
 	flagIfVersion = "if-version"
 	flagWait      = "wait"
 )
 
-// waitMargin is how much longer than --wait an answer may take.
+// waitMargin is added to --wait to get the minimum request timeout.
 const waitMargin = 5 * time.Second
 
 func changeFlags() []cli.Flag {
@@ -27,53 +27,57 @@
 	}
 }
 
-// change makes a change and prints what came of it.
-func (s *session) change(ctx context.Context, command *cli.Command, change call) error {
+// applyChange sends the change request and prints the result. It returns an
+// error with program.ExitPartial if the command waited and some process has not
+// confirmed the change.
+func (s *session) applyChange(ctx context.Context, command *cli.Command, request apiRequest) error {
 	if command.IsSet(flagIfVersion) {
 		version := command.Uint64(flagIfVersion)
-		change.version = &version
+		request.version = &version
 	}
 	if wait := command.Duration(flagWait); wait > 0 {
-		change.query = url.Values{flagWait: {wait.String()}}
+		request.query = url.Values{flagWait: {wait.String()}}
 	}
-	var answer changeAnswer
-	change.answer = &answer
-	if err := s.client.do(ctx, change); err != nil {
+	var response changeResponse
+	request.response = &response
+	if err := s.client.do(ctx, request); err != nil {
 		return err
 	}
-	err := s.printer.print(answer, func() []table { return []table{classTable([]classDocument{answer.Class})} })
+	err := s.printer.print(response, func() []table { return []table{classTable([]classInfo{response.Class})} })
 	if err != nil {
 		return err
 	}
-	return s.reportChange(answer)
+	return s.reportChange(response)
 }
 
-// reportChange tells on standard error how far the change has come.
-func (s *session) reportChange(answer changeAnswer) error {
-	s.printer.note("accepted as version %d", answer.Version)
-	if answer.Spread == nil {
+// reportChange prints the propagation state to standard error. It returns an
+// error with program.ExitPartial if some process has not confirmed the change.
+func (s *session) reportChange(response changeResponse) error {
+	s.printer.notef("accepted as version %d", response.Version)
+	if response.Propagation == nil {
 		return nil
 	}
-	spread := *answer.Spread
-	if len(spread.Behind)+len(spread.NotHeardFrom) == 0 {
-		s.printer.note("in force in all processes")
+	propagation := *response.Propagation
+	if len(propagation.Behind)+len(propagation.NotHeardFrom) == 0 {
+		s.printer.notef("in force in all processes")
 		return nil
 	}
 	return &program.Error{
 		Code:    program.ExitPartial,
-		Problem: "accepted, but not known to be in force everywhere" + spread.missing(),
+		Problem: "accepted, but not known to be in force everywhere" + propagation.unconfirmedProcesses(),
 		Advice:  "the change is durable, don't repeat it; applepier status shows how far it has come",
 	}
 }
 
-// missing lists the processes that haven't confirmed a version.
-func (s spreadDocument) missing() string {
+// unconfirmedProcesses describes the processes that have not confirmed the
+// version. The result is empty if all have.
+func (p propagation) unconfirmedProcesses() string {
 	text := ""
-	if len(s.Behind) > 0 {
-		text += "\n  older version: " + strings.Join(s.Behind, ", ")
+	if len(p.Behind) > 0 {
+		text += "\n  older version: " + strings.Join(p.Behind, ", ")
 	}
-	if len(s.NotHeardFrom) > 0 {
-		text += "\n  not heard from: " + strings.Join(s.NotHeardFrom, ", ")
+	if len(p.NotHeardFrom) > 0 {
+		text += "\n  not heard from: " + strings.Join(p.NotHeardFrom, ", ")
 	}
 	return text
 }
--- a/internal/cli/class.go
+++ b/internal/cli/class.go
@@ -11,18 +11,18 @@
 	"github.com/applepier/applepier/internal/program"
 )
 
-// pathClasses is where the administration API keeps the classes.
+// pathClasses is the path of the classes in the administration API.
 const pathClasses = "/admin/v1/classes"
 
-func classCommand() *cli.Command {
+func newClassCommand() *cli.Command {
 	return &cli.Command{
 		Name:     "class",
 		Usage:    "list, show, set and retire classes of work",
-		Commands: []*cli.Command{classList(), classGet(), classSet(), classRetire()},
+		Commands: []*cli.Command{newClassListCommand(), newClassGetCommand(), newClassSetCommand(), newClassRetireCommand()},
 	}
 }
 
-func classList() *cli.Command {
+func newClassListCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "list",
 		Usage: "list all classes with their targets",
@@ -37,13 +37,13 @@
 	if command.Args().Present() {
 		return program.Usage(command, "class list takes no arguments")
 	}
-	ctx, session, err := open(ctx, command)
+	ctx, session, err := openSession(ctx, command)
 	if err != nil {
 		return err
 	}
 	defer session.cancel()
-	var list classesDocument
-	if err := session.client.do(ctx, call{method: http.MethodGet, path: pathClasses, answer: &list}); err != nil {
+	var list classListResponse
+	if err := session.client.do(ctx, apiRequest{method: http.MethodGet, path: pathClasses, response: &list}); err != nil {
 		return err
 	}
 	if err := session.printer.print(list, func() []table { return []table{classTable(list.Classes)} }); err != nil {
@@ -53,40 +53,41 @@
 	return nil
 }
 
-func classGet() *cli.Command {
+func newClassGetCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "get",
 		Usage:       "show one class",
 		ArgsUsage:   "NAME",
 		Description: "Example:\n   applepier class get hazard-flag",
 		Flags:       adminFlags(),
-		Action:      onClass(runClassGet),
+		Action:      withClass(runClassGet),
 	}
 }
 
 func runClassGet(ctx context.Context, s *session, command *cli.Command, name string) error {
-	answer, err := s.class(ctx, name)
+	response, err := s.getClass(ctx, name)
 	if err != nil {
 		return err
 	}
-	err = s.printer.print(answer, func() []table { return []table{classTable([]classDocument{answer.Class})} })
+	err = s.printer.print(response, func() []table { return []table{classTable([]classInfo{response.Class})} })
 	if err != nil {
 		return err
 	}
-	s.noteVersion(answer.Version, answer.Source)
+	s.noteVersion(response.Version, response.Source)
 	return nil
 }
 
-// class reads one class and the version it is at.
-func (s *session) class(ctx context.Context, name string) (classAnswer, error) {
-	var answer classAnswer
-	err := s.client.do(ctx, call{method: http.MethodGet, path: classPath(name), answer: &answer})
-	return answer, err
+// getClass returns the named class and the targets version it was read at.
+func (s *session) getClass(ctx context.Context, name string) (classResponse, error) {
+	var response classResponse
+	err := s.client.do(ctx, apiRequest{method: http.MethodGet, path: classPath(name), response: &response})
+	return response, err
 }
 
 func classPath(name string) string { return pathClasses + "/" + url.PathEscape(name) }
 
-// className is the only argument of a command.
+// className returns the class name, which must be the only argument. Otherwise
+// it returns a usage error.
 func className(command *cli.Command) (string, error) {
 	if command.Args().Len() != 1 {
 		return "", program.Usage(command, "give the name of one class")
@@ -94,39 +95,40 @@
 	return command.Args().First(), nil
 }
 
-// noteVersion tells which version of the targets a result shows.
+// noteVersion prints the targets version of a result to standard error, and
+// whether the table service was down.
 func (s *session) noteVersion(version uint64, source string) {
 	if source == sourceMemory {
-		s.printer.note("the table service is down: this is what is in force in the asked entry")
+		s.printer.notef("the table service is down: this is what is in force in the asked entry")
 	}
-	if s.printer.output == OutputTable {
-		s.printer.note("version %d", version)
+	if s.printer.format == OutputTable {
+		s.printer.notef("version %d", version)
 	}
 }
 
-func classTable(classes []classDocument) table {
-	t := table{head: []string{"NAME", "TIER", "RUNS ON", "FIRST TOKEN", "BETWEEN TOKENS", "COMPLETION", "REPEATABLE", "STATE"}}
+func classTable(classes []classInfo) table {
+	t := table{header: []string{"NAME", "TIER", "RUNS ON", "FIRST TOKEN", "BETWEEN TOKENS", "COMPLETION", "REPEATABLE", "STATE"}}
 	for _, c := range classes {
-		t.add(c.Name, c.tier(), c.runsOn(), c.FirstToken, c.BetweenTokens, c.Completion, yesNo(c.Repeatable), c.state())
+		t.add(c.Name, c.tier(), c.modelOrService(), c.FirstToken, c.BetweenTokens, c.Completion, yesNo(c.Repeatable), c.state())
 	}
 	return t
 }
 
-func (c classDocument) runsOn() string {
+func (c classInfo) modelOrService() string {
 	if c.Service != "" {
 		return "service " + c.Service
 	}
 	return "model " + c.Model
 }
 
-func (c classDocument) tier() string {
+func (c classInfo) tier() string {
 	if c.Tier == nil {
 		return ""
 	}
 	return strconv.Itoa(*c.Tier)
 }
 
-func (c classDocument) state() string {
+func (c classInfo) state() string {
 	if c.Retired {
 		return "retired"
 	}
--- a/internal/cli/class_retire.go
+++ b/internal/cli/class_retire.go
@@ -7,7 +7,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-func classRetire() *cli.Command {
+func newClassRetireCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "retire",
 		Usage:     "let a class take no new requests",
@@ -15,18 +15,18 @@
 		Description: "Requests that run are ended as usual; class set takes a class into use again.\n\n" +
 			"Example:\n   applepier class retire summary --wait 14s",
 		Flags:  adminFlags(changeFlags()...),
-		Action: onClass(runClassRetire),
+		Action: withClass(runClassRetire),
 	}
 }
 
 func runClassRetire(ctx context.Context, s *session, command *cli.Command, name string) error {
-	answer, err := s.class(ctx, name)
+	response, err := s.getClass(ctx, name)
 	if err != nil {
 		return err
 	}
-	return s.change(ctx, command, call{
+	return s.applyChange(ctx, command, apiRequest{
 		method:  http.MethodDelete,
 		path:    classPath(name),
-		version: &answer.Version,
+		version: &response.Version,
 	})
 }
--- a/internal/cli/class_set.go
+++ b/internal/cli/class_set.go
@@ -10,7 +10,7 @@
 	"github.com/applepier/applepier/internal/program"
 )
 
-// Flags of class set.
+// Flags of the class set command.
 const (
 	flagTier          = "tier"
 	flagModel         = "model"
@@ -21,7 +21,7 @@
 	flagRepeatable    = "repeatable"
 )
 
-func classSet() *cli.Command {
+func newClassSetCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "set",
 		Usage:     "create a class or change what is given of it",
@@ -41,17 +41,17 @@
 			&cli.DurationFlag{Name: flagCompletion, Usage: "target `TIME` to the whole answer"},
 			&cli.BoolFlag{Name: flagRepeatable, Usage: "whether a request may run again when its outcome is unknown"},
 		}, changeFlags()...)...),
-		Action: onClass(runClassSet),
+		Action: withClass(runClassSet),
 	}
 }
 
 func runClassSet(ctx context.Context, s *session, command *cli.Command, name string) error {
-	class, version, err := s.present(ctx, name)
+	class, version, err := s.currentClass(ctx, name)
 	if err != nil {
 		return err
 	}
-	class.apply(command)
-	return s.change(ctx, command, call{
+	class.applyFlags(command)
+	return s.applyChange(ctx, command, apiRequest{
 		method:  http.MethodPut,
 		path:    classPath(name),
 		version: &version,
@@ -59,22 +59,23 @@
 	})
 }
 
-// present reads the class to change; a new one is empty, at the version of the
-// list that doesn't hold it.
-func (s *session) present(ctx context.Context, name string) (classDocument, uint64, error) {
-	answer, err := s.class(ctx, name)
-	var failure *program.Error
-	if !errors.As(err, &failure) || failure.Code != program.ExitNotFound {
-		return answer.Class, answer.Version, err
+// currentClass returns the class to change and its targets version. If the class
+// does not exist, it returns a class that has only a name, with the version of
+// the class list.
+func (s *session) currentClass(ctx context.Context, name string) (classInfo, uint64, error) {
+	response, err := s.getClass(ctx, name)
+	var programErr *program.Error
+	if !errors.As(err, &programErr) || programErr.Code != program.ExitNotFound {
+		return response.Class, response.Version, err
 	}
-	var list classesDocument
-	err = s.client.do(ctx, call{method: http.MethodGet, path: pathClasses, answer: &list})
-	return classDocument{Name: name}, list.Version, err
+	var list classListResponse
+	err = s.client.do(ctx, apiRequest{method: http.MethodGet, path: pathClasses, response: &list})
+	return classInfo{Name: name}, list.Version, err
 }
 
-// apply takes over the flags that are given. A class moves between a model and
-// a service as a whole.
-func (c *classDocument) apply(command *cli.Command) {
+// applyFlags sets the fields whose flags are given and reactivates the class.
+// Setting a model clears the service and the other way round.
+func (c *classInfo) applyFlags(command *cli.Command) {
 	c.Retired = false
 	if command.IsSet(flagTier) {
 		tier := command.Int(flagTier)
@@ -89,17 +90,19 @@
 	if command.IsSet(flagRepeatable) {
 		c.Repeatable = command.Bool(flagRepeatable)
 	}
-	applyTarget(command, flagFirstToken, &c.FirstToken)
-	applyTarget(command, flagBetweenTokens, &c.BetweenTokens)
-	applyTarget(command, flagCompletion, &c.Completion)
+	applyTargetFlag(command, flagFirstToken, &c.FirstToken)
+	applyTargetFlag(command, flagBetweenTokens, &c.BetweenTokens)
+	applyTargetFlag(command, flagCompletion, &c.Completion)
 }
 
-func applyTarget(command *cli.Command, flag string, target *string) {
+// applyTargetFlag sets a latency target from a duration flag if the flag is
+// given. A duration of 0 removes the target.
+func applyTargetFlag(command *cli.Command, flag string, target *string) {
 	if !command.IsSet(flag) {
 		return
 	}
 	*target = ""
-	if span := command.Duration(flag); span != 0 {
-		*target = span.String()
+	if duration := command.Duration(flag); duration != 0 {
+		*target = duration.String()
 	}
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,6 @@
-// Package cli is the command line of applepier: it runs an entry's process and
-// is the operator's tool for the administration API. Start reading at Run.
+// Package cli implements the applepier command line. It runs an entry and
+// provides the operator commands that call the administration API. The main
+// entry point is Run.
 package cli
 
 import (
@@ -16,20 +17,21 @@
 // Serve runs an entry until ctx is done and then shuts down gracefully.
 type Serve func(ctx context.Context, settings settings.Entry, log *zap.Logger) error
 
-// Run runs the command line in args, which starts with the program's name, and
-// returns the exit code. More are commands beside those of this package.
-func Run(ctx context.Context, args []string, out, errOut io.Writer, serve Serve, more ...*cli.Command) program.ExitCode {
+// Run executes the command line in args, where args[0] is the program name, and
+// returns the exit code. extraCommands are added to the commands of this
+// package.
+func Run(ctx context.Context, args []string, out, errOut io.Writer, serve Serve, extraCommands ...*cli.Command) program.ExitCode {
 	return program.Program[settings.Entry]{
 		Name:     "applepier",
 		Usage:    "a router for language-model traffic with latency targets and tiers",
 		Example:  "examples/entry.yaml",
 		Load:     settings.LoadEntry,
-		Identify: identify,
+		Identify: processIdentity,
 		Serve:    serve,
-		Commands: append([]*cli.Command{classCommand(), statusCommand(), timelineCommand()}, more...),
+		Commands: append([]*cli.Command{newClassCommand(), newStatusCommand(), newTimelineCommand()}, extraCommands...),
 	}.Run(ctx, args, out, errOut)
 }
 
-func identify(entry settings.Entry) program.Identity {
+func processIdentity(entry settings.Entry) program.Identity {
 	return program.Identity{Process: entry.Process, LogLevel: entry.Log.Level}
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -25,7 +25,7 @@
 
 const testKey = "operators-secret"
 
-// staticFleet is what the entry under test knows of the others.
+// staticFleet is an admin.Fleet with fixed processes and backend servers.
 type staticFleet struct{ processes []admin.Process }
 
 func (f staticFleet) Processes() []admin.Process { return f.processes }
@@ -39,7 +39,7 @@
 	}
 }
 
-var view = timeline.View{
+var testTimeline = timeline.View{
 	Events: []timeline.Event{
 		{Stamp: timeline.Stamp{Wall: 1_000_000_000}, Process: "entry-1", Kind: timeline.KindTicket, Request: "r-1", Class: "hazard-flag", Detail: "engine-1"},
 		{Stamp: timeline.Stamp{Wall: 1_000_000_000, Logical: 1}, Process: "engine-1", Kind: timeline.KindGrant, Request: "r-1"},
@@ -48,38 +48,39 @@
 	NotAnswered: []timeline.Missing{},
 }
 
-// bench is an administration API on a table in memory, with a silent process.
-type bench struct {
-	table *storagetest.Table
-	fleet staticFleet
-	view  timeline.View
-	url   string
+// testAPI is an administration API server with an in-memory table and a fixed
+// fleet and timeline.
+type testAPI struct {
+	table    *storagetest.Table
+	fleet    staticFleet
+	timeline timeline.View
+	url      string
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{table: storagetest.NewTable(), view: view}
-	b.fleet.processes = []admin.Process{
+func newTestAPI(t *testing.T) *testAPI {
+	api := &testAPI{table: storagetest.NewTable(), timeline: testTimeline}
+	api.fleet.processes = []admin.Process{
 		{Name: "entry-1", Role: "entry", Zone: "zone-a", Version: 99, Heard: true, Age: 40 * time.Millisecond},
 		{Name: "engine-1", Role: "agent", Zone: "zone-a", Version: 99, Heard: true, Age: 80 * time.Millisecond, Leaving: true},
 	}
 	router := httprouter.New()
-	admin.New(admin.Config{Store: store.New(b.table), Holder: targets.NewHolder(), Fleet: b, OperatorKey: testKey}).Register(router)
-	router.Handler(http.MethodGet, timeline.PathView, auth.Operator(testKey)(http.HandlerFunc(b.serveView)))
+	admin.New(admin.Config{Store: store.New(api.table), Holder: targets.NewHolder(), Fleet: api, OperatorKey: testKey}).Register(router)
+	router.Handler(http.MethodGet, timeline.PathView, auth.Operator(testKey)(http.HandlerFunc(api.serveTimeline)))
 	server := httptest.NewServer(router)
 	t.Cleanup(server.Close)
-	b.url = server.URL
-	return b
+	api.url = server.URL
+	return api
 }
 
-func (b *bench) Processes() []admin.Process { return b.fleet.Processes() }
-func (b *bench) Engines() []admin.Engine    { return b.fleet.Engines() }
+func (api *testAPI) Processes() []admin.Process { return api.fleet.Processes() }
+func (api *testAPI) Engines() []admin.Engine    { return api.fleet.Engines() }
 
-func (b *bench) serveView(w http.ResponseWriter, _ *http.Request) {
-	_ = (printer{out: w, output: OutputJSON}).print(b.view, nil)
+func (api *testAPI) serveTimeline(w http.ResponseWriter, _ *http.Request) {
+	_ = (printer{out: w, format: OutputJSON}).print(api.timeline, nil)
 }
 
-// run runs a command line against url and returns all that it printed, with
-// the address replaced.
+// run executes a command line against url and returns its standard output,
+// standard error and exit code, with the address replaced.
 func run(t *testing.T, url string, args ...string) string {
 	t.Helper()
 	t.Setenv(envAdmin, url)
@@ -96,7 +97,7 @@
 
 func TestOutputs(t *testing.T) {
 	t.Setenv(envKey, testKey)
-	b := newBench(t)
+	api := newTestAPI(t)
 	steps := []struct {
 		golden string
 		args   string
@@ -133,44 +134,44 @@
 		{"usage_argument", "timeline now"},
 	}
 	for _, step := range steps {
-		got := run(t, b.url, strings.Fields(step.args)...)
+		got := run(t, api.url, strings.Fields(step.args)...)
 		goldie.New(t).Assert(t, step.golden, []byte(got))
 	}
 }
 
-func TestChangeNotInForceEverywhere(t *testing.T) {
+func TestChangeNotAppliedEverywhere(t *testing.T) {
 	t.Setenv(envKey, testKey)
-	b := newBench(t)
-	b.fleet.processes = append(b.fleet.processes,
+	api := newTestAPI(t)
+	api.fleet.processes = append(api.fleet.processes,
 		admin.Process{Name: "entry-2", Role: "entry", Zone: "zone-b", Version: 0, Heard: true, Age: time.Second},
 		admin.Process{Name: "engine-3", Role: "agent", Zone: "zone-b"},
 	)
-	got := run(t, b.url, strings.Fields("class set flag --tier 0 --model m --first-token 1s --wait 1ms")...)
+	got := run(t, api.url, strings.Fields("class set flag --tier 0 --model m --first-token 1s --wait 1ms")...)
 	goldie.New(t).Assert(t, "set_partial", []byte(got))
-	goldie.New(t).Assert(t, "status_partial", []byte(run(t, b.url, "status")))
+	goldie.New(t).Assert(t, "status_partial", []byte(run(t, api.url, "status")))
 }
 
 func TestTableServiceDown(t *testing.T) {
 	t.Setenv(envKey, testKey)
-	b := newBench(t)
-	b.table.SetDown(true)
-	goldie.New(t).Assert(t, "set_table_down", []byte(run(t, b.url, strings.Fields("class set flag --tier 0 --model m --first-token 1s")...)))
-	goldie.New(t).Assert(t, "list_table_down", []byte(run(t, b.url, "class", "list")))
+	api := newTestAPI(t)
+	api.table.SetDown(true)
+	goldie.New(t).Assert(t, "set_table_down", []byte(run(t, api.url, strings.Fields("class set flag --tier 0 --model m --first-token 1s")...)))
+	goldie.New(t).Assert(t, "list_table_down", []byte(run(t, api.url, "class", "list")))
 }
 
-func TestTimelineNamesTheMissing(t *testing.T) {
+func TestTimelineListsMissingProcesses(t *testing.T) {
 	t.Setenv(envKey, testKey)
-	b := newBench(t)
-	b.view.NotAnswered = []timeline.Missing{{Peer: timeline.Peer{Process: "engine-3", Addr: "10.0.0.8:8090"}, Reason: "no answer in time"}}
-	b.view.Truncated = true
-	goldie.New(t).Assert(t, "timeline_missing", []byte(run(t, b.url, "timeline")))
+	api := newTestAPI(t)
+	api.timeline.NotAnswered = []timeline.Missing{{Peer: timeline.Peer{Process: "engine-3", Addr: "10.0.0.8:8090"}, Reason: "no answer in time"}}
+	api.timeline.Truncated = true
+	goldie.New(t).Assert(t, "timeline_missing", []byte(run(t, api.url, "timeline")))
 }
 
-func TestKeys(t *testing.T) {
-	b := newBench(t)
+func TestOperatorKeyErrors(t *testing.T) {
+	api := newTestAPI(t)
 	t.Setenv(envKey, "another long enough key")
-	goldie.New(t).Assert(t, "key_refused", []byte(run(t, b.url, "class", "list")))
+	goldie.New(t).Assert(t, "key_refused", []byte(run(t, api.url, "class", "list")))
 	t.Setenv(envKey, "short")
-	goldie.New(t).Assert(t, "key_short", []byte(run(t, b.url, "class", "list")))
-	goldie.New(t).Assert(t, "key_no_file", []byte(run(t, b.url, "class", "list", "--key-file", "testdata/none")))
+	goldie.New(t).Assert(t, "key_short", []byte(run(t, api.url, "class", "list")))
+	goldie.New(t).Assert(t, "key_no_file", []byte(run(t, api.url, "class", "list", "--key-file", "testdata/none")))
 }
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -10,10 +10,10 @@
 	"strconv"
 )
 
-// maxAnswerBytes is how much of an answer is read.
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes limits how much of a response body is read.
+const maxResponseBytes = 64 << 20
 
-// client calls the administration API of one entry.
+// client sends requests to the administration API of one entry.
 type client struct {
 	base *url.URL
 	key  string
@@ -24,70 +24,74 @@
 	return &client{base: base, key: key, http: &http.Client{}}
 }
 
-// call is one call of the administration API.
-type call struct {
+// apiRequest describes a request to the administration API.
+type apiRequest struct {
 	method string
 	path   string
 	query  url.Values
-	// version is the targets' version that a change builds on; nil for none.
+	// version is the targets version that a change is based on, sent as
+	// If-Match. Nil omits the header.
 	version *uint64
-	// body is sent as JSON; nil for none.
+	// body is sent as JSON. Nil sends no body.
 	body any
-	// answer is filled from the answer's JSON; nil to ignore it.
-	answer any
+	// response points to the value that the JSON response is decoded into. Nil
+	// ignores the response body.
+	response any
 }
 
-// changes reports whether the call is to change something.
-func (c call) changes() bool { return c.method != http.MethodGet }
+// isChange reports whether the request changes targets.
+func (r apiRequest) isChange() bool { return r.method != http.MethodGet }
 
-// do makes the call; its errors are worded for the operator.
-func (c *client) do(ctx context.Context, call call) error {
-	request, err := c.request(ctx, call)
+// do sends the request and decodes the response. Errors from sending the
+// request and from the response are *program.Error values with a message and
+// advice for the operator.
+func (c *client) do(ctx context.Context, apiReq apiRequest) error {
+	httpRequest, err := c.newHTTPRequest(ctx, apiReq)
 	if err != nil {
 		return err
 	}
-	response, err := c.http.Do(request)
+	httpResponse, err := c.http.Do(httpRequest)
 	if err != nil {
-		return c.transportError(call, err)
+		return c.transportError(apiReq, err)
 	}
-	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	defer httpResponse.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(httpResponse.Body, maxResponseBytes))
 	if err != nil {
-		return c.transportError(call, err)
+		return c.transportError(apiReq, err)
 	}
-	if response.StatusCode >= http.StatusBadRequest {
-		return c.refusal(call, response, body)
+	if httpResponse.StatusCode >= http.StatusBadRequest {
+		return c.responseError(apiReq, httpResponse, body)
 	}
-	if call.answer == nil {
+	if apiReq.response == nil {
 		return nil
 	}
-	if err := json.Unmarshal(body, call.answer); err != nil {
-		return c.strangeAnswer(err)
+	if err := json.Unmarshal(body, apiReq.response); err != nil {
+		return c.unexpectedResponse(err)
 	}
 	return nil
 }
 
-func (c *client) request(ctx context.Context, call call) (*http.Request, error) {
+func (c *client) newHTTPRequest(ctx context.Context, apiReq apiRequest) (*http.Request, error) {
 	var body io.Reader
-	if call.body != nil {
-		encoded, err := json.Marshal(call.body)
+	if apiReq.body != nil {
+		encoded, err := json.Marshal(apiReq.body)
 		if err != nil {
 			return nil, err
 		}
 		body = bytes.NewReader(encoded)
 	}
-	address := c.base.JoinPath(call.path)
-	address.RawQuery = call.query.Encode()
-	request, err := http.NewRequestWithContext(ctx, call.method, address.String(), body)
+	address := c.base.JoinPath(apiReq.path)
+	address.RawQuery = apiReq.query.Encode()
+	httpRequest, err := http.NewRequestWithContext(ctx, apiReq.method, address.String(), body)
 	if err != nil {
 		return nil, err
 	}
-	request.Header.Set("Authorization", "Bearer "+c.key)
-	if call.body != nil {
-		request.Header.Set("Content-Type", "application/json")
+	httpRequest.Header.Set("Authorization", "Bearer "+c.key)
+	if apiReq.body != nil {
+		httpRequest.Header.Set("Content-Type", "application/json")
 	}
-	if call.version != nil {
-		request.Header.Set("If-Match", strconv.Quote(strconv.FormatUint(*call.version, 10)))
+	if apiReq.version != nil {
+		httpRequest.Header.Set("If-Match", strconv.Quote(strconv.FormatUint(*apiReq.version, 10)))
 	}
-	return request, nil
+	return httpRequest, nil
 }
--- a/internal/cli/docs_test.go
+++ b/internal/cli/docs_test.go
@@ -16,7 +16,7 @@
 	"github.com/applepier/applepier/internal/settings"
 )
 
-// docFiles are the pages whose commands and links are checked.
+// docFiles returns the paths of the documentation pages whose links are checked.
 func docFiles(t *testing.T) []string {
 	t.Helper()
 	files, err := filepath.Glob("../../docs/*.md")
@@ -26,7 +26,7 @@
 	return append(files, "../../README.md", "../../CONTRIBUTING.md")
 }
 
-func read(t *testing.T, path string) string {
+func readFile(t *testing.T, path string) string {
 	t.Helper()
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -41,7 +41,8 @@
 	linkPattern    = regexp.MustCompile(`\]\(([^)#:]+)(#[^)]*)?\)`)
 )
 
-// commands are the command lines of applepier in a page's blocks.
+// commands returns the applepier command lines in the code blocks of a page,
+// without the program name.
 func commands(page string) []string {
 	var lines []string
 	for _, block := range blockPattern.FindAllStringSubmatch(page, -1) {
@@ -52,9 +53,9 @@
 	return lines
 }
 
-// TestCommandsOfTheDocs runs each command that the pages show, with nothing at
-// the other end: whatever else happens, its usage must be right.
-func TestCommandsOfTheDocs(t *testing.T) {
+// TestDocumentedCommands runs each documented command against an address where
+// nothing listens. The commands fail, but not with a usage error.
+func TestDocumentedCommands(t *testing.T) {
 	t.Setenv(envKey, testKey)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -68,7 +69,7 @@
 	}, "")
 	found := 0
 	for _, file := range []string{"README.md", "docs/OPERATING.md", "docs/API.md", "docs/SETTINGS.md"} {
-		for _, line := range commands(read(t, file)) {
+		for _, line := range commands(readFile(t, file)) {
 			if strings.HasPrefix(line, "serve") {
 				continue
 			}
@@ -85,9 +86,9 @@
 	}
 }
 
-func TestLinksOfTheDocs(t *testing.T) {
+func TestDocumentationLinks(t *testing.T) {
 	for _, file := range docFiles(t) {
-		for _, match := range linkPattern.FindAllStringSubmatch(read(t, file), -1) {
+		for _, match := range linkPattern.FindAllStringSubmatch(readFile(t, file), -1) {
 			target := filepath.Join(filepath.Dir(file), match[1])
 			if _, err := os.Stat(target); err != nil {
 				t.Errorf("%s: link to %s: %v", file, match[1], err)
--- a/internal/cli/errors.go
+++ b/internal/cli/errors.go
@@ -12,35 +12,38 @@
 	"github.com/applepier/applepier/internal/program"
 )
 
-// transportError words the loss of a call or its answer. A change whose answer
-// was lost may have been made, unless no connection was made at all.
-func (c *client) transportError(call call, err error) error {
-	if call.changes() && !neverSent(err) {
+// transportError returns the operator's error for a request that got no complete
+// response. A change may have been applied unless the connection could not be
+// established.
+func (c *client) transportError(apiReq apiRequest, err error) error {
+	if apiReq.isChange() && !isDialError(err) {
 		return &program.Error{
 			Code:    program.ExitUnknown,
-			Problem: "the answer was lost, the change may or may not have been made: " + rootOf(err),
+			Problem: "the answer was lost, the change may or may not have been made: " + rootCause(err),
 			Advice:  "look at the present state (applepier class list) before trying again",
 			Cause:   err,
 		}
 	}
 	return &program.Error{
 		Code:    program.ExitUnreachable,
-		Problem: fmt.Sprintf("%s does not answer: %s", c.base, rootOf(err)),
+		Problem: fmt.Sprintf("%s does not answer: %s", c.base, rootCause(err)),
 		Advice:  "check --admin and that the process runs; any other entry will do as well",
 		Cause:   err,
 	}
 }
 
-func neverSent(err error) bool {
-	var operation *net.OpError
-	return errors.As(err, &operation) && operation.Op == "dial"
+// isDialError reports whether no connection was established, so that nothing
+// was sent.
+func isDialError(err error) bool {
+	var opErr *net.OpError
+	return errors.As(err, &opErr) && opErr.Op == "dial"
 }
 
-// rootOf returns the innermost error's text, without the address that the
-// message names already.
-func rootOf(err error) string {
-	var timeout net.Error
-	if errors.As(err, &timeout) && timeout.Timeout() {
+// rootCause returns the text of the innermost error, or a fixed text for a
+// timeout. It omits the address, which the message already contains.
+func rootCause(err error) string {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
 		return "no answer in time"
 	}
 	for {
@@ -52,7 +55,9 @@
 	}
 }
 
-func (c *client) strangeAnswer(err error) error {
+// unexpectedResponse returns the error for a response that is not valid JSON of
+// the administration API.
+func (c *client) unexpectedResponse(err error) error {
 	return &program.Error{
 		Code:    program.ExitFailure,
 		Problem: fmt.Sprintf("%s did not answer as an administration API does", c.base),
@@ -61,61 +66,64 @@
 	}
 }
 
-// refusal words an answer with an error status.
-func (c *client) refusal(call call, response *http.Response, body []byte) error {
-	var document errorDocument
-	if err := json.Unmarshal(body, &document); err != nil || document.Error.Message == "" {
-		document.Error.Message = "answered " + response.Status
+// responseError converts a response with an error status into an error with an
+// exit code and advice for the operator.
+func (c *client) responseError(apiReq apiRequest, response *http.Response, body []byte) error {
+	var apiError errorResponse
+	if err := json.Unmarshal(body, &apiError); err != nil || apiError.Error.Message == "" {
+		apiError.Error.Message = "answered " + response.Status
 	}
-	problem := document.Error.Message
-	for _, p := range document.Problems {
+	problem := apiError.Error.Message
+	for _, p := range apiError.Problems {
 		problem += fmt.Sprintf("\n  %s: %s", p.Field, p.Reason)
 	}
-	failure := &program.Error{Problem: problem}
+	result := &program.Error{Problem: problem}
 	switch response.StatusCode {
 	case http.StatusBadRequest:
-		failure.Code = program.ExitUsage
-		failure.Advice = "correct what is listed; nothing was changed"
+		result.Code = program.ExitUsage
+		result.Advice = "correct what is listed; nothing was changed"
 	case http.StatusUnauthorized, http.StatusForbidden:
-		failure.Code = program.ExitDenied
-		failure.Advice = "use the operator's key of this fleet (" + envKey + " or --" + flagKeyFile + ")"
+		result.Code = program.ExitDenied
+		result.Advice = "use the operator's key of this fleet (" + envKey + " or --" + flagKeyFile + ")"
 	case http.StatusNotFound:
-		failure.Code = program.ExitNotFound
-		failure.Advice = "applepier class list shows the names"
+		result.Code = program.ExitNotFound
+		result.Advice = "applepier class list shows the names"
 	case http.StatusConflict:
-		failure.Code = program.ExitConflict
-		failure.Problem += newerState(document)
-		failure.Advice = "nothing was changed; look at the newer state and repeat the command if it still applies"
+		result.Code = program.ExitConflict
+		result.Problem += describeNewerState(apiError)
+		result.Advice = "nothing was changed; look at the newer state and repeat the command if it still applies"
 	case http.StatusServiceUnavailable:
-		failure.Code = program.ExitUnreachable
-		failure.Advice = "nothing was changed; try again" + retryAfter(response)
+		result.Code = program.ExitUnreachable
+		result.Advice = "nothing was changed; try again" + retryAfter(response)
 	default:
-		failure.Code = program.ExitFailure
-		failure.Advice = "see the log of the entry at " + c.base.Host
+		result.Code = program.ExitFailure
+		result.Advice = "see the log of the entry at " + c.base.Host
 	}
-	if document.Error.Code == codeOutcomeUnknown {
-		failure.Code = program.ExitUnknown
-		failure.Advice = "look at the present state (applepier class list) before trying again"
+	if apiError.Error.Code == codeOutcomeUnknown {
+		result.Code = program.ExitUnknown
+		result.Advice = "look at the present state (applepier class list) before trying again"
 	}
-	return failure
+	return result
 }
 
+// retryAfter returns when to retry, in words, from the Retry-After header.
 func retryAfter(response *http.Response) string {
-	if after := response.Header.Get("Retry-After"); after != "" {
-		return " in " + after + " s"
+	if seconds := response.Header.Get("Retry-After"); seconds != "" {
+		return " in " + seconds + " s"
 	}
 	return " later"
 }
 
-// newerState shows what another operator's change has left.
-func newerState(document errorDocument) string {
-	text := fmt.Sprintf("\nthe newer state is version %d", document.Version)
-	if document.Class == nil {
+// describeNewerState describes the state after another operator's conflicting
+// change.
+func describeNewerState(apiError errorResponse) string {
+	text := fmt.Sprintf("\nthe newer state is version %d", apiError.Version)
+	if apiError.Class == nil {
 		return text + ", without this class"
 	}
 	var rows strings.Builder
 	p := printer{out: &rows}
-	if err := p.printTable(classTable([]classDocument{*document.Class})); err != nil {
+	if err := p.printTable(classTable([]classInfo{*apiError.Class})); err != nil {
 		return text
 	}
 	return text + ":\n" + strings.TrimRight(rows.String(), "\n")
--- a/internal/cli/flags.go
+++ b/internal/cli/flags.go
@@ -11,7 +11,7 @@
 	"github.com/applepier/applepier/internal/settings"
 )
 
-// Names of the flags that several commands share.
+// Flags shared by several commands.
 const (
 	flagAdmin   = "admin"
 	flagKeyFile = "key-file"
@@ -19,7 +19,7 @@
 	flagTimeout = "timeout"
 )
 
-// Environment variables that stand in for flags.
+// Environment variables used when the corresponding flag is not set.
 const (
 	envAdmin = "APPLEPIER_ADMIN"
 	envKey   = "APPLEPIER_OPERATOR_KEY"
@@ -30,20 +30,21 @@
 	defaultTimeout = 30 * time.Second
 )
 
-// Output is the form in which a command prints its result.
-type Output string
+// OutputFormat is the format in which a command prints its result.
+type OutputFormat string
 
-// Forms of output.
+// Output formats.
 const (
-	// OutputTable is for people; its columns may change.
-	OutputTable Output = "table"
-	// OutputJSON is the administration API's answer, for scripts.
-	OutputJSON Output = "json"
+	// OutputTable is a table for people. Its columns may change.
+	OutputTable OutputFormat = "table"
+	// OutputJSON is the administration API's response as JSON, for scripts.
+	OutputJSON OutputFormat = "json"
 )
 
-// adminFlags are the flags of each command that calls the administration API.
-func adminFlags(own ...cli.Flag) []cli.Flag {
-	return append(own,
+// adminFlags returns the flags of a command that calls the administration API:
+// extra followed by the shared flags.
+func adminFlags(extra ...cli.Flag) []cli.Flag {
+	return append(extra,
 		&cli.StringFlag{
 			Name: flagAdmin, Usage: "`URL` of any entry's administration API",
 			Value: defaultAdmin, Sources: cli.EnvVars(envAdmin),
@@ -60,18 +61,20 @@
 	)
 }
 
-// session is what a command needs to call the administration API and print.
+// session holds the API client and the printer of one command.
 type session struct {
 	client  *client
 	printer printer
 	cancel  context.CancelFunc
 }
 
-// open reads the shared flags. The returned context ends at the timeout.
-func open(ctx context.Context, command *cli.Command) (context.Context, *session, error) {
-	output := Output(command.String(flagOutput))
-	if output != OutputTable && output != OutputJSON {
-		return nil, nil, program.Usage(command, "--output must be table or json, not "+string(output))
+// openSession parses the shared flags and returns a session and a context that
+// expires after the request timeout. The caller must call the session's cancel
+// function.
+func openSession(ctx context.Context, command *cli.Command) (context.Context, *session, error) {
+	format := OutputFormat(command.String(flagOutput))
+	if format != OutputTable && format != OutputJSON {
+		return nil, nil, program.Usage(command, "--output must be table or json, not "+string(format))
 	}
 	base, err := url.Parse(command.String(flagAdmin))
 	if err != nil || base.Host == "" || (base.Scheme != "http" && base.Scheme != "https") {
@@ -81,29 +84,32 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, timeout(command))
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout(command))
 	return ctx, &session{
 		client:  newClient(base, key),
-		printer: printer{out: command.Root().Writer, errOut: command.Root().ErrWriter, output: output},
+		printer: printer{out: command.Root().Writer, errOut: command.Root().ErrWriter, format: format},
 		cancel:  cancel,
 	}, nil
 }
 
-// timeout leaves room for the time that the command asks the entry to wait.
-func timeout(command *cli.Command) time.Duration {
-	limit := command.Duration(flagTimeout)
+// requestTimeout returns the value of --timeout, or --wait plus waitMargin if
+// that is longer.
+func requestTimeout(command *cli.Command) time.Duration {
+	timeout := command.Duration(flagTimeout)
 	if wait := command.Duration(flagWait); wait > 0 {
-		limit = max(limit, wait+waitMargin)
+		timeout = max(timeout, wait+waitMargin)
 	}
-	return limit
+	return timeout
 }
 
+// readKey returns the operator key from file, or from the environment if file is
+// empty.
 func readKey(file string) (string, error) {
-	source := settings.Secret{File: file}
+	secret := settings.Secret{File: file}
 	if file == "" {
-		source = settings.Secret{Env: envKey}
+		secret = settings.Secret{Env: envKey}
 	}
-	key, err := source.Read()
+	key, err := secret.Read()
 	if err != nil {
 		return "", &program.Error{
 			Code:    program.ExitUsage,
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -10,18 +10,19 @@
 	"github.com/applepier/applepier/internal/settings"
 )
 
-// ServeGateway runs a gateway until ctx is done and then shuts down
-// gracefully; reload reads its settings again.
+// ServeGateway runs a gateway until ctx is done and then shuts down gracefully.
+// It calls reload to read the settings again.
 type ServeGateway func(ctx context.Context, s settings.Gateway, reload func() (settings.Gateway, error), log *zap.Logger) error
 
-// GatewayCommand is the command that runs a gateway. The environment variable
-// holds the settings file's path where the command line doesn't.
-func GatewayCommand(serve ServeGateway, env string) *cli.Command {
+// GatewayCommand returns the command that runs a gateway. settingsEnv names the
+// environment variable with the path of the settings file, which is used if the
+// command line does not give the path.
+func GatewayCommand(serve ServeGateway, settingsEnv string) *cli.Command {
 	return program.Program[settings.Gateway]{
 		Name:        "applepier gateway",
 		Usage:       "run an entry that sends straight to the backend servers",
 		Example:     "examples/gateway.yaml",
-		SettingsEnv: env,
+		SettingsEnv: settingsEnv,
 		Load:        settings.LoadGateway,
 		Identify: func(s settings.Gateway) program.Identity {
 			return program.Identity{Process: s.Process, LogLevel: s.Log.Level}
--- a/internal/cli/gateway_test.go
+++ b/internal/cli/gateway_test.go
@@ -15,14 +15,15 @@
 
 const exampleGateway = "../../examples/gateway.yaml"
 
-// runGateway runs a command line whose gateway notes what it was started with.
+// runGateway executes a command line and returns its exit code, its output and
+// the settings that the gateway was started with, or nil if it was not started.
 func runGateway(t *testing.T, args ...string) (code program.ExitCode, out string, started *settings.Gateway) {
 	t.Helper()
 	serve := func(_ context.Context, s settings.Gateway, reload func() (settings.Gateway, error), _ *zap.Logger) error {
 		started = &s
-		again, err := reload()
-		if err != nil || again != s {
-			t.Errorf("read again: %+v, %v", again, err)
+		reloaded, err := reload()
+		if err != nil || reloaded != s {
+			t.Errorf("reloaded settings: %+v, %v", reloaded, err)
 		}
 		return nil
 	}
@@ -31,7 +32,7 @@
 	return code, text.String(), started
 }
 
-func TestGatewayTakesItsSettingsFromFlagOrEnvironment(t *testing.T) {
+func TestGatewaySettingsFromFlagOrEnvironment(t *testing.T) {
 	if code, out, started := runGateway(t, "gateway", "serve", "--settings", exampleGateway); code != program.ExitOK || started == nil || started.Process != "gateway-1" {
 		t.Errorf("by flag: exit code %d, %+v, %s", code, started, out)
 	}
--- a/internal/cli/printer.go
+++ b/internal/cli/printer.go
@@ -8,37 +8,38 @@
 	"text/tabwriter"
 )
 
-// absent stands in a table where there is no value.
-const absent = "-"
+// emptyCell is printed in table cells that have no value.
+const emptyCell = "-"
 
-// printer writes results as a table or as JSON.
+// printer prints results as tables or as JSON.
 type printer struct {
 	out    io.Writer
 	errOut io.Writer
-	output Output
+	format OutputFormat
 }
 
-// table is a result in rows of equal length.
+// table is a header and rows of the same length.
 type table struct {
-	head []string
-	rows [][]string
+	header []string
+	rows   [][]string
 }
 
 func (t *table) add(cells ...string) {
 	for i, cell := range cells {
 		if cell == "" {
-			cells[i] = absent
+			cells[i] = emptyCell
 		}
 	}
 	t.rows = append(t.rows, cells)
 }
 
-// print writes the document as JSON, or the tables made of it.
-func (p printer) print(document any, tables func() []table) error {
-	if p.output == OutputJSON {
+// print writes result as JSON or writes the tables, depending on the output
+// format.
+func (p printer) print(result any, tables func() []table) error {
+	if p.format == OutputJSON {
 		encoder := json.NewEncoder(p.out)
 		encoder.SetIndent("", "  ")
-		return encoder.Encode(document)
+		return encoder.Encode(result)
 	}
 	for i, t := range tables() {
 		if i > 0 {
@@ -54,14 +55,14 @@
 func (p printer) printTable(t table) error {
 	const minWidth, tabWidth, padding = 0, 8, 2
 	writer := tabwriter.NewWriter(p.out, minWidth, tabWidth, padding, ' ', 0)
-	fmt.Fprintln(writer, strings.Join(t.head, "\t"))
+	fmt.Fprintln(writer, strings.Join(t.header, "\t"))
 	for _, row := range t.rows {
 		fmt.Fprintln(writer, strings.Join(row, "\t"))
 	}
 	return writer.Flush()
 }
 
-// note writes a line for the operator beside the result.
-func (p printer) note(format string, args ...any) {
+// notef writes a formatted line to standard error, apart from the result.
+func (p printer) notef(format string, args ...any) {
 	fmt.Fprintf(p.errOut, format+"\n", args...)
 }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -10,13 +10,13 @@
 	"github.com/applepier/applepier/internal/program"
 )
 
-// Paths of the administration API that status reads.
+// Paths of the administration API that the status command reads.
 const (
-	pathStatus  = "/admin/v1/status"
-	pathEngines = "/admin/v1/engines"
+	pathStatus         = "/admin/v1/status"
+	pathBackendServers = "/admin/v1/engines"
 )
 
-func statusCommand() *cli.Command {
+func newStatusCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "status",
 		Usage: "show the processes, the targets' version in force in each, and the backend servers",
@@ -31,20 +31,20 @@
 	if command.Args().Present() {
 		return program.Usage(command, "status takes no arguments")
 	}
-	ctx, session, err := open(ctx, command)
+	ctx, session, err := openSession(ctx, command)
 	if err != nil {
 		return err
 	}
 	defer session.cancel()
 	var report statusReport
-	if err := session.client.do(ctx, call{method: http.MethodGet, path: pathStatus, answer: &report.Status}); err != nil {
+	if err := session.client.do(ctx, apiRequest{method: http.MethodGet, path: pathStatus, response: &report.Status}); err != nil {
 		return err
 	}
-	if err := session.client.do(ctx, call{method: http.MethodGet, path: pathEngines, answer: &report.Engines}); err != nil {
+	if err := session.client.do(ctx, apiRequest{method: http.MethodGet, path: pathBackendServers, response: &report.BackendServers}); err != nil {
 		return err
 	}
 	err = session.printer.print(report, func() []table {
-		return []table{processTable(report.Status), engineTable(report.Engines)}
+		return []table{processTable(report.Status), backendServerTable(report.BackendServers)}
 	})
 	if err != nil {
 		return err
@@ -53,34 +53,34 @@
 	return nil
 }
 
-func processTable(status statusDocument) table {
-	t := table{head: []string{"PROCESS", "ROLE", "ZONE", "VERSION", "STATE", "AGE"}}
-	for _, p := range status.Processes {
-		t.add(p.Name, p.Role, p.Zone, strconv.FormatUint(p.Version, 10), p.state(), p.Age)
+func processTable(status statusResponse) table {
+	t := table{header: []string{"PROCESS", "ROLE", "ZONE", "VERSION", "STATE", "AGE"}}
+	for _, process := range status.Processes {
+		t.add(process.Name, process.Role, process.Zone, strconv.FormatUint(process.Version, 10), process.state(), process.StatusAge)
 	}
 	return t
 }
 
-func engineTable(engines enginesDocument) table {
-	t := table{head: []string{"BACKEND SERVER", "SERVES", "ZONE", "WAITING", "RUNNING", "LIMIT", "STATE", "AGE"}}
-	for _, e := range engines.Engines {
-		t.add(e.VM, e.Serves, e.Zone, strconv.Itoa(e.Waiting), strconv.Itoa(e.Running), strconv.Itoa(e.Limit), e.state(), e.Age)
+func backendServerTable(response backendServersResponse) table {
+	t := table{header: []string{"BACKEND SERVER", "SERVES", "ZONE", "WAITING", "RUNNING", "LIMIT", "STATE", "AGE"}}
+	for _, server := range response.BackendServers {
+		t.add(server.VM, server.Serves, server.Zone, strconv.Itoa(server.Waiting), strconv.Itoa(server.Running), strconv.Itoa(server.Limit), server.state(), server.StatusAge)
 	}
 	return t
 }
 
-// States of processes and backend servers in tables.
+// States of processes and backend servers as printed in tables.
 const (
-	stateUp      = "up"
-	stateDown    = "down"
-	stateLeaving = "leaving"
-	stateSilent  = "not heard from"
+	stateUp           = "up"
+	stateDown         = "down"
+	stateLeaving      = "leaving"
+	stateNotHeardFrom = "not heard from"
 )
 
-func (p processDocument) state() string {
+func (p processInfo) state() string {
 	switch {
-	case !p.Heard:
-		return stateSilent
+	case !p.HasRecentStatus:
+		return stateNotHeardFrom
 	case p.Leaving:
 		return stateLeaving
 	default:
@@ -88,13 +88,13 @@
 	}
 }
 
-func (e engineDocument) state() string {
+func (s backendServerInfo) state() string {
 	switch {
-	case e.Age == "":
-		return stateSilent
-	case e.Down:
+	case s.StatusAge == "":
+		return stateNotHeardFrom
+	case s.Down:
 		return stateDown
-	case e.Leaving:
+	case s.Leaving:
 		return stateLeaving
 	default:
 		return stateUp
--- a/internal/cli/timeline.go
+++ b/internal/cli/timeline.go
@@ -17,10 +17,11 @@
 	flagLimit   = "limit"
 )
 
-// timeFormat shows a stamp's physical part down to the microsecond, in UTC.
+// timeFormat prints the wall-clock part of a timestamp, in UTC, with
+// microseconds.
 const timeFormat = "15:04:05.000000"
 
-func timelineCommand() *cli.Command {
+func newTimelineCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "timeline",
 		Usage: "show what all processes did, in one order",
@@ -42,7 +43,7 @@
 	if command.Args().Present() {
 		return program.Usage(command, "timeline takes no arguments")
 	}
-	ctx, session, err := open(ctx, command)
+	ctx, session, err := openSession(ctx, command)
 	if err != nil {
 		return err
 	}
@@ -53,7 +54,7 @@
 		Limit:   command.Int(flagLimit),
 	}
 	var view timeline.View
-	err = session.client.do(ctx, call{method: http.MethodGet, path: timeline.PathView, query: filter.Query(), answer: &view})
+	err = session.client.do(ctx, apiRequest{method: http.MethodGet, path: timeline.PathView, query: filter.Query(), response: &view})
 	if err != nil {
 		return err
 	}
@@ -61,20 +62,22 @@
 		return err
 	}
 	if view.Truncated {
-		session.printer.note("older events were left out; ask for less with --%s or --%s", flagSince, flagRequest)
+		session.printer.notef("older events were left out; ask for less with --%s or --%s", flagSince, flagRequest)
 	}
 	return missingError(view)
 }
 
 func eventTable(events []timeline.Event) table {
-	t := table{head: []string{"TIME", "PROCESS", "EVENT", "REQUEST", "CLASS", "DETAIL"}}
-	for _, e := range events {
-		at := time.Unix(0, e.Stamp.Wall).UTC().Format(timeFormat)
-		t.add(at, e.Process, string(e.Kind), e.Request, e.Class, e.Detail)
+	t := table{header: []string{"TIME", "PROCESS", "EVENT", "REQUEST", "CLASS", "DETAIL"}}
+	for _, event := range events {
+		eventTime := time.Unix(0, event.Stamp.Wall).UTC().Format(timeFormat)
+		t.add(eventTime, event.Process, string(event.Kind), event.Request, event.Class, event.Detail)
 	}
 	return t
 }
 
+// missingError returns an error that lists the processes whose events are
+// missing, or nil if all processes responded.
 func missingError(view timeline.View) error {
 	if len(view.NotAnswered) == 0 {
 		return nil
--- a/internal/cli/lost_test.go
+++ b/internal/cli/transport_test.go
@@ -12,8 +12,9 @@
 	"github.com/applepier/applepier/internal/program"
 )
 
-// TestNothingListens: no connection was made, so nothing can have changed.
-func TestNothingListens(t *testing.T) {
+// TestConnectionRefused checks the error when no connection can be established:
+// nothing can have changed.
+func TestConnectionRefused(t *testing.T) {
 	t.Setenv(envKey, testKey)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -24,9 +25,9 @@
 	goldie.New(t).Assert(t, "unreachable", []byte(run(t, url, "status")))
 }
 
-// TestAnswerOfAChangeIsLost: the entry cuts the connection after it has read
-// the change, which may therefore have been made.
-func TestAnswerOfAChangeIsLost(t *testing.T) {
+// TestChangeResponseLost checks the error when the entry closes the connection
+// after reading a change, which may therefore have been applied.
+func TestChangeResponseLost(t *testing.T) {
 	t.Setenv(envKey, testKey)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
@@ -39,7 +40,7 @@
 	goldie.New(t).Assert(t, "answer_lost", []byte(run(t, server.URL, "class", "set", "flag", "--tier", "1")))
 }
 
-func TestStrangeAnswers(t *testing.T) {
+func TestUnexpectedResponses(t *testing.T) {
 	t.Setenv(envKey, testKey)
 	tests := []struct {
 		golden string
@@ -62,7 +63,8 @@
 	}
 }
 
-// TestExitCodesAreStable: scripts rely on the numbers.
+// TestExitCodesAreStable checks the numbers of the exit codes, which scripts
+// depend on.
 func TestExitCodesAreStable(t *testing.T) {
 	codes := []program.ExitCode{
 		program.ExitOK, program.ExitFailure, program.ExitUsage, program.ExitConflict, program.ExitUnreachable,
@@ -70,7 +72,7 @@
 	}
 	for want, code := range codes {
 		if int(code) != want {
-			t.Errorf("exit code %d has become %d", want, code)
+			t.Errorf("exit code: got %d, want %d", code, want)
 		}
 	}
 }
