--- a/internal/cli/class_set.go
+++ b/internal/cli/class_set.go
@@ -74,7 +74,7 @@
 }
 
 // applyFlags sets the fields whose flags are given and reactivates the class.
-// Setting a model clears the service and the other way round.
+// Setting a model clears the service, and setting a service clears the model.
 func (c *classInfo) applyFlags(command *cli.Command) {
 	c.Retired = false
 	if command.IsSet(flagTier) {
--- a/internal/cli/responses.go
+++ b/internal/cli/responses.go
@@ -67,7 +67,8 @@
 	Applied bool `json:"in_force"`
 	// Behind lists the processes with a recent status and an older version.
 	Behind []string `json:"behind"`
-	// NotHeardFrom lists the processes without a recent status.
+	// NotHeardFrom lists the processes without a recent status, except those
+	// that have reported this version before.
 	NotHeardFrom []string `json:"not_heard_from"`
 }
 
