--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -1,6 +1,6 @@
-// Package settings reads the YAML settings of both programs. A process learns
-// its addresses and availability zone there and nowhere else. Start reading
-// at Entry.
+// Package settings reads and validates the YAML settings files of the entry,
+// agent and gateway processes. The settings file is a process's only source for
+// its addresses and availability zone. Start reading at Entry.
 package settings
 
 // Entry holds the settings of an entry VM's process.
@@ -9,19 +9,21 @@
 	Process string `yaml:"process" validate:"required"`
 	// Zone is the VM's availability zone.
 	Zone string `yaml:"zone" validate:"required"`
-	// Listen is the host:port for callers.
+	// Listen is the host:port that serves clients.
 	Listen string `yaml:"listen" validate:"required,hostname_port"`
-	// AdminListen is the host:port for operators, metrics and health.
+	// AdminListen is the host:port that serves operators, metrics and health
+	// checks.
 	AdminListen string `yaml:"admin_listen" validate:"required,hostname_port,nefield=Listen"`
-	// Platform says where the platform's services are.
+	// Platform locates the platform's services.
 	Platform Platform `yaml:"platform"`
-	// Seeds are host:port addresses of processes that a fresh VM asks for the
-	// targets and the fleet while the platform is down; they may be empty.
+	// Seeds are host:port addresses of processes from which a new VM fetches the
+	// targets and the list of processes while the platform is unavailable; the
+	// list may be empty.
 	Seeds []string `yaml:"seeds" validate:"dive,hostname_port"`
-	// Keys tell operators and the system's processes apart.
+	// Keys authenticate operators and the system's own processes.
 	Keys Keys `yaml:"keys"`
-	// Callers says how callers are told apart.
+	// ClientAuth configures how the customer of a request is determined.
 	Callers Callers `yaml:"callers"`
-	// Log says how much is logged.
+	// Log configures logging.
 	Log Log `yaml:"log"`
 }
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -6,82 +6,88 @@
 	"time"
 )
 
-// Gateway holds the settings of an entry VM's process that sends straight to
-// the backend servers.
+// Gateway holds the settings of a gateway, a process on an entry VM that sends
+// requests directly to the backend servers.
 type Gateway struct {
 	// Process is the VM's name, unique in the fleet.
 	Process string `yaml:"process" validate:"required"`
 	// Zone is the VM's availability zone.
 	Zone string `yaml:"zone" validate:"required"`
-	// Listen is the host:port for callers.
+	// Listen is the host:port that serves clients.
 	Listen string `yaml:"listen" validate:"required,hostname_port"`
-	// AdminListen is the host:port for health and metrics.
+	// AdminListen is the host:port that serves health checks and metrics.
 	AdminListen string `yaml:"admin_listen" validate:"required,hostname_port,nefield=Listen"`
-	// ReadyPath is where the platform's balancer asks whether this process
-	// takes requests.
+	// ReadyPath is the HTTP path of the readiness check of the platform's load
+	// balancer.
 	ReadyPath string `yaml:"ready_path" validate:"required,startswith=/"`
-	// PeerListen is the host:port for other gateways: datagrams, and over TCP
+	// PeerListen is the host:port for other gateways: UDP datagrams, and TCP for
 	// the handover of the desired state.
 	PeerListen string `yaml:"peer_listen" validate:"required,hostname_port"`
-	// Store is the host:port of the platform's store.
+	// StoreAddr is the host:port of the platform's store.
 	Store string `yaml:"store" validate:"required,hostname_port"`
-	// MemoryMB is the memory that the process may use, in MB; 0 is no bound.
+	// MemoryLimitMB is the memory limit of the process in MB; 0 means no limit.
 	MemoryMB float64 `yaml:"memory_mb" validate:"gte=0"`
-	// Revoke says how soon a key that is taken away must stop working.
+	// Revocation configures how soon a revoked API key must stop working.
 	Revoke Revoke `yaml:"revoke"`
-	// Retry bounds sends beyond the first, over all gateways.
+	// RetryBudget limits retries across all gateways.
 	Retry Retry `yaml:"retry"`
-	// Grace is how long a process that is told to stop may still take.
+	// ShutdownTimeout is the maximum duration of a graceful shutdown.
 	Grace time.Duration `yaml:"grace" validate:"gt=0"`
-	// Usage says what is reported of customers' requests.
+	// UsageReporting configures the usage reports for customers' requests.
 	Usage Usage `yaml:"usage"`
-	// Log says how much is logged.
+	// Log configures logging.
 	Log Log `yaml:"log"`
 }
 
-// DutyUsage is the duty to report usage, as the platform names it.
-const DutyUsage = "metering"
+// DutyMetering is the platform's name for the duty to report usage.
+const DutyMetering = "metering"
 
-// Usage says how the requests of each customer are reported to the platform, by one
-// process at a time.
+// UsageReporting configures how each customer's usage is reported to the platform. One
+// gateway at a time sends the reports.
 type Usage struct {
-	// Addr is the host:port that takes reports; empty for none.
+	// Addr is the host:port that receives the reports; empty disables reporting.
 	Addr string `yaml:"addr" validate:"omitempty,hostname_port"`
-	// Duties names what the platform asks of the fleet, joined by commas; usage is reported
-	// where DutyUsage is among it.
+	// Duties is the comma-separated list of duties that the platform assigns to the
+	// gateways; usage is reported only if it contains DutyMetering.
 	Duties string `yaml:"duties"`
-	// Window is the length of the spans of time that are reported, Delay within what time
-	// after its end each is due, and Lease within what time two processes may not report
-	// by turns.
+	// Window is the length of a reporting window.
 	Window time.Duration `yaml:"window" validate:"gte=0"`
-	Delay  time.Duration `yaml:"delay" validate:"gte=0"`
-	Lease  time.Duration `yaml:"lease" validate:"gte=0"`
+	// Delay is the time after the end of a window within which its report is due.
+	Delay time.Duration `yaml:"delay" validate:"gte=0"`
+	// Lease is the duration of the reporter's lease, during which no other gateway
+	// may take over reporting.
+	Lease time.Duration `yaml:"lease" validate:"gte=0"`
 }
 
-// Reported reports whether usage is to be reported.
+// Enabled reports whether usage is to be reported: Addr is set and Duties
+// contains DutyMetering.
 func (u Usage) Reported() bool {
-	return u.Addr != "" && slices.Contains(strings.Split(u.Duties, ","), DutyUsage)
+	return u.Addr != "" && slices.Contains(strings.Split(u.Duties, ","), DutyMetering)
 }
 
-// Revoke says how soon a key that is taken away must stop working.
+// Revocation configures how soon a revoked API key must stop working.
 type Revoke struct {
-	// Strict refuses requests with a key where it isn't certain.
+	// Strict refuses requests with an API key while the gateway can't be certain
+	// that the key hasn't been revoked.
 	Strict bool `yaml:"strict"`
-	// Within is the bound.
+	// MaxDelay is the longest time a revoked key may keep working.
 	Within time.Duration `yaml:"within" validate:"gte=0"`
 }
 
-// Retry bounds sends beyond the first.
+// RetryBudget limits retries: in each window they may not exceed Ratio times the
+// number of requests plus ExtraPerWindow.
 type Retry struct {
-	// Ratio is how many a request earns, Extra how many are allowed besides,
-	// in each Window.
-	Ratio  float64       `yaml:"ratio" validate:"gte=0"`
-	Extra  float64       `yaml:"extra" validate:"gte=0"`
+	// Ratio is the number of retries that each request adds to the budget.
+	Ratio float64 `yaml:"ratio" validate:"gte=0"`
+	// ExtraPerWindow is the number of retries allowed regardless of the number
+	// of requests.
+	Extra float64 `yaml:"extra" validate:"gte=0"`
+	// Window is the time span over which the budget is computed.
 	Window time.Duration `yaml:"window" validate:"gt=0"`
 }
 
-// LoadGateway reads and checks the settings of a gateway's process, with the
-// errors of LoadEntry.
+// LoadGateway reads and validates the settings file of a gateway. It returns the
+// same errors as LoadEntry.
 func LoadGateway(path string) (Gateway, error) {
 	return load[Gateway](path)
 }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -11,17 +11,18 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// ErrUnreadable: the settings file could not be read at all.
+// ErrUnreadable is returned if the settings file can't be read.
 var ErrUnreadable = errors.New("settings file can't be read")
 
-// LoadEntry reads and checks the settings of an entry's process. The error is
-// an InvalidError with every problem of the file, or wraps ErrUnreadable.
+// LoadEntry reads and validates the settings file of an entry process. The error
+// is an InvalidError that lists every problem in the file, or wraps
+// ErrUnreadable.
 func LoadEntry(path string) (Entry, error) {
 	return load[Entry](path)
 }
 
-// LoadAgent reads and checks the settings of an agent's process, with the
-// errors of LoadEntry.
+// LoadAgent reads and validates the settings file of an agent. It returns the
+// same errors as LoadEntry.
 func LoadAgent(path string) (Agent, error) {
 	return load[Agent](path)
 }
@@ -41,24 +42,26 @@
 	return settings, nil
 }
 
-// decode fills target, a pointer to a struct, and returns all that is wrong.
+// decode decodes and validates source into target, a pointer to a struct, and
+// returns every problem found.
 func decode(source []byte, target any) []Problem {
 	file, err := parser.ParseBytes(source, 0)
 	if err != nil {
-		return []Problem{problemOf(err)}
+		return []Problem{syntaxProblem(err)}
 	}
-	body, problem := document(file)
+	body, problem := singleDocument(file)
 	if problem != nil {
 		return []Problem{*problem}
 	}
-	filler := newFiller()
-	filler.fill(body, reflect.ValueOf(target).Elem(), "")
-	filler.check(target)
-	return filler.problems
+	d := newDecoder()
+	d.decodeNode(body, reflect.ValueOf(target).Elem(), "")
+	d.validate(target)
+	return d.problems
 }
 
-// document returns the only document of a file.
-func document(file *ast.File) (ast.Node, *Problem) {
+// singleDocument returns the body of the file's only YAML document, or a problem
+// if the file has none or more than one.
+func singleDocument(file *ast.File) (ast.Node, *Problem) {
 	var bodies []ast.Node
 	for _, doc := range file.Docs {
 		if doc.Body != nil {
@@ -71,21 +74,21 @@
 	case 1:
 		return bodies[0], nil
 	default:
-		at := bodies[1].GetToken().Position
-		return nil, &Problem{Line: at.Line, Column: at.Column, Reason: "the file holds a second document; keep one"}
+		pos := bodies[1].GetToken().Position
+		return nil, &Problem{Line: pos.Line, Column: pos.Column, Reason: "the file holds a second document; keep one"}
 	}
 }
 
-// problemOf turns an error of the YAML library into a Problem.
-func problemOf(err error) Problem {
+// syntaxProblem converts a parse error of the YAML library to a Problem.
+func syntaxProblem(err error) Problem {
 	var located yaml.Error
 	if !errors.As(err, &located) {
 		return Problem{Line: 1, Column: 1, Reason: err.Error()}
 	}
 	problem := Problem{Line: 1, Column: 1, Reason: located.GetMessage()}
-	if tk := located.GetToken(); tk != nil {
-		problem.Line = tk.Position.Line
-		problem.Column = tk.Position.Column
+	if tok := located.GetToken(); tok != nil {
+		problem.Line = tok.Position.Line
+		problem.Column = tok.Position.Column
 	}
 	return problem
 }
--- a/internal/settings/load_test.go
+++ b/internal/settings/load_test.go
@@ -15,19 +15,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sameAsStrictDecoding(t, "../../examples/entry.yaml", entry)
+	checkStrictDecoding(t, "../../examples/entry.yaml", entry)
 
 	agent, err := LoadAgent("../../examples/agent.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	sameAsStrictDecoding(t, "../../examples/agent.yaml", agent)
+	checkStrictDecoding(t, "../../examples/agent.yaml", agent)
 
 	gateway, err := LoadGateway("../../examples/gateway.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	sameAsStrictDecoding(t, "../../examples/gateway.yaml", gateway)
+	checkStrictDecoding(t, "../../examples/gateway.yaml", gateway)
 }
 
 func TestGatewayProblems(t *testing.T) {
@@ -39,8 +39,9 @@
 	goldie.New(t).Assert(t, "bad-gateway", []byte(invalid.Error()))
 }
 
-// sameAsStrictDecoding compares with the YAML library's own strict decoding.
-func sameAsStrictDecoding[T any](t *testing.T, path string, got T) {
+// checkStrictDecoding checks that the YAML library's own strict decoding of the
+// file gives the same settings.
+func checkStrictDecoding[T any](t *testing.T, path string, got T) {
 	t.Helper()
 	source, err := os.ReadFile(path)
 	if err != nil {
@@ -57,7 +58,7 @@
 	}
 }
 
-func TestAllProblemsAtOnce(t *testing.T) {
+func TestReportsAllProblems(t *testing.T) {
 	_, err := LoadEntry("testdata/bad.yaml")
 	var invalid *InvalidError
 	if !errors.As(err, &invalid) {
@@ -66,7 +67,7 @@
 	goldie.New(t).Assert(t, "bad", []byte(err.Error()+"\n"))
 }
 
-func TestProblemsOfDocuments(t *testing.T) {
+func TestDocumentProblems(t *testing.T) {
 	tests := []struct {
 		name   string
 		source string
--- a/internal/settings/problem.go
+++ b/internal/settings/problem.go
@@ -7,35 +7,35 @@
 	"strings"
 )
 
-// Problem is one thing that is wrong in a settings file.
+// Problem is an error in a settings file.
 type Problem struct {
-	// Line and Column count from 1; a missing key is reported where it should
-	// be added.
+	// Line and Column start at 1; a missing key is reported at the mapping that
+	// lacks it.
 	Line   int
 	Column int
-	// Field is the path of the key, for example "platform.url"; it is empty
-	// when the problem concerns the file as a whole.
+	// Field is the path of the key, for example "platform.url"; it is empty if
+	// the problem concerns the whole file.
 	Field string
-	// Reason says what is wrong and what would be right.
+	// Reason describes the error and what is expected instead.
 	Reason string
 }
 
-// InvalidError lists every problem of a settings file, in order of position.
+// InvalidError lists every problem in a settings file, sorted by position.
 type InvalidError struct {
 	File     string
 	Problems []Problem
 }
 
-// Error gives one line a problem: file:line:column: field: reason.
+// Error formats each problem as a line "file:line:column: field: reason".
 func (e *InvalidError) Error() string {
 	lines := make([]string, 0, len(e.Problems))
 	for _, p := range e.Problems {
-		lines = append(lines, e.line(p))
+		lines = append(lines, e.formatProblem(p))
 	}
 	return strings.Join(lines, "\n")
 }
 
-func (e *InvalidError) line(p Problem) string {
+func (e *InvalidError) formatProblem(p Problem) string {
 	position := fmt.Sprintf("%s:%d:%d: ", e.File, p.Line, p.Column)
 	if p.Field == "" {
 		return position + p.Reason
--- a/internal/settings/secret.go
+++ b/internal/settings/secret.go
@@ -8,41 +8,43 @@
 	"github.com/go-faster/errors"
 )
 
-// MinSecretLength is the least number of characters of a secret; a shorter one
-// can be guessed.
+// MinSecretLength is the minimum length of a secret in bytes; a shorter one can
+// be guessed.
 const MinSecretLength = 16
 
-// Errors of Secret.Read. None of them repeats the secret.
+// Errors of SecretSource.Read. Their messages never contain the secret.
 var (
-	// ErrSecretSource: not exactly one of file and env is set.
+	// ErrSecretSource means that not exactly one of file and env is set.
 	ErrSecretSource = errors.New("set exactly one of file and env")
-	// ErrSecretMissing: the file or the environment variable isn't there.
+	// ErrSecretMissing means that the file can't be read or the environment
+	// variable isn't set.
 	ErrSecretMissing = errors.New("secret is missing")
-	// ErrSecretShort: the secret has fewer than MinSecretLength characters.
+	// ErrSecretShort means that the secret is shorter than MinSecretLength.
 	ErrSecretShort = errors.New("secret is shorter than 16 characters")
 )
 
-// Read returns the secret without the white space around it.
+// Read returns the secret without leading and trailing white space. The error
+// wraps ErrSecretSource, ErrSecretMissing or ErrSecretShort.
 func (s Secret) Read() (string, error) {
-	raw, err := s.source()
+	raw, err := s.readRaw()
 	if err != nil {
 		return "", err
 	}
 	secret := strings.TrimSpace(raw)
 	if len(secret) < MinSecretLength {
-		return "", errors.Wrap(ErrSecretShort, s.name())
+		return "", errors.Wrap(ErrSecretShort, s.sourceName())
 	}
 	return secret, nil
 }
 
-func (s Secret) source() (string, error) {
+func (s Secret) readRaw() (string, error) {
 	if (s.File == "") == (s.Env == "") {
 		return "", ErrSecretSource
 	}
 	if s.Env != "" {
 		value, ok := os.LookupEnv(s.Env)
 		if !ok {
-			return "", errors.Wrap(ErrSecretMissing, s.name())
+			return "", errors.Wrap(ErrSecretMissing, s.sourceName())
 		}
 		return value, nil
 	}
@@ -53,7 +55,7 @@
 	return string(content), nil
 }
 
-func (s Secret) name() string {
+func (s Secret) sourceName() string {
 	if s.Env != "" {
 		return "environment variable " + s.Env
 	}
--- a/internal/settings/secret_test.go
+++ b/internal/settings/secret_test.go
@@ -8,23 +8,23 @@
 	"github.com/go-faster/errors"
 )
 
-const longSecret = "0123456789abcdef"
+const validSecret = "0123456789abcdef"
 
 func TestSecretFromFileIsTrimmed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "key")
-	if err := os.WriteFile(path, []byte(" "+longSecret+"\n"), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(" "+validSecret+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	got, err := Secret{File: path}.Read()
-	if err != nil || got != longSecret {
+	if err != nil || got != validSecret {
 		t.Fatalf("got %q, %v", got, err)
 	}
 }
 
 func TestSecretFromEnvironment(t *testing.T) {
-	t.Setenv("APPLEPIER_TEST_KEY", longSecret)
+	t.Setenv("APPLEPIER_TEST_KEY", validSecret)
 	got, err := Secret{Env: "APPLEPIER_TEST_KEY"}.Read()
-	if err != nil || got != longSecret {
+	if err != nil || got != validSecret {
 		t.Fatalf("got %q, %v", got, err)
 	}
 }
--- a/internal/settings/fields.go
+++ b/internal/settings/yamlkeys.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// keyOf returns the YAML key of a struct's field.
-func keyOf(field reflect.StructField) string {
+// yamlKey returns the YAML key of a struct field.
+func yamlKey(field reflect.StructField) string {
 	name, _, _ := strings.Cut(field.Tag.Get("yaml"), ",")
 	return name
 }
 
-func keysOf(t reflect.Type) []string {
+func yamlKeys(t reflect.Type) []string {
 	keys := make([]string, 0, t.NumField())
 	for i := range t.NumField() {
-		keys = append(keys, keyOf(t.Field(i)))
+		keys = append(keys, yamlKey(t.Field(i)))
 	}
 	return keys
 }
 
 func fieldByKey(target reflect.Value, key string) (reflect.Value, bool) {
 	for i := range target.NumField() {
-		if keyOf(target.Type().Field(i)) == key {
+		if yamlKey(target.Type().Field(i)) == key {
 			return target.Field(i), true
 		}
 	}
 	return reflect.Value{}, false
 }
 
-// nameOf names a scalar type in words an operator reads.
-func nameOf(t reflect.Type) string {
+// describeType describes the values of a scalar type for an error message.
+func describeType(t reflect.Type) string {
 	if t == reflect.TypeFor[time.Duration]() {
 		return `a duration with its unit, for example "850ms"`
 	}
@@ -46,14 +46,14 @@
 	}
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
 	return path + "." + key
 }
 
-func parentOf(path string) string {
+func parentPath(path string) string {
 	end := strings.LastIndexAny(path, ".[")
 	if end < 0 {
 		return ""
