--- a/internal/metrics/bench_test.go
+++ b/internal/metrics/bench_test.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// targetClasses is how many classes the target size has.
+// targetClasses is the number of classes at the system's target size.
 const targetClasses = 60
 
-// BenchmarkRequest is what counting one request's life costs.
+// BenchmarkRequest measures the cost of counting one request from arrival to
+// completion.
 func BenchmarkRequest(b *testing.B) {
 	m := New()
 	b.ReportAllocs()
@@ -22,7 +23,7 @@
 	}
 }
 
-// BenchmarkText is what one read of all series costs at the target size.
+// BenchmarkText measures the cost of one scrape of all series at the target size.
 func BenchmarkText(b *testing.B) {
 	m := New()
 	for i := range targetClasses {
--- a/internal/metrics/class.go
+++ b/internal/metrics/class.go
@@ -6,40 +6,41 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// Timing says whether a whole answer met its class's targets.
+// Timing says whether a complete response met the latency targets of its class.
 type Timing string
 
-// Timings.
+// Values of Timing.
 const (
-	// OnTime: every target of the class was met, or it has none.
+	// OnTime means that the response met every target, or the class has none.
 	OnTime Timing = "on_time"
-	// Late: a target was missed.
+	// Late means that the response missed a target.
 	Late Timing = "late"
 )
 
-// Reason is a short, stable word for why a request was refused, for example
-// "overload".
+// Reason is the value of the label reason: a short, stable word for why a request
+// was refused, for example "overload".
 type Reason string
 
-// Class counts the requests of one class.
+// Class holds the metrics of one class of requests. All methods may be called
+// concurrently.
 type Class struct {
 	metrics *Metrics
 	label   label
 
-	received  gometrics.Counter
-	prompts   gometrics.Counter
-	onTime    gometrics.Counter
-	late      gometrics.Counter
-	unknown   gometrics.Counter
-	failed    gometrics.Counter
-	cancelled gometrics.Counter
-	retried   gometrics.Counter
-	wasted    gometrics.Counter
-	first     gometrics.Histogram
-	pause     gometrics.Histogram
+	received       gometrics.Counter
+	promptTokens   gometrics.Counter
+	onTime         gometrics.Counter
+	late           gometrics.Counter
+	outcomeUnknown gometrics.Counter
+	failed         gometrics.Counter
+	cancelled      gometrics.Counter
+	retried        gometrics.Counter
+	wastedTokens   gometrics.Counter
+	firstToken     gometrics.Histogram
+	longestPause   gometrics.Histogram
 }
 
-// goodput counts whole answers on time, over all classes.
+// goodput counts complete responses that were on time, over all classes.
 type goodput struct {
 	requests gometrics.Counter
 	tokens   gometrics.Counter
@@ -47,31 +48,33 @@
 
 func newClass(m *Metrics, name string) *Class {
 	class := label{name: labelClass, value: name}
-	timing := func(t Timing) label { return label{name: labelTiming, value: string(t)} }
+	timingLabel := func(t Timing) label { return label{name: labelTiming, value: string(t)} }
 	return &Class{
-		metrics:   m,
-		label:     class,
-		received:  counter(m.registry, familyReceived, class),
-		prompts:   counter(m.registry, familyReceivedTokens, class),
-		onTime:    counter(m.registry, familyFinished, class, timing(OnTime)),
-		late:      counter(m.registry, familyFinished, class, timing(Late)),
-		unknown:   counter(m.registry, familyUnknown, class),
-		failed:    counter(m.registry, familyFailed, class),
-		cancelled: counter(m.registry, familyCancelled, class),
-		retried:   counter(m.registry, familyRetried, class),
-		wasted:    counter(m.registry, familyWasted, class),
-		first:     histogram(m.registry, familyFirstToken, class),
-		pause:     histogram(m.registry, familyPause, class),
+		metrics:        m,
+		label:          class,
+		received:       counter(m.registry, familyReceived, class),
+		promptTokens:   counter(m.registry, familyReceivedPromptTokens, class),
+		onTime:         counter(m.registry, familyFinished, class, timingLabel(OnTime)),
+		late:           counter(m.registry, familyFinished, class, timingLabel(Late)),
+		outcomeUnknown: counter(m.registry, familyOutcomeUnknown, class),
+		failed:         counter(m.registry, familyFailed, class),
+		cancelled:      counter(m.registry, familyCancelled, class),
+		retried:        counter(m.registry, familyRetried, class),
+		wastedTokens:   counter(m.registry, familyWastedTokens, class),
+		firstToken:     histogram(m.registry, familyFirstToken, class),
+		longestPause:   histogram(m.registry, familyLongestPause, class),
 	}
 }
 
-// Received counts a request as it comes in; it is the base of attainment.
+// Received counts a request on arrival. Attainment is computed relative to this
+// count.
 func (c *Class) Received() { c.received.Inc(1) }
 
-// ReceivedPrompt counts the tokens of a received request's prompt.
-func (c *Class) ReceivedPrompt(tokens int) { c.prompts.Inc(int64(tokens)) }
+// ReceivedPromptTokens counts the prompt tokens of a received request.
+func (c *Class) ReceivedPrompt(tokens int) { c.promptTokens.Inc(int64(tokens)) }
 
-// Finished counts a request whose whole answer was given, and its tokens.
+// Finished counts a request whose response was sent completely, and adds its
+// tokens to the goodput if it was on time.
 func (c *Class) Finished(timing Timing, tokens int) {
 	if timing != OnTime {
 		c.late.Inc(1)
@@ -82,40 +85,41 @@
 	c.metrics.goodput.tokens.Inc(int64(tokens))
 }
 
-// Refused counts a request that was rejected and certainly not run.
+// Refused counts a request that was refused and certainly not run.
 func (c *Class) Refused(reason Reason) {
-	why := label{name: labelReason, value: string(c.metrics.bounded(reason))}
-	counter(c.metrics.registry, familyRefused, c.label, why).Inc(1)
+	reasonLabel := label{name: labelReason, value: string(c.metrics.limitReason(reason))}
+	counter(c.metrics.registry, familyRefused, c.label, reasonLabel).Inc(1)
 }
 
-// RefusedPrompt counts the tokens of a refused request's prompt. The mean prompt of the
-// refused beside that of the received tells whether admission treats sizes alike.
+// RefusedPromptTokens counts the prompt tokens of a refused request. Comparing the mean
+// prompt length of refused requests with that of received ones shows whether admission is
+// biased by prompt length.
 func (c *Class) RefusedPrompt(reason Reason, tokens int) {
 	if tokens == 0 {
 		return
 	}
-	why := label{name: labelReason, value: string(c.metrics.bounded(reason))}
-	counter(c.metrics.registry, familyRefusedTokens, c.label, why).Inc(int64(tokens))
+	reasonLabel := label{name: labelReason, value: string(c.metrics.limitReason(reason))}
+	counter(c.metrics.registry, familyRefusedPromptTokens, c.label, reasonLabel).Inc(int64(tokens))
 }
 
-// Unknown counts a request whose caller was told that it may have run.
-func (c *Class) Unknown() { c.unknown.Inc(1) }
+// OutcomeUnknown counts a request whose client was told that it may have run.
+func (c *Class) Unknown() { c.outcomeUnknown.Inc(1) }
 
-// Failed counts a request that ended with another error.
+// Failed counts a request that ended with any other error.
 func (c *Class) Failed() { c.failed.Inc(1) }
 
-// Cancelled counts a request whose caller went away.
+// Cancelled counts a request whose client disconnected.
 func (c *Class) Cancelled() { c.cancelled.Inc(1) }
 
 // Retried counts a further attempt at a request.
 func (c *Class) Retried() { c.retried.Inc(1) }
 
-// Wasted counts tokens that were generated and reached no caller as part of a
-// whole answer.
-func (c *Class) Wasted(tokens int) { c.wasted.Inc(int64(tokens)) }
+// WastedTokens counts tokens that were generated but didn't reach a client as part
+// of a complete response.
+func (c *Class) Wasted(tokens int) { c.wastedTokens.Inc(int64(tokens)) }
 
-// Pause takes the longest pause between two events of a stream.
-func (c *Class) Pause(longest time.Duration) { c.pause.Update(longest.Microseconds()) }
+// ObservePause records the longest pause between two events of a stream.
+func (c *Class) Pause(longest time.Duration) { c.longestPause.Update(longest.Microseconds()) }
 
-// FirstToken records the time from a request's arrival to its first token.
-func (c *Class) FirstToken(wait time.Duration) { c.first.Update(wait.Microseconds()) }
+// ObserveFirstToken records the time from a request's arrival to its first token.
+func (c *Class) FirstToken(wait time.Duration) { c.firstToken.Update(wait.Microseconds()) }
--- a/internal/metrics/control.go
+++ b/internal/metrics/control.go
@@ -8,40 +8,40 @@
 	directionReceived = "received"
 )
 
-// Control counts the messages between the system's processes, without the
-// callers' bodies and answers.
+// Control counts the messages between the system's processes, excluding the
+// bodies of requests and responses.
 type Control struct {
-	sent     traffic
-	received traffic
+	sent     messageCounters
+	received messageCounters
 }
 
-type traffic struct {
+type messageCounters struct {
 	messages gometrics.Counter
 	bytes    gometrics.Counter
 }
 
 func newControl(registry gometrics.Registry) *Control {
 	return &Control{
-		sent:     newTraffic(registry, directionSent),
-		received: newTraffic(registry, directionReceived),
+		sent:     newMessageCounters(registry, directionSent),
+		received: newMessageCounters(registry, directionReceived),
 	}
 }
 
-func newTraffic(registry gometrics.Registry, direction string) traffic {
+func newMessageCounters(registry gometrics.Registry, direction string) messageCounters {
 	label := label{name: labelDirection, value: direction}
-	return traffic{
+	return messageCounters{
 		messages: counter(registry, familyControlMessages, label),
 		bytes:    counter(registry, familyControlBytes, label),
 	}
 }
 
-// Sent counts a message of so many bytes to another process.
+// Sent counts a message to another process and its size in bytes.
 func (c *Control) Sent(bytes int) { c.sent.count(bytes) }
 
-// Received counts a message of so many bytes from another process.
+// Received counts a message from another process and its size in bytes.
 func (c *Control) Received(bytes int) { c.received.count(bytes) }
 
-func (t traffic) count(bytes int) {
-	t.messages.Inc(1)
-	t.bytes.Inc(int64(bytes))
+func (c messageCounters) count(bytes int) {
+	c.messages.Inc(1)
+	c.bytes.Inc(int64(bytes))
 }
--- a/internal/metrics/docs_test.go
+++ b/internal/metrics/docs_test.go
@@ -7,30 +7,32 @@
 	"testing"
 )
 
-// TestDocsListEveryFamily compares the table in OPERATING.md with the code.
+// TestDocsListEveryFamily checks that the tables in OPERATING.md list exactly the
+// exposed metric families.
 func TestDocsListEveryFamily(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATING.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	served, renamed, _ := strings.Cut(string(page), "\n## Renamed\n")
-	// Of each renamed family the name of before isn't served, and the later one is.
+	// Each row of the table of renamed families holds the old name, which must no
+	// longer be exposed, and the new one, which must be.
 	for _, names := range regexp.MustCompile("`(applepier_[a-z_]+)` \\| `(applepier_[a-z_]+)`").FindAllStringSubmatch(renamed, -1) {
-		if _, ok := help[family(names[1])]; ok {
+		if _, ok := helpTexts[family(names[1])]; ok {
 			t.Errorf("%s is said to be renamed, and is served", names[1])
 		}
-		if _, ok := help[family(names[2])]; !ok {
+		if _, ok := helpTexts[family(names[2])]; !ok {
 			t.Errorf("%s is said to be %s, which isn't served", names[1], names[2])
 		}
 	}
 	listed := map[family]bool{}
 	for _, name := range regexp.MustCompile("applepier_[a-z_]+").FindAllString(served, -1) {
 		listed[family(name)] = true
-		if _, ok := help[family(name)]; !ok {
+		if _, ok := helpTexts[family(name)]; !ok {
 			t.Errorf("the page lists %s, which isn't served", name)
 		}
 	}
-	for name := range help {
+	for name := range helpTexts {
 		if !listed[name] {
 			t.Errorf("the page doesn't list %s", name)
 		}
--- a/internal/metrics/gateway.go
+++ b/internal/metrics/gateway.go
@@ -2,60 +2,63 @@
 
 import "time"
 
-// Gateway is what a gateway knows of its surroundings when the metrics are
-// read.
+// GatewayStats is a snapshot of a gateway's state, taken for each scrape.
 type Gateway struct {
-	// Version is the desired state's in force, and ProofAge how old the proof
-	// is that there is no newer one.
-	Version  uint64
+	// StateVersion is the version of the desired state in force.
+	Version uint64
+	// StateAge is the time since that version was last confirmed to be the newest.
 	ProofAge time.Duration
-	// Gateways counts the gateways that are heard of, itself included.
+	// LiveGateways is the number of gateways that this one hears from, itself included.
 	Gateways int
-	// Asking says that it asks the store what changed in the list of backend servers.
+	// PollsStore says whether this gateway polls the store for changes to the list of
+	// backend servers, instead of receiving them from other gateways.
 	Asking bool
-	// Servers counts the backend servers that may get requests.
+	// UsableServers is the number of backend servers that may receive requests.
 	Servers int
-	// Limited counts the backend servers that have named a limit, and LimitedSends the
-	// requests that were sent to servers while they had one.
-	Limited      int
+	// LimitedServers is the number of backend servers that have announced a limit.
+	Limited int
+	// LimitedSends is the total number of requests sent to servers while they had a limit.
 	LimitedSends int64
-	// Quarantined counts the requests that are refused since servers ended under them.
+	// QuarantinedRequests is the number of requests refused because backend servers
+	// terminated while processing them. Requests with the same content count once.
 	Quarantined int
-	// UsageGeneration is that under which it reports usage; 0 while it doesn't.
+	// UsageFencingToken is the fencing token of the lease under which this gateway reports
+	// usage; 0 while it doesn't hold the lease. The metric calls it the generation.
 	UsageGeneration uint64
-	// LinesDropped counts the log lines that were left out.
+	// DroppedLogLines is the total number of log lines that were dropped.
 	LinesDropped int64
 }
 
-// ReadGateway has read called before each read of the metrics.
+// CollectGateway registers the gateway metrics and calls read before each scrape to update
+// them.
 func (m *Metrics) ReadGateway(read func() Gateway) {
-	age := gauge(m.registry, familyProofAge)
-	gateways := gauge(m.registry, familyGateways)
-	servers := gauge(m.registry, familyServers)
-	dropped := counter(m.registry, familyLinesDropped)
-	limited := gauge(m.registry, familyServersLimited)
+	stateAge := gauge(m.registry, familyStateAge)
+	gateways := gauge(m.registry, familyLiveGateways)
+	servers := gauge(m.registry, familyUsableServers)
+	droppedLines := counter(m.registry, familyLogLinesDropped)
+	limited := gauge(m.registry, familyLimitedServers)
 	limitedSends := counter(m.registry, familyLimitedSends)
-	quarantined := gauge(m.registry, familyQuarantined)
-	asking := gauge(m.registry, familyStoreAsking)
-	generation := gauge(m.registry, familyUsageGeneration)
+	quarantined := gauge(m.registry, familyQuarantinedRequests)
+	polling := gauge(m.registry, familyStorePolling)
+	fencingToken := gauge(m.registry, familyUsageFencingToken)
 	m.OnRead(func() {
-		g := read()
-		m.TargetsVersion(g.Version)
-		age.Update(g.ProofAge.Milliseconds())
-		gateways.Update(int64(g.Gateways))
-		asking.Update(0)
-		if g.Asking {
-			asking.Update(1)
+		stats := read()
+		m.TargetsVersion(stats.Version)
+		stateAge.Update(stats.ProofAge.Milliseconds())
+		gateways.Update(int64(stats.Gateways))
+		polling.Update(0)
+		if stats.Asking {
+			polling.Update(1)
 		}
-		servers.Update(int64(g.Servers))
-		limited.Update(int64(g.Limited))
-		limitedSends.Inc(g.LimitedSends - limitedSends.Count())
-		quarantined.Update(int64(g.Quarantined))
-		generation.Update(int64(g.UsageGeneration))
-		dropped.Inc(g.LinesDropped - dropped.Count())
+		servers.Update(int64(stats.Servers))
+		limited.Update(int64(stats.Limited))
+		limitedSends.Inc(stats.LimitedSends - limitedSends.Count())
+		quarantined.Update(int64(stats.Quarantined))
+		fencingToken.Update(int64(stats.UsageGeneration))
+		droppedLines.Inc(stats.LinesDropped - droppedLines.Count())
 	})
 }
 
-// ServerEnded counts a start of a backend server that ended while it had requests of this
-// gateway.
+// ServerEnded counts a backend server instance that terminated while it had requests of
+// this gateway.
 func (m *Metrics) ServerEnded() { counter(m.registry, familyServersEnded).Inc(1) }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,29 +1,30 @@
-// Package metrics counts what a process does and serves it at /metrics in
-// Prometheus' text format, from a go-metrics registry. It also answers
-// /healthz and /readyz.
+// Package metrics collects a process's metrics in a go-metrics registry and
+// exposes them at /metrics in the Prometheus text format. It also serves /healthz
+// and /readyz.
 //
 //	m := metrics.New()
-//	class := m.Request("hazard-flag") // keep it for the request's life
+//	class := m.ForClass("hazard-flag") // keep it until the request ends
 //	class.Received()
-//	class.FirstToken(320 * time.Millisecond)
+//	class.ObserveFirstToken(320 * time.Millisecond)
 //	class.Finished(metrics.OnTime, 210)
 //
-// What is counted:
+// Metrics:
 //
 //   - by class: requests received, finished on time or late (attainment),
-//     refused by reason, unknown, failed, cancelled and retried; tokens that
-//     were generated and thrown away; time to the first token;
-//   - over all classes: goodput, which is the requests answered whole and on
-//     time, and their tokens;
-//   - for the process: its queue, runs and limit, control messages and bytes,
-//     calls to the platform, CPU time, memory and the targets' version.
+//     refused by reason, with an unknown outcome, failed, cancelled and retried;
+//     generated tokens that were discarded; time to the first token;
+//   - over all classes: goodput, which is the number of requests with a complete
+//     response on time, and their tokens;
+//   - for the process: waiting and running requests and the concurrency limit,
+//     control messages and bytes, calls to the platform, CPU time, memory and the
+//     version of the targets.
 //
-// Series are labelled by class and reason only, and both are bounded: names
-// past MaxClasses or MaxReasons are counted together as "other". Customers
-// are no label. 400 customers in 60 classes would make 24,000 series a metric
-// in each of 410 processes, more than collectors keep well, and a customer's
-// name in a monitoring system is a disclosure of its own. Questions about one
-// customer are answered by the logs and the timeline.
+// Request series are labelled by class and reason only, and the number of values
+// of both is bounded: values past MaxClasses or MaxReasons are counted together
+// as "other". Customers aren't a label: 400 customers in 60 classes would make
+// 24,000 series per metric in each of 410 processes, more than collectors handle
+// well, and would disclose customers' names to the monitoring system. Use the
+// logs and the timeline for questions about one customer.
 //
 // Start reading at Metrics.
 package metrics
@@ -37,38 +38,38 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-// Bounds of the labels' values.
+// Limits on the number of label values.
 const (
-	// MaxClasses is how many classes have series of their own: as many as the
-	// targets may hold at once. A process that outlives many renamings counts
-	// later names together.
+	// MaxClasses is the maximum number of classes with their own series: as many
+	// as the targets may hold at once. If classes are renamed often during a
+	// process's lifetime, later names are counted as "other".
 	MaxClasses = targets.MaxClasses
-	// MaxReasons is how many reasons of refusal have series of their own.
+	// MaxReasons is the maximum number of refusal reasons with their own series.
 	MaxReasons = 24
 )
 
-// other is the label's value of all names past a bound.
-const other = "other"
+// otherLabel is the label value for all names past a limit.
+const otherLabel = "other"
 
-// Metrics are one process's metrics. All methods may be called concurrently.
+// Metrics holds the metrics of one process. All methods may be called
+// concurrently.
 type Metrics struct {
 	registry gometrics.Registry
 	goodput  goodput
 
-	// Queue and Control are the process's own.
 	Queue    *Queue
 	Control  *Control
 	Platform *Platform
 
-	// mu guards classes, reasons and onRead; nothing is locked while it is held but
-	// the registry's own lock.
-	mu      sync.Mutex
-	classes map[string]*Class
-	reasons map[Reason]bool
-	onRead  []func()
+	// mu guards classes, reasons and scrapeHooks. No lock other than the registry's
+	// is acquired while it is held.
+	mu          sync.Mutex
+	classes     map[string]*Class
+	reasons     map[Reason]bool
+	scrapeHooks []func()
 }
 
-// New returns metrics that count from zero.
+// New returns Metrics with all values at zero.
 func New() *Metrics {
 	registry := gometrics.NewRegistry()
 	return &Metrics{
@@ -85,56 +86,59 @@
 	}
 }
 
-// Request returns the metrics of a class's requests.
+// ForClass returns the metrics of a class, or those of the class "other" if
+// MaxClasses other classes already have metrics.
 func (m *Metrics) Request(class string) *Class {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if known, ok := m.classes[class]; ok {
-		return known
+	if existing, ok := m.classes[class]; ok {
+		return existing
 	}
 	if len(m.classes) >= MaxClasses {
-		class = other
+		class = otherLabel
 	}
-	if known, ok := m.classes[class]; ok {
-		return known
+	if existing, ok := m.classes[class]; ok {
+		return existing
 	}
-	added := newClass(m, class)
-	m.classes[class] = added
-	return added
+	created := newClass(m, class)
+	m.classes[class] = created
+	return created
 }
 
-// TargetsVersion says which version of the targets is in force here.
+// SetTargetsVersion sets the version of the targets in force in this process.
 func (m *Metrics) TargetsVersion(version uint64) {
 	gauge(m.registry, familyTargetsVersion).Update(int64(version))
 }
 
-// OnRead has update called before each read of the metrics, for values that
-// are known elsewhere and need no counting.
+// OnScrape registers update to be called before each scrape, for values that are
+// read from elsewhere instead of being counted here.
 func (m *Metrics) OnRead(update func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.onRead = append(m.onRead, update)
+	m.scrapeHooks = append(m.scrapeHooks, update)
 }
 
-// refresh runs the updates without the lock, since they call the metrics.
-func (m *Metrics) refresh() {
+// runScrapeHooks calls the functions registered with OnScrape. It doesn't hold the
+// lock during the calls, since the functions call methods of Metrics.
+func (m *Metrics) runScrapeHooks() {
 	m.mu.Lock()
-	updates := slices.Clone(m.onRead)
+	hooks := slices.Clone(m.scrapeHooks)
 	m.mu.Unlock()
-	for _, update := range updates {
-		update()
+	for _, hook := range hooks {
+		hook()
 	}
 }
 
-// bounded returns reason, or other when too many reasons are known.
-func (m *Metrics) bounded(reason Reason) Reason {
+// limitReason returns reason, or otherLabel if MaxReasons other reasons already have
+// series.
+func (m *Metrics) limitReason(reason Reason) Reason {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.reasons[reason] {
 		return reason
 	}
 	if len(m.reasons) >= MaxReasons {
-		return other
+		return otherLabel
 	}
 	m.reasons[reason] = true
 	return reason
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -15,7 +15,7 @@
 	"github.com/sourcegraph/conc"
 )
 
-func text(t *testing.T, m *Metrics) string {
+func formatText(t *testing.T, m *Metrics) string {
 	t.Helper()
 	var out bytes.Buffer
 	if err := writeText(&out, m.registry); err != nil {
@@ -24,7 +24,7 @@
 	return out.String()
 }
 
-func TestText(t *testing.T) {
+func TestTextFormat(t *testing.T) {
 	m := New()
 	flag := m.Request("hazard-flag")
 	for range 3 {
@@ -51,7 +51,7 @@
 	m.Platform.Write(errors.New("down"))
 	m.StoreAsked("targets")()
 	m.TargetsVersion(12)
-	goldie.New(t).Assert(t, "text", []byte(text(t, m)))
+	goldie.New(t).Assert(t, "text", []byte(formatText(t, m)))
 }
 
 func TestClassesAreBounded(t *testing.T) {
@@ -59,7 +59,7 @@
 	for i := range 3 * MaxClasses {
 		m.Request(fmt.Sprintf("class-%d", i)).Received()
 	}
-	got := text(t, m)
+	got := formatText(t, m)
 	if n := strings.Count(got, string(familyReceived)+"{"); n != MaxClasses+1 {
 		t.Errorf("got %d series, want %d", n, MaxClasses+1)
 	}
@@ -75,12 +75,12 @@
 		m.Request("flag").Refused(Reason(fmt.Sprintf("reason-%d", i)))
 	}
 	want := fmt.Sprintf("%s{class=\"flag\",reason=\"other\"} %d\n", familyRefused, 2*MaxReasons)
-	if got := text(t, m); !strings.Contains(got, want) {
+	if got := formatText(t, m); !strings.Contains(got, want) {
 		t.Errorf("no %q in\n%s", want, got)
 	}
 }
 
-func TestConcurrentUse(t *testing.T) {
+func TestConcurrentUpdates(t *testing.T) {
 	const workers, rounds = 8, 200
 	m := New()
 	var group conc.WaitGroup
@@ -91,13 +91,13 @@
 				class.Received()
 				class.Refused("overload")
 				m.Control.Sent(1)
-				text(t, m)
+				formatText(t, m)
 			}
 		})
 	}
 	group.Wait()
 	want := fmt.Sprintf("%s{class=\"flag\"} %d\n", familyReceived, workers*rounds)
-	if got := text(t, m); !strings.Contains(got, want) {
+	if got := formatText(t, m); !strings.Contains(got, want) {
 		t.Errorf("no %q", want)
 	}
 }
--- a/internal/metrics/platform.go
+++ b/internal/metrics/platform.go
@@ -10,51 +10,52 @@
 
 // Platform counts the calls to the platform's services.
 type Platform struct {
-	read  calls
-	write calls
+	reads  callCounters
+	writes callCounters
 }
 
-type calls struct {
-	made   gometrics.Counter
+type callCounters struct {
+	total  gometrics.Counter
 	failed gometrics.Counter
 }
 
 func newPlatform(registry gometrics.Registry) *Platform {
 	return &Platform{
-		read:  newCalls(registry, operationRead),
-		write: newCalls(registry, operationWrite),
+		reads:  newCallCounters(registry, operationRead),
+		writes: newCallCounters(registry, operationWrite),
 	}
 }
 
-func newCalls(registry gometrics.Registry, operation string) calls {
+func newCallCounters(registry gometrics.Registry, operation string) callCounters {
 	label := label{name: labelOperation, value: operation}
-	return calls{
-		made:   counter(registry, familyPlatformCalls, label),
+	return callCounters{
+		total:  counter(registry, familyPlatformCalls, label),
 		failed: counter(registry, familyPlatformFailures, label),
 	}
 }
 
-// Read counts a read; err is its failure, or nil.
-func (p *Platform) Read(err error) { p.read.count(err) }
+// Read counts a read, and a failure if err isn't nil.
+func (p *Platform) Read(err error) { p.reads.count(err) }
 
-// Write counts a write; err is its failure, or nil.
-func (p *Platform) Write(err error) { p.write.count(err) }
+// Write counts a write, and a failure if err isn't nil.
+func (p *Platform) Write(err error) { p.writes.count(err) }
 
-// StoreAsked returns what counts a call to the platform's store about a table.
+// StoreCallCounter returns a function that counts a call to the platform's store for the
+// table.
 func (m *Metrics) StoreAsked(table string) (count func()) {
-	asked := counter(m.registry, familyStoreAsked, label{name: labelTable, value: table})
-	return func() { asked.Inc(1) }
+	calls := counter(m.registry, familyStoreCalls, label{name: labelTable, value: table})
+	return func() { calls.Inc(1) }
 }
 
-// StoreRestored returns what counts a return of the platform's store from an older copy, as
-// seen by the follower of a table.
+// StoreRestoreCounter returns a function that counts a restore of the platform's store from
+// an older copy, as detected by the follower of the table.
 func (m *Metrics) StoreRestored(table string) (count func()) {
-	restored := counter(m.registry, familyStoreRestored, label{name: labelTable, value: table})
-	return func() { restored.Inc(1) }
+	restores := counter(m.registry, familyStoreRestores, label{name: labelTable, value: table})
+	return func() { restores.Inc(1) }
 }
 
-func (c calls) count(err error) {
-	c.made.Inc(1)
+func (c callCounters) count(err error) {
+	c.total.Inc(1)
 	if err != nil {
 		c.failed.Inc(1)
 	}
--- a/internal/metrics/queue.go
+++ b/internal/metrics/queue.go
@@ -2,8 +2,8 @@
 
 import gometrics "github.com/rcrowley/go-metrics"
 
-// Queue tells of the work that a process holds: tickets and runs at an agent,
-// requests at an entry.
+// Queue exposes the work of a process: its tickets and runs at an agent, its
+// requests at an entry process.
 type Queue struct {
 	waiting gometrics.Gauge
 	running gometrics.Gauge
@@ -14,12 +14,12 @@
 	return &Queue{
 		waiting: gauge(registry, familyWaiting),
 		running: gauge(registry, familyRunning),
-		limit:   gauge(registry, familyLimit),
+		limit:   gauge(registry, familyRunningLimit),
 	}
 }
 
-// Set states how many wait, how many run, and how many may run at once; limit
-// is zero where there is none.
+// Set sets the number of waiting and running items, and the maximum number that
+// may run at once; a limit of zero means no limit.
 func (q *Queue) Set(waiting, running, limit int) {
 	q.waiting.Update(int64(waiting))
 	q.running.Update(int64(running))
--- a/internal/metrics/readiness.go
+++ b/internal/metrics/readiness.go
@@ -1,5 +1,5 @@
 package metrics
 
-// Readiness says whether a process takes new work: nil, or an error that says
-// in few words why it doesn't.
+// Readiness returns nil if the process accepts new work, or else an error with
+// a short reason.
 type Readiness func() error
--- a/internal/metrics/series.go
+++ b/internal/metrics/series.go
@@ -6,7 +6,7 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// Names of labels.
+// Label names.
 const (
 	labelClass     = "class"
 	labelReason    = "reason"
@@ -17,53 +17,54 @@
 	labelQuantile  = "quantile"
 )
 
-// label is one name and value that tells series of a family apart.
+// label is a label name with its value.
 type label struct {
 	name  string
 	value string
 }
 
-// Size and bias of the sample behind a histogram; the values are those that
-// go-metrics documents for load averages of five minutes.
+// Size and decay factor (alpha) of a histogram's exponentially decaying sample;
+// go-metrics documents these values for a window of five minutes, as in the UNIX
+// load average.
 const (
-	sampleSize = 1028
-	sampleBias = 0.015
+	sampleSize  = 1028
+	sampleAlpha = 0.015
 )
 
-// key is a series' name in the registry: its family and its labels as the
-// text format writes them.
-func key(f family, labels ...label) string {
+// seriesKey returns the registry key of a series: its family and its labels in
+// the Prometheus text format.
+func seriesKey(f family, labels ...label) string {
 	if len(labels) == 0 {
 		return string(f)
 	}
-	return string(f) + "{" + pairs(labels) + "}"
+	return string(f) + "{" + formatLabels(labels) + "}"
 }
 
-func pairs(labels []label) string {
-	written := make([]string, 0, len(labels))
+func formatLabels(labels []label) string {
+	formatted := make([]string, 0, len(labels))
 	for _, l := range labels {
-		written = append(written, l.name+`="`+escaper.Replace(l.value)+`"`)
+		formatted = append(formatted, l.name+`="`+labelEscaper.Replace(l.value)+`"`)
 	}
-	return strings.Join(written, ",")
+	return strings.Join(formatted, ",")
 }
 
-var escaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
+var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-// split undoes key.
-func split(key string) (f family, labels string) {
+// splitKey splits the result of seriesKey into the family and the formatted labels.
+func splitKey(key string) (f family, labels string) {
 	name, rest, _ := strings.Cut(key, "{")
 	return family(name), strings.TrimSuffix(rest, "}")
 }
 
 func counter(registry gometrics.Registry, f family, labels ...label) gometrics.Counter {
-	return gometrics.GetOrRegisterCounter(key(f, labels...), registry)
+	return gometrics.GetOrRegisterCounter(seriesKey(f, labels...), registry)
 }
 
 func gauge(registry gometrics.Registry, f family, labels ...label) gometrics.Gauge {
-	return gometrics.GetOrRegisterGauge(key(f, labels...), registry)
+	return gometrics.GetOrRegisterGauge(seriesKey(f, labels...), registry)
 }
 
 func histogram(registry gometrics.Registry, f family, labels ...label) gometrics.Histogram {
-	sample := gometrics.NewExpDecaySample(sampleSize, sampleBias)
-	return gometrics.GetOrRegisterHistogram(key(f, labels...), registry, sample)
+	sample := gometrics.NewExpDecaySample(sampleSize, sampleAlpha)
+	return gometrics.GetOrRegisterHistogram(seriesKey(f, labels...), registry, sample)
 }
--- a/internal/metrics/text.go
+++ b/internal/metrics/text.go
@@ -10,22 +10,23 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// quantiles of a histogram that are served.
+// quantiles lists the quantiles exposed for each histogram.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// microsecondsPerSecond turns what a histogram records into what is served.
+// microsecondsPerSecond converts the recorded microseconds to the exposed seconds.
 const microsecondsPerSecond = 1e6
 
-// writeText writes the registry's series in Prometheus' text format, sorted.
+// writeText writes the registry's series in the Prometheus text format, sorted by
+// family and labels.
 func writeText(out io.Writer, registry gometrics.Registry) error {
 	series := make(map[string]any)
 	registry.Each(func(key string, metric any) { series[key] = metric })
 	var text strings.Builder
 	var last family
 	for _, key := range sortedKeys(series) {
-		f, labels := split(key)
+		f, labels := splitKey(key)
 		if f != last {
-			writeHead(&text, f, series[key])
+			writeHeader(&text, f, series[key])
 			last = f
 		}
 		writeSeries(&text, f, labels, series[key])
@@ -34,15 +35,16 @@
 	return err
 }
 
-// sortedKeys sorts by family first, so that a family's series stand together.
+// sortedKeys returns the keys sorted by family first, since the text format
+// requires the series of a family to be contiguous.
 func sortedKeys(series map[string]any) []string {
 	keys := make([]string, 0, len(series))
 	for key := range series {
 		keys = append(keys, key)
 	}
 	slices.SortFunc(keys, func(a, b string) int {
-		familyA, labelsA := split(a)
-		familyB, labelsB := split(b)
+		familyA, labelsA := splitKey(a)
+		familyB, labelsB := splitKey(b)
 		if familyA != familyB {
 			return strings.Compare(string(familyA), string(familyB))
 		}
@@ -51,12 +53,12 @@
 	return keys
 }
 
-func writeHead(text *strings.Builder, f family, metric any) {
-	fmt.Fprintf(text, "# HELP %s %s\n", f, help[f])
-	fmt.Fprintf(text, "# TYPE %s %s\n", f, typeOf(metric))
+func writeHeader(text *strings.Builder, f family, metric any) {
+	fmt.Fprintf(text, "# HELP %s %s\n", f, helpTexts[f])
+	fmt.Fprintf(text, "# TYPE %s %s\n", f, metricType(metric))
 }
 
-func typeOf(metric any) string {
+func metricType(metric any) string {
 	switch metric.(type) {
 	case gometrics.Counter:
 		return "counter"
@@ -78,13 +80,13 @@
 	}
 }
 
-// writeSummary leaves out the sum, since the registry's histogram sums only its
-// sample, and the quantiles as long as nothing was recorded.
+// writeSummary writes the quantiles, unless nothing was recorded, and the count. It
+// omits the sum, since the registry's histogram sums only its sample.
 func writeSummary(text *strings.Builder, f family, labels string, h gometrics.Histogram) {
 	if h.Count() > 0 {
 		for i, value := range h.Percentiles(quantiles) {
 			quantile := label{name: labelQuantile, value: formatNumber(quantiles[i])}
-			writeSample(text, string(f), labels+","+pairs([]label{quantile}), value/microsecondsPerSecond)
+			writeSample(text, string(f), labels+","+formatLabels([]label{quantile}), value/microsecondsPerSecond)
 		}
 	}
 	writeSample(text, string(f)+"_count", labels, float64(h.Count()))
--- a/internal/metrics/usage.go
+++ b/internal/metrics/usage.go
@@ -6,30 +6,31 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// Usage counts the reports of usage that this process made. It implements usage.Observer.
+// UsageReports counts the usage reports that this process sent. It implements
+// usage.Observer.
 type Usage struct {
-	reported gometrics.Counter
+	accepted gometrics.Counter
 	late     gometrics.Counter
-	refused  gometrics.Counter
-	after    gometrics.Gauge
+	failed   gometrics.Counter
+	delay    gometrics.Gauge
 }
 
-// Usage returns what counts reports of usage.
+// UsageReports returns the counters of usage reports.
 func (m *Metrics) Usage() *Usage {
 	return &Usage{
-		reported: counter(m.registry, familyUsageReported), late: counter(m.registry, familyUsageLate),
-		refused: counter(m.registry, familyUsageRefused), after: gauge(m.registry, familyUsageAfter),
+		accepted: counter(m.registry, familyUsageAccepted), late: counter(m.registry, familyUsageLate),
+		failed: counter(m.registry, familyUsageFailed), delay: gauge(m.registry, familyUsageDelay),
 	}
 }
 
-// Reported implements usage.Observer.
+// ReportAccepted implements usage.Observer.
 func (u *Usage) Reported(after time.Duration, late bool) {
-	u.reported.Inc(1)
-	u.after.Update(after.Milliseconds())
+	u.accepted.Inc(1)
+	u.delay.Update(after.Milliseconds())
 	if late {
 		u.late.Inc(1)
 	}
 }
 
-// Refused implements usage.Observer.
-func (u *Usage) Refused(error) { u.refused.Inc(1) }
+// ReportFailed implements usage.Observer.
+func (u *Usage) Refused(error) { u.failed.Inc(1) }
