--- a/internal/logging/lossy_test.go
+++ b/internal/logging/async_writer_test.go
@@ -12,53 +12,53 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// stuck is a reader that takes nothing until it is let go.
-type stuck struct {
+// blockedWriter is a writer whose Write blocks until gate is closed.
+type blockedWriter struct {
 	mu   sync.Mutex
 	out  bytes.Buffer
 	gate chan struct{}
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.gate
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.out.Write(p)
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	<-w.gate
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.out.Write(p)
 }
 
-func (s *stuck) text() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.out.String()
+func (w *blockedWriter) text() string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.out.String()
 }
 
-func TestSlowReaderBlocksNobody(t *testing.T) {
-	out := &stuck{gate: make(chan struct{})}
+func TestSlowReaderDoesNotBlock(t *testing.T) {
+	out := &blockedWriter{gate: make(chan struct{})}
 	log := zap.New(newCore(out, zap.InfoLevel))
 	before := Dropped()
-	began := time.Now()
+	start := time.Now()
 	for i := range 5000 {
 		log.Info("event_"+string(rune('a'+i%26))+string(rune('a'+i/26%26))+string(rune('a'+i/676)), Request("r"))
 	}
-	if took := time.Since(began); took > 2*time.Second {
-		t.Fatalf("5,000 lines to a reader that takes none took %v", took)
+	if elapsed := time.Since(start); elapsed > 2*time.Second {
+		t.Fatalf("logging 5,000 lines to a blocked writer took %v", elapsed)
 	}
-	left := Dropped() - before
-	if left < 5000-2*maxQueued || left > 5000-maxQueued {
-		t.Errorf("%d lines left out of 5,000, %d fit", left, maxQueued)
+	droppedCount := Dropped() - before
+	if droppedCount < 5000-2*maxQueuedLines || droppedCount > 5000-maxQueuedLines {
+		t.Errorf("%d of 5,000 lines dropped, the queue holds %d", droppedCount, maxQueuedLines)
 	}
 	close(out.gate)
 	if err := log.Sync(); err != nil {
 		t.Fatal(err)
 	}
 	text := out.text()
-	if !strings.Contains(text, "event="+EventLinesDropped) || strings.Count(text, "\n") < maxQueued {
-		t.Errorf("%d lines written, and what was left out isn't told", strings.Count(text, "\n"))
+	if !strings.Contains(text, "event="+EventLinesDropped) || strings.Count(text, "\n") < maxQueuedLines {
+		t.Errorf("%d lines written, or the dropped lines aren't reported", strings.Count(text, "\n"))
 	}
 }
 
-func TestFloodOfOneEventIsThinned(t *testing.T) {
-	out := &stuck{gate: make(chan struct{})}
+func TestRepeatedEventIsSampled(t *testing.T) {
+	out := &blockedWriter{gate: make(chan struct{})}
 	close(out.gate)
 	log := zap.New(newCore(out, zap.InfoLevel))
 	before := Dropped()
@@ -70,22 +70,22 @@
 		t.Fatal(err)
 	}
 	lines := strings.Count(out.text(), "\n")
-	if lines < sampledFirst || lines > sampledFirst+1000/sampledThen+10 {
-		t.Errorf("%d lines of 1,000 alike", lines)
+	if lines < sampleInitial || lines > sampleInitial+1000/sampleThereafter+10 {
+		t.Errorf("%d of 1,000 equal lines written", lines)
 	}
 	if got := Dropped() - before; got != int64(1001-lines) {
-		t.Errorf("%d lines counted as left out, %d were", got, 1001-lines)
+		t.Errorf("%d lines counted as dropped, want %d", got, 1001-lines)
 	}
 	if !strings.Contains(out.text(), "request=kept") {
-		t.Error("the flood swallowed another event")
+		t.Error("sampling dropped a line of another event")
 	}
 }
 
-// BenchmarkLine is what a line costs that is written, and one of a flood that
-// is left out.
+// BenchmarkLine measures the cost of a line that is written and of one that is
+// mostly dropped by sampling.
 func BenchmarkLine(b *testing.B) {
 	for name, core := range map[string]zapcore.Core{
-		"written":  newUnthinned(io.Discard, zap.InfoLevel),
+		"written":  newUnsampledCore(io.Discard, zap.InfoLevel),
 		"left out": newCore(io.Discard, zap.InfoLevel),
 	} {
 		b.Run(name, func(b *testing.B) {
@@ -97,10 +97,10 @@
 	}
 }
 
-// A burst refuses thousands of requests for one reason; those that are refused
-// for another are the ones that operators look for.
-func TestFloodOfOneReasonLeavesOthers(t *testing.T) {
-	out := &stuck{gate: make(chan struct{})}
+// Guards against sampling by event alone: a burst refuses thousands of requests for
+// one reason, and operators need the few lines with another reason.
+func TestSamplingKeepsOtherReasons(t *testing.T) {
+	out := &blockedWriter{gate: make(chan struct{})}
 	close(out.gate)
 	log := zap.New(newCore(out, zap.InfoLevel)).With(zap.String("process", "p"))
 	for range 1000 {
@@ -113,6 +113,6 @@
 		t.Fatal(err)
 	}
 	if got := strings.Count(out.text(), "request=kept"); got != 20 {
-		t.Errorf("%d lines of 20 with another reason", got)
+		t.Errorf("%d of 20 lines with another reason written", got)
 	}
 }
--- a/internal/logging/docs_test.go
+++ b/internal/logging/docs_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestDocsListEveryEvent compares the table in OPERATING.md with the names in
-// this package.
+// TestDocsListEveryEvent checks that the tables in OPERATING.md list exactly the
+// event names of this package.
 func TestDocsListEveryEvent(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATING.md")
 	if err != nil {
@@ -35,7 +35,8 @@
 			t.Errorf("the page lists %s, which isn't logged", match[1])
 		}
 	}
-	// Of each renamed event the name of before isn't logged, and the later one is.
+	// Each row of the table of renamed events holds the old name, which must no
+	// longer be logged, and the new one, which must be.
 	for _, names := range regexp.MustCompile("`([a-z]+_[a-z_]+)` \\| `([a-z]+_[a-z_]+)`").FindAllStringSubmatch(renamed, -1) {
 		if strings.HasPrefix(names[1], "applepier_") {
 			continue
--- a/internal/logging/event.go
+++ b/internal/logging/event.go
@@ -1,138 +1,147 @@
 package logging
 
-// Names of events of a process.
+// Names of process events.
 const (
-	// EventStarted: the process serves.
+	// EventStarted: the process is ready to serve.
 	EventStarted = "started"
-	// EventSignal: the process was told to stop; a SIGINT after it ends it at once.
+	// EventSignal: the process received a signal to stop; a further SIGINT
+	// terminates it immediately.
 	EventSignal = "signal"
 	// EventStopping: the graceful shutdown has begun.
 	EventStopping = "stopping"
-	// EventStopped: the process has ended what it had.
+	// EventStopped: the graceful shutdown has completed.
 	EventStopped = "stopped"
-	// EventFailed: the process can't go on.
+	// EventFailed: the process terminates because of an error.
 	EventFailed = "failed"
-	// EventLinesDropped: lines were left out, since the log's reader is slow.
+	// EventLinesDropped: log lines were dropped because the log's reader is slow.
 	EventLinesDropped = "lines_dropped"
-	// EventSettingsChanged: a changed settings file was taken up.
+	// EventSettingsChanged: a changed settings file was applied.
 	EventSettingsChanged = "settings_changed"
-	// EventSettingsRefused: a changed settings file can't be used; what was in
-	// force stays.
+	// EventSettingsRejected: a changed settings file is invalid; the previous
+	// settings stay in force.
 	EventSettingsRefused = "settings_refused"
 	// EventConnected: a connection to another process was opened.
 	EventConnected = "connected"
-	// EventDisconnected: a connection was closed, or went silent.
+	// EventDisconnected: a connection was closed, or timed out.
 	EventDisconnected = "disconnected"
-	// EventPlatformDown: a platform service doesn't answer.
+	// EventPlatformDown: a platform service doesn't respond.
 	EventPlatformDown = "platform_down"
-	// EventPlatformUp: it answers again.
+	// EventPlatformUp: the platform service responds again.
 	EventPlatformUp = "platform_up"
-	// EventStoreAsked: a gateway follows a table of the store for itself.
+	// EventStorePollingStarted: a gateway began to poll a table of the store itself.
 	EventStoreAsked = "store_asked"
-	// EventUsageHeld: this gateway reports usage from now on; EventUsageLeft: no longer.
+	// EventUsageDutyAcquired: this gateway has become the usage reporter.
 	EventUsageHeld = "usage_duty_acquired"
+	// EventUsageDutyReleased: this gateway is no longer the usage reporter.
 	EventUsageLeft = "usage_duty_left"
-	// EventUsageFinalized: a window's report is stored; EventUsageReported: the platform took it.
+	// EventUsageReportFinalized: the report of a window was stored.
 	EventUsageFinalized = "usage_report_finalized"
-	EventUsageReported  = "usage_reported"
-	// EventUsageFailed: a report couldn't be stored or sent, and is tried again.
+	// EventUsageReported: the platform accepted the report of a window.
+	EventUsageReported = "usage_reported"
+	// EventUsageReportFailed: a report couldn't be stored or sent; it will be retried.
 	EventUsageFailed = "usage_report_failed"
-	// EventUsageUnreadable: stored counts can't be read or written.
+	// EventUsageCountsUnreadable: stored usage counts can't be read or written.
 	EventUsageUnreadable = "usage_counts_unreadable"
-	// EventStoreRestored: the platform's store came back from an older copy; the table was
-	// read anew.
+	// EventStoreRestored: the platform's store was restored from an older copy; the
+	// whole table was read again.
 	EventStoreRestored = "store_restored"
-	// EventStoreLeft: it has what changes there from other gateways.
+	// EventStorePollingStopped: a gateway receives the changes of a table from other
+	// gateways and no longer polls the store for them.
 	EventStoreLeft = "store_left"
-	// EventRowUnreadable: a row of the platform's store can't be used; what was
-	// known of it stays.
+	// EventRowUnreadable: a row of the platform's store is invalid; its last valid
+	// value stays in use.
 	EventRowUnreadable = "row_unreadable"
-	// EventPeerUnreadable: a datagram between gateways could not be written or
-	// read.
+	// EventPeerUnreadable: a datagram between gateways could not be encoded or
+	// decoded.
 	EventPeerUnreadable = "peer_unreadable"
-	// EventHandoverFailed: another gateway's desired state and list of servers
-	// could not be had, or not be used.
+	// EventHandoverFailed: the desired state and list of servers could not be
+	// fetched from another gateway, or were invalid.
 	EventHandoverFailed = "handover_failed"
-	// EventRegisterFailed: a gateway could not enter itself in the list of
-	// gateways this time.
+	// EventRegisterFailed: a gateway's attempt to register in the list of gateways
+	// failed.
 	EventRegisterFailed = "register_failed"
-	// EventGatewayGone: the entry of a gateway that is gone was removed.
+	// EventGatewayRemoved: the registration of a terminated gateway was removed.
 	EventGatewayGone = "gateway_gone"
 	// EventServersListed: a gateway read the whole list of backend servers.
 	EventServersListed = "servers_listed"
-	// EventServerChanged: a backend server's entry is new or has changed.
+	// EventServerChanged: a backend server was added to the list or its entry there
+	// changed.
 	EventServerChanged = "server_changed"
-	// EventServerRemoved: a backend server's entry was removed.
+	// EventServerRemoved: a backend server was removed from the list.
 	EventServerRemoved = "server_removed"
-	// EventServerEnded: a backend server ended while it had requests of this gateway.
+	// EventServerEnded: a backend server terminated while it had requests of this
+	// gateway.
 	EventServerEnded = "server_ended"
-	// EventServerLimited: a backend server has named a limit, or another one, in an answer.
+	// EventServerLimited: a backend server announced a new or changed limit in a
+	// response.
 	EventServerLimited = "server_limited"
-	// EventServerUnlimited: it names none any more.
+	// EventServerUnlimited: a backend server no longer announces a limit.
 	EventServerUnlimited = "server_unlimited"
-	// EventRequestQuarantined: a request is refused from now on, since servers ended under it.
+	// EventRequestQuarantined: a request will be refused because backend servers
+	// terminated while processing it.
 	EventRequestQuarantined = "request_quarantined"
-	// EventQuarantineFailed: the requests that are quarantined could not be read from the
-	// store, or one of them not be written.
+	// EventQuarantineFailed: the quarantined requests could not be read from the
+	// store, or one of them could not be written to it.
 	EventQuarantineFailed = "quarantine_failed"
-	// EventCallerClosed: a gateway closed a caller's connection that rested longer
-	// than its limit.
+	// EventIdleConnClosed: a gateway closed a client's connection that was idle
+	// longer than the limit.
 	EventCallerClosed = "caller_closed"
-	// EventServerError: the HTTP server tells of an error of its own, such as a
-	// panic of what handles a request.
+	// EventServerError: the HTTP server reported an internal error, such as a
+	// panic in a request handler.
 	EventServerError = "server_error"
-	// EventEngineDown: the backend server can't be reached.
+	// EventEngineDown: the backend server is unreachable.
 	EventEngineDown = "engine_down"
-	// EventEngineUp: it can be reached, at first or again.
+	// EventEngineUp: the backend server is reachable for the first time or again.
 	EventEngineUp = "engine_up"
 )
 
-// Names of events of a request. Each request has one line, with its end.
+// Names of request events. Each request is logged once, when it ends.
 const (
-	// EventRequestFinished: its whole answer was given, or it failed.
+	// EventRequestFinished: the complete response was sent, or the request failed.
 	EventRequestFinished = "request_finished"
-	// EventRequestRefused: it was turned away and certainly not run.
+	// EventRequestRefused: the request was refused and certainly not run.
 	EventRequestRefused = "request_refused"
-	// EventRequestUnknown: whether it ran can't be told.
+	// EventRequestUnknown: it is unknown whether the request ran.
 	EventRequestUnknown = "request_unknown"
-	// EventRequestCancelled: its caller went away.
+	// EventRequestCancelled: the client disconnected.
 	EventRequestCancelled = "request_cancelled"
-	// EventClaimNotSettled: the end of a request with an idempotency key could
-	// not be written into its claim.
+	// EventClaimNotSettled: the outcome of a request with an idempotency key could
+	// not be written to its claim.
 	EventClaimNotSettled = "claim_not_settled"
-	// EventClaimSweepFailed: old claims could not be removed.
+	// EventClaimSweepFailed: expired claims could not be removed.
 	EventClaimSweepFailed = "claim_sweep_failed"
-	// EventClaimCorrupt: a claim can't be decoded and is left alone.
+	// EventClaimCorrupt: a claim can't be decoded and is left unchanged.
 	EventClaimCorrupt = "claim_corrupt"
 )
 
-// Names of events of the administration, leases and orders.
+// Names of events of the administration API, leases and orders.
 const (
 	// EventTargetsChanged: an operator's change was accepted.
 	EventTargetsChanged = "targets_changed"
-	// EventTargetsAdopted: a newer version of the targets is in force here.
+	// EventTargetsAdopted: this process applied a newer version of the targets.
 	EventTargetsAdopted = "targets_adopted"
 	// EventTargetsPollFailed: the version of the targets could not be read.
 	EventTargetsPollFailed = "targets_poll_failed"
-	// EventAdminReadFailed: an operator was told what is in force here, since
-	// the table service didn't answer.
+	// EventAdminReadFailed: an operator's read returned the targets in force in this
+	// process, since the table service didn't respond.
 	EventAdminReadFailed = "admin_read_failed"
-	// EventAdminChangeFailed: a change failed for a cause of our own.
+	// EventAdminChangeFailed: an operator's change failed because of an internal
+	// error.
 	EventAdminChangeFailed = "admin_change_failed"
-	// EventLeaseAcquired: a lease is held by this process from now on.
+	// EventLeaseAcquired: this process acquired a lease.
 	EventLeaseAcquired = "lease_acquired"
-	// EventLeaseEnded: a lease is no longer held here.
+	// EventLeaseEnded: this process no longer holds a lease.
 	EventLeaseEnded = "lease_ended"
-	// EventLeaseRenewFailed: a lease could not be renewed this time.
+	// EventLeaseRenewFailed: an attempt to renew a lease failed.
 	EventLeaseRenewFailed = "lease_renew_failed"
-	// EventLeaseReleaseFailed: a lease could not be given back.
+	// EventLeaseReleaseFailed: a lease could not be released.
 	EventLeaseReleaseFailed = "lease_release_failed"
-	// EventLeaseActFailed: what is done under a lease failed.
+	// EventLeaseTaskFailed: a task performed under a lease failed.
 	EventLeaseActFailed = "lease_act_failed"
-	// EventOrderGiven: an order was given to an engine's agent.
+	// EventOrderIssued: an order was issued to an engine's agent.
 	EventOrderGiven = "order_given"
-	// EventOrderDone: an order to the engine was carried out.
+	// EventOrderCompleted: an order to the engine was executed.
 	EventOrderDone = "order_done"
-	// EventOrderFailed: an order could not be read or carried out.
+	// EventOrderFailed: an order could not be read or executed.
 	EventOrderFailed = "order_failed"
 )
--- a/internal/logging/field.go
+++ b/internal/logging/field.go
@@ -2,7 +2,7 @@
 
 import "go.uber.org/zap"
 
-// Keys of the pairs.
+// Keys of the logfmt pairs.
 const (
 	keyTime    = "ts"
 	keyLevel   = "level"
@@ -14,14 +14,15 @@
 	keyReason  = "reason"
 )
 
-// Request is the id of the request that a line concerns.
+// Request returns the field for the ID of the request that a line concerns.
 func Request(id string) zap.Field { return zap.String(keyRequest, id) }
 
-// Class is the class of the request that a line concerns.
+// Class returns the field for the class of the request that a line concerns.
 func Class(name string) zap.Field { return zap.String(keyClass, name) }
 
-// Peer is the other process that a line concerns.
+// Peer returns the field for the other process that a line concerns.
 func Peer(process string) zap.Field { return zap.String(keyPeer, process) }
 
-// Reason says in few words why it happened.
+// Reason returns the field for the cause of the event, a few words long. Lines are
+// sampled by event and reason.
 func Reason(text string) zap.Field { return zap.String(keyReason, text) }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,7 +1,7 @@
-// Package logging writes the processes' logs: one line of key=value pairs for
-// each event, to standard error. The event names are constants of this
-// package and stay stable, so that operators can search and alert on them. A
-// line never holds a prompt, an answer or a key. Start reading at New.
+// Package logging writes a process's log to standard error in logfmt: one line of
+// key=value pairs per event. The event names are constants of this package and
+// stay stable, so that operators can search and alert on them. A line never
+// contains a prompt, a response body or a key. Start reading at New.
 package logging
 
 import (
@@ -14,36 +14,36 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// ErrLevel: the level is not debug, info, warn or error.
+// ErrLevel is returned for a level other than debug, info, warn and error.
 var ErrLevel = errors.New("log level must be debug, info, warn or error")
 
 const (
-	// sampledFirst and sampledThen thin a flood of lines of one event and one
-	// reason: so many in a second are written, and of those beyond one in so
-	// many. A line costs a microsecond and the system call that writes it, one
-	// that is left out a third of that; a burst refuses thousands of requests a
-	// second on a VM with a tenth of a core.
-	sampledFirst = 50
-	sampledThen  = 20
+	// Of the lines with the same event and reason, the first sampleInitial in each
+	// second are written, then one of every sampleThereafter. Writing a line costs
+	// 1 µs plus a system call, dropping it a third of that; during a burst, a VM
+	// with a tenth of a core refuses thousands of requests per second.
+	sampleInitial    = 50
+	sampleThereafter = 20
 )
 
-// New returns a logger for the named process. The empty level means info. The
-// message of each line is its event's name:
+// New returns a logger for the named process that writes lines of the level and
+// above. An empty level means info; an unknown one gives ErrLevel. The message of
+// each line is the name of its event:
 //
 //	log.Info(logging.EventStarted, logging.Request(id))
 func New(level string, process string) (*zap.Logger, error) {
 	return newLogger(os.Stderr, level, process)
 }
 
-// newCore writes to out without ever blocking, and thins floods. What is left
-// out is counted.
+// newCore returns a core that writes to out without blocking and samples repeated
+// lines. Dropped lines are counted.
 func newCore(out io.Writer, enabled zapcore.LevelEnabler) zapcore.Core {
-	return newThinner(newUnthinned(out, enabled))
+	return newSampler(newUnsampledCore(out, enabled))
 }
 
-// newUnthinned writes to out without ever blocking.
-func newUnthinned(out io.Writer, enabled zapcore.LevelEnabler) zapcore.Core {
-	return zapcore.NewCore(zaplogfmt.NewEncoder(encoding()), newLossyWriter(out), enabled)
+// newUnsampledCore returns a core that writes to out without blocking.
+func newUnsampledCore(out io.Writer, enabled zapcore.LevelEnabler) zapcore.Core {
+	return zapcore.NewCore(zaplogfmt.NewEncoder(encoderConfig()), newAsyncWriter(out), enabled)
 }
 
 func newLogger(out io.Writer, level string, process string) (*zap.Logger, error) {
@@ -69,7 +69,7 @@
 	}
 }
 
-func encoding() zapcore.EncoderConfig {
+func encoderConfig() zapcore.EncoderConfig {
 	return zapcore.EncoderConfig{
 		TimeKey:        keyTime,
 		LevelKey:       keyLevel,
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -8,7 +8,7 @@
 	"github.com/go-faster/errors"
 )
 
-func TestOneLineOfPairsAnEvent(t *testing.T) {
+func TestWritesOneLinePerEvent(t *testing.T) {
 	var out bytes.Buffer
 	log, err := newLogger(&out, "", "entry-1")
 	if err != nil {
