--- a/internal/timeline/bench_test.go
+++ b/internal/timeline/bench_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// ringSize is the number of events that the processes keep.
+// ringSize is the capacity of the processes' rings in events.
 const ringSize = 65536
 
-// BenchmarkRecord is what one event costs.
+// BenchmarkRecord measures the cost of recording an event.
 func BenchmarkRecord(b *testing.B) {
 	ring := NewRing("entry-1", &Clock{}, ringSize)
 	b.ReportAllocs()
@@ -14,7 +14,8 @@
 	}
 }
 
-// BenchmarkSelect is what one question for a request costs a full ring.
+// BenchmarkSelect measures the cost of selecting one request's events from a full
+// ring.
 func BenchmarkSelect(b *testing.B) {
 	ring := NewRing("entry-1", &Clock{}, ringSize)
 	for range ringSize {
--- a/internal/timeline/clock.go
+++ b/internal/timeline/clock.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Clock is a hybrid logical clock. Its zero value is ready for use and reads
-// the VM's clock.
+// Clock is a hybrid logical clock. Its zero value is ready for use and takes the
+// physical time from the VM's clock. All methods may be called concurrently.
 type Clock struct {
 	// wall reads the physical clock; nil means time.Now.
 	wall func() time.Time
@@ -15,12 +15,13 @@
 	last Stamp
 }
 
-// NewClock returns a Clock whose physical part comes from wall.
+// NewClock returns a Clock that takes the physical time from wall.
 func NewClock(wall func() time.Time) *Clock {
 	return &Clock{wall: wall}
 }
 
-// Now returns a stamp after all stamps this clock has given or seen.
+// Now returns a timestamp greater than all timestamps that this clock has returned
+// or observed.
 func (c *Clock) Now() Stamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -28,10 +29,10 @@
 	return c.last
 }
 
-// before returns the stamp that lies so long before the clock's reading. It
-// takes the later of the physical clock and the stamps seen, as Now does, so
-// that a process compares its own events with its own stamps.
-func (c *Clock) before(span time.Duration) Stamp {
+// ago returns the timestamp that lies span before the clock's reading. Like Now, it
+// reads the later of the physical clock and the last timestamp, so that the result
+// is comparable with the timestamps of this process's own events.
+func (c *Clock) ago(span time.Duration) Stamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return Stamp{Wall: max(c.physical(), c.last.Wall) - int64(span)}
@@ -44,8 +45,8 @@
 	return c.wall().UnixNano()
 }
 
-// Observe takes note of a stamp that came with a message, so that whatever
-// happens here next is ordered after it.
+// Observe advances the clock to the timestamp of a received message, so that all
+// later timestamps of this clock are greater.
 func (c *Clock) Observe(s Stamp) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/timeline/event.go
+++ b/internal/timeline/event.go
@@ -1,11 +1,11 @@
-// Package timeline records what a process did as typed events in a bounded
-// ring, stamped by a hybrid logical clock (Kulkarni et al., "Logical Physical
-// Clocks", 2014) that is passed on with each message between processes. One
-// order over all processes then respects cause and effect without trusting
-// the VMs' clocks. Start reading at Event.
+// Package timeline records the events of a process in a ring buffer, with
+// timestamps of a hybrid logical clock (Kulkarni et al., "Logical Physical
+// Clocks", 2014) that are sent with each message between processes. The total
+// order of the timestamps over all processes preserves causality even if the VMs'
+// clocks disagree. Start reading at Event.
 package timeline
 
-// Kind names what happened.
+// Kind is the type of an event.
 type Kind string
 
 // Kinds of events.
@@ -28,11 +28,11 @@
 	KindLeave        Kind = "leave"
 )
 
-// Stamp is a reading of a hybrid logical clock.
+// Timestamp is a reading of a hybrid logical clock.
 type Stamp struct {
 	// Wall is the physical part, in nanoseconds since the Unix epoch.
 	Wall int64 `json:"wall" cbor:"1,keyasint"`
-	// Logical orders events that share Wall.
+	// Logical is the counter that orders timestamps with equal Wall.
 	Logical uint32 `json:"logical" cbor:"2,keyasint"`
 }
 
@@ -44,7 +44,7 @@
 	return s.Logical < t.Logical
 }
 
-// Event is one thing that a process did or saw.
+// Event is an action or observation of a process.
 type Event struct {
 	Stamp   Stamp  `json:"stamp"`
 	Process string `json:"process"`
@@ -52,6 +52,6 @@
 	// Request and Class are empty for events that concern no request.
 	Request string `json:"request,omitempty"`
 	Class   string `json:"class,omitempty"`
-	// Detail is a short reason or count; never a prompt, answer or key.
+	// Detail is a short reason or count; never a prompt, response body or key.
 	Detail string `json:"detail,omitempty"`
 }
--- a/internal/timeline/filter.go
+++ b/internal/timeline/filter.go
@@ -8,57 +8,61 @@
 	"github.com/go-faster/errors"
 )
 
-// Names of the query's parameters.
+// Names of the query parameters.
 const (
 	paramSince   = "since"
 	paramRequest = "request"
 	paramLimit   = "limit"
 )
 
-// Bounds of a question.
+// Defaults and limits of a query.
 const (
-	// DefaultSince is how far back a question goes that doesn't say.
+	// DefaultSince is the default of Filter.Since.
 	DefaultSince = 5 * time.Minute
-	// DefaultLimit is how many events a process gives when not told; MaxLimit
-	// is the most.
+	// DefaultLimit is the default of Filter.Limit.
 	DefaultLimit = 1000
-	MaxLimit     = 4000
+	// MaxLimit is the maximum of Filter.Limit.
+	MaxLimit = 4000
 )
 
-// ErrFilter: a parameter of a question is wrong.
-var ErrFilter = errors.New("wrong parameter")
+// ErrInvalidFilter is returned for an invalid query parameter.
+var ErrInvalidFilter = errors.New("wrong parameter")
 
-// Filter says which events are wanted.
+// Filter selects events.
 type Filter struct {
-	// Since is how far back to go, by each process's own clock.
+	// Since is the maximum age of the events, by each process's own clock; 0
+	// means no limit.
 	Since time.Duration
-	// Request, unless empty, asks for one request's events only.
+	// Request is the ID of the request whose events are selected; empty selects
+	// all events.
 	Request string
-	// Limit is how many events a process gives; the newest are kept.
+	// Limit is the maximum number of events per process, of which the newest are
+	// kept; 0 means no limit.
 	Limit int
 }
 
-// ParseFilter reads a Filter from a query, with defaults for what is absent.
+// ParseFilter parses a Filter from a URL query, with defaults for absent
+// parameters. The error wraps ErrInvalidFilter.
 func ParseFilter(query url.Values) (Filter, error) {
 	filter := Filter{Since: DefaultSince, Request: query.Get(paramRequest), Limit: DefaultLimit}
 	if since := query.Get(paramSince); since != "" {
-		span, err := time.ParseDuration(since)
-		if err != nil || span <= 0 {
-			return Filter{}, errors.Wrapf(ErrFilter, "%s must be a duration such as 5m, not %q", paramSince, since)
+		age, err := time.ParseDuration(since)
+		if err != nil || age <= 0 {
+			return Filter{}, errors.Wrapf(ErrInvalidFilter, "%s must be a duration such as 5m, not %q", paramSince, since)
 		}
-		filter.Since = span
+		filter.Since = age
 	}
 	if limit := query.Get(paramLimit); limit != "" {
-		number, err := strconv.Atoi(limit)
-		if err != nil || number < 1 || number > MaxLimit {
-			return Filter{}, errors.Wrapf(ErrFilter, "%s must be 1 to %d, not %q", paramLimit, MaxLimit, limit)
+		n, err := strconv.Atoi(limit)
+		if err != nil || n < 1 || n > MaxLimit {
+			return Filter{}, errors.Wrapf(ErrInvalidFilter, "%s must be 1 to %d, not %q", paramLimit, MaxLimit, limit)
 		}
-		filter.Limit = number
+		filter.Limit = n
 	}
 	return filter, nil
 }
 
-// Query writes a Filter as ParseFilter reads it.
+// Query encodes the Filter as a URL query for ParseFilter.
 func (f Filter) Query() url.Values {
 	query := make(url.Values)
 	if f.Since > 0 {
@@ -73,15 +77,16 @@
 	return query
 }
 
-// wants reports whether an event matches; none before oldest does.
-func (f Filter) wants(event Event, oldest Stamp) bool {
+// matches reports whether an event matches the filter. If Since is set, events
+// before oldest don't match.
+func (f Filter) matches(event Event, oldest Stamp) bool {
 	if f.Since > 0 && event.Stamp.Before(oldest) {
 		return false
 	}
 	return f.Request == "" || event.Request == f.Request
 }
 
-// newest keeps the last limit events; all when limit is zero.
+// newest returns the last limit events, or all if limit is zero.
 func newest(events []Event, limit int) []Event {
 	if limit > 0 && len(events) > limit {
 		return events[len(events)-limit:]
--- a/internal/timeline/gather.go
+++ b/internal/timeline/gather.go
@@ -15,55 +15,57 @@
 	"github.com/sourcegraph/conc/pool"
 )
 
-// Bounds of a gathering.
+// Limits of Gather.
 const (
-	// gatherParallel is how many processes are asked at once. At 1,610
-	// processes of which 120 are gone, their timeouts add up to eight seconds;
-	// more at once would cost memory, since each answer is decoded whole.
-	gatherParallel = 32
-	// peerTimeout is how long one process may take to answer.
+	// maxParallelFetches is the number of processes queried at once. With 120 of
+	// 1,610 processes unreachable, their timeouts add up to eight seconds; a higher
+	// number would need more memory, since each response is decoded as a whole.
+	maxParallelFetches = 32
+	// peerTimeout is the timeout of the request to one process.
 	peerTimeout = 2 * time.Second
-	// maxPageBytes is how much of one process's answer is read.
+	// maxPageBytes is the maximum number of bytes read from one process's response.
 	maxPageBytes = 8 << 20
-	// MaxGathered is how many events a View holds; the newest are kept.
+	// MaxGathered is the maximum number of events that Gather returns; the newest are
+	// kept.
 	MaxGathered = 20000
 )
 
-// gatherClient opens a connection for each call, since an idle one may have
-// gone silent unnoticed.
-var gatherClient = &http.Client{
+// httpClient opens a new connection for each request, since the peer of an idle
+// connection may have become unreachable without the connection being closed.
+var httpClient = &http.Client{
 	Timeout:   peerTimeout,
 	Transport: &http.Transport{DisableKeepAlives: true},
 }
 
-// Gather asks all peers for their events, with the system's key, and puts the
-// answers into one order. It never fails as a whole: peers that don't answer
-// are named in the View.
+// Gather fetches the events of all peers, authenticated with the system key, and
+// merges them. Peers whose events couldn't be fetched are listed in the View;
+// there is no other error.
 func Gather(ctx context.Context, peers []Peer, key string, filter Filter) View {
-	var gathered collection
-	workers := pool.New().WithMaxGoroutines(gatherParallel)
+	var results collector
+	workers := pool.New().WithMaxGoroutines(maxParallelFetches)
 	for _, peer := range peers {
 		workers.Go(func() {
-			page, err := ask(ctx, peer, key, filter)
+			page, err := fetchPage(ctx, peer, key, filter)
 			if err != nil {
-				gathered.miss(peer, err)
+				results.addMissing(peer, err)
 				return
 			}
-			gathered.add(page)
+			results.add(page)
 		})
 	}
 	workers.Wait()
-	return gathered.view()
+	return results.view()
 }
 
-func ask(ctx context.Context, peer Peer, key string, filter Filter) (Page, error) {
+// fetchPage fetches the events of one peer.
+func fetchPage(ctx context.Context, peer Peer, key string, filter Filter) (Page, error) {
 	address := url.URL{Scheme: "http", Host: peer.Addr, Path: PathEvents, RawQuery: filter.Query().Encode()}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address.String(), nil)
 	if err != nil {
 		return Page{}, errors.Wrap(err, "address")
 	}
 	request.Header.Set("Authorization", "Bearer "+key)
-	response, err := gatherClient.Do(request)
+	response, err := httpClient.Do(request)
 	if err != nil {
 		return Page{}, err
 	}
@@ -78,8 +80,9 @@
 	return page, nil
 }
 
-// collection keeps what the workers bring; mu guards all of it.
-type collection struct {
+// collector accumulates the results of the concurrent fetches; mu guards all
+// fields.
+type collector struct {
 	mu        sync.Mutex
 	events    []Event
 	answered  int
@@ -87,7 +90,7 @@
 	truncated bool
 }
 
-func (c *collection) add(page Page) {
+func (c *collector) add(page Page) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.answered++
@@ -98,14 +101,14 @@
 	}
 }
 
-func (c *collection) miss(peer Peer, err error) {
+func (c *collector) addMissing(peer Peer, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.missing = append(c.missing, Missing{Peer: peer, Reason: reasonOf(err)})
+	c.missing = append(c.missing, Missing{Peer: peer, Reason: describeError(err)})
 }
 
-// trim orders the events and leaves the oldest out.
-func (c *collection) trim() {
+// trim sorts the events and drops the oldest beyond MaxGathered.
+func (c *collector) trim() {
 	c.events = Merge(c.events)
 	if len(c.events) > MaxGathered {
 		c.truncated = true
@@ -113,7 +116,7 @@
 	}
 }
 
-func (c *collection) view() View {
+func (c *collector) view() View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.trim()
@@ -126,19 +129,21 @@
 	}
 }
 
-// reasonOf drops the address from an error, which the peer already names.
-func reasonOf(err error) string {
-	var call *url.Error
-	if !errors.As(err, &call) {
+// describeError returns the error's message without the URL that net/http adds,
+// since MissingPeer already contains the address.
+func describeError(err error) string {
+	var urlErr *url.Error
+	if !errors.As(err, &urlErr) {
 		return err.Error()
 	}
-	if call.Timeout() {
+	if urlErr.Timeout() {
 		return "no answer in time"
 	}
-	return innermost(call).Error()
+	return rootCause(urlErr).Error()
 }
 
-func innermost(err error) error {
+// rootCause returns the innermost wrapped error.
+func rootCause(err error) error {
 	for {
 		inner := errors.Unwrap(err)
 		if inner == nil {
--- a/internal/timeline/gather_test.go
+++ b/internal/timeline/gather_test.go
@@ -12,7 +12,7 @@
 
 const testKey = "0123456789abcdef"
 
-// serveRing serves a ring to holders of testKey and returns it as a peer.
+// serveRing serves a ring to clients that send testKey and returns it as a peer.
 func serveRing(t *testing.T, ring *Ring) Peer {
 	t.Helper()
 	handler := Handler(ring)
@@ -27,7 +27,7 @@
 	return Peer{Process: ring.Process(), Addr: strings.TrimPrefix(server.URL, "http://")}
 }
 
-// deadPeer is a peer at whose address nothing listens.
+// deadPeer returns a peer whose address refuses connections.
 func deadPeer(t *testing.T) Peer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -38,10 +38,10 @@
 	return Peer{Process: "gone", Addr: listener.Addr().String()}
 }
 
-func TestViewOfTheFleet(t *testing.T) {
+func TestViewMergesAllProcesses(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	entry := newSkewed("entry-1", &now, 0)
-	agent := newSkewed("engine-1", &now, -time.Hour)
+	entry := newSkewedProcess("entry-1", &now, 0)
+	agent := newSkewedProcess("engine-1", &now, -time.Hour)
 	entry.ring.Record(KindTicket, "r-1", "flag", "")
 	agent.clock.Observe(entry.clock.Now())
 	agent.ring.Record(KindGrant, "r-1", "flag", "")
@@ -66,11 +66,11 @@
 		t.Errorf("got events %q", got)
 	}
 	if view.Answered != 2 || len(view.NotAnswered) != 1 || view.NotAnswered[0].Process != "gone" || view.NotAnswered[0].Reason != "connection refused" {
-		t.Errorf("got %d answers, missing %v", view.Answered, view.NotAnswered)
+		t.Errorf("got %d responses, missing %v", view.Answered, view.NotAnswered)
 	}
 }
 
-func TestGatherNamesThoseThatRefuse(t *testing.T) {
+func TestGatherListsRefusingPeers(t *testing.T) {
 	ring := NewRing("engine-1", &Clock{}, 10)
 	view := Gather(t.Context(), []Peer{serveRing(t, ring)}, "another key here", Filter{})
 	if len(view.NotAnswered) != 1 || view.NotAnswered[0].Reason != "answered 403" {
@@ -78,9 +78,9 @@
 	}
 }
 
-func TestCollectionIsBounded(t *testing.T) {
+func TestCollectorIsBounded(t *testing.T) {
 	const pages = 2*MaxGathered/MaxLimit + 2
-	var gathered collection
+	var gathered collector
 	clock := &Clock{}
 	for i := range pages {
 		ring := NewRing(string(rune('a'+i)), clock, MaxLimit)
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestLimitIsSaid(t *testing.T) {
+func TestLimitSetsTruncated(t *testing.T) {
 	ring := NewRing("engine-1", &Clock{}, 10)
 	for range 3 {
 		ring.Record(KindJoin, "", "", "")
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestWrongParameters(t *testing.T) {
+func TestInvalidParameters(t *testing.T) {
 	handler := Handler(NewRing("p", &Clock{}, 1))
 	for _, query := range []string{"since=soon", "since=-1s", "limit=0", "limit=4001", "limit=x"} {
 		recorder := httptest.NewRecorder()
--- a/internal/timeline/handler.go
+++ b/internal/timeline/handler.go
@@ -7,46 +7,46 @@
 
 // Paths of the two handlers.
 const (
-	// PathEvents serves one process's events to the system's processes.
+	// PathEvents is the path of Handler, which the system's processes query.
 	PathEvents = "/internal/v1/timeline"
-	// PathView serves the events of the whole fleet to operators.
+	// PathView is the path of ViewHandler, which operators query.
 	PathView = "/admin/v1/timeline"
 )
 
-// Handler answers GET PathEvents?since=5m&request=ID&limit=1000 with a Page.
-// It checks no key; whoever mounts it does.
+// Handler serves GET PathEvents?since=5m&request=ID&limit=1000 with a Page. It
+// doesn't authenticate requests; the caller must do so.
 func Handler(ring *Ring) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		filter, err := ParseFilter(r.URL.Query())
 		if err != nil {
-			refuse(w, err)
+			writeError(w, err)
 			return
 		}
-		answer(w, http.StatusOK, ring.Select(filter))
+		writeJSON(w, http.StatusOK, ring.Select(filter))
 	})
 }
 
-// ViewHandler answers GET PathView, with the parameters of Handler, with a
-// View of the local ring and of the peers, which it asks with the system's
-// key. It checks no key of the operator's; whoever mounts it does.
+// ViewHandler serves GET PathView, with the parameters of Handler, with a View of
+// the local ring and of the peers, which it queries with the system key. It
+// doesn't authenticate operators; the caller must do so.
 func ViewHandler(local *Ring, peers func() []Peer, key string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		filter, err := ParseFilter(r.URL.Query())
 		if err != nil {
-			refuse(w, err)
+			writeError(w, err)
 			return
 		}
-		view := Gather(r.Context(), without(peers(), local.Process()), key, filter)
+		view := Gather(r.Context(), withoutProcess(peers(), local.Process()), key, filter)
 		own := local.Select(filter)
 		view.Events = Merge(view.Events, own.Events)
 		view.Truncated = view.Truncated || own.Truncated
 		view.Answered++
-		answer(w, http.StatusOK, view)
+		writeJSON(w, http.StatusOK, view)
 	})
 }
 
-// without leaves the named process out.
-func without(peers []Peer, process string) []Peer {
+// withoutProcess returns the peers without those of the named process.
+func withoutProcess(peers []Peer, process string) []Peer {
 	kept := make([]Peer, 0, len(peers))
 	for _, peer := range peers {
 		if peer.Process != process {
@@ -56,23 +56,23 @@
 	return kept
 }
 
-// problem is the body of a refused question.
-type problem struct {
-	Error problemDetail `json:"error"`
+// errorBody is the response body of an invalid query.
+type errorBody struct {
+	Error errorDetail `json:"error"`
 }
 
-type problemDetail struct {
+type errorDetail struct {
 	Type    string `json:"type"`
 	Message string `json:"message"`
 }
 
-func refuse(w http.ResponseWriter, err error) {
-	answer(w, http.StatusBadRequest, problem{Error: problemDetail{Type: "invalid_request", Message: err.Error()}})
+func writeError(w http.ResponseWriter, err error) {
+	writeJSON(w, http.StatusBadRequest, errorBody{Error: errorDetail{Type: "invalid_request", Message: err.Error()}})
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A caller that went away needs no answer.
+	// A write error means that the client disconnected.
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/internal/timeline/merge.go
+++ b/internal/timeline/merge.go
@@ -5,20 +5,19 @@
 	"slices"
 )
 
-// Merge puts the events of several processes into one order. A process's own
-// events keep their order, and whatever happened after a message was received
-// comes after whatever happened before it was sent, however far the VMs'
-// clocks are apart: the receiver's clock observed the message's stamp, so its
-// later stamps are greater. Events that don't depend on each other are in
-// order of the clocks, as far as these can be trusted, then of the processes'
-// names, so that the order is the same each time.
+// Merge merges the events of several processes in causal order. Each process's
+// events keep their order, and events after the receipt of a message come after
+// events before its sending, however far the VMs' clocks diverge: the receiver's
+// clock observed the message's timestamp, so its later timestamps are greater.
+// Concurrent events are ordered by clock, which is as accurate as the VMs' clocks,
+// and then by process name, so that the order is deterministic.
 func Merge(logs ...[]Event) []Event {
 	merged := slices.Concat(logs...)
-	slices.SortStableFunc(merged, compare)
+	slices.SortStableFunc(merged, compareEvents)
 	return merged
 }
 
-func compare(a, b Event) int {
+func compareEvents(a, b Event) int {
 	return cmp.Or(
 		cmp.Compare(a.Stamp.Wall, b.Stamp.Wall),
 		cmp.Compare(a.Stamp.Logical, b.Stamp.Logical),
--- a/internal/timeline/merge_test.go
+++ b/internal/timeline/merge_test.go
@@ -8,26 +8,26 @@
 	"pgregory.net/rapid"
 )
 
-// skewed is a process whose clock is off by a fixed span.
-type skewed struct {
+// skewedProcess is a process whose physical clock has a fixed offset.
+type skewedProcess struct {
 	ring  *Ring
 	clock *Clock
 }
 
-func newSkewed(name string, now *time.Time, skew time.Duration) skewed {
+func newSkewedProcess(name string, now *time.Time, skew time.Duration) skewedProcess {
 	clock := NewClock(func() time.Time { return now.Add(skew) })
-	return skewed{ring: NewRing(name, clock, 1000), clock: clock}
+	return skewedProcess{ring: NewRing(name, clock, 1000), clock: clock}
 }
 
-// TestMergeKeepsCauseBeforeEffect plays random messages between processes
-// whose clocks are up to an hour apart.
-func TestMergeKeepsCauseBeforeEffect(t *testing.T) {
+// TestMergePreservesCausality simulates random messages between processes whose
+// clocks are off by up to an hour either way.
+func TestMergePreservesCausality(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
-		var processes []skewed
+		var processes []skewedProcess
 		for i := range rapid.IntRange(2, 5).Draw(t, "processes") {
 			skew := rapid.Int64Range(-int64(time.Hour), int64(time.Hour)).Draw(t, "skew")
-			processes = append(processes, newSkewed(fmt.Sprintf("p%d", i), &now, time.Duration(skew)))
+			processes = append(processes, newSkewedProcess(fmt.Sprintf("p%d", i), &now, time.Duration(skew)))
 		}
 		pick := rapid.IntRange(0, len(processes)-1)
 		messages := rapid.IntRange(1, 40).Draw(t, "messages")
@@ -48,31 +48,31 @@
 }
 
 func checkOrder(t *rapid.T, logs [][]Event, merged []Event) {
-	place := make(map[Event]int, len(merged))
-	sent := make(map[string]int)
+	index := make(map[Event]int, len(merged))
+	sentAt := make(map[string]int)
 	for i, e := range merged {
-		place[e] = i
+		index[e] = i
 		if e.Kind == KindSent {
-			sent[e.Request] = i
+			sentAt[e.Request] = i
 			continue
 		}
-		if _, ok := sent[e.Request]; !ok {
-			t.Fatalf("start of %s comes before its sending", e.Request)
+		if _, ok := sentAt[e.Request]; !ok {
+			t.Fatalf("the start of %s comes before its sent event", e.Request)
 		}
 	}
 	for _, log := range logs {
 		for i := 1; i < len(log); i++ {
-			if place[log[i-1]] >= place[log[i]] {
-				t.Fatalf("%s: its own events changed order", log[i].Process)
+			if index[log[i-1]] >= index[log[i]] {
+				t.Fatalf("the events of %s changed order", log[i].Process)
 			}
 		}
 	}
 }
 
-func TestSinceIsByTheProcessOwnClock(t *testing.T) {
+func TestSinceUsesOwnClock(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	for _, skew := range []time.Duration{-time.Hour, 0, time.Hour} {
-		p := newSkewed("p", &now, skew)
+		p := newSkewedProcess("p", &now, skew)
 		p.ring.Record(KindJoin, "", "", "old")
 		now = now.Add(10 * time.Minute)
 		p.ring.Record(KindLeave, "", "", "new")
--- a/internal/timeline/ring.go
+++ b/internal/timeline/ring.go
@@ -2,7 +2,8 @@
 
 import "sync"
 
-// Ring keeps a process's latest events, up to a fixed number.
+// Ring is a ring buffer of a process's latest events. All methods may be called
+// concurrently.
 type Ring struct {
 	process string
 	clock   *Clock
@@ -12,12 +13,13 @@
 	next   int
 }
 
-// NewRing returns a Ring for size events of the named process.
+// NewRing returns a Ring with a capacity of size events for the named process.
 func NewRing(process string, clock *Clock, size int) *Ring {
 	return &Ring{process: process, clock: clock, events: make([]Event, 0, size)}
 }
 
-// Record stamps an event and keeps it, in place of the oldest when full.
+// Record adds an event with the clock's current timestamp, replacing the oldest
+// event if the ring is full.
 func (r *Ring) Record(kind Kind, request, class, detail string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -30,7 +32,7 @@
 	r.next = (r.next + 1) % len(r.events)
 }
 
-// Events returns the kept events, oldest first.
+// Events returns the events in the ring, oldest first.
 func (r *Ring) Events() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -39,20 +41,21 @@
 	return append(events, r.events[:r.next]...)
 }
 
-// Select returns the kept events that match filter.
+// Select returns the newest events that match the filter, up to its limit, oldest
+// first.
 func (r *Ring) Select(filter Filter) Page {
-	matching := r.matching(filter, r.clock.before(filter.Since))
+	matching := r.selectMatching(filter, r.clock.ago(filter.Since))
 	kept := newest(matching, filter.Limit)
 	return Page{Process: r.process, Events: kept, Truncated: len(kept) < len(matching)}
 }
 
-func (r *Ring) matching(filter Filter, oldest Stamp) []Event {
+func (r *Ring) selectMatching(filter Filter, oldest Stamp) []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	matching := make([]Event, 0)
 	for _, part := range [][]Event{r.events[r.next:], r.events[:r.next]} {
 		for _, event := range part {
-			if filter.wants(event, oldest) {
+			if filter.matches(event, oldest) {
 				matching = append(matching, event)
 			}
 		}
@@ -60,5 +63,5 @@
 	return matching
 }
 
-// Process is the name of the process whose events the Ring keeps.
+// Process returns the name of the process whose events the Ring holds.
 func (r *Ring) Process() string { return r.process }
--- a/internal/timeline/view.go
+++ b/internal/timeline/view.go
@@ -1,37 +1,37 @@
 package timeline
 
-// Peer is a process that is asked for its events.
+// Peer is a process whose events can be fetched.
 type Peer struct {
 	// Process is the VM's name.
 	Process string `json:"process"`
-	// Addr is the host:port where it answers PathEvents.
+	// Addr is the host:port that serves PathEvents.
 	Addr string `json:"addr"`
 }
 
-// Page is one process's answer.
+// Page is one process's response, sorted from the oldest event to the newest.
 type Page struct {
-	Process string `json:"process"`
-	// Events are oldest first.
-	Events []Event `json:"events"`
-	// Truncated says that older events were left out because of the limit.
+	Process string  `json:"process"`
+	Events  []Event `json:"events"`
+	// Truncated says that older events were dropped because of Filter.Limit.
 	Truncated bool `json:"truncated"`
 }
 
-// View is what was gathered from all processes.
+// View holds the merged events of all processes.
 type View struct {
 	// Events are in the order of Merge.
 	Events []Event `json:"events"`
-	// Answered is how many processes answered.
+	// Responded is the number of processes that responded.
 	Answered int `json:"answered"`
-	// NotAnswered names the processes whose events are missing.
+	// Missing lists the processes whose events couldn't be fetched.
 	NotAnswered []Missing `json:"not_answered"`
-	// Truncated says that older events were left out to bound the answer.
+	// Truncated says that older events were dropped because of Filter.Limit or
+	// MaxGathered.
 	Truncated bool `json:"truncated"`
 }
 
-// Missing is a process that didn't answer.
+// MissingPeer is a process whose events couldn't be fetched.
 type Missing struct {
 	Peer
-	// Reason says why, in few words.
+	// Reason is a short description of the error.
 	Reason string `json:"reason"`
 }
