--- a/internal/timeline/gather.go
+++ b/internal/timeline/gather.go
@@ -85,7 +85,7 @@
 type collector struct {
 	mu        sync.Mutex
 	events    []Event
-	answered  int
+	responded int
 	missing   []Missing
 	truncated bool
 }
@@ -93,7 +93,7 @@
 func (c *collector) add(page Page) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answered++
+	c.responded++
 	c.truncated = c.truncated || page.Truncated
 	c.events = append(c.events, page.Events...)
 	if len(c.events) > 2*MaxGathered {
@@ -123,7 +123,7 @@
 	slices.SortFunc(c.missing, func(a, b Missing) int { return cmp.Compare(a.Process, b.Process) })
 	return View{
 		Events:      append([]Event{}, c.events...),
-		Answered:    c.answered,
+		Answered:    c.responded,
 		NotAnswered: append([]Missing{}, c.missing...),
 		Truncated:   c.truncated,
 	}
--- a/internal/timeline/gather_test.go
+++ b/internal/timeline/gather_test.go
@@ -27,8 +27,8 @@
 	return Peer{Process: ring.Process(), Addr: strings.TrimPrefix(server.URL, "http://")}
 }
 
-// deadPeer returns a peer whose address refuses connections.
-func deadPeer(t *testing.T) Peer {
+// unreachablePeer returns a peer whose address refuses connections.
+func unreachablePeer(t *testing.T) Peer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,7 +49,7 @@
 	entry.ring.Record(KindSent, "r-1", "flag", "")
 	entry.ring.Record(KindTicket, "r-2", "flag", "")
 
-	peers := []Peer{serveRing(t, agent.ring), deadPeer(t), {Process: "entry-1", Addr: "unused"}}
+	peers := []Peer{serveRing(t, agent.ring), unreachablePeer(t), {Process: "entry-1", Addr: "unused"}}
 	handler := ViewHandler(entry.ring, func() []Peer { return peers }, testKey)
 	recorder := httptest.NewRecorder()
 	handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, PathView+"?request=r-1&since=2h", nil))
