--- a/cmd/applepier-agent/main.go
+++ b/cmd/applepier-agent/main.go
@@ -1,4 +1,5 @@
-// Command applepier-agent is the process beside a backend server.
+// Command applepier-agent runs the agent, the process that accompanies a backend
+// server.
 package main
 
 import (
--- a/cmd/applepier/main.go
+++ b/cmd/applepier/main.go
@@ -1,5 +1,5 @@
-// Command applepier is the process of an entry VM and the operator's command
-// line.
+// Command applepier runs the process of an entry VM, the gateway, and the operator's
+// command line.
 package main
 
 import (
--- a/internal/program/error.go
+++ b/internal/program/error.go
@@ -10,26 +10,28 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Error is a failure of a command, as the operator sees it.
+// Error is a command failure reported to the operator: an exit code, a message
+// and a hint.
 type Error struct {
-	// Code is the program's exit code.
+	// Code is the exit code of the program.
 	Code ExitCode
-	// Problem says what went wrong.
+	// Message describes the failure.
 	Problem string
-	// Advice says what to do about it.
+	// Hint tells the operator how to resolve the failure; it may be empty.
 	Advice string
-	// Cause is the error from below; it may be nil.
+	// Cause is the underlying error; it may be nil.
 	Cause error
 }
 
-// Error returns the problem without the advice.
+// Error returns the message without the hint.
 func (e *Error) Error() string { return e.Problem }
 
-// Unwrap returns the error from below.
+// Unwrap returns the underlying error, or nil.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// report prints an error with its advice and returns its exit code.
-func report(errOut io.Writer, name string, err error) ExitCode {
+// printError prints err and its hint to errOut and returns the exit code. An err
+// that is not an *Error exits with ExitFailure; a nil err prints nothing.
+func printError(errOut io.Writer, name string, err error) ExitCode {
 	if err == nil {
 		return ExitOK
 	}
@@ -44,7 +46,8 @@
 	return failure.Code
 }
 
-// Usage returns the error of a wrong command line.
+// UsageError returns an *Error with ExitUsage for an invalid command line; its
+// hint names the help text of the command.
 func Usage(command *cli.Command, problem string) error {
 	return &Error{
 		Code:    ExitUsage,
@@ -53,11 +56,14 @@
 	}
 }
 
-func usageError(_ context.Context, command *cli.Command, err error, _ bool) error {
+// onUsageError converts a command-line parsing error to an *Error. Its first
+// letter is lowercased because the program name precedes it.
+func onUsageError(_ context.Context, command *cli.Command, err error, _ bool) error {
 	return Usage(command, strings.ToLower(err.Error()[:1])+err.Error()[1:])
 }
 
-// missingCommand answers a command that only holds others.
+// missingCommand is the action of a command that has only subcommands. It returns
+// a usage error for an unknown or missing subcommand.
 func missingCommand(_ context.Context, command *cli.Command) error {
 	if name := command.Args().First(); name != "" {
 		return Usage(command, fmt.Sprintf("there is no command %q", name))
--- a/internal/program/exit.go
+++ b/internal/program/exit.go
@@ -1,27 +1,29 @@
 package program
 
-// ExitCode is the code with which a program ends.
+// ExitCode is the exit status of a program.
 type ExitCode int
 
-// Exit codes; scripts may rely on them.
+// Exit codes. They are a stable interface for scripts.
 const (
-	// ExitOK: done.
+	// ExitOK means success.
 	ExitOK ExitCode = 0
-	// ExitFailure: it failed, for a reason that has no code of its own.
+	// ExitFailure means a failure without a more specific code.
 	ExitFailure ExitCode = 1
-	// ExitUsage: the command line or a file given to it is wrong.
+	// ExitUsage means that the command line, or a file named on it, is invalid.
 	ExitUsage ExitCode = 2
-	// ExitConflict: another operator changed the same thing first; nothing
-	// was changed.
+	// ExitConflict means that another operator changed the same object first;
+	// this command changed nothing.
 	ExitConflict ExitCode = 3
-	// ExitUnreachable: the process or a service it needs doesn't answer.
+	// ExitUnreachable means that the process, or a service it depends on, does
+	// not respond.
 	ExitUnreachable ExitCode = 4
-	// ExitDenied: the key was refused.
+	// ExitUnauthorized means that the key was rejected.
 	ExitDenied ExitCode = 5
-	// ExitNotFound: there is no such thing.
+	// ExitNotFound means that the requested object does not exist.
 	ExitNotFound ExitCode = 6
-	// ExitPartial: done, but not every process has confirmed it or answered.
+	// ExitPartial means that the command succeeded, but not every process
+	// confirmed it or responded.
 	ExitPartial ExitCode = 7
-	// ExitUnknown: whether the change was made can't be told.
+	// ExitOutcomeUnknown means that the change may or may not have been applied.
 	ExitUnknown ExitCode = 8
 )
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,6 +1,6 @@
-// Package program is what the command lines of both programs share: the
-// commands serve, settings check and version, exit codes, and errors that say
-// what to do. Start reading at Program.
+// Package program implements the parts that the command lines of both programs
+// share: the commands serve, settings check and version, the exit codes, and
+// errors with a hint for the operator. Start reading at Program.
 package program
 
 import (
@@ -11,41 +11,42 @@
 	"go.uber.org/zap"
 )
 
-// Program is one of the two programs; S is the type of its settings.
+// Program describes one of the two executables. S is the type of its settings.
 type Program[S any] struct {
-	// Name is the executable's name.
+	// Name is the name of the executable.
 	Name string
-	// Usage says in a line what the program is.
+	// Usage is a one-line description for the help text.
 	Usage string
-	// Example is the name of its example settings file.
+	// ExampleFile is the path of an example settings file for the help text.
 	Example string
-	// Load reads and checks a settings file.
+	// Load reads and validates a settings file. A *settings.InvalidError lists
+	// the invalid lines.
 	Load func(path string) (S, error)
-	// Identify picks from the settings what the logger needs.
+	// LoggerConfig returns the logger configuration from the settings.
 	Identify func(settings S) Identity
-	// SettingsEnv names an environment variable that holds the settings file's
-	// path where the command line doesn't; empty for none.
+	// SettingsEnv names the environment variable with the path of the settings
+	// file, used if the command line has none. Empty means no such variable.
 	SettingsEnv string
-	// Serve runs the program until ctx is done and then shuts down
-	// gracefully: it ends what runs before it returns.
+	// Serve runs the program until ctx is done. It returns after a graceful
+	// shutdown, when all work in progress has ended.
 	Serve func(ctx context.Context, settings S, log *zap.Logger) error
-	// ServeReloading stands in Serve's place for a program that takes up a
-	// changed settings file while it runs; reload reads the file again.
+	// ServeWithReload replaces Serve, if set, for a program that applies changes
+	// of its settings file while it runs. reload reads the file again.
 	ServeReloading func(ctx context.Context, settings S, reload func() (S, error), log *zap.Logger) error
-	// Commands are the program's own commands.
+	// Commands are additional commands of this program.
 	Commands []*cli.Command
 }
 
-// Identity is what a logger needs of the settings.
+// LoggerConfig holds the settings of the logger.
 type Identity struct {
-	// Process is the VM's name.
+	// Process is the process name in each log line; it is the name of the VM.
 	Process string
-	// LogLevel is debug, info, warn or error; info when empty.
+	// LogLevel is debug, info, warn or error. Empty means info.
 	LogLevel string
 }
 
-// Run runs the command line and returns the exit code. Args starts with the
-// program's name, as os.Args does.
+// Run executes the command line and returns the exit code. args[0] is the program
+// name, as in os.Args. Output goes to out, errors go to errOut.
 func (p Program[S]) Run(ctx context.Context, args []string, out, errOut io.Writer) ExitCode {
 	root := &cli.Command{
 		Name:            p.Name,
@@ -54,26 +55,27 @@
 		ErrWriter:       errOut,
 		HideHelpCommand: true,
 		HideVersion:     true,
-		Commands:        append([]*cli.Command{p.serve(), p.settings(), p.version()}, p.Commands...),
+		Commands:        append([]*cli.Command{p.serveCommand(), p.settingsCommand(), p.versionCommand()}, p.Commands...),
 		ExitErrHandler:  func(context.Context, *cli.Command, error) {},
 	}
-	prepare(root)
-	return report(errOut, p.Name, root.Run(ctx, args))
+	setUsageHandlers(root)
+	return printError(errOut, p.Name, root.Run(ctx, args))
 }
 
-// Command returns the program as a command of another one, with serve and
-// settings check below it.
+// Command returns the program as a subcommand, called name, of another program.
+// It has the commands serve and settings check and those in Commands.
 func (p Program[S]) Command(name string) *cli.Command {
-	return &cli.Command{Name: name, Usage: p.Usage, Commands: append([]*cli.Command{p.serve(), p.settings()}, p.Commands...)}
+	return &cli.Command{Name: name, Usage: p.Usage, Commands: append([]*cli.Command{p.serveCommand(), p.settingsCommand()}, p.Commands...)}
 }
 
-// prepare gives each command the same treatment of wrong usage.
-func prepare(command *cli.Command) {
-	command.OnUsageError = usageError
+// setUsageHandlers sets the usage error handlers of a command and all its
+// subcommands. A command without an action gets missingCommand.
+func setUsageHandlers(command *cli.Command) {
+	command.OnUsageError = onUsageError
 	if command.Action == nil {
 		command.Action = missingCommand
 	}
 	for _, sub := range command.Commands {
-		prepare(sub)
+		setUsageHandlers(sub)
 	}
 }
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -26,7 +26,8 @@
 	}
 }
 
-func TestOutputs(t *testing.T) {
+// The output and exit code of each command line match its golden file.
+func TestCommandOutput(t *testing.T) {
 	tests := []struct {
 		name string
 		args []string
@@ -55,7 +56,7 @@
 	}
 }
 
-func TestServeGetsTheSettings(t *testing.T) {
+func TestServeReceivesSettings(t *testing.T) {
 	var got settings.Agent
 	program := testProgram(func(_ context.Context, agent settings.Agent, _ *zap.Logger) error {
 		got = agent
@@ -68,7 +69,7 @@
 	}
 }
 
-func TestServeFailureIsReported(t *testing.T) {
+func TestServeErrorIsPrinted(t *testing.T) {
 	program := testProgram(func(context.Context, settings.Agent, *zap.Logger) error {
 		return errors.New("address in use")
 	})
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -15,7 +15,7 @@
 
 const flagSettings = "settings"
 
-func (p Program[S]) serve() *cli.Command {
+func (p Program[S]) serveCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "serve",
 		Usage: "run the process until SIGTERM or SIGINT",
@@ -40,13 +40,14 @@
 	if command.Args().Present() {
 		return Usage(command, "serve takes no arguments")
 	}
-	// Told of changed settings before it listens for that, the process would end.
-	// What it is told before it serves it sees when it next looks by itself.
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	defer signal.Stop(hangups)
+	// An unhandled SIGHUP would terminate the process, so it is handled before the
+	// settings are loaded. A SIGHUP that arrives before ServeWithReload handles
+	// it is discarded; the change is found at the next periodic check.
+	sighup := make(chan os.Signal, 1)
+	signal.Notify(sighup, syscall.SIGHUP)
+	defer signal.Stop(sighup)
 	path := command.String(flagSettings)
-	settings, err := p.load(path)
+	settings, err := p.loadSettings(path)
 	if err != nil {
 		return err
 	}
@@ -63,12 +64,12 @@
 	})
 }
 
-// serveUntilSignal logs the process's start and end and runs serve with a
-// context that the first signal cancels.
+// serveUntilSignal runs serve with a context that the first SIGTERM or SIGINT
+// cancels. It logs the result and returns the error of serve.
 func serveUntilSignal(ctx context.Context, log *zap.Logger, serve func(context.Context) error) error {
-	// The last lines are written before the process ends.
+	// Flush buffered log lines before the process exits.
 	defer func() { _ = log.Sync() }()
-	ctx, release := untilSignal(ctx, log, endAtOnce)
+	ctx, release := withSignalCancel(ctx, log, exitImmediately)
 	defer release()
 	if err := serve(ctx); err != nil {
 		log.Error(logging.EventFailed, logging.Reason(err.Error()))
--- a/internal/program/settings.go
+++ b/internal/program/settings.go
@@ -10,7 +10,7 @@
 	"github.com/applepier/applepier/internal/settings"
 )
 
-func (p Program[S]) settings() *cli.Command {
+func (p Program[S]) settingsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "settings",
 		Usage: "work with settings files",
@@ -30,15 +30,16 @@
 		return Usage(command, "give one settings file")
 	}
 	path := command.Args().First()
-	if _, err := p.load(path); err != nil {
+	if _, err := p.loadSettings(path); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintln(command.Root().Writer, path+": ok")
 	return err
 }
 
-// load reads a settings file and words its errors for the operator.
-func (p Program[S]) load(path string) (S, error) {
+// loadSettings reads a settings file. Its errors are of type *Error with ExitUsage
+// and a hint.
+func (p Program[S]) loadSettings(path string) (S, error) {
 	loaded, err := p.Load(path)
 	if err == nil {
 		return loaded, nil
--- a/internal/program/signal.go
+++ b/internal/program/signal.go
@@ -12,29 +12,31 @@
 	"github.com/applepier/applepier/internal/logging"
 )
 
-// endAtOnce is what an operator at a terminal does to a process that stops.
-func endAtOnce() { os.Exit(int(ExitFailure)) }
+// exitImmediately exits without waiting for the graceful shutdown.
+func exitImmediately() { os.Exit(int(ExitFailure)) }
 
-// untilSignal returns a context that the first SIGTERM or SIGINT cancels; a
-// SIGINT after it calls atOnce. Another SIGTERM does nothing more: what stops
-// processes may say so twice, and requests are in progress. Release stops
-// listening.
-func untilSignal(parent context.Context, log *zap.Logger, atOnce func()) (ctx context.Context, release func()) {
+// withSignalCancel returns a context that the first SIGTERM or SIGINT cancels. A
+// SIGINT after it calls forceExit. Further SIGTERMs are only logged, because a
+// service manager may send SIGTERM twice and requests are still in progress. The
+// caller must call release, which stops signal handling and cancels the context.
+func withSignalCancel(parent context.Context, log *zap.Logger, forceExit func()) (ctx context.Context, release func()) {
 	ctx, cancel := context.WithCancel(parent)
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	done := make(chan struct{})
-	var listener conc.WaitGroup
-	listener.Go(func() { listen(signals, done, log, cancel, atOnce) })
+	var handler conc.WaitGroup
+	handler.Go(func() { handleSignals(signals, done, log, cancel, forceExit) })
 	return ctx, func() {
 		signal.Stop(signals)
 		close(done)
-		listener.Wait()
+		handler.Wait()
 		cancel()
 	}
 }
 
-func listen(signals <-chan os.Signal, done <-chan struct{}, log *zap.Logger, first, second func()) {
+// handleSignals logs each signal until done is closed. It calls cancel on the
+// first signal. On a later SIGINT it calls forceExit and returns.
+func handleSignals(signals <-chan os.Signal, done <-chan struct{}, log *zap.Logger, cancel, forceExit func()) {
 	stopping := false
 	for {
 		select {
@@ -43,9 +45,9 @@
 			switch {
 			case !stopping:
 				stopping = true
-				first()
+				cancel()
 			case received == syscall.SIGINT:
-				second()
+				forceExit()
 				return
 			}
 		case <-done:
--- a/internal/program/signal_test.go
+++ b/internal/program/signal_test.go
@@ -14,29 +14,30 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestFirstSignalCancelsSecondEndsAtOnce(t *testing.T) {
-	atOnce := make(chan struct{})
-	ctx, release := untilSignal(t.Context(), zap.NewNop(), func() { close(atOnce) })
+func TestFirstSignalCancelsAndSIGINTForcesExit(t *testing.T) {
+	forced := make(chan struct{})
+	ctx, release := withSignalCancel(t.Context(), zap.NewNop(), func() { close(forced) })
 	defer release()
 
-	signalSelf(t, syscall.SIGTERM)
+	sendSignalToSelf(t, syscall.SIGTERM)
 	<-ctx.Done()
 	select {
-	case <-atOnce:
-		t.Fatal("the first signal ended the process at once")
+	case <-forced:
+		t.Fatal("the first signal forced an exit")
 	default:
 	}
-	signalSelf(t, syscall.SIGINT)
-	<-atOnce
+	sendSignalToSelf(t, syscall.SIGINT)
+	<-forced
 }
 
-// What stops processes may say so twice; what is in progress still ends.
-func TestRepeatedTermEndsNothingAtOnce(t *testing.T) {
+// A service manager may send SIGTERM twice. The second one must not interrupt the
+// graceful shutdown.
+func TestRepeatedSIGTERMDoesNotForceExit(t *testing.T) {
 	core, lines := observer.New(zap.InfoLevel)
-	ctx, release := untilSignal(t.Context(), zap.New(core), func() { t.Error("ended at once") })
-	signalSelf(t, syscall.SIGTERM)
+	ctx, release := withSignalCancel(t.Context(), zap.New(core), func() { t.Error("forced an exit") })
+	sendSignalToSelf(t, syscall.SIGTERM)
 	<-ctx.Done()
-	signalSelf(t, syscall.SIGTERM)
+	sendSignalToSelf(t, syscall.SIGTERM)
 	for deadline := time.Now().Add(10 * time.Second); lines.Len() < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("the second signal wasn't seen")
@@ -46,14 +47,14 @@
 }
 
 func TestReleaseWithoutSignal(t *testing.T) {
-	ctx, release := untilSignal(t.Context(), zap.NewNop(), func() { t.Error("ended at once") })
+	ctx, release := withSignalCancel(t.Context(), zap.NewNop(), func() { t.Error("forced an exit") })
 	release()
 	if ctx.Err() != context.Canceled {
 		t.Fatalf("got %v after release, want canceled", ctx.Err())
 	}
 }
 
-func signalSelf(t *testing.T, sig os.Signal) {
+func sendSignalToSelf(t *testing.T, sig os.Signal) {
 	t.Helper()
 	self, err := os.FindProcess(os.Getpid())
 	if err != nil {
--- a/internal/program/version.go
+++ b/internal/program/version.go
@@ -10,7 +10,7 @@
 
 const unknownVersion = "unknown"
 
-func (p Program[S]) version() *cli.Command {
+func (p Program[S]) versionCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "version",
 		Usage: "print the program's version",
@@ -21,8 +21,8 @@
 	}
 }
 
-// Version is the module's version, the revision it was built from and Go's
-// version, as far as the build recorded them.
+// Version returns the module version, the VCS revision and the Go version, as
+// recorded in the build. A missing value is reported as "unknown".
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
