--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,6 +1,6 @@
-// Package boottime reads the clock that counts on while the VM is suspended.
-// Go's monotonic clock stands still then and the time of day jumps, so that
-// neither tells how old something is.
+// Package boottime reads CLOCK_BOOTTIME, the monotonic clock that also advances while
+// the VM is suspended. It measures ages across a suspension, which Go's monotonic
+// clock does not, as it stops, and the wall clock does not, as it jumps.
 package boottime
 
 import (
@@ -9,15 +9,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// start is what Now falls back to counting from.
-var start = time.Now()
+// processStart is the reference of the fallback in Now.
+var processStart = time.Now()
 
-// Now is the time since the VM's boot.
+// Now returns the time since the VM booted. Only differences of its values within one
+// boot are meaningful.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// A kernel without this clock has no suspension that it would tell of.
-		return time.Since(start) + time.Hour
+		// A kernel without this clock does not report suspensions either, so the
+		// monotonic clock serves instead.
+		return time.Since(processStart) + time.Hour
 	}
 	return time.Duration(ts.Nano())
 }
--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -1,6 +1,6 @@
-// Package dial opens connections on which silence is noticed: something
-// between the two ends may lose track of a connection for good, without a
-// reset, while new ones work.
+// Package dial configures TCP connections so that a dead path is detected. A device
+// on the path may drop the state of a connection permanently, without a reset, while
+// new connections work. Start reading at NewDialer.
 package dial
 
 import (
@@ -12,29 +12,29 @@
 )
 
 const (
-	// probeEvery and probeCount are the keep-alive probes on a connection on
-	// which nothing is on its way, so that one that went silent is noticed in
-	// two to three seconds while an answer is awaited.
-	probeEvery = time.Second
-	probeCount = 2
+	// keepAliveInterval and keepAliveProbes detect a dead path in two to three
+	// seconds on a connection with no data in flight, such as one that waits
+	// for a response.
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 2
 )
 
-// Dialer returns a dialer whose connections take up to timeout to open, and
-// count as broken when sent bytes stay unacknowledged for longer than
-// unacknowledged.
-func Dialer(timeout, unacknowledged time.Duration) net.Dialer {
+// NewDialer returns a dialer that gives up connecting after connectTimeout. The
+// kernel closes its connections if sent data stays unacknowledged for longer than
+// userTimeout (TCP_USER_TIMEOUT, in whole milliseconds).
+func Dialer(connectTimeout, userTimeout time.Duration) net.Dialer {
 	return net.Dialer{
-		Timeout:         timeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeEvery, Interval: probeEvery, Count: probeCount},
+		Timeout:         connectTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes},
 		Control: func(_, _ string, raw syscall.RawConn) error {
-			var failed error
+			var sockoptErr error
 			err := raw.Control(func(fd uintptr) {
-				failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledged.Milliseconds()))
+				sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 			})
 			if err != nil {
 				return err
 			}
-			return failed
+			return sockoptErr
 		},
 	}
 }
--- a/internal/ids/ids.go
+++ b/internal/ids/ids.go
@@ -1,6 +1,6 @@
-// Package ids makes the identifiers that control messages carry. They are as
-// unique as UUIDs (RFC 9562, version 4) and shorter on the wire, where a
-// request's id stands in each of its messages.
+// Package ids generates the identifiers in control messages. An identifier is a
+// version 4 UUID (RFC 9562) in base64url, which is shorter than its usual form; the
+// size matters because each message of a request carries the request id.
 package ids
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/google/uuid"
 )
 
-// New returns a new identifier: 22 characters that are safe in URLs.
+// New returns a new random identifier of 22 URL-safe characters.
 func New() string {
 	id := uuid.New()
 	return base64.RawURLEncoding.EncodeToString(id[:])
--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -1,26 +1,27 @@
-// Package listen opens several listeners or none. Start reading at All.
+// Package listen opens a set of TCP listeners atomically: all or none. Start reading
+// at All.
 package listen
 
 import "net"
 
-// All listens on TCP at each address, host:port. If one of them can't be
-// listened at, the others are closed again.
+// All opens a TCP listener on each address (host:port). If one cannot be opened, All
+// closes the others and returns the error.
 func All(addrs ...string) ([]net.Listener, error) {
-	var all []net.Listener
+	var listeners []net.Listener
 	for _, addr := range addrs {
 		l, err := net.Listen("tcp", addr)
 		if err != nil {
-			closeAll(all)
+			closeAll(listeners)
 			return nil, err
 		}
-		all = append(all, l)
+		listeners = append(listeners, l)
 	}
-	return all, nil
+	return listeners, nil
 }
 
-func closeAll(all []net.Listener) {
-	for _, l := range all {
-		// It has taken nothing; there is nothing to be lost by an error.
+func closeAll(listeners []net.Listener) {
+	for _, l := range listeners {
+		// No connection has been accepted, so a close error loses nothing.
 		_ = l.Close()
 	}
 }
--- a/internal/listen/listen_test.go
+++ b/internal/listen/listen_test.go
@@ -5,22 +5,23 @@
 	"testing"
 )
 
-func TestAllOrNone(t *testing.T) {
-	held, err := All("127.0.0.1:0", "127.0.0.1:0")
-	if err != nil || len(held) != 2 {
-		t.Fatalf("%v, %v", held, err)
+// If one address is in use, the listener on the other must not stay open.
+func TestAllClosesListenersOnFailure(t *testing.T) {
+	listeners, err := All("127.0.0.1:0", "127.0.0.1:0")
+	if err != nil || len(listeners) != 2 {
+		t.Fatalf("%v, %v", listeners, err)
 	}
-	defer closeAll(held)
-	free := held[0].Addr().String()
-	if err := held[0].Close(); err != nil {
+	defer closeAll(listeners)
+	freedAddr := listeners[0].Addr().String()
+	if err := listeners[0].Close(); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := All(free, held[1].Addr().String()); err == nil {
-		t.Fatalf("%v listen where one address is taken", got)
+	if got, err := All(freedAddr, listeners[1].Addr().String()); err == nil {
+		t.Fatalf("All succeeded with an address in use: %v", got)
 	}
-	again, err := net.Listen("tcp", free)
+	relistened, err := net.Listen("tcp", freedAddr)
 	if err != nil {
-		t.Fatalf("the free address is still held: %v", err)
+		t.Fatalf("listener on the free address was not closed: %v", err)
 	}
-	_ = again.Close()
+	_ = relistened.Close()
 }
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,5 @@
-// Package pause waits for a time, or for less. Start reading at For.
+// Package pause implements a sleep that a context can interrupt. Start reading at
+// Sleep.
 package pause
 
 import (
@@ -6,7 +7,8 @@
 	"time"
 )
 
-// For waits for d, or until ctx ends, and reports whether ctx goes on.
+// Sleep waits for d or until ctx is done, and reports whether ctx is still active.
+// It returns immediately if d is zero or negative.
 func For(ctx context.Context, d time.Duration) bool {
 	if d > 0 {
 		select {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer is what the system's processes tell each other over plain
-// HTTP: a process that starts while the platform is down learns the newest
-// targets and the VM list from another. Start reading at State.
+// Package peer implements the plain HTTP endpoints through which processes exchange
+// state. A process that starts while the platform is down gets the newest targets
+// and the VM list from its peers. Start reading at State.
 package peer
 
 import (
@@ -15,30 +15,31 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-// ErrUnreachable: no peer answered with what was asked for.
+// ErrUnreachable means that no peer returned the requested data: the request
+// failed, was rejected, or its response could not be decoded.
 var ErrUnreachable = errors.New("no peer answered with what was asked for")
 
-// StatePath is where a process tells its State.
+// StatePath is the URL path at which a process serves its State.
 const StatePath = "/internal/v1/state"
 
 const (
-	// askTimeout bounds the question to one peer.
-	askTimeout = 2 * time.Second
-	// maxState bounds a State in bytes.
-	maxState = 16 << 20
+	// stateTimeout bounds a State request to one peer.
+	stateTimeout = 2 * time.Second
+	// maxResponseBytes bounds the response body that is read from a peer.
+	maxResponseBytes = 16 << 20
 )
 
-// State is what a process knows of the fleet.
+// State holds the targets and the VM list that a process knows.
 type State struct {
-	// Process is who tells.
+	// Process is the name of the process that serves the State.
 	Process string `json:"process"`
-	// Targets is the newest Set it has.
+	// Targets is the newest target set that the process has.
 	Targets *targets.Set `json:"targets"`
-	// VMs is the last VM list it read; empty when it never read one.
+	// VMs is the last VM list that the process read; empty if it has read none.
 	VMs []storage.VM `json:"vms"`
 }
 
-// Handler tells the State of this process.
+// StateHandler serves the State of this process as JSON.
 func Handler(state func() State) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
@@ -46,17 +47,19 @@
 	}
 }
 
-// Ask reads the State of the process at addr (host:port).
+// FetchState reads the State of the process at addr (host:port). Failures to get or
+// decode a response are ErrUnreachable.
 func Ask(ctx context.Context, addr, systemKey string) (State, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	var s State
-	err := ask(ctx, "http://"+addr+StatePath, systemKey, &s)
+	err := getJSON(ctx, "http://"+addr+StatePath, systemKey, &s)
 	return s, err
 }
 
-// AskAny asks peers in turn, takes the newest targets into holder, and returns
-// the first VM list that one of them has; ErrUnreachable when none has one.
+// FetchFromAny reads the State of all peers, one after the other, and offers their
+// targets to holder, which keeps the newest. It returns the first VM list that is
+// not empty, or ErrUnreachable if no peer has one.
 func AskAny(ctx context.Context, addrs []string, systemKey string, holder *targets.Holder) ([]storage.VM, error) {
 	var vms []storage.VM
 	for _, addr := range addrs {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -14,7 +14,8 @@
 
 const testKey = "system-key-of-the-test"
 
-// startPeer answers with a State to bearers of the system's key.
+// startPeer starts a server that returns s to requests with the system key, and
+// returns its address (host:port).
 func startPeer(t *testing.T, s State) string {
 	t.Helper()
 	server := httptest.NewServer(auth.System(testKey)(Handler(func() State { return s })))
@@ -22,7 +23,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestFreshProcessLearnsTheNewestOfItsPeers(t *testing.T) {
+func TestFetchFromAnyAdoptsNewestTargets(t *testing.T) {
 	addrs := []string{
 		"127.0.0.1:1",
 		startPeer(t, State{Process: "old", Targets: &targets.Set{Version: 3}}),
@@ -35,11 +36,11 @@
 		t.Fatalf("VMs: got %+v, %v", vms, err)
 	}
 	if got := holder.Current().Version; got != 5 {
-		t.Fatalf("targets: got version %d, want the newest", got)
+		t.Fatalf("targets: got version %d, want 5, the newest", got)
 	}
 }
 
-func TestPeersWithoutAListStillGiveTargets(t *testing.T) {
+func TestPeersWithoutVMListStillProvideTargets(t *testing.T) {
 	holder := targets.NewHolder()
 	_, err := AskAny(t.Context(), []string{startPeer(t, State{Targets: &targets.Set{Version: 2}})}, testKey, holder)
 	if !errors.Is(err, ErrUnreachable) || holder.Current().Version != 2 {
@@ -47,7 +48,7 @@
 	}
 }
 
-func TestStateIsForBearersOfTheSystemsKey(t *testing.T) {
+func TestStateRequiresSystemKey(t *testing.T) {
 	addr := startPeer(t, State{Targets: &targets.Set{Version: 2}})
 	if _, err := Ask(t.Context(), addr, "another-key"); !errors.Is(err, ErrUnreachable) {
 		t.Fatalf("got %v, want a refusal", err)
--- a/internal/peer/version.go
+++ b/internal/peer/version.go
@@ -11,20 +11,20 @@
 	"github.com/applepier/applepier/internal/auth"
 )
 
-// VersionPath is where a process tells its Version.
+// VersionPath is the URL path at which a process serves its Version.
 const VersionPath = "/internal/v1/version"
 
-// versionTimeout bounds the question for a Version; processes that are there
-// answer within milliseconds, also in another region.
+// versionTimeout bounds a Version request. A running process responds within
+// milliseconds, also from another region.
 const versionTimeout = time.Second
 
-// Version is which targets a process has in force.
+// Version reports the version of the targets that a process has in force.
 type Version struct {
 	Process string `json:"process"`
 	Targets uint64 `json:"targets"`
 }
 
-// VersionHandler tells the Version of this process.
+// VersionHandler serves the Version of this process as JSON.
 func VersionHandler(version func() Version) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
@@ -32,24 +32,26 @@
 	}
 }
 
-// AskVersion reads the Version of the process at addr: ErrUnreachable.
+// FetchVersion reads the Version of the process at addr (host:port). Failures to get
+// or decode a response are ErrUnreachable.
 func AskVersion(ctx context.Context, addr, systemKey string) (Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, versionTimeout)
 	defer cancel()
 	var v Version
-	err := ask(ctx, "http://"+addr+VersionPath, systemKey, &v)
+	err := getJSON(ctx, "http://"+addr+VersionPath, systemKey, &v)
 	return v, err
 }
 
-// ask reads one JSON answer over a connection of its own, since an idle one
-// may have gone silent unnoticed.
-func ask(ctx context.Context, url, systemKey string, into any) error {
+// getJSON reads a JSON response of up to maxResponseBytes into result. Each request
+// opens a new connection, because a reused idle connection may have been dropped on
+// the path without a reset.
+func getJSON(ctx context.Context, url, systemKey string, result any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return errors.Wrap(err, "make request")
 	}
 	auth.SetBearer(req.Header, systemKey)
-	response, err := client.Do(req)
+	response, err := httpClient.Do(req)
 	if err != nil {
 		return errors.Wrap(ErrUnreachable, err.Error())
 	}
@@ -57,10 +59,10 @@
 	if response.StatusCode != http.StatusOK {
 		return errors.Wrap(ErrUnreachable, response.Status)
 	}
-	if err := json.NewDecoder(http.MaxBytesReader(nil, response.Body, maxState)).Decode(into); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(nil, response.Body, maxResponseBytes)).Decode(result); err != nil {
 		return errors.Wrap(ErrUnreachable, err.Error())
 	}
 	return nil
 }
 
-var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+var httpClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
