--- a/internal/unread/unread.go
+++ b/internal/unread/unread.go
@@ -1,8 +1,8 @@
-// Package unread answers requests whose bodies haven't been read whole. net/http
-// reads up to 256 KiB of such a body before it sends an answer, for as long as
-// the deadline for reading allows, and a connection that is closed with bytes
-// unread is reset, so that its caller may never see the answer. Start reading at
-// Answer.
+// Package unread sends responses to requests whose bodies have not been read
+// completely. net/http reads up to 256 KiB of such a body before it sends a response,
+// for as long as the read deadline allows. A connection that is closed with unread
+// bytes is reset, so that the caller may never receive the response. Start reading at
+// Respond.
 package unread
 
 import (
@@ -14,56 +14,62 @@
 )
 
 const (
-	// drained is up to how many bytes of a body are read around an answer.
-	drained = 256 << 10
-	// drainWait is how long a body is read before the answer, so that the
-	// connection can be kept, and lingerWait how long after it on a connection
-	// that is closed: time enough for a caller that sends on a slow link to come
-	// to the answer.
-	drainWait  = 500 * time.Millisecond
-	lingerWait = time.Second
+	// maxDrainBytes bounds how much of a body is read before, and again after, a
+	// response.
+	maxDrainBytes = 256 << 10
+	// drainTimeout bounds reading the body before the response, which allows the
+	// connection to be reused. lingerTimeout bounds reading it after the response
+	// on a connection that is about to be closed, so that a caller that is still
+	// sending over a slow link can read the response before a reset.
+	drainTimeout  = 500 * time.Millisecond
+	lingerTimeout = time.Second
 )
 
-// Answer calls answer for a request that a server has received; answer must write
-// a whole answer with its length. The connection is kept if the rest of the body
-// comes at once; late says that it was waited for already. It may set the deadline
-// for reading, and leaves one behind only on a connection that is closed.
-func Answer(w http.ResponseWriter, r *http.Request, late bool, answer func()) {
-	if !late && drain(w, r.Body) {
-		answer()
+// Respond sends the response of a server to r by calling writeResponse, which must
+// write a complete response with a Content-Length. The connection stays open if the
+// rest of the body arrives within drainTimeout; otherwise it is closed.
+// bodyTimedOut reports that the caller has already waited for the body, and closes
+// the connection without another wait. Respond may set the read deadline; one remains
+// set only on a connection that is closed.
+func Answer(w http.ResponseWriter, r *http.Request, bodyTimedOut bool, writeResponse func()) {
+	if !bodyTimedOut && drainBody(w, r.Body) {
+		writeResponse()
 		return
 	}
 	w.Header().Set("Connection", "close")
-	answer()
+	writeResponse()
 	control := http.NewResponseController(w)
 	_ = control.Flush()
-	// Where a deadline can't be set the server's own time-outs hold.
-	_ = control.SetReadDeadline(time.Now().Add(lingerWait))
-	_, _ = discard(r.Body)
+	// If the deadline cannot be set, the timeouts of the server apply.
+	_ = control.SetReadDeadline(time.Now().Add(lingerTimeout))
+	_, _ = discardBody(r.Body)
 }
 
-// drain reads what is left of a body and reports whether that was all of it and
-// the connection can be kept. net/http takes the deadline away when it comes to a
-// body's end, but not if that had been read before: it watches the connection
-// already then, and takes the caller for gone if the deadline passes.
-func drain(w http.ResponseWriter, body io.Reader) bool {
+// drainBody reads the rest of a body and reports whether it reached the end in time,
+// so that the connection can be reused. It clears the read deadline itself: net/http
+// does so only when it reaches the end of the body, not if the end was read earlier.
+// In that case its background read is already running, and an expired deadline there
+// would cancel the request's context as if the caller had disconnected.
+func drainBody(w http.ResponseWriter, body io.Reader) bool {
 	if body == http.NoBody {
 		return true
 	}
-	late := setReadDeadline(w, drainWait)
-	n, err := discard(body)
-	return n < drained && errors.Is(err, io.EOF) && !late()
+	clearDeadline := setReadDeadline(w, drainTimeout)
+	n, err := discardBody(body)
+	return n < maxDrainBytes && errors.Is(err, io.EOF) && !clearDeadline()
 }
 
-func discard(body io.Reader) (int64, error) {
-	return io.CopyN(io.Discard, body, drained)
+// discardBody reads up to maxDrainBytes of a body. The error is nil only if it read
+// that many.
+func discardBody(body io.Reader) (int64, error) {
+	return io.CopyN(io.Discard, body, maxDrainBytes)
 }
 
-// setReadDeadline sets a deadline for reading. The function that it returns takes
-// it back and reports whether it had passed.
-func setReadDeadline(w http.ResponseWriter, wait time.Duration) (late func() bool) {
+// setReadDeadline sets the read deadline to timeout from now. The returned function
+// clears it and reports whether it had expired.
+func setReadDeadline(w http.ResponseWriter, timeout time.Duration) (clearDeadline func() bool) {
 	control := http.NewResponseController(w)
-	deadline := time.Now().Add(wait)
+	deadline := time.Now().Add(timeout)
 	_ = control.SetReadDeadline(deadline)
 	return func() bool {
 		_ = control.SetReadDeadline(time.Time{})
--- a/internal/unread/unread_test.go
+++ b/internal/unread/unread_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// dial is a connection to a server that answers by the handler.
-func dial(t *testing.T, handler http.HandlerFunc) (net.Conn, *bufio.Reader) {
+// dialServer starts a server with the handler and returns a connection to it.
+func dialServer(t *testing.T, handler http.HandlerFunc) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
@@ -21,25 +21,26 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	const certainly = 20 * time.Second
-	if err := conn.SetDeadline(time.Now().Add(certainly)); err != nil {
+	const testTimeout = 20 * time.Second
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return conn, bufio.NewReader(conn)
 }
 
-// post sends a request of which so many bytes of the body come.
-func post(t *testing.T, conn net.Conn, length, come int) {
+// writeRequest sends a request with a Content-Length of contentLength but only sent
+// bytes of body.
+func writeRequest(t *testing.T, conn net.Conn, contentLength, sent int) {
 	t.Helper()
-	head := fmt.Sprintf("POST / HTTP/1.1\r\nHost: entry\r\nContent-Length: %d\r\n\r\n", length)
-	if _, err := conn.Write(append([]byte(head), make([]byte, come)...)); err != nil {
+	head := fmt.Sprintf("POST / HTTP/1.1\r\nHost: entry\r\nContent-Length: %d\r\n\r\n", contentLength)
+	if _, err := conn.Write(append([]byte(head), make([]byte, sent)...)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func read(t *testing.T, from *bufio.Reader) *http.Response {
+func readResponse(t *testing.T, reader *bufio.Reader) *http.Response {
 	t.Helper()
-	response, err := http.ReadResponse(from, nil)
+	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,59 +48,60 @@
 	return response
 }
 
-func refuse(w http.ResponseWriter) {
+func writeUnavailable(w http.ResponseWriter) {
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// A deadline that was left on a kept connection would end the next request.
-func TestKeptConnectionHasNoDeadline(t *testing.T) {
+// A read deadline left on a reused connection would cancel the context of the next
+// request.
+func TestReusedConnectionHasNoReadDeadline(t *testing.T) {
 	ended := make(chan error, 2)
-	conn, from := dial(t, func(w http.ResponseWriter, r *http.Request) {
-		// What net/http takes away with a body's end it doesn't a second time.
+	conn, reader := dialServer(t, func(w http.ResponseWriter, r *http.Request) {
+		// net/http clears the deadline only when it first reaches the end of the body.
 		_, _ = io.Copy(io.Discard, r.Body)
 		Answer(w, r, false, func() {
-			// That this is longer than the deadline is what is tested.
-			time.Sleep(drainWait + 100*time.Millisecond)
-			refuse(w)
+			// Exceed the read deadline that Respond sets.
+			time.Sleep(drainTimeout + 100*time.Millisecond)
+			writeUnavailable(w)
 		})
 		ended <- r.Context().Err()
 	})
 	for range 2 {
-		post(t, conn, 1000, 1000)
-		if read(t, from).Close {
-			t.Fatal("closed, though the body has come whole")
+		writeRequest(t, conn, 1000, 1000)
+		if readResponse(t, reader).Close {
+			t.Fatal("connection closed after a complete body")
 		}
 		if err := <-ended; err != nil {
-			t.Fatalf("the request's context has ended: %v", err)
+			t.Fatalf("request context is done: %v", err)
 		}
 	}
 }
 
-func TestBodyThatDoesNotComeClosesTheConnection(t *testing.T) {
-	for _, late := range []bool{false, true} {
-		conn, from := dial(t, func(w http.ResponseWriter, r *http.Request) {
-			Answer(w, r, late, func() { refuse(w) })
+func TestIncompleteBodyClosesConnection(t *testing.T) {
+	for _, bodyTimedOut := range []bool{false, true} {
+		conn, reader := dialServer(t, func(w http.ResponseWriter, r *http.Request) {
+			Answer(w, r, bodyTimedOut, func() { writeUnavailable(w) })
 		})
-		post(t, conn, 1000, 10)
-		if !read(t, from).Close {
-			t.Errorf("late %v: kept with a body that hasn't come", late)
+		writeRequest(t, conn, 1000, 10)
+		if !readResponse(t, reader).Close {
+			t.Errorf("bodyTimedOut %v: connection kept with an incomplete body", bodyTimedOut)
 		}
 	}
 }
 
-func TestDeadlineThatHasPassedIsTold(t *testing.T) {
-	told := make(chan bool, 2)
-	conn, from := dial(t, func(w http.ResponseWriter, r *http.Request) {
+func TestClearDeadlineReportsExpiry(t *testing.T) {
+	expired := make(chan bool, 2)
+	conn, reader := dialServer(t, func(w http.ResponseWriter, r *http.Request) {
 		for _, wait := range []time.Duration{time.Hour, time.Nanosecond} {
-			told <- setReadDeadline(w, wait)()
+			expired <- setReadDeadline(w, wait)()
 		}
 		w.Header().Set("Connection", "close")
-		refuse(w)
+		writeUnavailable(w)
 	})
-	post(t, conn, 0, 0)
-	read(t, from)
-	if within, passed := <-told, <-told; within || !passed {
-		t.Fatalf("late within the deadline: %v, after it: %v", within, passed)
+	writeRequest(t, conn, 0, 0)
+	readResponse(t, reader)
+	if within, passed := <-expired, <-expired; within || !passed {
+		t.Fatalf("expired before the deadline: %v, after it: %v", within, passed)
 	}
 }
