--- a/internal/claim/group_test.go
+++ b/internal/claim/batch_test.go
@@ -13,14 +13,14 @@
 	"github.com/applepier/applepier/internal/storage/storagetest"
 )
 
-// claimTogether claims the keys at once while the table service is slow, so
-// that they gather in one group, and returns the results in order of keys.
-func claimTogether(t *testing.T, c *Claimer, table *storagetest.Table, keys []string) []result {
+// claimInOneBatch claims the keys concurrently while slow transactions occupy all
+// workers, so that the claims form one batch. It returns the results in key order.
+func claimInOneBatch(t *testing.T, c *Claimer, table *storagetest.Table, keys []string) []result {
 	t.Helper()
-	table.FailCommits(slices.Repeat([]storagetest.Fault{storagetest.FaultSlow}, maxInFlight)...)
-	var occupied sync.WaitGroup
-	for i := range maxInFlight {
-		occupied.Go(func() {
+	table.FailCommits(slices.Repeat([]storagetest.Fault{storagetest.FaultSlow}, maxInFlightBatches)...)
+	var blockers sync.WaitGroup
+	for i := range maxInFlightBatches {
+		blockers.Go(func() {
 			_, _ = c.Claim(t.Context(), customer, fmt.Sprintf("occupy-%d", i), fingerprint, "occupy")
 		})
 		synctest.Wait()
@@ -30,15 +30,15 @@
 	for i, k := range keys {
 		wg.Go(func() {
 			claim, err := c.Claim(t.Context(), customer, k, fingerprint, "grouped")
-			results[i] = result{found: record{Attempt: claim.Attempt}, err: err}
+			results[i] = result{current: record{Attempt: claim.Attempt}, err: err}
 		})
 	}
 	wg.Wait()
-	occupied.Wait()
+	blockers.Wait()
 	return results
 }
 
-func keysOf(n int) []string {
+func numberedKeys(n int) []string {
 	keys := make([]string, n)
 	for i := range keys {
 		keys[i] = fmt.Sprintf("key-%02d", i)
@@ -46,15 +46,15 @@
 	return keys
 }
 
-func TestManyClaimsShareATransaction(t *testing.T) {
+func TestConcurrentClaimsShareTransaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
 		c := NewClaimer(table)
 		defer c.Close()
 		var sizes []int
 		table.BeforeCommit(func(writes []storage.Write) { sizes = append(sizes, len(writes)) })
-		for i, r := range claimTogether(t, c, table, keysOf(50)) {
-			if r.err != nil || r.found.Attempt != "grouped" {
+		for i, r := range claimInOneBatch(t, c, table, numberedKeys(50)) {
+			if r.err != nil || r.current.Attempt != "grouped" {
 				t.Fatalf("claim %d: %+v", i, r)
 			}
 		}
@@ -64,7 +64,7 @@
 	})
 }
 
-func TestOneConflictDoesNotFailTheGroup(t *testing.T) {
+func TestConflictDoesNotFailOtherTransitionsInBatch(t *testing.T) {
 	for _, fault := range []storagetest.Fault{storagetest.FaultNone, storagetest.FaultLost, storagetest.FaultDropped, storagetest.FaultLate} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storagetest.NewTable()
@@ -74,23 +74,23 @@
 			}
 			c := NewClaimer(table)
 			defer c.Close()
-			// The two slow calls come first; the fault hits the group.
-			occupyThen(table, fault)
-			for i, r := range claimTogether(t, c, table, keysOf(20)) {
+			// The slow transactions occupy the workers first; the fault hits the batch.
+			failFirstBatch(table, fault)
+			for i, r := range claimInOneBatch(t, c, table, numberedKeys(20)) {
 				want := "grouped"
 				if i == 7 {
 					want = "other"
 				}
-				if r.err != nil || r.found.Attempt != want {
-					t.Errorf("fault %v, claim %d: attempt %q, %v, want %q", fault, i, r.found.Attempt, r.err, want)
+				if r.err != nil || r.current.Attempt != want {
+					t.Errorf("fault %v, claim %d: attempt %q, %v, want %q", fault, i, r.current.Attempt, r.err, want)
 				}
 			}
 		})
 	}
 }
 
-// occupyThen makes the first transaction of several steps meet the fault.
-func occupyThen(table *storagetest.Table, fault storagetest.Fault) {
+// failFirstBatch applies the fault to the first transaction with several writes.
+func failFirstBatch(table *storagetest.Table, fault storagetest.Fault) {
 	var once sync.Once
 	table.BeforeCommit(func(writes []storage.Write) {
 		if len(writes) > 1 {
@@ -99,7 +99,7 @@
 	})
 }
 
-func TestGroupWhileTheTableIsDownFailsWhole(t *testing.T) {
+func TestBatchFailsWhenTableIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
 		c := NewClaimer(table)
@@ -109,7 +109,7 @@
 				table.SetDown(true)
 			}
 		})
-		for i, r := range claimTogether(t, c, table, keysOf(20)) {
+		for i, r := range claimInOneBatch(t, c, table, numberedKeys(20)) {
 			if !errors.Is(r.err, ErrUnavailable) {
 				t.Fatalf("claim %d: %v", i, r.err)
 			}
@@ -117,15 +117,15 @@
 	})
 }
 
-// A slow service delays the two transactions under way, not the refusal of
-// what can't be queued.
+// A full queue rejects a transition at once, even if the table service is slow and all
+// workers are occupied.
 func TestQueueIsBounded(t *testing.T) {
 	var c committer
-	c.inFlight = maxInFlight
-	for range maxPending {
-		c.enqueue(&step{})
+	c.inFlight = maxInFlightBatches
+	for range maxPendingTransitions {
+		c.enqueue(&transition{})
 	}
-	if c.enqueue(&step{}) {
-		t.Fatal("the queue took more than its bound")
+	if c.enqueue(&transition{}) {
+		t.Fatal("a transition was queued beyond maxPendingTransitions")
 	}
 }
--- a/internal/claim/bench_test.go
+++ b/internal/claim/bench_test.go
@@ -8,10 +8,9 @@
 	"github.com/applepier/applepier/internal/storage/storagetest"
 )
 
-// BenchmarkClaimedCall takes one call through its claim, grant and end, with a
-// kept answer of 500 B, against a table in memory. commits/op is how many
-// transactions that costs the table service; callers that run at once share
-// them.
+// BenchmarkClaimedCall measures Claim, Grant and Finish of one call, with a stored
+// response of 500 B, against an in-memory table. commits/op is the number of
+// transactions per call at the table service; concurrent callers share transactions.
 func BenchmarkClaimedCall(b *testing.B) {
 	for _, callers := range []int{1, 16} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
@@ -24,12 +23,12 @@
 			b.ResetTimer()
 			if callers == 1 {
 				for range b.N {
-					claimedCall(b, claimer, calls.Add(1))
+					runClaimedCall(b, claimer, calls.Add(1))
 				}
 			} else {
 				b.RunParallel(func(pb *testing.PB) {
 					for pb.Next() {
-						claimedCall(b, claimer, calls.Add(1))
+						runClaimedCall(b, claimer, calls.Add(1))
 					}
 				})
 			}
@@ -38,7 +37,7 @@
 	}
 }
 
-func claimedCall(b *testing.B, claimer *Claimer, n int64) {
+func runClaimedCall(b *testing.B, claimer *Claimer, n int64) {
 	ctx := b.Context()
 	c, err := claimer.Claim(ctx, "customer", fmt.Sprintf("key-%d", n), "fingerprint", fmt.Sprintf("attempt-%d", n))
 	if err != nil {
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,86 +1,89 @@
-// Package claim keeps work that must not be repeated from running twice. An
-// entry claims a customer's idempotency key in the table service before it
-// takes up the first grant, so that the same call through another entry finds
-// the claim. Start reading at Claimer.
+// Package claim prevents work with an idempotency key from running twice. An entry
+// claims a customer's idempotency key in the table service before it uses the first
+// grant, so that a repeated call through another entry finds the claim. Start reading
+// at Claimer.
 //
-// # Life of a claim
+// # States of a claim
 //
 //	claimed ──Grant──▶ granted ──Finish──▶ finished
 //	   │                  │
 //	   └────Release───────┴──▶ released, the key may be claimed again
 //
-// A claim without a grant never had its body sent, and every step is a
-// compare-and-set on the step before. So a claim in StateClaimed may be taken
-// over at any time: its owner's Grant then fails and it sends nothing. A claim
-// in StateGranted may be taken over only after the agent has voided the grant.
+// The request body is sent only after a grant is recorded, and every transition is a
+// compare-and-set on the previous one. A claim in StateClaimed can therefore be taken
+// over at any time: the Grant of its former owner then fails, and that owner sends
+// nothing. A claim in StateGranted may be taken over only after the agent has voided
+// the grant.
 //
-// # Answers
+// # Responses
 //
-// The answer of finished work is kept beside the claim, up to MaxAnswer, so
-// that a repeat of the call gets the same answer. It lives in the table
-// service and not in the object store for two reasons: claim and answer are
-// written in one transaction, so that a finished claim never promises an
-// answer that isn't there, and the object store has no call that removes, so
-// that answers would pile up without bound. Of a longer answer the claim says
-// that the work ran and that its answer is gone.
+// The response of finished work, up to MaxResponseBytes, is stored with the claim, so
+// that a repeated call gets the same response. It is in the table service and not in
+// the object store for two reasons. Claim and response are written in one transaction,
+// so a finished claim never refers to a response that does not exist. And the object
+// store has no delete operation, so responses would accumulate without bound. For a
+// longer response the claim records only that the work ran and that the response is
+// not stored.
 //
 // # Retention
 //
-// A claim is removed Retention and ClockMargin after its last attempt began,
-// by the writer's wall clock against the sweeper's. The promise is Retention,
-// as long as two VMs' clocks differ by less than ClockMargin.
+// The Sweeper removes a claim when Retention plus MaxClockSkew have passed since its
+// last attempt started. The start is read from the wall clock of the writer and
+// compared with that of the sweeping VM, so Retention is guaranteed as long as the
+// clocks of the two VMs differ by less than MaxClockSkew.
 package claim
 
 import "time"
 
-// Bounds of claims.
+// Limits of claims.
 const (
-	// Retention is how long a claim guards its key. A day covers a caller
-	// that comes back after a night.
+	// Retention is how long a claim protects its key. A day covers a caller that
+	// retries after a night.
 	Retention = 24 * time.Hour
-	// ClockMargin is how far the wall clocks of two VMs may differ without
-	// shortening Retention.
-	ClockMargin = 10 * time.Minute
-	// MaxAnswer is the longest answer that is kept, in bytes.
+	// MaxClockSkew is the largest difference between the wall clocks of two VMs
+	// that does not shorten Retention.
+	MaxClockSkew = 10 * time.Minute
+	// MaxResponseBytes is the size of the largest response that is stored.
 	MaxAnswer = 64 << 10
 )
 
-// State says how far the claimed work has come.
+// State is the progress of the claimed work. The zero value means that no claim exists.
 type State string
 
 // States of a claim.
 const (
-	// StateClaimed: no grant was taken up; nothing was sent.
+	// StateClaimed means that no grant was recorded and nothing was sent.
 	StateClaimed State = "claimed"
-	// StateGranted: a grant was taken up; the work may have been sent.
+	// StateGranted means that a grant was recorded; the request may have been sent.
 	StateGranted State = "granted"
-	// StateFinished: the work ran and ended.
+	// StateFinished means that the work ran and ended.
 	StateFinished State = "finished"
-	// StateReleased: the work was certainly not run.
+	// StateReleased means that the work was not run and the key may be claimed again.
 	StateReleased State = "released"
 )
 
-// Claim is what is known of one idempotency key.
+// Claim is the state of one idempotency key, as read or written by a Claimer.
 type Claim struct {
 	// Attempt identifies the attempt that owns the claim.
 	Attempt string
-	// Fingerprint identifies the request that the key stands for.
+	// Fingerprint identifies the request that the key was claimed for.
 	Fingerprint string
 	State       State
-	// Mine says that this call made the claim, or that its attempt owned it
-	// already; otherwise somebody else's was found.
+	// Owned reports that the attempt of the call that returned this Claim owns it.
+	// Otherwise another attempt does.
 	Mine bool
-	// Agent and Grant say what was taken up, from StateGranted on.
+	// Agent and Grant are the agent address and the grant id recorded by Grant; they
+	// are set from StateGranted on.
 	Agent string
 	Grant string
-	// Outcome is set in StateFinished; its Answer is read by Claimer.Answer.
+	// Outcome is set in StateFinished. Claimer.Response reads the response.
 	Outcome Outcome
-	// Began is when the attempt began, by its entry's wall clock.
-	Began time.Time
+	// StartedAt is when the attempt started, by the wall clock of its entry.
+	StartedAt time.Time
 
-	// row is the key of the claim's row, write the id of the row's latest
-	// write and version the row's version.
+	// row is the row key of the claim, writeID the id of the latest write of the row
+	// and version the row version.
 	row     string
-	write   string
+	writeID string
 	version uint64
 }
--- a/internal/claim/claimer.go
+++ b/internal/claim/claimer.go
@@ -10,104 +10,104 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// maxClaimTries bounds how often Claim starts over on a key that others claim
-// and release at the same time.
-const maxClaimTries = 4
+// maxClaimAttempts bounds how often Claim tries a key that others claim and release
+// concurrently.
+const maxClaimAttempts = 4
 
-// errContended is the cause of ErrUnavailable when a key changes too fast.
-var errContended = errors.New("key is claimed and released by others")
+// errContended is the cause of ErrUnavailable after maxClaimAttempts conflicts on a
+// key.
+var errContended = errors.New("key is being claimed and released concurrently")
 
-// Claimer makes claims and moves them on. It is safe for concurrent use; the
-// steps of concurrent callers share transactions.
+// Claimer creates claims and performs their state transitions. It is safe for
+// concurrent use; transitions of concurrent callers share transactions.
 type Claimer struct {
 	table     storage.Table
 	committer committer
 }
 
-// NewClaimer returns a Claimer on the table service.
+// NewClaimer returns a Claimer that stores claims in table. The caller must call Close.
 func NewClaimer(table storage.Table) *Claimer {
 	return &Claimer{table: table, committer: committer{table: table}}
 }
 
-// Close waits for the writes under way. No call may follow.
+// Close waits for the writes in flight. The Claimer must not be used afterwards.
 func (c *Claimer) Close() {
 	c.committer.wait()
 }
 
-// Claim claims a customer's idempotency key for the request with the given
-// fingerprint. The attempt's id must be unique. Without an error, the Claim's
-// Mine says whether the caller may go on; if not, the Claim is somebody
-// else's and its State says how far that has come. Errors: ErrKeyReused,
-// ErrUnavailable, ErrUnsettled, ErrCorrupt; after each of them the caller must
-// not go on.
+// Claim claims a customer's idempotency key for the request with the given fingerprint.
+// The attempt id must be unique. If the returned Claim is Owned, the caller may
+// proceed; otherwise it is the claim of another attempt, with its State. Errors:
+// ErrKeyReused, ErrUnavailable, ErrOutcomeUnknown, ErrCorrupt. After an error the caller
+// must not send the request.
 func (c *Claimer) Claim(ctx context.Context, customer, key, fingerprint, attempt string) (Claim, error) {
 	row := rowKey(customer, key)
-	s := &step{row: row, next: firstRecord(fingerprint, attempt)}
-	for range maxClaimTries {
-		claim, err := c.advance(ctx, s)
-		lost, isLost := errors.Into[*LostError](err)
-		if !isLost {
+	t := &transition{row: row, next: newRecord(fingerprint, attempt)}
+	for range maxClaimAttempts {
+		claim, err := c.advance(ctx, t)
+		conflict, isConflict := errors.Into[*LostError](err)
+		if !isConflict {
 			return claim, err
 		}
-		switch found := lost.Current; {
-		case found.State == "":
-			s = &step{row: row, next: firstRecord(fingerprint, attempt)}
-		case found.Fingerprint != fingerprint:
-			return found, ErrKeyReused
-		case found.State == StateReleased:
-			s = found.replacement(fingerprint, attempt)
+		switch current := conflict.Current; {
+		case current.State == "":
+			t = &transition{row: row, next: newRecord(fingerprint, attempt)}
+		case current.Fingerprint != fingerprint:
+			return current, ErrKeyReused
+		case current.State == StateReleased:
+			t = current.replacement(fingerprint, attempt)
 		default:
-			return found, nil
+			return current, nil
 		}
 	}
 	return Claim{}, errors.Join(ErrUnavailable, errContended)
 }
 
-// Grant records which grant the claim's owner takes up. It must return without
-// an error before the body is sent. A later grant replaces one that was
-// voided. Errors: ErrNotMine, LostError, ErrUnavailable, ErrUnsettled.
+// Grant records the grant that the owner of the claim will use. It must succeed before
+// the request body is sent. A later grant replaces one that was voided. Errors:
+// ErrNotOwner, *ConflictError, ErrUnavailable, ErrOutcomeUnknown, ErrCorrupt.
 func (c *Claimer) Grant(ctx context.Context, claim Claim, agent, grant string) (Claim, error) {
 	if !claim.Mine {
-		return claim, ErrNotMine
+		return claim, ErrNotOwner
 	}
-	s := claim.step(StateGranted)
-	s.next.Agent = agent
-	s.next.Grant = grant
-	return c.advance(ctx, s)
+	t := claim.transition(StateGranted)
+	t.next.Agent = agent
+	t.next.Grant = grant
+	return c.advance(ctx, t)
 }
 
-// Finish records that the work ran and how it ended, and keeps its answer if
-// it is no longer than MaxAnswer. Errors as for Grant; the work has run all
-// the same, and a repeat of the call finds the claim granted.
+// Finish records that the work ran and how it ended, and stores its response if it has
+// at most MaxResponseBytes. It returns the same errors as Grant. After an error the
+// work has still run, and a repeated call may find the claim granted.
 func (c *Claimer) Finish(ctx context.Context, claim Claim, outcome Outcome) (Claim, error) {
 	if !claim.Mine {
-		return claim, ErrNotMine
+		return claim, ErrNotOwner
 	}
-	s := claim.step(StateFinished)
-	s.answer = outcome.Answer
-	s.next.Outcome = outcome
-	s.next.Outcome.Kept = outcome.Answer != nil && len(outcome.Answer) <= MaxAnswer
-	s.next.Outcome.Answer = nil
-	return c.advance(ctx, s)
+	t := claim.transition(StateFinished)
+	t.response = outcome.Answer
+	t.next.Outcome = outcome
+	t.next.Outcome.ResponseStored = outcome.Answer != nil && len(outcome.Answer) <= MaxAnswer
+	t.next.Outcome.Answer = nil
+	return c.advance(ctx, t)
 }
 
-// Release records that the work was certainly not run, so that the key may be
-// claimed again. Errors as for Grant.
+// Release records that the work was not run, so that the key may be claimed again. It
+// returns the same errors as Grant.
 //
-// The row is kept: if it were deleted, its versions would begin anew, and a
-// delayed write from before could take effect on the next claim.
+// The row is not deleted: row versions would restart, and a delayed earlier write could
+// then be applied to the next claim.
 func (c *Claimer) Release(ctx context.Context, claim Claim) error {
 	if !claim.Mine {
-		return ErrNotMine
+		return ErrNotOwner
 	}
-	_, err := c.advance(ctx, claim.step(StateReleased))
+	_, err := c.advance(ctx, claim.transition(StateReleased))
 	return err
 }
 
-// TakeOver makes the attempt the owner of somebody else's unfinished claim. In
-// StateGranted it may be called only after the agent has voided the grant.
-// Errors: ErrFinished, LostError when the claim has moved on since it was
-// read, ErrUnavailable, ErrUnsettled.
+// TakeOver makes attempt the owner of an unfinished claim of another attempt. In
+// StateGranted it may be called only after the agent has voided the grant. Errors:
+// ErrFinished, *ConflictError if the claim has changed since it was read,
+// ErrUnavailable, ErrOutcomeUnknown, ErrCorrupt.
 func (c *Claimer) TakeOver(ctx context.Context, claim Claim, attempt string) (Claim, error) {
 	if claim.State == StateFinished {
 		return claim, ErrFinished
@@ -115,15 +115,15 @@
 	return c.advance(ctx, claim.replacement(claim.Fingerprint, attempt))
 }
 
-// Answer reads the answer of a finished claim: ErrAnswerGone or
+// Response reads the stored response of a finished claim. Errors: ErrResponseNotStored,
 // ErrUnavailable.
 func (c *Claimer) Answer(ctx context.Context, claim Claim) ([]byte, error) {
-	if !claim.Outcome.Kept {
-		return nil, ErrAnswerGone
+	if !claim.Outcome.ResponseStored {
+		return nil, ErrResponseNotStored
 	}
-	row, err := c.table.Get(ctx, answerKey(claim.row))
+	row, err := c.table.Get(ctx, responseKey(claim.row))
 	if errors.Is(err, storage.ErrNotFound) {
-		return nil, ErrAnswerGone
+		return nil, ErrResponseNotStored
 	}
 	if err != nil {
 		return nil, errors.Join(ErrUnavailable, err)
@@ -131,42 +131,43 @@
 	return row.Value, nil
 }
 
-// advance writes a step and returns the claim as it is afterwards.
-func (c *Claimer) advance(ctx context.Context, s *step) (Claim, error) {
-	r := c.committer.submit(ctx, s)
-	if errors.Is(r.err, errLost) {
-		return Claim{}, &LostError{Current: r.found.claim(s.row, r.version, s.next.Attempt)}
+// advance performs a transition and returns the resulting claim.
+func (c *Claimer) advance(ctx context.Context, t *transition) (Claim, error) {
+	r := c.committer.submit(ctx, t)
+	if errors.Is(r.err, errConflict) {
+		return Claim{}, &LostError{Current: r.current.claim(t.row, r.version, t.next.Attempt)}
 	}
 	if r.err != nil {
 		return Claim{}, r.err
 	}
-	return s.next.claim(s.row, r.version, s.next.Attempt), nil
+	return t.next.claim(t.row, r.version, t.next.Attempt), nil
 }
 
-func firstRecord(fingerprint, attempt string) record {
+// newRecord returns the initial record of a claim by attempt.
+func newRecord(fingerprint, attempt string) record {
 	return record{
-		Write:       uuid.NewString(),
+		WriteID:     uuid.NewString(),
 		Attempt:     attempt,
 		Fingerprint: fingerprint,
 		State:       StateClaimed,
-		Began:       time.Now().UTC(),
+		StartedAt:   time.Now().UTC(),
 	}
 }
 
-// step returns the owner's next step of the claim.
-func (c Claim) step(state State) *step {
-	return &step{row: c.row, prior: c.write, version: c.version, next: record{
-		Write:       uuid.NewString(),
+// transition returns the transition of the claim to state, for its owner.
+func (c Claim) transition(state State) *transition {
+	return &transition{row: c.row, expectedWriteID: c.writeID, version: c.version, next: record{
+		WriteID:     uuid.NewString(),
 		Attempt:     c.Attempt,
 		Fingerprint: c.Fingerprint,
 		State:       state,
 		Agent:       c.Agent,
 		Grant:       c.Grant,
-		Began:       c.Began,
+		StartedAt:   c.StartedAt,
 	}}
 }
 
-// replacement returns the step that puts another attempt in the claim's place.
-func (c Claim) replacement(fingerprint, attempt string) *step {
-	return &step{row: c.row, prior: c.write, version: c.version, next: firstRecord(fingerprint, attempt)}
+// replacement returns the transition that replaces the claim by one of another attempt.
+func (c Claim) replacement(fingerprint, attempt string) *transition {
+	return &transition{row: c.row, expectedWriteID: c.writeID, version: c.version, next: newRecord(fingerprint, attempt)}
 }
--- a/internal/claim/claimer_test.go
+++ b/internal/claim/claimer_test.go
@@ -20,7 +20,7 @@
 	fingerprint = "f1"
 )
 
-// mustClaim claims the key for the attempt, which must get it.
+// mustClaim claims the key for the attempt and fails the test if it does not succeed.
 func mustClaim(t *testing.T, c *Claimer, attempt string) Claim {
 	t.Helper()
 	claim, err := c.Claim(t.Context(), customer, key, fingerprint, attempt)
@@ -39,64 +39,64 @@
 	return claim
 }
 
-// find claims the key for another attempt, which must not get it.
-func find(t *testing.T, table storage.Table) Claim {
+// claimExisting claims the key for another attempt, which must find the existing claim.
+func claimExisting(t *testing.T, table storage.Table) Claim {
 	t.Helper()
 	c := NewClaimer(table)
 	defer c.Close()
 	claim, err := c.Claim(t.Context(), customer, key, fingerprint, "finder")
 	if err != nil || claim.Mine {
-		t.Fatalf("find: %+v, %v", claim, err)
+		t.Fatalf("claim of an existing key: %+v, %v", claim, err)
 	}
 	return claim
 }
 
-func TestRepeatOfTheCallFindsEachState(t *testing.T) {
+func TestRepeatedCallObservesEachState(t *testing.T) {
 	table := storagetest.NewTable()
 	c := NewClaimer(table)
 	claim := mustClaim(t, c, "first")
-	if found := find(t, table); found.State != StateClaimed || found.Attempt != "first" {
+	if found := claimExisting(t, table); found.State != StateClaimed || found.Attempt != "first" {
 		t.Fatalf("after the claim: %+v", found)
 	}
 	claim = mustGrant(t, c, claim, "grant-1")
-	if found := find(t, table); found.State != StateGranted || found.Grant != "grant-1" || found.Agent != "127.0.0.1:9" {
+	if found := claimExisting(t, table); found.State != StateGranted || found.Grant != "grant-1" || found.Agent != "127.0.0.1:9" {
 		t.Fatalf("after the grant: %+v", found)
 	}
-	answer := []byte(`{"docket":17}`)
-	if _, err := c.Finish(t.Context(), claim, Outcome{Whole: true, Status: 200, Answer: answer}); err != nil {
+	response := []byte(`{"docket":17}`)
+	if _, err := c.Finish(t.Context(), claim, Outcome{Whole: true, Status: 200, Answer: response}); err != nil {
 		t.Fatal(err)
 	}
-	found := find(t, table)
+	found := claimExisting(t, table)
 	if found.State != StateFinished || !found.Outcome.Whole || found.Outcome.Status != 200 {
-		t.Fatalf("after the end: %+v", found)
+		t.Fatalf("after finish: %+v", found)
 	}
-	kept, err := c.Answer(t.Context(), found)
-	if err != nil || !bytes.Equal(kept, answer) {
-		t.Fatalf("answer: %q, %v", kept, err)
+	stored, err := c.Answer(t.Context(), found)
+	if err != nil || !bytes.Equal(stored, response) {
+		t.Fatalf("response: %q, %v", stored, err)
 	}
 	if _, err := c.TakeOver(t.Context(), found, "finder"); !errors.Is(err, ErrFinished) {
 		t.Fatalf("take over finished work: %v", err)
 	}
 }
 
-func TestAnswerTooLongIsGone(t *testing.T) {
+func TestOversizedResponseIsNotStored(t *testing.T) {
 	table := storagetest.NewTable()
 	c := NewClaimer(table)
 	claim := mustGrant(t, c, mustClaim(t, c, "first"), "grant-1")
 	if _, err := c.Finish(t.Context(), claim, Outcome{Whole: true, Answer: make([]byte, MaxAnswer+1)}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Answer(t.Context(), find(t, table)); !errors.Is(err, ErrAnswerGone) {
-		t.Fatalf("got %v, want an answer that is gone", err)
+	if _, err := c.Answer(t.Context(), claimExisting(t, table)); !errors.Is(err, ErrResponseNotStored) {
+		t.Fatalf("got %v, want ErrResponseNotStored", err)
 	}
 }
 
-func TestKeyReusedForAnotherRequest(t *testing.T) {
+func TestKeyReusedForDifferentRequestIsRejected(t *testing.T) {
 	c := NewClaimer(storagetest.NewTable())
 	mustClaim(t, c, "first")
 	_, err := c.Claim(t.Context(), customer, key, "f2", "second")
 	if !errors.Is(err, ErrKeyReused) {
-		t.Fatalf("got %v, want a reused key", err)
+		t.Fatalf("got %v, want ErrKeyReused", err)
 	}
 	other, err := c.Claim(t.Context(), "kaivonkansi", key, "f2", "third")
 	if err != nil || !other.Mine {
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestReleasedKeyMayBeClaimedAgain(t *testing.T) {
+func TestReleasedKeyCanBeClaimedAgain(t *testing.T) {
 	c := NewClaimer(storagetest.NewTable())
 	if err := c.Release(t.Context(), mustClaim(t, c, "first")); err != nil {
 		t.Fatal(err)
@@ -112,8 +112,8 @@
 	mustClaim(t, c, "second")
 }
 
-// Whatever happens to the writes, one of many attempts gets the key.
-func TestOneOfManyAttemptsGetsTheKey(t *testing.T) {
+// Exactly one of many concurrent attempts claims the key, under every commit fault.
+func TestExactlyOneConcurrentAttemptClaimsKey(t *testing.T) {
 	faults := map[string][]storagetest.Fault{
 		"none":    nil,
 		"lost":    {storagetest.FaultLost},
@@ -127,23 +127,24 @@
 			synctest.Test(t, func(t *testing.T) {
 				table := storagetest.NewTable()
 				table.FailCommits(faults...)
-				if won := race(t, NewClaimer(table), NewClaimer(table)); won != 1 {
-					t.Fatalf("attempts that got the key: %d, want 1", won)
+				if claimed := countClaimed(t, NewClaimer(table), NewClaimer(table)); claimed != 1 {
+					t.Fatalf("attempts that claimed the key: %d, want 1", claimed)
 				}
 				if table.Land() != 0 {
-					t.Fatal("a late write took effect after all outcomes were told")
+					t.Fatal("a delayed write was applied after all outcomes were reported")
 				}
 			})
 		})
 	}
 }
 
-// race makes attempts at the key through each claimer and counts who gets it.
-func race(t *testing.T, claimers ...*Claimer) int {
+// countClaimed makes concurrent attempts at the key through each claimer and returns
+// how many of them claimed it.
+func countClaimed(t *testing.T, claimers ...*Claimer) int {
 	const attemptsEach = 8
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	won := 0
+	claimed := 0
 	for i, c := range claimers {
 		for j := range attemptsEach {
 			wg.Go(func() {
@@ -154,16 +155,16 @@
 				mu.Lock()
 				defer mu.Unlock()
 				if claim.Mine {
-					won++
+					claimed++
 				}
 			})
 		}
 	}
 	wg.Wait()
-	return won
+	return claimed
 }
 
-func TestStepsSurviveLostAnswers(t *testing.T) {
+func TestTransitionsSurviveCommitFaults(t *testing.T) {
 	for _, fault := range []storagetest.Fault{storagetest.FaultLost, storagetest.FaultDropped, storagetest.FaultLate, storagetest.FaultSlow} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storagetest.NewTable()
@@ -177,14 +178,14 @@
 				t.Fatalf("fault %v: %v", fault, err)
 			}
 			table.Land()
-			if found := find(t, table); found.State != StateFinished {
+			if found := claimExisting(t, table); found.State != StateFinished {
 				t.Fatalf("fault %v: %+v", fault, found)
 			}
 		})
 	}
 }
 
-func TestNothingGoesOnWhileTheTableIsDown(t *testing.T) {
+func TestTransitionsFailWhileTableIsDown(t *testing.T) {
 	table := storagetest.NewTable()
 	c := NewClaimer(table)
 	claim := mustClaim(t, c, "first")
@@ -196,44 +197,44 @@
 		t.Fatalf("grant: %v", err)
 	}
 	table.SetDown(false)
-	if found := find(t, table); found.State != StateClaimed {
+	if found := claimExisting(t, table); found.State != StateClaimed {
 		t.Fatalf("after the outage: %+v", found)
 	}
 }
 
-// The owner of a claim sleeps; another entry takes the claim over. The owner
-// must not be able to take up a grant any more.
-func TestOwnerLosesAClaimThatWasTakenOver(t *testing.T) {
+// An owner that was suspended while another entry took over its claim must not be able
+// to record a grant.
+func TestGrantFailsAfterTakeOver(t *testing.T) {
 	table := storagetest.NewTable()
 	owner, other := NewClaimer(table), NewClaimer(table)
 	claim := mustClaim(t, owner, "first")
-	taken, err := other.TakeOver(t.Context(), find(t, table), "second")
+	taken, err := other.TakeOver(t.Context(), claimExisting(t, table), "second")
 	if err != nil || !taken.Mine {
 		t.Fatalf("take over: %+v, %v", taken, err)
 	}
 	_, err = owner.Grant(t.Context(), claim, "a", "g")
-	lost, ok := errors.Into[*LostError](err)
-	if !ok || lost.Current.Attempt != "second" {
-		t.Fatalf("grant of the old owner: %v", err)
+	conflict, isConflict := errors.Into[*LostError](err)
+	if !isConflict || conflict.Current.Attempt != "second" {
+		t.Fatalf("grant by the former owner: %v", err)
 	}
 	mustGrant(t, other, taken, "grant-2")
 }
 
-func TestTwoTakeOversOneWins(t *testing.T) {
+func TestOnlyOneTakeOverSucceeds(t *testing.T) {
 	table := storagetest.NewTable()
 	c := NewClaimer(table)
 	mustGrant(t, c, mustClaim(t, c, "first"), "grant-1")
-	found := find(t, table)
+	found := claimExisting(t, table)
 	if _, err := c.TakeOver(t.Context(), found, "second"); err != nil {
 		t.Fatal(err)
 	}
 	_, err := NewClaimer(table).TakeOver(t.Context(), found, "third")
-	if lost, ok := errors.Into[*LostError](err); !ok || lost.Current.Attempt != "second" {
+	if conflict, isConflict := errors.Into[*LostError](err); !isConflict || conflict.Current.Attempt != "second" {
 		t.Fatalf("second take-over: %v", err)
 	}
 }
 
-func TestCallerThatGoesAwayIsToldTheTruth(t *testing.T) {
+func TestCancelledCallReportsOutcomeUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
 		table.FailCommits(storagetest.FaultSlow)
@@ -244,24 +245,24 @@
 			cancel()
 		}()
 		_, err := c.Claim(ctx, customer, key, fingerprint, "first")
-		if !errors.Is(err, ErrUnsettled) {
-			t.Fatalf("got %v, want an unsettled outcome", err)
+		if !errors.Is(err, ErrOutcomeUnknown) {
+			t.Fatalf("got %v, want ErrOutcomeUnknown", err)
 		}
 		c.Close()
 	})
 }
 
-// A write whose answer was lost just before an outage may have taken effect,
-// so the claimer must not say that nothing was written.
-func TestOutageAfterALostAnswerIsNotCalledUnavailable(t *testing.T) {
+// A write whose reply was lost just before an outage may have been applied, so the
+// error must not be ErrUnavailable, which means that nothing was written.
+func TestOutageAfterLostReplyReportsOutcomeUnknown(t *testing.T) {
 	for _, fault := range []storagetest.Fault{storagetest.FaultLost, storagetest.FaultLate} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storagetest.NewTable()
 			c := NewClaimer(downAfterCommit{table})
 			table.FailCommits(fault)
 			_, err := c.Claim(t.Context(), customer, key, fingerprint, "first")
-			if !errors.Is(err, ErrUnsettled) || errors.Is(err, ErrUnavailable) {
-				t.Fatalf("fault %v: got %v, want an unsettled outcome", fault, err)
+			if !errors.Is(err, ErrOutcomeUnknown) || errors.Is(err, ErrUnavailable) {
+				t.Fatalf("fault %v: got %v, want ErrOutcomeUnknown", fault, err)
 			}
 		})
 	}
--- a/internal/claim/committer.go
+++ b/internal/claim/committer.go
@@ -11,73 +11,78 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// Bounds of a committer.
+// Limits of a committer.
 const (
-	// maxGroup is how many steps share one transaction.
-	maxGroup = 64
-	// maxInFlight is how many transactions of one process are under way. With
-	// one, a call that the table service is slow to answer would hold up all
-	// others; with many, steps would not gather in groups.
-	maxInFlight = 2
-	// maxPending bounds the steps that wait; beyond, they are refused.
-	maxPending = 4096
+	// maxBatchSize is the maximum number of transitions in one transaction.
+	maxBatchSize = 64
+	// maxInFlightBatches is the maximum number of concurrent transactions of a
+	// committer. With one, a slow call to the table service would block all other
+	// transitions; with many, transitions would not accumulate into batches.
+	maxInFlightBatches = 2
+	// maxPendingTransitions bounds the queue; further transitions are rejected.
+	maxPendingTransitions = 4096
 )
 
-// committer gathers steps into groups. While transactions are under way,
-// arriving steps wait, and the next transaction takes them all.
+// committer writes transitions in batches (group commit). While transactions are in
+// flight, new transitions queue, and the next transaction takes up to maxBatchSize of
+// them.
 type committer struct {
 	table   storage.Table
-	writers conc.WaitGroup
+	workers conc.WaitGroup
 
 	mu       sync.Mutex
-	pending  []*step
+	pending  []*transition
 	inFlight int
 }
 
-// errFull is the cause of ErrUnavailable when too many steps wait.
-var errFull = errors.New("too many claims are waiting to be written")
+// errQueueFull is the cause of ErrUnavailable when the queue is full.
+var errQueueFull = errors.New("too many claims are waiting to be written")
 
-// submit writes a step and waits for its result. When ctx ends first, the
-// result's error tells whether the step may still be written.
-func (c *committer) submit(ctx context.Context, s *step) result {
-	s.done = make(chan result, 1)
-	if !c.enqueue(s) {
-		return result{err: errors.Join(ErrUnavailable, errFull)}
+// submit queues a transition and waits for its result. If ctx is done first, the error
+// of the result is ErrUnavailable if the transition was still queued and will not be
+// written, or ErrOutcomeUnknown if it may be written.
+func (c *committer) submit(ctx context.Context, t *transition) result {
+	t.result = make(chan result, 1)
+	if !c.enqueue(t) {
+		return result{err: errors.Join(ErrUnavailable, errQueueFull)}
 	}
 	select {
-	case r := <-s.done:
+	case r := <-t.result:
 		return r
 	case <-ctx.Done():
 	}
-	if c.remove(s) {
+	if c.dequeue(t) {
 		return result{err: errors.Join(ErrUnavailable, context.Cause(ctx))}
 	}
-	return result{err: errors.Join(ErrUnsettled, context.Cause(ctx))}
+	return result{err: errors.Join(ErrOutcomeUnknown, context.Cause(ctx))}
 }
 
-// wait returns once no transaction is under way.
+// wait waits for the transactions in flight and the queued transitions.
 func (c *committer) wait() {
-	c.writers.Wait()
+	c.workers.Wait()
 }
 
-func (c *committer) enqueue(s *step) bool {
+// enqueue queues a transition and starts a worker if fewer than maxInFlightBatches
+// run. It reports false if the queue is full.
+func (c *committer) enqueue(t *transition) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.pending) >= maxPending {
+	if len(c.pending) >= maxPendingTransitions {
 		return false
 	}
-	c.pending = append(c.pending, s)
-	if c.inFlight < maxInFlight {
+	c.pending = append(c.pending, t)
+	if c.inFlight < maxInFlightBatches {
 		c.inFlight++
-		c.writers.Go(c.write)
+		c.workers.Go(c.writeBatches)
 	}
 	return true
 }
 
-func (c *committer) remove(s *step) bool {
+// dequeue removes a queued transition. It reports false if a batch has taken it.
+func (c *committer) dequeue(t *transition) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	i := slices.Index(c.pending, s)
+	i := slices.Index(c.pending, t)
 	if i < 0 {
 		return false
 	}
@@ -85,36 +90,36 @@
 	return true
 }
 
-// write writes groups until no step waits.
-func (c *committer) write() {
+// writeBatches writes batches until the queue is empty.
+func (c *committer) writeBatches() {
 	for {
-		steps := c.take()
-		if len(steps) == 0 {
+		batched := c.nextBatch()
+		if len(batched) == 0 {
 			return
 		}
-		g := group{table: c.table, steps: steps}
-		g.run()
+		b := batch{table: c.table, transitions: batched}
+		b.run()
 	}
 }
 
-// take removes a group of steps on different rows from those that wait. When
-// there is none, the caller's place among the transactions is given up.
-func (c *committer) take() []*step {
+// nextBatch removes a batch of transitions of different rows from the queue. If the
+// queue is empty, it decrements inFlight and the calling worker must exit.
+func (c *committer) nextBatch() []*transition {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var group, left []*step
+	var batched, remaining []*transition
 	rows := map[string]bool{}
-	for _, s := range c.pending {
-		if len(group) == maxGroup || rows[s.row] {
-			left = append(left, s)
+	for _, t := range c.pending {
+		if len(batched) == maxBatchSize || rows[t.row] {
+			remaining = append(remaining, t)
 			continue
 		}
-		rows[s.row] = true
-		group = append(group, s)
+		rows[t.row] = true
+		batched = append(batched, t)
 	}
-	c.pending = left
-	if len(group) == 0 {
+	c.pending = remaining
+	if len(batched) == 0 {
 		c.inFlight--
 	}
-	return group
+	return batched
 }
--- a/internal/claim/errors.go
+++ b/internal/claim/errors.go
@@ -4,34 +4,37 @@
 	"github.com/go-faster/errors"
 )
 
-// Errors of a Claimer.
+// Errors of a Claimer. After ErrUnavailable and ErrOutcomeUnknown the caller must not
+// send the request.
 var (
-	// ErrUnavailable: nothing was written and nothing will be. The caller
-	// must not go on; the work is certainly not run.
-	ErrUnavailable = errors.New("claims can't be written, the work was not run")
-	// ErrUnsettled: whether the step was written could not be found out in
-	// time. The caller must not go on. The key may be left claimed or
-	// granted; a repeat of the call finds it and may take it over.
-	ErrUnsettled = errors.New("outcome of the claim's write is unknown, the work was not sent")
-	// ErrKeyReused: the key stands for a request with another fingerprint.
+	// ErrUnavailable means that nothing was written and nothing will be. The work
+	// was not run.
+	ErrUnavailable = errors.New("claim cannot be written, the work was not run")
+	// ErrOutcomeUnknown means that the outcome of the write could not be determined
+	// in time. The key may remain claimed or granted; a repeated call finds that
+	// claim and may take it over.
+	ErrOutcomeUnknown = errors.New("outcome of the claim write is unknown, the work was not sent")
+	// ErrKeyReused means that the key was used for a request with a different
+	// fingerprint.
 	ErrKeyReused = errors.New("idempotency key was used for a different request")
-	// ErrAnswerGone: the work ran, and its answer was not kept.
-	ErrAnswerGone = errors.New("the work ran, its answer was not kept")
-	// ErrNotMine: the step is for the owner of the claim only.
-	ErrNotMine = errors.New("claim belongs to another attempt")
-	// ErrFinished: the claim is finished and can't be taken over.
+	// ErrResponseNotStored means that the work ran but its response was not stored.
+	ErrResponseNotStored = errors.New("the work ran, but its response was not stored")
+	// ErrNotOwner means that the operation requires ownership of the claim.
+	ErrNotOwner = errors.New("claim belongs to another attempt")
+	// ErrFinished means that the claim is finished and cannot be taken over.
 	ErrFinished = errors.New("claim is finished")
-	// ErrCorrupt: a row doesn't hold what this version of the program writes.
-	ErrCorrupt = errors.New("stored claim can't be decoded")
+	// ErrCorrupt means that a row cannot be decoded by this version of the program.
+	ErrCorrupt = errors.New("stored claim cannot be decoded")
 )
 
-// LostError says that another attempt changed the claim first. The caller must
-// not go on.
+// ConflictError means that another writer changed the claim first. The caller must not
+// send the request.
 type LostError struct {
-	// Current is the claim as it is now.
+	// Current is the stored claim. Its State is empty if the row does not exist.
 	Current Claim
 }
 
+// Error names the attempt that owns the claim.
 func (e *LostError) Error() string {
-	return "claim was lost to attempt " + e.Current.Attempt
+	return "claim was changed by attempt " + e.Current.Attempt
 }
--- a/internal/claim/faults_test.go
+++ b/internal/claim/faults_test.go
@@ -11,9 +11,9 @@
 	"github.com/applepier/applepier/internal/storage/storagetest"
 )
 
-// Three entries work on the same keys while the table service fails at random,
-// delayed writes included. Whatever happens, one attempt gets to send a body.
-func TestAtMostOneGrantForAKeyUnderRandomFaults(t *testing.T) {
+// Three entries attempt the same keys while commits fail at random, including delayed
+// writes. At most one attempt per key may record a grant and so send a body.
+func TestAtMostOneGrantPerKeyUnderRandomFaults(t *testing.T) {
 	const seeds = 100
 	for seed := range int64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
@@ -31,36 +31,37 @@
 	}
 }
 
-// countGrants makes several entries attempt the same keys and counts the
-// grants taken up by key.
+// countGrants lets several entries attempt the same keys concurrently and returns the
+// number of recorded grants by key.
 func countGrants(t *testing.T, table *storagetest.Table) map[string]int {
-	const entries, attempts, keys = 3, 6, 3
+	const entryCount, attemptsPerEntry, keyCount = 3, 6, 3
 	var mu sync.Mutex
 	grants := map[string]int{}
 	var wg sync.WaitGroup
-	for entry := range entries {
+	for entry := range entryCount {
 		c := NewClaimer(table)
 		defer c.Close()
-		for i := range attempts {
+		for i := range attemptsPerEntry {
 			wg.Go(func() {
-				key := fmt.Sprintf("key-%d", i%keys)
-				if grantOnce(t, c, key, fmt.Sprintf("%d-%d", entry, i)) {
+				key := fmt.Sprintf("key-%d", i%keyCount)
+				if claimAndGrant(t, c, key, fmt.Sprintf("%d-%d", entry, i)) {
 					mu.Lock()
 					defer mu.Unlock()
 					grants[key]++
 				}
-				// Writes that were delayed land while others still work.
+				// Apply delayed writes while other attempts are in progress.
 				table.Land()
 			})
 		}
 	}
 	wg.Wait()
-	time.Sleep(settleLimit)
+	time.Sleep(resolveTimeout)
 	return grants
 }
 
-// grantOnce tries as an entry does, and reports whether it may send the body.
-func grantOnce(t *testing.T, c *Claimer, key, attempt string) bool {
+// claimAndGrant claims a key and records a grant as an entry does. It reports whether
+// the entry may send the body.
+func claimAndGrant(t *testing.T, c *Claimer, key, attempt string) bool {
 	claim, err := c.Claim(t.Context(), customer, key, fingerprint, attempt)
 	if err != nil || claim.State != StateClaimed {
 		return false
--- a/internal/claim/outcome.go
+++ b/internal/claim/outcome.go
@@ -1,17 +1,18 @@
 package claim
 
-// Outcome is how claimed work ended.
+// Outcome describes how claimed work ended.
 type Outcome struct {
-	// Whole says that the whole answer was given; otherwise the work ran and
-	// failed, or was cut off.
+	// Complete reports that the response was delivered completely. Otherwise the
+	// work ran and failed or was interrupted.
 	Whole bool `json:"whole"`
-	// Status is the HTTP status that the caller got.
+	// Status is the HTTP status sent to the caller.
 	Status int `json:"status"`
-	// ContentType is the media type of Answer.
+	// ContentType is the media type of Response.
 	ContentType string `json:"content_type,omitempty"`
-	// Kept says that the answer can be read by Claimer.Answer. Finish sets it.
-	Kept bool `json:"kept,omitempty"`
-	// Answer is the body that the caller got. Finish takes it; claims that
-	// are read don't carry it.
+	// ResponseStored reports that Claimer.Response can read the response. Finish
+	// sets it.
+	ResponseStored bool `json:"kept,omitempty"`
+	// Response is the body sent to the caller. It is an input of Finish only and
+	// is nil in claims that are returned.
 	Answer []byte `json:"-"`
 }
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -11,27 +11,28 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// Prefixes of the rows' keys. The rest is a hash of customer and key, which is
-// of fixed length and evenly spread, whatever the callers choose.
+// Prefixes of row keys. The rest of a row key is a hash of customer and idempotency
+// key, which has a fixed length and is evenly distributed for any input.
 const (
-	claimPrefix  = "claims/"
-	answerPrefix = "answers/"
+	claimPrefix    = "claims/"
+	responsePrefix = "answers/"
 )
 
-// record is the value of a claim's row.
+// record is the stored form of a claim.
 type record struct {
-	// Write is unique to each write of the row; it tells whose write it is.
-	Write       string    `json:"write"`
+	// WriteID is unique to each write of the row. A writer whose commit had an
+	// unknown outcome recognizes its own write by it.
+	WriteID     string    `json:"write"`
 	Attempt     string    `json:"attempt"`
 	Fingerprint string    `json:"fingerprint"`
 	State       State     `json:"state"`
 	Agent       string    `json:"agent,omitempty"`
 	Grant       string    `json:"grant,omitempty"`
 	Outcome     Outcome   `json:"outcome,omitzero"`
-	Began       time.Time `json:"began"`
+	StartedAt   time.Time `json:"began"`
 }
 
-// rowKey returns the key of a claim's row.
+// rowKey returns the row key of the claim for an idempotency key of a customer.
 func rowKey(customer, key string) string {
 	hash := sha256.New()
 	hash.Write([]byte(customer))
@@ -40,12 +41,14 @@
 	return claimPrefix + hex.EncodeToString(hash.Sum(nil))
 }
 
-// answerKey returns the key of the answer's row of a claim's row.
-func answerKey(row string) string {
-	return answerPrefix + row[len(claimPrefix):]
+// responseKey returns the key of the row with the response, given the row key of the
+// claim.
+func responseKey(row string) string {
+	return responsePrefix + row[len(claimPrefix):]
 }
 
-// Fingerprint identifies a request by what it asks for.
+// Fingerprint returns a hash that identifies a request by its method, path, class and
+// body.
 func Fingerprint(method, path, class string, body []byte) string {
 	hash := sha256.New()
 	for _, part := range [][]byte{[]byte(method), []byte(path), []byte(class), body} {
@@ -55,6 +58,7 @@
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
+// parseRecord decodes a row. Failures are ErrCorrupt.
 func parseRecord(row storage.Row) (record, error) {
 	var r record
 	if err := json.Unmarshal(row.Value, &r); err != nil {
@@ -63,7 +67,8 @@
 	return r, nil
 }
 
-// claim returns the record as a Claim for the given attempt.
+// claim returns the record as a Claim. It is owned if attempt is the attempt in the
+// record.
 func (r record) claim(row string, version uint64, attempt string) Claim {
 	return Claim{
 		Attempt:     r.Attempt,
@@ -73,9 +78,9 @@
 		Agent:       r.Agent,
 		Grant:       r.Grant,
 		Outcome:     r.Outcome,
-		Began:       r.Began,
+		StartedAt:   r.StartedAt,
 		row:         row,
-		write:       r.Write,
+		writeID:     r.WriteID,
 		version:     version,
 	}
 }
--- a/internal/claim/sweeper.go
+++ b/internal/claim/sweeper.go
@@ -14,26 +14,27 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// Bounds of the sweep. A pass over all shards takes 68 minutes and one read a
-// second, by which claims outlive Retention. At 10 claims a second a shard
-// holds some 210 rows, which one read lists.
+// Limits of the sweep. A pass over all shards takes 68 minutes at one read per second;
+// a claim may outlive its Retention by that time. At 10 claims per second a shard holds
+// about 210 rows, which one read lists.
 const (
-	// shards is how many parts the claims are listed in.
-	shards = 1 << 12
-	// sweepPause is between the reads of two shards.
-	sweepPause = time.Second
-	// maxRemovals is how many claims one transaction removes.
-	maxRemovals = 100
+	// shardCount is the number of shards in which claims are listed. A shard is a
+	// prefix of three hexadecimal digits of the row keys.
+	shardCount = 1 << 12
+	// sweepInterval is the wait between two shards.
+	sweepInterval = time.Second
+	// maxRemovalsPerCommit is the maximum number of claims removed in a transaction.
+	maxRemovalsPerCommit = 100
 )
 
-// Sweeper removes claims after their retention. One process at a time should
-// sweep, under a lease; two at once do no harm but double the reads.
+// Sweeper removes claims whose retention is over. One process at a time should sweep,
+// under a lease; two concurrent sweepers are harmless but double the reads.
 type Sweeper struct {
 	table storage.Table
 	log   *zap.Logger
 }
 
-// NewSweeper returns a Sweeper on the table service. A nil log logs nothing.
+// NewSweeper returns a Sweeper of the claims in table. A nil log disables logging.
 func NewSweeper(table storage.Table, log *zap.Logger) *Sweeper {
 	if log == nil {
 		log = zap.NewNop()
@@ -41,35 +42,36 @@
 	return &Sweeper{table: table, log: log}
 }
 
-// Run sweeps shard after shard until ctx ends or held, which is asked before
-// each shard, returns an error. It starts anywhere, so that all shards get
-// their turn also when the holder of the lease changes often.
-func (s *Sweeper) Run(ctx context.Context, held func() error) error {
-	for shard := rand.IntN(shards); ; shard = (shard + 1) % shards {
-		if err := held(); err != nil {
+// Run sweeps one shard after the other until ctx is done or checkLease, which is called
+// before each shard, returns an error; it returns that error. It starts at a random
+// shard, so that all shards are swept even if the lease holder changes often.
+func (s *Sweeper) Run(ctx context.Context, checkLease func() error) error {
+	for shard := rand.IntN(shardCount); ; shard = (shard + 1) % shardCount {
+		if err := checkLease(); err != nil {
 			return err
 		}
-		if _, err := s.sweep(ctx, shard); err != nil {
+		if _, err := s.sweepShard(ctx, shard); err != nil {
 			s.log.Warn(logging.EventClaimSweepFailed, zap.Int("shard", shard), zap.Error(err))
 		}
-		if !pause.For(ctx, sweepPause) {
+		if !pause.For(ctx, sweepInterval) {
 			return ctx.Err()
 		}
 	}
 }
 
-// sweep removes the claims of one shard whose retention is over and counts
-// them. What another writer changes meanwhile stays for the next pass.
-func (s *Sweeper) sweep(ctx context.Context, shard int) (int, error) {
+// sweepShard removes the claims of one shard whose retention is over and returns their
+// number. If another writer changes one of the rows concurrently, the transaction fails
+// and its claims stay until the next pass.
+func (s *Sweeper) sweepShard(ctx context.Context, shard int) (int, error) {
 	rows, err := s.table.List(ctx, fmt.Sprintf("%s%03x", claimPrefix, shard))
 	if err != nil {
 		return 0, errors.Wrap(err, "list claims")
 	}
-	oldest := time.Now().Add(-Retention - ClockMargin)
+	cutoff := time.Now().Add(-Retention - MaxClockSkew)
 	removed := 0
 	for len(rows) > 0 {
-		n := min(len(rows), maxRemovals)
-		count, err := s.remove(ctx, rows[:n], oldest)
+		n := min(len(rows), maxRemovalsPerCommit)
+		count, err := s.removeExpired(ctx, rows[:n], cutoff)
 		if err != nil {
 			return removed, err
 		}
@@ -79,8 +81,9 @@
 	return removed, nil
 }
 
-// remove removes those of the rows that began before oldest.
-func (s *Sweeper) remove(ctx context.Context, rows []storage.Row, oldest time.Time) (int, error) {
+// removeExpired removes the claims among rows that started before cutoff, in one
+// transaction, and returns their number. Corrupt rows are logged and kept.
+func (s *Sweeper) removeExpired(ctx context.Context, rows []storage.Row, cutoff time.Time) (int, error) {
 	var writes []storage.Write
 	count := 0
 	for _, row := range rows {
@@ -89,13 +92,13 @@
 			s.log.Warn(logging.EventClaimCorrupt, zap.String("row", row.Key), zap.Error(err))
 			continue
 		}
-		if !r.Began.Before(oldest) {
+		if !r.StartedAt.Before(cutoff) {
 			continue
 		}
 		count++
 		writes = append(writes, storage.Write{Key: row.Key, Expect: row.Version, Delete: true})
-		if r.Outcome.Kept {
-			writes = append(writes, storage.Write{Key: answerKey(row.Key), Expect: storage.AnyVersion, Delete: true})
+		if r.Outcome.ResponseStored {
+			writes = append(writes, storage.Write{Key: responseKey(row.Key), Expect: storage.AnyVersion, Delete: true})
 		}
 	}
 	if count == 0 {
--- a/internal/claim/sweeper_test.go
+++ b/internal/claim/sweeper_test.go
@@ -13,12 +13,12 @@
 
 var errNotHeld = errors.New("lease is not held")
 
-func sweepAll(t *testing.T, table *storagetest.Table) int {
+func sweepAllShards(t *testing.T, table *storagetest.Table) int {
 	t.Helper()
 	s := NewSweeper(table, nil)
 	removed := 0
-	for shard := range shards {
-		n, err := s.sweep(t.Context(), shard)
+	for shard := range shardCount {
+		n, err := s.sweepShard(t.Context(), shard)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -27,7 +27,7 @@
 	return removed
 }
 
-func TestSweepKeepsTheRetentionAndRemovesTheAnswer(t *testing.T) {
+func TestSweepRespectsRetentionAndRemovesResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
 		c := NewClaimer(table)
@@ -35,12 +35,12 @@
 		if _, err := c.Finish(t.Context(), claim, Outcome{Whole: true, Answer: []byte("a")}); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(Retention + ClockMargin)
-		if n := sweepAll(t, table); n != 0 {
+		time.Sleep(Retention + MaxClockSkew)
+		if n := sweepAllShards(t, table); n != 0 {
 			t.Fatalf("removed %d claims within retention and margin", n)
 		}
 		time.Sleep(time.Second)
-		if n := sweepAll(t, table); n != 1 {
+		if n := sweepAllShards(t, table); n != 1 {
 			t.Fatalf("removed %d claims after retention and margin, want 1", n)
 		}
 		rows, err := table.List(t.Context(), "")
@@ -51,7 +51,7 @@
 	})
 }
 
-func TestSweepStopsWithoutTheLease(t *testing.T) {
+func TestSweepStopsWhenLeaseIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		asked := 0
 		err := NewSweeper(storagetest.NewTable(), nil).Run(context.Background(), func() error {
