--- a/internal/unread/unread.go
+++ b/internal/unread/unread.go
@@ -27,10 +27,11 @@
 
 // Respond sends the response of a server to r by calling writeResponse, which must
 // write a complete response with a Content-Length. The connection stays open if the
-// rest of the body arrives within drainTimeout; otherwise it is closed.
-// bodyTimedOut reports that the caller has already waited for the body, and closes
-// the connection without another wait. Respond may set the read deadline; one remains
-// set only on a connection that is closed.
+// rest of the body is shorter than maxDrainBytes and arrives within drainTimeout;
+// otherwise it is closed. bodyTimedOut reports that the server has already waited for
+// the body in vain; the connection is then closed without another wait before the
+// response. Respond may set the read deadline; one remains set only on a connection
+// that is closed.
 func Answer(w http.ResponseWriter, r *http.Request, bodyTimedOut bool, writeResponse func()) {
 	if !bodyTimedOut && drainBody(w, r.Body) {
 		writeResponse()
