--- a/testbed/gateway/admission_test.go
+++ b/testbed/gateway/admission_test.go
@@ -13,10 +13,12 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
+// The gateway forwards target, method, body and end-to-end headers unchanged, removes reserved
+// and hop-by-hop headers, and sets the customer, the instance and the remaining deadline.
 func TestRequestIsPassedOnUnchanged(t *testing.T) {
 	f := gateway.NewFleet(t, gateway.Options{})
 	f.Serve("i-1", gateway.Answer("whole"))
-	f.Wait("it is served", func() bool { return f.Call("/safe/x", "warm").Status == 200 })
+	f.Wait("the gateway to serve", func() bool { return f.Call("/safe/x", "warm").Status == 200 })
 	req := f.Request(t.Context(), http.MethodPost, "/unsafe/a%2Fb//c/../d?q=%20&r", "id-1", strings.NewReader("body"))
 	for name, value := range map[string]string{
 		"X-Tenant": "forged", "X-Retain": "r", "X-Pin-Ms": "9", "X-Kv-Backup": "a", "Kv-From": "b", "Kv-Fetch": "c",
@@ -43,23 +45,24 @@
 		}
 	}
 	if left := a.Header.Get("X-Deadline-Ms"); len(left) != 3 || left > "900" {
-		t.Errorf("deadline %q, the caller waits 900 ms", left)
+		t.Errorf("deadline %q, the client's is 900 ms", left)
 	}
 }
 
+// Requests without a valid key, route or ID are rejected and reach no backend server.
 func TestWhoIsLetIn(t *testing.T) {
 	f := gateway.NewFleet(t, gateway.Options{})
 	f.Serve("i-1", gateway.Answer("whole"))
-	f.Wait("it is served", func() bool { return f.Call("/open/x", "warm").Status == 200 })
+	f.Wait("the gateway to serve", func() bool { return f.Call("/open/x", "warm").Status == 200 })
 	cases := []struct {
 		name, path, key, id string
 		want                int
 	}{
 		{"a key", "/safe/x", "Bearer key-1", "1", 200},
-		{"another scheme's case", "/safe/x", "bearer key-1", "2", 200},
+		{"a lower-case scheme", "/safe/x", "bearer key-1", "2", 200},
 		{"an unknown key", "/safe/x", "Bearer key-9", "3", 401},
 		{"no key", "/safe/x", "", "4", 401},
-		{"no key where none is needed", "/open/x", "", "5", 200},
+		{"no key on a public route", "/open/x", "", "5", 200},
 		{"no route", "/none/x", "Bearer key-1", "6", 404},
 		{"a prefix without its slash", "/safe", "Bearer key-1", "7", 404},
 		{"no id", "/safe/x", "Bearer key-1", "", 400},
@@ -75,24 +78,24 @@
 				t.Errorf("status %d, want %d", got.Status, c.want)
 			}
 			if c.want != 200 && len(f.Arrivals(c.id)) > 0 {
-				t.Error("a backend server got it")
+				t.Error("a rejected request reached a backend server")
 			}
 		})
 	}
 	if a := f.Arrivals("5"); len(a) != 1 || a[0].Header.Get("X-Tenant") != "" {
-		t.Error("a request without a key has a customer")
+		t.Error("a request without a key was forwarded with a customer")
 	}
 	if got := f.Do(f.Request(t.Context(), http.MethodPost, "/safe/x", "8", strings.NewReader(strings.Repeat("x", 100001)))); got.Status != 413 {
 		t.Errorf("a body over the limit: %d", got.Status)
 	}
 }
 
-// Callers that send large bodies at once are refused before they end the
-// process.
+// Guards against running out of memory when clients send large bodies at once: the gateway
+// rejects requests before it buffers too much.
 func TestHeldBodiesAreBounded(t *testing.T) {
 	f := gateway.NewFleet(t, gateway.Options{MemoryMB: 1})
 	f.Serve("i-1", gateway.Hang)
-	f.Wait("it is listed", func() bool {
+	f.Wait("the server to be listed", func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
 		f.Do(f.Request(ctx, http.MethodPost, "/stream/x", "warm", nil))
@@ -101,7 +104,7 @@
 	got := make(chan gateway.Got, 10)
 	for range 10 {
 		go func() {
-			// The servers hang; there is time enough for each body to arrive.
+			// The server never responds, so every body has time to arrive.
 			got <- f.Do(f.Request(t.Context(), http.MethodPost, "/unsafe/x", "big", strings.NewReader(strings.Repeat("x", 90_000))))
 		}()
 	}
@@ -112,26 +115,27 @@
 		}
 	}
 	if sent := len(f.Arrivals("big")); sent == 0 || sent > 4 || refused != 10-sent {
-		t.Errorf("%d of 10 requests of 90 KB sent and %d refused, 0.4 MB may be held", sent, refused)
+		t.Errorf("%d of 10 requests of 90 KB sent and %d rejected, at most 0.4 MB may be buffered", sent, refused)
 	}
 	if got := f.Call("/quick/x", "small"); got.Status != http.StatusGatewayTimeout {
-		t.Errorf("status %d for a small request after that", got.Status)
+		t.Errorf("status %d for a small request after the large ones", got.Status)
 	}
 }
 
+// A request header over the size limit is rejected with 431.
 func TestCallersLimits(t *testing.T) {
 	f := gateway.NewFleet(t, gateway.Options{})
 	f.Serve("i-1", gateway.Answer("whole"))
-	f.Wait("it is served", func() bool { return f.Call("/safe/x", "warm").Status == 200 })
+	f.Wait("the gateway to serve", func() bool { return f.Call("/safe/x", "warm").Status == 200 })
 	req := f.Request(t.Context(), http.MethodPost, "/safe/x", "1", nil)
 	req.Header.Set("X-Long", strings.Repeat("x", 17000))
 	if got := f.Do(req); got.Status != http.StatusRequestHeaderFieldsTooLarge {
-		t.Errorf("status %d for a head over the limit", got.Status)
+		t.Errorf("status %d for a header over the limit", got.Status)
 	}
 }
 
-// A refusal reaches a caller that is still sending its body and wants the
-// connection closed: it isn't reset under the answer.
+// Guards against a connection reset that destroys a rejection: the client is still sending its
+// body and has asked for the connection to be closed.
 func TestRefusalReachesCallersThatStillSend(t *testing.T) {
 	f := gateway.NewFleet(t, gateway.Options{})
 	c, err := net.Dial("tcp", f.Front)
@@ -146,7 +150,7 @@
 	time.Sleep(50 * time.Millisecond)
 	_ = c.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
 	if n, _ := c.Read(make([]byte, 1)); n != 0 {
-		t.Error("answered, and the connection closed, while the body is on its way")
+		t.Error("got a response or a close while the body was being sent")
 	}
 	if _, err := io.WriteString(c, strings.Repeat("x", 90_000)); err != nil {
 		t.Fatal(err)
--- a/testbed/gateway/apart_test.go
+++ b/testbed/gateway/apart_test.go
@@ -15,8 +15,8 @@
 	"github.com/applepier/applepier/platform"
 )
 
-// apartSettings is the environment's variable that makes this program a gateway
-// and holds its settings.
+// gatewaySettingsEnv names the environment variable that makes the test binary run a gateway;
+// its value is the gateway's settings as JSON.
 const apartSettings = "APPLEPIER_TEST_GATEWAY"
 
 func TestMain(m *testing.M) {
@@ -30,8 +30,8 @@
 	os.Exit(m.Run())
 }
 
-// serveApart runs a gateway until its standard input ends, which it does with
-// the test's process, however that ends.
+// runChildGateway runs a gateway until its standard input is closed, which also happens when
+// the test process dies.
 func serveApart(text string) error {
 	var s settings.Gateway
 	if err := json.Unmarshal([]byte(text), &s); err != nil {
@@ -45,15 +45,15 @@
 	return platform.ServeGateway(ctx, s, func() (settings.Gateway, error) { return s, nil }, zap.NewNop())
 }
 
-// apart is a gateway that runs as a process of its own, which can be stopped and
-// continued.
+// childGateway runs a gateway in a child process, so that tests can suspend and resume it.
 type apart struct {
 	started chan *os.Process
 }
 
+// newChildGateway returns a child gateway that hasn't been started.
 func newApart() *apart { return &apart{started: make(chan *os.Process, 1)} }
 
-// run runs the process until ctx ends.
+// run runs the child process until ctx ends.
 func (a *apart) run(ctx context.Context, s settings.Gateway) error {
 	text, err := json.Marshal(s)
 	if err != nil {
--- a/testbed/gateway/changes_test.go
+++ b/testbed/gateway/changes_test.go
@@ -12,10 +12,10 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// changes is how often 1,400 routes come and go.
+// changes is how often the 1,400 routes are added and removed.
 const changes = 10
 
-// Settings and desired states that change beside requests end none.
+// Changes of the settings and of the desired state don't interrupt requests in flight.
 func TestRequestsBesideChangesAreServed(t *testing.T) {
 	f, server := served(t, gateway.Options{MemoryMB: 100})
 	server.Do(slowly)
@@ -25,22 +25,22 @@
 	for n := range askers {
 		all.Go(func() { a.caller(fmt.Sprint("c", n), over) })
 	}
-	// Routes that are none of the callers'.
+	// These routes aren't used by the load.
 	var many strings.Builder
 	for n := range 1400 {
 		fmt.Fprintf(&many, `,{"name":"r%d","host":"h.example","prefix":"/r%d/","type":"safe","timeout-ms":2000,"slo-ms":100,"service":"plain","attempts":2}`, n, n)
 	}
 	for version := 10; version < 10+2*changes; version += 2 {
 		f.Desire(version, many.String(), "")
-		f.Wait("the routes are there", func() bool { return f.Call("/r7/x", "r").Status != http.StatusNotFound })
+		f.Wait("the routes to be added", func() bool { return f.Call("/r7/x", "r").Status != http.StatusNotFound })
 		f.Desire(version+1, "", "")
-		f.Wait("they are gone", func() bool { return f.Call("/r7/x", "r").Status == http.StatusNotFound })
+		f.Wait("the routes to be removed", func() bool { return f.Call("/r7/x", "r").Status == http.StatusNotFound })
 	}
 	f.Change(func(s *settings.Gateway) { s.MemoryMB = 50; s.Retry.Extra = 1; s.Grace = time.Second })
 	close(over)
 	all.Wait()
 	a.report()
 	if a.whole.Load() == 0 {
-		t.Error("none was served")
+		t.Error("no request was served")
 	}
 }
--- a/testbed/gateway/crossing_test.go
+++ b/testbed/gateway/crossing_test.go
@@ -17,8 +17,8 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// slowly answers whole after a moment, so that a connection that is closed
-// beside a request is closed before its answer.
+// respondSlowly responds after 20 ms, so that a connection closed while the request is in
+// flight is closed before the response.
 func slowly(c net.Conn, a *gateway.Arrival) bool {
 	select {
 	case <-time.After(20 * time.Millisecond):
@@ -29,16 +29,16 @@
 }
 
 const (
-	// crossers is how many connections rest for as long as the gateway keeps
-	// them, and crossings how often each does.
+	// idleClients is the number of connections that stay idle until the gateway is about to
+	// close them, and idleRounds how often each does.
 	crossers  = 150
 	crossings = 8
-	// spread is by how much the moments of their requests differ.
+	// sendJitter is the range over which the times of their requests are spread.
 	spread = 4 * time.Millisecond
 )
 
-// kept is how long the gateway keeps a connection that rests, from the end of an
-// answer on.
+// measureIdleTime returns how long the gateway keeps an idle connection after the end of a
+// response.
 func kept(t *testing.T, f *gateway.Fleet) time.Duration {
 	t.Helper()
 	c := connect(t, f)
@@ -49,12 +49,13 @@
 	began := time.Now()
 	_ = c.SetReadDeadline(began.Add(patience))
 	if _, err := c.in.Peek(1); !errors.Is(err, io.EOF) {
-		t.Fatalf("a resting connection: %v", err)
+		t.Fatalf("idle connection: %v, want EOF", err)
 	}
 	return time.Since(began)
 }
 
-// Requests that cross the close for idleness are served, or not handed on.
+// A request that arrives while the gateway closes its idle connection is served or not
+// forwarded at all.
 func TestRequestsThatCrossTheCloseForIdlenessAreNotCut(t *testing.T) {
 	core, lines := observer.New(zap.DebugLevel)
 	f, server := served(t, gateway.Options{Log: zap.New(core)})
@@ -76,7 +77,7 @@
 			whole.Add(1)
 		case unsigned(got), len(f.Arrivals(id)) > 0:
 			cut.Add(1)
-			t.Errorf("%s reached a server, and its caller got %+v", id, got)
+			t.Errorf("%s reached a server, and its client got %+v", id, got)
 			for _, line := range lines.FilterField(zap.String("request", id)).All() {
 				t.Logf("%s: %s %v after %v", id, line.Message, line.ContextMap()["reason"], line.ContextMap()["took"])
 			}
@@ -92,5 +93,5 @@
 		}
 		all.Wait()
 	}
-	t.Logf("%d served, %d closed and not handed on, %d cut", whole.Load(), closed.Load(), cut.Load())
+	t.Logf("%d served, %d closed and not forwarded, %d interrupted", whole.Load(), closed.Load(), cut.Load())
 }
--- a/testbed/gateway/fleet.go
+++ b/testbed/gateway/fleet.go
@@ -19,9 +19,9 @@
 	"github.com/applepier/applepier/testbed/rowstore"
 )
 
-// The operators' document that a Fleet begins with: one service, routes of all
-// kinds to it, and a customer's key; version, more routes, the limit for idle
-// connections in milliseconds and more keys are filled in.
+// stateTemplate is the desired state that a Fixture starts with: one service, a route of each
+// type to it, and one customer with a key. The placeholders are the version, additional
+// routes, the idle timeout in milliseconds and additional keys.
 const firstState = `{
  "version": %d,
  "routes": [
@@ -37,68 +37,69 @@
  "tenants": [{"name":"crew","api-keys":["key-1"%s],"priority":1}]
 }`
 
-// idleLimit is how long callers' connections may rest under a Fleet's first
-// state: longer than any test.
+// idleTimeout is the limit for idle client connections in the initial desired state. It
+// exceeds the duration of every test.
 const idleLimit = 15 * time.Second
 
-// Fleet is a gateway between the platform's store and backend servers, all in
-// this process.
+// Fixture runs a gateway, the platform's store and scripted backend servers in the test
+// process.
 type Fleet struct {
 	t     testing.TB
 	Store *rowstore.Store
-	// Front is where callers reach the gateway, Admin where the balancer asks.
+	// GatewayAddr is the address for clients, AdminAddr the one for the load balancer's
+	// readiness checks.
 	Front string
 	Admin string
-	// Stop tells the gateway to stop; Stopped is closed when it has.
+	// Stop starts the gateway's shutdown; Stopped is closed once the gateway has ended.
 	Stop    context.CancelFunc
 	Stopped chan struct{}
-	// mu guards what follows; nothing is locked while it is held.
+	// mu guards the fields below; no other lock is taken while it is held.
 	mu       sync.Mutex
 	arrivals []*Arrival
 	settings settings.Gateway
-	// way is the gateway's to the store.
+	// storeHandler serves the store to the gateway.
 	way *silenced
-	// read is closed once the gateway has read the settings again.
+	// reloaded is closed when the gateway reloads its settings.
 	read chan struct{}
 }
 
-// shortGrace ends a gateway soon after its test.
+// shortGrace is the minimum grace period; it ends a gateway soon after its test.
 const shortGrace = 500 * time.Millisecond
 
-// Options change what a Fleet begins with.
+// Options configures a Fixture.
 type Options struct {
-	// Revoke is within what time a key that is taken away stops working; 0
-	// where that isn't strict.
+	// Revoke is the time within which a revoked key must stop working; 0 disables the strict
+	// bound.
 	Revoke time.Duration
-	// Grace is how long the gateway may take to stop; 0 for next to nothing.
+	// Grace is the gateway's grace period; at least shortGrace is used.
 	Grace time.Duration
-	// MemoryMB is the memory that the gateway may use; 0 for no bound.
+	// MemoryMB limits the gateway's memory, in megabytes; 0 means no limit.
 	MemoryMB float64
-	// Log takes the gateway's lines; nil for nowhere.
+	// Log receives the gateway's log entries; nil discards them.
 	Log *zap.Logger
-	// Name is the gateway's; gateway-1 if empty. PeerListen is where it exchanges
-	// with others; a free address if empty.
+	// Name is the gateway's name, gateway-1 by default. PeerListen is its address for the
+	// exchange with other gateways; empty means a free port.
 	Name       string
 	PeerListen string
-	// Listed are other gateways that are in the list, and their addresses.
+	// ListedGateways maps the names of other listed gateways to their addresses.
 	Listed map[string]string
-	// Store is another Fleet's store, which both gateways ask then; nil for its own.
+	// Store is the store of another Fixture, for several gateways that share one; nil creates
+	// a new store.
 	Store *rowstore.Store
-	// Fault is what becomes of calls to the store from the start on.
+	// StoreFault is the store's fault mode from the start.
 	Fault rowstore.Fault
-	// Run runs the gateway until the context ends; nil for within this process.
-	// Change then does nothing.
+	// Run runs the gateway until the context ends; nil runs it in this process. With Run set,
+	// ChangeSettings has no effect.
 	Run func(context.Context, settings.Gateway) error
-	// StoreRate is how fast the store's answers come, in bytes a second; 0 for no
-	// bound.
+	// StoreRate limits the store's responses, in bytes per second; 0 means no limit.
 	StoreRate int
-	// Usage says what is reported of customers' requests.
+	// Usage configures the usage reports.
 	Usage settings.Usage
-	// Unready starts the gateway with a store that knows nothing.
+	// Unready starts the gateway with an empty store and doesn't wait until it is ready.
 	Unready bool
 }
 
-// NewFleet starts a store and a gateway and waits until it is ready.
+// NewFixture starts a store and a gateway and waits until the gateway is ready.
 func NewFleet(t testing.TB, o Options) *Fleet {
 	t.Helper()
 	f := &Fleet{t: t, Store: o.Store, Stopped: make(chan struct{})}
@@ -151,22 +152,22 @@
 	}()
 	t.Cleanup(func() { stop(); <-f.Stopped })
 	if !o.Unready {
-		f.Wait("the gateway is ready", f.Ready)
+		f.Wait("the gateway to be ready", f.Ready)
 	}
 	return f
 }
 
-// Silence has nothing come back from the store to this gateway, or ends that.
+// BlockStoreResponses blocks or unblocks the store's responses to this gateway.
 func (f *Fleet) Silence(silent bool) { f.way.silent.Store(silent) }
 
-// Change changes the gateway's settings and waits until they are in force.
+// ChangeSettings changes the gateway's settings and waits until they are in effect.
 func (f *Fleet) Change(change func(*settings.Gateway)) {
 	f.mu.Lock()
 	change(&f.settings)
 	read := make(chan struct{})
 	f.read = read
 	f.mu.Unlock()
-	// They are in force when they have been read, and are read once more.
+	// The second reload starts only after the settings of the first one have been applied.
 	<-read
 	f.mu.Lock()
 	f.read = make(chan struct{})
@@ -175,6 +176,7 @@
 	<-read
 }
 
+// reload returns the current settings and signals a waiting ChangeSettings.
 func (f *Fleet) reload() (settings.Gateway, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -185,26 +187,28 @@
 	return f.settings, nil
 }
 
-// Desire writes a version of the operators' document, with more routes and
-// keys as the document spells them.
+// PutState writes a version of the desired state with additional routes and keys, both as JSON
+// fragments that begin with a comma.
 func (f *Fleet) Desire(version int, routes, keys string) {
 	f.desire(version, routes, idleLimit, keys)
 }
 
-// Limit writes a version of the operators' document with a limit for idle
-// connections and waits until it is in force.
+// SetIdleTimeout writes a version of the desired state with a limit for idle connections and
+// waits until it is in effect.
 func (f *Fleet) Limit(version int, limit time.Duration) {
 	f.t.Helper()
 	route := fmt.Sprintf(`,{"name":"mark","host":"h.example","prefix":"/mark-%d/","type":"safe","timeout-ms":2000,"service":"plain","attempts":2}`, version)
 	f.desire(version, route, limit, "")
-	f.Wait("the limit is in force", func() bool { return f.Call(fmt.Sprintf("/mark-%d/x", version), "mark").Status == http.StatusOK })
+	f.Wait("the idle timeout to take effect", func() bool { return f.Call(fmt.Sprintf("/mark-%d/x", version), "mark").Status == http.StatusOK })
 }
 
+// putState writes a version of the desired state with additional routes and keys and an idle
+// timeout.
 func (f *Fleet) desire(version int, routes string, idle time.Duration, keys string) {
 	f.Store.Put("op", "config", []byte(fmt.Sprintf(firstState, version, routes, idle.Milliseconds(), keys)))
 }
 
-// Serve starts a backend server that does as script says, and lists it.
+// StartServer starts a scripted backend server and lists it as ready.
 func (f *Fleet) Serve(instance string, script Script) *Server {
 	f.t.Helper()
 	s, err := Listen("127.0.0.1:0", instance, script, f.arrived)
@@ -216,14 +220,14 @@
 	return s
 }
 
-// List writes a server's entry in a state.
+// ListServer writes a server's row with a state.
 func (f *Fleet) List(s *Server, state string) {
 	f.Store.PutJSON("servers", s.Instance, map[string]any{
 		"service": "plain", "addr": s.Addr, "zone": "z", "version": "v1", "slots": 8, "state": state, "seq": 1, "warmup-left-ms": 0,
 	})
 }
 
-// Ready reports whether the gateway says that it is ready.
+// Ready reports whether the gateway's readiness check succeeds.
 func (f *Fleet) Ready() bool {
 	resp, err := http.Get("http://" + f.Admin + "/ready")
 	if err != nil {
@@ -233,7 +237,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Wait waits until something can be seen.
+// WaitFor polls a condition and fails the test if it doesn't hold within 10 seconds.
 func (f *Fleet) Wait(what string, seen func() bool) {
 	f.t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
@@ -241,10 +245,10 @@
 			return
 		}
 	}
-	f.t.Fatalf("not seen in time: %s", what)
+	f.t.Fatalf("timed out waiting: %s", what)
 }
 
-// Arrivals returns the requests with an id that reached backend servers.
+// ReceivedRequests returns the requests with an ID that backend servers received.
 func (f *Fleet) Arrivals(id string) []*Arrival {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -257,13 +261,14 @@
 	return all
 }
 
+// recordRequest records a request that a backend server received.
 func (f *Fleet) arrived(a *Arrival) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.arrivals = append(f.arrivals, a)
 }
 
-// Request returns a caller's request with the first key.
+// Request returns a client request with an ID, authorized with key-1.
 func (f *Fleet) Request(ctx context.Context, method, path, id string, body io.Reader) *http.Request {
 	f.t.Helper()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+f.Front+path, body)
@@ -276,16 +281,16 @@
 	return req
 }
 
-// Got is what a caller got.
+// Response is a response as the client received it.
 type Got struct {
 	Status int
 	Header http.Header
 	Body   string
-	// Err says that the answer wasn't whole.
+	// Err is set if there was no response or its body was incomplete.
 	Err error
 }
 
-// Do sends a request on a connection of its own and reads the answer.
+// Do sends a request on a new connection and reads the response.
 func (f *Fleet) Do(req *http.Request) Got {
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
 	resp, err := client.Do(req)
@@ -297,7 +302,7 @@
 	return Got{Status: resp.StatusCode, Header: resp.Header, Body: string(body), Err: err}
 }
 
-// Call sends a POST with an empty body.
+// Post sends a POST with an empty body.
 func (f *Fleet) Call(path, id string) Got {
 	return f.Do(f.Request(context.Background(), http.MethodPost, path, id, nil))
 }
--- a/testbed/gateway/halfclosed_test.go
+++ b/testbed/gateway/halfclosed_test.go
@@ -7,12 +7,12 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// noticed is within what time a gateway notices that a caller closes, where it
-// looks for that at all.
+// closeDetectionTime is the time within which a gateway detects that a client closed its
+// connection, if it detects that at all.
 const noticed = 500 * time.Millisecond
 
-// A caller that has sent all and closes its sending side may still read: it gets
-// its answer or none, never one that looks like a success and isn't.
+// A client that half-closes its connection after its request may still read. It gets its
+// response or none, never an unsigned success.
 func TestCallerThatClosesItsSendingSideGetsNoFalseSuccess(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/unsafe/x", "/stream/x", "/resume/x"} {
 		for when, atOnce := range map[string]bool{"with the request": true, "while it runs": false} {
@@ -23,13 +23,14 @@
 				caller := connect(t, f)
 				caller.send(post(path, "half", 4) + "body")
 				if !atOnce {
-					f.Wait("it is at the server", func() bool { return len(f.Arrivals("half")) > 0 })
+					f.Wait("the request to reach the server", func() bool { return len(f.Arrivals("half")) > 0 })
 				}
 				if err := caller.CloseWrite(); err != nil {
 					t.Fatal(err)
 				}
 				if !atOnce {
-					// A gateway that takes it for gone tells the server.
+					// A gateway that treats the client as gone closes its connection to the
+					// server.
 					select {
 					case <-f.Arrivals("half")[0].Left:
 					case <-time.After(noticed):
--- a/testbed/gateway/head_test.go
+++ b/testbed/gateway/head_test.go
@@ -6,7 +6,7 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// An answer to a HEAD has a length and no body: it is passed on as it is.
+// A response to HEAD has a Content-Length and no body; it is forwarded unchanged.
 func TestAnswerToHeadIsPassedOn(t *testing.T) {
 	f, server := served(t, gateway.Options{})
 	server.Do(bytesOf(true, []string{"Content-Length: 5"}, 200, ""))
--- a/testbed/gateway/helpers_test.go
+++ b/testbed/gateway/helpers_test.go
@@ -6,8 +6,8 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// tryOn calls until a request's first arrival is at the named server, and
-// returns what its caller got and how often it was sent.
+// callUntilSentTo sends requests until one is sent to the named server first. It returns the
+// response and how often that request was sent, 0 if none of 50 was.
 func tryOn(f *gateway.Fleet, path, server string) (got gateway.Got, sends int) {
 	for i := range 50 {
 		try := fmt.Sprintf("try-%d", i)
@@ -19,7 +19,7 @@
 	return got, 0
 }
 
-// usedBoth reports whether requests with an id reached two servers.
+// reachedTwoServers reports whether requests with an ID reached exactly two servers.
 func usedBoth(f *gateway.Fleet, id string) bool {
 	servers := map[string]bool{}
 	for _, a := range f.Arrivals(id) {
@@ -28,7 +28,7 @@
 	return len(servers) == 2
 }
 
-// usedServer reports whether a request with an id reached a server.
+// reachedServer reports whether a request with an ID reached a server.
 func usedServer(f *gateway.Fleet, id, server string) bool {
 	for _, a := range f.Arrivals(id) {
 		if a.Server == server {
--- a/testbed/gateway/idle_limit_test.go
+++ b/testbed/gateway/idle_limit_test.go
@@ -11,7 +11,8 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// idleState is a desired state with an idle limit.
+// stateWithIdleTimeout returns a desired state with an idle timeout and a route /vN/ for its
+// version N.
 func idleState(version int, limit time.Duration) []byte {
 	return fmt.Appendf(nil, `{
  "version": %d,
@@ -24,13 +25,14 @@
 }`, version, version, version, limit.Milliseconds())
 }
 
-// limitIdle puts an idle limit in force.
+// applyIdleTimeout writes a desired state with an idle timeout and waits until it is in
+// effect.
 func limitIdle(f *gateway.Fleet, version int, limit time.Duration) {
 	f.Store.Put("op", "config", idleState(version, limit))
-	f.Wait("the limit is in force", func() bool { return f.Call(fmt.Sprintf("/v%d/x", version), "version").Status == 200 })
+	f.Wait("the idle timeout to take effect", func() bool { return f.Call(fmt.Sprintf("/v%d/x", version), "version").Status == 200 })
 }
 
-// A limit that is raised while connections rest holds for these.
+// A raised idle timeout applies to connections that are idle already.
 func TestRaisedIdleLimitHoldsForRestingConnections(t *testing.T) {
 	t.Parallel()
 	f, _ := served(t, gateway.Options{})
@@ -42,10 +44,11 @@
 		t.Fatalf("%+v", got)
 	}
 	limitIdle(f, 3, time.Minute)
-	// Nothing comes on a connection that is kept; one that isn't ends.
+	// The gateway sends nothing on a connection that it keeps; reading from one that it closes
+	// returns EOF.
 	_ = c.SetReadDeadline(time.Now().Add(until))
 	if _, err := c.in.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("the connection ended (%v), the limit in force is a minute", err)
+		t.Fatalf("the connection was closed (%v), the idle timeout is 1 minute", err)
 	}
 	c.send(head("POST", "/unsafe/x", "next"))
 	if got := c.receive("POST"); got.Status != 200 {
@@ -53,7 +56,7 @@
 	}
 }
 
-// A limit that is lowered while connections rest holds for these.
+// A lowered idle timeout applies to connections that are idle already.
 func TestLoweredIdleLimitHoldsForRestingConnections(t *testing.T) {
 	t.Parallel()
 	f, _ := served(t, gateway.Options{})
@@ -66,6 +69,6 @@
 	limitIdle(f, 3, time.Millisecond)
 	_ = c.SetReadDeadline(time.Now().Add(patience))
 	if _, err := c.in.Peek(1); !errors.Is(err, io.EOF) {
-		t.Errorf("still open after %v, the limit in force is 1 ms: %v", patience, err)
+		t.Errorf("still open after %v, the idle timeout is 1 ms: %v", patience, err)
 	}
 }
--- a/testbed/gateway/idle_test.go
+++ b/testbed/gateway/idle_test.go
@@ -10,13 +10,13 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// closeMargin is how long after the limit a gateway closes a connection that
-// rests, at the latest: its own margin of a second, and some for its timers.
-// These tests wait for it by the clock: that nothing is closed can't be seen.
+// closeMargin is the maximum delay after the idle timeout until the gateway closes the
+// connection: the gateway's own margin of a second plus timer slack. The tests sleep for it
+// because the absence of a close can't be observed.
 const closeMargin = 1200 * time.Millisecond
 
-// A limit that is raised holds for connections that rest already: their callers
-// go by the one in force.
+// A raised idle timeout applies to connections that are idle already: their clients rely on
+// the timeout in effect.
 func TestRaisedIdleLimitHoldsForConnectionsThatRest(t *testing.T) {
 	t.Parallel()
 	f := gateway.NewFleet(t, gateway.Options{})
@@ -30,12 +30,12 @@
 	rested := time.Since(k.rests)
 	k.send(post("/unsafe/x", "second", 0))
 	if status, err := k.answer(); err != nil || status != 200 {
-		t.Errorf("status %d, %v, after a rest of %v under a limit of %v", status, err, rested, higher)
+		t.Errorf("status %d, %v, after %v idle, the idle timeout is %v", status, err, rested, higher)
 	}
 }
 
-// A connection on which a request has begun to come doesn't rest any more,
-// however long its head is on its way.
+// A connection isn't idle once a part of a request has arrived, however long the rest of its
+// header takes.
 func TestRequestThatBeganInTimeIsAnswered(t *testing.T) {
 	t.Parallel()
 	f := gateway.NewFleet(t, gateway.Options{})
@@ -49,16 +49,16 @@
 	time.Sleep(time.Until(k.rests.Add(limit + closeMargin)))
 	k.send(whole[len(whole)/2:])
 	if status, err := k.answer(); err != nil || status != 200 {
-		t.Errorf("status %d, %v, for a request that began at once", status, err)
+		t.Errorf("status %d, %v, for a request that began before the idle timeout", status, err)
 	}
 }
 
-// A process that stands still finds requests and the ends of rests together when
-// it goes on. Whichever it takes first: what it hands to a backend server, it
-// answers.
+// A process that was suspended finds new requests and expired idle timers at the same time
+// when it resumes. Whichever it handles first, a request that it forwards to a backend server
+// gets its response.
 func TestRequestReadWhenItsConnectionIsDueIsAnswered(t *testing.T) {
-	// rounds is how often the two are brought together: which comes first is up
-	// to the scheduler.
+	// rounds is the number of attempts, as the scheduler decides which of the two is handled
+	// first.
 	const rounds = 3
 	process := newApart()
 	f := gateway.NewFleet(t, gateway.Options{Run: process.run})
@@ -68,24 +68,25 @@
 	t.Cleanup(func() { _ = stopped.Signal(syscall.SIGCONT) })
 	for round := 0; round < rounds && !t.Failed(); round++ {
 		answered, handed := stoppedRound(t, f, stopped, round)
-		t.Logf("round %d: %d requests handed on, %d answered", round, handed, answered)
+		t.Logf("round %d: %d requests forwarded, %d answered", round, handed, answered)
 		if handed == 0 {
-			t.Errorf("round %d: nothing was handed on, so nothing was tested", round)
+			t.Errorf("round %d: no request was forwarded, so nothing was tested", round)
 		}
 	}
 }
 
 const (
-	// stoppedLimit is the limit for idle connections in a stoppedRound: long
-	// against the first requests of all callers.
+	// suspendedIdleTimeout is the idle timeout in a suspendRound: long enough for the first
+	// requests of all clients.
 	stoppedLimit = 500 * time.Millisecond
-	// stoppedCallers is how many connections are due in one.
+	// suspendedClients is the number of connections whose idle timers expire in a
+	// suspendRound.
 	stoppedCallers = 100
 )
 
-// stoppedRound has callers ask while the process stands still until their
-// connections are due, and returns how many requests were answered and handed
-// on.
+// suspendRound suspends the gateway, sends a request on every connection, and resumes the
+// gateway once all idle timers have expired. It returns how many requests were answered and
+// how many were forwarded.
 func stoppedRound(t *testing.T, f *gateway.Fleet, process *os.Process, round int) (answered, handed int) {
 	t.Helper()
 	var all []*keptConn
@@ -114,7 +115,7 @@
 			handed++
 		}
 		if ran && err != nil {
-			t.Errorf("round %d, caller %d: the request was handed to a backend server, and its connection ended: %v", round, n, err)
+			t.Errorf("round %d, client %d: the request was forwarded to a backend server, and its connection was closed: %v", round, n, err)
 		}
 		_ = k.Close()
 	}
--- a/testbed/gateway/kept_test.go
+++ b/testbed/gateway/kept_test.go
@@ -11,18 +11,18 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// answerWithin is how long a caller waits for an answer at most.
+// responseTimeout is the maximum time that a client waits for a response.
 const answerWithin = 10 * time.Second
 
-// keptConn is a caller's connection that is kept open between requests.
+// keepAliveConn is a client connection that stays open between requests.
 type keptConn struct {
 	net.Conn
 	in *bufio.Reader
-	// rests is when the last answer was whole.
+	// idleSince is when the last response was complete.
 	rests time.Time
 }
 
-// keep opens a caller's connection to a gateway.
+// dialKeepAlive opens a client connection to a gateway.
 func keep(t *testing.T, f *gateway.Fleet) *keptConn {
 	t.Helper()
 	c, err := net.Dial("tcp", f.Front)
@@ -33,10 +33,11 @@
 	return &keptConn{Conn: c, in: bufio.NewReader(c)}
 }
 
-// send writes bytes of a request. Whether they arrive, the answer tells.
+// send writes bytes of a request. Write errors are ignored; receiveResponse reports a failed
+// connection.
 func (k *keptConn) send(text string) { _, _ = io.WriteString(k, text) }
 
-// answer reads an answer to its end; an error says that there is none.
+// receiveResponse reads a complete response; an error means that there is none.
 func (k *keptConn) answer() (status int, err error) {
 	if err := k.SetReadDeadline(time.Now().Add(answerWithin)); err != nil {
 		return 0, err
@@ -52,7 +53,7 @@
 	return resp.StatusCode, nil
 }
 
-// served sends a request and expects that it is served.
+// mustServe sends a request and fails the test unless it is served.
 func (k *keptConn) served(t *testing.T, id string) {
 	t.Helper()
 	k.send(post("/unsafe/x", id, 0))
--- a/testbed/gateway/leaving_test.go
+++ b/testbed/gateway/leaving_test.go
@@ -7,8 +7,8 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// A caller that leaves is noticed, however it leaves and whatever it has sent
-// beside its request: its server stops.
+// The gateway detects that a client closes or resets its connection, also when more bytes
+// follow the request, and cancels the request at the server.
 func TestLeavingIsNoticed(t *testing.T) {
 	reset := func(c *conn) {
 		_ = c.SetLinger(0)
@@ -17,7 +17,7 @@
 	shut := func(c *conn) { _ = c.Close() }
 	for name, leave := range map[string]func(*conn){"closes": shut, "resets": reset} {
 		for beside, text := range map[string]string{
-			"": "", " after a line end too many": "\r\n", " after the next request": head("POST", "/safe/x", "next"),
+			"": "", " after an extra line end": "\r\n", " after the next request": head("POST", "/safe/x", "next"),
 		} {
 			t.Run(name+beside, func(t *testing.T) {
 				t.Parallel()
@@ -25,7 +25,7 @@
 				server.Do(gateway.Hang)
 				c := connect(t, f)
 				c.send(post("/stream/x", "left", 4) + "body")
-				f.Wait("it is at the server", func() bool { return len(f.Arrivals("left")) > 0 })
+				f.Wait("the request to reach the server", func() bool { return len(f.Arrivals("left")) > 0 })
 				if text != "" {
 					c.send(text)
 				}
@@ -33,9 +33,9 @@
 				select {
 				case <-f.Arrivals("left")[0].Left:
 				case <-time.After(noticed):
-					t.Error("the server still works half a second after its caller left")
+					t.Error("the request is still running 500 ms after its client disconnected")
 				}
-				// What comes after it is nobody's any more.
+				// The pipelined request has no client any more.
 				if n := len(f.Arrivals("next")); n > 0 {
 					t.Errorf("the next request reached %d servers", n)
 				}
--- a/testbed/gateway/limited_test.go
+++ b/testbed/gateway/limited_test.go
@@ -20,15 +20,16 @@
 )
 
 const (
-	// limitWindow is the time over which what a server with a limit got is summed, and
-	// limitSlack and limitExtra by what it may be above the limit: what gateways can't
-	// know of each other yet.
+	// limitWindow is the window over which the requests that a limited server receives are
+	// counted. limitSlack, a factor, and limitExtra, in requests, are the allowed excess over
+	// the limit: gateways learn of each other's sends with a delay.
 	limitWindow = 4 * time.Second
 	limitSlack  = 1.5
 	limitExtra  = 5
 )
 
-// limitedAnswer scripts a whole answer that names a limit.
+// respondWithLimit returns a script that sends a complete response with a limit, in requests
+// per second.
 func limitedAnswer(limit float64) gateway.Script {
 	return func(c net.Conn, a *gateway.Arrival) bool {
 		head := gateway.Head(a, http.StatusOK, "Content-Length: 5", "Server-Limit: "+strconv.FormatFloat(limit, 'f', -1, 64))
@@ -37,8 +38,8 @@
 	}
 }
 
-// press has callers ask each gateway so many times a second until ctx ends; it returns the
-// answers by status and, of refusals, reason.
+// generateLoad sends each gateway perSecond requests a second until ctx ends. It returns the
+// number of responses by status and body.
 func press(ctx context.Context, fleets []*gateway.Fleet, each int) map[string]int {
 	var mu sync.Mutex
 	var callers sync.WaitGroup
@@ -62,8 +63,8 @@
 	return answers
 }
 
-// mostWithin is the most requests that reached a server after a moment within any
-// limitWindow.
+// maxInWindow returns the maximum number of requests that a server received within any
+// limitWindow after a time.
 func mostWithin(f *gateway.Fleet, server string, after time.Time) int {
 	var times []time.Time
 	for _, a := range f.Arrivals("pressing") {
@@ -82,17 +83,18 @@
 	return most
 }
 
-// awaitServers waits until each gateway serves, so that it has heard of the servers.
+// waitUntilServing waits until each gateway serves requests and thus knows the servers.
 func awaitServers(fleets []*gateway.Fleet) {
 	for _, f := range fleets {
-		f.Wait("it is served", func() bool { return f.Call("/safe/x", "warm").Status == http.StatusOK })
+		f.Wait("the gateway to serve", func() bool { return f.Call("/safe/x", "warm").Status == http.StatusOK })
 	}
 }
 
-// settled is half a second from now: by then all gateways have passed on an answer that
-// names the limit, or have heard of it.
+// afterLimitKnown returns the time 500 ms from now, when all gateways have received a response
+// with the limit or learned the limit from others.
 func settled() time.Time { return time.Now().Add(500 * time.Millisecond) }
 
+// generateLoadFor runs generateLoad for a duration.
 func pressFor(t *testing.T, d time.Duration, fleets []*gateway.Fleet, each int) map[string]int {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), d)
@@ -100,6 +102,8 @@
 	return press(ctx, fleets, each)
 }
 
+// checkLimit checks that a server received no more than its limit, in requests per second,
+// allows.
 func expectWithin(t *testing.T, f *gateway.Fleet, server string, after time.Time, limit float64) {
 	t.Helper()
 	got, allowed := mostWithin(f, server, after), limitSlack*limit*limitWindow.Seconds()+limitExtra
@@ -109,24 +113,26 @@
 	}
 }
 
-// A server in need named how much it takes, and got as much as before from each gateway.
+// Guards against gateways that apply a server's limit separately: an overloaded server that
+// announced a limit received as many requests as before from each gateway.
 func TestGatewaysKeepToAServersLimitTogether(t *testing.T) {
 	t.Parallel()
 	const limit, each = 2.0, 20
 	fleets := startAlike(t, 4, 0)
 	fleets[0].Serve("i-1", limitedAnswer(limit))
 	fleets[0].Serve("i-2", gateway.Answer("whole"))
-	fleets[0].Wait("both are used", func() bool { fleets[0].Call("/safe/x", "warm"); return usedBoth(fleets[0], "warm") })
+	fleets[0].Wait("both servers to be used", func() bool { fleets[0].Call("/safe/x", "warm"); return usedBoth(fleets[0], "warm") })
 	awaitServers(fleets)
 	after := settled()
 	answers := pressFor(t, 6*time.Second, fleets, each)
 	expectWithin(t, fleets[0], "i-1", after, limit)
 	if len(answers) != 1 || answers["200 whole"] == 0 {
-		t.Errorf("answers by status %v, though a server without a limit is there", answers)
+		t.Errorf("responses by status %v, want only successes as a server without a limit is available", answers)
 	}
 }
 
-// Where all servers have limits, these are used, and the rest is refused at once.
+// When all servers have limits, the limits are used up and requests beyond them are rejected
+// immediately.
 func TestLimitsAreUsed(t *testing.T) {
 	t.Parallel()
 	const limit = 6.0
@@ -138,17 +144,18 @@
 	expectWithin(t, fleets[0], "i-1", after, limit)
 	got := mostWithin(fleets[0], "i-1", after)
 	if least := 0.9 * limit * limitWindow.Seconds(); float64(got) < least {
-		t.Errorf("%d requests within %v, the limit is not used", got, limitWindow)
+		t.Errorf("%d requests within %v, the limit isn't used up", got, limitWindow)
 	}
 	if answers["200 whole"] == 0 || answers["503 server_limits"] == 0 || len(answers) != 2 {
-		t.Errorf("answers by status %v, want what is beyond the limit refused as not run", answers)
+		t.Errorf("responses by status %v, want requests beyond the limit rejected as not executed", answers)
 	}
 	if refused := fleets[0].Call("/safe/x", "refused"); refused.Status != http.StatusOK && refused.Header.Get("Retry-After") == "" {
-		t.Errorf("refused without a time to come back: %+v", refused)
+		t.Errorf("rejected without Retry-After: %+v", refused)
 	}
 }
 
-// A gateway that hears nobody doesn't know what the others send.
+// A gateway that is partitioned from all others doesn't know what they send and uses only its
+// share of a limit.
 func TestGatewayThatIsCutOffKeepsToItsShareOfALimit(t *testing.T) {
 	t.Parallel()
 	const limit, listed = 6.0, 6
@@ -159,11 +166,12 @@
 	pressFor(t, 5*time.Second, fleets, 20)
 	expectWithin(t, fleets[0], "i-1", after, limit/listed)
 	if mostWithin(fleets[0], "i-1", after) == 0 {
-		t.Error("it sends nothing at all")
+		t.Error("the gateway sends nothing at all")
 	}
 }
 
-// A gateway that starts has passed on no answer that names the limit.
+// A gateway that has just started has seen no response with the limit and must still respect
+// it.
 func TestGatewayThatStartsKeepsToALimit(t *testing.T) {
 	t.Parallel()
 	const limit = 2.0
@@ -183,22 +191,22 @@
 	expectWithin(t, fleets[0], "i-1", after, limit)
 }
 
-// A server that needs no help any more gets its share again.
+// A server that no longer announces a limit receives its full share again.
 func TestServerThatLiftsItsLimitIsUsedAgain(t *testing.T) {
 	t.Parallel()
 	core, lines := observer.New(zap.DebugLevel)
 	f := gateway.NewFleet(t, gateway.Options{Log: zap.New(core)})
 	server := f.Serve("i-1", limitedAnswer(1))
-	f.Wait("it is used", func() bool { return f.Call("/safe/x", "warm").Status == http.StatusOK })
+	f.Wait("the server to be used", func() bool { return f.Call("/safe/x", "warm").Status == http.StatusOK })
 	if named := lines.FilterMessage("server_limited").All(); len(named) != 1 || named[0].ContextMap()["limit"] != 1.0 {
-		t.Errorf("lines %v, want one that names the limit", named)
+		t.Errorf("log entries %v, want one with the limit", named)
 	}
-	f.Wait("what is beyond the limit is refused", func() bool { return f.Call("/safe/x", "beyond").Status == http.StatusServiceUnavailable })
+	f.Wait("requests beyond the limit to be rejected", func() bool { return f.Call("/safe/x", "beyond").Status == http.StatusServiceUnavailable })
 	if text := metricsOf(t, f); !strings.Contains(text, "applepier_backend_servers_limited 1\n") || strings.Contains(text, "applepier_limited_sends_total 0\n") {
-		t.Error("the metrics don't tell of the limit, or of what was sent")
+		t.Error("the metrics show no limited server or no limited sends")
 	}
 	server.Do(gateway.Answer("whole"))
-	f.Wait("the limit is lifted", func() bool {
+	f.Wait("the limit to be lifted", func() bool {
 		return lines.FilterMessage("server_unlimited").Len() > 0 || f.Call("/safe/x", "lifts").Status == 0
 	})
 	for range 20 {
@@ -208,7 +216,7 @@
 	}
 }
 
-// metricsOf is what a gateway's metrics say.
+// readMetrics returns a gateway's metrics in text format.
 func metricsOf(t *testing.T, f *gateway.Fleet) string {
 	t.Helper()
 	resp, err := http.Get("http://" + f.Admin + "/metrics")
--- a/testbed/gateway/long_failure_test.go
+++ b/testbed/gateway/long_failure_test.go
@@ -8,8 +8,8 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// A status that promises that a request didn't run is passed on only where the
-// server says so, however long its body.
+// A status that implies that a request wasn't executed is forwarded only if the server says
+// so, also with a body that exceeds the gateway's buffer.
 func TestLongFailureMakesNoFalsePromise(t *testing.T) {
 	for _, status := range []int{408, 421, 429, 503} {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
@@ -19,7 +19,7 @@
 			server.Do(ran)
 			got := f.Call("/unsafe/x", "1")
 			if got.Status == status && status != http.StatusMisdirectedRequest {
-				t.Errorf("status %d promises that the request didn't run; it may have", got.Status)
+				t.Errorf("status %d implies that the request wasn't executed; it may have been", got.Status)
 			}
 		})
 	}
--- a/testbed/gateway/mortal_test.go
+++ b/testbed/gateway/mortal_test.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// deadly is the body of a request that crashes each server that runs it.
+	// crashBody is the body of a request that crashes each server that runs it.
 	deadly = "deadly"
-	// backAfter is how long a server that crashed is away.
+	// restartDelay is the time until a crashed server is replaced.
 	backAfter = 300 * time.Millisecond
 )
 
-// mortal are servers that crash under a deadly request, and start again under another
-// id. Each other request is answered by script.
+// crashableServers are servers that crash on a request with crashBody and restart under
+// another instance ID. script responds to all other requests.
 type mortal struct {
 	f      *gateway.Fleet
 	script gateway.Script
-	// mu guards what follows; nothing is locked while it is held.
+	// mu guards the fields below; no other lock is taken while it is held.
 	mu      sync.Mutex
 	started int
 	crashed int
 }
 
-// newMortal starts servers, listed in the fleet's store.
+// startCrashableServers starts servers and lists them in the fixture's store.
 func newMortal(f *gateway.Fleet, servers int, script gateway.Script) *mortal {
 	m := &mortal{f: f, script: script}
 	for range servers {
@@ -39,6 +39,7 @@
 	return m
 }
 
+// start starts and lists one more server.
 func (m *mortal) start() {
 	m.mu.Lock()
 	m.started++
@@ -53,13 +54,13 @@
 		case s := <-self:
 			m.crash(s)
 		default:
-			// It has crashed already.
+			// The server has crashed already.
 		}
 		return false
 	})
 }
 
-// crash ends a server, and starts another in its place later.
+// crash stops a server and starts a replacement after restartDelay.
 func (m *mortal) crash(s *gateway.Server) {
 	s.Stop()
 	m.mu.Lock()
@@ -71,13 +72,14 @@
 	})
 }
 
+// crashes returns the number of crashes so far.
 func (m *mortal) crashes() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.crashed
 }
 
-// ask calls with a body.
+// postBody sends a POST with a body.
 func ask(f *gateway.Fleet, path, id, body string) gateway.Got {
 	return f.Do(f.Request(context.Background(), http.MethodPost, path, id, strings.NewReader(body)))
 }
--- a/testbed/gateway/not_reading_test.go
+++ b/testbed/gateway/not_reading_test.go
@@ -9,23 +9,23 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// A caller that doesn't read its answer holds up a graceful stop no longer than
-// it may take: it is let go soon after the answer was due.
+// A client that doesn't read its response must not delay a graceful shutdown: the gateway
+// drops it soon after the response was due.
 func TestCallerThatDoesNotReadHoldsUpNoStop(t *testing.T) {
 	t.Parallel()
 	const (
-		// grace is far longer than the answer's time, a second, and what a caller
-		// may take it for after that; stops is the bound between the two.
+		// grace is far longer than the request's deadline of a second plus the time that the
+		// gateway then allows for reading the response. stopTimeout lies between the two.
 		grace = 20 * time.Second
 		stops = 10 * time.Second
 	)
 	f, server := served(t, gateway.Options{Grace: grace})
-	// More than the sockets between the two hold.
+	// The body exceeds the socket buffers between the two.
 	body := strings.Repeat("x", 32<<20)
 	server.Do(gateway.Answer(body))
 	caller := connect(t, f)
 	caller.send(head("POST", "/unsafe/x", "unread", "X-Deadline-Ms: 1000", fmt.Sprintf("Content-Length: %d", 0)))
-	f.Wait("it is at the server", func() bool { return len(f.Arrivals("unread")) > 0 })
+	f.Wait("the request to reach the server", func() bool { return len(f.Arrivals("unread")) > 0 })
 	f.Stop()
 	select {
 	case <-f.Stopped:
--- a/testbed/gateway/odd_answers_test.go
+++ b/testbed/gateway/odd_answers_test.go
@@ -9,10 +9,11 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// longBody is more than the gateway reads of an answer before it passes it on.
+// longBody is longer than what the gateway buffers of a response before it forwards it.
 var longBody = strings.Repeat("0123456789abcdef", 20<<10)
 
-// bytesOf scripts an answer as it is on the connection, which is kept or closed.
+// rawResponse returns a script that writes header lines and body as given and then keeps or
+// closes the connection.
 func bytesOf(keep bool, lines []string, status int, body string) gateway.Script {
 	return func(c net.Conn, a *gateway.Arrival) bool {
 		_, err := io.WriteString(c, gateway.Head(a, status, lines...)+body)
@@ -20,13 +21,13 @@
 	}
 }
 
-// Each odd answer of a server ends with an answer to the caller, and its
-// connection goes on or is closed in order.
+// Unusual and malformed server responses yield a response to the client, and its connection
+// stays usable or is closed properly.
 func TestOddAnswersAreAnswered(t *testing.T) {
 	cases := map[string]struct {
 		method string
 		script gateway.Script
-		// want are the statuses that may come.
+		// want lists the allowed statuses.
 		want []int
 	}{
 		"no content":           {"POST", bytesOf(true, nil, 204, ""), []int{204}},
@@ -38,20 +39,20 @@
 		"an unknown status":    {"POST", bytesOf(true, []string{"Content-Length: 2"}, 799, "ab"), []int{799}},
 		"status 999":           {"POST", bytesOf(true, []string{"Content-Length: 2"}, 999, "ab"), []int{999}},
 		"status 000":           {"POST", bytesOf(false, []string{"Content-Length: 2"}, 0, "ab"), []int{502}},
-		"processing, then it": {"POST", func(c net.Conn, a *gateway.Arrival) bool {
+		"an interim response": {"POST", func(c net.Conn, a *gateway.Arrival) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 102 Processing\r\n\r\n")
 			return gateway.Answer("whole")(c, a)
 		}, []int{200}},
-		"another protocol":   {"POST", bytesOf(false, []string{"Upgrade: x", "Connection: Upgrade"}, 101, ""), []int{502}},
-		"no length":          {"POST", bytesOf(false, nil, 200, "whole"), []int{200}},
-		"no length, long":    {"POST", bytesOf(false, nil, 200, longBody), []int{200}},
-		"a trailer":          {"POST", bytesOf(true, []string{"Transfer-Encoding: chunked", "Trailer: X-After"}, 200, "5\r\nwhole\r\n0\r\nX-After: 1\r\n\r\n"), []int{200}},
-		"two lengths":        {"POST", bytesOf(false, []string{"Content-Length: 5", "Content-Length: 6"}, 200, "whole!"), []int{502}},
-		"a negative length":  {"POST", bytesOf(false, []string{"Content-Length: -1"}, 200, "whole"), []int{502}},
-		"a huge length":      {"POST", bytesOf(false, []string{"Content-Length: 9223372036854775807"}, 500, "whole"), []int{500, 502}},
-		"a broken chunk":     {"POST", bytesOf(false, []string{"Transfer-Encoding: chunked"}, 200, "zz\r\nwhole\r\n"), []int{502}},
-		"headers of one hop": {"POST", bytesOf(true, []string{"Content-Length: 5", "Connection: X-Hop", "X-Hop: 1", "Keep-Alive: timeout=-9999999999999999999"}, 200, "whole"), []int{200}},
-		"an endless keep":    {"POST", bytesOf(true, []string{"Content-Length: 5", "Keep-Alive: timeout=9223372036854775807"}, 200, "whole"), []int{200}},
+		"another protocol":          {"POST", bytesOf(false, []string{"Upgrade: x", "Connection: Upgrade"}, 101, ""), []int{502}},
+		"no length":                 {"POST", bytesOf(false, nil, 200, "whole"), []int{200}},
+		"no length, long":           {"POST", bytesOf(false, nil, 200, longBody), []int{200}},
+		"a trailer":                 {"POST", bytesOf(true, []string{"Transfer-Encoding: chunked", "Trailer: X-After"}, 200, "5\r\nwhole\r\n0\r\nX-After: 1\r\n\r\n"), []int{200}},
+		"two lengths":               {"POST", bytesOf(false, []string{"Content-Length: 5", "Content-Length: 6"}, 200, "whole!"), []int{502}},
+		"a negative length":         {"POST", bytesOf(false, []string{"Content-Length: -1"}, 200, "whole"), []int{502}},
+		"a huge length":             {"POST", bytesOf(false, []string{"Content-Length: 9223372036854775807"}, 500, "whole"), []int{500, 502}},
+		"a broken chunk":            {"POST", bytesOf(false, []string{"Transfer-Encoding: chunked"}, 200, "zz\r\nwhole\r\n"), []int{502}},
+		"hop-by-hop headers":        {"POST", bytesOf(true, []string{"Content-Length: 5", "Connection: X-Hop", "X-Hop: 1", "Keep-Alive: timeout=-9999999999999999999"}, 200, "whole"), []int{200}},
+		"a huge keep-alive timeout": {"POST", bytesOf(true, []string{"Content-Length: 5", "Keep-Alive: timeout=9223372036854775807"}, 200, "whole"), []int{200}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -80,7 +81,7 @@
 	}
 }
 
-// Whatever a caller's headers say of a request, it has an answer.
+// Requests with unusual or malformed header values get a response.
 func TestOddHeadersAreAnswered(t *testing.T) {
 	f, _ := served(t, gateway.Options{})
 	const most = "9223372036854775807"
--- a/testbed/gateway/odd_requests_test.go
+++ b/testbed/gateway/odd_requests_test.go
@@ -8,8 +8,8 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// Whatever form a request has, it has an answer, and one that is a server's or
-// none that looks like a success.
+// Unusual and malformed requests get a response, and only a backend server's response looks
+// like a success.
 func TestOddRequestsAreAnswered(t *testing.T) {
 	f, _ := served(t, gateway.Options{})
 	lines := "\r\nHost: h.example\r\nX-Request-Id: 1\r\nAuthorization: Bearer key-1\r\n"
@@ -44,7 +44,7 @@
 	}
 }
 
-// Whatever the platform's list and the desired state hold, requests are answered.
+// Requests get a response for any values in the server list and the desired state.
 func TestOddStatesAreAnswered(t *testing.T) {
 	f, server := served(t, gateway.Options{})
 	version := 10
@@ -67,7 +67,7 @@
 			f.Store.Put("servers", server.Instance, []byte(row))
 			version++
 			f.Desire(version, fmt.Sprintf(`,{"name":"now","host":"h.example","prefix":"/now%d/","type":"safe","timeout-ms":2000,"service":"plain","attempts":1}`, version), "")
-			f.Wait("it is in force", func() bool { return f.Call(fmt.Sprintf("/now%d/x", version), "now").Status != 404 })
+			f.Wait("the state to take effect", func() bool { return f.Call(fmt.Sprintf("/now%d/x", version), "now").Status != 404 })
 			ask("slots " + slots + ", warming " + warming)
 		}
 	}
@@ -79,7 +79,7 @@
 	} {
 		version++
 		f.Desire(version, fmt.Sprintf(`,{"name":"odd","host":"h.example","prefix":"/odd/","type":"safe",%s},{"name":"now","host":"h.example","prefix":"/now%d/","type":"safe","timeout-ms":2000,"service":"plain"}`, route, version), "")
-		f.Wait("it is in force", func() bool { return f.Call(fmt.Sprintf("/now%d/x", version), "now").Status != 404 })
+		f.Wait("the state to take effect", func() bool { return f.Call(fmt.Sprintf("/now%d/x", version), "now").Status != 404 })
 		ask(route)
 	}
 }
--- a/testbed/gateway/old_caller_test.go
+++ b/testbed/gateway/old_caller_test.go
@@ -11,8 +11,8 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// An answer whose length isn't known ends, to a caller of HTTP/1.0, with its
-// connection: one that is broken off there has to be reset, or it looks whole.
+// For an HTTP/1.0 client the end of the connection ends a response of unknown length. If such
+// a response is interrupted, the connection must be reset, or the response looks complete.
 func TestBrokenAnswerToAnOldCallerLooksBroken(t *testing.T) {
 	for name, c := range map[string]struct {
 		path   string
@@ -33,7 +33,7 @@
 			}
 			body, err := io.ReadAll(resp.Body)
 			if err == nil {
-				t.Errorf("status %d and %d bytes look whole, the server broke off", resp.StatusCode, len(body))
+				t.Errorf("status %d and %d bytes look complete, the server broke off", resp.StatusCode, len(body))
 			}
 		})
 	}
--- a/testbed/gateway/options_test.go
+++ b/testbed/gateway/options_test.go
@@ -6,8 +6,8 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// No success comes but from a backend server, also for a request about the
-// gateway as a whole.
+// Only backend servers report success; this includes OPTIONS *, which concerns the gateway
+// itself.
 func TestOptionsOfTheWholeServerAreNoSuccess(t *testing.T) {
 	f, _ := served(t, gateway.Options{})
 	c := connect(t, f)
--- a/testbed/gateway/polling_test.go
+++ b/testbed/gateway/polling_test.go
@@ -11,11 +11,12 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// storeAskers is how many gateways ask the store for all.
+// storePollers is the number of gateways that poll the store on behalf of all.
 const storeAskers = 3
 
-// startAlike starts gateways before one store, ordered by who asks it first, and waits
-// until those that needn't ask have stopped. So many more are listed and silent.
+// startGateways starts n gateways that share a store, ordered so that the pollers come first,
+// and waits until the others have stopped polling. It also lists silent gateways that don't
+// run.
 func startAlike(t *testing.T, n, silent int) []*gateway.Fleet {
 	t.Helper()
 	names := make([]string, n)
@@ -39,13 +40,14 @@
 		}
 		fleets[i] = gateway.NewFleet(t, o)
 	}
-	// Gateways list themselves, and hear of each other by the list within two seconds.
+	// Gateways list themselves and learn of each other from the list within two seconds.
 	time.Sleep(4 * time.Second)
 	return fleets
 }
 
-// Each change of the list of servers costs a call of each gateway that asks: with
-// hundreds of gateways a restart of the servers would cost thousands.
+// Guards against every gateway polling the store: each change of the server list costs one
+// call per poller, so with hundreds of gateways a restart of the servers would cost thousands
+// of calls.
 func TestFewGatewaysAskTheStoreForAll(t *testing.T) {
 	const gateways, changes = 8, 12
 	fleets := startAlike(t, gateways, 0)
@@ -58,13 +60,13 @@
 		time.Sleep(400 * time.Millisecond)
 	}
 	calls := first.Store.Calls() - before
-	// The few ask again after each change; five seconds of proofs, and of the others'
-	// calls about other tables, come to less than four for each gateway.
+	// The pollers call again after each change. Freshness proofs over five seconds and the
+	// other gateways' calls for other tables add less than four calls per gateway.
 	if most := storeAskers*changes + 4*gateways; calls > most {
-		t.Errorf("%d calls for %d changes by %d gateways, more than %d", calls, changes, gateways, most)
+		t.Errorf("%d calls for %d changes by %d gateways, at most %d expected", calls, changes, gateways, most)
 	}
 	for i, f := range fleets {
-		f.Wait(fmt.Sprintf("gateway %d uses the last server", i), func() bool {
+		f.Wait(fmt.Sprintf("gateway %d to use the last server", i), func() bool {
 			id := fmt.Sprintf("last-%d", i)
 			f.Call("/safe/x", id)
 			return usedServer(first, id, last)
@@ -72,7 +74,8 @@
 	}
 }
 
-// The gateways that ask may all be lost at once, just before a server leaves.
+// Guards against a missed change when all polling gateways are lost at once, just before a
+// server leaves.
 func TestOthersAskWhenTheAskersAreLost(t *testing.T) {
 	fleets := startAlike(t, 6, 0)
 	first := fleets[0]
@@ -80,7 +83,7 @@
 	first.Serve("i-2", gateway.Answer("whole"))
 	left := fleets[storeAskers:]
 	for i, f := range left {
-		f.Wait("both are used", func() bool {
+		f.Wait("both servers to be used", func() bool {
 			f.Call("/safe/x", fmt.Sprintf("warm-%d", i))
 			return usedBoth(first, fmt.Sprintf("warm-%d", i))
 		})
@@ -92,7 +95,7 @@
 		<-f.Stopped
 	}
 	first.List(leaving, "draining")
-	// Within two seconds a server that leaves gets no more work.
+	// A draining server must receive no new requests after two seconds.
 	time.Sleep(2 * time.Second)
 	for i, f := range left {
 		id := fmt.Sprintf("after-%d", i)
@@ -100,13 +103,14 @@
 			f.Call("/safe/x", id)
 		}
 		if usedServer(first, id, "i-1") {
-			t.Errorf("gateway %d sends to a server that leaves", i)
+			t.Errorf("gateway %d sends to a draining server", i)
 		}
 	}
 }
 
-// A gateway that hears of few others may be cut off together with them, and from the
-// store as well: it finds out only by asking, and sends callers elsewhere then.
+// A gateway that hears from few others may be partitioned together with them, also from the
+// store. Only its own calls show that; it then reports that it isn't ready, so that clients go
+// elsewhere.
 func TestWhoHearsOfFewGatewaysAsksTheStore(t *testing.T) {
 	const gateways, changes = 8, 8
 	fleets := startAlike(t, gateways, gateways+1)
@@ -116,20 +120,20 @@
 		time.Sleep(400 * time.Millisecond)
 	}
 	if calls := fleets[0].Store.Calls() - before; calls < gateways*changes {
-		t.Errorf("%d calls for %d changes, by %d gateways that hear of less than half", calls, changes, gateways)
+		t.Errorf("%d calls for %d changes by %d gateways that hear from less than half", calls, changes, gateways)
 	}
 }
 
-// Gateways that are restarted one after the other would each have all others ask the
-// store, if what they read at their start were news to these.
+// Guards against a starting gateway making all others call the store with what it has read: a
+// rolling restart of the gateways would multiply the calls.
 func TestGatewayThatStartsMakesOthersAskNothing(t *testing.T) {
 	const gateways, own, watched = 12, 8, 2
 	fleets := startAlike(t, gateways, 0)
 	first := fleets[0]
-	// The list of servers and the store's position have moved on since the others began.
+	// The server list and the store's position have advanced since the others started.
 	first.Serve("i-1", gateway.Answer("whole"))
 	time.Sleep(time.Second)
-	// It comes last by its name, so that it isn't one of those that ask.
+	// The new gateway sorts last by its name, so it isn't a poller.
 	first.Store.Put("other", "row", []byte("x"))
 	before, reads := first.Store.Calls(), map[string]int{}
 	tables := []string{"op", "servers", "gateways", "quarantine"}
@@ -137,37 +141,38 @@
 		reads[table] = first.Store.Reads(table)
 	}
 	gateway.NewFleet(t, gateway.Options{Name: "late-7", Revoke: 5 * time.Second, Store: first.Store})
-	// Those that ask look at the list of gateways again two seconds after the new entry: that
-	// call may or may not fall within two seconds of the start.
+	// The pollers read the gateway list again two seconds after the new row; that call may or
+	// may not fall into the measured time.
 	time.Sleep(watched*time.Second - 200*time.Millisecond)
-	// Those that ask renew their proof about once a second, and hear of the new entry.
+	// The pollers renew their freshness proof about once a second and are notified of the new
+	// row.
 	if calls, most := first.Store.Calls()-before, own+storeAskers*(watched+1); calls > most {
-		t.Errorf("%d calls for the start of one gateway beside %d, more than %d", calls, gateways, most)
+		t.Errorf("%d calls for the start of one gateway beside %d, at most %d expected", calls, gateways, most)
 		for _, table := range tables {
 			t.Logf("%d reads of %s", first.Store.Reads(table)-reads[table], table)
 		}
 	}
 }
 
-// The store falls silent for all gateways that ask it for the others, which it goes on to
-// answer: one of these has a new desired state in force as soon as its operators ask for, two
-// seconds after it was acknowledged.
+// Guards against a stale state when the store stops responding to the pollers only: another
+// gateway must apply a new desired state within the required two seconds after its
+// acknowledgement.
 func TestOthersAskWhenTheStoreFallsSilentForTheAskers(t *testing.T) {
 	t.Parallel()
 	const within = 2 * time.Second
 	fleets := startAlike(t, storeAskers+1, 0)
 	last := fleets[storeAskers]
 	last.Serve("i-1", gateway.Answer("whole"))
-	last.Wait("the last gateway serves", func() bool { return last.Call("/safe/x", "warm").Status == 200 })
-	// It rests once it has had the list from others.
+	last.Wait("the last gateway to serve", func() bool { return last.Call("/safe/x", "warm").Status == 200 })
+	// The last gateway stops polling once it has received the list from others.
 	time.Sleep(time.Second)
 	for _, f := range fleets[:storeAskers] {
 		f.Silence(true)
 	}
 	last.Desire(2, `,{"name":"new","host":"h.example","prefix":"/new/","type":"safe","timeout-ms":2000,"service":"plain","attempts":1}`, "")
 	acknowledged := time.Now()
-	last.Wait("the new route is in force", func() bool { return last.Call("/new/x", "new").Status == 200 })
+	last.Wait("the new route to take effect", func() bool { return last.Call("/new/x", "new").Status == 200 })
 	if took := time.Since(acknowledged); took > within {
-		t.Errorf("in force after %v", took)
+		t.Errorf("in effect after %v", took)
 	}
 }
--- a/testbed/gateway/refused_body_test.go
+++ b/testbed/gateway/refused_body_test.go
@@ -11,7 +11,7 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// refusals are requests that the gateway answers without having read the body.
+// earlyRejections are requests that the gateway rejects before it reads the body.
 var refusals = map[string]struct {
 	path, key string
 	status    int
@@ -20,13 +20,13 @@
 	"an unknown key": {"/safe/x", "key-9", http.StatusUnauthorized},
 }
 
-// refused is the head of a request that is refused.
+// rejectedHead returns the head of a request that is rejected.
 func refused(path, key, id string, lines ...string) string {
 	return strings.Replace(head(http.MethodPost, path, id, lines...), "key-1", key, 1)
 }
 
-// A refused request whose body comes late leaves nothing behind on its
-// connection: the next request there is served.
+// The late body of a rejected request must not be read as the next request on the connection;
+// that request is served, or not forwarded.
 func TestRequestAfterARefusedOneWithALateBodyIsServed(t *testing.T) {
 	for name, c := range refusals {
 		for next, path := range map[string]string{"safe": "/safe/x", "unsafe": "/unsafe/x", "stream": "/stream/x"} {
@@ -36,12 +36,12 @@
 				f, _ := served(t, gateway.Options{Log: zap.New(core)})
 				caller := connect(t, f)
 				caller.send(refused(c.path, c.key, "refused", "Content-Length: 8") + "half")
-				f.Wait("it is refused", func() bool { return lines.FilterField(zap.String("request", "refused")).Len() > 0 })
+				f.Wait("the request to be rejected", func() bool { return lines.FilterField(zap.String("request", "refused")).Len() > 0 })
 				caller.send("half")
 				if got := caller.receive("POST"); got.Status != c.status {
-					t.Fatalf("refused with %+v", got)
+					t.Fatalf("rejected with %+v", got)
 				}
-				// The gateway may close the connection; what counts is what comes.
+				// The gateway may close the connection; only the response matters.
 				_, _ = caller.Write([]byte(post(path, "next", 0)))
 				got := caller.receive("POST")
 				t.Logf("the next request reached %d servers", len(f.Arrivals("next")))
@@ -49,7 +49,7 @@
 					t.Errorf("status %d without a server's signature: %+v", got.Status, got)
 				}
 				if got.Err != nil && len(f.Arrivals("next")) > 0 {
-					t.Errorf("handed on, and its connection ended without the answer: %v", got.Err)
+					t.Errorf("forwarded, and its connection was closed without a response: %v", got.Err)
 				}
 				if got.Err == nil && got.Status != http.StatusOK {
 					t.Errorf("status %d", got.Status)
--- a/testbed/gateway/refused_waiting_test.go
+++ b/testbed/gateway/refused_waiting_test.go
@@ -9,13 +9,13 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// A refusal is given though the body never comes whole: its caller waits for it,
-// and a gateway that stops would wait for the body.
+// A rejection is sent even if the body never arrives completely: the client waits for it, and
+// a gateway that shuts down would wait for the body.
 func TestRefusalDoesNotWaitForTheBody(t *testing.T) {
 	for name, c := range refusals {
 		for form, body := range map[string]string{
 			"a length": "Content-Length: 8\r\n\r\nhalf", "chunks": "Transfer-Encoding: chunked\r\n\r\n8\r\nhalf",
-			"a body that waits to be wanted": "Expect: 100-continue\r\nContent-Length: 8\r\n\r\n",
+			"a body that waits for 100 Continue": "Expect: 100-continue\r\nContent-Length: 8\r\n\r\n",
 		} {
 			t.Run(name+", "+form, func(t *testing.T) {
 				t.Parallel()
--- a/testbed/gateway/returned_test.go
+++ b/testbed/gateway/returned_test.go
@@ -9,10 +9,10 @@
 	"github.com/applepier/applepier/testbed/rowstore"
 )
 
-// awayFor is for how long the store is away before it comes back.
+// outage is how long the store is unavailable before it is restored.
 const awayFor = 300 * time.Millisecond
 
-// comeBack has the store come back from an older copy after a moment away.
+// restoreStore restores the store from an older backup after an outage.
 func comeBack(f *gateway.Fleet, older rowstore.Copy) {
 	f.Store.SetFault(rowstore.Busy)
 	f.Store.Return(older)
@@ -20,8 +20,8 @@
 	f.Store.SetFault(rowstore.Well)
 }
 
-// A key that was taken away before the return stays taken away, though the store holds
-// the state of before; the operators' newer state is in force once they write it again.
+// A key revoked before the store was restored stays revoked, even though the store holds the
+// earlier state. The newer state takes effect once operators write it again.
 func TestRevokedKeyStaysRevokedAfterAReturn(t *testing.T) {
 	t.Parallel()
 	f := gateway.NewFleet(t, gateway.Options{Revoke: 5 * time.Second})
@@ -32,22 +32,22 @@
 		req.Header.Set("Authorization", "Bearer key-2")
 		return f.Do(req).Status
 	}
-	f.Wait("the second key is valid", func() bool { return withKey("valid") == 200 })
+	f.Wait("the second key to be valid", func() bool { return withKey("valid") == 200 })
 	older := f.Store.Copy()
 	f.Desire(3, "", "")
-	f.Wait("it is taken away", func() bool { return withKey("gone") == 401 })
+	f.Wait("the key to be revoked", func() bool { return withKey("gone") == 401 })
 	comeBack(f, older)
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if status := withKey("back"); status == 200 {
-			t.Fatalf("status %d for a key that was taken away", status)
+			t.Fatalf("status %d for a revoked key", status)
 		}
 	}
 	f.Desire(3, "", "")
-	f.Wait("the first key is served", func() bool { return f.Call("/safe/x", "again").Status == 200 })
+	f.Wait("the first key to be served", func() bool { return f.Call("/safe/x", "again").Status == 200 })
 }
 
-// After a return those that ask the store read the list for all: at hundreds of gateways
-// the store would have to answer as many reads at once. Each may have to try twice.
+// Guards against all of hundreds of gateways reading the server list at once after the store
+// was restored. Only the pollers read it; each may need two attempts.
 func TestFewReadTheListAfterAReturn(t *testing.T) {
 	const gateways, tries = 10, 2
 	fleets := startAlike(t, gateways, 0)
@@ -62,7 +62,7 @@
 	began := time.Now()
 	for i, f := range fleets {
 		id := fmt.Sprintf("new-%d", i)
-		f.Wait(fmt.Sprintf("gateway %d uses the new server", i), func() bool {
+		f.Wait(fmt.Sprintf("gateway %d to use the new server", i), func() bool {
 			f.Call("/safe/x", id)
 			return usedServer(first, id, "i-3")
 		})
@@ -71,7 +71,7 @@
 	time.Sleep(2 * time.Second)
 	reads := first.Store.Reads("servers") - before
 	if reads > tries*storeAskers {
-		t.Errorf("%d gateways read the list after the return, %d ask the store", reads, storeAskers)
+		t.Errorf("%d reads of the list after the restore by %d pollers", reads, storeAskers)
 	}
-	t.Logf("%d reads of %d gateways, all act on the new list after %v", reads, gateways, took)
+	t.Logf("%d reads by %d gateways, all use the new list after %v", reads, gateways, took)
 }
--- a/testbed/gateway/sending_test.go
+++ b/testbed/gateway/sending_test.go
@@ -11,8 +11,9 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// What a caller is told, and how many servers get the request, by what the
-// first server does. The second one answers whole.
+// Retries after each kind of failure of the first server, while the second one responds
+// correctly: safe requests always succeed, unsafe ones are sent again only if they weren't
+// executed.
 func TestWhatMayBeSentAgain(t *testing.T) {
 	garbage := func(c net.Conn, a *gateway.Arrival) bool {
 		_, _ = c.Write([]byte("\x00\x01nothing\r\n\r\n"))
@@ -37,15 +38,15 @@
 		safe, unsafe int
 		unsafeSends  int
 	}{
-		{"refuses", gateway.Refuse(503), 200, 200, 2},
-		{"is another one", gateway.Refuse(421), 200, 200, 2},
+		{"rejects", gateway.Refuse(503), 200, 200, 2},
+		{"is another instance", gateway.Refuse(421), 200, 200, 2},
 		{"closes", gateway.Drop, 200, 502, 1},
 		{"breaks off", cut, 200, 502, 1},
-		{"speaks something else", garbage, 200, 502, 1},
+		{"sends something other than HTTP", garbage, 200, 502, 1},
 		{"doesn't sign", unsigned, 200, 502, 1},
 		{"encodes", encoded, 200, 502, 1},
 		{"fails", gateway.Failure(500), 200, 500, 1},
-		{"fails with a status that promises", silent503, 200, 502, 1},
+		{"fails with a status that implies no execution", silent503, 200, 502, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -53,7 +54,7 @@
 				f := gateway.NewFleet(t, gateway.Options{})
 				first := f.Serve("i-1", gateway.Answer("whole"))
 				f.Serve("i-2", gateway.Answer("whole"))
-				f.Wait("both are used", func() bool { f.Call("/safe/x", "warm"); return usedBoth(f, "warm") })
+				f.Wait("both servers to be used", func() bool { f.Call("/safe/x", "warm"); return usedBoth(f, "warm") })
 				first.Do(c.first)
 				got, sends := tryOn(f, path, "i-1")
 				if got.Status != want {
@@ -63,34 +64,36 @@
 					t.Errorf("%s: body %q", path, got.Body)
 				}
 				if want == 502 && got.Header.Get("X-Signature") != "" {
-					t.Errorf("%s: our own failure bears a signature", path)
+					t.Errorf("%s: the gateway's own error has a signature", path)
 				}
 				if path == "/unsafe/x" && sends != c.unsafeSends {
-					t.Errorf("an unsafe request was sent %d times, allowed %d", sends, c.unsafeSends)
+					t.Errorf("an unsafe request was sent %d times, want %d", sends, c.unsafeSends)
 				}
 			}
 		})
 	}
 }
 
+// Only a stream of a resumable route is continued on another server, after the last event that
+// the client received.
 func TestStreamGoesOnElsewhere(t *testing.T) {
 	f := gateway.NewFleet(t, gateway.Options{})
 	f.Serve("i-1", gateway.Events(6, 4, time.Millisecond))
-	f.Wait("it is served", func() bool { return f.Call("/stream/x", "warm").Status == 200 })
+	f.Wait("the gateway to serve", func() bool { return f.Call("/stream/x", "warm").Status == 200 })
 	whole := ""
 	for id := 1; id <= 6; id++ {
 		whole += gateway.Event(id)
 	}
 	got := f.Call("/stream/x", "plain")
 	if got.Err == nil || got.Body != whole[:3*len(gateway.Event(1))] {
-		t.Errorf("a stream that may not go on: %q, %v", got.Body, got.Err)
+		t.Errorf("a stream that isn't resumable: %q, %v", got.Body, got.Err)
 	}
 	if n := len(f.Arrivals("plain")); n != 1 {
-		t.Errorf("it was sent %d times", n)
+		t.Errorf("the request was sent %d times", n)
 	}
 	f.Serve("i-2", gateway.Events(6, 0, time.Millisecond))
 	tries := 0
-	f.Wait("a stream goes on at the other server", func() bool {
+	f.Wait("a stream to continue on the other server", func() bool {
 		tries++
 		id := fmt.Sprintf("resumed-%d", tries)
 		got := f.Call("/resume/x", id)
@@ -103,22 +106,22 @@
 			t.Errorf("%s: %q, %v", id, got.Body, got.Err)
 		}
 		if len(a) == 2 && a[1].Header.Get("Last-Event-Id") != "3" {
-			t.Errorf("%s went on after event %q, the caller had 3", id, a[1].Header.Get("Last-Event-Id"))
+			t.Errorf("%s was resumed after event %q, the client had received 3", id, a[1].Header.Get("Last-Event-Id"))
 		}
 		return len(a) == 2
 	})
 }
 
-// A stream without ids can't go on elsewhere: nobody can say which of its events
-// the caller has, and none may come twice.
+// A stream without event IDs isn't continued on another server: the client's last event is
+// unknown, and no event may be sent twice.
 func TestStreamWithoutIDsIsNotSentAgain(t *testing.T) {
 	f := gateway.NewFleet(t, gateway.Options{})
 	f.Serve("i-1", gateway.Unnumbered(4, 0))
-	f.Wait("it is served", func() bool { return f.Call("/resume/x", "warm").Status == 200 })
+	f.Wait("the gateway to serve", func() bool { return f.Call("/resume/x", "warm").Status == 200 })
 	whole := f.Call("/resume/x", "whole").Body
 	f.Serve("i-2", gateway.Unnumbered(4, 2))
 	tries := 0
-	f.Wait("a stream breaks off", func() bool {
+	f.Wait("a stream to break off", func() bool {
 		tries++
 		id := fmt.Sprintf("broken-%d", tries)
 		got := f.Call("/resume/x", id)
@@ -133,10 +136,11 @@
 	})
 }
 
+// A client's disconnect cancels its request at the server.
 func TestLeavingCallersFreeTheServer(t *testing.T) {
 	f := gateway.NewFleet(t, gateway.Options{})
 	f.Serve("i-1", gateway.Hang)
-	f.Wait("it is listed", func() bool {
+	f.Wait("the server to be listed", func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
 		f.Do(f.Request(ctx, http.MethodPost, "/stream/x", "left", nil))
@@ -145,14 +149,15 @@
 	select {
 	case <-f.Arrivals("left")[0].Left:
 	case <-time.After(500 * time.Millisecond):
-		t.Error("the server still works half a second after its caller left")
+		t.Error("the request is still running 500 ms after its client disconnected")
 	}
 }
 
+// A request that isn't answered gets a 504 at the route's timeout.
 func TestFinalAnswerComesByTheTimeout(t *testing.T) {
 	f := gateway.NewFleet(t, gateway.Options{})
 	f.Serve("i-1", gateway.Hang)
-	f.Wait("it is listed", func() bool { f.Call("/quick/x", "warm"); return len(f.Arrivals("warm")) > 0 })
+	f.Wait("the server to be listed", func() bool { f.Call("/quick/x", "warm"); return len(f.Arrivals("warm")) > 0 })
 	began := time.Now()
 	got := f.Call("/quick/x", "late")
 	if took := time.Since(began); got.Status != 504 || took < 150*time.Millisecond || took > 400*time.Millisecond {
--- a/testbed/gateway/server.go
+++ b/testbed/gateway/server.go
@@ -1,6 +1,5 @@
-// Package gateway plays the surroundings of a gateway for its tests: backend
-// servers that speak the platform's dialect and do as they are told, and the
-// platform's store. Start reading at Fleet.
+// Package gateway provides a test fixture for a gateway: scripted backend servers that speak
+// the platform's protocol, and the platform's store. Fixture is the entry point.
 package gateway
 
 import (
@@ -14,7 +13,7 @@
 	"time"
 )
 
-// Arrival is a request as it reached a backend server.
+// ReceivedRequest is a request as a backend server received it.
 type Arrival struct {
 	Server string
 	ID     string
@@ -23,30 +22,31 @@
 	Method string
 	Body   string
 	At     time.Time
-	// Left is closed when the gateway closes the connection.
+	// Closed is closed when the gateway closes the connection.
 	Left <-chan struct{}
 }
 
-// Script answers a request on its connection; false closes the connection.
+// Script responds to a request on its connection and reports whether the connection stays
+// open.
 type Script func(c net.Conn, a *Arrival) bool
 
 // Server is a scripted backend server.
 type Server struct {
-	// Instance is the id of its start.
+	// Instance identifies the server process; a restart has a new ID.
 	Instance string
 	Addr     string
-	// arrived is told of each request.
+	// onRequest is called for each request.
 	arrived  func(*Arrival)
 	listener net.Listener
-	// mu guards what follows, and Instance once it serves; nothing is locked
-	// while it is held.
+	// mu guards the fields below, and Instance once the server accepts connections; no other
+	// lock is taken while it is held.
 	mu     sync.Mutex
 	script Script
 	conns  map[net.Conn]bool
 }
 
-// Listen starts a server on a host:port that does as script says and tells of
-// each request that reaches it.
+// Listen starts a server at a host:port that responds as script does. onRequest is called for
+// each request before the script runs.
 func Listen(addr, instance string, script Script, arrived func(*Arrival)) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return s, nil
 }
 
-// Answer scripts a whole answer, signed.
+// Respond returns a script that sends a complete, signed response.
 func Answer(body string) Script {
 	return func(c net.Conn, a *Arrival) bool {
 		_, err := io.WriteString(c, Head(a, 200, fmt.Sprintf("Content-Length: %d", len(body)))+body)
@@ -65,7 +65,7 @@
 	}
 }
 
-// Failure scripts the server's own failure.
+// Fail returns a script that sends a signed error response; the request may have run.
 func Failure(status int) Script {
 	return func(c net.Conn, a *Arrival) bool {
 		_, err := io.WriteString(c, Head(a, status, "Content-Length: 4")+"fail")
@@ -73,7 +73,7 @@
 	}
 }
 
-// Refuse scripts that the request isn't run.
+// Reject returns a script that rejects the request and marks it as not executed.
 func Refuse(status int) Script {
 	return func(c net.Conn, a *Arrival) bool {
 		_, err := io.WriteString(c, Head(a, status, "Content-Length: 0", "X-Not-Executed: 1"))
@@ -81,22 +81,22 @@
 	}
 }
 
-// Hang scripts silence until the gateway closes the connection.
+// Hang is a script that sends nothing until the gateway closes the connection.
 func Hang(_ net.Conn, a *Arrival) bool {
 	<-a.Left
 	return false
 }
 
-// Drop scripts a connection that is closed without an answer.
+// Drop is a script that closes the connection without a response.
 func Drop(net.Conn, *Arrival) bool { return false }
 
-// Events scripts a stream of events from the one that is asked for up to last,
-// with a pause before each; it breaks off in the middle of event cutAt, 0 for
-// never.
+// Events returns a script that streams events up to the ID last, starting after the request's
+// Last-Event-Id, with a pause before each. It closes the connection in the middle of event
+// cutAt; 0 means never.
 func Events(last, cutAt int, pause time.Duration) Script {
 	return func(c net.Conn, a *Arrival) bool {
 		var after int
-		// No number stands for none.
+		// A missing or invalid header means a start from the first event.
 		_, _ = fmt.Sscan(a.Header.Get("Last-Event-Id"), &after)
 		if _, err := io.WriteString(c, Head(a, 200, "Transfer-Encoding: chunked", "Content-Type: text/event-stream")); err != nil {
 			return false
@@ -116,8 +116,8 @@
 	}
 }
 
-// Unnumbered scripts a stream whose events bear no id, and which breaks off
-// after so many of them; 0 for never.
+// EventsWithoutIDs returns a script that streams events without IDs. It closes the connection
+// after cutAfter events; 0 means never.
 func Unnumbered(last, cutAfter int) Script {
 	return func(c net.Conn, a *Arrival) bool {
 		if _, err := io.WriteString(c, Head(a, 200, "Transfer-Encoding: chunked", "Content-Type: text/event-stream")); err != nil {
@@ -134,10 +134,10 @@
 	}
 }
 
-// Event is the event with an id.
+// Event returns the event with an ID.
 func Event(id int) string { return fmt.Sprintf("id: %d\ndata: token %d\n\n", id, id) }
 
-// Head is the head of a signed answer.
+// ResponseHead returns the status line and headers of a signed response.
 func Head(a *Arrival, status int, lines ...string) string {
 	head := fmt.Sprintf("HTTP/1.1 %d %s\r\nX-Request-Id: %s\r\nX-Signature: by-%s\r\n", status, http.StatusText(status), a.ID, a.Server)
 	for _, line := range lines {
@@ -146,21 +146,22 @@
 	return head + "\r\n"
 }
 
-// Do changes what the server does.
+// SetScript replaces the server's script.
 func (s *Server) Do(script Script) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.script = script
 }
 
-// Become has another start answer at the server's address.
+// SetInstance changes the instance ID, as if another process had taken over the server's
+// address.
 func (s *Server) Become(instance string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.Instance = instance
 }
 
-// Stop ends the server and its connections.
+// Stop closes the listener and all connections.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -212,7 +213,8 @@
 			script = Refuse(http.StatusMisdirectedRequest)
 		}
 		s.arrived(a)
-		// Whatever comes before the answer is given is the connection's end.
+		// A read that fails while the script runs means that the gateway closed the
+		// connection. A byte that it reads instead belongs to the next request.
 		next := make(chan byte, 1)
 		go func() {
 			one := make([]byte, 1)
@@ -235,7 +237,7 @@
 	}
 }
 
-// replayed is a connection of which some bytes have been read already.
+// prefixedConn is a connection that returns bytes read earlier before it reads on.
 type replayed struct {
 	net.Conn
 	first *bytes.Reader
--- a/testbed/gateway/silenced.go
+++ b/testbed/gateway/silenced.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 )
 
-// silenced is a gateway's way to the store, on which nothing comes back while it is silent.
+// blockableHandler holds back responses while it is blocked.
 type silenced struct {
 	http.Handler
 	silent atomic.Bool
@@ -16,8 +16,8 @@
 	s.Handler.ServeHTTP(silencedWriter{w, r, &s.silent}, r)
 }
 
-// silencedWriter holds an answer back that begins while the way is silent, until the caller
-// gives up.
+// blockableWriter holds back a response whose header is written while the handler is blocked,
+// until the client gives up.
 type silencedWriter struct {
 	http.ResponseWriter
 	request *http.Request
@@ -33,5 +33,5 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap is what http.ResponseController asks for.
+// Unwrap supports http.ResponseController.
 func (w silencedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/testbed/gateway/slow_body_test.go
+++ b/testbed/gateway/slow_body_test.go
@@ -8,7 +8,7 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// A request whose body doesn't come whole has its answer by the route's timeout.
+// A request whose body doesn't arrive completely is answered by the route's timeout.
 func TestRequestWithAPartOfItsBodyIsAnsweredByTheTimeout(t *testing.T) {
 	for form, body := range map[string]string{"a length": "Content-Length: 8\r\n\r\nhalf", "chunks": "Transfer-Encoding: chunked\r\n\r\n8\r\nhalf"} {
 		t.Run(form, func(t *testing.T) {
@@ -18,7 +18,7 @@
 			began := time.Now()
 			caller.send(strings.TrimSuffix(head("POST", "/quick/x", "slow"), "\r\n") + body)
 			got := caller.receive("POST")
-			// The route's timeout is 200 ms; half a second is the rule's.
+			// The route's timeout is 200 ms; the requirement allows 500 ms more.
 			if took := time.Since(began); got.Status == 0 || took > 700*time.Millisecond {
 				t.Errorf("after %v: %+v", took, got)
 			}
--- a/testbed/gateway/slow_link.go
+++ b/testbed/gateway/slow_link.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// slowLink passes answers on at a rate, as a narrow link does.
+// throttledHandler limits the rate of responses, to simulate a slow link.
 type slowLink struct {
 	http.Handler
-	// rate is in bytes a second; 0 for no bound.
+	// rate is in bytes per second; 0 means no limit.
 	rate int
 }
 
-// pieces is how many pieces of an answer pass in a second.
+// chunksPerSecond is the number of chunks in which a second's bytes are written.
 const pieces = 20
 
 // ServeHTTP implements http.Handler.
@@ -23,7 +23,7 @@
 	l.Handler.ServeHTTP(w, r)
 }
 
-// slowWriter writes an answer piece by piece.
+// throttledWriter writes a response in chunks, with a pause between them.
 type slowWriter struct {
 	http.ResponseWriter
 	piece int
@@ -37,7 +37,7 @@
 			time.Sleep(time.Second / pieces)
 		}
 		n, err = w.ResponseWriter.Write(p[:n])
-		// An answer that can't be flushed comes with the next piece.
+		// Data that can't be flushed is sent with the next chunk.
 		_ = http.NewResponseController(w.ResponseWriter).Flush()
 		written, p = written+n, p[n:]
 	}
--- a/testbed/gateway/soak_test.go
+++ b/testbed/gateway/soak_test.go
@@ -16,37 +16,37 @@
 )
 
 const (
-	// soakFor is how long faults and callers play; some 100,000 requests.
+	// soakDuration is how long faults and load run; about 100,000 requests.
 	soakFor = 6 * time.Second
-	// soakSeed draws the faults; what callers and faults meet is up to the
+	// soakSeed seeds the choice of faults; which requests they affect depends on the
 	// scheduler.
 	soakSeed = 1
-	// soakEvents is the length of a whole stream.
+	// soakEvents is the number of events of a complete stream.
 	soakEvents = 8
 )
 
-// soak plays random faults of servers and of the store under callers of all
-// kinds, and keeps which requests ran.
+// soak injects random faults of the servers and the store under load on all types of routes,
+// and records which requests were executed.
 type soak struct {
 	t *testing.T
 	f *gateway.Fleet
-	// mu guards what follows; nothing is locked while it is held.
+	// mu guards the fields below; no other lock is taken while it is held.
 	mu     sync.Mutex
 	random *rand.Rand
 	ran    map[string]int
 	served map[string]int
 }
 
-// TestFaultSoak holds, under any mix of faults: each answer is its caller's own
-// and whole or doesn't look so; what may run once runs once at most; what is
-// refused as not run didn't.
+// Checks these invariants under random faults: each response belongs to its client, and is
+// complete or recognizably incomplete; non-repeatable requests run at most once; requests
+// rejected as not executed didn't run.
 func TestFaultSoak(t *testing.T) {
 	s := &soak{t: t, f: gateway.NewFleet(t, gateway.Options{}), random: rand.New(rand.NewPCG(soakSeed, 1)), ran: map[string]int{}, served: map[string]int{}}
 	var servers []*gateway.Server
 	for i := range 4 {
 		servers = append(servers, s.f.Serve(fmt.Sprintf("i-%d", i), s.answer))
 	}
-	s.f.Wait("it is served", func() bool { return s.f.Call("/safe/x", "warm").Status == 200 })
+	s.f.Wait("the gateway to serve", func() bool { return s.f.Call("/safe/x", "warm").Status == 200 })
 	over := time.Now().Add(soakFor)
 	var all sync.WaitGroup
 	all.Go(func() { s.trouble(servers, over) })
@@ -58,21 +58,22 @@
 		})
 	}
 	all.Wait()
-	t.Logf("answers by kind and status: %v", s.served)
+	t.Logf("responses by route and status: %v", s.served)
 	for _, kind := range []string{"/safe/ 200", "/unsafe/ 200", "/stream/ 200", "/resume/ 200"} {
 		if s.served[kind] == 0 {
-			t.Errorf("none was served: %s", kind)
+			t.Errorf("no request was served: %s", kind)
 		}
 	}
 }
 
+// randomInt returns a random number below n.
 func (s *soak) draw(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.IntN(n)
 }
 
-// trouble changes what servers and the store do.
+// injectFaults changes the behaviour of the servers and the store at random until a time.
 func (s *soak) trouble(servers []*gateway.Server, over time.Time) {
 	scripts := []gateway.Script{s.answer, s.answer, s.answer, gateway.Refuse(503), s.counted(gateway.Drop), s.counted(gateway.Hang), s.counted(gateway.Failure(500)), s.counted(s.half), s.counted(s.extra)}
 	faults := []rowstore.Fault{rowstore.Well, rowstore.Well, rowstore.Busy, rowstore.Reset, rowstore.Mute, rowstore.Silent}
@@ -95,7 +96,7 @@
 	s.f.Store.SetFault(rowstore.Well)
 }
 
-// call makes one request and checks what comes of it.
+// call sends one request and checks the invariants on its response.
 func (s *soak) call(id string) {
 	kind := []string{"/safe/", "/unsafe/", "/stream/", "/resume/"}[s.draw(4)]
 	ctx, cancel := context.WithTimeout(s.t.Context(), time.Duration(100+s.draw(900))*time.Millisecond)
@@ -112,21 +113,21 @@
 		s.t.Errorf("%s %s ran %d times", kind, id, s.ran[id])
 	}
 	if got.Status == http.StatusServiceUnavailable && s.ran[id] > 0 {
-		s.t.Errorf("%s %s was refused as not run and ran", kind, id)
+		s.t.Errorf("%s %s was rejected as not executed but ran", kind, id)
 	}
 	whole := "for " + id
 	if kind == "/stream/" || kind == "/resume/" {
 		whole = stream(id, 0)
 	}
 	if got.Status == http.StatusOK && got.Err == nil && got.Body != whole {
-		s.t.Errorf("%s %s looks whole: %q", kind, id, got.Body)
+		s.t.Errorf("%s %s has an unexpected body: %q", kind, id, got.Body)
 	}
 	if got.Status == http.StatusOK && !strings.HasPrefix(whole, got.Body) {
-		s.t.Errorf("%s %s got another's bytes: %q", kind, id, got.Body)
+		s.t.Errorf("%s %s received another request's bytes: %q", kind, id, got.Body)
 	}
 }
 
-// stream is the events of a request after one of them.
+// streamBody returns the events of a request's stream that follow an event ID.
 func stream(id string, after int) string {
 	text := ""
 	for n := after + 1; n <= soakEvents; n++ {
@@ -135,7 +136,8 @@
 	return text
 }
 
-// counted counts a request as run and does as script says.
+// counted returns a script that records the request as executed and then responds as the given
+// script does.
 func (s *soak) counted(script gateway.Script) gateway.Script {
 	return func(c net.Conn, a *gateway.Arrival) bool {
 		s.mu.Lock()
@@ -145,30 +147,30 @@
 	}
 }
 
-// body is the whole answer to a request.
+// completeBody returns the body of a complete response to a request.
 func body(a *gateway.Arrival) string {
 	if strings.HasPrefix(a.Target, "/stream/") || strings.HasPrefix(a.Target, "/resume/") {
 		var after int
-		// No number stands for none.
+		// A missing or invalid header means a start from the first event.
 		_, _ = fmt.Sscan(a.Header.Get("Last-Event-Id"), &after)
 		return stream(a.ID, after)
 	}
 	return "for " + a.ID
 }
 
-// answer runs a request and answers whole.
+// respond executes a request and sends a complete response.
 func (s *soak) answer(c net.Conn, a *gateway.Arrival) bool {
 	return s.counted(gateway.Answer(body(a)))(c, a)
 }
 
-// half breaks off in the middle.
+// breakOff closes the connection in the middle of the response.
 func (s *soak) half(c net.Conn, a *gateway.Arrival) bool {
 	whole := body(a)
 	_, _ = c.Write([]byte(gateway.Head(a, 200, fmt.Sprintf("Content-Length: %d", len(whole))) + whole[:len(whole)/2]))
 	return false
 }
 
-// extra answers whole, and then to nobody.
+// respondTwice sends a complete response followed by one that belongs to no request.
 func (s *soak) extra(c net.Conn, a *gateway.Arrival) bool {
 	stale := *a
 	stale.ID = "nobody"
--- a/testbed/gateway/staying_test.go
+++ b/testbed/gateway/staying_test.go
@@ -8,17 +8,17 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// What a caller may send around a request without leaving: it gets the whole
-// answer, and so does its next request on the connection.
+// Unusual but valid bytes around a request must not be taken for a disconnect: the client gets
+// the complete response, and so does its next request on the connection.
 func TestCallersThatStayGetTheWholeAnswer(t *testing.T) {
 	cases := map[string]struct{ before, beside string }{
 		"a body in one piece":             {post("/unsafe/x", "1", 4) + "body", ""},
 		"chunks":                          {head("POST", "/unsafe/x", "1", "Transfer-Encoding: chunked") + "2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n", ""},
 		"chunks and a trailer":            {head("POST", "/unsafe/x", "1", "Transfer-Encoding: chunked", "Trailer: X-After") + "4\r\nbody\r\n0\r\nX-After: 1\r\n\r\n", ""},
-		"a body that waits to be wanted":  {post("/unsafe/x", "1", 4, "Expect: 100-continue"), "body"},
+		"a body after 100 Continue":       {post("/unsafe/x", "1", 4, "Expect: 100-continue"), "body"},
 		"no body":                         {head("POST", "/unsafe/x", "1"), ""},
 		"a body on a GET":                 {head("GET", "/unsafe/x", "1", "Content-Length: 4") + "body", ""},
-		"a line end too many":             {post("/unsafe/x", "1", 4) + "body", "\r\n"},
+		"an extra line end":               {post("/unsafe/x", "1", 4) + "body", "\r\n"},
 		"the next request beside":         {post("/unsafe/x", "1", 4) + "body", head("POST", "/safe/x", "beside")},
 		"the next request with this one":  {post("/unsafe/x", "1", 4) + "body" + head("POST", "/safe/x", "beside"), ""},
 		"part of the next request beside": {post("/unsafe/x", "1", 4) + "body", head("POST", "/safe/x", "beside")[:30]},
@@ -33,7 +33,7 @@
 			if strings.Contains(c.before, "100-continue") {
 				caller.send(c.beside)
 			}
-			f.Wait("it is at the server", func() bool { return len(f.Arrivals("1")) > 0 })
+			f.Wait("the request to reach the server", func() bool { return len(f.Arrivals("1")) > 0 })
 			if !strings.Contains(c.before, "100-continue") {
 				caller.send(c.beside)
 			}
--- a/testbed/gateway/stopping_test.go
+++ b/testbed/gateway/stopping_test.go
@@ -18,16 +18,17 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// asking calls on connections that are kept as long as the gateway keeps them,
-// with rests of any length, until no new one is taken or over is closed.
+// clientLoad sends requests on keep-alive connections, with random pauses, until the gateway
+// accepts no new connection or the load is stopped.
 type asking struct {
 	t *testing.T
 	f *gateway.Fleet
-	// whole, refused, closed and cut count how requests ended.
+	// succeeded, rejected, closed and interrupted count the outcomes of requests.
 	whole, refused, closed, cut atomic.Int64
 }
 
-// caller asks in turn; name makes its requests' ids.
+// runClient sends requests one after another until stop is closed; name is the prefix of their
+// IDs.
 func (a *asking) caller(name string, over <-chan struct{}) {
 	var c *conn
 	for n := 0; ; n++ {
@@ -52,7 +53,8 @@
 	}
 }
 
-// ask asks once, by any kind of route; false when the connection has ended.
+// send sends one request on a route of random type. It reports whether the connection stays
+// open.
 func (a *asking) ask(c *conn, id string) bool {
 	path := []string{"/safe/x", "/unsafe/x", "/stream/x", "/resume/x"}[rand.N(4)]
 	_, _ = c.Write([]byte(post(path, id, 4)))
@@ -68,21 +70,22 @@
 		a.refused.Add(1)
 	case errors.Is(got.Err, os.ErrDeadlineExceeded), unsigned(got), len(a.f.Arrivals(id)) > 0:
 		a.cut.Add(1)
-		a.t.Errorf("%s %s reached %d servers, and its caller got %+v", path, id, len(a.f.Arrivals(id)), got)
+		a.t.Errorf("%s %s reached %d servers, and its client got %+v", path, id, len(a.f.Arrivals(id)), got)
 	default:
 		a.closed.Add(1)
 	}
 	return got.Err == nil && got.Header.Get("Connection") != "close"
 }
 
+// report logs the outcomes.
 func (a *asking) report() {
-	a.t.Logf("%d served, %d refused, %d closed and not handed on, %d cut", a.whole.Load(), a.refused.Load(), a.closed.Load(), a.cut.Load())
+	a.t.Logf("%d served, %d rejected, %d closed and not forwarded, %d interrupted", a.whole.Load(), a.refused.Load(), a.closed.Load(), a.cut.Load())
 }
 
-// askers is how many callers ask at once.
+// loadClients is the number of concurrent clients.
 const askers = 60
 
-// What comes while a gateway stops is served, or not handed on.
+// Requests that arrive during a shutdown are served or not forwarded at all.
 func TestRequestsBesideTheStopAreServedOrNotHandedOn(t *testing.T) {
 	f, server := served(t, gateway.Options{Grace: 4 * time.Second})
 	server.Do(slowly)
@@ -91,17 +94,17 @@
 	for n := range askers {
 		all.Go(func() { a.caller(fmt.Sprint("c", n), nil) })
 	}
-	f.Wait("they are served", func() bool { return a.whole.Load() > 10*askers })
+	f.Wait("the requests to be served", func() bool { return a.whole.Load() > 10*askers })
 	f.Stop()
 	all.Wait()
 	a.report()
 }
 
-// A request whose head, or whose body, is on its way when the gateway takes no
-// more connections is served, or not handed on.
+// A request whose header or body is still arriving when the gateway stops accepting
+// connections is served or not forwarded at all.
 func TestRequestHalfSentAtTheStopIsServedOrNotHandedOn(t *testing.T) {
 	whole := post("/unsafe/x", "half", 4) + "body"
-	for name, at := range map[string]int{"nothing": 0, "a byte": 1, "a part of the head": 20, "the head": strings.Index(whole, "body"), "a part of the body": len(whole) - 2} {
+	for name, at := range map[string]int{"nothing": 0, "a byte": 1, "a part of the header": 20, "the header": strings.Index(whole, "body"), "a part of the body": len(whole) - 2} {
 		for used, first := range map[string]bool{"a new connection": false, "a kept connection": true} {
 			t.Run(name+" on "+used, func(t *testing.T) {
 				t.Parallel()
@@ -116,7 +119,7 @@
 				began := time.Now()
 				c.send(whole[:at])
 				f.Stop()
-				f.Wait("it takes no more connections", func() bool {
+				f.Wait("the gateway to stop accepting connections", func() bool {
 					probe, err := net.Dial("tcp", f.Front)
 					if err == nil {
 						_ = probe.Close()
@@ -125,17 +128,18 @@
 				})
 				_, err := io.WriteString(c, whole[at:])
 				got := c.receive("POST")
-				t.Logf("wrote the rest: %v; got %d, %v; handed on %d times", err, got.Status, got.Err, len(f.Arrivals("half")))
+				t.Logf("wrote the rest: %v; got %d, %v; forwarded %d times", err, got.Status, got.Err, len(f.Arrivals("half")))
 				if unsigned(got) || got.Err != nil && len(f.Arrivals("half")) > 0 {
-					t.Errorf("handed on %d times, got %+v", len(f.Arrivals("half")), got)
+					t.Errorf("forwarded %d times, got %+v", len(f.Arrivals("half")), got)
 				}
-				// The stop takes as long as the route's timeout: a request whose head was
-				// whole before it has had its time when its body comes, and is told so.
+				// The shutdown takes as long as the route's timeout. A request whose header
+				// was complete before the shutdown has timed out when its body arrives, and is
+				// rejected as not executed.
 				notRun := got.Status == http.StatusRequestTimeout || got.Status == http.StatusServiceUnavailable
 				late := notRun && at >= strings.Index(whole, "body") &&
 					time.Since(began) >= 2*time.Second && len(f.Arrivals("half")) == 0
 				if got.Err == nil && got.Status != 200 && !late {
-					t.Errorf("a sound request got %+v", got)
+					t.Errorf("a valid request got %+v", got)
 				}
 			})
 		}
--- a/testbed/gateway/stream_failure_test.go
+++ b/testbed/gateway/stream_failure_test.go
@@ -8,8 +8,8 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// A stream that has begun goes on with events or breaks off: a failure of the
-// next server isn't put into it.
+// A stream that has begun continues with events or breaks off; an error response of the next
+// server isn't inserted into it.
 func TestFailureIsNotPutIntoAStream(t *testing.T) {
 	for name, body := range map[string]string{"short": "fail", "long": longBody} {
 		t.Run(name, func(t *testing.T) {
@@ -17,7 +17,7 @@
 			f := gateway.NewFleet(t, gateway.Options{})
 			failure := bytesOf(true, []string{fmt.Sprintf("Content-Length: %d", len(body))}, 500, body)
 			for _, id := range []string{"i-1", "i-2"} {
-				// The first that gets a request breaks off, whichever it is.
+				// The first server to receive a request breaks off, whichever it is.
 				f.Serve(id, func(c net.Conn, a *gateway.Arrival) bool {
 					if a.Header.Get("Last-Event-Id") != "" {
 						return failure(c, a)
@@ -26,7 +26,7 @@
 				})
 			}
 			tries := 0
-			f.Wait("a stream is sent on to the other", func() bool {
+			f.Wait("a stream to be continued on the other server", func() bool {
 				tries++
 				id := fmt.Sprintf("broken-%d", tries)
 				got := f.Call("/resume/x", id)
--- a/testbed/gateway/unreached_test.go
+++ b/testbed/gateway/unreached_test.go
@@ -16,14 +16,14 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// busyListener is a server that answers each request on a connection of its own, and at times
-// takes none: its host drops the packets that would open more connections.
+// stallableListener is a listener that can stop accepting connections, so that the kernel
+// drops the packets that would open more.
 type busyListener struct {
 	net.Listener
 	busy atomic.Bool
 }
 
-// listenBusily listens with the shortest queue of connections that wait to be accepted.
+// newStallableListener listens with the shortest accept queue.
 func listenBusily(t *testing.T) *busyListener {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -58,8 +58,8 @@
 	return c, err
 }
 
-// busyFor has no connection be opened for a time. When that is over, the time that it took is
-// sent: longer, where this process doesn't run for a while.
+// stall prevents new connections for a time. The returned channel receives how long that
+// lasted, which is longer if this process wasn't scheduled.
 func (b *busyListener) busyFor(t *testing.T, d time.Duration) <-chan time.Duration {
 	t.Helper()
 	b.busy.Store(true)
@@ -82,7 +82,8 @@
 	return took
 }
 
-// serveOn answers all requests at a listener and lists it as a server.
+// serveListener responds to all requests at a listener, each on a new connection, and lists it
+// as a server.
 func serveOn(t *testing.T, f *gateway.Fleet, instance string, l net.Listener) {
 	t.Helper()
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -96,11 +97,11 @@
 	f.List(&gateway.Server{Instance: instance, Addr: l.Addr().String()}, "ready")
 }
 
-// dialTime is how long a gateway waits for a connection to a server.
+// dialTimeout is the gateway's timeout for a connection attempt to a server.
 const dialTime = 250 * time.Millisecond
 
-// Guards against a request being refused for a server's limit where another server is there to
-// which just one connection wasn't opened in time.
+// Guards against rejecting a request because of one server's limit while another server is
+// available and merely one connection attempt to it timed out.
 func TestServerThatIsNotReachedOnceIsTriedAgain(t *testing.T) {
 	for _, busy := range []time.Duration{50 * time.Millisecond, 150 * time.Millisecond, 220 * time.Millisecond} {
 		t.Run(busy.String(), func(t *testing.T) {
@@ -109,30 +110,31 @@
 			f.Serve("limited", limitedAnswer(0.1))
 			l := listenBusily(t)
 			serveOn(t, f, "free", l)
-			f.Wait("the limit is known", func() bool { f.Call("/safe/x", "warm"); return usedServer(f, "warm", "limited") })
+			f.Wait("the limit to be known", func() bool { f.Call("/safe/x", "warm"); return usedServer(f, "warm", "limited") })
 			for i := range 6 {
 				// A server that fails often is ejected for a while.
 				for range 20 {
 					if got := f.Call("/safe/x", "between"); got.Status != http.StatusOK {
-						t.Fatalf("got %+v while a server without a limit is there", got)
+						t.Fatalf("got %+v while a server without a limit is available", got)
 					}
 				}
 				took := l.busyFor(t, busy)
 				path := []string{"/safe/x", "/unsafe/x"}[i%2]
 				if got := f.Call(path, fmt.Sprintf("busy-%d", i)); got.Status != http.StatusOK && <-took < dialTime {
-					t.Errorf("%s: got %+v, a server without a limit is there", path, got)
+					t.Errorf("%s: got %+v, a server without a limit is available", path, got)
 				}
 			}
 		})
 	}
 }
 
-// A request for which no server could be reached names how often that was tried.
+// The log entry of a request that reached no server contains the number of failed connection
+// attempts.
 func TestLinesTellOfServersThatWereNotReached(t *testing.T) {
 	core, lines := observer.New(zap.DebugLevel)
 	f := gateway.NewFleet(t, gateway.Options{Log: zap.New(core)})
 	server := f.Serve("i-1", gateway.Answer("whole"))
-	f.Wait("it is served", func() bool { return f.Call("/unsafe/x", "warm").Status == http.StatusOK })
+	f.Wait("the gateway to serve", func() bool { return f.Call("/unsafe/x", "warm").Status == http.StatusOK })
 	server.Stop()
 	f.Call("/unsafe/x", "gone")
 	expectLine(t, lines, "gone", "request_refused", map[string]any{"reason": "servers_unreachable", "sends": int64(0), "unreached": int64(2)})
--- a/testbed/gateway/usage_test.go
+++ b/testbed/gateway/usage_test.go
@@ -20,7 +20,7 @@
 	usageLease  = time.Second
 )
 
-// reporting are gateways before one store that report usage to one platform.
+// usageFixture is a set of gateways that share a store and report usage to one platform.
 type reporting struct {
 	t     *testing.T
 	cloud *cloud.Cloud
@@ -29,7 +29,7 @@
 	calls int
 }
 
-// startReporting starts gateways that know each other, and a server.
+// startUsageFixture starts n gateways that know each other, and a server.
 func startReporting(t *testing.T, n int) *reporting {
 	t.Helper()
 	r := &reporting{t: t, cloud: cloud.New(usageLease)}
@@ -48,12 +48,12 @@
 		r.store = r.all[0].Store
 	}
 	r.all[0].Serve("i-1", gateway.Answer("whole"))
-	r.all[0].Wait("usage is reported", func() bool { return len(r.cloud.Reports()) > 0 })
+	r.all[0].Wait("usage to be reported", func() bool { return len(r.cloud.Reports()) > 0 })
 	return r
 }
 
-// load sends requests of the customer through all gateways, for a time, and returns how
-// many were answered.
+// load sends the customer's requests to all of the given gateways for a time and returns how
+// many succeeded.
 func (r *reporting) load(d time.Duration, fleets []*gateway.Fleet) int64 {
 	var answered int64
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -67,7 +67,7 @@
 	return answered
 }
 
-// reported adds up what was reported of the customer.
+// reported returns the sum of the requests reported for the customer.
 func (r *reporting) reported() int64 {
 	var n int64
 	for _, report := range r.cloud.Reports() {
@@ -76,8 +76,8 @@
 	return n
 }
 
-// expect waits until about so many requests have been reported, and checks that nothing
-// was broken.
+// expect waits until the reported requests match those answered, within a relative tolerance,
+// and checks that the reports broke no rule of the platform.
 func (r *reporting) expect(answered int64, off float64) {
 	r.t.Helper()
 	least, most := float64(answered)*(1-off), float64(answered)*(1+off)
@@ -92,15 +92,15 @@
 	}
 }
 
-// Windows are reported once, by one gateway, with what all of them had.
+// Each window is reported once, by one gateway, with the requests of all gateways.
 func TestUsageIsReported(t *testing.T) {
 	t.Parallel()
 	r := startReporting(t, 3)
 	r.expect(r.load(3*time.Second, r.all), 0)
 }
 
-// The gateway that reports stops, and the store loses the last seconds: nothing is reported
-// twice, and windows go on to be reported.
+// The store loses the last seconds and the reporting gateway stops: no window is reported
+// twice, and reporting continues.
 func TestUsageAfterStopsAndAReturn(t *testing.T) {
 	t.Parallel()
 	r := startReporting(t, 3)
@@ -113,17 +113,17 @@
 	time.Sleep(awayFor)
 	r.store.SetFault(rowstore.Well)
 	before := len(r.cloud.Reports())
-	r.all[0].Wait("windows are reported after the return", func() bool { return len(r.cloud.Reports()) > before+2 })
+	r.all[0].Wait("windows to be reported after the restore", func() bool { return len(r.cloud.Reports()) > before+2 })
 	r.all[0].Stop()
 	<-r.all[0].Stopped
 	before = len(r.cloud.Reports())
-	r.all[1].Wait("windows are reported by two", func() bool { return len(r.cloud.Reports()) > before+2 })
+	r.all[1].Wait("windows to be reported by the two other gateways", func() bool { return len(r.cloud.Reports()) > before+2 })
 	for _, broken := range r.cloud.Broken() {
 		t.Error(broken)
 	}
 }
 
-// Calls to the platform are carried out late, lost, or refused for a time.
+// Calls to the platform are executed late, lost, or rejected for a time.
 func TestUsageThroughFaultsOfThePlatform(t *testing.T) {
 	t.Parallel()
 	r := startReporting(t, 2)
@@ -137,7 +137,7 @@
 	r.expect(answered, 0)
 }
 
-// No gateway calls the platform or writes rows of duties that isn't asked to report.
+// A gateway without the metering duty neither calls the platform nor writes rows for duties.
 func TestNothingIsReportedWhereNothingIsAsked(t *testing.T) {
 	t.Parallel()
 	c := cloud.New(0)
@@ -145,7 +145,7 @@
 	t.Cleanup(web.Close)
 	f := gateway.NewFleet(t, gateway.Options{Usage: settings.Usage{Addr: strings.TrimPrefix(web.URL, "http://"), Duties: "autoscale"}})
 	f.Serve("i-1", gateway.Answer("whole"))
-	f.Wait("it serves", func() bool { return f.Call("/safe/x", "a").Status == 200 })
+	f.Wait("the gateway to serve", func() bool { return f.Call("/safe/x", "a").Status == 200 })
 	time.Sleep(2 * usageWindow)
 	if c.Calls() != 0 || len(f.Store.Keys("duties")) != 0 {
 		t.Errorf("%d calls, rows %v", c.Calls(), f.Store.Keys("duties"))
