--- a/testbed/gateway/config_changes_test.go
+++ b/testbed/gateway/config_changes_test.go
@@ -12,8 +12,8 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// changes is how often the 1,400 routes are added and removed.
-const changes = 10
+// changeRounds is how often the 1,400 routes are added and removed.
+const changeRounds = 10
 
 // Changes of the settings and of the desired state don't interrupt requests in flight.
 func TestConfigChangesDoNotInterruptRequests(t *testing.T) {
@@ -30,7 +30,7 @@
 	for n := range 1400 {
 		fmt.Fprintf(&routes, `,{"name":"r%d","host":"h.example","prefix":"/r%d/","type":"safe","timeout-ms":2000,"slo-ms":100,"service":"plain","attempts":2}`, n, n)
 	}
-	for version := 10; version < 10+2*changes; version += 2 {
+	for version := 10; version < 10+2*changeRounds; version += 2 {
 		f.PutState(version, routes.String(), "")
 		f.WaitFor("the routes to be added", func() bool { return f.Post("/r7/x", "r").Status != http.StatusNotFound })
 		f.PutState(version+1, "", "")
--- a/testbed/gateway/fixture.go
+++ b/testbed/gateway/fixture.go
@@ -63,15 +63,15 @@
 	reloaded chan struct{}
 }
 
-// shortGrace is the minimum grace period; it ends a gateway soon after its test.
-const shortGrace = 500 * time.Millisecond
+// minGrace is the minimum grace period; a gateway ends soon after its test.
+const minGrace = 500 * time.Millisecond
 
 // Options configures a Fixture.
 type Options struct {
 	// Revoke is the time within which a revoked key must stop working; 0 disables the strict
 	// bound.
 	Revoke time.Duration
-	// Grace is the gateway's grace period; at least shortGrace is used.
+	// Grace is the gateway's grace period; at least minGrace is used.
 	Grace time.Duration
 	// MemoryMB limits the gateway's memory, in megabytes; 0 means no limit.
 	MemoryMB float64
@@ -88,14 +88,14 @@
 	Store *rowstore.Store
 	// StoreFault is the store's fault mode from the start.
 	StoreFault rowstore.Fault
-	// Run runs the gateway until the context ends; nil runs it in this process. With Run set,
-	// ChangeSettings has no effect.
+	// Run runs the gateway until the context ends; nil runs it in this process. ChangeSettings
+	// must not be called with Run set, as it would block forever.
 	Run func(context.Context, settings.Gateway) error
-	// StoreRate limits the store's responses, in bytes per second; 0 means no limit.
+	// StoreBytesPerSecond limits the rate of the store's responses; 0 means no limit.
 	StoreBytesPerSecond int
 	// Usage configures the usage reports.
 	Usage settings.Usage
-	// Unready starts the gateway with an empty store and doesn't wait until it is ready.
+	// WithoutState starts the gateway with an empty store and doesn't wait until it is ready.
 	WithoutState bool
 }
 
@@ -127,7 +127,7 @@
 	}
 	f.settings = settings.Gateway{
 		Process: o.Name, Zone: "z", Listen: f.GatewayAddr, AdminListen: f.AdminAddr, ReadyPath: "/ready",
-		PeerListen: o.PeerListen, Store: strings.TrimPrefix(storeServer.URL, "http://"), Grace: max(o.Grace, shortGrace), MemoryMB: o.MemoryMB,
+		PeerListen: o.PeerListen, Store: strings.TrimPrefix(storeServer.URL, "http://"), Grace: max(o.Grace, minGrace), MemoryMB: o.MemoryMB,
 		Usage:  o.Usage,
 		Revoke: settings.Revoke{Strict: o.Revoke > 0, Within: o.Revoke},
 		Retry:  settings.Retry{Ratio: 0.2, Extra: 50, Window: 10 * time.Second},
--- a/testbed/gateway/helpers_test.go
+++ b/testbed/gateway/helpers_test.go
@@ -10,7 +10,7 @@
 // response and how often that request was sent, 0 if none of 50 was.
 func callUntilSentTo(f *gateway.Fixture, path, server string) (resp gateway.Response, sends int) {
 	for i := range 50 {
-		id := fmt.Sprintf("attempt-%d", i)
+		id := fmt.Sprintf("try-%d", i)
 		resp = f.Post(path, id)
 		if a := f.ReceivedRequests(id); len(a) > 0 && a[0].Server == server {
 			return resp, len(a)
--- a/testbed/gateway/large_state_test.go
+++ b/testbed/gateway/large_state_test.go
@@ -14,8 +14,8 @@
 func TestLargeStateOverSlowLink(t *testing.T) {
 	t.Parallel()
 	const (
-		// rate is a tenth of a 10 Mbit/s link, so that a tenth of the size of the largest
-		// states suffices.
+		// bytesPerSecond is a tenth of a 10 Mbit/s link, so that a tenth of the size of the
+		// largest states suffices.
 		bytesPerSecond = 125_000
 		routes         = 3_000
 	)
--- a/testbed/gateway/server.go
+++ b/testbed/gateway/server.go
@@ -87,7 +87,7 @@
 	return false
 }
 
-// Drop is a script that closes the connection without a response.
+// CloseConnection is a script that closes the connection without a response.
 func Drop(net.Conn, *Arrival) bool { return false }
 
 // Events returns a script that streams events up to the ID last, starting after the request's
--- a/testbed/gateway/soak_test.go
+++ b/testbed/gateway/soak_test.go
@@ -75,7 +75,7 @@
 
 // injectFaults changes the behaviour of the servers and the store at random until a time.
 func (s *soak) injectFaults(servers []*gateway.Server, deadline time.Time) {
-	scripts := []gateway.Script{s.respond, s.respond, s.respond, gateway.Refuse(503), s.counted(gateway.Drop), s.counted(gateway.Hang), s.counted(gateway.Failure(500)), s.counted(s.breakOff), s.counted(s.respondTwice)}
+	scripts := []gateway.Script{s.respond, s.respond, s.respond, gateway.Refuse(503), s.recorded(gateway.Drop), s.recorded(gateway.Hang), s.recorded(gateway.Failure(500)), s.recorded(s.breakOff), s.recorded(s.respondTwice)}
 	faults := []rowstore.Fault{rowstore.Well, rowstore.Well, rowstore.Busy, rowstore.Reset, rowstore.Mute, rowstore.Silent}
 	for version := 2; time.Now().Before(deadline); version++ {
 		server := servers[s.randomInt(len(servers))]
@@ -96,7 +96,7 @@
 	s.fixture.Store.SetFault(rowstore.Well)
 }
 
-// call sends one request and checks the invariants on its response.
+// sendAndCheck sends one request and checks the invariants on its response.
 func (s *soak) sendAndCheck(id string) {
 	kind := []string{"/safe/", "/unsafe/", "/stream/", "/resume/"}[s.randomInt(4)]
 	ctx, cancel := context.WithTimeout(s.t.Context(), time.Duration(100+s.randomInt(900))*time.Millisecond)
@@ -136,9 +136,9 @@
 	return text
 }
 
-// counted returns a script that records the request as executed and then responds as the given
-// script does.
-func (s *soak) counted(script gateway.Script) gateway.Script {
+// recorded returns a script that records the request as executed and then responds as the
+// given script does.
+func (s *soak) recorded(script gateway.Script) gateway.Script {
 	return func(c net.Conn, a *gateway.Arrival) bool {
 		s.mu.Lock()
 		s.executions[a.ID]++
@@ -160,7 +160,7 @@
 
 // respond executes a request and sends a complete response.
 func (s *soak) respond(c net.Conn, a *gateway.Arrival) bool {
-	return s.counted(gateway.Answer(completeBody(a)))(c, a)
+	return s.recorded(gateway.Answer(completeBody(a)))(c, a)
 }
 
 // breakOff closes the connection in the middle of the response.
