--- a/testbed/gateway/options_test.go
+++ b/testbed/gateway/options_test.go
@@ -6,13 +6,13 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// No success comes but from a backend server, also for a request about the
-// gateway as a whole.
-func TestOptionsOfTheWholeServerAreNoSuccess(t *testing.T) {
-	f, _ := served(t, gateway.Options{})
-	c := connect(t, f)
-	c.send(head("OPTIONS", "*", "1"))
-	if got := c.receive("OPTIONS"); got.Status == 0 || unsigned(got) {
+// Only backend servers report success; this includes OPTIONS *, which concerns the gateway
+// itself.
+func TestOptionsAsteriskIsNoSuccess(t *testing.T) {
+	f, _ := newServingFixture(t, gateway.Options{})
+	c := dialRaw(t, f)
+	c.send(requestHead("OPTIONS", "*", "1"))
+	if got := c.receive("OPTIONS"); got.Status == 0 || unsignedSuccess(got) {
 		t.Errorf("got %+v", got)
 	}
 }
--- a/testbed/gateway/server.go
+++ b/testbed/gateway/server.go
@@ -1,6 +1,5 @@
-// Package gateway plays the surroundings of a gateway for its tests: backend
-// servers that speak the platform's dialect and do as they are told, and the
-// platform's store. Start reading at Fleet.
+// Package gateway provides a test fixture for a gateway: scripted backend servers that speak
+// the platform's protocol, and the platform's store. Fixture is the entry point.
 package gateway
 
 import (
@@ -14,7 +13,7 @@
 	"time"
 )
 
-// Arrival is a request as it reached a backend server.
+// ReceivedRequest is a request as a backend server received it.
 type Arrival struct {
 	Server string
 	ID     string
@@ -23,41 +22,42 @@
 	Method string
 	Body   string
 	At     time.Time
-	// Left is closed when the gateway closes the connection.
+	// Closed is closed when the gateway closes the connection.
 	Left <-chan struct{}
 }
 
-// Script answers a request on its connection; false closes the connection.
+// Script responds to a request on its connection and reports whether the connection stays
+// open.
 type Script func(c net.Conn, a *Arrival) bool
 
 // Server is a scripted backend server.
 type Server struct {
-	// Instance is the id of its start.
+	// Instance identifies the server process; a restart has a new ID.
 	Instance string
 	Addr     string
-	// arrived is told of each request.
-	arrived  func(*Arrival)
-	listener net.Listener
-	// mu guards what follows, and Instance once it serves; nothing is locked
-	// while it is held.
+	// onRequest is called for each request.
+	onRequest func(*Arrival)
+	listener  net.Listener
+	// mu guards the fields below, and Instance once the server accepts connections; no other
+	// lock is taken while it is held.
 	mu     sync.Mutex
 	script Script
 	conns  map[net.Conn]bool
 }
 
-// Listen starts a server on a host:port that does as script says and tells of
-// each request that reaches it.
-func Listen(addr, instance string, script Script, arrived func(*Arrival)) (*Server, error) {
-	l, err := net.Listen("tcp", addr)
+// Listen starts a server at a host:port that responds as script does. onRequest is called for
+// each request before the script runs.
+func Listen(addr, instance string, script Script, onRequest func(*Arrival)) (*Server, error) {
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{Instance: instance, Addr: l.Addr().String(), arrived: arrived, listener: l, script: script, conns: map[net.Conn]bool{}}
+	s := &Server{Instance: instance, Addr: listener.Addr().String(), onRequest: onRequest, listener: listener, script: script, conns: map[net.Conn]bool{}}
 	go s.accept()
 	return s, nil
 }
 
-// Answer scripts a whole answer, signed.
+// Respond returns a script that sends a complete, signed response.
 func Answer(body string) Script {
 	return func(c net.Conn, a *Arrival) bool {
 		_, err := io.WriteString(c, Head(a, 200, fmt.Sprintf("Content-Length: %d", len(body)))+body)
@@ -65,7 +65,7 @@
 	}
 }
 
-// Failure scripts the server's own failure.
+// Fail returns a script that sends a signed error response; the request may have run.
 func Failure(status int) Script {
 	return func(c net.Conn, a *Arrival) bool {
 		_, err := io.WriteString(c, Head(a, status, "Content-Length: 4")+"fail")
@@ -73,7 +73,7 @@
 	}
 }
 
-// Refuse scripts that the request isn't run.
+// Reject returns a script that rejects the request and marks it as not executed.
 func Refuse(status int) Script {
 	return func(c net.Conn, a *Arrival) bool {
 		_, err := io.WriteString(c, Head(a, status, "Content-Length: 0", "X-Not-Executed: 1"))
@@ -81,27 +81,27 @@
 	}
 }
 
-// Hang scripts silence until the gateway closes the connection.
+// Hang is a script that sends nothing until the gateway closes the connection.
 func Hang(_ net.Conn, a *Arrival) bool {
 	<-a.Left
 	return false
 }
 
-// Drop scripts a connection that is closed without an answer.
+// CloseConnection is a script that closes the connection without a response.
 func Drop(net.Conn, *Arrival) bool { return false }
 
-// Events scripts a stream of events from the one that is asked for up to last,
-// with a pause before each; it breaks off in the middle of event cutAt, 0 for
-// never.
+// Events returns a script that streams events up to the ID last, starting after the request's
+// Last-Event-Id, with a pause before each. It closes the connection in the middle of event
+// cutAt; 0 means never.
 func Events(last, cutAt int, pause time.Duration) Script {
 	return func(c net.Conn, a *Arrival) bool {
-		var after int
-		// No number stands for none.
-		_, _ = fmt.Sscan(a.Header.Get("Last-Event-Id"), &after)
+		var lastID int
+		// A missing or invalid header means a start from the first event.
+		_, _ = fmt.Sscan(a.Header.Get("Last-Event-Id"), &lastID)
 		if _, err := io.WriteString(c, Head(a, 200, "Transfer-Encoding: chunked", "Content-Type: text/event-stream")); err != nil {
 			return false
 		}
-		for id := after + 1; id <= last; id++ {
+		for id := lastID + 1; id <= last; id++ {
 			time.Sleep(pause)
 			event := Event(id)
 			if id == cutAt {
@@ -116,9 +116,9 @@
 	}
 }
 
-// Unnumbered scripts a stream whose events bear no id, and which breaks off
-// after so many of them; 0 for never.
-func Unnumbered(last, cutAfter int) Script {
+// EventsWithoutIDs returns a script that streams events without IDs. It closes the connection
+// after cutAfter events; 0 means never.
+func EventsWithoutIDs(last, cutAfter int) Script {
 	return func(c net.Conn, a *Arrival) bool {
 		if _, err := io.WriteString(c, Head(a, 200, "Transfer-Encoding: chunked", "Content-Type: text/event-stream")); err != nil {
 			return false
@@ -134,10 +134,10 @@
 	}
 }
 
-// Event is the event with an id.
+// Event returns the event with an ID.
 func Event(id int) string { return fmt.Sprintf("id: %d\ndata: token %d\n\n", id, id) }
 
-// Head is the head of a signed answer.
+// ResponseHead returns the status line and headers of a signed response.
 func Head(a *Arrival, status int, lines ...string) string {
 	head := fmt.Sprintf("HTTP/1.1 %d %s\r\nX-Request-Id: %s\r\nX-Signature: by-%s\r\n", status, http.StatusText(status), a.ID, a.Server)
 	for _, line := range lines {
@@ -146,21 +146,22 @@
 	return head + "\r\n"
 }
 
-// Do changes what the server does.
+// SetScript replaces the server's script.
 func (s *Server) Do(script Script) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.script = script
 }
 
-// Become has another start answer at the server's address.
-func (s *Server) Become(instance string) {
+// SetInstance changes the instance ID, as if another process had taken over the server's
+// address.
+func (s *Server) SetInstance(instance string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.Instance = instance
 }
 
-// Stop ends the server and its connections.
+// Stop closes the listener and all connections.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -191,8 +192,8 @@
 		s.mu.Unlock()
 	}()
 	for {
-		in := bufio.NewReader(c)
-		req, err := http.ReadRequest(in)
+		reader := bufio.NewReader(c)
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -203,48 +204,49 @@
 		s.mu.Lock()
 		script, instance := s.script, s.Instance
 		s.mu.Unlock()
-		left := make(chan struct{})
+		closed := make(chan struct{})
 		a := &Arrival{
 			Server: instance, ID: req.Header.Get("X-Request-Id"), Header: req.Header,
-			Target: req.RequestURI, Method: req.Method, Body: string(body), At: time.Now(), Left: left,
+			Target: req.RequestURI, Method: req.Method, Body: string(body), At: time.Now(), Left: closed,
 		}
 		if expected := req.Header.Get("X-Expect-Instance"); expected != "" && expected != instance {
 			script = Refuse(http.StatusMisdirectedRequest)
 		}
-		s.arrived(a)
-		// Whatever comes before the answer is given is the connection's end.
+		s.onRequest(a)
+		// A read that fails while the script runs means that the gateway closed the
+		// connection. A byte that it reads instead belongs to the next request.
 		next := make(chan byte, 1)
 		go func() {
-			one := make([]byte, 1)
-			if n, err := in.Read(one); n == 1 && err == nil {
-				next <- one[0]
+			buf := make([]byte, 1)
+			if n, err := reader.Read(buf); n == 1 && err == nil {
+				next <- buf[0]
 			} else {
-				close(left)
+				close(closed)
 			}
 			close(next)
 		}()
 		if !script(c, a) {
 			return
 		}
-		first, ok := <-next
+		firstByte, ok := <-next
 		if !ok {
 			return
 		}
-		rest, _ := in.Peek(in.Buffered())
-		c = &replayed{Conn: c, first: bytes.NewReader(append([]byte{first}, rest...))}
+		buffered, _ := reader.Peek(reader.Buffered())
+		c = &prefixedConn{Conn: c, prefix: bytes.NewReader(append([]byte{firstByte}, buffered...))}
 	}
 }
 
-// replayed is a connection of which some bytes have been read already.
-type replayed struct {
+// prefixedConn is a connection that returns bytes read earlier before it reads on.
+type prefixedConn struct {
 	net.Conn
-	first *bytes.Reader
+	prefix *bytes.Reader
 }
 
 // Read implements net.Conn.
-func (r *replayed) Read(p []byte) (int, error) {
-	if r.first.Len() > 0 {
-		return r.first.Read(p)
+func (c *prefixedConn) Read(p []byte) (int, error) {
+	if c.prefix.Len() > 0 {
+		return c.prefix.Read(p)
 	}
-	return r.Conn.Read(p)
+	return c.Conn.Read(p)
 }
