--- a/testbed/cmd/load/command.go
+++ b/testbed/cmd/load/command.go
@@ -16,11 +16,12 @@
 	"github.com/applepier/applepier/testbed/scenarios"
 )
 
-// Targets besides the baselines.
+// Targets in addition to the baselines.
 const (
-	// targetApplepier is reached through its entries.
+	// targetApplepier sends to the entries of a running system.
 	targetApplepier = "applepier"
-	// targetDirect is the engines themselves, in turn, for what a router adds.
+	// targetDirect sends to the engines directly, round robin. The difference
+	// to it is the overhead of a router.
 	targetDirect = "direct"
 )
 
@@ -32,22 +33,22 @@
 func newCommand(out, progress io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:        "load",
-		Usage:       "send the load of a scenario and report by class what callers got",
+		Usage:       "send the load of a scenario and report outcomes and latencies by class",
 		Description: description,
 		Commands:    []*cli.Command{measureCommand(out, progress)},
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "mix", Value: "tampere", Usage: strings.Join(scenarios.Mixes(), ", ")},
 			&cli.StringFlag{Name: "shape", Value: "quiet", Usage: strings.Join(scenarios.Shapes(), ", ")},
-			&cli.StringFlag{Name: "mix-file", Usage: "YAML file with a mix of your own"},
-			&cli.StringFlag{Name: "shape-file", Usage: "YAML file with a shape of your own"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "draws the arrivals"},
-			&cli.FloatFlag{Name: "scale", Value: 1, Usage: "multiplies the phases' durations"},
+			&cli.StringFlag{Name: "mix-file", Usage: "YAML file with a custom mix; overrides --mix"},
+			&cli.StringFlag{Name: "shape-file", Usage: "YAML file with a custom shape; overrides --shape"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "random seed of the arrivals"},
+			&cli.FloatFlag{Name: "scale", Value: 1, Usage: "factor for the durations of the phases"},
 			&cli.StringFlag{Name: "target", Value: targetApplepier, Usage: strings.Join(targetNames(), ", ")},
 			&cli.StringSliceFlag{Name: "entry", Usage: "base URL of an entry; repeat for several"},
-			&cli.StringSliceFlag{Name: "engine", Usage: "base URL of a stand-in engine; repeat for several"},
-			&cli.DurationFlag{Name: "patience", Value: load.DefaultPatience, Usage: "how long a caller waits"},
-			&cli.BoolFlag{Name: "retry-after-check", Usage: "let each refused caller come back once"},
-			&cli.StringFlag{Name: "json", Usage: "file that takes the report as JSON"},
+			&cli.StringSliceFlag{Name: "engine", Usage: "base URL of a fake engine; repeat for several"},
+			&cli.DurationFlag{Name: "patience", Value: load.DefaultPatience, Usage: "timeout of a request, including its response"},
+			&cli.BoolFlag{Name: "retry-after-check", Usage: "retry each refused request once after its Retry-After"},
+			&cli.StringFlag{Name: "json", Usage: "file to which the report is written as JSON"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error { return run(ctx, cmd, out, progress) },
 	}
@@ -83,7 +84,8 @@
 	return runLoad(ctx, options, cmd.String("json"), out)
 }
 
-// runLoad runs the load and writes its report.
+// runLoad runs the load and writes the report as a table to out and, unless
+// jsonPath is empty, as JSON to that file.
 func runLoad(ctx context.Context, options load.Options, jsonPath string, out io.Writer) error {
 	report, err := load.Run(ctx, options)
 	if err != nil {
@@ -99,7 +101,8 @@
 	return append([]string{targetApplepier, targetDirect}, baseline.Names()...)
 }
 
-// readScenario takes the named mix and shape, or those of the given files.
+// readScenario reads the built-in mix and shape with the given names, or the
+// files given instead of them.
 func readScenario(cmd *cli.Command) (load.Scenario, error) {
 	mix, err := scenarios.Mix(cmd.String("mix"))
 	if path := cmd.String("mix-file"); path != "" {
--- a/testbed/cmd/load/main.go
+++ b/testbed/cmd/load/main.go
@@ -1,5 +1,5 @@
-// Command load sends the load of a scenario to the system, or to a baseline,
-// and reports by class what callers got.
+// Command load sends the load of a scenario to the system or to a baseline, and
+// reports outcomes and latencies by class.
 package main
 
 import (
--- a/testbed/cmd/load/measure.go
+++ b/testbed/cmd/load/measure.go
@@ -14,13 +14,14 @@
 	"github.com/applepier/applepier/testbed/measure"
 )
 
-// returnWithin is after how long a refused caller no longer comes back.
+// defaultMaxRetryAfter is the longest Retry-After after which refused requests
+// are retried.
 const returnWithin = 20 * time.Second
 
 func measureCommand(out, progress io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:  "measure",
-		Usage: "start fleets and run scenarios against the system and the baselines; tables in Markdown",
+		Usage: "start fleets, run scenarios against the system and the baselines, and write Markdown tables",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "mix", Value: []string{"tampere", "perth"}, Usage: "repeat for several"},
 			&cli.StringSliceFlag{
@@ -29,18 +30,19 @@
 				Usage: "repeat for several",
 			},
 			&cli.StringSliceFlag{Name: "target", Value: measure.Targets(), Usage: "repeat for several"},
-			&cli.IntFlag{Name: "seeds", Value: 3, Usage: "how many seeds"},
-			&cli.FloatFlag{Name: "scale", Value: 1, Usage: "multiplies the phases' durations"},
-			&cli.IntFlag{Name: "parallel", Value: 1, Usage: "how many fleets run side by side"},
-			&cli.DurationFlag{Name: "patience", Value: load.DefaultPatience, Usage: "how long a caller waits"},
-			&cli.DurationFlag{Name: "return-within", Value: returnWithin, Usage: "how long a refused caller waits before it comes back"},
-			&cli.StringFlag{Name: "json", Usage: "file that takes all reports as JSON"},
+			&cli.IntFlag{Name: "seeds", Value: 3, Usage: "number of seeds"},
+			&cli.FloatFlag{Name: "scale", Value: 1, Usage: "factor for the durations of the phases"},
+			&cli.IntFlag{Name: "parallel", Value: 1, Usage: "number of fleets that run concurrently"},
+			&cli.DurationFlag{Name: "patience", Value: load.DefaultPatience, Usage: "timeout of a request, including its response"},
+			&cli.DurationFlag{Name: "return-within", Value: returnWithin, Usage: "longest Retry-After after which a refused request is retried"},
+			&cli.StringFlag{Name: "json", Usage: "file to which all reports are written as JSON"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error { return runMeasure(ctx, cmd, out, progress) },
 	}
 }
 
-// runMeasure writes the tables of what was done also when it was cut short.
+// runMeasure runs the measurements. If they fail or are interrupted, it still
+// writes the tables of the completed rounds.
 func runMeasure(ctx context.Context, cmd *cli.Command, out, progress io.Writer) error {
 	options := measure.Options{
 		Mixes:    cmd.StringSlice("mix"),
--- a/testbed/engine/answer.go
+++ b/testbed/engine/answer.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// MaxAnswer is the longest answer, in tokens.
+	// MaxResponseTokens is the length of the longest response, in tokens.
 	MaxAnswer = 4096
-	// medianAnswer and spreadAnswer shape the lengths of answers whose
-	// request doesn't say: log-normal, so that a few are very long.
+	// medianResponseTokens and responseLogStdDev are the parameters of the
+	// log-normal length of responses whose request sets no length. The
+	// distribution's tail produces a few very long responses.
 	medianAnswer = 60
 	spreadAnswer = 0.8
-	// vocabulary is how many different tokens there are.
+	// vocabularySize is the number of distinct tokens.
 	vocabulary = 4096
 )
 
-// Answer returns the tokens of the whole answer to a chat completion request.
-// They follow from its messages and its length alone, so that a checker can
-// tell whether a caller got exactly its own answer. A body that can't be read
-// has no answer.
+// ResponseTokens returns the tokens of the complete response to a chat
+// completion request. They depend only on the request's messages and on the
+// response length it asks for, so that a test can verify that a client received
+// exactly its own response. It returns nil for a body that can't be decoded.
 func Answer(body []byte) []string {
 	req, err := decodeRequest(body)
 	if err != nil {
@@ -32,13 +33,14 @@
 	return req.answer()
 }
 
-// AnswerText returns the whole answer as text.
+// ResponseText returns the tokens of ResponseTokens as one string.
 func AnswerText(body []byte) string {
 	return strings.Join(Answer(body), "")
 }
 
-// Fingerprint identifies a request by its messages, whatever ids it was given
-// on its way. A body that can't be read has none.
+// Fingerprint returns a hash of a request's messages, which identifies the
+// request independently of the ids assigned on its way. It returns the empty
+// string for a body that can't be decoded.
 func Fingerprint(body []byte) string {
 	req, err := decodeRequest(body)
 	if err != nil {
@@ -51,7 +53,8 @@
 	return fmt.Sprintf("%016x", r.hash())
 }
 
-// answer draws the tokens from the messages' hash.
+// responseTokens generates the response's tokens with the hash of the messages
+// as the random seed.
 func (r *request) answer() []string {
 	seed := r.hash()
 	random := rand.New(rand.NewPCG(seed, seed))
@@ -63,7 +66,9 @@
 	return tokens
 }
 
-// length is how many tokens the answer has.
+// responseLength returns the response's length in tokens: the first that is set
+// of metadata.answer_tokens, max_completion_tokens and max_tokens, else a random
+// length. It is always between 1 and MaxResponseTokens.
 func (r *request) length(random *rand.Rand) int {
 	drawn := int(medianAnswer * math.Exp(spreadAnswer*random.NormFloat64()))
 	switch {
@@ -77,7 +82,8 @@
 	return min(max(drawn, 1), MaxAnswer)
 }
 
-// hash identifies the messages whatever their JSON looks like.
+// messageHash hashes the decoded messages, so that the formatting of their JSON
+// does not matter.
 func (r *request) hash() uint64 {
 	canonical, err := json.Marshal(r.Messages)
 	if err != nil {
--- a/testbed/engine/cache.go
+++ b/testbed/engine/cache.go
@@ -6,12 +6,11 @@
 	"sync"
 )
 
-// blockTokens is how many prompt tokens one cached block holds.
+// blockTokens is the number of prompt tokens per cached block.
 const blockTokens = 16
 
-// prefixCache remembers the blocks of prompts it has seen, up to a number,
-// and forgets the least recently used first. A block's hash covers all that
-// is before it, so that only common beginnings match.
+// prefixCache is an LRU cache of prompt blocks. A block's hash covers the block
+// and everything before it, so that only common prefixes match.
 type prefixCache struct {
 	mu     sync.Mutex
 	size   int
@@ -23,8 +22,8 @@
 	return &prefixCache{size: size, order: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
-// visit returns how many of the prompt's tokens are cached, from its
-// beginning on, and caches the whole prompt.
+// lookupAndStore returns the number of leading prompt tokens that are cached,
+// and caches the full blocks of the prompt.
 func (c *prefixCache) visit(prompt string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,7 +38,7 @@
 	return cached * blockTokens
 }
 
-// clear forgets everything.
+// clear removes all blocks.
 func (c *prefixCache) clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,7 +46,8 @@
 	clear(c.blocks)
 }
 
-// touch marks a block as used and reports whether it was there.
+// touch marks a block as most recently used, inserting it if necessary, and
+// reports whether it was cached before.
 func (c *prefixCache) touch(block uint64) bool {
 	if element, ok := c.blocks[block]; ok {
 		c.order.MoveToFront(element)
@@ -61,7 +61,8 @@
 	return false
 }
 
-// hashBlocks hashes the beginnings of a prompt, one for each full block.
+// prefixHashes returns a hash of each prefix of the prompt that ends at a full
+// block.
 func hashBlocks(prompt string) []uint64 {
 	const blockBytes = blockTokens * bytesPerToken
 	hash := fnv.New64a()
--- a/testbed/engine/chunk.go
+++ b/testbed/engine/chunk.go
@@ -9,7 +9,7 @@
 	"github.com/applepier/applepier/testbed/knobs"
 )
 
-// chunk is one chat.completion.chunk.
+// chunk is a chat.completion.chunk object of the OpenAI API.
 type chunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -36,10 +36,10 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// finishStop is the reason of a whole answer's end.
+// finishReasonStop is the finish_reason of a complete response.
 var finishStop = "stop"
 
-// chunkWriter writes a stream of server-sent events.
+// chunkWriter writes chunks to a response as server-sent events.
 type chunkWriter struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
@@ -58,19 +58,19 @@
 	}
 }
 
-// open sends the headers and the role.
+// start writes the headers and a chunk with the assistant role.
 func (c *chunkWriter) open() error {
 	c.w.Header().Set("Content-Type", "text/event-stream")
 	c.w.Header().Set("Cache-Control", "no-store")
 	return c.send([]choice{{Delta: delta{Role: "assistant"}}}, nil)
 }
 
-// token sends one token.
+// writeToken writes a chunk with one token.
 func (c *chunkWriter) token(text string) error {
 	return c.send([]choice{{Delta: delta{Content: text}}}, nil)
 }
 
-// end sends the finish reason, the usage and the end mark.
+// finish writes the finish reason, the usage and the final [DONE] event.
 func (c *chunkWriter) end(promptTokens, answerTokens int) error {
 	if err := c.send([]choice{{FinishReason: &finishStop}}, nil); err != nil {
 		return err
@@ -104,7 +104,7 @@
 	return c.control.Flush()
 }
 
-// errorBody is an error in the form that OpenAI clients read.
+// errorBody is an error response of the OpenAI API.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
--- a/testbed/engine/completions.go
+++ b/testbed/engine/completions.go
@@ -12,10 +12,11 @@
 	"github.com/applepier/applepier/internal/engine"
 )
 
-// maxBody bounds a request, in bytes.
+// maxBodyBytes is the largest request body that is read.
 const maxBody = 16 << 20
 
-// completions serves one run.
+// serveCompletion streams the response to one chat completion request. When the
+// run does not complete, it aborts the connection.
 func (s *Server) completions(w http.ResponseWriter, r *http.Request) {
 	req, err := s.readRequest(w, r)
 	if err != nil {
@@ -23,7 +24,7 @@
 		return
 	}
 	if status := s.knobs.Get().RejectStatus; status != 0 {
-		writeError(w, status, "engine takes no requests")
+		writeError(w, status, "engine rejects requests: reject_status is set")
 		return
 	}
 	if !slices.Contains(s.orders.loaded(), req.Model) {
@@ -33,12 +34,12 @@
 	tokens := req.answer()
 	resumeFrom, err := intHeader(r, engine.HeaderResumeFrom)
 	if err != nil || resumeFrom < 0 || resumeFrom > len(tokens) {
-		writeError(w, http.StatusBadRequest, "can't resume from there")
+		writeError(w, http.StatusBadRequest, engine.HeaderResumeFrom+" must be a number from 0 to the response's length in tokens")
 		return
 	}
 	priority, err := intHeader(r, engine.HeaderPriority)
 	if err != nil {
-		writeError(w, http.StatusBadRequest, "priority is not a number")
+		writeError(w, http.StatusBadRequest, engine.HeaderPriority+" must be a number")
 		return
 	}
 
@@ -80,8 +81,8 @@
 	return req, nil
 }
 
-// outcomeOf says how a run ended from its error and the cause of its context's
-// end.
+// outcomeOf derives a run's outcome from its error and the cause of its
+// context's cancellation.
 func outcomeOf(ctx context.Context, err error) Outcome {
 	cause := context.Cause(ctx)
 	switch {
@@ -98,7 +99,7 @@
 	}
 }
 
-// intHeader reads a number from a header; a missing one is zero.
+// intHeader parses a header as an integer; it returns 0 if the header is missing.
 func intHeader(r *http.Request, name string) (int, error) {
 	value := r.Header.Get(name)
 	if value == "" {
--- a/testbed/engine/config.go
+++ b/testbed/engine/config.go
@@ -2,34 +2,39 @@
 
 import "time"
 
-// Config sizes a stand-in; it does not change while it runs.
+// Config is the fixed configuration of a Server. Zero values of sizes and
+// durations select the defaults below.
 type Config struct {
-	// Model is the model that is loaded at the start; requests for others
-	// are refused.
+	// Model is the name of the model that is loaded at the start. Requests
+	// for models that are not loaded get status 404.
 	Model string
-	// Capacity is how many streams run at full speed at once.
+	// Capacity is the number of concurrent streams that run at full speed;
+	// more streams slow each other down.
 	Capacity int
-	// MaxStreams is how many streams run at once at all; the rest waits.
+	// MaxStreams is the maximum number of concurrent streams; further ones
+	// are queued. The default is a multiple of Capacity.
 	MaxStreams int
-	// Interval is the time between tokens of a stream at full speed.
+	// TokenInterval is the time between tokens of a stream at full speed.
 	Interval time.Duration
-	// PrefillPerToken is the time to read one prompt token that is not in
+	// PrefillPerToken is the prefill time of one prompt token that is not in
 	// the prefix cache.
 	PrefillPerToken time.Duration
-	// CacheBlocks is how many blocks of prompt the prefix cache holds.
+	// CacheBlocks is the capacity of the prefix cache, in blocks of 16 tokens.
 	CacheBlocks int
-	// LoadLag is how old the load report can be.
+	// LoadReportInterval is the time between updates of the load report.
 	LoadLag time.Duration
-	// IgnoreFences makes the engine take orders with an old fencing number.
+	// IgnoreFencingTokens makes the engine execute orders with a stale
+	// fencing token.
 	IgnoreFences bool
-	// RecordFile, when set, takes the record of runs as JSON lines, for
-	// tests that kill the process.
+	// RecordFile, when set, is the file to which the records of runs are
+	// written as JSON lines, for tests that kill the process.
 	RecordFile string
-	// Exit ends the process when a crash is to do so; nil when it must not.
+	// Exit ends the process on a crash while Knobs.Exit is set; nil if the
+	// process must keep running.
 	Exit func()
 }
 
-// Sizes that a zero value stands for.
+// Defaults for zero values of Config.
 const (
 	DefaultModel       = "apple-avustaja"
 	DefaultCapacity    = 8
@@ -37,11 +42,11 @@
 	DefaultPrefill     = 20 * time.Microsecond
 	DefaultCacheBlocks = 4096
 	DefaultLoadLag     = 500 * time.Millisecond
-	// streamsPerCapacity is how far a batch can grow past full speed.
+	// streamsPerCapacity is the default ratio of MaxStreams to Capacity.
 	streamsPerCapacity = 4
 )
 
-// withDefaults fills in what is zero.
+// withDefaults returns the configuration with defaults for zero values.
 func (c Config) withDefaults() Config {
 	if c.Model == "" {
 		c.Model = DefaultModel
--- a/testbed/engine/faults.go
+++ b/testbed/engine/faults.go
@@ -7,18 +7,20 @@
 	"github.com/applepier/applepier/internal/pause"
 )
 
-// noFault is the token count of a fault that never comes.
+// faultDisabled is the token count of a fault that is not injected.
 const noFault = -1
 
-// streamFaults are the faults that one stream has drawn.
+// streamFaults are the faults that are injected into one stream.
 type streamFaults struct {
-	// stallAt and cutAt count tokens of the whole answer.
+	// stallAfter and cutAfter are token counts from the start of the
+	// complete response, also when the stream resumes later.
 	stallAt int
 	cutAt   int
 }
 
-// apply stalls or cuts a stream that has reached a number of tokens out of
-// total.
+// apply injects the faults into a stream that has reached the given number of
+// tokens out of total. A stall lasts until ctx ends and returns its error; a cut
+// returns errStreamCut.
 func (f streamFaults) apply(ctx context.Context, tokens, total int) error {
 	if f.stallAt != noFault && tokens >= min(f.stallAt, total) {
 		<-ctx.Done()
@@ -30,7 +32,8 @@
 	return nil
 }
 
-// takeFaults draws the faults of the next stream.
+// nextStreamFaults returns the faults of the next stream and decrements the
+// number of streams that are still to stall or to be cut.
 func (s *Server) takeFaults() streamFaults {
 	faults := streamFaults{stallAt: noFault, cutAt: noFault}
 	s.knobs.Update(func(k *Knobs) {
@@ -46,7 +49,8 @@
 	return faults
 }
 
-// countToken counts towards a crash.
+// countTokenToCrash counts one token and crashes the engine when
+// CrashAfterTokens reaches zero.
 func (s *Server) countToken() {
 	crash := false
 	s.knobs.Update(func(k *Knobs) {
@@ -64,7 +68,8 @@
 	}
 }
 
-// pace stretches a time by the load and the slow knob.
+// scaleDelay multiplies a duration by the slowdown and, beyond the capacity, by
+// the ratio of streams to capacity.
 func (s *Server) pace(base time.Duration) time.Duration {
 	k := s.knobs.Get()
 	running, _ := s.slots.counts()
@@ -72,7 +77,7 @@
 	return time.Duration(float64(base) * k.slowFactor() * max(1, crowding))
 }
 
-// sleep waits for a time, and on while the engine is frozen.
+// sleep waits for a duration and then for as long as the engine is frozen.
 func (s *Server) sleep(ctx context.Context, d time.Duration) error {
 	if !pause.For(ctx, d) {
 		return ctx.Err()
@@ -80,7 +85,7 @@
 	return s.awaitThaw(ctx)
 }
 
-// awaitThaw waits while the engine is frozen.
+// waitWhileFrozen blocks until the engine is not frozen or ctx ends.
 func (s *Server) awaitThaw(ctx context.Context) error {
 	for s.knobs.Get().Frozen {
 		if !pause.For(ctx, thawCheck) {
--- a/testbed/engine/journal.go
+++ b/testbed/engine/journal.go
@@ -10,10 +10,11 @@
 	"github.com/applepier/applepier/testbed/recordfile"
 )
 
-// maxRecords bounds the record; the oldest are dropped first.
+// maxRecords is the maximum number of records; the oldest are dropped first.
 const maxRecords = 500_000
 
-// journal keeps the record of all runs and knows those in progress.
+// runLog stores the records of all runs and the cancel functions of the active
+// ones. It is safe for concurrent use.
 type journal struct {
 	mu      sync.Mutex
 	seq     int
@@ -22,8 +23,8 @@
 	file    *recordfile.File
 }
 
-// newJournal returns an empty journal that also writes to path unless that is
-// empty.
+// newRunLog returns an empty log that also writes to the file at path, unless
+// path is empty.
 func newJournal(path string) (*journal, error) {
 	j := &journal{active: map[*Record]context.CancelCauseFunc{}}
 	if path == "" {
@@ -34,8 +35,8 @@
 	return j, err
 }
 
-// accept notes a run that has come, given what its request says of it; cancel
-// ends it.
+// accept adds a run that was received. The caller fills in the fields that come
+// from the request; cancel cancels the run.
 func (j *journal) accept(run Record, cancel context.CancelCauseFunc) *Record {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -54,7 +55,7 @@
 	return r
 }
 
-// start notes that work on a run begins.
+// start records that a run has got a slot and its prefill begins.
 func (j *journal) start(r *Record, promptTokens, cachedTokens int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -66,14 +67,14 @@
 	j.write(r)
 }
 
-// token notes that a run has produced one more token.
+// addToken records that a run has produced one more token.
 func (j *journal) token(r *Record) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r.Tokens++
 }
 
-// end notes how a run ended.
+// end records a run's end and its outcome.
 func (j *journal) end(r *Record, outcome Outcome) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -84,7 +85,8 @@
 	j.write(r)
 }
 
-// cancel ends the runs with an id; the empty id stands for all.
+// cancel cancels the active runs with the given id, or all active runs if it is
+// empty.
 func (j *journal) cancel(run string, cause error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -95,7 +97,7 @@
 	}
 }
 
-// inProgress lists the ids of the runs that have not ended, oldest first.
+// activeIDs returns the ids of the runs that have not ended, oldest first.
 func (j *journal) inProgress() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -108,7 +110,7 @@
 	return runs
 }
 
-// snapshot copies the record.
+// snapshot returns a copy of all records.
 func (j *journal) snapshot() []Record {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/testbed/engine/knobs.go
+++ b/testbed/engine/knobs.go
@@ -1,35 +1,40 @@
 package engine
 
-// Knobs are the faults that a test turns on while the stand-in runs.
+// Knobs are the faults that a test injects while the server runs. The zero value
+// injects none.
 type Knobs struct {
-	// Slow multiplies all times; 0 and 1 are full speed.
+	// Slowdown multiplies all delays; 0 and 1 are full speed.
 	Slow float64 `json:"slow"`
-	// Frozen holds every stream and call, as a stopped process would.
+	// Frozen blocks all streams and calls, as if the process were stopped.
 	Frozen bool `json:"frozen"`
-	// CrashAfterTokens crashes the engine after so many more tokens, of all
-	// streams together; 0 is off.
+	// CrashAfterTokens crashes the engine after this many further tokens of
+	// all streams together; 0 disables it.
 	CrashAfterTokens int `json:"crash_after_tokens"`
-	// Crashed cuts all streams and refuses calls until it is false again.
+	// Crashed cuts all streams and aborts the connections of calls until it
+	// is false again.
 	Crashed bool `json:"crashed"`
 	// Exit makes a crash end the process.
 	Exit bool `json:"exit"`
-	// StallStreams is how many of the next streams fall silent for good
-	// after StallAfter tokens.
+	// StallStreams is the number of next streams that stop sending, without
+	// closing, after StallAfter tokens.
 	StallStreams int `json:"stall_streams"`
 	StallAfter   int `json:"stall_after"`
-	// CutStreams is how many of the next streams are cut after CutAfter
-	// tokens; past the end of an answer the cut is just before the end mark.
+	// CutStreams is the number of next streams that are cut after CutAfter
+	// tokens. If the response is shorter, the cut is just before [DONE].
 	CutStreams int `json:"cut_streams"`
 	CutAfter   int `json:"cut_after"`
-	// Foreign is how many streams of others take capacity.
+	// ExternalStreams is the number of simulated streams of other routers
+	// that use capacity.
 	Foreign int `json:"foreign"`
-	// IgnoreFences makes the engine take orders with an old fencing number.
+	// IgnoreFencingTokens makes the engine execute orders with a stale
+	// fencing token.
 	IgnoreFences bool `json:"ignore_fences"`
-	// RejectStatus, when set, refuses each run with this status.
+	// RejectStatus, when not 0, is the HTTP status with which every run is
+	// rejected.
 	RejectStatus int `json:"reject_status"`
 }
 
-// slowFactor is how much longer everything takes.
+// delayFactor returns the factor by which delays are multiplied.
 func (k Knobs) slowFactor() float64 {
 	if k.Slow <= 0 {
 		return 1
--- a/testbed/engine/model.go
+++ b/testbed/engine/model.go
@@ -1,12 +1,12 @@
 package engine
 
-// modelList is the answer to GET /v1/models.
+// modelList is the response to GET /v1/models.
 type modelList struct {
 	Object string  `json:"object"`
 	Data   []model `json:"data"`
 }
 
-// model is one loaded model.
+// model describes one loaded model in a modelList.
 type model struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
--- a/testbed/engine/orders.go
+++ b/testbed/engine/orders.go
@@ -7,7 +7,8 @@
 	"github.com/applepier/applepier/internal/engine"
 )
 
-// orders keeps what the engine was told to load.
+// orderLog stores the executed orders and the models they loaded. It is safe for
+// concurrent use.
 type orders struct {
 	mu     sync.Mutex
 	fence  uint64
@@ -15,8 +16,8 @@
 	models []string
 }
 
-// take carries an order out unless its fencing number is old and the engine
-// checks that.
+// execute executes an order. Unless ignoreFencingToken is set, it returns
+// ErrStaleFencingToken if an earlier order had a higher fencing token.
 func (o *orders) take(order engine.Order, ignoreFence bool) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -31,14 +32,14 @@
 	return nil
 }
 
-// list returns the orders that were carried out, in their order.
+// list returns the executed orders in order of execution.
 func (o *orders) list() []engine.Order {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return append([]engine.Order{}, o.taken...)
 }
 
-// loaded returns the models that are loaded.
+// loadedModels returns the names of the loaded models.
 func (o *orders) loaded() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/testbed/engine/record.go
+++ b/testbed/engine/record.go
@@ -6,59 +6,64 @@
 	"github.com/applepier/applepier/testbed/recordfile"
 )
 
-// Outcome says how a run ended.
+// Outcome is the state of a run or the way it ended.
 type Outcome string
 
 // Outcomes of a run.
 const (
-	// OutcomeWaiting: it has not begun.
+	// OutcomeWaiting: the run is queued.
 	OutcomeWaiting Outcome = "waiting"
-	// OutcomeRunning: it has begun and not ended.
+	// OutcomeRunning: the run has started and not ended.
 	OutcomeRunning Outcome = "running"
-	// OutcomeWhole: the whole answer and its end mark were written.
+	// OutcomeCompleted: the complete response and [DONE] were written.
 	OutcomeWhole Outcome = "whole"
-	// OutcomeCancelled: it was cancelled by its id.
+	// OutcomeCancelled: the run was cancelled by its id.
 	OutcomeCancelled Outcome = "cancelled"
-	// OutcomeDisconnected: its client closed the connection.
+	// OutcomeDisconnected: the client closed the connection.
 	OutcomeDisconnected Outcome = "disconnected"
 	// OutcomeCrashed: the engine crashed.
 	OutcomeCrashed Outcome = "crashed"
-	// OutcomeCut: the engine cut the stream.
+	// OutcomeCut: the stream was cut by CutStreams.
 	OutcomeCut Outcome = "cut"
 )
 
-// Record is the ground truth of one run.
+// RunRecord is what the engine did for one run. Tests compare clients'
+// observations with it.
 type Record struct {
-	// Seq numbers the engine's runs from 1.
+	// Seq is the run's sequence number on this engine, starting at 1.
 	Seq int `json:"seq"`
-	// Run is the run's id; Request is its part before the attempt.
+	// RunID is the run's id; RequestID is its part before "#", without the
+	// number of the attempt.
 	Run     string `json:"run"`
 	Request string `json:"request"`
-	// Fingerprint identifies the messages; see Fingerprint.
+	// Fingerprint identifies the messages; see the function Fingerprint.
 	Fingerprint string `json:"fingerprint"`
-	// Marker is the request's own name for the work, if it has one.
+	// Marker is metadata.marker of the request, if set.
 	Marker string `json:"marker,omitempty"`
-	// Priority is the run's, lower first.
+	// Priority is the run's priority; lower values run first.
 	Priority int `json:"priority"`
-	// Accepted is when the request came; Started when work on it began, and
-	// nil when it never did; Ended when it ended.
+	// Accepted is when the request was received. Started is when its prefill
+	// began, and Ended when the run ended; they are nil until then.
 	Accepted time.Time  `json:"accepted"`
 	Started  *time.Time `json:"started,omitempty"`
 	Ended    *time.Time `json:"ended,omitempty"`
-	// ResumedFrom is how many tokens were left out at its client's wish.
+	// ResumedFrom is the number of leading response tokens that the client
+	// asked to skip.
 	ResumedFrom int `json:"resumed_from,omitempty"`
-	// Tokens is how many tokens the run has produced, resumed ones apart.
+	// Tokens is the number of tokens that the run has produced, without
+	// those skipped by ResumedFrom.
 	Tokens int `json:"tokens"`
-	// PromptTokens and CachedTokens count the prompt.
+	// PromptTokens is the length of the prompt; CachedTokens is the part of
+	// it that was in the prefix cache.
 	PromptTokens int `json:"prompt_tokens"`
 	CachedTokens int `json:"cached_tokens"`
-	// Outcome is how it ended, or how it stands.
+	// Outcome is the run's state, or how it ended.
 	Outcome Outcome `json:"outcome"`
 }
 
-// ReadRecordFile reads a RecordFile back, with the last state that was
-// written of each run, in order of their numbers. The number of tokens of a
-// run without an end is not known from it.
+// ReadRecordFile reads a file written as Config.RecordFile and returns the last
+// written record of each run, ordered by Seq. The token count of a run that has
+// not ended is not up to date in the file.
 func ReadRecordFile(path string) ([]Record, error) {
 	written, err := recordfile.Read[Record](path)
 	if err != nil {
@@ -71,7 +76,7 @@
 	return records, nil
 }
 
-// place puts a record at its number.
+// putBySeq stores a record at index Seq-1, extending the slice as needed.
 func place(records []Record, record Record) []Record {
 	for len(records) < record.Seq {
 		records = append(records, Record{})
--- a/testbed/engine/reporter.go
+++ b/testbed/engine/reporter.go
@@ -7,7 +7,8 @@
 	"github.com/applepier/applepier/internal/engine"
 )
 
-// reporter keeps the load report, which is refreshed from time to time only.
+// loadReporter holds the load report and updates it at a fixed interval, so that
+// clients see a stale load as with real engines.
 type reporter struct {
 	mu     sync.Mutex
 	report engine.Load
@@ -15,14 +16,14 @@
 	done   chan struct{}
 }
 
-// newReporter measures the load every lag until it is closed.
+// newLoadReporter measures the load now and then at every interval until close.
 func newReporter(lag time.Duration, measure func() engine.Load) *reporter {
 	r := &reporter{report: measure(), stop: make(chan struct{}), done: make(chan struct{})}
 	go r.refresh(lag, measure)
 	return r
 }
 
-// last returns the last report.
+// latest returns the most recent report.
 func (r *reporter) last() engine.Load {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/testbed/engine/request.go
+++ b/testbed/engine/request.go
@@ -7,10 +7,10 @@
 	"github.com/go-faster/errors"
 )
 
-// bytesPerToken is how much prompt text counts as one token.
+// bytesPerToken is the number of bytes of text that count as one token.
 const bytesPerToken = 4
 
-// request is what the stand-in reads of a chat completion request.
+// request holds the fields of a chat completion request that the server uses.
 type request struct {
 	Model               string    `json:"model"`
 	Messages            []message `json:"messages"`
@@ -20,19 +20,20 @@
 	Metadata            metadata  `json:"metadata"`
 }
 
-// message is one message; its content is text or a list of parts.
+// message is one chat message. Content is a string or a list of content parts.
 type message struct {
 	Role    string `json:"role"`
 	Content any    `json:"content"`
 }
 
-// metadata carries a test's own wishes past the router.
+// metadata holds settings that a test passes to the engine; the router does not
+// read them.
 type metadata struct {
-	// AnswerTokens is the exact length of the answer, which the router
-	// can't know beforehand.
+	// ResponseTokens is the exact length of the response. It is not in
+	// max_tokens because the router must not know the length in advance.
 	AnswerTokens int `json:"answer_tokens,string"`
-	// Marker names the work; the record of the run repeats it, so that runs
-	// and callers can be told together even when a caller learnt no id.
+	// Marker is copied to the run's record, so that a test can match runs
+	// and requests even if the client never received a request id.
 	Marker string `json:"marker"`
 }
 
@@ -47,7 +48,7 @@
 	return &req, nil
 }
 
-// prompt is the text of all messages.
+// promptText returns the roles and contents of all messages as one text.
 func (r *request) prompt() string {
 	var text strings.Builder
 	for _, m := range r.Messages {
@@ -70,7 +71,7 @@
 	return string(encoded)
 }
 
-// countTokens estimates how many tokens a text has.
+// estimateTokens returns the number of tokens of a text, rounded up.
 func countTokens(text string) int {
 	return (len(text) + bytesPerToken - 1) / bytesPerToken
 }
--- a/testbed/engine/run.go
+++ b/testbed/engine/run.go
@@ -7,14 +7,15 @@
 	"github.com/go-faster/errors"
 )
 
-// errCut ends a stream that is cut on purpose.
-var errCut = errors.New("stream is cut")
+// errStreamCut is the error of a stream that is cut by CutStreams.
+var errCut = errors.New("stream cut by fault injection")
 
-// maxBehind is how many tokens a stream catches up when the machine was busy;
-// beyond that its pace starts anew.
+// maxCatchUpTokens is the number of tokens by which a stream may fall behind its
+// schedule, for example on a busy machine, and still catch up. Beyond that its
+// schedule restarts at the current time.
 const maxBehind = 8
 
-// run is one run in progress.
+// run is the execution of one chat completion request.
 type run struct {
 	server *Server
 	record *Record
@@ -23,7 +24,7 @@
 	out    *chunkWriter
 }
 
-// serve waits for a slot and writes the whole stream.
+// serve waits for a slot and writes the complete stream.
 func (r *run) serve(ctx context.Context) error {
 	if err := r.out.open(); err != nil {
 		return err
@@ -49,7 +50,8 @@
 	return r.out.end(countTokens(r.prompt), len(r.tokens))
 }
 
-// prefill reads the prompt and, when resuming, what there is of the answer.
+// prefill simulates the prefill of the prompt and, when resuming, of the tokens
+// that the response already has.
 func (r *run) prefill(ctx context.Context) error {
 	prompt := countTokens(r.prompt)
 	cached := min(r.server.cache.visit(r.prompt), prompt)
@@ -59,7 +61,7 @@
 	return r.server.sleep(ctx, time.Duration(work)*perToken)
 }
 
-// decode writes the tokens, one an interval.
+// decode writes the remaining tokens, one per interval.
 func (r *run) decode(ctx context.Context, faults streamFaults) error {
 	next := time.Now()
 	for i := r.record.ResumedFrom; i < len(r.tokens); i++ {
--- a/testbed/engine/server.go
+++ b/testbed/engine/server.go
@@ -1,8 +1,8 @@
-// Package engine is a stand-in of a model's engine in one process: it batches
-// continuously, honours priorities, caches prompt prefixes, resumes and
-// cancels streams, reports load with a lag and keeps a record of every run,
-// with faults that a test turns on. Its answers are made up but follow from
-// the request; see Answer. Start reading at Server.
+// Package engine is a fake LLM inference engine for tests. It simulates
+// continuous batching, priorities, prefix caching, resuming and cancelling
+// streams and delayed load reports, and it injects faults. It keeps a record of
+// every run. Its responses are generated deterministically from the request; see
+// ResponseTokens. The main type is Server.
 package engine
 
 import (
@@ -16,16 +16,18 @@
 	"github.com/applepier/applepier/testbed/knobs"
 )
 
-// thawCheck is how often a frozen engine looks whether it still is.
+// frozenPollInterval is the interval at which blocked calls check whether the
+// engine is still frozen.
 const thawCheck = 2 * time.Millisecond
 
-// Causes of a run's end.
+// Cancellation causes of a run's context.
 var (
 	errCancelled = errors.New("run was cancelled")
 	errCrashed   = errors.New("engine crashed")
 )
 
-// Server is the stand-in; it implements http.Handler.
+// Server is the fake engine. It implements http.Handler and is safe for
+// concurrent use.
 type Server struct {
 	config  Config
 	mux     *http.ServeMux
@@ -37,7 +39,8 @@
 	load    *reporter
 }
 
-// New returns an engine without faults. Close frees what it holds.
+// New returns a server without injected faults. It fails if the record file
+// can't be opened. The caller must call Close.
 func New(config Config) (*Server, error) {
 	config = config.withDefaults()
 	journal, err := newJournal(config.RecordFile)
@@ -63,20 +66,20 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// Close ends all runs and frees what the engine holds.
+// Close cancels all runs, stops the load reports and closes the record file.
 func (s *Server) Close() {
 	s.journal.cancel("", errCrashed)
 	s.load.close()
 	s.journal.close()
 }
 
-// SetKnobs changes the faults as PUT /knobs does.
+// SetKnobs changes the injected faults, as PUT /knobs does.
 func (s *Server) SetKnobs(change func(*Knobs)) {
 	s.knobs.Update(change)
 	s.applyKnobs()
 }
 
-// Record returns the record of all runs.
+// Records returns a copy of the records of all runs.
 func (s *Server) Record() []Record {
 	return s.journal.snapshot()
 }
@@ -94,8 +97,8 @@
 	s.mux.HandleFunc("PUT /knobs", s.putKnobs)
 }
 
-// available holds a call while the engine is frozen and cuts it off while the
-// engine has crashed.
+// withAvailability wraps a handler: calls block while the engine is frozen, and
+// their connection is aborted while it is crashed.
 func (s *Server) available(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if err := s.awaitThaw(r.Context()); err != nil {
@@ -157,7 +160,8 @@
 	s.applyKnobs()
 }
 
-// applyKnobs puts into effect what is not looked up at each step.
+// applyKnobs applies the settings that are not read at each step: the limit of
+// streams and Crashed.
 func (s *Server) applyKnobs() {
 	k := s.knobs.Get()
 	s.slots.setLimit(max(s.config.MaxStreams-k.Foreign, 0))
@@ -166,7 +170,8 @@
 	}
 }
 
-// crash cuts all streams and loses the cache.
+// crash cuts all streams and clears the prefix cache, or ends the process if
+// Knobs.Exit and Config.Exit are set.
 func (s *Server) crash() {
 	if s.knobs.Get().Exit && s.config.Exit != nil {
 		s.config.Exit()
--- a/testbed/engine/server_test.go
+++ b/testbed/engine/server_test.go
@@ -17,10 +17,10 @@
 	standin "github.com/applepier/applepier/testbed/engine"
 )
 
-// patience bounds waiting for something that must happen.
+// waitTimeout is the maximum time to wait for an expected event.
 const patience = 20 * time.Second
 
-// fixture is a running stand-in with the product's client.
+// fixture is a running fake engine and an engine.Client connected to it.
 type fixture struct {
 	t      *testing.T
 	server *standin.Server
@@ -46,7 +46,7 @@
 	return &fixture{t: t, server: server, client: engine.NewClient(web.URL)}
 }
 
-// chat is a request whose answer has a number of tokens.
+// chatBody returns a request body whose response has the given number of tokens.
 func chat(prompt string, tokens int) []byte {
 	return fmt.Appendf(nil, `{"model":"m","messages":[{"role":"user","content":%q}],"max_tokens":%d}`, prompt, tokens)
 }
@@ -63,7 +63,7 @@
 	return stream
 }
 
-// read reads up to limit tokens and returns them with the stream's error.
+// readTokens reads up to limit tokens and returns them with the stream's error.
 func read(stream engine.Stream, limit int) ([]string, error) {
 	var tokens []string
 	for len(tokens) < limit {
@@ -84,7 +84,7 @@
 	return tokens, nil
 }
 
-// await polls until the record of a run satisfies a condition.
+// awaitRecord polls until the record of a run satisfies the condition.
 func (f *fixture) await(run string, condition func(standin.Record) bool) standin.Record {
 	f.t.Helper()
 	deadline := time.Now().Add(patience)
@@ -96,7 +96,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	f.t.Fatalf("run %s: condition not met; record is %+v", run, f.server.Record())
+	f.t.Fatalf("run %s: no record met the condition within the timeout; records: %+v", run, f.server.Record())
 	return standin.Record{}
 }
 
@@ -110,18 +110,18 @@
 	want := standin.Answer(body)
 	got, err := read(f.start(engine.Run{ID: "a#1", Body: body}), 100)
 	if err != io.EOF || !slices.Equal(got, want) || len(want) != 20 {
-		t.Fatalf("answer: got %v, %v; want %v", got, err, want)
+		t.Fatalf("response: got %v, %v; want %v", got, err, want)
 	}
 	got, err = read(f.start(engine.Run{ID: "a#2", Body: body, ResumeFrom: 13}), 100)
 	if err != io.EOF || !slices.Equal(got, want[13:]) {
-		t.Fatalf("resumed answer: got %v, %v; want %v", got, err, want[13:])
+		t.Fatalf("resumed response: got %v, %v; want %v", got, err, want[13:])
 	}
 	r := f.await("a#2", ended(standin.OutcomeWhole))
 	if r.Request != "a" || r.Tokens != 7 || r.ResumedFrom != 13 || r.Started == nil {
 		t.Errorf("record: %+v", r)
 	}
 	if other := standin.Answer(chat("well 8", 20)); slices.Equal(other, want) {
-		t.Error("another request has the same answer")
+		t.Error("a different request has the same response")
 	}
 }
 
@@ -149,7 +149,8 @@
 	f.await("first#1", ended(standin.OutcomeDisconnected))
 }
 
-// awaitWaiting polls the load report, which lags, until so many wait.
+// awaitWaiting polls the load report, which is updated with a delay, until it
+// shows the given number of waiting streams.
 func (f *fixture) awaitWaiting(waiting int) {
 	f.t.Helper()
 	deadline := time.Now().Add(patience)
@@ -163,7 +164,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	f.t.Fatalf("never saw %d streams wait", waiting)
+	f.t.Fatalf("load report never showed %d waiting streams", waiting)
 }
 
 func TestCancel(t *testing.T) {
@@ -181,13 +182,13 @@
 		t.Fatal(err)
 	}
 	if _, err := stream.Next(); !errors.Is(err, engine.ErrCut) {
-		t.Errorf("cancelled stream: got %v, want ErrCut", err)
+		t.Errorf("cancelled stream: got %v, want ErrTruncated", err)
 	}
 	if r := f.await("r/1#1", ended(standin.OutcomeCancelled)); r.Tokens != 2 {
 		t.Errorf("tokens: got %d, want 2", r.Tokens)
 	}
 	if err := f.client.Cancel(context.Background(), "none"); err != nil {
-		t.Errorf("cancel of no run: %v", err)
+		t.Errorf("cancel of an unknown run: %v", err)
 	}
 }
 
@@ -196,7 +197,7 @@
 	f.server.SetKnobs(func(k *standin.Knobs) { k.CutStreams, k.CutAfter = 1, 99 })
 	got, err := read(f.start(engine.Run{ID: "c#1", Body: chat("x", 5)}), 100)
 	if len(got) != 5 || !errors.Is(err, engine.ErrCut) {
-		t.Fatalf("got %d tokens and %v, want 5 and ErrCut", len(got), err)
+		t.Fatalf("got %d tokens and %v, want 5 and ErrTruncated", len(got), err)
 	}
 	f.await("c#1", ended(standin.OutcomeCut))
 }
@@ -207,11 +208,11 @@
 	f.server.SetKnobs(func(k *standin.Knobs) { k.CrashAfterTokens = 4 })
 	_, err := read(f.start(engine.Run{ID: "x#1", Body: chat("x", 50)}), 100)
 	if !errors.Is(err, engine.ErrCut) {
-		t.Fatalf("stream: got %v, want ErrCut", err)
+		t.Fatalf("stream: got %v, want ErrTruncated", err)
 	}
 	f.await("x#1", ended(standin.OutcomeCrashed))
 	if _, err := f.client.Start(context.Background(), engine.Run{ID: "x#2", Body: chat("x", 5)}); err == nil {
-		t.Fatal("a crashed engine took a run")
+		t.Fatal("a crashed engine accepted a run")
 	}
 	f.server.SetKnobs(func(k *standin.Knobs) { k.Crashed = false })
 	if _, err := read(f.start(engine.Run{ID: "x#3", Body: chat("x", 5)}), 100); err != io.EOF {
@@ -255,11 +256,11 @@
 		t.Errorf("first prompt: %d tokens cached", r.CachedTokens)
 	}
 	if r := run("p#2", long("b")); r.CachedTokens < 400 || r.CachedTokens > r.PromptTokens {
-		t.Errorf("same beginning: %d of %d tokens cached", r.CachedTokens, r.PromptTokens)
+		t.Errorf("same prefix: %d of %d tokens cached", r.CachedTokens, r.PromptTokens)
 	}
 	run("p#3", "other "+long("c")+long("d"))
 	if r := run("p#4", long("a")); r.CachedTokens != 0 {
-		t.Errorf("after others: %d tokens cached", r.CachedTokens)
+		t.Errorf("after eviction by other prompts: %d tokens cached", r.CachedTokens)
 	}
 }
 
@@ -271,11 +272,11 @@
 	}
 	old := engine.Order{Fence: 4, LoadModel: "o"}
 	if err := f.client.Order(ctx, old); !errors.Is(err, engine.ErrFenced) {
-		t.Fatalf("old order: got %v, want ErrFenced", err)
+		t.Fatalf("order with stale fencing token: got %v, want ErrStaleFencingToken", err)
 	}
 	f.server.SetKnobs(func(k *standin.Knobs) { k.IgnoreFences = true })
 	if err := f.client.Order(ctx, old); err != nil {
-		t.Fatalf("old order to an engine that ignores fences: %v", err)
+		t.Fatalf("order with stale fencing token to an engine that ignores them: %v", err)
 	}
 }
 
@@ -286,6 +287,6 @@
 		t.Fatalf("got %v, want a rejection with status 404", err)
 	}
 	if len(f.server.Record()) != 0 {
-		t.Error("a rejected request is on record as a run")
+		t.Error("a rejected request was recorded as a run")
 	}
 }
--- a/testbed/engine/slots.go
+++ b/testbed/engine/slots.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// slots lets a number of streams run at once; the rest waits, by priority and
-// then in order of arrival.
+// slots limits the number of concurrent streams. Further streams wait in order
+// of priority, then of arrival.
 type slots struct {
 	mu      sync.Mutex
 	limit   int
@@ -16,7 +16,7 @@
 	waiting waiters
 }
 
-// acquire waits for a slot; it fails with ctx.
+// acquire waits for a slot. It returns the error of ctx if ctx ends first.
 func (s *slots) acquire(ctx context.Context, priority int) error {
 	w := s.enqueue(priority)
 	select {
@@ -28,7 +28,7 @@
 	}
 }
 
-// release gives a slot back.
+// release returns a slot that was acquired.
 func (s *slots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,7 +36,8 @@
 	s.admit()
 }
 
-// setLimit changes how many may run; those that run stay.
+// setLimit changes the maximum number of running streams. Streams that already
+// run are not stopped.
 func (s *slots) setLimit(limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,7 +45,7 @@
 	s.admit()
 }
 
-// counts returns how many streams run and wait.
+// counts returns the numbers of running and waiting streams.
 func (s *slots) counts() (running, waiting int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,7 +62,8 @@
 	return w
 }
 
-// abandon takes a waiter out, or gives its slot back when it has one already.
+// cancelWait removes a waiter from the queue, or releases its slot if it has
+// already got one.
 func (s *slots) abandon(w *waiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,6 +75,7 @@
 	s.admit()
 }
 
+// admit gives free slots to waiting streams; s.mu must be held.
 func (s *slots) admit() {
 	for s.running < s.limit && len(s.waiting) > 0 {
 		w := heap.Pop(&s.waiting).(*waiter)
--- a/testbed/engine/waiter.go
+++ b/testbed/engine/waiter.go
@@ -1,15 +1,16 @@
 package engine
 
-// waiter is a stream that waits for a slot.
+// waiter is a stream in the queue for a slot. ready is closed when it gets one.
 type waiter struct {
 	priority int
 	order    int
 	ready    chan struct{}
-	// index is its place in the heap; -1 when it has left.
+	// index is the waiter's position in the heap, or -1 after its removal.
 	index int
 }
 
-// waiters is a heap of waiters; see container/heap.
+// waitQueue is a heap of waiters by priority and arrival. It implements
+// heap.Interface.
 type waiters []*waiter
 
 func (w waiters) Len() int { return len(w) }
--- a/testbed/load/answer.go
+++ b/testbed/load/answer.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// maxEvent bounds one line of a stream, in bytes.
+// maxEventBytes is the maximum length of one line of a stream.
 const maxEvent = 1 << 20
 
-// answerChunk is what is read of a chat.completion.chunk.
+// responseChunk holds the fields of a chat.completion.chunk that are read.
 type answerChunk struct {
 	Choices []struct {
 		Delta struct {
@@ -22,7 +22,7 @@
 	Error json.RawMessage `json:"error"`
 }
 
-// answerReader collects a streamed answer.
+// streamReader collects the text and the token times of a streamed response.
 type answerReader struct {
 	due    time.Time
 	first  time.Time
@@ -31,9 +31,9 @@
 	tokens int
 }
 
-// readAnswer reads a stream to its end and compares it with what the answer
-// must be. An answer that is right counts as on time until its class's targets
-// are looked at.
+// readStreamResponse reads a stream to its end and compares its text with want.
+// A correct response gets OutcomeOnTime; the caller must compare its times with
+// the targets of the class.
 func readAnswer(body io.Reader, due time.Time, want string) Result {
 	reader := answerReader{due: due}
 	lines := bufio.NewScanner(body)
@@ -54,14 +54,15 @@
 	if err := lines.Err(); err != nil {
 		return reader.broken("stream failed: " + err.Error())
 	}
-	return reader.broken("stream ended without its end mark")
+	return reader.broken("stream ended without [DONE]")
 }
 
-// take reads one event; when it is a failure, take returns the result.
+// handleEvent processes one event. If the event ends the response as a failure,
+// it returns the result and false.
 func (r *answerReader) take(data []byte) (Result, bool) {
 	var chunk answerChunk
 	if err := json.Unmarshal(data, &chunk); err != nil {
-		return r.broken("event is not JSON"), false
+		return r.broken("event is not valid JSON"), false
 	}
 	if len(chunk.Error) > 0 && string(chunk.Error) != "null" {
 		failed := r.broken("error event " + errorCode(data))
@@ -89,7 +90,7 @@
 	result := r.result(OutcomeOnTime)
 	if r.text.String() != want {
 		result.Outcome = OutcomeWrong
-		result.Detail = "end mark after another answer"
+		result.Detail = "[DONE] after a text that is not the expected response"
 	}
 	return result
 }
--- a/testbed/load/caller.go
+++ b/testbed/load/caller.go
@@ -18,26 +18,26 @@
 )
 
 const (
-	// maxErrorBody is how much of an error's body is read.
+	// maxErrorBodyBytes is the part of an error response's body that is read.
 	maxErrorBody = 64 << 10
-	// maxConnections is how many idle connections are kept to one entry.
+	// maxIdleConnections is the maximum number of idle connections per entry.
 	maxConnections = 4096
 )
 
-// Headers that callers send.
+// Request headers of the system's API.
 const (
 	headerClass    = "X-Applepier-Class"
 	headerCustomer = "X-Applepier-Customer"
 )
 
-// servicePath is what is called of a plain service.
+// servicePath is the path of calls of a plain service, below the service's own.
 const servicePath = "/calls"
 
-// codeUnknown is the code of an error that tells that the request may have
-// run.
+// errorCodeUnknown is the error code of requests that may have run.
 const codeUnknown = "unknown"
 
-// caller sends requests to the entries in turn, as a balancer would.
+// requestSender sends requests to the entries round robin, as a load balancer
+// would. It is safe for concurrent use.
 type caller struct {
 	scenario Scenario
 	entries  []string
@@ -50,9 +50,9 @@
 	return &caller{scenario: scenario, entries: entries, client: &http.Client{Transport: transport}}
 }
 
-// send makes one request and judges its answer. due is when it was to be
-// sent; all times count from there, so that a tool that falls behind doesn't
-// hide waiting.
+// send sends one request and classifies its response. All times are measured
+// from due, the time at which the request was scheduled, so that a delay of the
+// load generator itself is not hidden (coordinated omission).
 func (c *caller) send(ctx context.Context, a arrival, body []byte, due time.Time) Result {
 	resp, err := c.post(ctx, a, body)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return result
 }
 
-// read reads an answer to its end and compares it with what it must be.
+// readResponse reads a response to its end and compares it with the expected one.
 func (c *caller) read(resp *http.Response, a arrival, body []byte, due time.Time) Result {
 	if c.scenario.Mix.Classes[a.class].Service != "" {
 		return readServiceAnswer(resp.Body, due, plain.Answer(http.MethodPost, servicePath, body))
@@ -95,7 +95,8 @@
 	return c.client.Do(req)
 }
 
-// errorResult judges an answer that is an error.
+// errorResult classifies an error response. Only status 429 or 503 with a
+// Retry-After in seconds counts as refused.
 func errorResult(resp *http.Response) Result {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
 	if err != nil {
@@ -114,14 +115,14 @@
 	return result
 }
 
-// apiError is an error in the form that OpenAI clients read.
+// apiError is an error response of the OpenAI API.
 type apiError struct {
 	Error struct {
 		Code string `json:"code"`
 	} `json:"error"`
 }
 
-// errorCode is an error's code; empty when it has none.
+// errorCode returns the code of an error body, or "" if it has none.
 func errorCode(body []byte) string {
 	var decoded apiError
 	if err := json.Unmarshal(body, &decoded); err != nil {
@@ -130,7 +131,8 @@
 	return decoded.Error.Code
 }
 
-// saysUnknown reports whether an error tells that the outcome is unknown.
+// isOutcomeUnknown reports whether an error body says that the request may have
+// run.
 func saysUnknown(body []byte) bool {
 	return errorCode(body) == codeUnknown
 }
--- a/testbed/load/class.go
+++ b/testbed/load/class.go
@@ -5,64 +5,67 @@
 	"time"
 )
 
-// Class is one class of work as its callers send it, with its targets.
+// Class is a class of requests with its latency targets.
 type Class struct {
 	// Name is sent as X-Applepier-Class.
 	Name string `yaml:"name" json:"name"`
-	// Tier is the class's priority; 0 is the most urgent.
+	// Tier is the priority of the class; 0 is the most urgent.
 	Tier int `yaml:"tier" json:"tier"`
-	// Model is the model it runs on; the mix's when empty.
+	// Model is the model it runs on; Mix.Model if empty.
 	Model string `yaml:"model" json:"model,omitempty"`
-	// Service is the plain service it runs on instead of a model. Such a
-	// class is sent by a phase's rates only and has no lengths.
+	// Service is the plain service it runs on instead of a model. Requests of
+	// such a class are sent only at the rates in Phase.Rates and have no
+	// lengths.
 	Service string `yaml:"service" json:"service,omitempty"`
-	// FirstToken, BetweenTokens and Completion are the targets; zero is none.
-	// The time between tokens is the mean over an answer.
+	// FirstToken, BetweenTokens and Completion are the latency targets; zero
+	// means no target. The time between tokens is the mean over a response.
 	FirstToken    time.Duration `yaml:"first_token" json:"first_token,omitempty"`
 	BetweenTokens time.Duration `yaml:"between_tokens" json:"between_tokens,omitempty"`
 	Completion    time.Duration `yaml:"completion" json:"completion,omitempty"`
-	// PromptTokens and AnswerTokens are medians.
+	// PromptTokens and ResponseTokens are median lengths.
 	PromptTokens int `yaml:"prompt_tokens" json:"prompt_tokens"`
 	AnswerTokens int `yaml:"answer_tokens" json:"answer_tokens"`
-	// SharedTokens is how many tokens at the beginning of a prompt all
-	// requests of one customer share.
+	// SharedTokens is the length of the prompt prefix that all requests of
+	// one customer in the class share.
 	SharedTokens int `yaml:"shared_tokens" json:"shared_tokens,omitempty"`
-	// Spread is the standard deviation of the lengths' logarithm.
+	// LengthLogStdDev is the standard deviation of the logarithm of the
+	// prompt and response lengths.
 	Spread float64 `yaml:"spread" json:"spread"`
-	// WorkShare is the class's part of a phase's ordinary load; shares are
-	// relative to each other.
+	// LoadShare is the relative weight of the class in Phase.Load.
 	WorkShare float64 `yaml:"work_share" json:"work_share"`
 }
 
-// meanAnswer is the mean length of its answers, in tokens.
+// meanResponseTokens returns the mean response length in tokens.
 func (c Class) meanAnswer() float64 {
 	return float64(c.AnswerTokens) * math.Exp(c.Spread*c.Spread/2)
 }
 
-// meanPrompt is the mean length of its prompts without what they share.
+// meanPromptTokens returns the mean prompt length in tokens, without the shared
+// prefix.
 func (c Class) meanPrompt() float64 {
 	return float64(c.PromptTokens) * math.Exp(c.Spread*c.Spread/2)
 }
 
-// cost is how long a request takes one stream of an engine at full speed.
+// streamTime returns the mean time for which a request occupies one stream of an
+// engine at full speed.
 func (c Class) cost(fleet Fleet) time.Duration {
 	prefill := c.meanPrompt() * float64(fleet.PrefillPerToken)
 	return time.Duration(prefill + c.meanAnswer()*float64(fleet.Interval))
 }
 
-// onTime reports whether a whole answer met the class's targets.
+// meetsTargets reports whether a complete response met all targets.
 func (c Class) onTime(r Result) bool {
 	return within(r.FirstToken, c.FirstToken) &&
 		within(r.BetweenTokens, c.BetweenTokens) &&
 		within(r.Completion, c.Completion)
 }
 
-// within reports whether a time meets a target; zero is no target.
+// meetsTarget reports whether d is within target; a zero target is always met.
 func within(d, target time.Duration) bool {
 	return target == 0 || d <= target
 }
 
-// path is where requests of a class go.
+// path returns the URL path of the class's requests.
 func (c Class) path() string {
 	if c.Service != "" {
 		return "/services/" + c.Service + servicePath
--- a/testbed/load/details.go
+++ b/testbed/load/details.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// DetailCount counts requests that went wrong in one way.
+// FailureCount is the number of a class's requests with the same failure detail.
 type DetailCount struct {
 	Class  string `json:"class"`
 	Detail string `json:"detail"`
 	Count  int    `json:"count"`
 }
 
-// details counts what went wrong with broken and wrong answers, the most
+// countFailures counts broken and wrong responses by class and detail, the most
 // frequent first.
 func details(scenario Scenario, records []record) []DetailCount {
 	var counts []DetailCount
--- a/testbed/load/engines.go
+++ b/testbed/load/engines.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// engineTimeout bounds one call of an engine's test API.
+	// engineTimeout is the timeout of one call to an engine's test API.
 	engineTimeout = 10 * time.Second
-	// settleTimeout is how long engines get to end runs whose callers have
-	// gone, before the record is taken as it is.
+	// runEndTimeout is the time that engines get to end runs whose clients
+	// have disconnected. After it the records are used as they are.
 	settleTimeout = 5 * time.Second
 	settleCheck   = 100 * time.Millisecond
 )
 
-// engineAPI is the engines' test API: faults and the record of runs.
+// engineClient calls the test API of the fake engines: fault injection and the
+// records of runs.
 type engineAPI struct {
 	urls   []string
 	client *http.Client
@@ -31,13 +32,13 @@
 	return &engineAPI{urls: urls, client: &http.Client{Timeout: engineTimeout}}
 }
 
-// faultKnobs are the knobs that a Fault sets.
+// faultSettings are the fields of an engine's knobs that a Fault sets.
 type faultKnobs struct {
 	Slow    float64 `json:"slow"`
 	Foreign int     `json:"foreign"`
 }
 
-// setFaults puts the faults of a phase into effect and ends all others'.
+// setFaults injects the faults of a phase and removes all other faults.
 func (e *engineAPI) setFaults(ctx context.Context, faults []Fault) error {
 	all := make([]faultKnobs, len(e.urls))
 	for _, fault := range faults {
@@ -57,8 +58,8 @@
 	return nil
 }
 
-// settled waits until the engines have ended all runs, up to a time, and
-// returns their records.
+// awaitRecords waits until all runs have ended, for runEndTimeout at most, and
+// returns the records of all engines.
 func (e *engineAPI) settled(ctx context.Context) ([]engine.Record, error) {
 	deadline := time.Now().Add(settleTimeout)
 	for {
@@ -75,7 +76,7 @@
 	for _, url := range e.urls {
 		var records []engine.Record
 		if err := e.call(ctx, http.MethodGet, url+"/record", nil, &records); err != nil {
-			return nil, errors.Wrap(err, "read record of runs")
+			return nil, errors.Wrap(err, "read records of runs")
 		}
 		all = append(all, records...)
 	}
--- a/testbed/load/mix.go
+++ b/testbed/load/mix.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// Mix is what one user of the system sends: customers and classes, and the
-// fleet of engines that it is sized for.
+// Mix is a workload: its customers, its classes of requests and the fleet of
+// engines it is sized for.
 type Mix struct {
 	// Name identifies the mix.
 	Name string `yaml:"name" json:"name"`
-	// Model is the model that the classes run on.
+	// Model is the model of classes that do not set their own.
 	Model string `yaml:"model" json:"model"`
-	// BurstClass is the class that bursts.
+	// BurstClass is the name of the class that Phase.Burst applies to.
 	BurstClass string `yaml:"burst_class" json:"burst_class"`
-	// Fleet is what the load is relative to.
+	// Fleet is the capacity to which loads are relative.
 	Fleet Fleet `yaml:"fleet" json:"fleet"`
-	// Customers send the requests; the first is the hot one in scenarios
-	// that have one.
+	// Customers are the customers that send the requests. Phase.HotShare
+	// applies to the first.
 	Customers []Customer `yaml:"customers" json:"customers"`
-	// Classes are the classes of work.
+	// Classes are the classes of requests.
 	Classes []Class `yaml:"classes" json:"classes"`
 }
 
-// Fleet sizes the engines.
+// Fleet is the number and the speed of the engines.
 type Fleet struct {
-	// Engines is how many there are of the mix's model.
+	// Engines is the number of engines of Mix.Model.
 	Engines int `yaml:"engines" json:"engines"`
-	// Others are engines of further models.
+	// OtherModels are the engines of further models.
 	Others []ModelEngines `yaml:"others" json:"others,omitempty"`
-	// Capacity is how many streams one runs at full speed.
+	// Capacity is the number of streams that one engine runs at full speed.
 	Capacity int `yaml:"capacity" json:"capacity"`
-	// Interval is the time between tokens at full speed.
+	// TokenInterval is the time between tokens at full speed.
 	Interval time.Duration `yaml:"interval" json:"interval"`
-	// PrefillPerToken is the time to read one prompt token.
+	// PrefillPerToken is the prefill time of one prompt token.
 	PrefillPerToken time.Duration `yaml:"prefill_per_token" json:"prefill_per_token"`
 }
 
-// ModelEngines are the engines of one model.
+// ModelEngines is the number of engines of one model.
 type ModelEngines struct {
 	// Model is the model's name.
 	Model string `yaml:"model" json:"model"`
-	// Engines is how many there are.
+	// Engines is the number of engines.
 	Engines int `yaml:"engines" json:"engines"`
 }
 
-// AllEngines is how many engines there are of all models.
+// TotalEngines returns the number of engines of all models.
 func (f Fleet) AllEngines() int {
 	engines := f.Engines
 	for _, other := range f.Others {
@@ -51,12 +51,14 @@
 	return engines
 }
 
-// streams is how many streams the fleet runs at full speed.
+// fullSpeedStreams returns the number of streams that the fleet runs at full
+// speed.
 func (f Fleet) streams() float64 {
 	return float64(f.AllEngines() * f.Capacity)
 }
 
-// modelStreams is how many streams a model's engines run at full speed.
+// fullSpeedStreamsOf returns the number of streams that the engines of a model
+// run at full speed.
 func (m Mix) modelStreams(model string) float64 {
 	for _, other := range m.Fleet.Others {
 		if other.Model == model {
@@ -66,7 +68,7 @@
 	return float64(m.Fleet.Engines * m.Fleet.Capacity)
 }
 
-// ModelOf is the model that a class runs on; empty for a plain service.
+// ModelOf returns the model that a class runs on, or "" for a plain service.
 func (m Mix) ModelOf(class Class) string {
 	if class.Service != "" || class.Model != "" {
 		return class.Model
@@ -74,12 +76,12 @@
 	return m.Model
 }
 
-// Customer sends requests of all classes.
+// Customer is a customer of the system. It sends requests of all classes.
 type Customer struct {
 	// Name is sent as X-Applepier-Customer.
 	Name string `yaml:"name" json:"name"`
-	// Key is sent as the bearer token; none when empty.
+	// Key is sent as the bearer token; no token is sent if it is empty.
 	Key string `yaml:"key" json:"-"`
-	// Share is its part of all requests, relative to the others'.
+	// Share is the relative weight of the customer in all requests.
 	Share float64 `yaml:"share" json:"share"`
 }
--- a/testbed/load/options.go
+++ b/testbed/load/options.go
@@ -2,42 +2,47 @@
 
 import "time"
 
-// DefaultPatience is how long a caller waits for the end of its answer.
+// DefaultRequestTimeout is the default timeout of a request, including its
+// response.
 const DefaultPatience = 60 * time.Second
 
-// Options says what is sent where.
+// Options configures Run.
 type Options struct {
-	// Scenario is what is sent.
+	// Scenario is the load to send.
 	Scenario Scenario
-	// Seed draws the arrivals.
+	// Seed is the random seed of the arrivals.
 	Seed uint64
-	// Target names what stands behind the entries, for the report.
+	// Target is the name of the system under test in the report.
 	Target string
-	// Entries are the base URLs that requests go to, in turn.
+	// Entries are the base URLs to which requests are sent, round robin. At
+	// least one is required.
 	Entries []string
-	// Engines are the base URLs of the stand-in engines, for faults and the
-	// record of runs; without them there are none of both.
+	// Engines are the base URLs of the fake engines. Without them no faults
+	// are injected, and the report has no figures from the records of runs.
 	Engines []string
-	// Patience is how long a caller waits; DefaultPatience when zero.
+	// RequestTimeout is the timeout of a request, including its response;
+	// DefaultRequestTimeout if zero.
 	Patience time.Duration
-	// CheckRetryAfter makes each refused caller come back once, when it was
-	// told to; one that was told to wait longer than ReturnWithin stays away.
+	// RetryRefused makes Run retry each refused request once, after its
+	// Retry-After. Requests whose Retry-After is longer than MaxRetryAfter
+	// are not retried.
 	CheckRetryAfter bool
-	// ReturnWithin is Patience when zero.
+	// MaxRetryAfter is the longest Retry-After that is followed;
+	// RequestTimeout if zero.
 	ReturnWithin time.Duration
-	// Progress is called about once a second while it runs; may be nil.
+	// Progress is called about once a second during the run; may be nil.
 	Progress func(Progress)
 }
 
-// Progress is how far a run has come.
+// Progress is the current progress of a run.
 type Progress struct {
-	// Elapsed is the time from the start; Total is how long requests are
-	// sent.
+	// Elapsed is the time since the start. Total is the duration of the
+	// scenario, without waiting for the last responses.
 	Elapsed time.Duration
 	Total   time.Duration
-	// Phase is the phase's name.
+	// Phase is the name of the current phase.
 	Phase string
-	// Sent and Ended count requests.
+	// Sent and Ended are the numbers of requests sent and ended so far.
 	Sent  int
 	Ended int
 }
--- a/testbed/load/prompt.go
+++ b/testbed/load/prompt.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// wordLength is the length of a filler word with its space: one token.
+	// wordBytes is the length of a filler word with its space. The fake
+	// engines count it as one token.
 	wordLength = 4
-	// maxPrompt bounds a prompt, in tokens.
+	// maxPromptTokens is the maximum length of a prompt's own part.
 	maxPrompt = 32_000
 )
 
-// chatRequest is a chat completion request as the tool sends it.
+// chatRequest is the body of a chat completion request.
 type chatRequest struct {
 	Model    string       `json:"model"`
 	Stream   bool         `json:"stream"`
@@ -29,14 +30,14 @@
 	Content string `json:"content"`
 }
 
-// chatMetadata tells the stand-in how long the answer is. The router doesn't
-// read it, just as nobody knows the length of an answer beforehand.
+// chatMetadata tells the fake engine the length of the response. The router does
+// not read it, because real response lengths are not known in advance either.
 type chatMetadata struct {
 	AnswerTokens string `json:"answer_tokens"`
 }
 
-// body builds an arrival's request. The salt makes the requests of each run
-// new to the engines' prefix caches.
+// requestBody builds the body of a request. The salt differs between runs, so
+// that the engines' prefix caches have no entries from earlier runs.
 func (s Scenario) body(a arrival, salt string) ([]byte, error) {
 	class := s.Mix.Classes[a.class]
 	if class.Service != "" {
@@ -53,7 +54,7 @@
 	})
 }
 
-// filler is text of a number of tokens.
+// fillerText returns pseudo-random text with the given number of tokens.
 func filler(seed uint64, tokens int) string {
 	random := rand.New(rand.NewPCG(seed, seed))
 	var text strings.Builder
@@ -66,7 +67,8 @@
 	return text.String()
 }
 
-// drawLength draws a log-normal length around a median, up to a limit.
+// drawLogNormalLength draws a log-normally distributed length with the given
+// median, clamped to the range from 1 to maxLength.
 func drawLength(random *rand.Rand, median int, spread float64, limit int) int {
 	drawn := float64(median) * math.Exp(spread*random.NormFloat64())
 	return min(max(int(math.Round(drawn)), 1), limit)
--- a/testbed/load/report.go
+++ b/testbed/load/report.go
@@ -6,24 +6,24 @@
 	"github.com/applepier/applepier/testbed/engine"
 )
 
-// Report sums up a run.
+// Report summarizes a run.
 type Report struct {
-	// Scenario, Seed and Target say what was run.
+	// Scenario, Seed and Target identify the run.
 	Scenario string `json:"scenario"`
 	Seed     uint64 `json:"seed"`
 	Target   string `json:"target"`
-	// Seconds is the time from the first request to the last answer.
+	// Seconds is the time from the start of the run to the last response.
 	Seconds float64 `json:"seconds"`
-	// Total and Classes sum up the whole run.
+	// Total and Classes summarize the whole run.
 	Total   ClassReport   `json:"total"`
 	Classes []ClassReport `json:"classes"`
-	// Phases sum up the requests that were due in each phase.
+	// Phases summarize the requests that were scheduled in each phase.
 	Phases []PhaseReport `json:"phases"`
-	// Details tell what went wrong with broken and wrong answers.
+	// Failures counts broken and wrong responses by failure detail.
 	Details []DetailCount `json:"details,omitempty"`
 }
 
-// PhaseReport sums up the requests that were due in one phase.
+// PhaseReport summarizes the requests that were scheduled in one phase.
 type PhaseReport struct {
 	Name    string        `json:"name"`
 	Seconds float64       `json:"seconds"`
@@ -31,13 +31,14 @@
 	Classes []ClassReport `json:"classes"`
 }
 
-// production is what the engines did for one request.
+// engineWork is the number of runs and tokens that the engines spent on one
+// request.
 type production struct {
 	runs   int
 	tokens int
 }
 
-// newReport sums up the requests against the engines' record of runs.
+// newReport builds the report from the requests and the engines' records of runs.
 func newReport(options Options, sending time.Duration, records []record, runs []engine.Record) *Report {
 	produced := produce(runs)
 	scenario := options.Scenario
@@ -65,7 +66,7 @@
 	return report
 }
 
-// produce sums up the engines' runs by request.
+// workByFingerprint adds up the engines' started runs by request fingerprint.
 func produce(runs []engine.Record) map[string]production {
 	produced := make(map[string]production, len(runs))
 	for _, run := range runs {
@@ -80,7 +81,7 @@
 	return produced
 }
 
-// phaseSummary gathers the requests of a phase.
+// phaseSummary accumulates the requests of a phase, in total and by class.
 type phaseSummary struct {
 	total   *summary
 	classes []*summary
--- a/testbed/load/result.go
+++ b/testbed/load/result.go
@@ -2,59 +2,61 @@
 
 import "time"
 
-// Outcome is what a caller got.
+// Outcome is the outcome of a request as the client sees it.
 type Outcome string
 
 // Outcomes of a request.
 const (
-	// OutcomeOnTime: the whole answer, within the class's targets.
+	// OutcomeOnTime: a complete response that met the targets of its class.
 	OutcomeOnTime Outcome = "on_time"
-	// OutcomeLate: the whole answer, past a target.
+	// OutcomeLate: a complete response that missed a target.
 	OutcomeLate Outcome = "late"
-	// OutcomeRefused: not run, with the time to come back.
+	// OutcomeRefused: rejected without being run, with a Retry-After.
 	OutcomeRefused Outcome = "refused"
-	// OutcomeUnknown: the caller was told that it may have run.
+	// OutcomeUnknown: an error that says that the request may have run.
 	OutcomeUnknown Outcome = "unknown"
-	// OutcomeBroken: a failure that the caller could see.
+	// OutcomeBroken: any other failure that the client can detect.
 	OutcomeBroken Outcome = "broken"
-	// OutcomeWrong: what looked like a whole answer was not the caller's.
+	// OutcomeWrong: a response that looks complete but is not the expected
+	// one.
 	OutcomeWrong Outcome = "wrong"
 )
 
-// Result is what became of one request.
+// Result is the result of sending one request.
 type Result struct {
 	Outcome Outcome
-	// Status is the HTTP status; zero when there was none.
+	// Status is the HTTP status, or 0 if no response was received.
 	Status int
-	// FirstToken and Completion count from when the request was due to be
-	// sent; BetweenTokens is the mean over the answer.
+	// FirstToken and Completion are measured from the time for which the
+	// request was scheduled. BetweenTokens is the mean over the response.
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
 	Completion    time.Duration
-	// Tokens is how many tokens came.
+	// Tokens is the number of tokens received.
 	Tokens int
-	// RetryAfter is when a refused caller is to come back.
+	// RetryAfter is the Retry-After of a refused request.
 	RetryAfter time.Duration
-	// Detail says what went wrong; never a prompt or an answer.
+	// Detail describes a failure. It never contains prompt or response text.
 	Detail string
 }
 
-// whole reports whether the caller has its whole answer.
+// complete reports whether the client received its complete response.
 func (r Result) whole() bool {
 	return r.Outcome == OutcomeOnTime || r.Outcome == OutcomeLate
 }
 
-// record is a request with all that became of it.
+// requestRecord is a request with its results.
 type record struct {
 	arrival     arrival
 	fingerprint string
 	result      Result
-	// again is what came of coming back after a refusal; nil when the
-	// caller did not.
+	// retry is the result of the retry after a refusal; nil if there was
+	// none.
 	again *Result
 }
 
-// delivered is how many tokens of whole answers the caller has got.
+// deliveredTokens returns the number of tokens that the client received in
+// complete responses.
 func (r record) delivered() int {
 	delivered := 0
 	if r.result.whole() {
--- a/testbed/load/run.go
+++ b/testbed/load/run.go
@@ -13,10 +13,10 @@
 	"github.com/applepier/applepier/testbed/engine"
 )
 
-// progressInterval is how often progress is told.
+// progressInterval is the time between calls of Options.Progress.
 const progressInterval = time.Second
 
-// runner is one run in progress.
+// runner is the state of one call of Run.
 type runner struct {
 	options  Options
 	salt     string
@@ -35,9 +35,11 @@
 	records []record
 }
 
-// Run sends all requests of a scenario and sums up what came of them. It is
-// open loop: each request is sent when it is due, whatever became of those
-// before. Run returns after the last answer.
+// Run sends all requests of a scenario and reports their results. The load is
+// open loop: each request is sent at its scheduled time, independently of earlier
+// responses. Run returns after the last response. It fails if ctx ends, if there
+// are no entries, or if an engine's test API fails; failed requests are part of
+// the report.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	r, err := newRunner(options)
 	if err != nil {
@@ -56,7 +58,7 @@
 
 func newRunner(options Options) (*runner, error) {
 	if len(options.Entries) == 0 {
-		return nil, errors.New("no entries to send to")
+		return nil, errors.New("no entries: at least one base URL is required")
 	}
 	if options.Patience == 0 {
 		options.Patience = DefaultPatience
@@ -81,7 +83,7 @@
 	return r, nil
 }
 
-// sendAll sends every request when it is due and waits for all answers.
+// sendAll sends every request at its scheduled time and waits for all responses.
 func (r *runner) sendAll(ctx context.Context) error {
 	defer r.caller.client.CloseIdleConnections()
 	var pending sync.WaitGroup
@@ -107,8 +109,8 @@
 	return r.engines.setFaults(ctx, nil)
 }
 
-// request sends one request, and again when it is refused and that is to be
-// checked.
+// sendRequest sends one request, retries it if it was refused and Options ask
+// for that, and records the results.
 func (r *runner) request(ctx context.Context, a arrival, body []byte) {
 	rec := record{arrival: a, fingerprint: engine.Fingerprint(body)}
 	rec.result = r.attempt(ctx, a, body, r.started.Add(a.at))
@@ -136,7 +138,8 @@
 	return r.caller.send(ctx, a, body, due)
 }
 
-// startProgress tells the progress until the returned function is called.
+// startProgressReports calls Options.Progress at every progressInterval until
+// the returned function is called.
 func (r *runner) startProgress() func() {
 	if r.options.Progress == nil {
 		return func() {}
--- a/testbed/load/run_test.go
+++ b/testbed/load/run_test.go
@@ -73,7 +73,7 @@
 		t.Errorf("quick: %+v", quick)
 	}
 	if slow.Sent == 0 || slow.Late != slow.Sent || slow.Attainment != 0 {
-		t.Errorf("slow, which can't meet its target: %+v", slow)
+		t.Errorf("slow, whose target can't be met: %+v", slow)
 	}
 	total := report.Total
 	if total.Sent != quick.Sent+slow.Sent || total.WastedTokens != 0 || total.ProducedTokens == 0 || total.RanAgain != 0 {
@@ -103,7 +103,7 @@
 	}
 }
 
-// refuseOnce turns away the first three requests, each only once.
+// onceRefuser refuses the first three distinct requests, each only once.
 type refuseOnce struct {
 	mu      sync.Mutex
 	refused []string
@@ -140,7 +140,7 @@
 		t.Errorf("total: %+v", total)
 	}
 	if total.WastedTokens != 0 || total.RanThoughRefused != 0 {
-		t.Errorf("the second try counts as waste or as run: %+v", total)
+		t.Errorf("the retry counts as wasted or as a run of a refused request: %+v", total)
 	}
 }
 
@@ -174,7 +174,7 @@
 	defer wrong.Close()
 	o.Entries = []string{wrong.URL}
 	if total := run(t, o).Total; total.Wrong != total.Sent {
-		t.Errorf("answers of other calls pass: %+v", total)
+		t.Errorf("responses to other calls are not reported as wrong: %+v", total)
 	}
 }
 
@@ -200,13 +200,13 @@
 		body   string
 		count  func(load.ClassReport) int
 	}{
-		{"another answer", 200, token + "data: [DONE]\n\n", func(c load.ClassReport) int { return c.Wrong }},
-		{"no end mark", 200, token, func(c load.ClassReport) int { return c.Broken }},
+		{"unexpected response", 200, token + "data: [DONE]\n\n", func(c load.ClassReport) int { return c.Wrong }},
+		{"no done event", 200, token, func(c load.ClassReport) int { return c.Broken }},
 		{"error event", 200, token + `data: {"error":{"type":"cut"}}`, func(c load.ClassReport) int { return c.Broken }},
 		{"unknown event", 200, `data: {"error":{"code":"unknown"}}`, func(c load.ClassReport) int { return c.Unknown }},
 		{"unknown status", 504, `{"error":{"code":"unknown"}}`, func(c load.ClassReport) int { return c.Unknown }},
 		{"unknown class", 404, `{"error":{"code":"unknown_class"}}`, func(c load.ClassReport) int { return c.Broken }},
-		{"refused without a time", 503, ``, func(c load.ClassReport) int { return c.Broken }},
+		{"refused without Retry-After", 503, ``, func(c load.ClassReport) int { return c.Broken }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -237,7 +237,8 @@
 func TestUsefulWorkIsAPartOfCapacity(t *testing.T) {
 	scenario := options(t, "http://127.0.0.1:1").Scenario
 	phase := load.PhaseReport{Seconds: 1, Classes: []load.ClassReport{{OnTimeTokens: 10_000}, {}}}
-	// 10,000 tokens of 200 µs are half a second of four streams.
+	// 10,000 tokens of 200 µs each take 2 s, which is half of what four
+	// streams do in 1 s.
 	if useful := scenario.Useful(phase); useful < 0.499 || useful > 0.501 {
 		t.Errorf("useful: %v", useful)
 	}
--- a/testbed/load/scenario.go
+++ b/testbed/load/scenario.go
@@ -1,6 +1,6 @@
-// Package load sends requests to the system as its callers would: open loop,
-// by class, seeded. It checks each answer whole and sums up by class what
-// callers got. Start reading at Run.
+// Package load is an open-loop load generator. It sends seeded random requests
+// by class, compares each response with the expected one and summarizes outcomes
+// and latencies by class. The entry point is Run.
 package load
 
 import (
@@ -10,14 +10,14 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Scenario is a mix of work under a shape of load.
+// Scenario is a workload and its load over time.
 type Scenario struct {
 	Mix   Mix   `json:"mix"`
 	Shape Shape `json:"shape"`
 }
 
-// ParseScenario reads a mix and a shape from YAML. Unknown keys are errors
-// that name line and column.
+// ParseScenario parses and validates a mix and a shape in YAML. Unknown keys are
+// errors that give the line and column.
 func ParseScenario(mix, shape []byte) (Scenario, error) {
 	var s Scenario
 	if err := yaml.UnmarshalWithOptions(mix, &s.Mix, yaml.Strict()); err != nil {
@@ -29,12 +29,12 @@
 	return s, s.check()
 }
 
-// Name identifies the scenario.
+// Name returns the names of the mix and the shape.
 func (s Scenario) Name() string {
 	return s.Mix.Name + " " + s.Shape.Name
 }
 
-// Duration is how long requests are sent.
+// Duration returns the total duration of the phases.
 func (s Scenario) Duration() time.Duration {
 	var total time.Duration
 	for _, phase := range s.Shape.Phases {
@@ -43,8 +43,8 @@
 	return total
 }
 
-// Scaled returns the scenario with its phases' durations multiplied by a
-// factor, for a shorter run.
+// Scaled returns a copy of the scenario with the durations of its phases
+// multiplied by factor.
 func (s Scenario) Scaled(factor float64) Scenario {
 	phases := make([]Phase, len(s.Shape.Phases))
 	for i, phase := range s.Shape.Phases {
@@ -55,7 +55,7 @@
 	return s
 }
 
-// classIndex finds a class by name; -1 when there is none.
+// classIndex returns the index of the class with the given name, or -1.
 func (s Scenario) classIndex(name string) int {
 	for i, class := range s.Mix.Classes {
 		if class.Name == name {
@@ -77,7 +77,7 @@
 	case fleet.Engines <= 0 || fleet.Capacity <= 0 || fleet.Interval <= 0:
 		return errors.New("fleet needs engines, capacity and interval above zero")
 	case s.classIndex(s.Mix.BurstClass) < 0:
-		return errors.Errorf("burst_class %q is no class", s.Mix.BurstClass)
+		return errors.Errorf("burst_class %q is not a class of the mix", s.Mix.BurstClass)
 	}
 	for _, class := range s.Mix.Classes {
 		if class.Service == "" && (class.PromptTokens <= 0 || class.AnswerTokens <= 0) {
@@ -91,12 +91,12 @@
 	for _, phase := range s.Shape.Phases {
 		for _, rate := range phase.Rates {
 			if s.classIndex(rate.Class) < 0 {
-				return errors.Errorf("phase %q: rate of unknown class %q", phase.Name, rate.Class)
+				return errors.Errorf("phase %q: rates name the unknown class %q", phase.Name, rate.Class)
 			}
 		}
 		for _, fault := range phase.Faults {
 			if fault.Engine < 0 || fault.Engine >= s.Mix.Fleet.AllEngines() {
-				return errors.Errorf("phase %q: fault of engine %d, which the fleet lacks", phase.Name, fault.Engine)
+				return errors.Errorf("phase %q: fault of engine %d, but the fleet has %d engines", phase.Name, fault.Engine, s.Mix.Fleet.AllEngines())
 			}
 		}
 	}
--- a/testbed/load/schedule.go
+++ b/testbed/load/schedule.go
@@ -8,22 +8,22 @@
 	"github.com/applepier/applepier/testbed/engine"
 )
 
-// arrival is one request that will be sent.
+// arrival is one scheduled request.
 type arrival struct {
-	// at is when, from the start.
+	// offset is the scheduled time since the start of the run.
 	at time.Duration
-	// number counts the requests in the order they are drawn.
+	// index is the request's position in order of time.
 	number   int
+	// phase, class and customer are indexes into the scenario's lists.
 	phase    int
 	class    int
 	customer int
-	// prompt and answer are lengths in tokens.
 	prompt int
 	answer int
 }
 
-// schedule draws all arrivals of a scenario. The same seed gives the same
-// arrivals whatever the system does with them.
+// schedule draws all arrivals of a scenario in advance, in order of time. The
+// same seed gives the same arrivals, independently of the system's responses.
 func schedule(s Scenario, seed uint64) []arrival {
 	var arrivals []arrival
 	var start time.Duration
@@ -42,7 +42,7 @@
 	return arrivals
 }
 
-// drawClass draws the arrivals of a class in a phase, as a Poisson process.
+// drawArrivals draws the arrivals of a class in a phase as a Poisson process.
 func (s Scenario) drawClass(random *rand.Rand, p, c int, start time.Duration) []arrival {
 	phase := s.Shape.Phases[p]
 	class := s.Mix.Classes[c]
@@ -64,7 +64,8 @@
 	return arrivals
 }
 
-// rate is how many requests of a class are sent a second in a phase.
+// arrivalRate returns the mean number of requests per second of a class in a
+// phase.
 func (s Scenario) rate(p, c int) float64 {
 	phase := s.Shape.Phases[p]
 	class := s.Mix.Classes[c]
@@ -91,7 +92,7 @@
 	return rate
 }
 
-// drawCustomer draws who sends a request.
+// drawCustomer draws the index of the customer that sends a request.
 func (s Scenario) drawCustomer(random *rand.Rand, phase Phase) int {
 	customers := s.Mix.Customers
 	if phase.HotShare > 0 && (random.Float64() < phase.HotShare || len(customers) == 1) {
@@ -115,6 +116,8 @@
 	return len(customers) - 1
 }
 
+// gap draws the exponentially distributed time to the next arrival, for a rate
+// per second.
 func gap(random *rand.Rand, rate float64) time.Duration {
 	return time.Duration(random.ExpFloat64() / rate * float64(time.Second))
 }
--- a/testbed/load/service_answer.go
+++ b/testbed/load/service_answer.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// maxServiceAnswer bounds what is read of a plain service's answer, in bytes.
+// maxServiceResponseBytes is the part of a plain service's response that is read.
 const maxServiceAnswer = 1 << 20
 
-// readServiceAnswer reads a plain service's answer to its end and compares it
-// with what it must be. Its first byte counts as the first token.
+// readServiceResponse reads a plain service's response to its end and compares it
+// with want. The time to its first byte is reported as FirstToken.
 func readServiceAnswer(body io.Reader, due time.Time, want string) Result {
 	var text bytes.Buffer
 	first := make([]byte, 1)
 	if _, err := io.ReadFull(body, first); err != nil {
-		return Result{Outcome: OutcomeBroken, Detail: "answer is empty"}
+		return Result{Outcome: OutcomeBroken, Detail: "response body is empty"}
 	}
 	firstByte := time.Since(due)
 	text.Write(first)
 	if _, err := io.Copy(&text, io.LimitReader(body, maxServiceAnswer)); err != nil {
-		return Result{Outcome: OutcomeBroken, Detail: "answer was cut"}
+		return Result{Outcome: OutcomeBroken, Detail: "response body was cut off"}
 	}
 	result := Result{Outcome: OutcomeOnTime, FirstToken: firstByte, Completion: time.Since(due)}
 	if text.String() != want {
 		result.Outcome = OutcomeWrong
-		result.Detail = "another answer"
+		result.Detail = "not the expected response"
 	}
 	return result
 }
--- a/testbed/load/summary.go
+++ b/testbed/load/summary.go
@@ -6,26 +6,26 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the histograms, in microseconds, and their precision.
+// Range of the histograms in microseconds, and their precision in significant
+// decimal digits.
 const (
 	lowestMicros  = 1
 	highestMicros = int64(10 * time.Minute / time.Microsecond)
 	digits        = 3
 )
 
-// Quantiles that are reported.
+// Reported percentiles.
 const (
 	median = 50
 	p95    = 95
-	// millisPerSecond turns milliseconds into seconds.
 	millisPerSecond = 1000
 )
 
-// ClassReport sums up the requests of a class.
+// ClassReport summarizes the requests of a class.
 type ClassReport struct {
 	Class string `json:"class"`
 	Tier  int    `json:"tier"`
-	// Sent is the sum of the six that follow.
+	// Sent is the sum of the next six fields.
 	Sent    int `json:"sent"`
 	OnTime  int `json:"on_time"`
 	Late    int `json:"late"`
@@ -33,41 +33,43 @@
 	Unknown int `json:"unknown"`
 	Broken  int `json:"broken"`
 	Wrong   int `json:"wrong"`
-	// Attainment is the part of those sent that was whole and on time.
+	// Attainment is the ratio of OnTime to Sent.
 	Attainment float64 `json:"attainment"`
-	// Goodput is the number of those a second of sending.
+	// Goodput is OnTime per second of the phase or scenario.
 	Goodput float64 `json:"goodput"`
-	// OnTimeTokens are the tokens of those answers.
+	// OnTimeTokens is the number of tokens in responses on time.
 	OnTimeTokens int `json:"on_time_tokens"`
-	// ProducedTokens are all that the engines made for the class's requests;
-	// WastedTokens those that no caller got in a whole answer.
+	// ProducedTokens is the number of tokens that the engines produced for
+	// the class. WastedTokens is the part that no client received in a
+	// complete response; WastedShare is its ratio to ProducedTokens.
 	ProducedTokens int     `json:"produced_tokens"`
 	WastedTokens   int     `json:"wasted_tokens"`
 	WastedShare    float64 `json:"wasted_share"`
-	// RanThoughRefused counts requests that were called "not run" and have a
-	// run on record; it must be zero.
+	// RefusedButRan is the number of refused requests that an engine ran
+	// nevertheless. It must be zero.
 	RanThoughRefused int `json:"ran_though_refused"`
-	// RanAgain counts requests with more than one run on record.
+	// RanMoreThanOnce is the number of requests with more than one run.
 	RanAgain int `json:"ran_again"`
-	// Times to the first token and between tokens, of whole answers.
+	// Latencies of complete responses: to the first token and the mean
+	// between tokens.
 	FirstTokenP50MS    float64 `json:"first_token_p50_ms"`
 	FirstTokenP95MS    float64 `json:"first_token_p95_ms"`
 	FirstTokenMaxMS    float64 `json:"first_token_max_ms"`
 	BetweenTokensP50MS float64 `json:"between_tokens_p50_ms"`
 	BetweenTokensP95MS float64 `json:"between_tokens_p95_ms"`
-	// CameBack counts refused callers that came back when they were told
-	// to; Served those that then got a whole answer on time, ServedLate
-	// those that got one late.
+	// Retried is the number of refused requests that were retried after
+	// their Retry-After. RetriedOnTime and RetriedLate are the numbers of
+	// retries with a complete response on time or late.
 	CameBack   int `json:"came_back"`
 	Served     int `json:"served"`
 	ServedLate int `json:"served_late"`
-	// RetryAfterMedianS and RetryAfterMaxS are what refused callers were
-	// told, in seconds.
+	// RetryAfterMedianS and RetryAfterMaxS are the median and the maximum
+	// Retry-After of refused requests, in seconds.
 	RetryAfterMedianS float64 `json:"retry_after_median_s"`
 	RetryAfterMaxS    float64 `json:"retry_after_max_s"`
 }
 
-// summary gathers the requests of a class.
+// summary accumulates the requests of a class.
 type summary struct {
 	sums    ClassReport
 	first   *hdrhistogram.Histogram
@@ -121,7 +123,7 @@
 	if made.runs > 1 {
 		s.sums.RanAgain++
 	}
-	// A caller that came back may have run then.
+	// The run of a request that was retried may belong to the retry.
 	stayedAway := rec.again == nil || rec.again.Outcome == OutcomeRefused
 	if made.runs > 0 && rec.result.Outcome == OutcomeRefused && stayedAway {
 		s.sums.RanThoughRefused++
@@ -145,7 +147,7 @@
 	}
 }
 
-// report computes what follows from the sums.
+// report returns the counts with the derived ratios and percentiles.
 func (s *summary) report(duration time.Duration) ClassReport {
 	report := s.sums
 	report.Attainment = share(report.OnTime, report.Sent)
--- a/testbed/load/table.go
+++ b/testbed/load/table.go
@@ -6,7 +6,8 @@
 	"text/tabwriter"
 )
 
-// WriteTable writes the report as a table with a line for each class.
+// WriteTable writes the report as a text table with one row per class, followed
+// by notes on phases, failures and retries.
 func (r *Report) WriteTable(w io.Writer) error {
 	_, err := fmt.Fprintf(w, "%s, seed %d, target %s: %.1f s\n", r.Scenario, r.Seed, r.Target, r.Seconds)
 	if err != nil {
@@ -39,7 +40,8 @@
 	return err
 }
 
-// writeNotes writes the goodput by phase and what else is worth a line.
+// writeNotes writes the goodput by phase and, where there are any, the failures,
+// the Retry-After times, the retries and refused requests that ran.
 func (r *Report) writeNotes(w io.Writer) error {
 	for _, phase := range r.Phases {
 		_, err := fmt.Fprintf(w, "phase %s: %d sent, goodput %.1f answers/s, %.0f tokens/s\n",
@@ -49,24 +51,24 @@
 		}
 	}
 	for _, d := range r.Details {
-		if _, err := fmt.Fprintf(w, "went wrong: %d %s: %s\n", d.Count, d.Class, d.Detail); err != nil {
+		if _, err := fmt.Fprintf(w, "failed: %d %s: %s\n", d.Count, d.Class, d.Detail); err != nil {
 			return err
 		}
 	}
 	if t := r.Total; t.Refused > 0 {
-		_, err := fmt.Fprintf(w, "Retry-After: median %.0f s, longest %.0f s\n", t.RetryAfterMedianS, t.RetryAfterMaxS)
+		_, err := fmt.Fprintf(w, "Retry-After: median %.0f s, maximum %.0f s\n", t.RetryAfterMedianS, t.RetryAfterMaxS)
 		if err != nil {
 			return err
 		}
 	}
 	if t := r.Total; t.CameBack > 0 {
-		_, err := fmt.Fprintf(w, "came back after Retry-After: %d, then on time %d, late %d\n", t.CameBack, t.Served, t.ServedLate)
+		_, err := fmt.Fprintf(w, "retried after Retry-After: %d, of these on time %d, late %d\n", t.CameBack, t.Served, t.ServedLate)
 		if err != nil {
 			return err
 		}
 	}
 	if r.Total.RanThoughRefused > 0 {
-		_, err := fmt.Fprintf(w, "called not run but on record as run: %d\n", r.Total.RanThoughRefused)
+		_, err := fmt.Fprintf(w, "refused but run by an engine: %d\n", r.Total.RanThoughRefused)
 		return err
 	}
 	return nil
--- a/testbed/load/useful.go
+++ b/testbed/load/useful.go
@@ -1,8 +1,8 @@
 package load
 
-// Useful is the part of the fleet's capacity during a phase that went into
-// answers which were whole and on time, of the requests due in that phase.
-// Some of their work falls after the phase, so that it can be above 1.
+// UsefulCapacityShare returns the fraction of the fleet's capacity in a phase
+// that was used for complete responses on time to requests scheduled in the
+// phase. Some of that work happens after the phase, so it can exceed 1.
 func (s Scenario) Useful(phase PhaseReport) float64 {
 	var work float64
 	for i, class := range s.Mix.Classes {
@@ -11,8 +11,9 @@
 	return work / (s.Mix.Fleet.streams() * phase.Seconds)
 }
 
-// onTimeWork is how long its answers on time take one stream at full speed, in
-// seconds. Prompts count by their mean, without what the engines have cached.
+// onTimeStreamSeconds returns the time, in seconds, that the responses on time
+// take one stream at full speed. Prompts are counted with their mean length,
+// without the shared prefix, which engines have cached.
 func (c Class) onTimeWork(fleet Fleet, report ClassReport) float64 {
 	if c.Service != "" {
 		return 0
--- a/testbed/loadfleet/loadfleet.go
+++ b/testbed/loadfleet/loadfleet.go
@@ -1,5 +1,5 @@
-// Package loadfleet starts the fleet that a scenario of load is sized for, and
-// points the load at it. Start reading at Start.
+// Package loadfleet starts the fleet of processes that a load scenario is sized
+// for and configures the load generator to send to it.
 package loadfleet
 
 import (
@@ -11,9 +11,9 @@
 	"github.com/applepier/applepier/testbed/load"
 )
 
-// Start runs a mix's engines and plain services with their agents, and a
-// number of entries; all of the mix's classes and customers are known there.
-// Binaries are built when nil.
+// Start starts the engines and plain services of a mix with their agents, and the
+// given number of entries, which are configured with the classes and customers of
+// the mix. If binaries is nil, they are built. The caller must stop the fleet.
 func Start(ctx context.Context, mix load.Mix, entries int, binaries *fleet.Binaries) (*fleet.Fleet, error) {
 	return fleet.Start(ctx, fleet.Options{
 		Binaries:  binaries,
@@ -25,7 +25,8 @@
 	})
 }
 
-// Target points a run of load at a fleet.
+// LoadOptions returns options for a run of the scenario against a fleet. They
+// include the customers' keys and the URLs of entries and engines.
 func Target(f *fleet.Fleet, scenario load.Scenario) load.Options {
 	options := load.Options{Scenario: scenario}
 	keyed := make([]load.Customer, len(scenario.Mix.Customers))
@@ -45,7 +46,7 @@
 	return options
 }
 
-// engines are in the order in which faults count them.
+// engineSpecs returns the engines in the order of the indexes in load.Fault.
 func engines(mix load.Mix) []fleet.BackendSpec {
 	sized := mix.Fleet
 	specs := fleet.Engines(sized.Engines, mix.Model, sized.Capacity, sized.Interval)
@@ -68,8 +69,9 @@
 	return specs
 }
 
-// classes are stated as operators would: targets and tier. Calls of plain
-// services change something there and may not be repeated.
+// targetClasses returns the classes as an operator configures them, with latency
+// targets and tier. Calls of plain services have side effects, so their classes
+// are not repeatable.
 func classes(mix load.Mix) []targets.Class {
 	var stated []targets.Class
 	for _, class := range mix.Classes {
