--- a/testbed/cmd/load/command.go
+++ b/testbed/cmd/load/command.go
@@ -46,7 +46,7 @@
 			&cli.StringFlag{Name: "target", Value: targetApplepier, Usage: strings.Join(targetNames(), ", ")},
 			&cli.StringSliceFlag{Name: "entry", Usage: "base URL of an entry; repeat for several"},
 			&cli.StringSliceFlag{Name: "engine", Usage: "base URL of a fake engine; repeat for several"},
-			&cli.DurationFlag{Name: "patience", Value: load.DefaultPatience, Usage: "timeout of a request, including its response"},
+			&cli.DurationFlag{Name: "patience", Value: load.DefaultRequestTimeout, Usage: "timeout of a request, including its response"},
 			&cli.BoolFlag{Name: "retry-after-check", Usage: "retry each refused request once after its Retry-After"},
 			&cli.StringFlag{Name: "json", Usage: "file to which the report is written as JSON"},
 		},
--- a/testbed/cmd/load/command_test.go
+++ b/testbed/cmd/load/command_test.go
@@ -16,28 +16,28 @@
 	"github.com/applepier/applepier/testbed/load"
 )
 
-func TestCommandReportsEachTargetButApplepier(t *testing.T) {
+func TestCommandReportsEveryTargetExceptApplepier(t *testing.T) {
 	for _, target := range targetNames() {
 		if target != targetApplepier {
-			t.Run(target, func(t *testing.T) { reportTarget(t, target) })
+			t.Run(target, func(t *testing.T) { testTarget(t, target) })
 		}
 	}
 }
 
-func reportTarget(t *testing.T, target string) {
+func testTarget(t *testing.T, target string) {
 	t.Helper()
 	server, err := engine.New(engine.Config{Interval: 100 * time.Microsecond, Capacity: 64})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer server.Close()
-	web := httptest.NewServer(server)
-	defer web.Close()
+	httpServer := httptest.NewServer(server)
+	defer httpServer.Close()
 	path := filepath.Join(t.TempDir(), "report.json")
 	var table bytes.Buffer
 	err = newCommand(&table, io.Discard).Run(context.Background(), []string{
 		"load", "--mix", "tampere", "--shape", "quiet", "--scale", "0.02", "--target", target,
-		"--engine", web.URL, "--json", path,
+		"--engine", httpServer.URL, "--json", path,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/testbed/cmd/load/measure.go
+++ b/testbed/cmd/load/measure.go
@@ -16,7 +16,7 @@
 
 // defaultMaxRetryAfter is the longest Retry-After after which refused requests
 // are retried.
-const returnWithin = 20 * time.Second
+const defaultMaxRetryAfter = 20 * time.Second
 
 func measureCommand(out, progress io.Writer) *cli.Command {
 	return &cli.Command{
@@ -33,8 +33,8 @@
 			&cli.IntFlag{Name: "seeds", Value: 3, Usage: "number of seeds"},
 			&cli.FloatFlag{Name: "scale", Value: 1, Usage: "factor for the durations of the phases"},
 			&cli.IntFlag{Name: "parallel", Value: 1, Usage: "number of fleets that run concurrently"},
-			&cli.DurationFlag{Name: "patience", Value: load.DefaultPatience, Usage: "timeout of a request, including its response"},
-			&cli.DurationFlag{Name: "return-within", Value: returnWithin, Usage: "longest Retry-After after which a refused request is retried"},
+			&cli.DurationFlag{Name: "patience", Value: load.DefaultRequestTimeout, Usage: "timeout of a request, including its response"},
+			&cli.DurationFlag{Name: "return-within", Value: defaultMaxRetryAfter, Usage: "longest Retry-After after which a refused request is retried"},
 			&cli.StringFlag{Name: "json", Usage: "file to which all reports are written as JSON"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error { return runMeasure(ctx, cmd, out, progress) },
@@ -56,10 +56,10 @@
 		ReturnWithin: cmd.Duration("return-within"),
 		Progress:     progress,
 	}
-	rounds, err := measure.Run(ctx, options)
-	measure.WriteTables(out, options, rounds)
+	results, err := measure.Run(ctx, options)
+	measure.WriteTables(out, options, results)
 	if path := cmd.String("json"); path != "" {
-		err = errors.Join(err, writeRounds(path, rounds))
+		err = errors.Join(err, writeRounds(path, results))
 	}
 	return err
 }
--- a/testbed/engine/chunk.go
+++ b/testbed/engine/chunk.go
@@ -37,71 +37,71 @@
 }
 
 // finishReasonStop is the finish_reason of a complete response.
-var finishStop = "stop"
+var finishReasonStop = "stop"
 
 // chunkWriter writes chunks to a response as server-sent events.
 type chunkWriter struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	chunk   chunk
-	buffer  bytes.Buffer
+	w          http.ResponseWriter
+	controller *http.ResponseController
+	template   chunk
+	event      bytes.Buffer
 }
 
-func newChunkWriter(w http.ResponseWriter, model, run string) *chunkWriter {
+func newChunkWriter(w http.ResponseWriter, model, runID string) *chunkWriter {
 	return &chunkWriter{
-		w:       w,
-		control: http.NewResponseController(w),
-		chunk: chunk{
-			ID: "chatcmpl-" + run, Object: "chat.completion.chunk",
+		w:          w,
+		controller: http.NewResponseController(w),
+		template: chunk{
+			ID: "chatcmpl-" + runID, Object: "chat.completion.chunk",
 			Created: time.Now().Unix(), Model: model,
 		},
 	}
 }
 
 // start writes the headers and a chunk with the assistant role.
-func (c *chunkWriter) open() error {
+func (c *chunkWriter) start() error {
 	c.w.Header().Set("Content-Type", "text/event-stream")
 	c.w.Header().Set("Cache-Control", "no-store")
-	return c.send([]choice{{Delta: delta{Role: "assistant"}}}, nil)
+	return c.writeChunk([]choice{{Delta: delta{Role: "assistant"}}}, nil)
 }
 
 // writeToken writes a chunk with one token.
-func (c *chunkWriter) token(text string) error {
-	return c.send([]choice{{Delta: delta{Content: text}}}, nil)
+func (c *chunkWriter) writeToken(text string) error {
+	return c.writeChunk([]choice{{Delta: delta{Content: text}}}, nil)
 }
 
 // finish writes the finish reason, the usage and the final [DONE] event.
-func (c *chunkWriter) end(promptTokens, answerTokens int) error {
-	if err := c.send([]choice{{FinishReason: &finishStop}}, nil); err != nil {
+func (c *chunkWriter) finish(promptTokens, completionTokens int) error {
+	if err := c.writeChunk([]choice{{FinishReason: &finishReasonStop}}, nil); err != nil {
 		return err
 	}
-	total := usage{PromptTokens: promptTokens, CompletionTokens: answerTokens, TotalTokens: promptTokens + answerTokens}
-	if err := c.send([]choice{}, &total); err != nil {
+	tokenUsage := usage{PromptTokens: promptTokens, CompletionTokens: completionTokens, TotalTokens: promptTokens + completionTokens}
+	if err := c.writeChunk([]choice{}, &tokenUsage); err != nil {
 		return err
 	}
-	return c.write([]byte("[DONE]"))
+	return c.writeEvent([]byte("[DONE]"))
 }
 
-func (c *chunkWriter) send(choices []choice, total *usage) error {
-	next := c.chunk
-	next.Choices = choices
-	next.Usage = total
-	data, err := json.Marshal(next)
+func (c *chunkWriter) writeChunk(choices []choice, tokenUsage *usage) error {
+	filled := c.template
+	filled.Choices = choices
+	filled.Usage = tokenUsage
+	data, err := json.Marshal(filled)
 	if err != nil {
 		return err
 	}
-	return c.write(data)
+	return c.writeEvent(data)
 }
 
-func (c *chunkWriter) write(data []byte) error {
-	c.buffer.Reset()
-	c.buffer.WriteString("data: ")
-	c.buffer.Write(data)
-	c.buffer.WriteString("\n\n")
-	if _, err := c.w.Write(c.buffer.Bytes()); err != nil {
+func (c *chunkWriter) writeEvent(data []byte) error {
+	c.event.Reset()
+	c.event.WriteString("data: ")
+	c.event.Write(data)
+	c.event.WriteString("\n\n")
+	if _, err := c.w.Write(c.event.Bytes()); err != nil {
 		return err
 	}
-	return c.control.Flush()
+	return c.controller.Flush()
 }
 
 // errorBody is an error response of the OpenAI API.
--- a/testbed/engine/completions.go
+++ b/testbed/engine/completion.go
@@ -13,11 +13,11 @@
 )
 
 // maxBodyBytes is the largest request body that is read.
-const maxBody = 16 << 20
+const maxBodyBytes = 16 << 20
 
 // serveCompletion streams the response to one chat completion request. When the
 // run does not complete, it aborts the connection.
-func (s *Server) completions(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	req, err := s.readRequest(w, r)
 	if err != nil {
 		writeError(w, http.StatusBadRequest, err.Error())
@@ -27,11 +27,11 @@
 		writeError(w, status, "engine rejects requests: reject_status is set")
 		return
 	}
-	if !slices.Contains(s.orders.loaded(), req.Model) {
+	if !slices.Contains(s.orders.loadedModels(), req.Model) {
 		writeError(w, http.StatusNotFound, "model "+req.Model+" is not loaded")
 		return
 	}
-	tokens := req.answer()
+	tokens := req.responseTokens()
 	resumeFrom, err := intHeader(r, engine.HeaderResumeFrom)
 	if err != nil || resumeFrom < 0 || resumeFrom > len(tokens) {
 		writeError(w, http.StatusBadRequest, engine.HeaderResumeFrom+" must be a number from 0 to the response's length in tokens")
@@ -45,7 +45,7 @@
 
 	ctx, cancel := context.WithCancelCause(r.Context())
 	defer cancel(nil)
-	record := s.journal.accept(Record{
+	record := s.runs.accept(Record{
 		Run:         r.Header.Get(engine.HeaderRequestID),
 		Marker:      req.Metadata.Marker,
 		Fingerprint: req.fingerprint(),
@@ -53,21 +53,21 @@
 		ResumedFrom: resumeFrom,
 	}, cancel)
 	run := &run{
-		server: s,
-		record: record,
-		prompt: req.prompt(),
-		tokens: tokens,
-		out:    newChunkWriter(w, req.Model, record.Run),
+		server:     s,
+		record:     record,
+		promptText: req.promptText(),
+		tokens:     tokens,
+		writer:     newChunkWriter(w, req.Model, record.Run),
 	}
 	outcome := outcomeOf(ctx, run.serve(ctx))
-	s.journal.end(record, outcome)
+	s.runs.end(record, outcome)
 	if outcome != OutcomeWhole {
 		panic(http.ErrAbortHandler)
 	}
 }
 
 func (s *Server) readRequest(w http.ResponseWriter, r *http.Request) (*request, error) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 	switch {
 	case err == nil:
 		return OutcomeWhole
-	case errors.Is(err, errCut):
+	case errors.Is(err, errStreamCut):
 		return OutcomeCut
 	case errors.Is(cause, errCancelled):
 		return OutcomeCancelled
--- a/testbed/engine/config.go
+++ b/testbed/engine/config.go
@@ -36,12 +36,12 @@
 
 // Defaults for zero values of Config.
 const (
-	DefaultModel       = "apple-avustaja"
-	DefaultCapacity    = 8
-	DefaultInterval    = 10 * time.Millisecond
-	DefaultPrefill     = 20 * time.Microsecond
-	DefaultCacheBlocks = 4096
-	DefaultLoadLag     = 500 * time.Millisecond
+	DefaultModel           = "apple-avustaja"
+	DefaultCapacity        = 8
+	DefaultInterval        = 10 * time.Millisecond
+	DefaultPrefillPerToken = 20 * time.Microsecond
+	DefaultCacheBlocks     = 4096
+	DefaultLoadLag         = 500 * time.Millisecond
 	// streamsPerCapacity is the default ratio of MaxStreams to Capacity.
 	streamsPerCapacity = 4
 )
@@ -61,7 +61,7 @@
 		c.Interval = DefaultInterval
 	}
 	if c.PrefillPerToken <= 0 {
-		c.PrefillPerToken = DefaultPrefill
+		c.PrefillPerToken = DefaultPrefillPerToken
 	}
 	if c.CacheBlocks <= 0 {
 		c.CacheBlocks = DefaultCacheBlocks
--- a/testbed/engine/knobs.go
+++ b/testbed/engine/knobs.go
@@ -28,14 +28,14 @@
 	Foreign int `json:"foreign"`
 	// IgnoreFencingTokens makes the engine execute orders with a stale
 	// fencing token.
-	IgnoreFences bool `json:"ignore_fences"`
+	IgnoreFencingTokens bool `json:"ignore_fences"`
 	// RejectStatus, when not 0, is the HTTP status with which every run is
 	// rejected.
 	RejectStatus int `json:"reject_status"`
 }
 
 // delayFactor returns the factor by which delays are multiplied.
-func (k Knobs) slowFactor() float64 {
+func (k Knobs) delayFactor() float64 {
 	if k.Slow <= 0 {
 		return 1
 	}
--- a/testbed/engine/reporter.go
+++ b/testbed/engine/load_reporter.go
@@ -9,7 +9,7 @@
 
 // loadReporter holds the load report and updates it at a fixed interval, so that
 // clients see a stale load as with real engines.
-type reporter struct {
+type loadReporter struct {
 	mu     sync.Mutex
 	report engine.Load
 	stop   chan struct{}
@@ -17,27 +17,27 @@
 }
 
 // newLoadReporter measures the load now and then at every interval until close.
-func newReporter(lag time.Duration, measure func() engine.Load) *reporter {
-	r := &reporter{report: measure(), stop: make(chan struct{}), done: make(chan struct{})}
-	go r.refresh(lag, measure)
+func newLoadReporter(interval time.Duration, measure func() engine.Load) *loadReporter {
+	r := &loadReporter{report: measure(), stop: make(chan struct{}), done: make(chan struct{})}
+	go r.refresh(interval, measure)
 	return r
 }
 
 // latest returns the most recent report.
-func (r *reporter) last() engine.Load {
+func (r *loadReporter) latest() engine.Load {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.report
 }
 
-func (r *reporter) close() {
+func (r *loadReporter) close() {
 	close(r.stop)
 	<-r.done
 }
 
-func (r *reporter) refresh(lag time.Duration, measure func() engine.Load) {
+func (r *loadReporter) refresh(interval time.Duration, measure func() engine.Load) {
 	defer close(r.done)
-	ticker := time.NewTicker(lag)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/testbed/engine/orders.go
+++ b/testbed/engine/orders.go
@@ -9,23 +9,23 @@
 
 // orderLog stores the executed orders and the models they loaded. It is safe for
 // concurrent use.
-type orders struct {
-	mu     sync.Mutex
-	fence  uint64
-	taken  []engine.Order
-	models []string
+type orderLog struct {
+	mu           sync.Mutex
+	fencingToken uint64
+	executed     []engine.Order
+	models       []string
 }
 
 // execute executes an order. Unless ignoreFencingToken is set, it returns
 // ErrStaleFencingToken if an earlier order had a higher fencing token.
-func (o *orders) take(order engine.Order, ignoreFence bool) error {
+func (o *orderLog) execute(order engine.Order, ignoreFencingToken bool) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if order.Fence < o.fence && !ignoreFence {
+	if order.Fence < o.fencingToken && !ignoreFencingToken {
 		return engine.ErrFenced
 	}
-	o.fence = max(o.fence, order.Fence)
-	o.taken = append(o.taken, order)
+	o.fencingToken = max(o.fencingToken, order.Fence)
+	o.executed = append(o.executed, order)
 	if order.LoadModel != "" && !slices.Contains(o.models, order.LoadModel) {
 		o.models = append(o.models, order.LoadModel)
 	}
@@ -33,14 +33,14 @@
 }
 
 // list returns the executed orders in order of execution.
-func (o *orders) list() []engine.Order {
+func (o *orderLog) list() []engine.Order {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return append([]engine.Order{}, o.taken...)
+	return append([]engine.Order{}, o.executed...)
 }
 
 // loadedModels returns the names of the loaded models.
-func (o *orders) loaded() []string {
+func (o *orderLog) loadedModels() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.models)
--- a/testbed/engine/cache.go
+++ b/testbed/engine/prefix_cache.go
@@ -12,37 +12,37 @@
 // prefixCache is an LRU cache of prompt blocks. A block's hash covers the block
 // and everything before it, so that only common prefixes match.
 type prefixCache struct {
-	mu     sync.Mutex
-	size   int
-	order  *list.List
-	blocks map[uint64]*list.Element
+	mu       sync.Mutex
+	capacity int
+	lru      *list.List
+	blocks   map[uint64]*list.Element
 }
 
-func newPrefixCache(size int) *prefixCache {
-	return &prefixCache{size: size, order: list.New(), blocks: map[uint64]*list.Element{}}
+func newPrefixCache(capacity int) *prefixCache {
+	return &prefixCache{capacity: capacity, lru: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
 // lookupAndStore returns the number of leading prompt tokens that are cached,
 // and caches the full blocks of the prompt.
-func (c *prefixCache) visit(prompt string) int {
+func (c *prefixCache) lookupAndStore(prompt string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cached := 0
+	cachedBlocks := 0
 	matching := true
-	for _, block := range hashBlocks(prompt) {
+	for _, block := range prefixHashes(prompt) {
 		matching = c.touch(block) && matching
 		if matching {
-			cached++
+			cachedBlocks++
 		}
 	}
-	return cached * blockTokens
+	return cachedBlocks * blockTokens
 }
 
 // clear removes all blocks.
 func (c *prefixCache) clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.order.Init()
+	c.lru.Init()
 	clear(c.blocks)
 }
 
@@ -50,20 +50,20 @@
 // reports whether it was cached before.
 func (c *prefixCache) touch(block uint64) bool {
 	if element, ok := c.blocks[block]; ok {
-		c.order.MoveToFront(element)
+		c.lru.MoveToFront(element)
 		return true
 	}
-	c.blocks[block] = c.order.PushFront(block)
-	if c.order.Len() > c.size {
-		oldest := c.order.Back()
-		delete(c.blocks, c.order.Remove(oldest).(uint64))
+	c.blocks[block] = c.lru.PushFront(block)
+	if c.lru.Len() > c.capacity {
+		oldest := c.lru.Back()
+		delete(c.blocks, c.lru.Remove(oldest).(uint64))
 	}
 	return false
 }
 
 // prefixHashes returns a hash of each prefix of the prompt that ends at a full
 // block.
-func hashBlocks(prompt string) []uint64 {
+func prefixHashes(prompt string) []uint64 {
 	const blockBytes = blockTokens * bytesPerToken
 	hash := fnv.New64a()
 	hashes := make([]uint64, 0, len(prompt)/blockBytes)
--- a/testbed/engine/request.go
+++ b/testbed/engine/request.go
@@ -31,7 +31,7 @@
 type metadata struct {
 	// ResponseTokens is the exact length of the response. It is not in
 	// max_tokens because the router must not know the length in advance.
-	AnswerTokens int `json:"answer_tokens,string"`
+	ResponseTokens int `json:"answer_tokens,string"`
 	// Marker is copied to the run's record, so that a test can match runs
 	// and requests even if the client never received a request id.
 	Marker string `json:"marker"`
@@ -49,7 +49,7 @@
 }
 
 // promptText returns the roles and contents of all messages as one text.
-func (r *request) prompt() string {
+func (r *request) promptText() string {
 	var text strings.Builder
 	for _, m := range r.Messages {
 		text.WriteString(m.Role)
@@ -72,6 +72,6 @@
 }
 
 // estimateTokens returns the number of tokens of a text, rounded up.
-func countTokens(text string) int {
+func estimateTokens(text string) int {
 	return (len(text) + bytesPerToken - 1) / bytesPerToken
 }
--- a/testbed/engine/answer.go
+++ b/testbed/engine/response.go
@@ -11,14 +11,14 @@
 
 const (
 	// MaxResponseTokens is the length of the longest response, in tokens.
-	MaxAnswer = 4096
+	MaxResponseTokens = 4096
 	// medianResponseTokens and responseLogStdDev are the parameters of the
 	// log-normal length of responses whose request sets no length. The
 	// distribution's tail produces a few very long responses.
-	medianAnswer = 60
-	spreadAnswer = 0.8
+	medianResponseTokens = 60
+	responseLogStdDev    = 0.8
 	// vocabularySize is the number of distinct tokens.
-	vocabulary = 4096
+	vocabularySize = 4096
 )
 
 // ResponseTokens returns the tokens of the complete response to a chat
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil
 	}
-	return req.answer()
+	return req.responseTokens()
 }
 
 // ResponseText returns the tokens of ResponseTokens as one string.
@@ -50,18 +50,18 @@
 }
 
 func (r *request) fingerprint() string {
-	return fmt.Sprintf("%016x", r.hash())
+	return fmt.Sprintf("%016x", r.messageHash())
 }
 
 // responseTokens generates the response's tokens with the hash of the messages
 // as the random seed.
-func (r *request) answer() []string {
-	seed := r.hash()
+func (r *request) responseTokens() []string {
+	seed := r.messageHash()
 	random := rand.New(rand.NewPCG(seed, seed))
-	length := r.length(random)
-	tokens := make([]string, length)
+	count := r.responseLength(random)
+	tokens := make([]string, count)
 	for i := range tokens {
-		tokens[i] = fmt.Sprintf("w%03x ", random.IntN(vocabulary))
+		tokens[i] = fmt.Sprintf("w%03x ", random.IntN(vocabularySize))
 	}
 	return tokens
 }
@@ -69,22 +69,22 @@
 // responseLength returns the response's length in tokens: the first that is set
 // of metadata.answer_tokens, max_completion_tokens and max_tokens, else a random
 // length. It is always between 1 and MaxResponseTokens.
-func (r *request) length(random *rand.Rand) int {
-	drawn := int(medianAnswer * math.Exp(spreadAnswer*random.NormFloat64()))
+func (r *request) responseLength(random *rand.Rand) int {
+	length := int(medianResponseTokens * math.Exp(responseLogStdDev*random.NormFloat64()))
 	switch {
-	case r.Metadata.AnswerTokens > 0:
-		drawn = r.Metadata.AnswerTokens
+	case r.Metadata.ResponseTokens > 0:
+		length = r.Metadata.ResponseTokens
 	case r.MaxCompletionTokens > 0:
-		drawn = r.MaxCompletionTokens
+		length = r.MaxCompletionTokens
 	case r.MaxTokens > 0:
-		drawn = r.MaxTokens
+		length = r.MaxTokens
 	}
-	return min(max(drawn, 1), MaxAnswer)
+	return min(max(length, 1), MaxResponseTokens)
 }
 
 // messageHash hashes the decoded messages, so that the formatting of their JSON
 // does not matter.
-func (r *request) hash() uint64 {
+func (r *request) messageHash() uint64 {
 	canonical, err := json.Marshal(r.Messages)
 	if err != nil {
 		return 0
--- a/testbed/engine/record.go
+++ b/testbed/engine/run_record.go
@@ -71,13 +71,13 @@
 	}
 	var records []Record
 	for _, record := range written {
-		records = place(records, record)
+		records = putBySeq(records, record)
 	}
 	return records, nil
 }
 
 // putBySeq stores a record at index Seq-1, extending the slice as needed.
-func place(records []Record, record Record) []Record {
+func putBySeq(records []Record, record Record) []Record {
 	for len(records) < record.Seq {
 		records = append(records, Record{})
 	}
--- a/testbed/engine/server.go
+++ b/testbed/engine/server.go
@@ -18,7 +18,7 @@
 
 // frozenPollInterval is the interval at which blocked calls check whether the
 // engine is still frozen.
-const thawCheck = 2 * time.Millisecond
+const frozenPollInterval = 2 * time.Millisecond
 
 // Cancellation causes of a run's context.
 var (
@@ -29,35 +29,35 @@
 // Server is the fake engine. It implements http.Handler and is safe for
 // concurrent use.
 type Server struct {
-	config  Config
-	mux     *http.ServeMux
-	knobs   knobs.Box[Knobs]
-	slots   slots
-	cache   *prefixCache
-	journal *journal
-	orders  orders
-	load    *reporter
+	config       Config
+	mux          *http.ServeMux
+	knobs        knobs.Box[Knobs]
+	slots        slots
+	cache        *prefixCache
+	runs         *runLog
+	orders       orderLog
+	loadReporter *loadReporter
 }
 
 // New returns a server without injected faults. It fails if the record file
 // can't be opened. The caller must call Close.
 func New(config Config) (*Server, error) {
 	config = config.withDefaults()
-	journal, err := newJournal(config.RecordFile)
+	runs, err := newRunLog(config.RecordFile)
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{
-		config:  config,
-		mux:     http.NewServeMux(),
-		cache:   newPrefixCache(config.CacheBlocks),
-		journal: journal,
+		config: config,
+		mux:    http.NewServeMux(),
+		cache:  newPrefixCache(config.CacheBlocks),
+		runs:   runs,
 	}
 	s.orders.models = []string{config.Model}
-	s.knobs.Update(func(k *Knobs) { k.IgnoreFences = config.IgnoreFences })
+	s.knobs.Update(func(k *Knobs) { k.IgnoreFencingTokens = config.IgnoreFences })
 	s.slots.setLimit(config.MaxStreams)
-	s.load = newReporter(config.LoadLag, s.measureLoad)
-	s.routes()
+	s.loadReporter = newLoadReporter(config.LoadLag, s.measureLoad)
+	s.registerRoutes()
 	return s, nil
 }
 
@@ -68,9 +68,9 @@
 
 // Close cancels all runs, stops the load reports and closes the record file.
 func (s *Server) Close() {
-	s.journal.cancel("", errCrashed)
-	s.load.close()
-	s.journal.close()
+	s.runs.cancel("", errCrashed)
+	s.loadReporter.close()
+	s.runs.close()
 }
 
 // SetKnobs changes the injected faults, as PUT /knobs does.
@@ -81,16 +81,16 @@
 
 // Records returns a copy of the records of all runs.
 func (s *Server) Record() []Record {
-	return s.journal.snapshot()
+	return s.runs.snapshot()
 }
 
-func (s *Server) routes() {
-	s.mux.HandleFunc("POST /v1/chat/completions", s.available(s.completions))
-	s.mux.HandleFunc("GET /v1/models", s.available(s.getModels))
-	s.mux.HandleFunc("GET /runs", s.available(s.getRuns))
-	s.mux.HandleFunc("POST /runs/{id}/cancel", s.available(s.cancelRun))
-	s.mux.HandleFunc("GET /load", s.available(s.getLoad))
-	s.mux.HandleFunc("POST /orders", s.available(s.takeOrder))
+func (s *Server) registerRoutes() {
+	s.mux.HandleFunc("POST /v1/chat/completions", s.withAvailability(s.serveCompletion))
+	s.mux.HandleFunc("GET /v1/models", s.withAvailability(s.getModels))
+	s.mux.HandleFunc("GET /runs", s.withAvailability(s.getRuns))
+	s.mux.HandleFunc("POST /runs/{id}/cancel", s.withAvailability(s.cancelRun))
+	s.mux.HandleFunc("GET /load", s.withAvailability(s.getLoad))
+	s.mux.HandleFunc("POST /orders", s.withAvailability(s.postOrder))
 	s.mux.HandleFunc("GET /orders", s.getOrders)
 	s.mux.HandleFunc("GET /record", s.getRecord)
 	s.mux.Handle("GET /knobs", &s.knobs)
@@ -99,9 +99,9 @@
 
 // withAvailability wraps a handler: calls block while the engine is frozen, and
 // their connection is aborted while it is crashed.
-func (s *Server) available(next http.HandlerFunc) http.HandlerFunc {
+func (s *Server) withAvailability(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if err := s.awaitThaw(r.Context()); err != nil {
+		if err := s.waitWhileFrozen(r.Context()); err != nil {
 			panic(http.ErrAbortHandler)
 		}
 		if s.knobs.Get().Crashed {
@@ -113,34 +113,34 @@
 
 func (s *Server) getModels(w http.ResponseWriter, _ *http.Request) {
 	list := modelList{Object: "list"}
-	for _, name := range s.orders.loaded() {
+	for _, name := range s.orders.loadedModels() {
 		list.Data = append(list.Data, model{ID: name, Object: "model", OwnedBy: "testbed"})
 	}
 	knobs.WriteJSON(w, list)
 }
 
 func (s *Server) getRuns(w http.ResponseWriter, _ *http.Request) {
-	knobs.WriteJSON(w, engine.RunList{Runs: s.journal.inProgress()})
+	knobs.WriteJSON(w, engine.RunList{Runs: s.runs.activeIDs()})
 }
 
 func (s *Server) cancelRun(w http.ResponseWriter, r *http.Request) {
 	if id := r.PathValue("id"); id != "" {
-		s.journal.cancel(id, errCancelled)
+		s.runs.cancel(id, errCancelled)
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
 func (s *Server) getLoad(w http.ResponseWriter, _ *http.Request) {
-	knobs.WriteJSON(w, s.load.last())
+	knobs.WriteJSON(w, s.loadReporter.latest())
 }
 
-func (s *Server) takeOrder(w http.ResponseWriter, r *http.Request) {
+func (s *Server) postOrder(w http.ResponseWriter, r *http.Request) {
 	var order engine.Order
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if err := s.orders.take(order, s.knobs.Get().IgnoreFences); err != nil {
+	if err := s.orders.execute(order, s.knobs.Get().IgnoreFencingTokens); err != nil {
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
 	}
@@ -177,7 +177,7 @@
 		s.config.Exit()
 	}
 	s.cache.clear()
-	s.journal.cancel("", errCrashed)
+	s.runs.cancel("", errCrashed)
 }
 
 func (s *Server) measureLoad() engine.Load {
--- a/testbed/engine/server_test.go
+++ b/testbed/engine/server_test.go
@@ -18,7 +18,7 @@
 )
 
 // waitTimeout is the maximum time to wait for an expected event.
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 // fixture is a running fake engine and an engine.Client connected to it.
 type fixture struct {
@@ -37,23 +37,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	web := httptest.NewServer(server)
+	httpServer := httptest.NewServer(server)
 	t.Cleanup(func() {
 		server.Close()
-		web.CloseClientConnections()
-		web.Close()
+		httpServer.CloseClientConnections()
+		httpServer.Close()
 	})
-	return &fixture{t: t, server: server, client: engine.NewClient(web.URL)}
+	return &fixture{t: t, server: server, client: engine.NewClient(httpServer.URL)}
 }
 
 // chatBody returns a request body whose response has the given number of tokens.
-func chat(prompt string, tokens int) []byte {
+func chatBody(prompt string, tokens int) []byte {
 	return fmt.Appendf(nil, `{"model":"m","messages":[{"role":"user","content":%q}],"max_tokens":%d}`, prompt, tokens)
 }
 
-func (f *fixture) start(run engine.Run) engine.Stream {
+func (f *fixture) startRun(run engine.Run) engine.Stream {
 	f.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	f.t.Cleanup(cancel)
 	stream, err := f.client.Start(ctx, run)
 	if err != nil {
@@ -64,7 +64,7 @@
 }
 
 // readTokens reads up to limit tokens and returns them with the stream's error.
-func read(stream engine.Stream, limit int) ([]string, error) {
+func readTokens(stream engine.Stream, limit int) ([]string, error) {
 	var tokens []string
 	for len(tokens) < limit {
 		chunk, err := stream.Next()
@@ -85,75 +85,75 @@
 }
 
 // awaitRecord polls until the record of a run satisfies the condition.
-func (f *fixture) await(run string, condition func(standin.Record) bool) standin.Record {
+func (f *fixture) awaitRecord(runID string, condition func(standin.Record) bool) standin.Record {
 	f.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
 		for _, r := range f.server.Record() {
-			if r.Run == run && condition(r) {
+			if r.Run == runID && condition(r) {
 				return r
 			}
 		}
 		time.Sleep(time.Millisecond)
 	}
-	f.t.Fatalf("run %s: no record met the condition within the timeout; records: %+v", run, f.server.Record())
+	f.t.Fatalf("run %s: no record met the condition within the timeout; records: %+v", runID, f.server.Record())
 	return standin.Record{}
 }
 
-func ended(outcome standin.Outcome) func(standin.Record) bool {
+func hasOutcome(outcome standin.Outcome) func(standin.Record) bool {
 	return func(r standin.Record) bool { return r.Outcome == outcome }
 }
 
-func TestAnswerIsWholeAndResumes(t *testing.T) {
+func TestResponseIsCompleteAndResumes(t *testing.T) {
 	f := newFixture(t, standin.Config{})
-	body := chat("well 7", 20)
+	body := chatBody("well 7", 20)
 	want := standin.Answer(body)
-	got, err := read(f.start(engine.Run{ID: "a#1", Body: body}), 100)
+	got, err := readTokens(f.startRun(engine.Run{ID: "a#1", Body: body}), 100)
 	if err != io.EOF || !slices.Equal(got, want) || len(want) != 20 {
 		t.Fatalf("response: got %v, %v; want %v", got, err, want)
 	}
-	got, err = read(f.start(engine.Run{ID: "a#2", Body: body, ResumeFrom: 13}), 100)
+	got, err = readTokens(f.startRun(engine.Run{ID: "a#2", Body: body, ResumeFrom: 13}), 100)
 	if err != io.EOF || !slices.Equal(got, want[13:]) {
 		t.Fatalf("resumed response: got %v, %v; want %v", got, err, want[13:])
 	}
-	r := f.await("a#2", ended(standin.OutcomeWhole))
+	r := f.awaitRecord("a#2", hasOutcome(standin.OutcomeWhole))
 	if r.Request != "a" || r.Tokens != 7 || r.ResumedFrom != 13 || r.Started == nil {
 		t.Errorf("record: %+v", r)
 	}
-	if other := standin.Answer(chat("well 8", 20)); slices.Equal(other, want) {
+	if other := standin.Answer(chatBody("well 8", 20)); slices.Equal(other, want) {
 		t.Error("a different request has the same response")
 	}
 }
 
-func TestPriorityGoesFirst(t *testing.T) {
+func TestHigherPriorityStartsFirst(t *testing.T) {
 	f := newFixture(t, standin.Config{Capacity: 1, MaxStreams: 1, LoadLag: time.Millisecond})
 	f.server.SetKnobs(func(k *standin.Knobs) { k.StallStreams = 1 })
-	first := f.start(engine.Run{ID: "first#1", Body: chat("x", 3)})
-	f.await("first#1", ended(standin.OutcomeRunning))
-	low := f.start(engine.Run{ID: "low#1", Priority: 4, Body: chat("x", 3)})
-	high := f.start(engine.Run{ID: "high#1", Priority: 0, Body: chat("x", 3)})
+	first := f.startRun(engine.Run{ID: "first#1", Body: chatBody("x", 3)})
+	f.awaitRecord("first#1", hasOutcome(standin.OutcomeRunning))
+	low := f.startRun(engine.Run{ID: "low#1", Priority: 4, Body: chatBody("x", 3)})
+	high := f.startRun(engine.Run{ID: "high#1", Priority: 0, Body: chatBody("x", 3)})
 	f.awaitWaiting(2)
 	if err := first.Close(); err != nil {
 		t.Fatal(err)
 	}
 	for _, stream := range []engine.Stream{low, high} {
-		if _, err := read(stream, 100); err != io.EOF {
+		if _, err := readTokens(stream, 100); err != io.EOF {
 			t.Fatal(err)
 		}
 	}
-	lowRun := f.await("low#1", ended(standin.OutcomeWhole))
-	highRun := f.await("high#1", ended(standin.OutcomeWhole))
+	lowRun := f.awaitRecord("low#1", hasOutcome(standin.OutcomeWhole))
+	highRun := f.awaitRecord("high#1", hasOutcome(standin.OutcomeWhole))
 	if !highRun.Started.Before(*lowRun.Started) {
 		t.Errorf("started: high at %v, low at %v", highRun.Started, lowRun.Started)
 	}
-	f.await("first#1", ended(standin.OutcomeDisconnected))
+	f.awaitRecord("first#1", hasOutcome(standin.OutcomeDisconnected))
 }
 
 // awaitWaiting polls the load report, which is updated with a delay, until it
 // shows the given number of waiting streams.
 func (f *fixture) awaitWaiting(waiting int) {
 	f.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
 		load, err := f.client.Load(context.Background())
 		if err != nil {
@@ -167,11 +167,11 @@
 	f.t.Fatalf("load report never showed %d waiting streams", waiting)
 }
 
-func TestCancel(t *testing.T) {
+func TestCancelEndsRun(t *testing.T) {
 	f := newFixture(t, standin.Config{})
 	f.server.SetKnobs(func(k *standin.Knobs) { k.StallStreams, k.StallAfter = 1, 2 })
-	stream := f.start(engine.Run{ID: "r/1#1", Body: chat("x", 9)})
-	if _, err := read(stream, 2); err != nil {
+	stream := f.startRun(engine.Run{ID: "r/1#1", Body: chatBody("x", 9)})
+	if _, err := readTokens(stream, 2); err != nil {
 		t.Fatal(err)
 	}
 	runs, err := f.client.Running(context.Background())
@@ -184,7 +184,7 @@
 	if _, err := stream.Next(); !errors.Is(err, engine.ErrCut) {
 		t.Errorf("cancelled stream: got %v, want ErrTruncated", err)
 	}
-	if r := f.await("r/1#1", ended(standin.OutcomeCancelled)); r.Tokens != 2 {
+	if r := f.awaitRecord("r/1#1", hasOutcome(standin.OutcomeCancelled)); r.Tokens != 2 {
 		t.Errorf("tokens: got %d, want 2", r.Tokens)
 	}
 	if err := f.client.Cancel(context.Background(), "none"); err != nil {
@@ -192,90 +192,90 @@
 	}
 }
 
-func TestCutJustBeforeTheEndMark(t *testing.T) {
+func TestStreamCutBeforeDoneEvent(t *testing.T) {
 	f := newFixture(t, standin.Config{})
 	f.server.SetKnobs(func(k *standin.Knobs) { k.CutStreams, k.CutAfter = 1, 99 })
-	got, err := read(f.start(engine.Run{ID: "c#1", Body: chat("x", 5)}), 100)
+	got, err := readTokens(f.startRun(engine.Run{ID: "c#1", Body: chatBody("x", 5)}), 100)
 	if len(got) != 5 || !errors.Is(err, engine.ErrCut) {
 		t.Fatalf("got %d tokens and %v, want 5 and ErrTruncated", len(got), err)
 	}
-	f.await("c#1", ended(standin.OutcomeCut))
+	f.awaitRecord("c#1", hasOutcome(standin.OutcomeCut))
 }
 
-func TestCrashCutsAllAndRefuses(t *testing.T) {
+func TestCrashCutsStreamsAndRejectsRuns(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "record")
 	f := newFixture(t, standin.Config{RecordFile: file})
 	f.server.SetKnobs(func(k *standin.Knobs) { k.CrashAfterTokens = 4 })
-	_, err := read(f.start(engine.Run{ID: "x#1", Body: chat("x", 50)}), 100)
+	_, err := readTokens(f.startRun(engine.Run{ID: "x#1", Body: chatBody("x", 50)}), 100)
 	if !errors.Is(err, engine.ErrCut) {
 		t.Fatalf("stream: got %v, want ErrTruncated", err)
 	}
-	f.await("x#1", ended(standin.OutcomeCrashed))
-	if _, err := f.client.Start(context.Background(), engine.Run{ID: "x#2", Body: chat("x", 5)}); err == nil {
+	f.awaitRecord("x#1", hasOutcome(standin.OutcomeCrashed))
+	if _, err := f.client.Start(context.Background(), engine.Run{ID: "x#2", Body: chatBody("x", 5)}); err == nil {
 		t.Fatal("a crashed engine accepted a run")
 	}
 	f.server.SetKnobs(func(k *standin.Knobs) { k.Crashed = false })
-	if _, err := read(f.start(engine.Run{ID: "x#3", Body: chat("x", 5)}), 100); err != io.EOF {
+	if _, err := readTokens(f.startRun(engine.Run{ID: "x#3", Body: chatBody("x", 5)}), 100); err != io.EOF {
 		t.Fatalf("after the crash: %v", err)
 	}
-	f.await("x#3", ended(standin.OutcomeWhole))
+	f.awaitRecord("x#3", hasOutcome(standin.OutcomeWhole))
 	records, err := standin.ReadRecordFile(file)
 	if err != nil || len(records) != 2 || records[0].Outcome != standin.OutcomeCrashed || records[0].Tokens != 4 {
 		t.Errorf("record file: %+v, %v", records, err)
 	}
 }
 
-func TestFrozenHoldsRunsAndForeignLoadTakesSlots(t *testing.T) {
+func TestFrozenEngineBlocksRunsAndExternalStreamsUseSlots(t *testing.T) {
 	f := newFixture(t, standin.Config{Capacity: 1, MaxStreams: 2})
 	f.server.SetKnobs(func(k *standin.Knobs) { k.Foreign = 2 })
-	stream := f.start(engine.Run{ID: "w#1", Body: chat("x", 5)})
-	f.await("w#1", ended(standin.OutcomeWaiting))
+	stream := f.startRun(engine.Run{ID: "w#1", Body: chatBody("x", 5)})
+	f.awaitRecord("w#1", hasOutcome(standin.OutcomeWaiting))
 	f.server.SetKnobs(func(k *standin.Knobs) { k.Foreign, k.Frozen = 0, true })
-	r := f.await("w#1", ended(standin.OutcomeRunning))
+	r := f.awaitRecord("w#1", hasOutcome(standin.OutcomeRunning))
 	if r.Tokens != 0 {
 		t.Errorf("a frozen engine produced %d tokens", r.Tokens)
 	}
 	f.server.SetKnobs(func(k *standin.Knobs) { k.Frozen = false })
-	if _, err := read(stream, 100); err != io.EOF {
+	if _, err := readTokens(stream, 100); err != io.EOF {
 		t.Fatal(err)
 	}
 }
 
-func TestPrefixCacheIsLimited(t *testing.T) {
+func TestPrefixCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	f := newFixture(t, standin.Config{CacheBlocks: 40})
-	long := func(seed string) string {
-		return fmt.Sprintf("%0*d%s", 2000-len(seed), 0, seed)
+	longPrompt := func(suffix string) string {
+		return fmt.Sprintf("%0*d%s", 2000-len(suffix), 0, suffix)
 	}
 	run := func(id, prompt string) standin.Record {
-		if _, err := read(f.start(engine.Run{ID: id, Body: chat(prompt, 1)}), 100); err != io.EOF {
+		if _, err := readTokens(f.startRun(engine.Run{ID: id, Body: chatBody(prompt, 1)}), 100); err != io.EOF {
 			t.Fatal(err)
 		}
-		return f.await(id, ended(standin.OutcomeWhole))
+		return f.awaitRecord(id, hasOutcome(standin.OutcomeWhole))
 	}
-	if r := run("p#1", long("a")); r.CachedTokens != 0 {
+	if r := run("p#1", longPrompt("a")); r.CachedTokens != 0 {
 		t.Errorf("first prompt: %d tokens cached", r.CachedTokens)
 	}
-	if r := run("p#2", long("b")); r.CachedTokens < 400 || r.CachedTokens > r.PromptTokens {
+	if r := run("p#2", longPrompt("b")); r.CachedTokens < 400 || r.CachedTokens > r.PromptTokens {
 		t.Errorf("same prefix: %d of %d tokens cached", r.CachedTokens, r.PromptTokens)
 	}
-	run("p#3", "other "+long("c")+long("d"))
-	if r := run("p#4", long("a")); r.CachedTokens != 0 {
+	run("p#3", "other "+longPrompt("c")+longPrompt("d"))
+	if r := run("p#4", longPrompt("a")); r.CachedTokens != 0 {
 		t.Errorf("after eviction by other prompts: %d tokens cached", r.CachedTokens)
 	}
 }
 
-func TestOrdersAreFenced(t *testing.T) {
+func TestOrderWithStaleFencingTokenIsRejected(t *testing.T) {
 	f := newFixture(t, standin.Config{})
 	ctx := context.Background()
 	if err := f.client.Order(ctx, engine.Order{Fence: 5, LoadModel: "n"}); err != nil {
 		t.Fatal(err)
 	}
-	old := engine.Order{Fence: 4, LoadModel: "o"}
-	if err := f.client.Order(ctx, old); !errors.Is(err, engine.ErrFenced) {
+	stale := engine.Order{Fence: 4, LoadModel: "o"}
+	if err := f.client.Order(ctx, stale); !errors.Is(err, engine.ErrFenced) {
 		t.Fatalf("order with stale fencing token: got %v, want ErrStaleFencingToken", err)
 	}
-	f.server.SetKnobs(func(k *standin.Knobs) { k.IgnoreFences = true })
-	if err := f.client.Order(ctx, old); err != nil {
+	f.server.SetKnobs(func(k *standin.Knobs) { k.IgnoreFencingTokens = true })
+	if err := f.client.Order(ctx, stale); err != nil {
 		t.Fatalf("order with stale fencing token to an engine that ignores them: %v", err)
 	}
 }
--- a/testbed/engine/slots.go
+++ b/testbed/engine/slots.go
@@ -12,8 +12,8 @@
 	mu      sync.Mutex
 	limit   int
 	running int
-	arrived int
-	waiting waiters
+	lastSeq int
+	waiting waitQueue
 }
 
 // acquire waits for a slot. It returns the error of ctx if ctx ends first.
@@ -23,7 +23,7 @@
 	case <-w.ready:
 		return nil
 	case <-ctx.Done():
-		s.abandon(w)
+		s.cancelWait(w)
 		return ctx.Err()
 	}
 }
@@ -55,8 +55,8 @@
 func (s *slots) enqueue(priority int) *waiter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.arrived++
-	w := &waiter{priority: priority, order: s.arrived, ready: make(chan struct{})}
+	s.lastSeq++
+	w := &waiter{priority: priority, seq: s.lastSeq, ready: make(chan struct{})}
 	heap.Push(&s.waiting, w)
 	s.admit()
 	return w
@@ -64,7 +64,7 @@
 
 // cancelWait removes a waiter from the queue, or releases its slot if it has
 // already got one.
-func (s *slots) abandon(w *waiter) {
+func (s *slots) cancelWait(w *waiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if w.index >= 0 {
--- a/testbed/engine/waiter.go
+++ b/testbed/engine/wait_queue.go
@@ -3,7 +3,7 @@
 // waiter is a stream in the queue for a slot. ready is closed when it gets one.
 type waiter struct {
 	priority int
-	order    int
+	seq      int
 	ready    chan struct{}
 	// index is the waiter's position in the heap, or -1 after its removal.
 	index int
@@ -11,30 +11,30 @@
 
 // waitQueue is a heap of waiters by priority and arrival. It implements
 // heap.Interface.
-type waiters []*waiter
+type waitQueue []*waiter
 
-func (w waiters) Len() int { return len(w) }
+func (w waitQueue) Len() int { return len(w) }
 
-func (w waiters) Less(i, j int) bool {
+func (w waitQueue) Less(i, j int) bool {
 	if w[i].priority != w[j].priority {
 		return w[i].priority < w[j].priority
 	}
-	return w[i].order < w[j].order
+	return w[i].seq < w[j].seq
 }
 
-func (w waiters) Swap(i, j int) {
+func (w waitQueue) Swap(i, j int) {
 	w[i], w[j] = w[j], w[i]
 	w[i].index = i
 	w[j].index = j
 }
 
-func (w *waiters) Push(x any) {
+func (w *waitQueue) Push(x any) {
 	added := x.(*waiter)
 	added.index = len(*w)
 	*w = append(*w, added)
 }
 
-func (w *waiters) Pop() any {
+func (w *waitQueue) Pop() any {
 	old := *w
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/testbed/load/class.go
+++ b/testbed/load/class.go
@@ -23,45 +23,45 @@
 	BetweenTokens time.Duration `yaml:"between_tokens" json:"between_tokens,omitempty"`
 	Completion    time.Duration `yaml:"completion" json:"completion,omitempty"`
 	// PromptTokens and ResponseTokens are median lengths.
-	PromptTokens int `yaml:"prompt_tokens" json:"prompt_tokens"`
-	AnswerTokens int `yaml:"answer_tokens" json:"answer_tokens"`
+	PromptTokens   int `yaml:"prompt_tokens" json:"prompt_tokens"`
+	ResponseTokens int `yaml:"answer_tokens" json:"answer_tokens"`
 	// SharedTokens is the length of the prompt prefix that all requests of
 	// one customer in the class share.
 	SharedTokens int `yaml:"shared_tokens" json:"shared_tokens,omitempty"`
 	// LengthLogStdDev is the standard deviation of the logarithm of the
 	// prompt and response lengths.
-	Spread float64 `yaml:"spread" json:"spread"`
+	LengthLogStdDev float64 `yaml:"spread" json:"spread"`
 	// LoadShare is the relative weight of the class in Phase.Load.
-	WorkShare float64 `yaml:"work_share" json:"work_share"`
+	LoadShare float64 `yaml:"work_share" json:"work_share"`
 }
 
 // meanResponseTokens returns the mean response length in tokens.
-func (c Class) meanAnswer() float64 {
-	return float64(c.AnswerTokens) * math.Exp(c.Spread*c.Spread/2)
+func (c Class) meanResponseTokens() float64 {
+	return float64(c.ResponseTokens) * math.Exp(c.LengthLogStdDev*c.LengthLogStdDev/2)
 }
 
 // meanPromptTokens returns the mean prompt length in tokens, without the shared
 // prefix.
-func (c Class) meanPrompt() float64 {
-	return float64(c.PromptTokens) * math.Exp(c.Spread*c.Spread/2)
+func (c Class) meanPromptTokens() float64 {
+	return float64(c.PromptTokens) * math.Exp(c.LengthLogStdDev*c.LengthLogStdDev/2)
 }
 
 // streamTime returns the mean time for which a request occupies one stream of an
 // engine at full speed.
-func (c Class) cost(fleet Fleet) time.Duration {
-	prefill := c.meanPrompt() * float64(fleet.PrefillPerToken)
-	return time.Duration(prefill + c.meanAnswer()*float64(fleet.Interval))
+func (c Class) streamTime(fleet Fleet) time.Duration {
+	prefill := c.meanPromptTokens() * float64(fleet.PrefillPerToken)
+	return time.Duration(prefill + c.meanResponseTokens()*float64(fleet.TokenInterval))
 }
 
 // meetsTargets reports whether a complete response met all targets.
-func (c Class) onTime(r Result) bool {
-	return within(r.FirstToken, c.FirstToken) &&
-		within(r.BetweenTokens, c.BetweenTokens) &&
-		within(r.Completion, c.Completion)
+func (c Class) meetsTargets(r Result) bool {
+	return meetsTarget(r.FirstToken, c.FirstToken) &&
+		meetsTarget(r.BetweenTokens, c.BetweenTokens) &&
+		meetsTarget(r.Completion, c.Completion)
 }
 
 // meetsTarget reports whether d is within target; a zero target is always met.
-func within(d, target time.Duration) bool {
+func meetsTarget(d, target time.Duration) bool {
 	return target == 0 || d <= target
 }
 
--- a/testbed/load/engines.go
+++ b/testbed/load/engine_client.go
@@ -17,33 +17,33 @@
 	engineTimeout = 10 * time.Second
 	// runEndTimeout is the time that engines get to end runs whose clients
 	// have disconnected. After it the records are used as they are.
-	settleTimeout = 5 * time.Second
-	settleCheck   = 100 * time.Millisecond
+	runEndTimeout      = 5 * time.Second
+	runEndPollInterval = 100 * time.Millisecond
 )
 
 // engineClient calls the test API of the fake engines: fault injection and the
 // records of runs.
-type engineAPI struct {
+type engineClient struct {
 	urls   []string
 	client *http.Client
 }
 
-func newEngineAPI(urls []string) *engineAPI {
-	return &engineAPI{urls: urls, client: &http.Client{Timeout: engineTimeout}}
+func newEngineClient(urls []string) *engineClient {
+	return &engineClient{urls: urls, client: &http.Client{Timeout: engineTimeout}}
 }
 
 // faultSettings are the fields of an engine's knobs that a Fault sets.
-type faultKnobs struct {
-	Slow    float64 `json:"slow"`
-	Foreign int     `json:"foreign"`
+type faultSettings struct {
+	Slowdown        float64 `json:"slow"`
+	ExternalStreams int     `json:"foreign"`
 }
 
 // setFaults injects the faults of a phase and removes all other faults.
-func (e *engineAPI) setFaults(ctx context.Context, faults []Fault) error {
-	all := make([]faultKnobs, len(e.urls))
+func (e *engineClient) setFaults(ctx context.Context, faults []Fault) error {
+	all := make([]faultSettings, len(e.urls))
 	for _, fault := range faults {
 		if fault.Engine < len(all) {
-			all[fault.Engine] = faultKnobs{Slow: fault.Slow, Foreign: fault.Foreign}
+			all[fault.Engine] = faultSettings{Slowdown: fault.Slowdown, ExternalStreams: fault.ExternalStreams}
 		}
 	}
 	for i, url := range e.urls {
@@ -60,18 +60,18 @@
 
 // awaitRecords waits until all runs have ended, for runEndTimeout at most, and
 // returns the records of all engines.
-func (e *engineAPI) settled(ctx context.Context) ([]engine.Record, error) {
-	deadline := time.Now().Add(settleTimeout)
+func (e *engineClient) awaitRecords(ctx context.Context) ([]engine.Record, error) {
+	deadline := time.Now().Add(runEndTimeout)
 	for {
 		records, err := e.records(ctx)
 		if err != nil || allEnded(records) || time.Now().After(deadline) {
 			return records, err
 		}
-		time.Sleep(settleCheck)
+		time.Sleep(runEndPollInterval)
 	}
 }
 
-func (e *engineAPI) records(ctx context.Context) ([]engine.Record, error) {
+func (e *engineClient) records(ctx context.Context) ([]engine.Record, error) {
 	var all []engine.Record
 	for _, url := range e.urls {
 		var records []engine.Record
@@ -92,7 +92,7 @@
 	return true
 }
 
-func (e *engineAPI) call(ctx context.Context, method, url string, body []byte, result any) error {
+func (e *engineClient) call(ctx context.Context, method, url string, body []byte, result any) error {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return err
--- a/testbed/load/mix.go
+++ b/testbed/load/mix.go
@@ -25,11 +25,11 @@
 	// Engines is the number of engines of Mix.Model.
 	Engines int `yaml:"engines" json:"engines"`
 	// OtherModels are the engines of further models.
-	Others []ModelEngines `yaml:"others" json:"others,omitempty"`
+	OtherModels []ModelEngines `yaml:"others" json:"others,omitempty"`
 	// Capacity is the number of streams that one engine runs at full speed.
 	Capacity int `yaml:"capacity" json:"capacity"`
 	// TokenInterval is the time between tokens at full speed.
-	Interval time.Duration `yaml:"interval" json:"interval"`
+	TokenInterval time.Duration `yaml:"interval" json:"interval"`
 	// PrefillPerToken is the prefill time of one prompt token.
 	PrefillPerToken time.Duration `yaml:"prefill_per_token" json:"prefill_per_token"`
 }
@@ -43,9 +43,9 @@
 }
 
 // TotalEngines returns the number of engines of all models.
-func (f Fleet) AllEngines() int {
+func (f Fleet) TotalEngines() int {
 	engines := f.Engines
-	for _, other := range f.Others {
+	for _, other := range f.OtherModels {
 		engines += other.Engines
 	}
 	return engines
@@ -53,14 +53,14 @@
 
 // fullSpeedStreams returns the number of streams that the fleet runs at full
 // speed.
-func (f Fleet) streams() float64 {
-	return float64(f.AllEngines() * f.Capacity)
+func (f Fleet) fullSpeedStreams() float64 {
+	return float64(f.TotalEngines() * f.Capacity)
 }
 
 // fullSpeedStreamsOf returns the number of streams that the engines of a model
 // run at full speed.
-func (m Mix) modelStreams(model string) float64 {
-	for _, other := range m.Fleet.Others {
+func (m Mix) fullSpeedStreamsOf(model string) float64 {
+	for _, other := range m.Fleet.OtherModels {
 		if other.Model == model {
 			return float64(other.Engines * m.Fleet.Capacity)
 		}
--- a/testbed/load/options.go
+++ b/testbed/load/options.go
@@ -4,7 +4,7 @@
 
 // DefaultRequestTimeout is the default timeout of a request, including its
 // response.
-const DefaultPatience = 60 * time.Second
+const DefaultRequestTimeout = 60 * time.Second
 
 // Options configures Run.
 type Options struct {
--- a/testbed/load/report.go
+++ b/testbed/load/report.go
@@ -20,7 +20,7 @@
 	// Phases summarize the requests that were scheduled in each phase.
 	Phases []PhaseReport `json:"phases"`
 	// Failures counts broken and wrong responses by failure detail.
-	Details []DetailCount `json:"details,omitempty"`
+	Failures []FailureCount `json:"details,omitempty"`
 }
 
 // PhaseReport summarizes the requests that were scheduled in one phase.
@@ -33,14 +33,14 @@
 
 // engineWork is the number of runs and tokens that the engines spent on one
 // request.
-type production struct {
+type engineWork struct {
 	runs   int
 	tokens int
 }
 
 // newReport builds the report from the requests and the engines' records of runs.
-func newReport(options Options, sending time.Duration, records []record, runs []engine.Record) *Report {
-	produced := produce(runs)
+func newReport(options Options, elapsed time.Duration, records []requestRecord, runs []engine.Record) *Report {
+	work := workByFingerprint(runs)
 	scenario := options.Scenario
 	total := newPhaseSummary(scenario)
 	phases := make([]*phaseSummary, len(scenario.Shape.Phases))
@@ -48,18 +48,18 @@
 		phases[i] = newPhaseSummary(scenario)
 	}
 	for _, rec := range records {
-		total.add(rec, produced[rec.fingerprint])
-		phases[rec.arrival.phase].add(rec, produced[rec.fingerprint])
+		total.add(rec, work[rec.fingerprint])
+		phases[rec.arrival.phase].add(rec, work[rec.fingerprint])
 	}
 	report := &Report{
 		Scenario: scenario.Name(),
 		Seed:     options.Seed,
 		Target:   options.Target,
-		Seconds:  sending.Seconds(),
+		Seconds:  elapsed.Seconds(),
 	}
-	whole := total.report("all", scenario.Duration())
-	report.Details = details(scenario, records)
-	report.Total, report.Classes = whole.Total, whole.Classes
+	overall := total.report("all", scenario.Duration())
+	report.Failures = countFailures(scenario, records)
+	report.Total, report.Classes = overall.Total, overall.Classes
 	for i, phase := range scenario.Shape.Phases {
 		report.Phases = append(report.Phases, phases[i].report(phase.Name, phase.Duration))
 	}
@@ -67,18 +67,18 @@
 }
 
 // workByFingerprint adds up the engines' started runs by request fingerprint.
-func produce(runs []engine.Record) map[string]production {
-	produced := make(map[string]production, len(runs))
+func workByFingerprint(runs []engine.Record) map[string]engineWork {
+	work := make(map[string]engineWork, len(runs))
 	for _, run := range runs {
 		if run.Started == nil {
 			continue
 		}
-		p := produced[run.Fingerprint]
-		p.runs++
-		p.tokens += run.Tokens
-		produced[run.Fingerprint] = p
+		w := work[run.Fingerprint]
+		w.runs++
+		w.tokens += run.Tokens
+		work[run.Fingerprint] = w
 	}
-	return produced
+	return work
 }
 
 // phaseSummary accumulates the requests of a phase, in total and by class.
@@ -95,9 +95,9 @@
 	return p
 }
 
-func (p *phaseSummary) add(rec record, made production) {
-	p.total.add(rec, made)
-	p.classes[rec.arrival.class].add(rec, made)
+func (p *phaseSummary) add(rec requestRecord, work engineWork) {
+	p.total.add(rec, work)
+	p.classes[rec.arrival.class].add(rec, work)
 }
 
 func (p *phaseSummary) report(name string, duration time.Duration) PhaseReport {
--- a/testbed/load/result.go
+++ b/testbed/load/result.go
@@ -41,29 +41,29 @@
 }
 
 // complete reports whether the client received its complete response.
-func (r Result) whole() bool {
+func (r Result) complete() bool {
 	return r.Outcome == OutcomeOnTime || r.Outcome == OutcomeLate
 }
 
 // requestRecord is a request with its results.
-type record struct {
+type requestRecord struct {
 	arrival     arrival
 	fingerprint string
 	result      Result
 	// retry is the result of the retry after a refusal; nil if there was
 	// none.
-	again *Result
+	retry *Result
 }
 
 // deliveredTokens returns the number of tokens that the client received in
 // complete responses.
-func (r record) delivered() int {
+func (r requestRecord) deliveredTokens() int {
 	delivered := 0
-	if r.result.whole() {
+	if r.result.complete() {
 		delivered += r.result.Tokens
 	}
-	if r.again != nil && r.again.whole() {
-		delivered += r.again.Tokens
+	if r.retry != nil && r.retry.complete() {
+		delivered += r.retry.Tokens
 	}
 	return delivered
 }
--- a/testbed/load/run.go
+++ b/testbed/load/run.go
@@ -20,8 +20,8 @@
 type runner struct {
 	options  Options
 	salt     string
-	caller   *caller
-	engines  *engineAPI
+	sender   *requestSender
+	engines  *engineClient
 	arrivals []arrival
 	bodies   [][]byte
 
@@ -32,7 +32,7 @@
 
 	// mu guards records.
 	mu      sync.Mutex
-	records []record
+	records []requestRecord
 }
 
 // Run sends all requests of a scenario and reports their results. The load is
@@ -48,12 +48,12 @@
 	if err := r.sendAll(ctx); err != nil {
 		return nil, err
 	}
-	sending := time.Since(r.started)
-	runs, err := r.engines.settled(ctx)
+	elapsed := time.Since(r.started)
+	runs, err := r.engines.awaitRecords(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return newReport(options, sending, r.records, runs), nil
+	return newReport(options, elapsed, r.records, runs), nil
 }
 
 func newRunner(options Options) (*runner, error) {
@@ -61,7 +61,7 @@
 		return nil, errors.New("no entries: at least one base URL is required")
 	}
 	if options.Patience == 0 {
-		options.Patience = DefaultPatience
+		options.Patience = DefaultRequestTimeout
 	}
 	if options.ReturnWithin == 0 {
 		options.ReturnWithin = options.Patience
@@ -69,12 +69,12 @@
 	r := &runner{
 		options:  options,
 		salt:     uuid.NewString(),
-		caller:   newCaller(options.Scenario, options.Entries),
-		engines:  newEngineAPI(options.Engines),
+		sender:   newRequestSender(options.Scenario, options.Entries),
+		engines:  newEngineClient(options.Engines),
 		arrivals: schedule(options.Scenario, options.Seed),
 	}
 	for _, a := range r.arrivals {
-		body, err := options.Scenario.body(a, r.salt)
+		body, err := options.Scenario.requestBody(a, r.salt)
 		if err != nil {
 			return nil, errors.Wrap(err, "build request")
 		}
@@ -85,14 +85,14 @@
 
 // sendAll sends every request at its scheduled time and waits for all responses.
 func (r *runner) sendAll(ctx context.Context) error {
-	defer r.caller.client.CloseIdleConnections()
+	defer r.sender.client.CloseIdleConnections()
 	var pending sync.WaitGroup
 	r.started = time.Now()
-	stopProgress := r.startProgress()
-	defer stopProgress()
+	stopReports := r.startProgressReports()
+	defer stopReports()
 	phase := -1
 	for i, a := range r.arrivals {
-		if !pause.For(ctx, time.Until(r.started.Add(a.at))) {
+		if !pause.For(ctx, time.Until(r.started.Add(a.offset))) {
 			return ctx.Err()
 		}
 		if a.phase != phase {
@@ -103,7 +103,7 @@
 			}
 		}
 		r.sent.Add(1)
-		pending.Go(func() { r.request(ctx, a, r.bodies[i]) })
+		pending.Go(func() { r.sendRequest(ctx, a, r.bodies[i]) })
 	}
 	pending.Wait()
 	return r.engines.setFaults(ctx, nil)
@@ -111,11 +111,11 @@
 
 // sendRequest sends one request, retries it if it was refused and Options ask
 // for that, and records the results.
-func (r *runner) request(ctx context.Context, a arrival, body []byte) {
-	rec := record{arrival: a, fingerprint: engine.Fingerprint(body)}
-	rec.result = r.attempt(ctx, a, body, r.started.Add(a.at))
+func (r *runner) sendRequest(ctx context.Context, a arrival, body []byte) {
+	rec := requestRecord{arrival: a, fingerprint: engine.Fingerprint(body)}
+	rec.result = r.sendOnce(ctx, a, body, r.started.Add(a.offset))
 	if r.options.CheckRetryAfter && rec.result.Outcome == OutcomeRefused && rec.result.RetryAfter <= r.options.ReturnWithin {
-		rec.again = r.comeBack(ctx, a, body, rec.result.RetryAfter)
+		rec.retry = r.sendRetry(ctx, a, body, rec.result.RetryAfter)
 	}
 	r.ended.Add(1)
 	r.mu.Lock()
@@ -123,30 +123,30 @@
 	r.records = append(r.records, rec)
 }
 
-func (r *runner) comeBack(ctx context.Context, a arrival, body []byte, after time.Duration) *Result {
-	due := time.Now().Add(after)
+func (r *runner) sendRetry(ctx context.Context, a arrival, body []byte, delay time.Duration) *Result {
+	due := time.Now().Add(delay)
 	if !pause.For(ctx, time.Until(due)) {
 		return nil
 	}
-	result := r.attempt(ctx, a, body, due)
+	result := r.sendOnce(ctx, a, body, due)
 	return &result
 }
 
-func (r *runner) attempt(ctx context.Context, a arrival, body []byte, due time.Time) Result {
+func (r *runner) sendOnce(ctx context.Context, a arrival, body []byte, due time.Time) Result {
 	ctx, cancel := context.WithTimeout(ctx, r.options.Patience)
 	defer cancel()
-	return r.caller.send(ctx, a, body, due)
+	return r.sender.send(ctx, a, body, due)
 }
 
 // startProgressReports calls Options.Progress at every progressInterval until
 // the returned function is called.
-func (r *runner) startProgress() func() {
+func (r *runner) startProgressReports() func() {
 	if r.options.Progress == nil {
 		return func() {}
 	}
 	stop := make(chan struct{})
-	var done sync.WaitGroup
-	done.Go(func() {
+	var reports sync.WaitGroup
+	reports.Go(func() {
 		ticker := time.NewTicker(progressInterval)
 		defer ticker.Stop()
 		for {
@@ -160,7 +160,7 @@
 	})
 	return func() {
 		close(stop)
-		done.Wait()
+		reports.Wait()
 	}
 }
 
--- a/testbed/load/run_test.go
+++ b/testbed/load/run_test.go
@@ -17,7 +17,7 @@
 	"github.com/applepier/applepier/testbed/plain"
 )
 
-const mix = `
+const mixYAML = `
 name: small
 model: m
 burst_class: slow
@@ -28,23 +28,23 @@
   - {name: slow, tier: 4, first_token: 1ns, prompt_tokens: 5, answer_tokens: 10, spread: 0.5, work_share: 1}
 `
 
-const shape = `
+const shapeYAML = `
 name: short
 phases: [{name: only, duration: 100ms, rates: [{class: quick, per_second: 300}, {class: slow, per_second: 100}]}]
 `
 
-func options(t *testing.T, entry string, engines ...string) load.Options {
+func newOptions(t *testing.T, entry string, engines ...string) load.Options {
 	t.Helper()
-	scenario, err := load.ParseScenario([]byte(mix), []byte(shape))
+	scenario, err := load.ParseScenario([]byte(mixYAML), []byte(shapeYAML))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return load.Options{Scenario: scenario, Seed: 4, Entries: []string{entry}, Engines: engines}
 }
 
-func run(t *testing.T, o load.Options) *load.Report {
+func runLoad(t *testing.T, options load.Options) *load.Report {
 	t.Helper()
-	report, err := load.Run(context.Background(), o)
+	report, err := load.Run(context.Background(), options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,17 +57,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	web := httptest.NewServer(server)
+	httpServer := httptest.NewServer(server)
 	t.Cleanup(func() {
 		server.Close()
-		web.Close()
+		httpServer.Close()
 	})
-	return server, web.URL
+	return server, httpServer.URL
 }
 
-func TestWholeAnswersAreJudgedByTheirTargets(t *testing.T) {
+func TestCompleteResponsesAreComparedWithTargets(t *testing.T) {
 	_, url := startEngine(t)
-	report := run(t, options(t, url, url))
+	report := runLoad(t, newOptions(t, url, url))
 	quick, slow := report.Classes[0], report.Classes[1]
 	if quick.Sent == 0 || quick.OnTime != quick.Sent || quick.Attainment != 1 {
 		t.Errorf("quick: %+v", quick)
@@ -76,40 +76,40 @@
 		t.Errorf("slow, whose target can't be met: %+v", slow)
 	}
 	total := report.Total
-	if total.Sent != quick.Sent+slow.Sent || total.WastedTokens != 0 || total.ProducedTokens == 0 || total.RanAgain != 0 {
+	if total.Sent != quick.Sent+slow.Sent || total.WastedTokens != 0 || total.ProducedTokens == 0 || total.RanMoreThanOnce != 0 {
 		t.Errorf("total: %+v", total)
 	}
 	if quick.FirstTokenP50MS <= 0 || quick.FirstTokenP95MS < quick.FirstTokenP50MS {
 		t.Errorf("first token: p50 %v ms, p95 %v ms", quick.FirstTokenP50MS, quick.FirstTokenP95MS)
 	}
-	if again := run(t, options(t, url, url)); again.Total.Sent != total.Sent || again.Classes[0].Sent != quick.Sent {
+	if again := runLoad(t, newOptions(t, url, url)); again.Total.Sent != total.Sent || again.Classes[0].Sent != quick.Sent {
 		t.Errorf("the same seed sent %d requests, then %d", total.Sent, again.Total.Sent)
 	}
 }
 
-func TestCutAnswersAreBrokenAndWasted(t *testing.T) {
+func TestCutResponsesCountAsBrokenAndWasted(t *testing.T) {
 	server, url := startEngine(t)
 	server.SetKnobs(func(k *engine.Knobs) { k.CutStreams, k.CutAfter = 2, 1 })
-	report := run(t, options(t, url, url))
+	report := runLoad(t, newOptions(t, url, url))
 	if total := report.Total; total.Broken != 2 || total.WastedTokens != 2 {
 		t.Errorf("total: %+v", total)
 	}
-	told := 0
-	for _, d := range report.Details {
-		told += d.Count
+	reported := 0
+	for _, d := range report.Failures {
+		reported += d.Count
 	}
-	if told != 2 {
-		t.Errorf("details: %+v", report.Details)
+	if reported != 2 {
+		t.Errorf("details: %+v", report.Failures)
 	}
 }
 
 // onceRefuser refuses the first three distinct requests, each only once.
-type refuseOnce struct {
+type onceRefuser struct {
 	mu      sync.Mutex
 	refused []string
 }
 
-func (o *refuseOnce) refuses(fingerprint string) bool {
+func (o *onceRefuser) shouldRefuse(fingerprint string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.refused) == 3 || slices.Contains(o.refused, fingerprint) {
@@ -119,12 +119,12 @@
 	return true
 }
 
-func TestRefusedCallersComeBack(t *testing.T) {
+func TestRefusedRequestsAreRetried(t *testing.T) {
 	server, url := startEngine(t)
-	var once refuseOnce
+	var refuser onceRefuser
 	entry := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		if once.refuses(engine.Fingerprint(body)) {
+		if refuser.shouldRefuse(engine.Fingerprint(body)) {
 			w.Header().Set("Retry-After", "0")
 			w.WriteHeader(http.StatusTooManyRequests)
 			return
@@ -133,9 +133,9 @@
 		server.ServeHTTP(w, r)
 	}))
 	defer entry.Close()
-	o := options(t, entry.URL, url)
-	o.CheckRetryAfter = true
-	total := run(t, o).Total
+	options := newOptions(t, entry.URL, url)
+	options.CheckRetryAfter = true
+	total := runLoad(t, options).Total
 	if total.Refused != 3 || total.CameBack != 3 || total.Served+total.ServedLate != 3 {
 		t.Errorf("total: %+v", total)
 	}
@@ -144,41 +144,41 @@
 	}
 }
 
-func TestCallersDontComeBackAfterTheirPatience(t *testing.T) {
+func TestLongRetryAfterIsNotFollowed(t *testing.T) {
 	entry := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", "586")
 		w.WriteHeader(http.StatusTooManyRequests)
 	}))
 	defer entry.Close()
-	o := options(t, entry.URL)
-	o.CheckRetryAfter = true
-	o.ReturnWithin = time.Minute
-	total := run(t, o).Total
+	options := newOptions(t, entry.URL)
+	options.CheckRetryAfter = true
+	options.ReturnWithin = time.Minute
+	total := runLoad(t, options).Total
 	if total.CameBack != 0 || total.Refused != total.Sent || total.RetryAfterMaxS < 580 {
 		t.Errorf("total: %+v", total)
 	}
 }
 
-func TestCallsOfAPlainServiceAreChecked(t *testing.T) {
+func TestServiceResponsesAreVerified(t *testing.T) {
 	service := plain.New()
 	entry := httptest.NewServer(http.StripPrefix("/services/weighbridge", service))
 	defer entry.Close()
-	o := options(t, entry.URL)
+	options := newOptions(t, entry.URL)
 	gate := load.Class{Name: "gate", Service: "weighbridge", FirstToken: time.Minute}
-	o.Scenario.Mix.Classes = append(o.Scenario.Mix.Classes[:0:0], gate)
-	o.Scenario.Shape.Phases[0].Rates = []load.Rate{{Class: "gate", PerSecond: 200}}
-	if total := run(t, o).Total; total.Sent == 0 || total.OnTime != total.Sent {
+	options.Scenario.Mix.Classes = append(options.Scenario.Mix.Classes[:0:0], gate)
+	options.Scenario.Shape.Phases[0].Rates = []load.Rate{{Class: "gate", PerSecond: 200}}
+	if total := runLoad(t, options).Total; total.Sent == 0 || total.OnTime != total.Sent {
 		t.Errorf("total: %+v", total)
 	}
 	wrong := httptest.NewServer(service)
 	defer wrong.Close()
-	o.Entries = []string{wrong.URL}
-	if total := run(t, o).Total; total.Wrong != total.Sent {
+	options.Entries = []string{wrong.URL}
+	if total := runLoad(t, options).Total; total.Wrong != total.Sent {
 		t.Errorf("responses to other calls are not reported as wrong: %+v", total)
 	}
 }
 
-func TestRunOfARefusedRequestIsFound(t *testing.T) {
+func TestRunOfRefusedRequestIsCounted(t *testing.T) {
 	server, url := startEngine(t)
 	entry := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		server.ServeHTTP(httptest.NewRecorder(), r)
@@ -186,13 +186,13 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	defer entry.Close()
-	total := run(t, options(t, entry.URL, url)).Total
+	total := runLoad(t, newOptions(t, entry.URL, url)).Total
 	if total.RanThoughRefused != total.Sent || total.WastedTokens != total.ProducedTokens {
 		t.Errorf("total: %+v", total)
 	}
 }
 
-func TestAnswersThatAreNoneAreToldApart(t *testing.T) {
+func TestFailedResponsesAreClassified(t *testing.T) {
 	const token = `data: {"choices":[{"delta":{"content":"x"}}]}` + "\n\n"
 	cases := []struct {
 		name   string
@@ -215,7 +215,7 @@
 				_, _ = w.Write([]byte(c.body))
 			}))
 			defer entry.Close()
-			total := run(t, options(t, entry.URL)).Total
+			total := runLoad(t, newOptions(t, entry.URL)).Total
 			if c.count(total) != total.Sent {
 				t.Errorf("total: %+v", total)
 			}
@@ -223,19 +223,19 @@
 	}
 }
 
-func TestScenarioErrorsNameTheirPlace(t *testing.T) {
-	_, err := load.ParseScenario([]byte(mix+"weight: 3\n"), []byte(shape))
+func TestScenarioErrorsNameTheLocation(t *testing.T) {
+	_, err := load.ParseScenario([]byte(mixYAML+"weight: 3\n"), []byte(shapeYAML))
 	if err == nil || !strings.Contains(err.Error(), "weight") || !strings.Contains(err.Error(), "[10:1]") {
 		t.Errorf("unknown key: %v", err)
 	}
-	_, err = load.ParseScenario([]byte(mix), []byte(strings.Replace(shape, "class: slow", "class: slower", 1)))
+	_, err = load.ParseScenario([]byte(mixYAML), []byte(strings.Replace(shapeYAML, "class: slow", "class: slower", 1)))
 	if err == nil || !strings.Contains(err.Error(), `"slower"`) {
 		t.Errorf("unknown class: %v", err)
 	}
 }
 
-func TestUsefulWorkIsAPartOfCapacity(t *testing.T) {
-	scenario := options(t, "http://127.0.0.1:1").Scenario
+func TestUsefulCapacityShare(t *testing.T) {
+	scenario := newOptions(t, "http://127.0.0.1:1").Scenario
 	phase := load.PhaseReport{Seconds: 1, Classes: []load.ClassReport{{OnTimeTokens: 10_000}, {}}}
 	// 10,000 tokens of 200 µs each take 2 s, which is half of what four
 	// streams do in 1 s.
--- a/testbed/load/scenario.go
+++ b/testbed/load/scenario.go
@@ -26,7 +26,7 @@
 	if err := yaml.UnmarshalWithOptions(shape, &s.Shape, yaml.Strict()); err != nil {
 		return Scenario{}, errors.Wrap(err, "read shape")
 	}
-	return s, s.check()
+	return s, s.validate()
 }
 
 // Name returns the names of the mix and the shape.
@@ -65,7 +65,7 @@
 	return -1
 }
 
-func (s Scenario) check() error {
+func (s Scenario) validate() error {
 	fleet := s.Mix.Fleet
 	switch {
 	case len(s.Mix.Classes) == 0:
@@ -74,20 +74,20 @@
 		return errors.New("mix has no customers")
 	case len(s.Shape.Phases) == 0:
 		return errors.New("shape has no phases")
-	case fleet.Engines <= 0 || fleet.Capacity <= 0 || fleet.Interval <= 0:
+	case fleet.Engines <= 0 || fleet.Capacity <= 0 || fleet.TokenInterval <= 0:
 		return errors.New("fleet needs engines, capacity and interval above zero")
 	case s.classIndex(s.Mix.BurstClass) < 0:
 		return errors.Errorf("burst_class %q is not a class of the mix", s.Mix.BurstClass)
 	}
 	for _, class := range s.Mix.Classes {
-		if class.Service == "" && (class.PromptTokens <= 0 || class.AnswerTokens <= 0) {
+		if class.Service == "" && (class.PromptTokens <= 0 || class.ResponseTokens <= 0) {
 			return errors.Errorf("class %q needs prompt_tokens and answer_tokens above zero", class.Name)
 		}
 	}
-	return s.checkPhases()
+	return s.validatePhases()
 }
 
-func (s Scenario) checkPhases() error {
+func (s Scenario) validatePhases() error {
 	for _, phase := range s.Shape.Phases {
 		for _, rate := range phase.Rates {
 			if s.classIndex(rate.Class) < 0 {
@@ -95,8 +95,8 @@
 			}
 		}
 		for _, fault := range phase.Faults {
-			if fault.Engine < 0 || fault.Engine >= s.Mix.Fleet.AllEngines() {
-				return errors.Errorf("phase %q: fault of engine %d, but the fleet has %d engines", phase.Name, fault.Engine, s.Mix.Fleet.AllEngines())
+			if fault.Engine < 0 || fault.Engine >= s.Mix.Fleet.TotalEngines() {
+				return errors.Errorf("phase %q: fault of engine %d, but the fleet has %d engines", phase.Name, fault.Engine, s.Mix.Fleet.TotalEngines())
 			}
 		}
 	}
--- a/testbed/load/schedule.go
+++ b/testbed/load/schedule.go
@@ -11,15 +11,15 @@
 // arrival is one scheduled request.
 type arrival struct {
 	// offset is the scheduled time since the start of the run.
-	at time.Duration
+	offset time.Duration
 	// index is the request's position in order of time.
-	number   int
+	index int
 	// phase, class and customer are indexes into the scenario's lists.
-	phase    int
-	class    int
-	customer int
-	prompt int
-	answer int
+	phase          int
+	class          int
+	customer       int
+	promptTokens   int
+	responseTokens int
 }
 
 // schedule draws all arrivals of a scenario in advance, in order of time. The
@@ -27,38 +27,38 @@
 func schedule(s Scenario, seed uint64) []arrival {
 	var arrivals []arrival
 	var start time.Duration
-	for p, phase := range s.Shape.Phases {
-		for c := range s.Mix.Classes {
-			stream := uint64(p)<<32 | uint64(c)
-			random := rand.New(rand.NewPCG(seed, stream))
-			arrivals = append(arrivals, s.drawClass(random, p, c, start)...)
+	for phaseIndex, phase := range s.Shape.Phases {
+		for classIndex := range s.Mix.Classes {
+			sequence := uint64(phaseIndex)<<32 | uint64(classIndex)
+			random := rand.New(rand.NewPCG(seed, sequence))
+			arrivals = append(arrivals, s.drawArrivals(random, phaseIndex, classIndex, start)...)
 		}
 		start += phase.Duration
 	}
-	sort.SliceStable(arrivals, func(i, j int) bool { return arrivals[i].at < arrivals[j].at })
+	sort.SliceStable(arrivals, func(i, j int) bool { return arrivals[i].offset < arrivals[j].offset })
 	for i := range arrivals {
-		arrivals[i].number = i
+		arrivals[i].index = i
 	}
 	return arrivals
 }
 
 // drawArrivals draws the arrivals of a class in a phase as a Poisson process.
-func (s Scenario) drawClass(random *rand.Rand, p, c int, start time.Duration) []arrival {
-	phase := s.Shape.Phases[p]
-	class := s.Mix.Classes[c]
-	rate := s.rate(p, c)
+func (s Scenario) drawArrivals(random *rand.Rand, phaseIndex, classIndex int, start time.Duration) []arrival {
+	phase := s.Shape.Phases[phaseIndex]
+	class := s.Mix.Classes[classIndex]
+	rate := s.arrivalRate(phaseIndex, classIndex)
 	if rate <= 0 {
 		return nil
 	}
 	var arrivals []arrival
-	for at := gap(random, rate); at < phase.Duration; at += gap(random, rate) {
+	for offset := drawInterarrivalTime(random, rate); offset < phase.Duration; offset += drawInterarrivalTime(random, rate) {
 		arrivals = append(arrivals, arrival{
-			at:       start + at,
-			phase:    p,
-			class:    c,
-			customer: s.drawCustomer(random, phase),
-			prompt:   drawLength(random, class.PromptTokens, class.Spread, maxPrompt),
-			answer:   drawLength(random, class.AnswerTokens, class.Spread, engine.MaxAnswer),
+			offset:         start + offset,
+			phase:          phaseIndex,
+			class:          classIndex,
+			customer:       s.drawCustomer(random, phase),
+			promptTokens:   drawLogNormalLength(random, class.PromptTokens, class.LengthLogStdDev, maxPromptTokens),
+			responseTokens: drawLogNormalLength(random, class.ResponseTokens, class.LengthLogStdDev, engine.MaxResponseTokens),
 		})
 	}
 	return arrivals
@@ -66,23 +66,23 @@
 
 // arrivalRate returns the mean number of requests per second of a class in a
 // phase.
-func (s Scenario) rate(p, c int) float64 {
-	phase := s.Shape.Phases[p]
-	class := s.Mix.Classes[c]
-	var shares float64
+func (s Scenario) arrivalRate(phaseIndex, classIndex int) float64 {
+	phase := s.Shape.Phases[phaseIndex]
+	class := s.Mix.Classes[classIndex]
+	var totalShares float64
 	for _, other := range s.Mix.Classes {
-		shares += other.WorkShare
+		totalShares += other.LoadShare
 	}
 	var streams float64
-	if shares > 0 {
-		streams = phase.Load * s.Mix.Fleet.streams() * class.WorkShare / shares
+	if totalShares > 0 {
+		streams = phase.Load * s.Mix.Fleet.fullSpeedStreams() * class.LoadShare / totalShares
 	}
 	if class.Name == s.Mix.BurstClass {
-		streams += phase.Burst * s.Mix.modelStreams(s.Mix.ModelOf(class))
+		streams += phase.Burst * s.Mix.fullSpeedStreamsOf(s.Mix.ModelOf(class))
 	}
 	var rate float64
 	if class.Service == "" {
-		rate = streams / class.cost(s.Mix.Fleet).Seconds()
+		rate = streams / class.streamTime(s.Mix.Fleet).Seconds()
 	}
 	for _, extra := range phase.Rates {
 		if extra.Class == class.Name {
@@ -102,14 +102,14 @@
 	if phase.HotShare > 0 {
 		first = 1
 	}
-	var total float64
+	var totalShares float64
 	for _, customer := range customers[first:] {
-		total += customer.Share
+		totalShares += customer.Share
 	}
-	left := random.Float64() * total
+	remaining := random.Float64() * totalShares
 	for i, customer := range customers[first:] {
-		left -= customer.Share
-		if left < 0 {
+		remaining -= customer.Share
+		if remaining < 0 {
 			return first + i
 		}
 	}
@@ -118,6 +118,6 @@
 
 // gap draws the exponentially distributed time to the next arrival, for a rate
 // per second.
-func gap(random *rand.Rand, rate float64) time.Duration {
+func drawInterarrivalTime(random *rand.Rand, rate float64) time.Duration {
 	return time.Duration(random.ExpFloat64() / rate * float64(time.Second))
 }
--- a/testbed/load/caller.go
+++ b/testbed/load/sender.go
@@ -19,9 +19,9 @@
 
 const (
 	// maxErrorBodyBytes is the part of an error response's body that is read.
-	maxErrorBody = 64 << 10
+	maxErrorBodyBytes = 64 << 10
 	// maxIdleConnections is the maximum number of idle connections per entry.
-	maxConnections = 4096
+	maxIdleConnections = 4096
 )
 
 // Request headers of the system's API.
@@ -34,27 +34,27 @@
 const servicePath = "/calls"
 
 // errorCodeUnknown is the error code of requests that may have run.
-const codeUnknown = "unknown"
+const errorCodeUnknown = "unknown"
 
 // requestSender sends requests to the entries round robin, as a load balancer
 // would. It is safe for concurrent use.
-type caller struct {
-	scenario Scenario
-	entries  []string
-	client   *http.Client
-	next     atomic.Uint64
+type requestSender struct {
+	scenario  Scenario
+	entries   []string
+	client    *http.Client
+	nextEntry atomic.Uint64
 }
 
-func newCaller(scenario Scenario, entries []string) *caller {
-	transport := &http.Transport{MaxIdleConnsPerHost: maxConnections, DisableCompression: true}
-	return &caller{scenario: scenario, entries: entries, client: &http.Client{Transport: transport}}
+func newRequestSender(scenario Scenario, entries []string) *requestSender {
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnections, DisableCompression: true}
+	return &requestSender{scenario: scenario, entries: entries, client: &http.Client{Transport: transport}}
 }
 
 // send sends one request and classifies its response. All times are measured
 // from due, the time at which the request was scheduled, so that a delay of the
 // load generator itself is not hidden (coordinated omission).
-func (c *caller) send(ctx context.Context, a arrival, body []byte, due time.Time) Result {
-	resp, err := c.post(ctx, a, body)
+func (s *requestSender) send(ctx context.Context, a arrival, body []byte, due time.Time) Result {
+	resp, err := s.post(ctx, a, body)
 	if err != nil {
 		return Result{Outcome: OutcomeBroken, Detail: err.Error()}
 	}
@@ -62,54 +62,54 @@
 	if resp.StatusCode != http.StatusOK {
 		return errorResult(resp)
 	}
-	result := c.read(resp, a, body, due)
+	result := s.readResponse(resp, a, body, due)
 	result.Status = resp.StatusCode
-	if result.Outcome == OutcomeOnTime && !c.scenario.Mix.Classes[a.class].onTime(result) {
+	if result.Outcome == OutcomeOnTime && !s.scenario.Mix.Classes[a.class].meetsTargets(result) {
 		result.Outcome = OutcomeLate
 	}
 	return result
 }
 
 // readResponse reads a response to its end and compares it with the expected one.
-func (c *caller) read(resp *http.Response, a arrival, body []byte, due time.Time) Result {
-	if c.scenario.Mix.Classes[a.class].Service != "" {
-		return readServiceAnswer(resp.Body, due, plain.Answer(http.MethodPost, servicePath, body))
+func (s *requestSender) readResponse(resp *http.Response, a arrival, body []byte, due time.Time) Result {
+	if s.scenario.Mix.Classes[a.class].Service != "" {
+		return readServiceResponse(resp.Body, due, plain.Answer(http.MethodPost, servicePath, body))
 	}
-	return readAnswer(resp.Body, due, strings.Join(engine.Answer(body), ""))
+	return readStreamResponse(resp.Body, due, strings.Join(engine.Answer(body), ""))
 }
 
-func (c *caller) post(ctx context.Context, a arrival, body []byte) (*http.Response, error) {
-	entry := c.entries[c.next.Add(1)%uint64(len(c.entries))]
-	class := c.scenario.Mix.Classes[a.class]
+func (s *requestSender) post(ctx context.Context, a arrival, body []byte) (*http.Response, error) {
+	entry := s.entries[s.nextEntry.Add(1)%uint64(len(s.entries))]
+	class := s.scenario.Mix.Classes[a.class]
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, entry+class.path(), bytes.NewReader(body))
 	if err != nil {
 		return nil, errors.Wrap(err, "build request")
 	}
-	customer := c.scenario.Mix.Customers[a.customer]
+	customer := s.scenario.Mix.Customers[a.customer]
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(headerClass, class.Name)
 	req.Header.Set(headerCustomer, customer.Name)
 	if customer.Key != "" {
 		req.Header.Set("Authorization", "Bearer "+customer.Key)
 	}
-	return c.client.Do(req)
+	return s.client.Do(req)
 }
 
 // errorResult classifies an error response. Only status 429 or 503 with a
 // Retry-After in seconds counts as refused.
 func errorResult(resp *http.Response) Result {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes))
 	if err != nil {
 		body = nil
 	}
 	result := Result{Outcome: OutcomeBroken, Status: resp.StatusCode, Detail: "status " + strconv.Itoa(resp.StatusCode)}
 	seconds, err := strconv.Atoi(resp.Header.Get("Retry-After"))
-	turnedAway := resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable
+	retryable := resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable
 	switch {
-	case turnedAway && err == nil:
+	case retryable && err == nil:
 		result.Outcome = OutcomeRefused
 		result.RetryAfter = time.Duration(seconds) * time.Second
-	case saysUnknown(body):
+	case isOutcomeUnknown(body):
 		result.Outcome = OutcomeUnknown
 	}
 	return result
@@ -133,6 +133,6 @@
 
 // isOutcomeUnknown reports whether an error body says that the request may have
 // run.
-func saysUnknown(body []byte) bool {
-	return errorCode(body) == codeUnknown
+func isOutcomeUnknown(body []byte) bool {
+	return errorCode(body) == errorCodeUnknown
 }
--- a/testbed/load/shape.go
+++ b/testbed/load/shape.go
@@ -44,8 +44,8 @@
 	// Engine is the index of the engine in the fleet.
 	Engine int `yaml:"engine" json:"engine"`
 	// Slowdown multiplies the engine's delays; 0 and 1 are full speed.
-	Slow float64 `yaml:"slow" json:"slow,omitempty"`
+	Slowdown float64 `yaml:"slow" json:"slow,omitempty"`
 	// ExternalStreams is the number of simulated streams of other routers
 	// that use the engine's capacity.
-	Foreign int `yaml:"foreign" json:"foreign,omitempty"`
+	ExternalStreams int `yaml:"foreign" json:"foreign,omitempty"`
 }
--- a/testbed/load/answer.go
+++ b/testbed/load/stream_response.go
@@ -10,10 +10,10 @@
 )
 
 // maxEventBytes is the maximum length of one line of a stream.
-const maxEvent = 1 << 20
+const maxEventBytes = 1 << 20
 
 // responseChunk holds the fields of a chat.completion.chunk that are read.
-type answerChunk struct {
+type responseChunk struct {
 	Choices []struct {
 		Delta struct {
 			Content string `json:"content"`
@@ -23,21 +23,21 @@
 }
 
 // streamReader collects the text and the token times of a streamed response.
-type answerReader struct {
-	due    time.Time
-	first  time.Time
-	last   time.Time
-	text   strings.Builder
-	tokens int
+type streamReader struct {
+	due          time.Time
+	firstTokenAt time.Time
+	lastTokenAt  time.Time
+	text         strings.Builder
+	tokens       int
 }
 
 // readStreamResponse reads a stream to its end and compares its text with want.
 // A correct response gets OutcomeOnTime; the caller must compare its times with
 // the targets of the class.
-func readAnswer(body io.Reader, due time.Time, want string) Result {
-	reader := answerReader{due: due}
+func readStreamResponse(body io.Reader, due time.Time, want string) Result {
+	reader := streamReader{due: due}
 	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, maxEvent)
+	lines.Buffer(nil, maxEventBytes)
 	for lines.Scan() {
 		data, ok := bytes.CutPrefix(lines.Bytes(), []byte("data:"))
 		if !ok {
@@ -47,46 +47,46 @@
 		if string(data) == "[DONE]" {
 			return reader.finish(want)
 		}
-		if failed, ok := reader.take(data); !ok {
-			return failed
+		if failure, ok := reader.handleEvent(data); !ok {
+			return failure
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return reader.broken("stream failed: " + err.Error())
+		return reader.failure("stream failed: " + err.Error())
 	}
-	return reader.broken("stream ended without [DONE]")
+	return reader.failure("stream ended without [DONE]")
 }
 
 // handleEvent processes one event. If the event ends the response as a failure,
 // it returns the result and false.
-func (r *answerReader) take(data []byte) (Result, bool) {
-	var chunk answerChunk
+func (r *streamReader) handleEvent(data []byte) (Result, bool) {
+	var chunk responseChunk
 	if err := json.Unmarshal(data, &chunk); err != nil {
-		return r.broken("event is not valid JSON"), false
+		return r.failure("event is not valid JSON"), false
 	}
 	if len(chunk.Error) > 0 && string(chunk.Error) != "null" {
-		failed := r.broken("error event " + errorCode(data))
-		if saysUnknown(data) {
-			failed.Outcome = OutcomeUnknown
+		failure := r.failure("error event " + errorCode(data))
+		if isOutcomeUnknown(data) {
+			failure.Outcome = OutcomeUnknown
 		}
-		return failed, false
+		return failure, false
 	}
 	if len(chunk.Choices) > 0 && chunk.Choices[0].Delta.Content != "" {
-		r.token(chunk.Choices[0].Delta.Content)
+		r.addToken(chunk.Choices[0].Delta.Content)
 	}
 	return Result{}, true
 }
 
-func (r *answerReader) token(text string) {
-	r.last = time.Now()
+func (r *streamReader) addToken(text string) {
+	r.lastTokenAt = time.Now()
 	if r.tokens == 0 {
-		r.first = r.last
+		r.firstTokenAt = r.lastTokenAt
 	}
 	r.tokens++
 	r.text.WriteString(text)
 }
 
-func (r *answerReader) finish(want string) Result {
+func (r *streamReader) finish(want string) Result {
 	result := r.result(OutcomeOnTime)
 	if r.text.String() != want {
 		result.Outcome = OutcomeWrong
@@ -95,19 +95,19 @@
 	return result
 }
 
-func (r *answerReader) broken(detail string) Result {
+func (r *streamReader) failure(detail string) Result {
 	result := r.result(OutcomeBroken)
 	result.Detail = detail
 	return result
 }
 
-func (r *answerReader) result(outcome Outcome) Result {
+func (r *streamReader) result(outcome Outcome) Result {
 	result := Result{Outcome: outcome, Tokens: r.tokens, Completion: time.Since(r.due)}
 	if r.tokens > 0 {
-		result.FirstToken = r.first.Sub(r.due)
+		result.FirstToken = r.firstTokenAt.Sub(r.due)
 	}
 	if r.tokens > 1 {
-		result.BetweenTokens = r.last.Sub(r.first) / time.Duration(r.tokens-1)
+		result.BetweenTokens = r.lastTokenAt.Sub(r.firstTokenAt) / time.Duration(r.tokens-1)
 	}
 	return result
 }
--- a/testbed/load/summary.go
+++ b/testbed/load/summary.go
@@ -9,15 +9,15 @@
 // Range of the histograms in microseconds, and their precision in significant
 // decimal digits.
 const (
-	lowestMicros  = 1
-	highestMicros = int64(10 * time.Minute / time.Microsecond)
-	digits        = 3
+	minMicros         = 1
+	maxMicros         = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
 // Reported percentiles.
 const (
-	median = 50
-	p95    = 95
+	p50             = 50
+	p95             = 95
 	millisPerSecond = 1000
 )
 
@@ -49,7 +49,7 @@
 	// nevertheless. It must be zero.
 	RanThoughRefused int `json:"ran_though_refused"`
 	// RanMoreThanOnce is the number of requests with more than one run.
-	RanAgain int `json:"ran_again"`
+	RanMoreThanOnce int `json:"ran_again"`
 	// Latencies of complete responses: to the first token and the mean
 	// between tokens.
 	FirstTokenP50MS    float64 `json:"first_token_p50_ms"`
@@ -71,102 +71,102 @@
 
 // summary accumulates the requests of a class.
 type summary struct {
-	sums    ClassReport
-	first   *hdrhistogram.Histogram
-	between *hdrhistogram.Histogram
-	hints   *hdrhistogram.Histogram
+	counts        ClassReport
+	firstToken    *hdrhistogram.Histogram
+	betweenTokens *hdrhistogram.Histogram
+	retryAfter    *hdrhistogram.Histogram
 }
 
 func newSummary(class string, tier int) *summary {
 	return &summary{
-		sums:    ClassReport{Class: class, Tier: tier},
-		first:   hdrhistogram.New(lowestMicros, highestMicros, digits),
-		between: hdrhistogram.New(lowestMicros, highestMicros, digits),
-		hints:   hdrhistogram.New(lowestMicros, highestMicros, digits),
+		counts:        ClassReport{Class: class, Tier: tier},
+		firstToken:    hdrhistogram.New(minMicros, maxMicros, significantDigits),
+		betweenTokens: hdrhistogram.New(minMicros, maxMicros, significantDigits),
+		retryAfter:    hdrhistogram.New(minMicros, maxMicros, significantDigits),
 	}
 }
 
-func (s *summary) add(rec record, made production) {
-	s.sums.Sent++
+func (s *summary) add(rec requestRecord, work engineWork) {
+	s.counts.Sent++
 	s.countOutcome(rec.result)
-	s.countWork(rec, made)
-	if rec.result.whole() {
+	s.countWork(rec, work)
+	if rec.result.complete() {
 		s.recordTimes(rec.result)
 	}
-	if rec.again != nil {
-		s.countAgain(*rec.again)
+	if rec.retry != nil {
+		s.countRetry(*rec.retry)
 	}
 }
 
 func (s *summary) countOutcome(result Result) {
 	switch result.Outcome {
 	case OutcomeOnTime:
-		s.sums.OnTime++
-		s.sums.OnTimeTokens += result.Tokens
+		s.counts.OnTime++
+		s.counts.OnTimeTokens += result.Tokens
 	case OutcomeLate:
-		s.sums.Late++
+		s.counts.Late++
 	case OutcomeRefused:
-		s.sums.Refused++
-		recordTime(s.hints, result.RetryAfter)
+		s.counts.Refused++
+		recordTime(s.retryAfter, result.RetryAfter)
 	case OutcomeUnknown:
-		s.sums.Unknown++
+		s.counts.Unknown++
 	case OutcomeWrong:
-		s.sums.Wrong++
+		s.counts.Wrong++
 	default:
-		s.sums.Broken++
+		s.counts.Broken++
 	}
 }
 
-func (s *summary) countWork(rec record, made production) {
-	s.sums.ProducedTokens += made.tokens
-	s.sums.WastedTokens += max(made.tokens-rec.delivered(), 0)
-	if made.runs > 1 {
-		s.sums.RanAgain++
+func (s *summary) countWork(rec requestRecord, work engineWork) {
+	s.counts.ProducedTokens += work.tokens
+	s.counts.WastedTokens += max(work.tokens-rec.deliveredTokens(), 0)
+	if work.runs > 1 {
+		s.counts.RanMoreThanOnce++
 	}
 	// The run of a request that was retried may belong to the retry.
-	stayedAway := rec.again == nil || rec.again.Outcome == OutcomeRefused
-	if made.runs > 0 && rec.result.Outcome == OutcomeRefused && stayedAway {
-		s.sums.RanThoughRefused++
+	notRetried := rec.retry == nil || rec.retry.Outcome == OutcomeRefused
+	if work.runs > 0 && rec.result.Outcome == OutcomeRefused && notRetried {
+		s.counts.RanThoughRefused++
 	}
 }
 
-func (s *summary) countAgain(result Result) {
-	s.sums.CameBack++
+func (s *summary) countRetry(result Result) {
+	s.counts.CameBack++
 	switch result.Outcome {
 	case OutcomeOnTime:
-		s.sums.Served++
+		s.counts.Served++
 	case OutcomeLate:
-		s.sums.ServedLate++
+		s.counts.ServedLate++
 	}
 }
 
 func (s *summary) recordTimes(result Result) {
-	recordTime(s.first, result.FirstToken)
+	recordTime(s.firstToken, result.FirstToken)
 	if result.Tokens > 1 {
-		recordTime(s.between, result.BetweenTokens)
+		recordTime(s.betweenTokens, result.BetweenTokens)
 	}
 }
 
 // report returns the counts with the derived ratios and percentiles.
 func (s *summary) report(duration time.Duration) ClassReport {
-	report := s.sums
-	report.Attainment = share(report.OnTime, report.Sent)
-	report.WastedShare = share(report.WastedTokens, report.ProducedTokens)
+	report := s.counts
+	report.Attainment = ratio(report.OnTime, report.Sent)
+	report.WastedShare = ratio(report.WastedTokens, report.ProducedTokens)
 	if duration > 0 {
 		report.Goodput = float64(report.OnTime) / duration.Seconds()
 	}
-	report.FirstTokenP50MS = quantile(s.first, median)
-	report.FirstTokenP95MS = quantile(s.first, p95)
-	report.FirstTokenMaxMS = toMillis(s.first.Max())
-	report.BetweenTokensP50MS = quantile(s.between, median)
-	report.BetweenTokensP95MS = quantile(s.between, p95)
-	report.RetryAfterMedianS = quantile(s.hints, median) / millisPerSecond
-	report.RetryAfterMaxS = toMillis(s.hints.Max()) / millisPerSecond
+	report.FirstTokenP50MS = quantile(s.firstToken, p50)
+	report.FirstTokenP95MS = quantile(s.firstToken, p95)
+	report.FirstTokenMaxMS = toMillis(s.firstToken.Max())
+	report.BetweenTokensP50MS = quantile(s.betweenTokens, p50)
+	report.BetweenTokensP95MS = quantile(s.betweenTokens, p95)
+	report.RetryAfterMedianS = quantile(s.retryAfter, p50) / millisPerSecond
+	report.RetryAfterMaxS = toMillis(s.retryAfter.Max()) / millisPerSecond
 	return report
 }
 
 func recordTime(histogram *hdrhistogram.Histogram, d time.Duration) {
-	micros := min(max(d.Microseconds(), lowestMicros), highestMicros)
+	micros := min(max(d.Microseconds(), minMicros), maxMicros)
 	_ = histogram.RecordValue(micros)
 }
 
@@ -178,9 +178,9 @@
 	return float64(micros) / 1000
 }
 
-func share(part, whole int) float64 {
-	if whole == 0 {
+func ratio(part, total int) float64 {
+	if total == 0 {
 		return 0
 	}
-	return float64(part) / float64(whole)
+	return float64(part) / float64(total)
 }
--- a/testbed/load/table.go
+++ b/testbed/load/table.go
@@ -13,17 +13,17 @@
 	if err != nil {
 		return err
 	}
-	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	tabbed := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	header := "class\ttier\tsent\ton time\tlate\trefused\tunknown\tbroken\twrong\tattained\tfirst p50\tp95\twasted tokens\t"
-	if _, err := fmt.Fprintln(table, header); err != nil {
+	if _, err := fmt.Fprintln(tabbed, header); err != nil {
 		return err
 	}
 	for _, class := range append(append([]ClassReport{}, r.Classes...), r.Total) {
-		if err := class.writeRow(table); err != nil {
+		if err := class.writeRow(tabbed); err != nil {
 			return err
 		}
 	}
-	if err := table.Flush(); err != nil {
+	if err := tabbed.Flush(); err != nil {
 		return err
 	}
 	return r.writeNotes(w)
@@ -50,7 +50,7 @@
 			return err
 		}
 	}
-	for _, d := range r.Details {
+	for _, d := range r.Failures {
 		if _, err := fmt.Fprintf(w, "failed: %d %s: %s\n", d.Count, d.Class, d.Detail); err != nil {
 			return err
 		}
--- a/testbed/load/useful.go
+++ b/testbed/load/useful_capacity.go
@@ -4,20 +4,20 @@
 // that was used for complete responses on time to requests scheduled in the
 // phase. Some of that work happens after the phase, so it can exceed 1.
 func (s Scenario) Useful(phase PhaseReport) float64 {
-	var work float64
+	var streamSeconds float64
 	for i, class := range s.Mix.Classes {
-		work += class.onTimeWork(s.Mix.Fleet, phase.Classes[i])
+		streamSeconds += class.onTimeStreamSeconds(s.Mix.Fleet, phase.Classes[i])
 	}
-	return work / (s.Mix.Fleet.streams() * phase.Seconds)
+	return streamSeconds / (s.Mix.Fleet.fullSpeedStreams() * phase.Seconds)
 }
 
 // onTimeStreamSeconds returns the time, in seconds, that the responses on time
 // take one stream at full speed. Prompts are counted with their mean length,
 // without the shared prefix, which engines have cached.
-func (c Class) onTimeWork(fleet Fleet, report ClassReport) float64 {
+func (c Class) onTimeStreamSeconds(fleet Fleet, report ClassReport) float64 {
 	if c.Service != "" {
 		return 0
 	}
-	decode := float64(report.OnTimeTokens) * fleet.Interval.Seconds()
-	return decode + float64(report.OnTime)*c.meanPrompt()*fleet.PrefillPerToken.Seconds()
+	decodeSeconds := float64(report.OnTimeTokens) * fleet.TokenInterval.Seconds()
+	return decodeSeconds + float64(report.OnTime)*c.meanPromptTokens()*fleet.PrefillPerToken.Seconds()
 }
--- a/testbed/loadfleet/loadfleet.go
+++ b/testbed/loadfleet/loadfleet.go
@@ -18,9 +18,9 @@
 	return fleet.Start(ctx, fleet.Options{
 		Binaries:  binaries,
 		Entries:   entries,
-		Backends:  append(engines(mix), services(mix)...),
-		Classes:   classes(mix),
-		Customers: customers(mix),
+		Backends:  append(engineSpecs(mix), serviceSpecs(mix)...),
+		Classes:   targetClasses(mix),
+		Customers: customerNames(mix),
 		LogLevel:  "warn",
 	})
 }
@@ -29,12 +29,12 @@
 // include the customers' keys and the URLs of entries and engines.
 func Target(f *fleet.Fleet, scenario load.Scenario) load.Options {
 	options := load.Options{Scenario: scenario}
-	keyed := make([]load.Customer, len(scenario.Mix.Customers))
+	customersWithKeys := make([]load.Customer, len(scenario.Mix.Customers))
 	for i, customer := range scenario.Mix.Customers {
 		customer.Key = fleet.CustomerKey(customer.Name)
-		keyed[i] = customer
+		customersWithKeys[i] = customer
 	}
-	options.Scenario.Mix.Customers = keyed
+	options.Scenario.Mix.Customers = customersWithKeys
 	for _, entry := range f.Entries {
 		options.Entries = append(options.Entries, entry.URL)
 	}
@@ -47,19 +47,19 @@
 }
 
 // engineSpecs returns the engines in the order of the indexes in load.Fault.
-func engines(mix load.Mix) []fleet.BackendSpec {
-	sized := mix.Fleet
-	specs := fleet.Engines(sized.Engines, mix.Model, sized.Capacity, sized.Interval)
-	for _, other := range sized.Others {
-		specs = append(specs, fleet.Engines(other.Engines, other.Model, sized.Capacity, sized.Interval)...)
+func engineSpecs(mix load.Mix) []fleet.BackendSpec {
+	mixFleet := mix.Fleet
+	specs := fleet.Engines(mixFleet.Engines, mix.Model, mixFleet.Capacity, mixFleet.TokenInterval)
+	for _, other := range mixFleet.OtherModels {
+		specs = append(specs, fleet.Engines(other.Engines, other.Model, mixFleet.Capacity, mixFleet.TokenInterval)...)
 	}
 	for i := range specs {
-		specs[i].PrefillPerToken = sized.PrefillPerToken
+		specs[i].PrefillPerToken = mixFleet.PrefillPerToken
 	}
 	return specs
 }
 
-func services(mix load.Mix) []fleet.BackendSpec {
+func serviceSpecs(mix load.Mix) []fleet.BackendSpec {
 	var specs []fleet.BackendSpec
 	for _, class := range mix.Classes {
 		if class.Service != "" {
@@ -72,10 +72,10 @@
 // targetClasses returns the classes as an operator configures them, with latency
 // targets and tier. Calls of plain services have side effects, so their classes
 // are not repeatable.
-func classes(mix load.Mix) []targets.Class {
-	var stated []targets.Class
+func targetClasses(mix load.Mix) []targets.Class {
+	var converted []targets.Class
 	for _, class := range mix.Classes {
-		stated = append(stated, targets.Class{
+		converted = append(converted, targets.Class{
 			Name:          class.Name,
 			Tier:          class.Tier,
 			Model:         mix.ModelOf(class),
@@ -86,10 +86,10 @@
 			Repeatable:    class.Service == "",
 		})
 	}
-	return stated
+	return converted
 }
 
-func customers(mix load.Mix) []string {
+func customerNames(mix load.Mix) []string {
 	var names []string
 	for _, customer := range mix.Customers {
 		names = append(names, customer.Name)
