--- a/testbed/cmd/load/measure.go
+++ b/testbed/cmd/load/measure.go
@@ -23,13 +23,13 @@
 		Name:  "measure",
 		Usage: "start fleets, run scenarios against the system and the baselines, and write Markdown tables",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "mix", Value: []string{"tampere", "perth"}, Usage: "repeat for several"},
+			&cli.StringSliceFlag{Name: "mix", Value: []string{"tampere", "perth"}, Usage: "name of a mix; repeat for several"},
 			&cli.StringSliceFlag{
 				Name:  "shape",
 				Value: []string{"quiet", "burst-4x", "burst-8x", "burst-2x", "straggler", "hot-customer", "outside-load"},
-				Usage: "repeat for several",
+				Usage: "name of a shape; repeat for several",
 			},
-			&cli.StringSliceFlag{Name: "target", Value: measure.Targets(), Usage: "repeat for several"},
+			&cli.StringSliceFlag{Name: "target", Value: measure.Targets(), Usage: "name of a target; repeat for several"},
 			&cli.IntFlag{Name: "seeds", Value: 3, Usage: "number of seeds"},
 			&cli.FloatFlag{Name: "scale", Value: 1, Usage: "factor for the durations of the phases"},
 			&cli.IntFlag{Name: "parallel", Value: 1, Usage: "number of fleets that run concurrently"},
--- a/testbed/engine/completion.go
+++ b/testbed/engine/completion.go
@@ -83,12 +83,12 @@
 
 // outcomeOf derives a run's outcome from its error and the cause of its
 // context's cancellation.
-func outcomeOf(ctx context.Context, err error) Outcome {
+func outcomeOf(ctx context.Context, runErr error) Outcome {
 	cause := context.Cause(ctx)
 	switch {
-	case err == nil:
+	case runErr == nil:
 		return OutcomeWhole
-	case errors.Is(err, errStreamCut):
+	case errors.Is(runErr, errStreamCut):
 		return OutcomeCut
 	case errors.Is(cause, errCancelled):
 		return OutcomeCancelled
--- a/testbed/engine/load_reporter.go
+++ b/testbed/engine/load_reporter.go
@@ -16,7 +16,8 @@
 	done   chan struct{}
 }
 
-// newLoadReporter measures the load now and then at every interval until close.
+// newLoadReporter starts a reporter. It measures the load immediately and then
+// once per interval until close is called.
 func newLoadReporter(interval time.Duration, measure func() engine.Load) *loadReporter {
 	r := &loadReporter{report: measure(), stop: make(chan struct{}), done: make(chan struct{})}
 	go r.refresh(interval, measure)
@@ -30,6 +31,7 @@
 	return r.report
 }
 
+// close stops the reporter and waits for its goroutine to end.
 func (r *loadReporter) close() {
 	close(r.stop)
 	<-r.done
--- a/testbed/engine/request.go
+++ b/testbed/engine/request.go
@@ -43,7 +43,7 @@
 		return nil, errors.Wrap(err, "decode request")
 	}
 	if len(req.Messages) == 0 {
-		return nil, errors.New("messages are missing")
+		return nil, errors.New("messages must not be empty")
 	}
 	return &req, nil
 }
--- a/testbed/engine/run.go
+++ b/testbed/engine/run.go
@@ -56,9 +56,9 @@
 	promptTokens := estimateTokens(r.promptText)
 	cachedTokens := min(r.server.cache.lookupAndStore(r.promptText), promptTokens)
 	r.server.runs.start(r.record, promptTokens, cachedTokens)
-	uncachedTokens := promptTokens - cachedTokens + r.record.ResumedFrom
+	prefillTokens := promptTokens - cachedTokens + r.record.ResumedFrom
 	perToken := r.server.scaleDelay(r.server.config.PrefillPerToken)
-	return r.server.sleep(ctx, time.Duration(uncachedTokens)*perToken)
+	return r.server.sleep(ctx, time.Duration(prefillTokens)*perToken)
 }
 
 // decode writes the remaining tokens, one per interval.
--- a/testbed/engine/run_record.go
+++ b/testbed/engine/run_record.go
@@ -21,7 +21,7 @@
 	OutcomeCancelled Outcome = "cancelled"
 	// OutcomeDisconnected: the client closed the connection.
 	OutcomeDisconnected Outcome = "disconnected"
-	// OutcomeCrashed: the engine crashed.
+	// OutcomeCrashed: the engine crashed or was closed.
 	OutcomeCrashed Outcome = "crashed"
 	// OutcomeCut: the stream was cut by CutStreams.
 	OutcomeCut Outcome = "cut"
--- a/testbed/load/engine_client.go
+++ b/testbed/load/engine_client.go
@@ -38,7 +38,9 @@
 	ExternalStreams int     `json:"foreign"`
 }
 
-// setFaults injects the faults of a phase and removes all other faults.
+// setFaults sets the slowdown and the external streams of every engine as the
+// phase's faults say, and resets them on engines without a fault. If an engine
+// has several faults, the last one applies. Other knobs stay as they are.
 func (e *engineClient) setFaults(ctx context.Context, faults []Fault) error {
 	all := make([]faultSettings, len(e.urls))
 	for _, fault := range faults {
@@ -103,7 +105,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return errors.Errorf("status %d", resp.StatusCode)
+		return errors.Errorf("%s %s: status %d", method, url, resp.StatusCode)
 	}
 	if result == nil {
 		return nil
--- a/testbed/load/failures.go
+++ b/testbed/load/failures.go
@@ -16,15 +16,15 @@
 // frequent first.
 func countFailures(scenario Scenario, records []requestRecord) []FailureCount {
 	var counts []FailureCount
-	for _, rec := range records {
-		if rec.result.Detail == "" || rec.result.Outcome == OutcomeRefused || rec.result.Outcome == OutcomeUnknown {
+	for _, request := range records {
+		if request.result.Detail == "" || request.result.Outcome == OutcomeRefused || request.result.Outcome == OutcomeUnknown {
 			continue
 		}
-		class := scenario.Mix.Classes[rec.arrival.class].Name
-		index := slices.IndexFunc(counts, func(c FailureCount) bool { return c.Class == class && c.Detail == rec.result.Detail })
+		class := scenario.Mix.Classes[request.arrival.class].Name
+		index := slices.IndexFunc(counts, func(c FailureCount) bool { return c.Class == class && c.Detail == request.result.Detail })
 		if index < 0 {
 			index = len(counts)
-			counts = append(counts, FailureCount{Class: class, Detail: rec.result.Detail})
+			counts = append(counts, FailureCount{Class: class, Detail: request.result.Detail})
 		}
 		counts[index].Count++
 	}
--- a/testbed/load/report.go
+++ b/testbed/load/report.go
@@ -47,9 +47,9 @@
 	for i := range phases {
 		phases[i] = newPhaseSummary(scenario)
 	}
-	for _, rec := range records {
-		total.add(rec, work[rec.fingerprint])
-		phases[rec.arrival.phase].add(rec, work[rec.fingerprint])
+	for _, request := range records {
+		total.add(request, work[request.fingerprint])
+		phases[request.arrival.phase].add(request, work[request.fingerprint])
 	}
 	report := &Report{
 		Scenario: scenario.Name(),
@@ -95,9 +95,9 @@
 	return p
 }
 
-func (p *phaseSummary) add(rec requestRecord, work engineWork) {
-	p.total.add(rec, work)
-	p.classes[rec.arrival.class].add(rec, work)
+func (p *phaseSummary) add(request requestRecord, work engineWork) {
+	p.total.add(request, work)
+	p.classes[request.arrival.class].add(request, work)
 }
 
 func (p *phaseSummary) report(name string, duration time.Duration) PhaseReport {
--- a/testbed/load/run.go
+++ b/testbed/load/run.go
@@ -112,30 +112,30 @@
 // sendRequest sends one request, retries it if it was refused and Options ask
 // for that, and records the results.
 func (r *runner) sendRequest(ctx context.Context, a arrival, body []byte) {
-	rec := requestRecord{arrival: a, fingerprint: engine.Fingerprint(body)}
-	rec.result = r.sendOnce(ctx, a, body, r.started.Add(a.offset))
-	if r.options.CheckRetryAfter && rec.result.Outcome == OutcomeRefused && rec.result.RetryAfter <= r.options.ReturnWithin {
-		rec.retry = r.sendRetry(ctx, a, body, rec.result.RetryAfter)
+	request := requestRecord{arrival: a, fingerprint: engine.Fingerprint(body)}
+	request.result = r.sendOnce(ctx, a, body, r.started.Add(a.offset))
+	if r.options.CheckRetryAfter && request.result.Outcome == OutcomeRefused && request.result.RetryAfter <= r.options.ReturnWithin {
+		request.retry = r.sendRetry(ctx, a, body, request.result.RetryAfter)
 	}
 	r.ended.Add(1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.records = append(r.records, rec)
+	r.records = append(r.records, request)
 }
 
 func (r *runner) sendRetry(ctx context.Context, a arrival, body []byte, delay time.Duration) *Result {
-	due := time.Now().Add(delay)
-	if !pause.For(ctx, time.Until(due)) {
+	scheduledAt := time.Now().Add(delay)
+	if !pause.For(ctx, time.Until(scheduledAt)) {
 		return nil
 	}
-	result := r.sendOnce(ctx, a, body, due)
+	result := r.sendOnce(ctx, a, body, scheduledAt)
 	return &result
 }
 
-func (r *runner) sendOnce(ctx context.Context, a arrival, body []byte, due time.Time) Result {
+func (r *runner) sendOnce(ctx context.Context, a arrival, body []byte, scheduledAt time.Time) Result {
 	ctx, cancel := context.WithTimeout(ctx, r.options.Patience)
 	defer cancel()
-	return r.sender.send(ctx, a, body, due)
+	return r.sender.send(ctx, a, body, scheduledAt)
 }
 
 // startProgressReports calls Options.Progress at every progressInterval until
--- a/testbed/load/run_test.go
+++ b/testbed/load/run_test.go
@@ -95,11 +95,11 @@
 		t.Errorf("total: %+v", total)
 	}
 	reported := 0
-	for _, d := range report.Failures {
-		reported += d.Count
+	for _, failure := range report.Failures {
+		reported += failure.Count
 	}
 	if reported != 2 {
-		t.Errorf("details: %+v", report.Failures)
+		t.Errorf("failures: %+v", report.Failures)
 	}
 }
 
--- a/testbed/load/schedule.go
+++ b/testbed/load/schedule.go
@@ -116,8 +116,8 @@
 	return len(customers) - 1
 }
 
-// gap draws the exponentially distributed time to the next arrival, for a rate
-// per second.
+// drawInterarrivalTime draws the exponentially distributed time to the next
+// arrival. rate is in requests per second.
 func drawInterarrivalTime(random *rand.Rand, rate float64) time.Duration {
 	return time.Duration(random.ExpFloat64() / rate * float64(time.Second))
 }
--- a/testbed/load/sender.go
+++ b/testbed/load/sender.go
@@ -51,9 +51,9 @@
 }
 
 // send sends one request and classifies its response. All times are measured
-// from due, the time at which the request was scheduled, so that a delay of the
+// from scheduledAt, the time at which the request was due, so that a delay of the
 // load generator itself is not hidden (coordinated omission).
-func (s *requestSender) send(ctx context.Context, a arrival, body []byte, due time.Time) Result {
+func (s *requestSender) send(ctx context.Context, a arrival, body []byte, scheduledAt time.Time) Result {
 	resp, err := s.post(ctx, a, body)
 	if err != nil {
 		return Result{Outcome: OutcomeBroken, Detail: err.Error()}
@@ -62,7 +62,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return errorResult(resp)
 	}
-	result := s.readResponse(resp, a, body, due)
+	result := s.readResponse(resp, a, body, scheduledAt)
 	result.Status = resp.StatusCode
 	if result.Outcome == OutcomeOnTime && !s.scenario.Mix.Classes[a.class].meetsTargets(result) {
 		result.Outcome = OutcomeLate
@@ -71,11 +71,11 @@
 }
 
 // readResponse reads a response to its end and compares it with the expected one.
-func (s *requestSender) readResponse(resp *http.Response, a arrival, body []byte, due time.Time) Result {
+func (s *requestSender) readResponse(resp *http.Response, a arrival, body []byte, scheduledAt time.Time) Result {
 	if s.scenario.Mix.Classes[a.class].Service != "" {
-		return readServiceResponse(resp.Body, due, plain.Answer(http.MethodPost, servicePath, body))
+		return readServiceResponse(resp.Body, scheduledAt, plain.Answer(http.MethodPost, servicePath, body))
 	}
-	return readStreamResponse(resp.Body, due, strings.Join(engine.Answer(body), ""))
+	return readStreamResponse(resp.Body, scheduledAt, strings.Join(engine.Answer(body), ""))
 }
 
 func (s *requestSender) post(ctx context.Context, a arrival, body []byte) (*http.Response, error) {
--- a/testbed/load/stream_response.go
+++ b/testbed/load/stream_response.go
@@ -24,7 +24,7 @@
 
 // streamReader collects the text and the token times of a streamed response.
 type streamReader struct {
-	due          time.Time
+	scheduledAt  time.Time
 	firstTokenAt time.Time
 	lastTokenAt  time.Time
 	text         strings.Builder
@@ -34,8 +34,8 @@
 // readStreamResponse reads a stream to its end and compares its text with want.
 // A correct response gets OutcomeOnTime; the caller must compare its times with
 // the targets of the class.
-func readStreamResponse(body io.Reader, due time.Time, want string) Result {
-	reader := streamReader{due: due}
+func readStreamResponse(body io.Reader, scheduledAt time.Time, want string) Result {
+	reader := streamReader{scheduledAt: scheduledAt}
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, maxEventBytes)
 	for lines.Scan() {
@@ -102,9 +102,9 @@
 }
 
 func (r *streamReader) result(outcome Outcome) Result {
-	result := Result{Outcome: outcome, Tokens: r.tokens, Completion: time.Since(r.due)}
+	result := Result{Outcome: outcome, Tokens: r.tokens, Completion: time.Since(r.scheduledAt)}
 	if r.tokens > 0 {
-		result.FirstToken = r.firstTokenAt.Sub(r.due)
+		result.FirstToken = r.firstTokenAt.Sub(r.scheduledAt)
 	}
 	if r.tokens > 1 {
 		result.BetweenTokens = r.lastTokenAt.Sub(r.firstTokenAt) / time.Duration(r.tokens-1)
--- a/testbed/load/summary.go
+++ b/testbed/load/summary.go
@@ -14,10 +14,11 @@
 	significantDigits = 3
 )
 
-// Reported percentiles.
+// Reported percentiles, and the factor between seconds and milliseconds.
 const (
-	p50             = 50
-	p95             = 95
+	p50 = 50
+	p95 = 95
+
 	millisPerSecond = 1000
 )
 
@@ -86,15 +87,15 @@
 	}
 }
 
-func (s *summary) add(rec requestRecord, work engineWork) {
+func (s *summary) add(request requestRecord, work engineWork) {
 	s.counts.Sent++
-	s.countOutcome(rec.result)
-	s.countWork(rec, work)
-	if rec.result.complete() {
-		s.recordTimes(rec.result)
+	s.countOutcome(request.result)
+	s.countWork(request, work)
+	if request.result.complete() {
+		s.recordTimes(request.result)
 	}
-	if rec.retry != nil {
-		s.countRetry(*rec.retry)
+	if request.retry != nil {
+		s.countRetry(*request.retry)
 	}
 }
 
@@ -117,15 +118,15 @@
 	}
 }
 
-func (s *summary) countWork(rec requestRecord, work engineWork) {
+func (s *summary) countWork(request requestRecord, work engineWork) {
 	s.counts.ProducedTokens += work.tokens
-	s.counts.WastedTokens += max(work.tokens-rec.deliveredTokens(), 0)
+	s.counts.WastedTokens += max(work.tokens-request.deliveredTokens(), 0)
 	if work.runs > 1 {
 		s.counts.RanMoreThanOnce++
 	}
 	// The run of a request that was retried may belong to the retry.
-	notRetried := rec.retry == nil || rec.retry.Outcome == OutcomeRefused
-	if work.runs > 0 && rec.result.Outcome == OutcomeRefused && notRetried {
+	notRetried := request.retry == nil || request.retry.Outcome == OutcomeRefused
+	if work.runs > 0 && request.result.Outcome == OutcomeRefused && notRetried {
 		s.counts.RanThoughRefused++
 	}
 }
--- a/testbed/load/table.go
+++ b/testbed/load/table.go
@@ -44,25 +44,25 @@
 // the Retry-After times, the retries and refused requests that ran.
 func (r *Report) writeNotes(w io.Writer) error {
 	for _, phase := range r.Phases {
-		_, err := fmt.Fprintf(w, "phase %s: %d sent, goodput %.1f answers/s, %.0f tokens/s\n",
+		_, err := fmt.Fprintf(w, "phase %s: %d sent, goodput %.1f responses/s, %.0f tokens/s\n",
 			phase.Name, phase.Total.Sent, phase.Total.Goodput, float64(phase.Total.OnTimeTokens)/phase.Seconds)
 		if err != nil {
 			return err
 		}
 	}
-	for _, d := range r.Failures {
-		if _, err := fmt.Fprintf(w, "failed: %d %s: %s\n", d.Count, d.Class, d.Detail); err != nil {
+	for _, failure := range r.Failures {
+		if _, err := fmt.Fprintf(w, "failed: %d %s: %s\n", failure.Count, failure.Class, failure.Detail); err != nil {
 			return err
 		}
 	}
-	if t := r.Total; t.Refused > 0 {
-		_, err := fmt.Fprintf(w, "Retry-After: median %.0f s, maximum %.0f s\n", t.RetryAfterMedianS, t.RetryAfterMaxS)
+	if total := r.Total; total.Refused > 0 {
+		_, err := fmt.Fprintf(w, "Retry-After: median %.0f s, maximum %.0f s\n", total.RetryAfterMedianS, total.RetryAfterMaxS)
 		if err != nil {
 			return err
 		}
 	}
-	if t := r.Total; t.CameBack > 0 {
-		_, err := fmt.Fprintf(w, "retried after Retry-After: %d, of these on time %d, late %d\n", t.CameBack, t.Served, t.ServedLate)
+	if total := r.Total; total.CameBack > 0 {
+		_, err := fmt.Fprintf(w, "retried after Retry-After: %d, of these on time %d, late %d\n", total.CameBack, total.Served, total.ServedLate)
 		if err != nil {
 			return err
 		}
