--- a/testbed/cmd/load/measure.go
+++ b/testbed/cmd/load/measure.go
@@ -14,33 +14,35 @@
 	"github.com/applepier/applepier/testbed/measure"
 )
 
-// returnWithin is after how long a refused caller no longer comes back.
-const returnWithin = 20 * time.Second
+// defaultMaxRetryAfter is the longest Retry-After after which refused requests
+// are retried.
+const defaultMaxRetryAfter = 20 * time.Second
 
 func measureCommand(out, progress io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:  "measure",
-		Usage: "start fleets and run scenarios against the system and the baselines; tables in Markdown",
+		Usage: "start fleets, run scenarios against the system and the baselines, and write Markdown tables",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "mix", Value: []string{"tampere", "perth"}, Usage: "repeat for several"},
+			&cli.StringSliceFlag{Name: "mix", Value: []string{"tampere", "perth"}, Usage: "name of a mix; repeat for several"},
 			&cli.StringSliceFlag{
 				Name:  "shape",
 				Value: []string{"quiet", "burst-4x", "burst-8x", "burst-2x", "straggler", "hot-customer", "outside-load"},
-				Usage: "repeat for several",
+				Usage: "name of a shape; repeat for several",
 			},
-			&cli.StringSliceFlag{Name: "target", Value: measure.Targets(), Usage: "repeat for several"},
-			&cli.IntFlag{Name: "seeds", Value: 3, Usage: "how many seeds"},
-			&cli.FloatFlag{Name: "scale", Value: 1, Usage: "multiplies the phases' durations"},
-			&cli.IntFlag{Name: "parallel", Value: 1, Usage: "how many fleets run side by side"},
-			&cli.DurationFlag{Name: "patience", Value: load.DefaultPatience, Usage: "how long a caller waits"},
-			&cli.DurationFlag{Name: "return-within", Value: returnWithin, Usage: "how long a refused caller waits before it comes back"},
-			&cli.StringFlag{Name: "json", Usage: "file that takes all reports as JSON"},
+			&cli.StringSliceFlag{Name: "target", Value: measure.Targets(), Usage: "name of a target; repeat for several"},
+			&cli.IntFlag{Name: "seeds", Value: 3, Usage: "number of seeds"},
+			&cli.FloatFlag{Name: "scale", Value: 1, Usage: "factor for the durations of the phases"},
+			&cli.IntFlag{Name: "parallel", Value: 1, Usage: "number of fleets that run concurrently"},
+			&cli.DurationFlag{Name: "patience", Value: load.DefaultRequestTimeout, Usage: "timeout of a request, including its response"},
+			&cli.DurationFlag{Name: "return-within", Value: defaultMaxRetryAfter, Usage: "longest Retry-After after which a refused request is retried"},
+			&cli.StringFlag{Name: "json", Usage: "file to which all reports are written as JSON"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error { return runMeasure(ctx, cmd, out, progress) },
 	}
 }
 
-// runMeasure writes the tables of what was done also when it was cut short.
+// runMeasure runs the measurements. If they fail or are interrupted, it still
+// writes the tables of the completed rounds.
 func runMeasure(ctx context.Context, cmd *cli.Command, out, progress io.Writer) error {
 	options := measure.Options{
 		Mixes:    cmd.StringSlice("mix"),
@@ -54,10 +56,10 @@
 		ReturnWithin: cmd.Duration("return-within"),
 		Progress:     progress,
 	}
-	rounds, err := measure.Run(ctx, options)
-	measure.WriteTables(out, options, rounds)
+	results, err := measure.Run(ctx, options)
+	measure.WriteTables(out, options, results)
 	if path := cmd.String("json"); path != "" {
-		err = errors.Join(err, writeRounds(path, rounds))
+		err = errors.Join(err, writeRounds(path, results))
 	}
 	return err
 }
--- a/testbed/engine/completions.go
+++ b/testbed/engine/completion.go
@@ -12,39 +12,40 @@
 	"github.com/applepier/applepier/internal/engine"
 )
 
-// maxBody bounds a request, in bytes.
-const maxBody = 16 << 20
+// maxBodyBytes is the largest request body that is read.
+const maxBodyBytes = 16 << 20
 
-// completions serves one run.
-func (s *Server) completions(w http.ResponseWriter, r *http.Request) {
+// serveCompletion streams the response to one chat completion request. When the
+// run does not complete, it aborts the connection.
+func (s *Server) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	req, err := s.readRequest(w, r)
 	if err != nil {
 		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	if status := s.knobs.Get().RejectStatus; status != 0 {
-		writeError(w, status, "engine takes no requests")
+		writeError(w, status, "engine rejects requests: reject_status is set")
 		return
 	}
-	if !slices.Contains(s.orders.loaded(), req.Model) {
+	if !slices.Contains(s.orders.loadedModels(), req.Model) {
 		writeError(w, http.StatusNotFound, "model "+req.Model+" is not loaded")
 		return
 	}
-	tokens := req.answer()
+	tokens := req.responseTokens()
 	resumeFrom, err := intHeader(r, engine.HeaderResumeFrom)
 	if err != nil || resumeFrom < 0 || resumeFrom > len(tokens) {
-		writeError(w, http.StatusBadRequest, "can't resume from there")
+		writeError(w, http.StatusBadRequest, engine.HeaderResumeFrom+" must be a number from 0 to the response's length in tokens")
 		return
 	}
 	priority, err := intHeader(r, engine.HeaderPriority)
 	if err != nil {
-		writeError(w, http.StatusBadRequest, "priority is not a number")
+		writeError(w, http.StatusBadRequest, engine.HeaderPriority+" must be a number")
 		return
 	}
 
 	ctx, cancel := context.WithCancelCause(r.Context())
 	defer cancel(nil)
-	record := s.journal.accept(Record{
+	record := s.runs.accept(Record{
 		Run:         r.Header.Get(engine.HeaderRequestID),
 		Marker:      req.Metadata.Marker,
 		Fingerprint: req.fingerprint(),
@@ -52,21 +53,21 @@
 		ResumedFrom: resumeFrom,
 	}, cancel)
 	run := &run{
-		server: s,
-		record: record,
-		prompt: req.prompt(),
-		tokens: tokens,
-		out:    newChunkWriter(w, req.Model, record.Run),
+		server:     s,
+		record:     record,
+		promptText: req.promptText(),
+		tokens:     tokens,
+		writer:     newChunkWriter(w, req.Model, record.Run),
 	}
 	outcome := outcomeOf(ctx, run.serve(ctx))
-	s.journal.end(record, outcome)
+	s.runs.end(record, outcome)
 	if outcome != OutcomeWhole {
 		panic(http.ErrAbortHandler)
 	}
 }
 
 func (s *Server) readRequest(w http.ResponseWriter, r *http.Request) (*request, error) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -80,14 +81,14 @@
 	return req, nil
 }
 
-// outcomeOf says how a run ended from its error and the cause of its context's
-// end.
-func outcomeOf(ctx context.Context, err error) Outcome {
+// outcomeOf derives a run's outcome from its error and the cause of its
+// context's cancellation.
+func outcomeOf(ctx context.Context, runErr error) Outcome {
 	cause := context.Cause(ctx)
 	switch {
-	case err == nil:
+	case runErr == nil:
 		return OutcomeWhole
-	case errors.Is(err, errCut):
+	case errors.Is(runErr, errStreamCut):
 		return OutcomeCut
 	case errors.Is(cause, errCancelled):
 		return OutcomeCancelled
@@ -98,7 +99,7 @@
 	}
 }
 
-// intHeader reads a number from a header; a missing one is zero.
+// intHeader parses a header as an integer; it returns 0 if the header is missing.
 func intHeader(r *http.Request, name string) (int, error) {
 	value := r.Header.Get(name)
 	if value == "" {
--- a/testbed/engine/faults.go
+++ b/testbed/engine/faults.go
@@ -7,47 +7,51 @@
 	"github.com/applepier/applepier/internal/pause"
 )
 
-// noFault is the token count of a fault that never comes.
-const noFault = -1
+// faultDisabled is the token count of a fault that is not injected.
+const faultDisabled = -1
 
-// streamFaults are the faults that one stream has drawn.
+// streamFaults are the faults that are injected into one stream.
 type streamFaults struct {
-	// stallAt and cutAt count tokens of the whole answer.
-	stallAt int
-	cutAt   int
+	// stallAfter and cutAfter are token counts from the start of the
+	// complete response, also when the stream resumes later.
+	stallAfter int
+	cutAfter   int
 }
 
-// apply stalls or cuts a stream that has reached a number of tokens out of
-// total.
+// apply injects the faults into a stream that has reached the given number of
+// tokens out of total. A stall lasts until ctx ends and returns its error; a cut
+// returns errStreamCut.
 func (f streamFaults) apply(ctx context.Context, tokens, total int) error {
-	if f.stallAt != noFault && tokens >= min(f.stallAt, total) {
+	if f.stallAfter != faultDisabled && tokens >= min(f.stallAfter, total) {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	if f.cutAt != noFault && tokens >= min(f.cutAt, total) {
-		return errCut
+	if f.cutAfter != faultDisabled && tokens >= min(f.cutAfter, total) {
+		return errStreamCut
 	}
 	return nil
 }
 
-// takeFaults draws the faults of the next stream.
-func (s *Server) takeFaults() streamFaults {
-	faults := streamFaults{stallAt: noFault, cutAt: noFault}
+// nextStreamFaults returns the faults of the next stream and decrements the
+// number of streams that are still to stall or to be cut.
+func (s *Server) nextStreamFaults() streamFaults {
+	faults := streamFaults{stallAfter: faultDisabled, cutAfter: faultDisabled}
 	s.knobs.Update(func(k *Knobs) {
 		if k.StallStreams > 0 {
 			k.StallStreams--
-			faults.stallAt = k.StallAfter
+			faults.stallAfter = k.StallAfter
 		}
 		if k.CutStreams > 0 {
 			k.CutStreams--
-			faults.cutAt = k.CutAfter
+			faults.cutAfter = k.CutAfter
 		}
 	})
 	return faults
 }
 
-// countToken counts towards a crash.
-func (s *Server) countToken() {
+// countTokenToCrash counts one token and crashes the engine when
+// CrashAfterTokens reaches zero.
+func (s *Server) countTokenToCrash() {
 	crash := false
 	s.knobs.Update(func(k *Knobs) {
 		if k.CrashAfterTokens == 0 {
@@ -64,26 +68,27 @@
 	}
 }
 
-// pace stretches a time by the load and the slow knob.
-func (s *Server) pace(base time.Duration) time.Duration {
+// scaleDelay multiplies a duration by the slowdown and, beyond the capacity, by
+// the ratio of streams to capacity.
+func (s *Server) scaleDelay(delay time.Duration) time.Duration {
 	k := s.knobs.Get()
 	running, _ := s.slots.counts()
-	crowding := float64(running+k.Foreign) / float64(s.config.Capacity)
-	return time.Duration(float64(base) * k.slowFactor() * max(1, crowding))
+	streamsPerSlot := float64(running+k.Foreign) / float64(s.config.Capacity)
+	return time.Duration(float64(delay) * k.delayFactor() * max(1, streamsPerSlot))
 }
 
-// sleep waits for a time, and on while the engine is frozen.
+// sleep waits for a duration and then for as long as the engine is frozen.
 func (s *Server) sleep(ctx context.Context, d time.Duration) error {
 	if !pause.For(ctx, d) {
 		return ctx.Err()
 	}
-	return s.awaitThaw(ctx)
+	return s.waitWhileFrozen(ctx)
 }
 
-// awaitThaw waits while the engine is frozen.
-func (s *Server) awaitThaw(ctx context.Context) error {
+// waitWhileFrozen blocks until the engine is not frozen or ctx ends.
+func (s *Server) waitWhileFrozen(ctx context.Context) error {
 	for s.knobs.Get().Frozen {
-		if !pause.For(ctx, thawCheck) {
+		if !pause.For(ctx, frozenPollInterval) {
 			return ctx.Err()
 		}
 	}
--- a/testbed/engine/orders.go
+++ b/testbed/engine/orders.go
@@ -7,39 +7,40 @@
 	"github.com/applepier/applepier/internal/engine"
 )
 
-// orders keeps what the engine was told to load.
-type orders struct {
-	mu     sync.Mutex
-	fence  uint64
-	taken  []engine.Order
-	models []string
+// orderLog stores the executed orders and the models they loaded. It is safe for
+// concurrent use.
+type orderLog struct {
+	mu           sync.Mutex
+	fencingToken uint64
+	executed     []engine.Order
+	models       []string
 }
 
-// take carries an order out unless its fencing number is old and the engine
-// checks that.
-func (o *orders) take(order engine.Order, ignoreFence bool) error {
+// execute executes an order. Unless ignoreFencingToken is set, it returns
+// ErrStaleFencingToken if an earlier order had a higher fencing token.
+func (o *orderLog) execute(order engine.Order, ignoreFencingToken bool) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if order.Fence < o.fence && !ignoreFence {
+	if order.Fence < o.fencingToken && !ignoreFencingToken {
 		return engine.ErrFenced
 	}
-	o.fence = max(o.fence, order.Fence)
-	o.taken = append(o.taken, order)
+	o.fencingToken = max(o.fencingToken, order.Fence)
+	o.executed = append(o.executed, order)
 	if order.LoadModel != "" && !slices.Contains(o.models, order.LoadModel) {
 		o.models = append(o.models, order.LoadModel)
 	}
 	return nil
 }
 
-// list returns the orders that were carried out, in their order.
-func (o *orders) list() []engine.Order {
+// list returns the executed orders in order of execution.
+func (o *orderLog) list() []engine.Order {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return append([]engine.Order{}, o.taken...)
+	return append([]engine.Order{}, o.executed...)
 }
 
-// loaded returns the models that are loaded.
-func (o *orders) loaded() []string {
+// loadedModels returns the names of the loaded models.
+func (o *orderLog) loadedModels() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.models)
--- a/testbed/engine/server.go
+++ b/testbed/engine/server.go
@@ -1,8 +1,8 @@
-// Package engine is a stand-in of a model's engine in one process: it batches
-// continuously, honours priorities, caches prompt prefixes, resumes and
-// cancels streams, reports load with a lag and keeps a record of every run,
-// with faults that a test turns on. Its answers are made up but follow from
-// the request; see Answer. Start reading at Server.
+// Package engine is a fake LLM inference engine for tests. It simulates
+// continuous batching, priorities, prefix caching, resuming and cancelling
+// streams and delayed load reports, and it injects faults. It keeps a record of
+// every run. Its responses are generated deterministically from the request; see
+// ResponseTokens. The main type is Server.
 package engine
 
 import (
@@ -16,45 +16,48 @@
 	"github.com/applepier/applepier/testbed/knobs"
 )
 
-// thawCheck is how often a frozen engine looks whether it still is.
-const thawCheck = 2 * time.Millisecond
+// frozenPollInterval is the interval at which blocked calls check whether the
+// engine is still frozen.
+const frozenPollInterval = 2 * time.Millisecond
 
-// Causes of a run's end.
+// Cancellation causes of a run's context.
 var (
 	errCancelled = errors.New("run was cancelled")
 	errCrashed   = errors.New("engine crashed")
 )
 
-// Server is the stand-in; it implements http.Handler.
+// Server is the fake engine. It implements http.Handler and is safe for
+// concurrent use.
 type Server struct {
-	config  Config
-	mux     *http.ServeMux
-	knobs   knobs.Box[Knobs]
-	slots   slots
-	cache   *prefixCache
-	journal *journal
-	orders  orders
-	load    *reporter
-}
-
-// New returns an engine without faults. Close frees what it holds.
+	config       Config
+	mux          *http.ServeMux
+	knobs        knobs.Box[Knobs]
+	slots        slots
+	cache        *prefixCache
+	runs         *runLog
+	orders       orderLog
+	loadReporter *loadReporter
+}
+
+// New returns a server without injected faults. It fails if the record file
+// can't be opened. The caller must call Close.
 func New(config Config) (*Server, error) {
 	config = config.withDefaults()
-	journal, err := newJournal(config.RecordFile)
+	runs, err := newRunLog(config.RecordFile)
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{
-		config:  config,
-		mux:     http.NewServeMux(),
-		cache:   newPrefixCache(config.CacheBlocks),
-		journal: journal,
+		config: config,
+		mux:    http.NewServeMux(),
+		cache:  newPrefixCache(config.CacheBlocks),
+		runs:   runs,
 	}
 	s.orders.models = []string{config.Model}
-	s.knobs.Update(func(k *Knobs) { k.IgnoreFences = config.IgnoreFences })
+	s.knobs.Update(func(k *Knobs) { k.IgnoreFencingTokens = config.IgnoreFences })
 	s.slots.setLimit(config.MaxStreams)
-	s.load = newReporter(config.LoadLag, s.measureLoad)
-	s.routes()
+	s.loadReporter = newLoadReporter(config.LoadLag, s.measureLoad)
+	s.registerRoutes()
 	return s, nil
 }
 
@@ -63,42 +66,42 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// Close ends all runs and frees what the engine holds.
+// Close cancels all runs, stops the load reports and closes the record file.
 func (s *Server) Close() {
-	s.journal.cancel("", errCrashed)
-	s.load.close()
-	s.journal.close()
+	s.runs.cancel("", errCrashed)
+	s.loadReporter.close()
+	s.runs.close()
 }
 
-// SetKnobs changes the faults as PUT /knobs does.
+// SetKnobs changes the injected faults, as PUT /knobs does.
 func (s *Server) SetKnobs(change func(*Knobs)) {
 	s.knobs.Update(change)
 	s.applyKnobs()
 }
 
-// Record returns the record of all runs.
+// Records returns a copy of the records of all runs.
 func (s *Server) Record() []Record {
-	return s.journal.snapshot()
+	return s.runs.snapshot()
 }
 
-func (s *Server) routes() {
-	s.mux.HandleFunc("POST /v1/chat/completions", s.available(s.completions))
-	s.mux.HandleFunc("GET /v1/models", s.available(s.getModels))
-	s.mux.HandleFunc("GET /runs", s.available(s.getRuns))
-	s.mux.HandleFunc("POST /runs/{id}/cancel", s.available(s.cancelRun))
-	s.mux.HandleFunc("GET /load", s.available(s.getLoad))
-	s.mux.HandleFunc("POST /orders", s.available(s.takeOrder))
+func (s *Server) registerRoutes() {
+	s.mux.HandleFunc("POST /v1/chat/completions", s.withAvailability(s.serveCompletion))
+	s.mux.HandleFunc("GET /v1/models", s.withAvailability(s.getModels))
+	s.mux.HandleFunc("GET /runs", s.withAvailability(s.getRuns))
+	s.mux.HandleFunc("POST /runs/{id}/cancel", s.withAvailability(s.cancelRun))
+	s.mux.HandleFunc("GET /load", s.withAvailability(s.getLoad))
+	s.mux.HandleFunc("POST /orders", s.withAvailability(s.postOrder))
 	s.mux.HandleFunc("GET /orders", s.getOrders)
 	s.mux.HandleFunc("GET /record", s.getRecord)
 	s.mux.Handle("GET /knobs", &s.knobs)
 	s.mux.HandleFunc("PUT /knobs", s.putKnobs)
 }
 
-// available holds a call while the engine is frozen and cuts it off while the
-// engine has crashed.
-func (s *Server) available(next http.HandlerFunc) http.HandlerFunc {
+// withAvailability wraps a handler: calls block while the engine is frozen, and
+// their connection is aborted while it is crashed.
+func (s *Server) withAvailability(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if err := s.awaitThaw(r.Context()); err != nil {
+		if err := s.waitWhileFrozen(r.Context()); err != nil {
 			panic(http.ErrAbortHandler)
 		}
 		if s.knobs.Get().Crashed {
@@ -110,34 +113,34 @@
 
 func (s *Server) getModels(w http.ResponseWriter, _ *http.Request) {
 	list := modelList{Object: "list"}
-	for _, name := range s.orders.loaded() {
+	for _, name := range s.orders.loadedModels() {
 		list.Data = append(list.Data, model{ID: name, Object: "model", OwnedBy: "testbed"})
 	}
 	knobs.WriteJSON(w, list)
 }
 
 func (s *Server) getRuns(w http.ResponseWriter, _ *http.Request) {
-	knobs.WriteJSON(w, engine.RunList{Runs: s.journal.inProgress()})
+	knobs.WriteJSON(w, engine.RunList{Runs: s.runs.activeIDs()})
 }
 
 func (s *Server) cancelRun(w http.ResponseWriter, r *http.Request) {
 	if id := r.PathValue("id"); id != "" {
-		s.journal.cancel(id, errCancelled)
+		s.runs.cancel(id, errCancelled)
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
 func (s *Server) getLoad(w http.ResponseWriter, _ *http.Request) {
-	knobs.WriteJSON(w, s.load.last())
+	knobs.WriteJSON(w, s.loadReporter.latest())
 }
 
-func (s *Server) takeOrder(w http.ResponseWriter, r *http.Request) {
+func (s *Server) postOrder(w http.ResponseWriter, r *http.Request) {
 	var order engine.Order
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if err := s.orders.take(order, s.knobs.Get().IgnoreFences); err != nil {
+	if err := s.orders.execute(order, s.knobs.Get().IgnoreFencingTokens); err != nil {
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
 	}
@@ -157,7 +160,8 @@
 	s.applyKnobs()
 }
 
-// applyKnobs puts into effect what is not looked up at each step.
+// applyKnobs applies the settings that are not read at each step: the limit of
+// streams and Crashed.
 func (s *Server) applyKnobs() {
 	k := s.knobs.Get()
 	s.slots.setLimit(max(s.config.MaxStreams-k.Foreign, 0))
@@ -166,13 +170,14 @@
 	}
 }
 
-// crash cuts all streams and loses the cache.
+// crash cuts all streams and clears the prefix cache, or ends the process if
+// Knobs.Exit and Config.Exit are set.
 func (s *Server) crash() {
 	if s.knobs.Get().Exit && s.config.Exit != nil {
 		s.config.Exit()
 	}
 	s.cache.clear()
-	s.journal.cancel("", errCrashed)
+	s.runs.cancel("", errCrashed)
 }
 
 func (s *Server) measureLoad() engine.Load {
--- a/testbed/load/report.go
+++ b/testbed/load/report.go
@@ -6,24 +6,24 @@
 	"github.com/applepier/applepier/testbed/engine"
 )
 
-// Report sums up a run.
+// Report summarizes a run.
 type Report struct {
-	// Scenario, Seed and Target say what was run.
+	// Scenario, Seed and Target identify the run.
 	Scenario string `json:"scenario"`
 	Seed     uint64 `json:"seed"`
 	Target   string `json:"target"`
-	// Seconds is the time from the first request to the last answer.
+	// Seconds is the time from the start of the run to the last response.
 	Seconds float64 `json:"seconds"`
-	// Total and Classes sum up the whole run.
+	// Total and Classes summarize the whole run.
 	Total   ClassReport   `json:"total"`
 	Classes []ClassReport `json:"classes"`
-	// Phases sum up the requests that were due in each phase.
+	// Phases summarize the requests that were scheduled in each phase.
 	Phases []PhaseReport `json:"phases"`
-	// Details tell what went wrong with broken and wrong answers.
-	Details []DetailCount `json:"details,omitempty"`
+	// Failures counts broken and wrong responses by failure detail.
+	Failures []FailureCount `json:"details,omitempty"`
 }
 
-// PhaseReport sums up the requests that were due in one phase.
+// PhaseReport summarizes the requests that were scheduled in one phase.
 type PhaseReport struct {
 	Name    string        `json:"name"`
 	Seconds float64       `json:"seconds"`
@@ -31,56 +31,57 @@
 	Classes []ClassReport `json:"classes"`
 }
 
-// production is what the engines did for one request.
-type production struct {
+// engineWork is the number of runs and tokens that the engines spent on one
+// request.
+type engineWork struct {
 	runs   int
 	tokens int
 }
 
-// newReport sums up the requests against the engines' record of runs.
-func newReport(options Options, sending time.Duration, records []record, runs []engine.Record) *Report {
-	produced := produce(runs)
+// newReport builds the report from the requests and the engines' records of runs.
+func newReport(options Options, elapsed time.Duration, records []requestRecord, runs []engine.Record) *Report {
+	work := workByFingerprint(runs)
 	scenario := options.Scenario
 	total := newPhaseSummary(scenario)
 	phases := make([]*phaseSummary, len(scenario.Shape.Phases))
 	for i := range phases {
 		phases[i] = newPhaseSummary(scenario)
 	}
-	for _, rec := range records {
-		total.add(rec, produced[rec.fingerprint])
-		phases[rec.arrival.phase].add(rec, produced[rec.fingerprint])
+	for _, request := range records {
+		total.add(request, work[request.fingerprint])
+		phases[request.arrival.phase].add(request, work[request.fingerprint])
 	}
 	report := &Report{
 		Scenario: scenario.Name(),
 		Seed:     options.Seed,
 		Target:   options.Target,
-		Seconds:  sending.Seconds(),
+		Seconds:  elapsed.Seconds(),
 	}
-	whole := total.report("all", scenario.Duration())
-	report.Details = details(scenario, records)
-	report.Total, report.Classes = whole.Total, whole.Classes
+	overall := total.report("all", scenario.Duration())
+	report.Failures = countFailures(scenario, records)
+	report.Total, report.Classes = overall.Total, overall.Classes
 	for i, phase := range scenario.Shape.Phases {
 		report.Phases = append(report.Phases, phases[i].report(phase.Name, phase.Duration))
 	}
 	return report
 }
 
-// produce sums up the engines' runs by request.
-func produce(runs []engine.Record) map[string]production {
-	produced := make(map[string]production, len(runs))
+// workByFingerprint adds up the engines' started runs by request fingerprint.
+func workByFingerprint(runs []engine.Record) map[string]engineWork {
+	work := make(map[string]engineWork, len(runs))
 	for _, run := range runs {
 		if run.Started == nil {
 			continue
 		}
-		p := produced[run.Fingerprint]
-		p.runs++
-		p.tokens += run.Tokens
-		produced[run.Fingerprint] = p
+		w := work[run.Fingerprint]
+		w.runs++
+		w.tokens += run.Tokens
+		work[run.Fingerprint] = w
 	}
-	return produced
+	return work
 }
 
-// phaseSummary gathers the requests of a phase.
+// phaseSummary accumulates the requests of a phase, in total and by class.
 type phaseSummary struct {
 	total   *summary
 	classes []*summary
@@ -94,9 +95,9 @@
 	return p
 }
 
-func (p *phaseSummary) add(rec record, made production) {
-	p.total.add(rec, made)
-	p.classes[rec.arrival.class].add(rec, made)
+func (p *phaseSummary) add(request requestRecord, work engineWork) {
+	p.total.add(request, work)
+	p.classes[request.arrival.class].add(request, work)
 }
 
 func (p *phaseSummary) report(name string, duration time.Duration) PhaseReport {
--- a/testbed/load/summary.go
+++ b/testbed/load/summary.go
@@ -6,26 +6,27 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the histograms, in microseconds, and their precision.
+// Range of the histograms in microseconds, and their precision in significant
+// decimal digits.
 const (
-	lowestMicros  = 1
-	highestMicros = int64(10 * time.Minute / time.Microsecond)
-	digits        = 3
+	minMicros         = 1
+	maxMicros         = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// Quantiles that are reported.
+// Reported percentiles, and the factor between seconds and milliseconds.
 const (
-	median = 50
-	p95    = 95
-	// millisPerSecond turns milliseconds into seconds.
+	p50 = 50
+	p95 = 95
+
 	millisPerSecond = 1000
 )
 
-// ClassReport sums up the requests of a class.
+// ClassReport summarizes the requests of a class.
 type ClassReport struct {
 	Class string `json:"class"`
 	Tier  int    `json:"tier"`
-	// Sent is the sum of the six that follow.
+	// Sent is the sum of the next six fields.
 	Sent    int `json:"sent"`
 	OnTime  int `json:"on_time"`
 	Late    int `json:"late"`
@@ -33,138 +34,140 @@
 	Unknown int `json:"unknown"`
 	Broken  int `json:"broken"`
 	Wrong   int `json:"wrong"`
-	// Attainment is the part of those sent that was whole and on time.
+	// Attainment is the ratio of OnTime to Sent.
 	Attainment float64 `json:"attainment"`
-	// Goodput is the number of those a second of sending.
+	// Goodput is OnTime per second of the phase or scenario.
 	Goodput float64 `json:"goodput"`
-	// OnTimeTokens are the tokens of those answers.
+	// OnTimeTokens is the number of tokens in responses on time.
 	OnTimeTokens int `json:"on_time_tokens"`
-	// ProducedTokens are all that the engines made for the class's requests;
-	// WastedTokens those that no caller got in a whole answer.
+	// ProducedTokens is the number of tokens that the engines produced for
+	// the class. WastedTokens is the part that no client received in a
+	// complete response; WastedShare is its ratio to ProducedTokens.
 	ProducedTokens int     `json:"produced_tokens"`
 	WastedTokens   int     `json:"wasted_tokens"`
 	WastedShare    float64 `json:"wasted_share"`
-	// RanThoughRefused counts requests that were called "not run" and have a
-	// run on record; it must be zero.
+	// RefusedButRan is the number of refused requests that an engine ran
+	// nevertheless. It must be zero.
 	RanThoughRefused int `json:"ran_though_refused"`
-	// RanAgain counts requests with more than one run on record.
-	RanAgain int `json:"ran_again"`
-	// Times to the first token and between tokens, of whole answers.
+	// RanMoreThanOnce is the number of requests with more than one run.
+	RanMoreThanOnce int `json:"ran_again"`
+	// Latencies of complete responses: to the first token and the mean
+	// between tokens.
 	FirstTokenP50MS    float64 `json:"first_token_p50_ms"`
 	FirstTokenP95MS    float64 `json:"first_token_p95_ms"`
 	FirstTokenMaxMS    float64 `json:"first_token_max_ms"`
 	BetweenTokensP50MS float64 `json:"between_tokens_p50_ms"`
 	BetweenTokensP95MS float64 `json:"between_tokens_p95_ms"`
-	// CameBack counts refused callers that came back when they were told
-	// to; Served those that then got a whole answer on time, ServedLate
-	// those that got one late.
+	// Retried is the number of refused requests that were retried after
+	// their Retry-After. RetriedOnTime and RetriedLate are the numbers of
+	// retries with a complete response on time or late.
 	CameBack   int `json:"came_back"`
 	Served     int `json:"served"`
 	ServedLate int `json:"served_late"`
-	// RetryAfterMedianS and RetryAfterMaxS are what refused callers were
-	// told, in seconds.
+	// RetryAfterMedianS and RetryAfterMaxS are the median and the maximum
+	// Retry-After of refused requests, in seconds.
 	RetryAfterMedianS float64 `json:"retry_after_median_s"`
 	RetryAfterMaxS    float64 `json:"retry_after_max_s"`
 }
 
-// summary gathers the requests of a class.
+// summary accumulates the requests of a class.
 type summary struct {
-	sums    ClassReport
-	first   *hdrhistogram.Histogram
-	between *hdrhistogram.Histogram
-	hints   *hdrhistogram.Histogram
+	counts        ClassReport
+	firstToken    *hdrhistogram.Histogram
+	betweenTokens *hdrhistogram.Histogram
+	retryAfter    *hdrhistogram.Histogram
 }
 
 func newSummary(class string, tier int) *summary {
 	return &summary{
-		sums:    ClassReport{Class: class, Tier: tier},
-		first:   hdrhistogram.New(lowestMicros, highestMicros, digits),
-		between: hdrhistogram.New(lowestMicros, highestMicros, digits),
-		hints:   hdrhistogram.New(lowestMicros, highestMicros, digits),
+		counts:        ClassReport{Class: class, Tier: tier},
+		firstToken:    hdrhistogram.New(minMicros, maxMicros, significantDigits),
+		betweenTokens: hdrhistogram.New(minMicros, maxMicros, significantDigits),
+		retryAfter:    hdrhistogram.New(minMicros, maxMicros, significantDigits),
 	}
 }
 
-func (s *summary) add(rec record, made production) {
-	s.sums.Sent++
-	s.countOutcome(rec.result)
-	s.countWork(rec, made)
-	if rec.result.whole() {
-		s.recordTimes(rec.result)
+func (s *summary) add(request requestRecord, work engineWork) {
+	s.counts.Sent++
+	s.countOutcome(request.result)
+	s.countWork(request, work)
+	if request.result.complete() {
+		s.recordTimes(request.result)
 	}
-	if rec.again != nil {
-		s.countAgain(*rec.again)
+	if request.retry != nil {
+		s.countRetry(*request.retry)
 	}
 }
 
 func (s *summary) countOutcome(result Result) {
 	switch result.Outcome {
 	case OutcomeOnTime:
-		s.sums.OnTime++
-		s.sums.OnTimeTokens += result.Tokens
+		s.counts.OnTime++
+		s.counts.OnTimeTokens += result.Tokens
 	case OutcomeLate:
-		s.sums.Late++
+		s.counts.Late++
 	case OutcomeRefused:
-		s.sums.Refused++
-		recordTime(s.hints, result.RetryAfter)
+		s.counts.Refused++
+		recordTime(s.retryAfter, result.RetryAfter)
 	case OutcomeUnknown:
-		s.sums.Unknown++
+		s.counts.Unknown++
 	case OutcomeWrong:
-		s.sums.Wrong++
+		s.counts.Wrong++
 	default:
-		s.sums.Broken++
+		s.counts.Broken++
 	}
 }
 
-func (s *summary) countWork(rec record, made production) {
-	s.sums.ProducedTokens += made.tokens
-	s.sums.WastedTokens += max(made.tokens-rec.delivered(), 0)
-	if made.runs > 1 {
-		s.sums.RanAgain++
+func (s *summary) countWork(request requestRecord, work engineWork) {
+	s.counts.ProducedTokens += work.tokens
+	s.counts.WastedTokens += max(work.tokens-request.deliveredTokens(), 0)
+	if work.runs > 1 {
+		s.counts.RanMoreThanOnce++
 	}
-	// A caller that came back may have run then.
-	stayedAway := rec.again == nil || rec.again.Outcome == OutcomeRefused
-	if made.runs > 0 && rec.result.Outcome == OutcomeRefused && stayedAway {
-		s.sums.RanThoughRefused++
+	// The run of a request that was retried may belong to the retry.
+	notRetried := request.retry == nil || request.retry.Outcome == OutcomeRefused
+	if work.runs > 0 && request.result.Outcome == OutcomeRefused && notRetried {
+		s.counts.RanThoughRefused++
 	}
 }
 
-func (s *summary) countAgain(result Result) {
-	s.sums.CameBack++
+func (s *summary) countRetry(result Result) {
+	s.counts.CameBack++
 	switch result.Outcome {
 	case OutcomeOnTime:
-		s.sums.Served++
+		s.counts.Served++
 	case OutcomeLate:
-		s.sums.ServedLate++
+		s.counts.ServedLate++
 	}
 }
 
 func (s *summary) recordTimes(result Result) {
-	recordTime(s.first, result.FirstToken)
+	recordTime(s.firstToken, result.FirstToken)
 	if result.Tokens > 1 {
-		recordTime(s.between, result.BetweenTokens)
+		recordTime(s.betweenTokens, result.BetweenTokens)
 	}
 }
 
-// report computes what follows from the sums.
+// report returns the counts with the derived ratios and percentiles.
 func (s *summary) report(duration time.Duration) ClassReport {
-	report := s.sums
-	report.Attainment = share(report.OnTime, report.Sent)
-	report.WastedShare = share(report.WastedTokens, report.ProducedTokens)
+	report := s.counts
+	report.Attainment = ratio(report.OnTime, report.Sent)
+	report.WastedShare = ratio(report.WastedTokens, report.ProducedTokens)
 	if duration > 0 {
 		report.Goodput = float64(report.OnTime) / duration.Seconds()
 	}
-	report.FirstTokenP50MS = quantile(s.first, median)
-	report.FirstTokenP95MS = quantile(s.first, p95)
-	report.FirstTokenMaxMS = toMillis(s.first.Max())
-	report.BetweenTokensP50MS = quantile(s.between, median)
-	report.BetweenTokensP95MS = quantile(s.between, p95)
-	report.RetryAfterMedianS = quantile(s.hints, median) / millisPerSecond
-	report.RetryAfterMaxS = toMillis(s.hints.Max()) / millisPerSecond
+	report.FirstTokenP50MS = quantile(s.firstToken, p50)
+	report.FirstTokenP95MS = quantile(s.firstToken, p95)
+	report.FirstTokenMaxMS = toMillis(s.firstToken.Max())
+	report.BetweenTokensP50MS = quantile(s.betweenTokens, p50)
+	report.BetweenTokensP95MS = quantile(s.betweenTokens, p95)
+	report.RetryAfterMedianS = quantile(s.retryAfter, p50) / millisPerSecond
+	report.RetryAfterMaxS = toMillis(s.retryAfter.Max()) / millisPerSecond
 	return report
 }
 
 func recordTime(histogram *hdrhistogram.Histogram, d time.Duration) {
-	micros := min(max(d.Microseconds(), lowestMicros), highestMicros)
+	micros := min(max(d.Microseconds(), minMicros), maxMicros)
 	_ = histogram.RecordValue(micros)
 }
 
@@ -176,9 +179,9 @@
 	return float64(micros) / 1000
 }
 
-func share(part, whole int) float64 {
-	if whole == 0 {
+func ratio(part, total int) float64 {
+	if total == 0 {
 		return 0
 	}
-	return float64(part) / float64(whole)
+	return float64(part) / float64(total)
 }
--- a/testbed/load/table.go
+++ b/testbed/load/table.go
@@ -6,23 +6,24 @@
 	"text/tabwriter"
 )
 
-// WriteTable writes the report as a table with a line for each class.
+// WriteTable writes the report as a text table with one row per class, followed
+// by notes on phases, failures and retries.
 func (r *Report) WriteTable(w io.Writer) error {
 	_, err := fmt.Fprintf(w, "%s, seed %d, target %s: %.1f s\n", r.Scenario, r.Seed, r.Target, r.Seconds)
 	if err != nil {
 		return err
 	}
-	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	tabbed := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	header := "class\ttier\tsent\ton time\tlate\trefused\tunknown\tbroken\twrong\tattained\tfirst p50\tp95\twasted tokens\t"
-	if _, err := fmt.Fprintln(table, header); err != nil {
+	if _, err := fmt.Fprintln(tabbed, header); err != nil {
 		return err
 	}
 	for _, class := range append(append([]ClassReport{}, r.Classes...), r.Total) {
-		if err := class.writeRow(table); err != nil {
+		if err := class.writeRow(tabbed); err != nil {
 			return err
 		}
 	}
-	if err := table.Flush(); err != nil {
+	if err := tabbed.Flush(); err != nil {
 		return err
 	}
 	return r.writeNotes(w)
@@ -39,34 +40,35 @@
 	return err
 }
 
-// writeNotes writes the goodput by phase and what else is worth a line.
+// writeNotes writes the goodput by phase and, where there are any, the failures,
+// the Retry-After times, the retries and refused requests that ran.
 func (r *Report) writeNotes(w io.Writer) error {
 	for _, phase := range r.Phases {
-		_, err := fmt.Fprintf(w, "phase %s: %d sent, goodput %.1f answers/s, %.0f tokens/s\n",
+		_, err := fmt.Fprintf(w, "phase %s: %d sent, goodput %.1f responses/s, %.0f tokens/s\n",
 			phase.Name, phase.Total.Sent, phase.Total.Goodput, float64(phase.Total.OnTimeTokens)/phase.Seconds)
 		if err != nil {
 			return err
 		}
 	}
-	for _, d := range r.Details {
-		if _, err := fmt.Fprintf(w, "went wrong: %d %s: %s\n", d.Count, d.Class, d.Detail); err != nil {
+	for _, failure := range r.Failures {
+		if _, err := fmt.Fprintf(w, "failed: %d %s: %s\n", failure.Count, failure.Class, failure.Detail); err != nil {
 			return err
 		}
 	}
-	if t := r.Total; t.Refused > 0 {
-		_, err := fmt.Fprintf(w, "Retry-After: median %.0f s, longest %.0f s\n", t.RetryAfterMedianS, t.RetryAfterMaxS)
+	if total := r.Total; total.Refused > 0 {
+		_, err := fmt.Fprintf(w, "Retry-After: median %.0f s, maximum %.0f s\n", total.RetryAfterMedianS, total.RetryAfterMaxS)
 		if err != nil {
 			return err
 		}
 	}
-	if t := r.Total; t.CameBack > 0 {
-		_, err := fmt.Fprintf(w, "came back after Retry-After: %d, then on time %d, late %d\n", t.CameBack, t.Served, t.ServedLate)
+	if total := r.Total; total.CameBack > 0 {
+		_, err := fmt.Fprintf(w, "retried after Retry-After: %d, of these on time %d, late %d\n", total.CameBack, total.Served, total.ServedLate)
 		if err != nil {
 			return err
 		}
 	}
 	if r.Total.RanThoughRefused > 0 {
-		_, err := fmt.Fprintf(w, "called not run but on record as run: %d\n", r.Total.RanThoughRefused)
+		_, err := fmt.Fprintf(w, "refused but run by an engine: %d\n", r.Total.RanThoughRefused)
 		return err
 	}
 	return nil
--- a/testbed/loadfleet/loadfleet.go
+++ b/testbed/loadfleet/loadfleet.go
@@ -1,5 +1,5 @@
-// Package loadfleet starts the fleet that a scenario of load is sized for, and
-// points the load at it. Start reading at Start.
+// Package loadfleet starts the fleet of processes that a load scenario is sized
+// for and configures the load generator to send to it.
 package loadfleet
 
 import (
@@ -11,29 +11,30 @@
 	"github.com/applepier/applepier/testbed/load"
 )
 
-// Start runs a mix's engines and plain services with their agents, and a
-// number of entries; all of the mix's classes and customers are known there.
-// Binaries are built when nil.
+// Start starts the engines and plain services of a mix with their agents, and the
+// given number of entries, which are configured with the classes and customers of
+// the mix. If binaries is nil, they are built. The caller must stop the fleet.
 func Start(ctx context.Context, mix load.Mix, entries int, binaries *fleet.Binaries) (*fleet.Fleet, error) {
 	return fleet.Start(ctx, fleet.Options{
 		Binaries:  binaries,
 		Entries:   entries,
-		Backends:  append(engines(mix), services(mix)...),
-		Classes:   classes(mix),
-		Customers: customers(mix),
+		Backends:  append(engineSpecs(mix), serviceSpecs(mix)...),
+		Classes:   targetClasses(mix),
+		Customers: customerNames(mix),
 		LogLevel:  "warn",
 	})
 }
 
-// Target points a run of load at a fleet.
+// LoadOptions returns options for a run of the scenario against a fleet. They
+// include the customers' keys and the URLs of entries and engines.
 func Target(f *fleet.Fleet, scenario load.Scenario) load.Options {
 	options := load.Options{Scenario: scenario}
-	keyed := make([]load.Customer, len(scenario.Mix.Customers))
+	customersWithKeys := make([]load.Customer, len(scenario.Mix.Customers))
 	for i, customer := range scenario.Mix.Customers {
 		customer.Key = fleet.CustomerKey(customer.Name)
-		keyed[i] = customer
+		customersWithKeys[i] = customer
 	}
-	options.Scenario.Mix.Customers = keyed
+	options.Scenario.Mix.Customers = customersWithKeys
 	for _, entry := range f.Entries {
 		options.Entries = append(options.Entries, entry.URL)
 	}
@@ -45,20 +46,20 @@
 	return options
 }
 
-// engines are in the order in which faults count them.
-func engines(mix load.Mix) []fleet.BackendSpec {
-	sized := mix.Fleet
-	specs := fleet.Engines(sized.Engines, mix.Model, sized.Capacity, sized.Interval)
-	for _, other := range sized.Others {
-		specs = append(specs, fleet.Engines(other.Engines, other.Model, sized.Capacity, sized.Interval)...)
+// engineSpecs returns the engines in the order of the indexes in load.Fault.
+func engineSpecs(mix load.Mix) []fleet.BackendSpec {
+	mixFleet := mix.Fleet
+	specs := fleet.Engines(mixFleet.Engines, mix.Model, mixFleet.Capacity, mixFleet.TokenInterval)
+	for _, other := range mixFleet.OtherModels {
+		specs = append(specs, fleet.Engines(other.Engines, other.Model, mixFleet.Capacity, mixFleet.TokenInterval)...)
 	}
 	for i := range specs {
-		specs[i].PrefillPerToken = sized.PrefillPerToken
+		specs[i].PrefillPerToken = mixFleet.PrefillPerToken
 	}
 	return specs
 }
 
-func services(mix load.Mix) []fleet.BackendSpec {
+func serviceSpecs(mix load.Mix) []fleet.BackendSpec {
 	var specs []fleet.BackendSpec
 	for _, class := range mix.Classes {
 		if class.Service != "" {
@@ -68,12 +69,13 @@
 	return specs
 }
 
-// classes are stated as operators would: targets and tier. Calls of plain
-// services change something there and may not be repeated.
-func classes(mix load.Mix) []targets.Class {
-	var stated []targets.Class
+// targetClasses returns the classes as an operator configures them, with latency
+// targets and tier. Calls of plain services have side effects, so their classes
+// are not repeatable.
+func targetClasses(mix load.Mix) []targets.Class {
+	var converted []targets.Class
 	for _, class := range mix.Classes {
-		stated = append(stated, targets.Class{
+		converted = append(converted, targets.Class{
 			Name:          class.Name,
 			Tier:          class.Tier,
 			Model:         mix.ModelOf(class),
@@ -84,10 +86,10 @@
 			Repeatable:    class.Service == "",
 		})
 	}
-	return stated
+	return converted
 }
 
-func customers(mix load.Mix) []string {
+func customerNames(mix load.Mix) []string {
 	var names []string
 	for _, customer := range mix.Customers {
 		names = append(names, customer.Name)
