--- a/testbed/matrix/background.go
+++ b/testbed/matrix/background.go
@@ -6,44 +6,46 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Background load: small, so that a cell fits beside others, but never
-// without work at any process.
+// Response lengths of the background load, in tokens. The load is small, so
+// that several cells can run in parallel, but keeps every process busy.
 const (
-	flagTokens = 10
-	noteTokens = 30
+	hazardFlagTokens = 10
+	noteTokens       = 30
 )
 
-// startBackground keeps a few callers busy, one request after the other, and
-// returns what ends them.
-func (r *rig) startBackground(ctx context.Context) (stop func()) {
-	ending := make(chan struct{})
+// startBackground starts a few callers, each sending one request after the
+// other, and returns the function that stops them.
+func (h *harness) startBackground(ctx context.Context) (stop func()) {
+	stopping := make(chan struct{})
 	var wg conc.WaitGroup
-	for i, load := range []ask{
-		{class: classFlag, tokens: flagTokens, customer: customerLarge},
+	for i, request := range []clientRequest{
+		{class: classFlag, tokens: hazardFlagTokens, customer: customerLarge},
 		{class: classNote, tokens: noteTokens, customer: customerLarge},
-		{class: classNote, tokens: noteTokens, customer: customerSmall, whole: true},
+		{class: classNote, tokens: noteTokens, customer: customerSmall, unstreamed: true},
 	} {
-		wg.Go(func() { r.repeat(ctx, ending, load, i) })
+		wg.Go(func() { h.repeatCall(ctx, stopping, request, i) })
 	}
 	return func() {
-		close(ending)
+		close(stopping)
 		wg.Wait()
 	}
 }
 
-func (r *rig) repeat(ctx context.Context, ending <-chan struct{}, load ask, n int) {
+// repeatCall sends the request again and again, to the entries in turn, until
+// stopping is closed.
+func (h *harness) repeatCall(ctx context.Context, stopping <-chan struct{}, request clientRequest, n int) {
 	for {
 		select {
-		case <-ending:
+		case <-stopping:
 			return
 		default:
 		}
-		if entry := r.pick(n); entry != nil {
-			load.marker = r.mark(load.class)
-			r.call(ctx, load, entry)
+		if entry := h.pickEntry(n); entry != nil {
+			request.marker = h.newMarker(request.class)
+			h.call(ctx, request, entry)
 		}
 		n++
-		if !r.pause(ctx, ending) {
+		if !h.waitPollInterval(ctx, stopping) {
 			return
 		}
 	}
--- /dev/null
+++ b/testbed/matrix/breakpoint.go
@@ -0,0 +1,140 @@
+package matrix
+
+import (
+	"bytes"
+	"context"
+	"sync"
+
+	"github.com/applepier/applepier/testbed/faultproxy"
+)
+
+// midStreamChunks is the number of response chunks after which a stream counts as in
+// its middle.
+const midStreamChunks = 10
+
+// breakpoint detects on the wire that a request has reached a step, and holds the
+// request's messages there until release.
+type breakpoint struct {
+	class string
+	holds []*faultproxy.Hold
+
+	mu          sync.Mutex
+	recordedID  string
+	connections map[int]int64 // by agent, the connection that carries the response
+	chunks      int           // response chunks seen
+}
+
+// setBreakpoint sets the breakpoint for a request of a class and must be called
+// before the request is sent. Steps that no message marks have no holds; callers
+// detect them in other ways.
+func (h *harness) setBreakpoint(step Step, class string) *breakpoint {
+	reach := &breakpoint{class: class, connections: map[int]int64{}}
+	for agent, proxy := range h.proxies {
+		proxy.Observe(faultproxy.Upstream, reach.recordRequestID)
+		direction, match := reach.matcher(step, agent)
+		if match == nil {
+			continue
+		}
+		reach.holds = append(reach.holds, proxy.Hold(direction, match))
+	}
+	return reach
+}
+
+// recordRequestID takes the request's ID from its first ticket.
+func (b *breakpoint) recordRequestID(s faultproxy.Sight) {
+	if !faultproxy.Ticket(s) || s.Message.Ticket.Class != b.class {
+		return
+	}
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.recordedID == "" {
+		b.recordedID = s.Message.Ticket.Request
+	}
+}
+
+// matcher returns the direction and the condition of the message that marks a
+// step; the condition is nil if no message does.
+func (b *breakpoint) matcher(step Step, agent int) (faultproxy.Direction, faultproxy.Match) {
+	switch step {
+	case StepBeforeTicket:
+		return faultproxy.Upstream, func(s faultproxy.Sight) bool {
+			return faultproxy.Ticket(s) && s.Message.Ticket.Class == b.class
+		}
+	case StepGranted:
+		return faultproxy.Downstream, func(s faultproxy.Sight) bool {
+			return faultproxy.Grant(s) && s.Message.Grant.Request == b.requestID()
+		}
+	case StepBodySent:
+		return faultproxy.Upstream, func(s faultproxy.Sight) bool {
+			return s.Kind == faultproxy.SightBody && b.containsRequestID(s.Data)
+		}
+	case StepStarted:
+		return faultproxy.Downstream, func(s faultproxy.Sight) bool { return b.countChunk(agent, s) >= 1 }
+	case StepMidStream:
+		return faultproxy.Downstream, func(s faultproxy.Sight) bool { return b.countChunk(agent, s) >= midStreamChunks }
+	case StepLastFrame:
+		return faultproxy.Downstream, func(s faultproxy.Sight) bool { return b.isLastFrame(agent, s) }
+	}
+	return 0, nil
+}
+
+func (b *breakpoint) requestID() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.recordedID
+}
+
+func (b *breakpoint) containsRequestID(data []byte) bool {
+	id := b.requestID()
+	return id != "" && bytes.Contains(data, []byte(id))
+}
+
+// countChunk returns the number of response chunks seen so far, including s; it
+// returns 0 if s is not a chunk of the request's response.
+func (b *breakpoint) countChunk(agent int, s faultproxy.Sight) int {
+	if s.Kind != faultproxy.SightData || !b.containsRequestID(s.Data) {
+		return 0
+	}
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.chunks++
+	b.connections[agent] = s.Link
+	return b.chunks
+}
+
+// isLastFrame reports whether s is the end marker on the connection that carries
+// the response.
+func (b *breakpoint) isLastFrame(agent int, s faultproxy.Sight) bool {
+	b.countChunk(agent, s)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	link, ok := b.connections[agent]
+	return ok && s.Kind == faultproxy.SightEnd && s.Link == link
+}
+
+// wait waits until the step is reached at some agent and returns the agent's
+// index.
+func (b *breakpoint) wait(ctx context.Context) (int, error) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	type arrival struct {
+		agent int
+		err   error
+	}
+	arrivals := make(chan arrival, len(b.holds))
+	for agent, hold := range b.holds {
+		go func() {
+			_, err := hold.Wait(ctx)
+			arrivals <- arrival{agent, err}
+		}()
+	}
+	first := <-arrivals
+	return first.agent, first.err
+}
+
+// release forwards the held messages.
+func (b *breakpoint) release() {
+	for _, hold := range b.holds {
+		hold.Release()
+	}
+}
--- a/testbed/matrix/burst.go
+++ b/testbed/matrix/burst.go
@@ -12,142 +12,150 @@
 	"github.com/applepier/applepier/testbed/history"
 )
 
-// SubjectBurst is a burst of one lower class above the engines' capacity.
+// SubjectBurst is a burst of calls of one lower-tier class that exceeds the
+// engines' capacity.
 const SubjectBurst Subject = "burst"
 
-// Steps of a burst, both with tickets waiting at every agent.
+// Steps of a burst. In both, tickets wait at every agent when the fault is injected.
 const (
-	// StepBurst is a burst of a few seconds.
+	// StepBurst is a burst of about a second.
 	StepBurst Step = "short"
-	// StepSaturation lasts longer than a class may starve.
+	// StepSaturation is a burst that lasts longer than a class may go unserved.
 	StepSaturation Step = "saturation"
 )
 
-// NoFault stands for a cell in which nothing fails.
-const NoFault Kind = "none"
+// NoFault marks a cell without a fault.
+const NoFault FaultKind = "none"
 
-// BurstFaults lists what strikes in a burst.
-var BurstFaults = []Kind{NoFault, KillEngine, PauseAgent, PlatformDown, KillEntry}
+// BurstFaults lists the faults that are injected during a burst.
+var BurstFaults = []FaultKind{NoFault, KillEngine, PauseAgent, PlatformDown, KillEntry}
 
 const (
 	classBurst = "burst"
-	// burstFirstToken makes admission refuse most of a burst.
+	// burstFirstToken is short enough that admission refuses most of a burst.
 	burstFirstToken = 2 * time.Second
 	burstTokens     = 60
-	// burstFactor is how many times the engines' capacity a burst is.
-	burstFactor    = 3
-	shortBurst     = 1200 * time.Millisecond
-	longBurst      = 12 * time.Second
-	urgentCallers  = 4
-	lowCallers     = 4
-	lowTokens      = 80
-	engineSlowdown = 4 // of a full batch, as the stand-in's
+	// burstRateFactor is the burst's rate as a multiple of the engines' capacity.
+	burstRateFactor    = 3
+	shortBurstDuration = 1200 * time.Millisecond
+	longBurstDuration  = 12 * time.Second
+	topTierCallers     = 4
+	lowestTierCallers  = 4
+	lowestTierTokens   = 80
+	engineSlowdown     = 4 // slowdown of a full batch, the same as the simulated engine's
 )
 
-// burstClass is the class that bursts: above the lowest, below the top.
+// burstClass returns the class that bursts, of a tier between the top and the
+// lowest.
 func burstClass() targets.Class {
 	return targets.Class{Name: classBurst, Tier: 2, Model: model, FirstToken: burstFirstToken, Repeatable: true}
 }
 
-// burstBound is how long a call that is let in may take: policy's bound until
-// it is granted, its own run, and what a fault holds up.
-func burstBound(c Cell) time.Duration {
-	longest := lowTokens * tokenInterval * engineSlowdown
-	bound := policy.WaitBound(engineCapacity, len(classes()), longest) + longest
+// maxBurstCallDuration returns how long an admitted call may take: policy's bound on the
+// wait for a grant, the call's own run, and the delay caused by a fault.
+func maxBurstCallDuration(c Cell) time.Duration {
+	longestRun := lowestTierTokens * tokenInterval * engineSlowdown
+	bound := policy.WaitBound(engineCapacity, len(classes()), longestRun) + longestRun
 	if c.Faults[0] != NoFault {
-		bound += faultSpan + aftermath
+		bound += faultDuration + faultAftermath
 	}
 	return bound
 }
 
-// burstCell has one class burst, with calls of the top and of the lowest tier
-// beside it, and strikes while tickets wait at every agent.
-func (r *rig) burstCell(ctx context.Context, c Cell) error {
-	ending := make(chan struct{})
-	bound := burstBound(c)
-	for n := range urgentCallers {
-		flag := ask{class: classFlag, tokens: flagTokens, customer: customerLarge, within: bound}
-		r.calls.Go(func() { r.repeatPatiently(ctx, ending, flag, n) })
+// runBurstCell sends a burst of one class together with calls of the top and the
+// lowest tier, and injects the fault while tickets wait at every agent.
+func (h *harness) runBurstCell(ctx context.Context, c Cell) error {
+	stopping := make(chan struct{})
+	maxDuration := maxBurstCallDuration(c)
+	for n := range topTierCallers {
+		request := clientRequest{class: classFlag, tokens: hazardFlagTokens, customer: customerLarge, maxDuration: maxDuration}
+		h.calls.Go(func() { h.repeatWithRetry(ctx, stopping, request, n) })
 	}
-	r.calls.Go(func() {
-		r.burst(ctx, c, bound)
-		close(ending)
+	h.calls.Go(func() {
+		h.sendBurst(ctx, c, maxDuration)
+		close(stopping)
 	})
-	err := r.strikeBurst(ctx, c, bound)
-	r.calls.Wait()
+	err := h.injectDuringBurst(ctx, c, maxDuration)
+	h.calls.Wait()
 	return err
 }
 
-func (r *rig) strikeBurst(ctx context.Context, c Cell, bound time.Duration) error {
-	limit, cancel := context.WithTimeout(ctx, stepLimit)
+// injectDuringBurst waits until tickets wait at every agent, adds calls of the lowest
+// tier, and injects and clears the cell's fault.
+func (h *harness) injectDuringBurst(ctx context.Context, c Cell, maxDuration time.Duration) error {
+	waitCtx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
-	if !until(limit, r.allWaiting) {
-		return errors.New("no tickets wait at every agent")
+	if !pollUntil(waitCtx, h.allAgentsWaiting) {
+		return errors.New("not every agent has waiting tickets")
 	}
-	for n := range lowCallers {
-		low := ask{class: classSummary, marker: r.mark(classSummary), tokens: lowTokens, customer: customerSmall, within: bound}
-		r.calls.Go(func() { r.callPatiently(ctx, low, n) })
+	for n := range lowestTierCallers {
+		request := clientRequest{class: classSummary, marker: h.newMarker(classSummary), tokens: lowestTierTokens, customer: customerSmall, maxDuration: maxDuration}
+		h.calls.Go(func() { h.callWithRetry(ctx, request, n) })
 	}
 	if c.Faults[0] == NoFault {
-		pause.For(ctx, faultSpan)
+		pause.For(ctx, faultDuration)
 		return nil
 	}
-	f, err := strike(ctx, c.Faults[0], place{rig: r, entry: r.pick(int(c.Seed)), agent: r.random.IntN(engineCount)})
+	f, err := inject(ctx, c.Faults[0], location{harness: h, entry: h.pickEntry(int(c.Seed)), agent: h.rng.IntN(engineCount)})
 	if err != nil {
 		return err
 	}
-	pause.For(ctx, faultSpan)
-	return f.lift(ctx)
+	pause.For(ctx, faultDuration)
+	return f.clear(ctx)
 }
 
-// burst sends calls at a steady rate above the engines' capacity, whatever
-// becomes of those before.
-func (r *rig) burst(ctx context.Context, c Cell, bound time.Duration) {
-	span := shortBurst
+// sendBurst sends calls at a constant rate above the engines' capacity, without
+// waiting for earlier calls.
+func (h *harness) sendBurst(ctx context.Context, c Cell, maxDuration time.Duration) {
+	duration := shortBurstDuration
 	if c.Step == StepSaturation {
-		span = longBurst
+		duration = longBurstDuration
 	}
-	gap := burstTokens * tokenInterval / (engineCount * engineCapacity * burstFactor)
-	onSchedule(ctx, int(span/gap), gap, func(n int) {
+	interval := burstTokens * tokenInterval / (engineCount * engineCapacity * burstRateFactor)
+	onSchedule(ctx, int(duration/interval), interval, func(n int) {
 		customer := customerLarge
 		if n%2 == 0 {
 			customer = customerSmall
 		}
-		a := ask{class: classBurst, marker: r.mark(classBurst), tokens: burstTokens, customer: customer, within: bound}
-		r.calls.Go(func() { r.callPatiently(ctx, a, n) })
+		request := clientRequest{class: classBurst, marker: h.newMarker(classBurst), tokens: burstTokens, customer: customer, maxDuration: maxDuration}
+		h.calls.Go(func() { h.callWithRetry(ctx, request, n) })
 	})
 }
 
-// onSchedule calls do for 0 to count-1, a gap apart. Where one is late, those that are due by
-// then follow at once: on a busy machine pauses take longer, and fixed ones would lower the rate.
-func onSchedule(ctx context.Context, count int, gap time.Duration, do func(n int)) {
-	begin := time.Now()
+// onSchedule calls do for 0 to count-1, one interval apart. After a late call, the calls that
+// are already due follow at once: sleeps take longer on a busy machine, and a fixed sleep
+// between calls would lower the rate.
+func onSchedule(ctx context.Context, count int, interval time.Duration, do func(n int)) {
+	start := time.Now()
 	for n := range count {
-		if !pause.For(ctx, time.Until(begin.Add(time.Duration(n)*gap))) {
+		if !pause.For(ctx, time.Until(start.Add(time.Duration(n)*interval))) {
 			return
 		}
 		do(n)
 	}
 }
 
-func (r *rig) repeatPatiently(ctx context.Context, ending <-chan struct{}, a ask, n int) {
-	for r.pause(ctx, ending) {
-		a.marker = r.mark(a.class)
-		r.callPatiently(ctx, a, n)
+// repeatWithRetry makes one call after the other, each with retries, until
+// stopping is closed.
+func (h *harness) repeatWithRetry(ctx context.Context, stopping <-chan struct{}, request clientRequest, n int) {
+	for h.waitPollInterval(ctx, stopping) {
+		request.marker = h.newMarker(request.class)
+		h.callWithRetry(ctx, request, n)
 		n++
 	}
 }
 
-// callPatiently repeats a call, by turns through every entry, until it is
-// served; a refused one comes back after its Retry-After. Only the cell's own
-// limit ends it: hints add up the work of a burst and more.
-func (r *rig) callPatiently(ctx context.Context, a ask, n int) {
+// callWithRetry retries a call, through the entries in turn, until it is served.
+// A refused call is sent again after its Retry-After. Only the cell's timeout
+// ends the retries, because the Retry-After hints cover the work of the whole
+// burst and more.
+func (h *harness) callWithRetry(ctx context.Context, request clientRequest, n int) {
 	for ctx.Err() == nil {
-		call := r.call(ctx, a, r.pick(n))
+		call := h.call(ctx, request, h.pickEntry(n))
 		if call.Told == history.ToldWhole {
 			return
 		}
 		n++
-		pause.For(ctx, max(call.RetryAfter, pollPause))
+		pause.For(ctx, max(call.RetryAfter, pollInterval))
 	}
 }
--- a/testbed/matrix/cell.go
+++ b/testbed/matrix/cell.go
@@ -1,7 +1,7 @@
-// Package matrix brings about every fault at every step of a request, of a
-// change of targets and of a planned stop, on a fleet of real processes, and
-// has the history judged by package history. A cell is data: a subject, the
-// step it has reached, and one or two faults. Start reading at Run.
+// Package matrix injects every fault at every step of a request, a change of
+// targets and a planned stop, on a fleet of real processes, and checks the
+// recorded history with package history. A cell is plain data: a subject, the
+// step that it has reached, and one or two faults. Start reading at Run.
 package matrix
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Subject is what a cell's faults hit.
+// Subject is the operation that a cell's faults are injected into.
 type Subject string
 
 // Subjects of cells.
@@ -22,13 +22,13 @@
 	SubjectSummary Subject = "summary"
 	// SubjectTargets is a change of targets.
 	SubjectTargets Subject = "targets"
-	// SubjectLeaving is a backend server VM that leaves.
+	// SubjectLeaving is a backend server VM that leaves the fleet.
 	SubjectLeaving Subject = "leaving"
-	// SubjectStop is a planned stop.
+	// SubjectStop is a planned stop of one or two processes.
 	SubjectStop Subject = "stop"
 )
 
-// Step is how far the subject has come when the fault comes.
+// Step is the progress of the subject at which the fault is injected.
 type Step string
 
 // Steps of a request.
@@ -43,25 +43,26 @@
 	StepAfterEnd     Step = "after-end"
 )
 
-// RequestSteps lists the steps of a request in their order.
+// RequestSteps lists the steps of a request in order.
 var RequestSteps = []Step{
 	StepBeforeTicket, StepWaiting, StepGranted, StepBodySent,
 	StepStarted, StepMidStream, StepLastFrame, StepAfterEnd,
 }
 
-// Cell is one test of the matrix.
+// Cell is one test case of the matrix.
 type Cell struct {
 	Subject Subject
 	Step    Step
-	Faults  []Kind
+	Faults  []FaultKind
 	Seed    uint64
 }
 
-// Name identifies the cell in the table.
+// Name returns the cell's name, "subject/step/faults", without the seed.
 func (c Cell) Name() string {
 	return fmt.Sprintf("%s/%s/%s", c.Subject, c.Step, c.faultNames())
 }
 
+// faultNames returns the names of the cell's faults, joined by "+".
 func (c Cell) faultNames() string {
 	faults := make([]string, 0, len(c.Faults))
 	for _, f := range c.Faults {
@@ -70,10 +71,10 @@
 	return strings.Join(faults, "+")
 }
 
-// loadLag is the age that the engines' load reports reach; zero for the usual.
-func (c Cell) loadLag() time.Duration {
+// loadReportAge returns the age of the engines' load reports; 0 means the default.
+func (c Cell) loadReportAge() time.Duration {
 	if slices.Contains(c.Faults, StaleLoad) {
-		return staleLoadLag
+		return staleLoadAge
 	}
 	return 0
 }
--- a/testbed/matrix/classes.go
+++ b/testbed/matrix/classes.go
@@ -6,11 +6,11 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-// model is what all engines of a cell run.
+// model is the default model; all engines serve it, except that of lostModel.
 const model = "apple-avustaja"
 
-// Names of the classes. The latency targets are far off: cells look at what
-// is promised, not at how fast it is.
+// Names of the classes. Their latency targets are long, because cells check
+// guarantees and not latency.
 const (
 	classFlag    = "hazard-flag"
 	classNote    = "note"
@@ -18,12 +18,13 @@
 	classSummary = "summary"
 )
 
-// Customers of the cells' calls.
+// Customers that the cells' calls are made for.
 const (
 	customerLarge = "kaivonkansi"
 	customerSmall = "digestate"
 )
 
+// classes returns the classes that every cell's fleet serves.
 func classes() []targets.Class {
 	return []targets.Class{
 		{Name: classFlag, Tier: 0, Model: model, FirstToken: 20 * time.Second, Repeatable: true},
@@ -33,11 +34,12 @@
 	}
 }
 
-// lostClass is the class of the model that loses its engine.
+// lostClass returns the class of the model that loses its only engine.
 func lostClass() targets.Class {
 	return targets.Class{Name: classLost, Tier: 4, Model: lostModel, FirstToken: 60 * time.Second, Repeatable: true}
 }
 
+// classOf returns the class of a name, or an empty class if there is none.
 func classOf(name string) targets.Class {
 	for _, class := range append(classes(), lostClass(), burstClass()) {
 		if class.Name == name {
--- a/testbed/matrix/collect.go
+++ b/testbed/matrix/collect.go
@@ -10,11 +10,11 @@
 	"github.com/applepier/applepier/testbed/history"
 )
 
-// collect adds the engines' own record to the history and returns it.
-func (r *rig) collect() (history.History, error) {
-	for _, backend := range r.fleet.Backends {
+// collect adds the backend servers' own records to the history and returns it.
+func (h *harness) collect() (history.History, error) {
+	for _, backend := range h.fleet.Backends {
 		if backend.Server.Spec.Kind == settings.BackendService {
-			if err := r.collectCalls(backend); err != nil {
+			if err := h.collectCalls(backend); err != nil {
 				return history.History{}, err
 			}
 			continue
@@ -24,23 +24,23 @@
 			return history.History{}, err
 		}
 		for _, record := range records {
-			if run, ok := runOf(backend, record); ok {
-				r.recorder.Runs(run)
+			if run, ok := runFromRecord(backend, record); ok {
+				h.recorder.Runs(run)
 			}
 		}
 	}
-	return r.recorder.History(), nil
+	return h.recorder.History(), nil
 }
 
-// collectCalls adds a plain service's record of the calls that took effect.
-func (r *rig) collectCalls(backend *fleet.Backend) error {
+// collectCalls adds a plain service's records of the calls that took effect.
+func (h *harness) collectCalls(backend *fleet.Backend) error {
 	calls, err := backend.Server.Calls()
 	if err != nil {
 		return err
 	}
 	for _, call := range calls {
 		_, marker, _ := strings.Cut(call.Path, servicePath)
-		r.recorder.Runs(history.Run{
+		h.recorder.Runs(history.Run{
 			ID:      call.Run,
 			Request: call.Request,
 			Marker:  marker,
@@ -53,8 +53,9 @@
 	return nil
 }
 
-// runOf translates a record; one that work never began on is no run.
-func runOf(backend *fleet.Backend, record engine.Record) (history.Run, bool) {
+// runFromRecord converts an engine's record to a run. It reports false for a record
+// whose work never started.
+func runFromRecord(backend *fleet.Backend, record engine.Record) (history.Run, bool) {
 	if record.Started == nil {
 		return history.Run{}, false
 	}
--- a/testbed/matrix/fault.go
+++ b/testbed/matrix/fault.go
@@ -12,56 +12,57 @@
 )
 
 const (
-	// faultSpan is how long a fault lasts when the subject has no end before:
-	// longer than every bound after which the product gives a connection or a
-	// grant up (3 s for a silent stream).
-	faultSpan = 5 * time.Second
-	// aftermath is how long a lifted fault may still show, for example in a
-	// connection that was given up a moment ago.
-	aftermath = 5 * time.Second
-	// stopLimit is how long a planned stop may take, answers in progress
-	// included.
-	stopLimit = 60 * time.Second
+	// faultDuration is how long a fault lasts unless the subject ends first. It
+	// is longer than every timeout after which the product gives up a connection
+	// or a grant (3 s for a silent stream).
+	faultDuration = 5 * time.Second
+	// faultAftermath is how long a cleared fault may still have effects, for
+	// example on a connection that was just given up.
+	faultAftermath = 5 * time.Second
+	// stopTimeout is how long a planned stop may take, including responses in
+	// progress.
+	stopTimeout = 60 * time.Second
 )
 
-// fault is a fault in force.
+// fault is an injected fault.
 type fault struct {
-	kind  Kind
-	place place
-	note  history.Fault
+	kind     FaultKind
+	location location
+	record   history.Fault
 }
 
-// strike brings a fault about. Planned stops only begin; lift sees them end.
-func strike(ctx context.Context, kind Kind, at place) (*fault, error) {
-	f := &fault{kind: kind, place: at, note: history.Fault{Kind: string(kind), Process: at.process(kind).Name, At: time.Now()}}
-	if err := f.begin(ctx); err != nil {
-		return nil, errors.Wrapf(err, "fault %s at %s", kind, f.note.Process)
+// inject injects a fault. A planned stop is only started; clear waits for its
+// end.
+func inject(ctx context.Context, kind FaultKind, loc location) (*fault, error) {
+	f := &fault{kind: kind, location: loc, record: history.Fault{Kind: string(kind), Process: loc.process(kind).Name, At: time.Now()}}
+	if err := f.start(ctx); err != nil {
+		return nil, errors.Wrapf(err, "inject %s at %s", kind, f.record.Process)
 	}
 	return f, nil
 }
 
-func (f *fault) begin(ctx context.Context) error {
-	process := f.place.process(f.kind)
+func (f *fault) start(ctx context.Context) error {
+	process := f.location.process(f.kind)
 	switch f.kind {
 	case KillEntry, KillAgent, KillEngine, KillService:
 		return process.Kill()
 	case PauseEntry, PauseAgent, PauseEngine:
 		return process.Stop()
 	case StopEntry, StopAgent, LeaveVM:
-		return f.beginStop(ctx)
+		return f.startStop(ctx)
 	case Straggler, Stall, CutStream, StaleLoad:
-		return f.place.backend().Server.SetEngineKnobs(ctx, engineKnobs(f.kind))
+		return f.location.backend().Server.SetEngineKnobs(ctx, engineFaults(f.kind))
 	case PlatformDown, PlatformSlow, LostAnswer, ListLags:
-		return f.place.rig.fleet.Platform.UpdateKnobs(ctx, platformKnobs(f.kind))
+		return f.location.harness.fleet.Platform.UpdateKnobs(ctx, platformFaults(f.kind))
 	case CutAnswer:
-		return f.place.rig.setServices(ctx, plain.Knobs{SlowMS: int(serviceSlowness.Milliseconds()), CutAnswers: 1})
+		return f.location.harness.configureServices(ctx, plain.Knobs{SlowMS: int(serviceDelay.Milliseconds()), CutAnswers: 1})
 	}
-	return f.beginWire()
+	return f.startConnectionFault()
 }
 
-// beginWire brings about the faults of the connections before the agent.
-func (f *fault) beginWire() error {
-	proxy := f.place.proxy()
+// startConnectionFault injects a fault into the connections between entries and the agent.
+func (f *fault) startConnectionFault() error {
+	proxy := f.location.proxy()
 	switch f.kind {
 	case Cut:
 		return proxy.Cut()
@@ -76,44 +77,44 @@
 	case Delay:
 		proxy.Delay(constantDelay, constantDelay)
 	case Reorder:
-		proxy.Delay(0, widestDelay)
+		proxy.Delay(0, maxRandomDelay)
 	default:
-		return errors.Errorf("unknown kind %s", f.kind)
+		return errors.Errorf("unknown fault kind %q", f.kind)
 	}
 	return nil
 }
 
-// lift ends the fault and notes it.
-func (f *fault) lift(ctx context.Context) error {
-	if f.kind.planned() {
-		return f.endStop(ctx)
+// clear ends the fault and records it in the history.
+func (f *fault) clear(ctx context.Context) error {
+	if f.kind.isPlannedStop() {
+		return f.finishStop(ctx)
 	}
 	err := f.end(ctx)
-	f.note.Lifted = time.Now().Add(aftermath)
-	f.place.rig.recorder.Fault(f.note)
+	f.record.Lifted = time.Now().Add(faultAftermath)
+	f.location.harness.recorder.Fault(f.record)
 	if err != nil {
-		return errors.Wrapf(err, "lift %s at %s", f.kind, f.note.Process)
+		return errors.Wrapf(err, "clear %s at %s", f.kind, f.record.Process)
 	}
 	return nil
 }
 
 func (f *fault) end(ctx context.Context) error {
-	process := f.place.process(f.kind)
+	process := f.location.process(f.kind)
 	switch f.kind {
 	case KillEntry, KillAgent, KillEngine, KillService:
 		return process.Restart(ctx)
 	case PauseEntry, PauseAgent, PauseEngine:
 		return process.Continue()
 	case Straggler, Stall, CutStream, StaleLoad:
-		return f.place.backend().Server.SetEngineKnobs(ctx, healthyEngine)
+		return f.location.backend().Server.SetEngineKnobs(ctx, healthyEngine)
 	case PlatformDown, PlatformSlow, LostAnswer, ListLags:
-		return f.place.rig.fleet.Platform.UpdateKnobs(ctx, healPlatform)
+		return f.location.harness.fleet.Platform.UpdateKnobs(ctx, clearPlatformFaults)
 	case CutAnswer:
-		return f.place.rig.setServices(ctx, plain.Knobs{})
+		return f.location.harness.configureServices(ctx, plain.Knobs{})
 	case Refuse:
-		return f.place.proxy().Accept()
+		return f.location.proxy().Accept()
 	case Delay, Reorder:
-		f.place.proxy().Delay(0, 0)
+		f.location.proxy().Delay(0, 0)
 	}
 	return nil
 }
--- /dev/null
+++ b/testbed/matrix/fixed_cells.go
@@ -0,0 +1,55 @@
+package matrix
+
+// FixedCells returns the part of the matrix that CI runs: a crash, a pause and a
+// broken connection at each step of non-repeatable work, every fault in the
+// middle of a stream, and every cell that once exposed a fault of the product,
+// with its seed. VMs that leave by the platform's list alone are covered only by
+// the complete matrix, because their limit of a few seconds cannot be met
+// reliably on a busy machine.
+func FixedCells() []Cell {
+	var cells []Cell
+	for _, step := range RequestSteps {
+		for _, kind := range []FaultKind{KillEntry, KillAgent, KillEngine, PauseAgent, SilentDown} {
+			cells = append(cells, singleFaultCell(SubjectDocket, step, kind))
+		}
+	}
+	for _, kind := range RequestFaults {
+		cells = append(cells, singleFaultCell(SubjectSummary, StepMidStream, kind))
+	}
+	cells = append(cells,
+		singleFaultCell(SubjectService, StepBodySent, KillAgent),
+		singleFaultCell(SubjectService, StepStarted, KillEntry),
+		singleFaultCell(SubjectService, StepStarted, SilentDown),
+		singleFaultCell(SubjectService, StepStarted, CutAnswer),
+		singleFaultCell(SubjectService, StepStarted, KillService),
+		singleFaultCell(SubjectTargets, StepWriteLost, TwoOperators),
+		singleFaultCell(SubjectTargets, StepWriteLost, KillEntry),
+		singleFaultCell(SubjectTargets, StepAccepted, KillEntry),
+		singleFaultCell(SubjectTargets, StepSpreading, PauseAgent),
+		Cell{Subject: SubjectTargets, Step: StepAccepted, Faults: []FaultKind{PlatformDown, FreshEntry}, Seed: 1},
+		singleFaultCell(SubjectStop, StepUnderLoad, StopEntry),
+		singleFaultCell(SubjectBurst, StepBurst, KillEntry),
+		Cell{Subject: SubjectStop, Step: StepUnderLoad, Faults: []FaultKind{StopEntry, LeaveVM}, Seed: 1},
+		Cell{Subject: SubjectLeaving, Step: StepUnderLoad, Faults: []FaultKind{LeaveVM, ListLags}, Seed: 1},
+	)
+	return append(cells, regressionCells()...)
+}
+
+// regressionCells returns the cells that exposed faults of the product. They
+// must not be changed.
+func regressionCells() []Cell {
+	return []Cell{
+		// An agent got no updates because its idle connection had gone silent.
+		singleFaultCell(SubjectTargets, StepBeforeWrite, SilentUp),
+		singleFaultCell(SubjectTargets, StepBeforeWrite, SilentDown),
+		// A change that only its entry knew took effect late after that entry died.
+		{Subject: SubjectTargets, Step: StepAccepted, Faults: []FaultKind{KillEntry, PlatformDown}, Seed: 1},
+		// A ticket that was placed again was sent on the same silent connection.
+		{Subject: SubjectDocket, Step: StepWaiting, Faults: []FaultKind{Silent, Silent}, Seed: 13},
+	}
+}
+
+// singleFaultCell returns a cell with one fault and seed 1.
+func singleFaultCell(subject Subject, step Step, kind FaultKind) Cell {
+	return Cell{Subject: subject, Step: step, Faults: []FaultKind{kind}, Seed: 1}
+}
--- a/testbed/matrix/lease.go
+++ b/testbed/matrix/lease.go
@@ -14,182 +14,189 @@
 	"github.com/applepier/applepier/testbed/history"
 )
 
-// SubjectLease is the lease under which orders are given, and one order: to
-// load a model whose only engine has gone.
+// SubjectLease is the lease that is required to issue orders, together with one
+// order: to load a model whose only engine is gone.
 const SubjectLease Subject = "lease"
 
 // Steps of a lease.
 const (
 	StepTaken   Step = "taken"
 	StepRenewed Step = "renewed"
-	// StepOrdered: the order is written and the agent has not read it.
+	// StepOrdered is reached when the order is stored and the agent has not read it.
 	StepOrdered Step = "order-on-its-way"
 )
 
-// LeaseFaults lists what hits each step of a lease.
-var LeaseFaults = []Kind{KillEntry, PauseEntry, KillAgent, PauseAgent, PlatformDown, LostAnswer, StopEntry}
+// LeaseFaults lists the faults that are injected at each step of a lease.
+var LeaseFaults = []FaultKind{KillEntry, PauseEntry, KillAgent, PauseAgent, PlatformDown, LostAnswer, StopEntry}
 
-// lostModel is the model that loses its only engine.
+// lostModel is the model that loses its only engine, classLost its class.
 const (
 	lostModel = "kuvaus-malli"
 	classLost = "lost"
 )
 
 const (
-	// leaseSpan is how long a holder stays away: until another one holds the
-	// lease, which takes its 15 s and some.
-	leaseSpan = 40 * time.Second
-	// loadLimit is how long it may take until the model is served again.
-	loadLimit = 2 * time.Minute
-	// renewals is how many writes of the lease make it renewed.
-	renewals = 3
+	// successorTimeout bounds the wait for another holder of the lease, which
+	// takes a little longer than the lease's duration of 15 s.
+	successorTimeout = 40 * time.Second
+	// modelLoadTimeout is how long it may take until the model is served again.
+	modelLoadTimeout = 2 * time.Minute
+	// minRenewedVersion is the version of the lease's row from which it counts as renewed.
+	minRenewedVersion = 3
 )
 
-// Keys of the platform's rows that are watched.
+// Keys of the rows in the platform's table that are watched.
 const (
 	leaseKey    = "leases/" + orders.LeaseName
 	orderPrefix = "orders/"
 )
 
-// fencedRow is the part of a lease's or an order's row that is read.
-type fencedRow struct {
-	Holder string `json:"holder"`
-	Fence  uint64 `json:"fence"`
+// fencingRow holds the fields of a lease's or an order's row that are read here.
+type fencingRow struct {
+	Holder       string `json:"holder"`
+	FencingToken uint64 `json:"fence"` // fencing token
 }
 
-// leaseCell runs a cell whose subject is a lease.
-func (r *rig) leaseCell(ctx context.Context, c Cell) error {
-	stop := r.watchFences(ctx)
+// runLeaseCell runs a cell whose subject is a lease.
+func (h *harness) runLeaseCell(ctx context.Context, c Cell) error {
+	stop := h.watchFencingTokens(ctx)
 	defer stop()
-	lost := r.fleet.Backends[engineCount]
+	lost := h.fleet.Backends[engineCount]
 	if err := lost.Agent.Kill(); err != nil {
 		return err
 	}
 	if err := lost.Server.Kill(); err != nil {
 		return err
 	}
-	at := place{rig: r}
-	if err := r.awaitLease(ctx, c.Step, &at); err != nil {
+	loc := location{harness: h}
+	if err := h.awaitLease(ctx, c.Step, &loc); err != nil {
 		return err
 	}
-	before, err := r.readRow(ctx, leaseKey)
+	before, err := h.readRow(ctx, leaseKey)
 	if err != nil {
 		return err
 	}
-	f, err := strike(ctx, c.Faults[0], at)
+	f, err := inject(ctx, c.Faults[0], loc)
 	if err != nil {
 		return err
 	}
-	r.awaitSuccessor(ctx, f, before.Fence)
-	if err := f.lift(ctx); err != nil {
+	h.awaitSuccessor(ctx, f, before.FencingToken)
+	if err := f.clear(ctx); err != nil {
 		return err
 	}
-	r.probeLost(ctx)
-	return r.collectOrders(ctx)
+	h.probeLostModel(ctx)
+	return h.recordOrders(ctx)
 }
 
-// awaitLease waits until the lease is at the step, and finds its holder and
-// the agent that is ordered.
-func (r *rig) awaitLease(ctx context.Context, step Step, at *place) error {
-	ctx, cancel := context.WithTimeout(ctx, loadLimit)
+// awaitLease waits until the lease has reached the step, and sets loc to its
+// holder and, for StepOrdered, to the agent that the order is for.
+func (h *harness) awaitLease(ctx context.Context, step Step, loc *location) error {
+	ctx, cancel := context.WithTimeout(ctx, modelLoadTimeout)
 	defer cancel()
-	reached := until(ctx, func() bool {
-		row, version, err := r.row(ctx, leaseKey)
-		if err != nil || !r.findHolder(row.Holder, at) {
+	reached := pollUntil(ctx, func() bool {
+		row, version, err := h.readVersionedRow(ctx, leaseKey)
+		if err != nil || !h.findHolder(row.Holder, loc) {
 			return false
 		}
 		switch step {
 		case StepRenewed:
-			return version >= renewals
+			return version >= minRenewedVersion
 		case StepOrdered:
-			return r.findOrdered(ctx, at)
+			return h.findOrderedAgent(ctx, loc)
 		}
 		return true
 	})
 	if !reached {
-		return errors.Errorf("lease did not reach step %s", step)
+		return errors.Errorf("lease did not reach step %s within %s", step, modelLoadTimeout)
 	}
 	return nil
 }
 
-func (r *rig) findHolder(holder string, at *place) bool {
+// findHolder sets loc to the entry that holds the lease and reports whether there
+// is one. The part of holder before "/" is the entry's name.
+func (h *harness) findHolder(holder string, loc *location) bool {
 	name, _, _ := strings.Cut(holder, "/")
-	for _, entry := range r.fleet.Entries {
+	for _, entry := range h.fleet.Entries {
 		if entry.Name == name {
-			at.entry = entry
+			loc.entry = entry
 			return true
 		}
 	}
 	return false
 }
 
-func (r *rig) findOrdered(ctx context.Context, at *place) bool {
-	for i, backend := range r.fleet.Backends {
-		if _, _, err := r.row(ctx, orderPrefix+backend.VM.Name); err == nil {
-			at.agent = i
+// findOrderedAgent sets loc to the agent that an order is stored for and reports
+// whether there is one.
+func (h *harness) findOrderedAgent(ctx context.Context, loc *location) bool {
+	for i, backend := range h.fleet.Backends {
+		if _, _, err := h.readVersionedRow(ctx, orderPrefix+backend.VM.Name); err == nil {
+			loc.agent = i
 			return true
 		}
 	}
 	return false
 }
 
-// awaitSuccessor lets the fault last until another process holds the lease if
-// its holder is away, and for the usual time otherwise.
-func (r *rig) awaitSuccessor(ctx context.Context, f *fault, fence uint64) {
-	span := faultSpan
+// awaitSuccessor waits until another process holds the lease. If the fault does
+// not stop the holder, the wait ends after the usual duration of a fault.
+func (h *harness) awaitSuccessor(ctx context.Context, f *fault, token uint64) {
+	timeout := faultDuration
 	if f.kind == KillEntry || f.kind == PauseEntry {
-		span = leaseSpan
+		timeout = successorTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, span)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	until(ctx, func() bool {
-		row, err := r.readRow(ctx, leaseKey)
-		return err == nil && row.Fence > fence
+	pollUntil(ctx, func() bool {
+		row, err := h.readRow(ctx, leaseKey)
+		return err == nil && row.FencingToken > token
 	})
 }
 
-// probeLost asks for the lost model until it is served.
-func (r *rig) probeLost(ctx context.Context) {
-	due := time.Now().Add(loadLimit)
+// probeLostModel calls the lost model until it is served or modelLoadTimeout has
+// passed. Only the last call counts as a probe.
+func (h *harness) probeLostModel(ctx context.Context) {
+	deadline := time.Now().Add(modelLoadTimeout)
 	for n := 0; ; n++ {
-		a := ask{class: classLost, model: lostModel, marker: r.mark(classLost), tokens: probeTokens, customer: customerSmall}
-		call := a.send(ctx, r.fleet.Entries[n%entryCount])
-		call.Probe = call.Told == history.ToldWhole || time.Now().After(due)
-		r.recorder.Call(call)
-		if call.Probe || !r.pause(ctx, nil) {
+		request := clientRequest{class: classLost, model: lostModel, marker: h.newMarker(classLost), tokens: probeTokens, customer: customerSmall}
+		call := request.send(ctx, h.fleet.Entries[n%entryCount])
+		call.Probe = call.Told == history.ToldWhole || time.Now().After(deadline)
+		h.recorder.Call(call)
+		if call.Probe || !h.waitPollInterval(ctx, nil) {
 			return
 		}
 	}
 }
 
-// collectOrders notes what orders the engines have carried out.
-func (r *rig) collectOrders(ctx context.Context) error {
-	for _, backend := range r.fleet.Backends[:engineCount] {
-		taken, err := backend.Server.Orders(ctx)
+// recordOrders records the fencing tokens of the orders that the engines have
+// carried out.
+func (h *harness) recordOrders(ctx context.Context) error {
+	for _, backend := range h.fleet.Backends[:engineCount] {
+		executed, err := backend.Server.Orders(ctx)
 		if err != nil {
 			return err
 		}
-		for _, order := range taken {
-			r.recorder.Fence(history.FenceSeen{Place: "engine of " + backend.VM.Name, At: time.Now(), Fence: order.Fence})
+		for _, order := range executed {
+			h.recorder.Fence(history.FenceSeen{Place: "engine of " + backend.VM.Name, At: time.Now(), Fence: order.Fence})
 		}
 	}
 	return nil
 }
 
-// watchFences notes the numbers in the rows of the lease and the orders.
-func (r *rig) watchFences(ctx context.Context) (stop func()) {
+// watchFencingTokens records the fencing tokens in the rows of the lease and the
+// orders until stop is called.
+func (h *harness) watchFencingTokens(ctx context.Context) (stop func()) {
 	keys := []string{leaseKey}
-	for _, backend := range r.fleet.Backends {
+	for _, backend := range h.fleet.Backends {
 		keys = append(keys, orderPrefix+backend.VM.Name)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for r.pause(ctx, nil) {
+		for h.waitPollInterval(ctx, nil) {
 			for _, key := range keys {
-				if row, err := r.readRow(ctx, key); err == nil {
-					r.recorder.Fence(history.FenceSeen{Place: key, At: time.Now(), Fence: row.Fence})
+				if row, err := h.readRow(ctx, key); err == nil {
+					h.recorder.Fence(history.FenceSeen{Place: key, At: time.Now(), Fence: row.FencingToken})
 				}
 			}
 		}
@@ -200,17 +207,18 @@
 	}
 }
 
-func (r *rig) readRow(ctx context.Context, key string) (fencedRow, error) {
-	row, _, err := r.row(ctx, key)
+func (h *harness) readRow(ctx context.Context, key string) (fencingRow, error) {
+	row, _, err := h.readVersionedRow(ctx, key)
 	return row, err
 }
 
-func (r *rig) row(ctx context.Context, key string) (fencedRow, uint64, error) {
-	stored, err := r.table.Get(ctx, key)
+// readVersionedRow returns a row and its version.
+func (h *harness) readVersionedRow(ctx context.Context, key string) (fencingRow, uint64, error) {
+	stored, err := h.table.Get(ctx, key)
 	if err != nil {
-		return fencedRow{}, 0, err
+		return fencingRow{}, 0, err
 	}
-	var row fencedRow
+	var row fencingRow
 	err = json.Unmarshal(stored.Value, &row)
 	return row, stored.Version, err
 }
--- a/testbed/matrix/matrix_test.go
+++ b/testbed/matrix/matrix_test.go
@@ -21,7 +21,7 @@
 	os.Exit(code)
 }
 
-func check(t *testing.T, c Cell) {
+func checkCell(t *testing.T, c Cell) {
 	t.Helper()
 	result := Run(t.Context(), binaries, c)
 	t.Log(result)
@@ -30,20 +30,20 @@
 	}
 }
 
-// TestFixedCells runs the part of the matrix that CI runs.
+// TestFixedCells runs the cells of FixedCells; no promise may be broken.
 func TestFixedCells(t *testing.T) {
-	sideBySide := make(chan struct{}, parallelCells)
+	slots := make(chan struct{}, parallelCells)
 	for _, cell := range FixedCells() {
 		t.Run(cell.Name(), func(t *testing.T) {
 			t.Parallel()
-			sideBySide <- struct{}{}
-			defer func() { <-sideBySide }()
-			check(t, cell)
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			checkCell(t, cell)
 		})
 	}
 }
 
-// parallelCells is how many fleets run side by side.
+// parallelCells is the number of fleets that run in parallel.
 const parallelCells = 4
 
 func TestPairsAreDrawnBySeed(t *testing.T) {
@@ -51,13 +51,13 @@
 	same := 0
 	for i := range first {
 		if first[i].Name() != again[i].Name() {
-			t.Fatalf("pair %d: %s, then %s", i, first[i].Name(), again[i].Name())
+			t.Fatalf("pair %d differs with the same seed: %s, then %s", i, first[i].Name(), again[i].Name())
 		}
 		if first[i].Name() == other[i].Name() {
 			same++
 		}
 	}
 	if same == len(first) {
-		t.Fatal("another seed draws the same pairs")
+		t.Fatal("a different seed draws the same pairs")
 	}
 }
--- a/testbed/matrix/operators.go
+++ b/testbed/matrix/operators.go
@@ -6,33 +6,35 @@
 	"github.com/sourcegraph/conc/pool"
 )
 
-// Faults of the subject targets alone.
+// Faults that apply to a change of targets only.
 const (
-	// TwoOperators: another operator changes targets at the same time.
-	TwoOperators Kind = "two-operators"
-	// FreshEntry: an entry VM starts while the fault beside it is in force.
-	FreshEntry Kind = "fresh-entry"
+	// TwoOperators makes two other operators change targets concurrently.
+	TwoOperators FaultKind = "two-operators"
+	// FreshEntry starts an entry VM while the cell's other fault is in force.
+	FreshEntry FaultKind = "fresh-entry"
 )
 
-// TargetFaults lists what hits each step of a change of targets.
-var TargetFaults = [][]Kind{
+// TargetFaults lists the faults, alone and in pairs, that are injected at each
+// step of a change of targets.
+var TargetFaults = [][]FaultKind{
 	{KillEntry}, {KillAgent}, {PauseEntry}, {PauseAgent}, {Cut}, {Silent}, {SilentUp}, {SilentDown},
 	{Delay}, {PlatformDown}, {PlatformSlow}, {LostAnswer}, {TwoOperators},
 	{PlatformDown, FreshEntry}, {KillEntry, PlatformDown}, {PlatformDown, KillAgent}, {StopEntry},
 }
 
-// strikeList brings several faults about at once.
-func (r *rig) strikeList(ctx context.Context, kinds []Kind, at place) ([]*fault, error) {
+// injectAll injects the faults of a change of targets and returns those that must
+// be cleared, also with an error.
+func (h *harness) injectAll(ctx context.Context, kinds []FaultKind, loc location) ([]*fault, error) {
 	var faults []*fault
 	for _, kind := range kinds {
 		switch kind {
 		case TwoOperators:
-			if err := r.operateTogether(ctx); err != nil {
+			if err := h.changeConcurrently(ctx); err != nil {
 				return faults, err
 			}
 		case FreshEntry:
 		default:
-			f, err := strike(ctx, kind, at)
+			f, err := inject(ctx, kind, loc)
 			if err != nil {
 				return faults, err
 			}
@@ -42,13 +44,14 @@
 	return faults, nil
 }
 
-// operateTogether has two operators change classes at two entries at once.
-func (r *rig) operateTogether(ctx context.Context) error {
+// changeConcurrently makes two operators change different classes through
+// different entries at the same time.
+func (h *harness) changeConcurrently(ctx context.Context) error {
 	operators := pool.New().WithContext(ctx)
 	for i, class := range []string{classNote, classDocket} {
 		operators.Go(func(ctx context.Context) error {
-			for range changesByOperator {
-				if err := r.operate(ctx, class, i, r.fleet.Entries[i]); err != nil {
+			for range changesPerOperator {
+				if err := h.changeClass(ctx, class, i, h.fleet.Entries[i]); err != nil {
 					return err
 				}
 			}
@@ -58,31 +61,31 @@
 	return operators.Wait()
 }
 
-// freshDuring starts a fresh entry while the cell's other fault is in force,
-// and looks at what targets it learns.
-func (r *rig) freshDuring(ctx context.Context, c Cell) error {
+// startFreshEntry starts an entry while the cell's other fault is in force and
+// records the targets that it learns. It does nothing in cells without FreshEntry.
+func (h *harness) startFreshEntry(ctx context.Context, c Cell) error {
 	for _, kind := range c.Faults {
 		if kind != FreshEntry {
 			continue
 		}
-		entry, err := r.fleet.AddEntry(ctx)
+		entry, err := h.fleet.AddEntry(ctx)
 		if err != nil {
 			return err
 		}
-		stop := r.watchOne(ctx, source{entry.Name, entry.Targets})
-		r.awaitSpread(ctx)
+		stop := h.watchProcess(ctx, targetsSource{entry.Name, entry.Targets})
+		h.awaitPropagation(ctx)
 		stop()
 	}
 	return nil
 }
 
-// watchOne is watchVersions for one process.
-func (r *rig) watchOne(ctx context.Context, s source) (stop func()) {
+// watchProcess records the targets in force at one process until stop is called.
+func (h *harness) watchProcess(ctx context.Context, s targetsSource) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.watchVersion(ctx, s)
+		h.watchVersion(ctx, s)
 	}()
 	return func() {
 		cancel()
--- a/testbed/matrix/planned.go
+++ b/testbed/matrix/planned.go
@@ -10,121 +10,124 @@
 	"github.com/applepier/applepier/testbed/history"
 )
 
-// Steps of planned stops and of a leaving VM.
+// StepUnderLoad is the step of planned stops and of a leaving VM: long streams
+// run through every entry.
 const (
-	// StepUnderLoad: long streams run through every entry and on every
-	// engine.
 	StepUnderLoad Step = "under-load"
 )
 
-// LeaveListed marks a VM as leaving on the platform's list and nothing else.
-const LeaveListed Kind = "leave-listed"
+// LeaveListed marks a VM as leaving on the platform's list and stops no process.
+const LeaveListed FaultKind = "leave-listed"
 
-// StopFaults lists the planned stops, several at once among them.
-var StopFaults = [][]Kind{
+// StopFaults lists the planned stops, alone and in pairs.
+var StopFaults = [][]FaultKind{
 	{StopEntry}, {StopAgent}, {LeaveVM}, {StopEntry, StopEntry},
 	{StopEntry, StopAgent}, {StopEntry, LeaveVM}, {StopAgent, LeaveVM},
 }
 
-// LeavingFaults lists how a VM leaves, and what keeps the news from spreading.
-var LeavingFaults = [][]Kind{
+// LeavingFaults lists the ways in which a VM leaves, some together with a fault
+// that delays the news of it.
+var LeavingFaults = [][]FaultKind{
 	{LeaveListed}, {LeaveListed, Silent}, {LeaveListed, SilentDown}, {LeaveListed, PauseEntry},
 	{LeaveVM, PlatformDown}, {LeaveVM, ListLags}, {LeaveVM, Silent}, {LeaveVM, SilentDown},
 }
 
 const (
-	// longStreams is how many long streams run, and longTokens their length:
-	// some seconds, longer than the notice that an entry gives.
-	longStreams = 4
-	longTokens  = 350
-	// lookAfter is how long a cell looks on after the limit of leaving.
-	lookAfter = 3 * time.Second
+	// longStreamCount is the number of long streams, and longStreamTokens their length.
+	// They run for a few seconds, longer than the notice that an entry gives
+	// before it stops.
+	longStreamCount  = 4
+	longStreamTokens = 350
+	// extraObservation is how long a cell continues after leavingLimit.
+	extraObservation = 3 * time.Second
 )
 
-// stopCell stops processes while long streams run.
-func (r *rig) stopCell(ctx context.Context, c Cell) error {
-	at := place{rig: r, entry: r.fleet.Entries[0], agent: r.random.IntN(engineCount)}
-	if err := r.runLongStreams(ctx); err != nil {
+// runStopCell runs a cell that stops processes while long streams run.
+func (h *harness) runStopCell(ctx context.Context, c Cell) error {
+	loc := location{harness: h, entry: h.fleet.Entries[0], agent: h.rng.IntN(engineCount)}
+	if err := h.startLongStreams(ctx); err != nil {
 		return err
 	}
 	var faults []*fault
 	for i, kind := range c.Faults {
-		f, err := strike(ctx, kind, at.shifted(i))
+		f, err := inject(ctx, kind, loc.offset(i))
 		if err != nil {
 			return err
 		}
 		faults = append(faults, f)
 	}
 	for _, f := range faults {
-		if err := f.lift(ctx); err != nil {
+		if err := f.clear(ctx); err != nil {
 			return err
 		}
 	}
-	r.calls.Wait()
+	h.calls.Wait()
 	return nil
 }
 
-// runLongStreams starts long streams and waits until the engines have begun
-// all of them.
-func (r *rig) runLongStreams(ctx context.Context) error {
+// startLongStreams starts the long streams and waits until an engine has started
+// each of them.
+func (h *harness) startLongStreams(ctx context.Context) error {
 	var markers []string
-	for n := range longStreams {
-		long := ask{class: classSummary, marker: r.mark("long"), tokens: longTokens, customer: customerLarge}
-		markers = append(markers, long.marker)
-		r.calls.Go(func() { r.call(ctx, long, r.fleet.Entries[n%entryCount]) })
+	for n := range longStreamCount {
+		request := clientRequest{class: classSummary, marker: h.newMarker("long"), tokens: longStreamTokens, customer: customerLarge}
+		markers = append(markers, request.marker)
+		h.calls.Go(func() { h.call(ctx, request, h.fleet.Entries[n%entryCount]) })
 	}
-	limit, cancel := context.WithTimeout(ctx, stepLimit)
+	waitCtx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	for _, marker := range markers {
-		begun := func() bool {
-			_, err := r.ranAt(marker)
+		started := func() bool {
+			_, err := h.engineOf(marker)
 			return err == nil
 		}
-		if !until(limit, begun) {
-			return errors.Errorf("%s has not begun", marker)
+		if !pollUntil(waitCtx, started) {
+			return errors.Errorf("no engine started stream %s within %s", marker, stepTimeout)
 		}
 	}
 	return nil
 }
 
-// leavingCell has a VM leave and looks for new work there until well after
-// the limit.
-func (r *rig) leavingCell(ctx context.Context, c Cell) error {
-	at := place{rig: r, entry: r.fleet.Entries[0], agent: r.random.IntN(engineCount)}
-	if err := r.runLongStreams(ctx); err != nil {
+// runLeavingCell runs a cell in which a VM leaves, and continues past leavingLimit so
+// that new work on that VM is seen.
+func (h *harness) runLeavingCell(ctx context.Context, c Cell) error {
+	loc := location{harness: h, entry: h.fleet.Entries[0], agent: h.rng.IntN(engineCount)}
+	if err := h.startLongStreams(ctx); err != nil {
 		return err
 	}
 	var faults []*fault
 	for _, kind := range reversed(c.Faults) {
 		if kind == LeaveListed {
-			vm := at.backend().VM.Name
-			r.recorder.Leaving(history.Leaving{Server: vm, At: time.Now(), Limit: leavingLimit})
-			if err := r.fleet.Platform.MarkLeaving(ctx, vm); err != nil {
+			vm := loc.backend().VM.Name
+			h.recorder.Leaving(history.Leaving{Server: vm, At: time.Now(), Limit: leavingLimit})
+			if err := h.fleet.Platform.MarkLeaving(ctx, vm); err != nil {
 				return err
 			}
 			continue
 		}
-		f, err := strike(ctx, kind, at)
+		f, err := inject(ctx, kind, loc)
 		if err != nil {
 			return err
 		}
 		faults = append(faults, f)
 	}
-	// Time itself is what is looked at here: nothing may happen in it.
-	pause.For(ctx, leavingLimit+lookAfter)
+	// A fixed wait is needed here: the check is that no work starts during it.
+	pause.For(ctx, leavingLimit+extraObservation)
 	for _, f := range faults {
-		if err := f.lift(ctx); err != nil {
+		if err := f.clear(ctx); err != nil {
 			return err
 		}
 	}
-	r.calls.Wait()
+	h.calls.Wait()
 	return nil
 }
 
-func reversed(kinds []Kind) []Kind {
-	back := make([]Kind, 0, len(kinds))
+// reversed returns the kinds in reverse order, so that a fault that delays the
+// news is injected before the VM leaves.
+func reversed(kinds []FaultKind) []FaultKind {
+	result := make([]FaultKind, 0, len(kinds))
 	for i := range kinds {
-		back = append(back, kinds[len(kinds)-1-i])
+		result = append(result, kinds[len(kinds)-1-i])
 	}
-	return back
+	return result
 }
--- a/testbed/matrix/probe.go
+++ b/testbed/matrix/probe.go
@@ -11,35 +11,37 @@
 )
 
 const (
-	// recoverLimit is how long after the faults a class may still fail to be
-	// served: connections are dialled anew every 2 s at most, an agent that
-	// was ejected comes back within seconds, and a busy machine needs room.
-	recoverLimit = 30 * time.Second
-	probeTokens  = 5
+	// recoveryTimeout is how long after the faults a class may still not be
+	// served. Connections are redialed at least every 2 s and an ejected agent
+	// returns within seconds; the rest is margin for a busy machine.
+	recoveryTimeout = 30 * time.Second
+	probeTokens     = 5
 )
 
-// probe checks that every class is served again through every entry. Attempts
-// before the first success are ordinary calls.
-func (r *rig) probe(ctx context.Context) {
+// probe checks that every class is served again through every running entry.
+// Attempts before the first success are recorded as ordinary calls.
+func (h *harness) probe(ctx context.Context) {
 	var wg conc.WaitGroup
-	for _, entry := range r.fleet.Entries {
+	for _, entry := range h.fleet.Entries {
 		if !entry.Running() {
 			continue
 		}
 		for _, class := range classes() {
-			wg.Go(func() { r.probeClass(ctx, class.Name, entry) })
+			wg.Go(func() { h.probeClass(ctx, class.Name, entry) })
 		}
 	}
 	wg.Wait()
 }
 
-func (r *rig) probeClass(ctx context.Context, class string, entry *fleet.Entry) {
-	due := time.Now().Add(recoverLimit)
+// probeClass calls one class through one entry until it is served or
+// recoveryTimeout has passed. Only the last call counts as a probe.
+func (h *harness) probeClass(ctx context.Context, class string, entry *fleet.Entry) {
+	deadline := time.Now().Add(recoveryTimeout)
 	for {
-		call := ask{class: class, marker: r.mark("probe-" + class), tokens: probeTokens, customer: customerSmall}.send(ctx, entry)
-		call.Probe = call.Told == history.ToldWhole || time.Now().After(due)
-		r.recorder.Call(call)
-		if call.Probe || !r.pause(ctx, nil) {
+		call := clientRequest{class: class, marker: h.newMarker("probe-" + class), tokens: probeTokens, customer: customerSmall}.send(ctx, entry)
+		call.Probe = call.Told == history.ToldWhole || time.Now().After(deadline)
+		h.recorder.Call(call)
+		if call.Probe || !h.waitPollInterval(ctx, nil) {
 			return
 		}
 	}
--- a/testbed/matrix/report.go
+++ b/testbed/matrix/report.go
@@ -11,43 +11,43 @@
 )
 
 //go:embed report.tmpl
-var reportText string
+var reportTemplate string
 
-// reportMode is the mode of the written page.
-const reportMode = 0o644
+// reportFileMode is the file mode of the report.
+const reportFileMode = 0o644
 
-// report is what the page is made from.
-type report struct {
+// reportData holds the data of the report's template.
+type reportData struct {
 	Results []Result
 	Held    int
 	Broken  int
-	// Spread is the longest of all cells.
+	// Spread is the longest propagation time of a change of targets in any cell.
 	Spread       time.Duration
 	LeavingLimit time.Duration
 	ChangeLimit  time.Duration
 }
 
-// WriteReport writes the page with the table of cells.
+// WriteReport writes the report with the table of cells to path.
 func WriteReport(path string, results []Result) error {
-	page, err := template.New("report").Funcs(template.FuncMap{"round": round}).Parse(reportText)
+	tmpl, err := template.New("report").Funcs(template.FuncMap{"round": round}).Parse(reportTemplate)
 	if err != nil {
-		return errors.Wrap(err, "page's template")
+		return errors.Wrap(err, "parse report template")
 	}
-	r := report{Results: results, LeavingLimit: leavingLimit, ChangeLimit: changeLimit}
+	data := reportData{Results: results, LeavingLimit: leavingLimit, ChangeLimit: changeLimit}
 	for _, result := range results {
-		r.Spread = max(r.Spread, result.Spread)
+		data.Spread = max(data.Spread, result.Spread)
 		if result.Holds() {
-			r.Held++
+			data.Held++
 		} else {
-			r.Broken++
+			data.Broken++
 		}
 	}
 	var text bytes.Buffer
-	if err := page.Execute(&text, r); err != nil {
-		return errors.Wrap(err, "page")
+	if err := tmpl.Execute(&text, data); err != nil {
+		return errors.Wrap(err, "render report")
 	}
-	if err := os.WriteFile(path, text.Bytes(), reportMode); err != nil {
-		return errors.Wrap(err, "write page")
+	if err := os.WriteFile(path, text.Bytes(), reportFileMode); err != nil {
+		return errors.Wrap(err, "write report")
 	}
 	return nil
 }
--- a/testbed/matrix/request.go
+++ b/testbed/matrix/request.go
@@ -11,74 +11,74 @@
 )
 
 const (
-	// stepLimit is how long a step may take to be reached.
-	stepLimit = 30 * time.Second
-	// subjectTokens is the length of a subject's answer.
+	// stepTimeout bounds the wait for a step.
+	stepTimeout = 30 * time.Second
+	// subjectTokens is the length of the subject's response.
 	subjectTokens = 60
-	// repeats is how often a caller repeats a request that was not answered.
-	repeats = 3
+	// maxRetries is how often a caller retries a request without a complete response.
+	maxRetries = 3
 )
 
-// requestCell runs a cell whose subject is a request.
-func (r *rig) requestCell(ctx context.Context, c Cell) error {
-	at := place{rig: r, entry: r.pick(int(c.Seed))}
+// runRequestCell runs a cell whose subject is a request.
+func (h *harness) runRequestCell(ctx context.Context, c Cell) error {
+	loc := location{harness: h, entry: h.pickEntry(int(c.Seed))}
 	if c.Step == StepWaiting {
-		if err := r.fillEngines(ctx); err != nil {
+		if err := h.saturateEngines(ctx); err != nil {
 			return err
 		}
 	}
-	reach := r.arrange(c.Step, string(c.Subject))
+	reach := h.setBreakpoint(c.Step, string(c.Subject))
 	defer reach.release()
-	subject := ask{class: string(c.Subject), marker: r.mark(string(c.Subject)), tokens: subjectTokens, customer: customerLarge}
+	subject := clientRequest{class: string(c.Subject), marker: h.newMarker(string(c.Subject)), tokens: subjectTokens, customer: customerLarge}
 	if c.Subject == SubjectDocket {
 		subject.key = uuid.NewString()
 	}
-	told := make(chan history.Call, 1)
-	go func() { told <- r.call(ctx, subject, at.entry) }()
+	done := make(chan history.Call, 1)
+	go func() { done <- h.call(ctx, subject, loc.entry) }()
 	var err error
-	if at.agent, err = r.await(ctx, c.Step, reach, told); err != nil {
+	if loc.agent, err = h.awaitStep(ctx, c.Step, reach, done); err != nil {
 		return err
 	}
-	call, err := r.strikeAll(ctx, c, at, reach, told)
+	call, err := h.injectAtStep(ctx, c, loc, reach, done)
 	if err != nil {
 		return err
 	}
 	if subject.key != "" {
-		r.repeatCall(ctx, subject, call)
+		h.retryCall(ctx, subject, call)
 	}
 	return nil
 }
 
-// await waits until the subject has reached the step and returns the agent
-// that it is at.
-func (r *rig) await(ctx context.Context, step Step, h *reach, told chan history.Call) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, stepLimit)
+// awaitStep waits until the subject has reached the step and returns the index of
+// the agent that handles it. While the ticket waits, any agent is chosen.
+func (h *harness) awaitStep(ctx context.Context, step Step, b *breakpoint, done chan history.Call) (int, error) {
+	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	switch step {
 	case StepWaiting:
-		if !until(ctx, func() bool { return h.id() != "" }) {
-			return 0, errors.Wrap(ctx.Err(), "no ticket")
+		if !pollUntil(ctx, func() bool { return b.requestID() != "" }) {
+			return 0, errors.Wrap(ctx.Err(), "wait for the ticket")
 		}
-		return r.random.IntN(engineCount), nil
+		return h.rng.IntN(engineCount), nil
 	case StepAfterEnd:
 		select {
-		case call := <-told:
-			told <- call
-			return r.ranAt(call.Marker)
+		case call := <-done:
+			done <- call
+			return h.engineOf(call.Marker)
 		case <-ctx.Done():
-			return 0, errors.Wrap(ctx.Err(), "no end")
+			return 0, errors.Wrap(ctx.Err(), "wait for the call's end")
 		}
 	}
-	agent, err := h.wait(ctx)
+	agent, err := b.wait(ctx)
 	if err != nil {
-		return 0, errors.Wrapf(err, "step %s", step)
+		return 0, errors.Wrapf(err, "wait for step %s", step)
 	}
 	return agent, nil
 }
 
-// ranAt finds the engine that ran the work.
-func (r *rig) ranAt(marker string) (int, error) {
-	for i, backend := range r.fleet.Backends {
+// engineOf returns the index of the engine that ran the work.
+func (h *harness) engineOf(marker string) (int, error) {
+	for i, backend := range h.fleet.Backends {
 		records, err := backend.Server.Runs()
 		if err != nil {
 			return 0, err
@@ -89,77 +89,78 @@
 			}
 		}
 	}
-	return 0, errors.Errorf("%s ran nowhere", marker)
+	return 0, errors.Errorf("no engine ran %s", marker)
 }
 
-// strikeAll brings the faults about at the step, lets the subject go on,
-// lifts the faults when it has its end or their time is over, and returns
-// what the subject's caller was told.
-func (r *rig) strikeAll(ctx context.Context, c Cell, at place, h *reach, told chan history.Call) (history.Call, error) {
+// injectAtStep injects the faults, lets the subject continue, and clears the
+// faults once the subject has ended or faultDuration has passed. It returns the
+// subject's call.
+func (h *harness) injectAtStep(ctx context.Context, c Cell, loc location, b *breakpoint, done chan history.Call) (history.Call, error) {
 	var faults []*fault
 	for i, kind := range c.Faults {
-		f, err := strike(ctx, kind, at.shifted(i))
+		f, err := inject(ctx, kind, loc.offset(i))
 		if err != nil {
 			return history.Call{}, err
 		}
 		faults = append(faults, f)
 	}
-	h.release()
+	b.release()
 	if c.Step == StepWaiting {
-		r.calmEngines(ctx, faults)
+		h.restoreEngines(ctx, faults)
 	}
-	span, cancel := context.WithTimeout(ctx, faultSpan)
+	faultCtx, cancel := context.WithTimeout(ctx, faultDuration)
 	defer cancel()
 	var call history.Call
 	ended := false
 	select {
-	case call = <-told:
+	case call = <-done:
 		ended = true
-	case <-span.Done():
+	case <-faultCtx.Done():
 	}
 	for _, f := range faults {
-		if err := f.lift(ctx); err != nil {
+		if err := f.clear(ctx); err != nil {
 			return call, err
 		}
 	}
 	if c.Step == StepWaiting {
-		r.calmEngines(ctx, nil)
+		h.restoreEngines(ctx, nil)
 	}
 	if !ended {
-		call = <-told
+		call = <-done
 	}
 	return call, nil
 }
 
-// shifted is where the n-th fault strikes: the first where the subject is,
-// the second at the other process of its kind.
-func (p place) shifted(n int) place {
+// offset returns the location of the n-th fault: the first is injected where the
+// subject is, the second at the other process of its kind.
+func (l location) offset(n int) location {
 	if n == 0 {
-		return p
+		return l
 	}
-	p.agent = (p.agent + n) % engineCount
-	p.entry = p.rig.fleet.Entries[(p.entryNumber()+n)%entryCount]
-	return p
+	l.agent = (l.agent + n) % engineCount
+	l.entry = l.harness.fleet.Entries[(l.entryIndex()+n)%entryCount]
+	return l
 }
 
-func (p place) entryNumber() int {
-	for i, entry := range p.rig.fleet.Entries {
-		if entry == p.entry {
+// entryIndex returns the index of the entry in the fleet, or 0 for an unknown one.
+func (l location) entryIndex() int {
+	for i, entry := range l.harness.fleet.Entries {
+		if entry == l.entry {
 			return i
 		}
 	}
 	return 0
 }
 
-// repeatCall repeats a call through another entry, as its caller would, with
-// the same key.
-func (r *rig) repeatCall(ctx context.Context, a ask, last history.Call) {
-	for n := range repeats {
+// retryCall retries an unserved call through other entries with the same
+// idempotency key, as its caller would.
+func (h *harness) retryCall(ctx context.Context, request clientRequest, last history.Call) {
+	for n := range maxRetries {
 		if last.Told == history.ToldWhole || ctx.Err() != nil {
 			return
 		}
-		if entry := r.pick(n + 1); entry != nil {
-			last = r.call(ctx, a, entry)
+		if entry := h.pickEntry(n + 1); entry != nil {
+			last = h.call(ctx, request, entry)
 		}
 	}
 }
--- a/testbed/matrix/run.go
+++ b/testbed/matrix/run.go
@@ -14,29 +14,32 @@
 	"github.com/applepier/applepier/testbed/history"
 )
 
-// cellLimit bounds one cell.
-const cellLimit = 4 * time.Minute
+// cellTimeout bounds one cell.
+const cellTimeout = 4 * time.Minute
 
-// logLines is how much of each log a failed cell keeps.
-const logLines = 60
+// logTailLines is the number of last log lines kept of each process of a failed cell.
+const logTailLines = 60
 
-// Result is what became of a cell.
+// Result is the result of running a cell.
 type Result struct {
 	Cell Cell
 	// Violations are the promises that were broken.
 	Violations []history.Violation
-	// Err says why the cell could not be run to its end.
+	// Err is the reason why the cell was not completed, if it was not.
 	Err error
-	// Told is what the subject's caller was told, in order.
+	// Told lists the outcomes that the subject's caller saw, in order, or their
+	// numbers if there are many.
 	Told string
-	// Logs are the processes' last lines, of a cell that did not hold.
+	// Logs holds the last log lines of each process if the cell failed.
 	Logs string
-	// Spread is the longest time until a change of targets was in force.
+	// Spread is the longest time until a change of targets was in force at a
+	// process.
 	Spread time.Duration
-	Took   time.Duration
+	// Took is the duration of the whole cell.
+	Took time.Duration
 }
 
-// First is the first broken promise, empty when there is none.
+// First returns the first broken promise, or "" if there is none.
 func (r Result) First() string {
 	if len(r.Violations) == 0 {
 		return ""
@@ -44,85 +47,88 @@
 	return r.Violations[0].String()
 }
 
-// Faults names the cell's faults.
+// Faults returns the names of the cell's faults, joined by "+".
 func (r Result) Faults() string { return r.Cell.faultNames() }
 
-// Holds reports whether the cell ran and broke no promise.
+// Holds reports whether the cell was completed and broke no promise.
 func (r Result) Holds() bool { return r.Err == nil && len(r.Violations) == 0 }
 
-// Run runs one cell on a fleet of its own.
+// Run runs one cell on its own fleet. Errors are reported in Result.Err.
 func Run(ctx context.Context, binaries *fleet.Binaries, c Cell) Result {
 	start := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, cellLimit)
+	ctx, cancel := context.WithTimeout(ctx, cellTimeout)
 	defer cancel()
 	result := Result{Cell: c}
-	rig, err := newRig(ctx, binaries, c)
+	h, err := newHarness(ctx, binaries, c)
 	if err != nil {
-		result.Err = errors.Wrap(err, "start")
+		result.Err = errors.Wrap(err, "start fleet")
 		return result
 	}
-	defer rig.close()
-	result.Err = rig.play(ctx, c)
-	result.judge(rig)
+	defer h.close()
+	result.Err = h.runUnderLoad(ctx, c)
+	result.evaluate(h)
 	result.Took = time.Since(start)
 	return result
 }
 
-// play runs the cell under load and checks afterwards that all is served.
-func (r *rig) play(ctx context.Context, c Cell) error {
-	stop := r.startBackground(ctx)
-	err := r.subjectCell(ctx, c)
+// runUnderLoad runs the cell under background load and then checks that every
+// class is served.
+func (h *harness) runUnderLoad(ctx context.Context, c Cell) error {
+	stop := h.startBackground(ctx)
+	err := h.runSubject(ctx, c)
 	if err == nil {
-		r.probe(ctx)
+		h.probe(ctx)
 	}
 	stop()
-	r.calls.Wait()
+	h.calls.Wait()
 	return err
 }
 
-func (r *rig) subjectCell(ctx context.Context, c Cell) error {
+// runSubject runs the cell according to its subject.
+func (h *harness) runSubject(ctx context.Context, c Cell) error {
 	switch c.Subject {
 	case SubjectDocket, SubjectSummary:
-		return r.requestCell(ctx, c)
+		return h.runRequestCell(ctx, c)
 	case SubjectTargets:
-		return r.targetsCell(ctx, c)
+		return h.runTargetsCell(ctx, c)
 	case SubjectStop:
-		return r.stopCell(ctx, c)
+		return h.runStopCell(ctx, c)
 	case SubjectService:
-		return r.serviceCell(ctx, c)
+		return h.runServiceCell(ctx, c)
 	case SubjectLease:
-		return r.leaseCell(ctx, c)
+		return h.runLeaseCell(ctx, c)
 	case SubjectBurst:
-		return r.burstCell(ctx, c)
+		return h.runBurstCell(ctx, c)
 	case SubjectLeaving:
-		return r.leavingCell(ctx, c)
+		return h.runLeavingCell(ctx, c)
 	}
 	return errors.Errorf("unknown subject %s", c.Subject)
 }
 
-func (r *Result) judge(rig *rig) {
-	h, err := rig.collect()
+// evaluate checks the recorded history and fills in the result.
+func (r *Result) evaluate(h *harness) {
+	recorded, err := h.collect()
 	if err != nil {
 		r.Err = errors.Join(r.Err, err)
 		return
 	}
-	r.Violations = history.Check(h)
-	r.Told = toldOf(h, r.Cell)
-	r.Spread = spreadOf(h)
+	r.Violations = history.Check(recorded)
+	r.Told = subjectOutcomes(recorded, r.Cell)
+	r.Spread = longestPropagation(recorded)
 	if !r.Holds() {
 		var logs strings.Builder
-		rig.fleet.WriteLogs(&logs, logLines)
+		h.fleet.WriteLogs(&logs, logTailLines)
 		r.Logs = logs.String()
 	}
 }
 
-// toldShown is how many ends are listed one by one.
-const toldShown = 12
+// maxListedOutcomes is the number of outcomes up to which each is listed.
+const maxListedOutcomes = 12
 
-// countTold counts the ends of many calls.
-func countTold(told []string) string {
+// countOutcomes returns how often each outcome occurred, sorted by outcome.
+func countOutcomes(outcomes []string) string {
 	counts := map[string]int{}
-	for _, t := range told {
+	for _, t := range outcomes {
 		counts[t]++
 	}
 	var parts []string
@@ -132,29 +138,30 @@
 	return strings.Join(parts, ", ")
 }
 
-// toldOf lists what the subject's caller was told.
-func toldOf(h history.History, c Cell) string {
-	var told []string
+// subjectOutcomes lists the outcomes that the subject's caller saw.
+func subjectOutcomes(h history.History, c Cell) string {
+	var outcomes []string
 	for _, call := range h.Calls {
 		subject := call.Class == string(c.Subject) || (c.Subject == SubjectService && call.Class == classService)
 		if subject && !strings.HasPrefix(call.Marker, "probe") {
-			told = append(told, string(call.Told))
+			outcomes = append(outcomes, string(call.Told))
 		}
 	}
-	if len(told) > toldShown {
-		return countTold(told)
+	if len(outcomes) > maxListedOutcomes {
+		return countOutcomes(outcomes)
 	}
-	return strings.Join(told, ", ")
+	return strings.Join(outcomes, ", ")
 }
 
+// String returns the cell with its seed, outcomes, duration and violations.
 func (r Result) String() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "%s seed %d: told %s, %s", r.Cell.Name(), r.Cell.Seed, r.Told, r.Took.Round(time.Millisecond))
+	fmt.Fprintf(&text, "%s seed %d: outcomes %s, %s", r.Cell.Name(), r.Cell.Seed, r.Told, r.Took.Round(time.Millisecond))
 	if r.Spread > 0 {
 		fmt.Fprintf(&text, ", in force after %s", r.Spread.Round(time.Millisecond))
 	}
 	if r.Err != nil {
-		fmt.Fprintf(&text, "\n  not run to its end: %v", r.Err)
+		fmt.Fprintf(&text, "\n  not completed: %v", r.Err)
 	}
 	for _, v := range r.Violations {
 		fmt.Fprintf(&text, "\n  %s", v)
--- a/testbed/matrix/service.go
+++ b/testbed/matrix/service.go
@@ -17,19 +17,21 @@
 	"github.com/applepier/applepier/testbed/plain"
 )
 
-// SubjectService is a plain service's call that must not be repeated.
+// SubjectService is a call of a plain service that must not be repeated.
 const SubjectService Subject = "service"
 
-// KillService kills the plain service; its record outlives it.
-const KillService Kind = "kill-service"
+// KillService kills the plain service; its record of calls survives.
+const KillService FaultKind = "kill-service"
 
-// CutAnswer makes the plain service take the call and cut the connection.
-const CutAnswer Kind = "cut-answer"
+// CutAnswer makes the plain service carry out the call and close the connection
+// before the response.
+const CutAnswer FaultKind = "cut-answer"
 
-// ServiceSteps and ServiceFaults are those of a plain service's call.
+// ServiceSteps and ServiceFaults list the steps of a plain service's call and the
+// faults that are injected at each.
 var (
 	ServiceSteps  = []Step{StepBeforeTicket, StepGranted, StepBodySent, StepStarted, StepAfterEnd}
-	ServiceFaults = []Kind{
+	ServiceFaults = []FaultKind{
 		KillEntry, KillAgent, PauseEntry, PauseAgent, Cut, Silent, SilentUp, SilentDown, Refuse,
 		Delay, PlatformDown, LostAnswer, StopEntry, StopAgent, CutAnswer, KillService,
 	}
@@ -38,11 +40,11 @@
 const (
 	serviceName  = "punnitus"
 	classService = "weighing"
-	// servicePath begins the path of each call; the marker follows.
+	// servicePath is the prefix of each call's path; the marker follows it.
 	servicePath = "/dockets/"
 	serviceBody = "17 t"
-	// serviceSlowness leaves time between a call's effect and its answer.
-	serviceSlowness = 400 * time.Millisecond
+	// serviceDelay separates a call's effect from its response.
+	serviceDelay = 400 * time.Millisecond
 )
 
 func serviceClass() targets.Class {
@@ -54,56 +56,57 @@
 	return []fleet.BackendSpec{spec, spec}
 }
 
-// serviceCell runs a cell whose subject is a plain service's call.
-func (r *rig) serviceCell(ctx context.Context, c Cell) error {
-	if err := r.setServices(ctx, plain.Knobs{SlowMS: int(serviceSlowness.Milliseconds())}); err != nil {
+// runServiceCell runs a cell whose subject is a plain service's call.
+func (h *harness) runServiceCell(ctx context.Context, c Cell) error {
+	if err := h.configureServices(ctx, plain.Knobs{SlowMS: int(serviceDelay.Milliseconds())}); err != nil {
 		return err
 	}
-	at := place{rig: r, entry: r.pick(int(c.Seed))}
-	reach := r.arrange(c.Step, classService)
+	loc := location{harness: h, entry: h.pickEntry(int(c.Seed))}
+	reach := h.setBreakpoint(c.Step, classService)
 	defer reach.release()
-	marker, key := r.mark(classService), uuid.NewString()
-	told := make(chan history.Call, 1)
-	go func() { told <- r.callService(ctx, marker, key, at.entry) }()
+	marker, key := h.newMarker(classService), uuid.NewString()
+	done := make(chan history.Call, 1)
+	go func() { done <- h.callService(ctx, marker, key, loc.entry) }()
 	var err error
-	if at.agent, err = r.awaitService(ctx, c.Step, marker, reach, told); err != nil {
+	if loc.agent, err = h.awaitServiceStep(ctx, c.Step, marker, reach, done); err != nil {
 		return err
 	}
-	call, err := r.strikeAll(ctx, c, at, reach, told)
+	call, err := h.injectAtStep(ctx, c, loc, reach, done)
 	if err != nil {
 		return err
 	}
-	for n := 0; n < repeats && call.Told != history.ToldWhole && ctx.Err() == nil; n++ {
-		if entry := r.pick(n + 1); entry != nil {
-			call = r.callService(ctx, marker, key, entry)
+	for n := 0; n < maxRetries && call.Told != history.ToldWhole && ctx.Err() == nil; n++ {
+		if entry := h.pickEntry(n + 1); entry != nil {
+			call = h.callService(ctx, marker, key, entry)
 		}
 	}
-	r.probeService(ctx)
+	h.probeService(ctx)
 	return nil
 }
 
-// awaitService is await for a call, whose beginning the service's own record
-// shows.
-func (r *rig) awaitService(ctx context.Context, step Step, marker string, h *reach, told chan history.Call) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, stepLimit)
+// awaitServiceStep is awaitStep for a call of a plain service, whose start is read
+// from the service's own record.
+func (h *harness) awaitServiceStep(ctx context.Context, step Step, marker string, b *breakpoint, done chan history.Call) (int, error) {
+	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	if step != StepStarted && step != StepAfterEnd {
-		return h.wait(ctx)
+		return b.wait(ctx)
 	}
 	if step == StepAfterEnd {
-		call := <-told
-		told <- call
+		call := <-done
+		done <- call
 	}
 	agent := -1
-	if !until(ctx, func() bool { agent = r.servedAt(marker); return agent >= 0 }) {
-		return 0, errors.Errorf("step %s of %s was not reached", step, marker)
+	if !pollUntil(ctx, func() bool { agent = h.servedAt(marker); return agent >= 0 }) {
+		return 0, errors.Errorf("call %s did not reach step %s within %s", marker, step, stepTimeout)
 	}
 	return agent, nil
 }
 
-// servedAt finds the backend that took a call; -1 when none has.
-func (r *rig) servedAt(marker string) int {
-	for i, backend := range r.fleet.Backends {
+// servedAt returns the index of the backend that recorded a call, or -1 if none
+// has.
+func (h *harness) servedAt(marker string) int {
+	for i, backend := range h.fleet.Backends {
 		if backend.Server.Spec.Kind != settings.BackendService {
 			continue
 		}
@@ -120,8 +123,9 @@
 	return -1
 }
 
-func (r *rig) setServices(ctx context.Context, knobs plain.Knobs) error {
-	for _, backend := range r.fleet.Backends {
+// configureServices configures all plain services.
+func (h *harness) configureServices(ctx context.Context, knobs plain.Knobs) error {
+	for _, backend := range h.fleet.Backends {
 		if backend.Server.Spec.Kind != settings.BackendService {
 			continue
 		}
@@ -132,25 +136,29 @@
 	return nil
 }
 
-// callService makes a call and notes it.
-func (r *rig) callService(ctx context.Context, marker, key string, entry *fleet.Entry) history.Call {
+// callService calls the plain service and records the call.
+func (h *harness) callService(ctx context.Context, marker, key string, entry *fleet.Entry) history.Call {
 	call := sendService(ctx, marker, key, entry)
-	r.recorder.Call(call)
+	h.recorder.Call(call)
 	return call
 }
 
-func (r *rig) probeService(ctx context.Context) {
-	due := time.Now().Add(recoverLimit)
+// probeService calls the plain service until it is served or recoveryTimeout has
+// passed. Only the last call counts as a probe.
+func (h *harness) probeService(ctx context.Context) {
+	deadline := time.Now().Add(recoveryTimeout)
 	for n := 0; ; n++ {
-		call := sendService(ctx, r.mark("probe-"+classService), "", r.fleet.Entries[n%entryCount])
-		call.Probe = call.Told == history.ToldWhole || time.Now().After(due)
-		r.recorder.Call(call)
-		if call.Probe || !r.pause(ctx, nil) {
+		call := sendService(ctx, h.newMarker("probe-"+classService), "", h.fleet.Entries[n%entryCount])
+		call.Probe = call.Told == history.ToldWhole || time.Now().After(deadline)
+		h.recorder.Call(call)
+		if call.Probe || !h.waitPollInterval(ctx, nil) {
 			return
 		}
 	}
 }
 
+// sendService sends a call to the plain service through an entry and returns it
+// as the caller saw it.
 func sendService(ctx context.Context, marker, key string, entry *fleet.Entry) history.Call {
 	class := serviceClass()
 	call := history.Call{
@@ -164,10 +172,10 @@
 		Expected:       plain.Answer(http.MethodPost, servicePath+marker, []byte(serviceBody)),
 		Sent:           time.Now(),
 	}
-	ctx, cancel := context.WithTimeout(ctx, callerLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := exchangeService(ctx, entry, &call); err != nil {
-		call.Told, call.Detail = toldByError(ctx, err), err.Error()
+		call.Told, call.Detail = outcomeOfError(ctx, err), err.Error()
 	}
 	call.Done = time.Now()
 	return call
@@ -184,7 +192,7 @@
 	if call.IdempotencyKey != "" {
 		request.Header.Set(headerKey, call.IdempotencyKey)
 	}
-	response, err := callers.Do(request)
+	response, err := httpClient.Do(request)
 	if err != nil {
 		return err
 	}
@@ -192,12 +200,12 @@
 	call.Status = response.StatusCode
 	call.RequestID = response.Header.Get(headerRequest)
 	if response.StatusCode != http.StatusOK {
-		return readRefusal(response, call)
+		return readErrorResponse(response, call)
 	}
-	text, err := io.ReadAll(io.LimitReader(response.Body, eventLimit))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxEventBytes))
 	call.Text = string(text)
 	if err != nil {
-		return errors.Wrap(err, "answer")
+		return errors.Wrap(err, "read response")
 	}
 	call.Told = history.ToldWhole
 	return nil
--- a/testbed/matrix/stop.go
+++ b/testbed/matrix/stop.go
@@ -8,56 +8,56 @@
 	"github.com/applepier/applepier/testbed/history"
 )
 
-// leavingLimit is the number of seconds after which a leaving backend server
-// gets no new work: the agent reads the VM list every 5 s, the platform's
-// answer may take some time more, and grants given before may be taken up for
-// a second.
+// leavingLimit is the time after which a leaving backend server gets no new
+// work. The agent reads the VM list every 5 s, the platform's response takes
+// some time, and earlier grants may be used for 1 s.
 const leavingLimit = 8 * time.Second
 
-// beginStop starts a planned stop.
-func (f *fault) beginStop(ctx context.Context) error {
-	rig := f.place.rig
+// startStop starts a planned stop without waiting for its end.
+func (f *fault) startStop(ctx context.Context) error {
+	h := f.location.harness
 	if f.kind == LeaveVM {
-		vm := f.place.backend().VM.Name
-		rig.recorder.Leaving(history.Leaving{Server: vm, At: time.Now(), Limit: leavingLimit})
-		if err := rig.fleet.Platform.MarkLeaving(ctx, vm); err != nil {
+		vm := f.location.backend().VM.Name
+		h.recorder.Leaving(history.Leaving{Server: vm, At: time.Now(), Limit: leavingLimit})
+		if err := h.fleet.Platform.MarkLeaving(ctx, vm); err != nil {
 			return err
 		}
 	}
 	if f.kind == StopEntry {
-		rig.shut(f.place.entry)
+		h.drain(f.location.entry)
 	}
-	return f.place.process(f.kind).BeginTerminate()
+	return f.location.process(f.kind).BeginTerminate()
 }
 
-// endStop waits for the stop's end, and starts the process again unless its
-// VM leaves, as a replaced VM's would be.
-func (f *fault) endStop(ctx context.Context) error {
-	process := f.place.process(f.kind)
-	f.noteStop(ctx, process)
+// finishStop waits for the stop's end and restarts the process, as on a replaced VM.
+// If the VM leaves, it stops the backend server instead.
+func (f *fault) finishStop(ctx context.Context) error {
+	process := f.location.process(f.kind)
+	f.recordStop(ctx, process)
 	if f.kind == LeaveVM {
-		server := f.place.backend().Server.Process
+		server := f.location.backend().Server.Process
 		if err := server.BeginTerminate(); err != nil {
 			return err
 		}
-		f.noteStop(ctx, server)
+		f.recordStop(ctx, server)
 		return nil
 	}
 	if err := process.Restart(ctx); err != nil {
 		return err
 	}
 	if f.kind == StopEntry {
-		f.place.rig.open(f.place.entry)
+		f.location.harness.undrain(f.location.entry)
 	}
 	return nil
 }
 
-func (f *fault) noteStop(ctx context.Context, process *fleet.Process) {
-	ctx, cancel := context.WithTimeout(ctx, stopLimit)
+// recordStop waits for the process to end and records whether it ended cleanly.
+func (f *fault) recordStop(ctx context.Context, process *fleet.Process) {
+	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
-	stop := history.Stop{Process: process.Name, At: f.note.At, Clean: true}
+	stop := history.Stop{Process: process.Name, At: f.record.At, Clean: true}
 	if err := process.AwaitEnd(ctx); err != nil {
 		stop.Clean, stop.Detail = false, err.Error()
 	}
-	f.place.rig.recorder.Stop(stop)
+	f.location.harness.recorder.Stop(stop)
 }
--- a/testbed/matrix/targets.go
+++ b/testbed/matrix/targets.go
@@ -17,163 +17,169 @@
 // Steps of a change of targets.
 const (
 	StepBeforeWrite Step = "before-write"
-	// StepWriteLost: the write has taken effect and its answer is lost.
+	// StepWriteLost is reached when the write has taken effect and its response
+	// is lost.
 	StepWriteLost Step = "written-answer-lost"
 	StepAccepted  Step = "accepted"
-	// StepSpreading: the new targets are on their way to the first agent.
+	// StepSpreading is reached when the new targets are on their way to an agent.
 	StepSpreading Step = "spreading"
 )
 
 const (
-	// changeLimit is how long an accepted change may take to be in force in
-	// the whole fleet.
+	// changeLimit is how long an accepted change may take until it is in force at
+	// every process.
 	changeLimit = 14 * time.Second
-	// changesByOperator is how many changes each of two operators makes.
-	changesByOperator = 4
-	// versionMark is added to a version and makes a completion target from
-	// which a reading tells which change it holds. It is far above what a
-	// request takes.
-	versionMark = 10000
-	// operatorLimit is how long an operator tries.
-	operatorLimit = 40 * time.Second
+	// changesPerOperator is the number of changes that each of two operators makes.
+	changesPerOperator = 4
+	// versionMarker is added to a version to form a completion target, in seconds,
+	// from which a reader recognizes the change. It is far above the duration of
+	// any request.
+	versionMarker = 10000
+	// operatorTimeout bounds an operator's attempts.
+	operatorTimeout = 40 * time.Second
 )
 
-// targetsCell runs a cell whose subject is a change of targets.
-func (r *rig) targetsCell(ctx context.Context, c Cell) error {
-	stop := r.watchVersions(ctx)
+// runTargetsCell runs a cell whose subject is a change of targets.
+func (h *harness) runTargetsCell(ctx context.Context, c Cell) error {
+	stop := h.watchVersions(ctx)
 	defer stop()
-	at := place{rig: r, entry: r.fleet.Entries[0], agent: r.random.IntN(engineCount)}
+	loc := location{harness: h, entry: h.fleet.Entries[0], agent: h.rng.IntN(engineCount)}
 	var faults []*fault
-	begin := func() (err error) {
-		faults, err = r.strikeList(ctx, c.Faults, at)
+	injectFaults := func() (err error) {
+		faults, err = h.injectAll(ctx, c.Faults, loc)
 		return err
 	}
-	lift := func() error {
+	clearFaults := func() error {
 		for _, f := range faults {
-			if err := f.lift(ctx); err != nil {
+			if err := f.clear(ctx); err != nil {
 				return err
 			}
 		}
 		faults = nil
 		return nil
 	}
-	if err := r.changeAt(ctx, c.Step, at, begin, lift); err != nil {
+	if err := h.changeAtStep(ctx, c.Step, loc, injectFaults, clearFaults); err != nil {
 		return err
 	}
-	if err := r.freshDuring(ctx, c); err != nil {
+	if err := h.startFreshEntry(ctx, c); err != nil {
 		return err
 	}
-	r.awaitSpread(ctx)
-	if err := lift(); err != nil {
+	h.awaitPropagation(ctx)
+	if err := clearFaults(); err != nil {
 		return err
 	}
-	r.awaitSpread(ctx)
+	h.awaitPropagation(ctx)
 	return nil
 }
 
-// changeAt makes a change and has begin called when it is at the step. A
-// fault that keeps the change from being accepted is lifted after its time.
-func (r *rig) changeAt(ctx context.Context, step Step, at place, begin, lift func() error) error {
+// changeAtStep makes a change and calls injectFaults when the change has reached the
+// step. If the faults keep the change from being accepted, it calls clearFaults after
+// faultDuration.
+func (h *harness) changeAtStep(ctx context.Context, step Step, loc location, injectFaults, clearFaults func() error) error {
 	switch step {
 	case StepBeforeWrite:
-		if err := begin(); err != nil {
+		if err := injectFaults(); err != nil {
 			return err
 		}
-		return liftBefore(r.operateAside(ctx, at), lift)
+		return awaitChange(h.changeInBackground(ctx, loc), clearFaults)
 	case StepWriteLost:
 		lose := func(k *platform.Knobs) { k.LoseAnswers = 1 }
-		if err := r.fleet.Platform.UpdateKnobs(ctx, lose); err != nil {
+		if err := h.fleet.Platform.UpdateKnobs(ctx, lose); err != nil {
 			return err
 		}
-		changed := r.operateAside(ctx, at)
-		if !until(ctx, func() bool { return r.lostAnswers(ctx) > 0 }) {
-			return errors.New("no write lost its answer")
+		changed := h.changeInBackground(ctx, loc)
+		if !pollUntil(ctx, func() bool { return h.lostResponses(ctx) > 0 }) {
+			return errors.New("no write lost its response")
 		}
-		if err := begin(); err != nil {
+		if err := injectFaults(); err != nil {
 			return err
 		}
-		return liftBefore(changed, lift)
+		return awaitChange(changed, clearFaults)
 	case StepAccepted:
-		if err := r.operate(ctx, classSummary, 1, at.entry); err != nil {
+		if err := h.changeClass(ctx, classSummary, 1, loc.entry); err != nil {
 			return err
 		}
-		return begin()
+		return injectFaults()
 	case StepSpreading:
-		hold := r.proxies[at.agent].Hold(faultproxy.Upstream, faultproxy.NewSet)
+		hold := h.proxies[loc.agent].Hold(faultproxy.Upstream, faultproxy.NewSet)
 		defer hold.Release()
-		if err := r.operate(ctx, classSummary, 1, at.entry); err != nil {
+		if err := h.changeClass(ctx, classSummary, 1, loc.entry); err != nil {
 			return err
 		}
 		if _, err := hold.Wait(ctx); err != nil {
 			return err
 		}
-		return begin()
+		return injectFaults()
 	}
 	return errors.Errorf("unknown step %s", step)
 }
 
-// operateAside makes the change beside the faults.
-func (r *rig) operateAside(ctx context.Context, at place) <-chan error {
+// changeInBackground makes the change concurrently and returns a channel that
+// gets its error.
+func (h *harness) changeInBackground(ctx context.Context, loc location) <-chan error {
 	changed := make(chan error, 1)
-	go func() { changed <- r.operate(ctx, classSummary, 1, at.entry) }()
+	go func() { changed <- h.changeClass(ctx, classSummary, 1, loc.entry) }()
 	return changed
 }
 
-// liftBefore waits for the change, and lifts the faults when they keep it from
-// being accepted.
-func liftBefore(changed <-chan error, lift func() error) error {
+// awaitChange waits for the change. If it is not accepted within faultDuration, it
+// calls clearFaults and waits on.
+func awaitChange(changed <-chan error, clearFaults func() error) error {
 	select {
 	case err := <-changed:
 		return err
-	case <-time.After(faultSpan):
+	case <-time.After(faultDuration):
 	}
-	if err := lift(); err != nil {
+	if err := clearFaults(); err != nil {
 		return err
 	}
 	return <-changed
 }
 
-func (r *rig) lostAnswers(ctx context.Context) int {
-	stats, err := r.fleet.Platform.Stats(ctx)
+// lostResponses returns the number of responses that the platform has lost, or 0
+// if it can't be read.
+func (h *harness) lostResponses(ctx context.Context) int {
+	stats, err := h.fleet.Platform.Stats(ctx)
 	if err != nil {
 		return 0
 	}
 	return stats.Lost
 }
 
-// operate changes a class as an operator does: on a conflict, an outage or an
-// unknown outcome it reads the targets again and goes on until its change is
-// accepted, at another entry if its own is gone. Without success in time, as
-// during an outage, nothing is accepted and nothing is to be held.
-func (r *rig) operate(ctx context.Context, class string, operator int, entry *fleet.Entry) error {
-	ctx, cancel := context.WithTimeout(ctx, operatorLimit)
+// changeClass changes a class as an operator does: after a conflict, an outage or
+// an unknown outcome it reads the targets again and retries until its change is
+// accepted, through the entries in turn. It returns nil also if nothing was
+// accepted within operatorTimeout, as during an outage; no change is recorded then.
+func (h *harness) changeClass(ctx context.Context, class string, operator int, entry *fleet.Entry) error {
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	for n := 0; ctx.Err() == nil; n++ {
-		base, err := r.fleet.Platform.Targets(ctx)
+		base, err := h.fleet.Platform.Targets(ctx)
 		if err == nil {
-			mark := time.Duration(versionMark+base.Version+1)*time.Second + time.Duration(operator)*time.Millisecond
-			version, err := entry.SetCompletion(ctx, class, base.Version, mark)
+			marker := time.Duration(versionMarker+base.Version+1)*time.Second + time.Duration(operator)*time.Millisecond
+			version, err := entry.SetCompletion(ctx, class, base.Version, marker)
 			if err == nil {
-				r.recorder.Change(history.Change{Version: version, Class: class, Accepted: time.Now(), Limit: changeLimit})
+				h.recorder.Change(history.Change{Version: version, Class: class, Accepted: time.Now(), Limit: changeLimit})
 				return nil
 			}
 			if refused, ok := errors.Into[*fleet.StatusError](err); ok && refused.Status == http.StatusBadRequest {
 				return err
 			}
-			entry = r.fleet.Entries[(operator+n)%len(r.fleet.Entries)]
+			entry = h.fleet.Entries[(operator+n)%len(h.fleet.Entries)]
 		}
-		r.pause(ctx, nil)
+		h.waitPollInterval(ctx, nil)
 	}
 	return nil
 }
 
-// heldBy tells from the completion targets which changes a set holds.
-func heldBy(set *targets.Set) map[string]uint64 {
-	held := map[string]uint64{}
+// changesIn returns the version of the change that each class in the set holds, read
+// from its completion target.
+func changesIn(set *targets.Set) map[string]uint64 {
+	versions := map[string]uint64{}
 	for _, class := range set.Classes {
-		if mark := uint64(class.Completion / time.Second); mark > versionMark {
-			held[class.Name] = mark - versionMark
+		if marker := uint64(class.Completion / time.Second); marker > versionMarker {
+			versions[class.Name] = marker - versionMarker
 		}
 	}
-	return held
+	return versions
 }
--- a/testbed/matrix/versions.go
+++ b/testbed/matrix/versions.go
@@ -12,37 +12,38 @@
 )
 
 const (
-	// readEvery is the pause between two readings of a process's targets.
-	readEvery = 200 * time.Millisecond
-	// readLimit bounds one reading; a paused process gives none.
-	readLimit = time.Second
-	// tableName stands for the table service among the processes.
+	// readInterval is the interval between two reads of a process's targets.
+	readInterval = 200 * time.Millisecond
+	// readTimeout bounds one read; a paused process does not answer.
+	readTimeout = time.Second
+	// tableName is the process name under which the table service is recorded.
 	tableName = "table"
 )
 
-// source reads one process's targets.
-type source struct {
+// targetsSource reads the targets in force at one process.
+type targetsSource struct {
 	name string
 	read func(context.Context) (*targets.Set, error)
 }
 
-func (r *rig) sources() []source {
-	sources := []source{{tableName, r.fleet.Platform.Targets}}
-	for _, entry := range r.fleet.Entries {
-		sources = append(sources, source{entry.Name, entry.Targets})
+// sources returns the sources of the table service and of all entries and agents.
+func (h *harness) sources() []targetsSource {
+	sources := []targetsSource{{tableName, h.fleet.Platform.Targets}}
+	for _, entry := range h.fleet.Entries {
+		sources = append(sources, targetsSource{entry.Name, entry.Targets})
 	}
-	for _, backend := range r.fleet.Backends {
-		sources = append(sources, source{backend.Agent.Name, backend.Targets})
+	for _, backend := range h.fleet.Backends {
+		sources = append(sources, targetsSource{backend.Agent.Name, backend.Targets})
 	}
 	return sources
 }
 
-// watchVersions notes the targets in force at every process until stop.
-func (r *rig) watchVersions(ctx context.Context) (stop func()) {
+// watchVersions records the targets in force at every process until stop is called.
+func (h *harness) watchVersions(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg conc.WaitGroup
-	for _, s := range r.sources() {
-		wg.Go(func() { r.watchVersion(ctx, s) })
+	for _, s := range h.sources() {
+		wg.Go(func() { h.watchVersion(ctx, s) })
 	}
 	return func() {
 		cancel()
@@ -50,40 +51,42 @@
 	}
 }
 
-func (r *rig) watchVersion(ctx context.Context, s source) {
-	absent := time.Time{}
+// watchVersion records the targets in force at one process until ctx ends. A read
+// within changeLimit after the process could not be read is marked as excused.
+func (h *harness) watchVersion(ctx context.Context, s targetsSource) {
+	lastUnreadable := time.Time{}
 	for ctx.Err() == nil {
 		asked := time.Now()
-		limit, cancel := context.WithTimeout(ctx, readLimit)
-		set, err := s.read(limit)
+		readCtx, cancel := context.WithTimeout(ctx, readTimeout)
+		set, err := s.read(readCtx)
 		cancel()
 		switch {
 		case err != nil || set == nil || set.Version == 0:
 			// A process that has just started has no targets yet and is not
-			// ready; one that is paused or gone can't be asked.
-			absent = time.Now()
+			// ready; one that is paused or gone does not answer.
+			lastUnreadable = time.Now()
 		default:
-			r.recorder.Version(history.VersionSeen{
+			h.recorder.Version(history.VersionSeen{
 				Process: s.name,
 				At:      asked,
 				Version: set.Version,
-				Held:    heldBy(set),
-				Excused: asked.Sub(absent) < changeLimit,
+				Held:    changesIn(set),
+				Excused: asked.Sub(lastUnreadable) < changeLimit,
 			})
 		}
-		pause.For(ctx, readEvery)
+		pause.For(ctx, readInterval)
 	}
 }
 
-// awaitSpread waits until all processes that can be asked have the newest
-// accepted change, or its limit has passed.
-func (r *rig) awaitSpread(ctx context.Context) {
-	newest := r.newestChange()
-	limit, cancel := context.WithDeadline(ctx, newest.Accepted.Add(changeLimit+time.Second))
+// awaitPropagation waits until all reachable processes have the newest accepted
+// change, or until 1 s after its limit.
+func (h *harness) awaitPropagation(ctx context.Context) {
+	newest := h.newestChange()
+	waitCtx, cancel := context.WithDeadline(ctx, newest.Accepted.Add(changeLimit+time.Second))
 	defer cancel()
-	until(limit, func() bool {
-		for _, s := range r.sources() {
-			one, cancel := context.WithTimeout(limit, readLimit)
+	pollUntil(waitCtx, func() bool {
+		for _, s := range h.sources() {
+			one, cancel := context.WithTimeout(waitCtx, readTimeout)
 			set, err := s.read(one)
 			cancel()
 			if err == nil && set.Version < newest.Version {
@@ -94,9 +97,9 @@
 	})
 }
 
-func (r *rig) newestChange() history.Change {
+func (h *harness) newestChange() history.Change {
 	var newest history.Change
-	for _, change := range r.recorder.History().Changes {
+	for _, change := range h.recorder.History().Changes {
 		if change.Version > newest.Version {
 			newest = change
 		}
@@ -104,9 +107,10 @@
 	return newest
 }
 
-// spreadOf is the longest time from an acceptance until a process that was
-// there all the time was seen with the change, or a later one.
-func spreadOf(h history.History) time.Duration {
+// longestPropagation returns the longest time from the acceptance of a change
+// until a process was seen with that change or a later one. Excused readings don't
+// count.
+func longestPropagation(h history.History) time.Duration {
 	longest := time.Duration(0)
 	for _, change := range h.Changes {
 		first := map[string]time.Duration{}
--- a/testbed/matrix/wait.go
+++ b/testbed/matrix/wait.go
@@ -7,27 +7,28 @@
 	"github.com/applepier/applepier/internal/pause"
 )
 
-// pollPause is the pause between two looks at a condition.
-const pollPause = 20 * time.Millisecond
+// pollInterval is the interval between two checks of a condition.
+const pollInterval = 20 * time.Millisecond
 
-// until polls a condition and reports whether it was met before ctx ended.
-func until(ctx context.Context, met func() bool) bool {
-	for !met() {
-		if !pause.For(ctx, pollPause) {
+// pollUntil polls a condition and reports whether it was met before ctx ended.
+func pollUntil(ctx context.Context, condition func() bool) bool {
+	for !condition() {
+		if !pause.For(ctx, pollInterval) {
 			return false
 		}
 	}
 	return true
 }
 
-// pause keeps a caller whose calls fail at once from spinning; false ends it.
-func (r *rig) pause(ctx context.Context, ending <-chan struct{}) bool {
+// waitPollInterval waits for pollInterval, so that a caller whose calls fail at once doesn't
+// spin. It reports false if ctx or stopping ended the wait.
+func (h *harness) waitPollInterval(ctx context.Context, stopping <-chan struct{}) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-ending:
+	case <-stopping:
 		return false
-	case <-time.After(pollPause):
+	case <-time.After(pollInterval):
 		return true
 	}
 }
