--- a/testbed/cmd/matrix/command.go
+++ b/testbed/cmd/matrix/command.go
@@ -24,27 +24,30 @@
 	flagLogs     = "logs"
 )
 
-// errBroken: a cell did not hold.
-var errBroken = errors.New("cells did not hold")
+// errCellsFailed reports that at least one cell was not completed or broke a promise.
+var errCellsFailed = errors.New("some cells failed")
 
+// newCommand returns the command with its flags.
 func newCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "matrix",
-		Usage: "run every fault at every step and write the table of cells",
+		Usage: "inject every fault at every step and write the table of cells",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: flagSeeds, Value: 1, Usage: "how often the matrix is run, each time with another seed"},
-			&cli.IntFlag{Name: flagParallel, Value: 3, Usage: "how many cells run side by side"},
-			&cli.IntFlag{Name: flagPairs, Value: 24, Usage: "how many pairs of faults are drawn for each seed"},
-			&cli.StringFlag{Name: flagOnly, Usage: "run only the cells whose name contains this; the table is not written"},
-			&cli.StringFlag{Name: flagOutput, Value: "docs/FAULT-MATRIX.md", Usage: "where the table goes"},
-			&cli.BoolFlag{Name: flagLogs, Usage: "print the processes' logs of cells that did not hold"},
+			&cli.IntFlag{Name: flagSeeds, Value: 1, Usage: "number of runs of the matrix, each with another seed"},
+			&cli.IntFlag{Name: flagParallel, Value: 3, Usage: "number of cells that run in parallel"},
+			&cli.IntFlag{Name: flagPairs, Value: 24, Usage: "number of fault pairs that are drawn for each seed"},
+			&cli.StringFlag{Name: flagOnly, Usage: "run only the cells whose name contains this text; the table is not written"},
+			&cli.StringFlag{Name: flagOutput, Value: "docs/FAULT-MATRIX.md", Usage: "file that the table is written to"},
+			&cli.BoolFlag{Name: flagLogs, Usage: "print the processes' logs of failed cells"},
 		},
 		Action: run,
 	}
 }
 
+// run runs the selected cells and writes the report unless only some were selected. It
+// returns errCellsFailed if a cell failed.
 func run(ctx context.Context, cmd *cli.Command) error {
-	cells := chosen(cmd)
+	cells := selectCells(cmd)
 	binaries, err := fleet.Build(ctx)
 	if err != nil {
 		return err
@@ -56,20 +59,21 @@
 			return err
 		}
 	}
-	broken := 0
+	failed := 0
 	for _, result := range results {
 		if !result.Holds() {
-			broken++
+			failed++
 		}
 	}
-	fmt.Printf("%d cells, %d did not hold\n", len(results), broken)
-	if broken > 0 {
-		return errBroken
+	fmt.Printf("%d cells, %d failed\n", len(results), failed)
+	if failed > 0 {
+		return errCellsFailed
 	}
 	return ctx.Err()
 }
 
-func chosen(cmd *cli.Command) []matrix.Cell {
+// selectCells returns the cells of all seeds whose names contain the text of flagOnly.
+func selectCells(cmd *cli.Command) []matrix.Cell {
 	var cells []matrix.Cell
 	for seed := range cmd.Int(flagSeeds) {
 		for _, cell := range matrix.AllCells(uint64(seed)+1, cmd.Int(flagPairs)) {
@@ -81,16 +85,16 @@
 	return cells
 }
 
-// runAll runs the cells side by side and returns their results in order.
+// runAll runs the cells in parallel and returns their results in order.
 func runAll(ctx context.Context, cmd *cli.Command, binaries *fleet.Binaries, cells []matrix.Cell) []matrix.Result {
 	results := make([]matrix.Result, len(cells))
-	var printing sync.Mutex
+	var outputMu sync.Mutex
 	workers := pool.New().WithMaxGoroutines(cmd.Int(flagParallel))
 	for i, cell := range cells {
 		workers.Go(func() {
 			results[i] = matrix.Run(ctx, binaries, cell)
-			printing.Lock()
-			defer printing.Unlock()
+			outputMu.Lock()
+			defer outputMu.Unlock()
 			fmt.Printf("%d/%d %s\n", i+1, len(cells), results[i])
 			if cmd.Bool(flagLogs) {
 				fmt.Print(results[i].Logs)
--- a/testbed/cmd/matrix/main.go
+++ b/testbed/cmd/matrix/main.go
@@ -1,5 +1,5 @@
 // Command matrix runs the fault matrix on real processes and writes the table
-// of its cells to docs/FAULT-MATRIX.md. It is run from the project's root.
+// of its cells to docs/FAULT-MATRIX.md. Run it in the root of the repository.
 package main
 
 import (
--- a/testbed/dutymodel/explore.go
+++ b/testbed/dutymodel/explore.go
@@ -5,46 +5,48 @@
 	"slices"
 )
 
-// Result is what an exploration found.
+// Result is the result of an exploration.
 type Result struct {
-	// States counts those that were visited, Depth the steps to the last of them, and
-	// Whole says that there are no others within the bounds.
-	States int
-	Depth  int
-	Whole  bool
-	// Broken is what doesn't hold, with the steps to it, as few as there can be; empty
-	// for nothing.
-	Broken string
-	Steps  []string
+	// States is the number of visited states and Depth the number of steps to the last
+	// of them. Complete reports that all states within the bounds were visited.
+	States   int
+	Depth    int
+	Complete bool
+	// Violation describes the violated invariant, or is empty if there is none. Steps is a
+	// shortest sequence of steps that leads to the violation.
+	Violation string
+	Steps     []string
 }
 
-// visit is a state that was met, and how.
+// visit records the step by which a state was first reached.
 type visit struct {
-	parent int
+	parent int // index of the previous visit, -1 for the initial state
 	depth  int
-	what   string
+	action string
 }
 
-// Explore visits the states that follow from the first, nearest first.
+// Explore visits the states that are reachable from the initial state, breadth first,
+// until an invariant is violated, bounds.States is reached, or no state is left.
 func Explore(guards Guards, bounds Bounds) Result {
 	e := &explorer{guards: guards, bounds: bounds}
-	frontier := []state{{store: store{copied: bounds.Copied}}}
+	frontier := []state{{store: store{copied: bounds.CopiedAtStart}}}
 	first := 0
 	visits := []visit{{parent: -1}}
-	// A state is known by its hash: among millions two have the same one in ten million.
+	// Visited states are stored as hashes only. The probability that any two of millions of
+	// states collide is about one in ten million.
 	seed := maphash.MakeSeed()
 	known := map[uint64]struct{}{maphash.Comparable(seed, frontier[0]): {}}
 	for len(frontier) > 0 {
 		var next []state
 		for i := range frontier {
-			for _, st := range e.from(&frontier[i]) {
+			for _, st := range e.successors(&frontier[i]) {
 				hash := maphash.Comparable(seed, st.to)
-				if _, ok := known[hash]; ok || !st.to.bounded() {
+				if _, ok := known[hash]; ok || !st.to.withinSize() {
 					continue
 				}
-				visits = append(visits, visit{parent: first + i, depth: visits[first+i].depth + 1, what: st.what})
-				if st.to.broken != "" {
-					return Result{States: len(visits), Depth: visits[len(visits)-1].depth, Broken: st.to.broken, Steps: trace(visits)}
+				visits = append(visits, visit{parent: first + i, depth: visits[first+i].depth + 1, action: st.action})
+				if st.to.violation != "" {
+					return Result{States: len(visits), Depth: visits[len(visits)-1].depth, Violation: st.to.violation, Steps: stepsToLast(visits)}
 				}
 				known[hash] = struct{}{}
 				next = append(next, st.to)
@@ -56,24 +58,24 @@
 		first += len(frontier)
 		frontier = next
 	}
-	return Result{States: len(visits), Depth: visits[len(visits)-1].depth, Whole: true}
+	return Result{States: len(visits), Depth: visits[len(visits)-1].depth, Complete: true}
 }
 
-// bounded reports whether a state is within the model's size.
-func (s *state) bounded() bool {
+// withinSize reports whether the fencing tokens of a state fit the model's size.
+func (s *state) withinSize() bool {
 	for i := range s.gateways {
-		if s.gateways[i].fence&fenceMask > mostGenerations || s.gateways[i].open.fence&fenceMask > mostGenerations {
+		if s.gateways[i].token&counterMask > maxTokenCounter || s.gateways[i].unresolved.token&counterMask > maxTokenCounter {
 			return false
 		}
 	}
 	return true
 }
 
-// trace are the steps to the last visit.
-func trace(visits []visit) []string {
+// stepsToLast returns the steps from the initial state to the last visit.
+func stepsToLast(visits []visit) []string {
 	var steps []string
 	for i := len(visits) - 1; visits[i].parent >= 0; i = visits[i].parent {
-		steps = append(steps, visits[i].what)
+		steps = append(steps, visits[i].action)
 	}
 	slices.Reverse(steps)
 	return steps
--- a/testbed/dutymodel/explore_test.go
+++ b/testbed/dutymodel/explore_test.go
@@ -7,77 +7,78 @@
 	"time"
 )
 
-// wholeFlag explores all that a minute allows: go test ./dutymodel -whole.
+// wholeFlag enables the large exploration, of about a minute: go test ./dutymodel -whole.
 var wholeFlag = flag.Bool("whole", false, "explore millions of states")
 
-// short bounds what CI explores, whole all that a minute allows.
+// shortBounds limits the exploration in CI, and wholeBounds that with -whole, of about a minute.
 var (
-	short = Bounds{Gateways: 3, Windows: 2, Kills: 1, Writes: 5, States: 150_000}
-	whole = Bounds{Gateways: 3, Windows: 2, Kills: 2, Writes: 6, States: 1_500_000}
-	// small reaches further: what two gateways can do to one window.
-	// late reaches furthest: only writes are late.
-	late  = Bounds{Gateways: 2, Windows: 1, Writes: 6, States: 6_000_000, Copied: true, Answered: true}
-	small = Bounds{Gateways: 2, Windows: 1, Kills: 1, Writes: 5, States: 3_000_000}
+	shortBounds = Bounds{Gateways: 3, Windows: 2, Kills: 1, Writes: 5, States: 150_000}
+	wholeBounds = Bounds{Gateways: 3, Windows: 2, Kills: 2, Writes: 6, States: 1_500_000}
+	// smallBounds and lateWriteBounds explore two gateways and one window to a greater depth.
+	// lateWriteBounds reaches
+	// the greatest depth, because only writes can be late and nothing else fails.
+	lateWriteBounds = Bounds{Gateways: 2, Windows: 1, Writes: 6, States: 6_000_000, CopiedAtStart: true, NoLostResponses: true}
+	smallBounds     = Bounds{Gateways: 2, Windows: 1, Kills: 1, Writes: 5, States: 3_000_000}
 )
 
-// inDepth is how many states of fewer gateways are explored in CI; the longest way to a
-// break without a guard is within it.
-const inDepth = 500_000
+// inDepthStates is the number of states of two gateways that are explored in CI. It includes the
+// longest of the shortest paths to a violation without one of the guards.
+const inDepthStates = 500_000
 
-// What must hold holds in each state.
+// All invariants hold in each state of three gateways and two windows.
 func TestProtocolHolds(t *testing.T) {
-	bounds := short
+	bounds := shortBounds
 	if *wholeFlag {
-		bounds = whole
+		bounds = wholeBounds
 	}
-	began := time.Now()
-	r := Explore(All(), bounds)
-	if r.Broken != "" {
-		t.Errorf("%s:\n%s", r.Broken, strings.Join(r.Steps, "\n"))
+	start := time.Now()
+	r := Explore(AllGuards(), bounds)
+	if r.Violation != "" {
+		t.Errorf("%s:\n%s", r.Violation, strings.Join(r.Steps, "\n"))
 	}
-	t.Logf("%d states to depth %d in %v, all %v", r.States, r.Depth, time.Since(began), r.Whole)
+	t.Logf("%d states to depth %d in %v, complete: %v", r.States, r.Depth, time.Since(start), r.Complete)
 }
 
-// Two gateways and one window are explored to greater depth.
+// All invariants hold in each state of two gateways and one window, to a greater depth.
 func TestProtocolHoldsInDepth(t *testing.T) {
-	for name, bounds := range map[string]Bounds{"all": small, "late writes": late} {
+	for name, bounds := range map[string]Bounds{"all": smallBounds, "late writes": lateWriteBounds} {
 		if !*wholeFlag {
-			bounds.States = min(bounds.States, inDepth)
+			bounds.States = min(bounds.States, inDepthStates)
 		}
-		r := Explore(All(), bounds)
-		if r.Broken != "" {
-			t.Errorf("%s:\n%s", r.Broken, strings.Join(r.Steps, "\n"))
+		r := Explore(AllGuards(), bounds)
+		if r.Violation != "" {
+			t.Errorf("%s:\n%s", r.Violation, strings.Join(r.Steps, "\n"))
 		}
-		t.Logf("%s: %d states to depth %d, all %v", name, r.States, r.Depth, r.Whole)
+		t.Logf("%s: %d states to depth %d, complete: %v", name, r.States, r.Depth, r.Complete)
 	}
 }
 
-// Without any one of the guards there is a way to break what must hold.
+// Without any one of the guards, some reachable state violates an invariant.
 func TestEachGuardIsNeeded(t *testing.T) {
 	cases := map[string]func(*Guards){
-		"condition":     func(g *Guards) { g.Condition = false },
+		"condition":     func(g *Guards) { g.ConditionalWrites = false },
 		"write ahead":   func(g *Guards) { g.WriteAhead = false },
 		"step down":     func(g *Guards) { g.StepDown = false },
-		"era in fence":  func(g *Guards) { g.EraInFence = false },
+		"era in fence":  func(g *Guards) { g.EraInToken = false },
 		"era in ledger": func(g *Guards) { g.EraInLedger = false },
-		"era of answer": func(g *Guards) { g.EraOfAnswer = false },
-		"era rows":      func(g *Guards) { g.EraRows = false },
-		"adopt":         func(g *Guards) { g.Adopt = false },
+		"era of answer": func(g *Guards) { g.EraOfResponse = false },
+		"era rows":      func(g *Guards) { g.RowPerEra = false },
+		"adopt":         func(g *Guards) { g.AdoptLedger = false },
 	}
-	for name, take := range cases {
+	for name, remove := range cases {
 		t.Run(name, func(t *testing.T) {
-			guards := All()
-			take(&guards)
-			bounds := small
-			bounds.States = inDepth
+			guards := AllGuards()
+			remove(&guards)
+			bounds := smallBounds
+			bounds.States = inDepthStates
 			r := Explore(guards, bounds)
-			if r.Broken == "" {
-				r = Explore(guards, late)
+			if r.Violation == "" {
+				r = Explore(guards, lateWriteBounds)
 			}
-			if r.Broken == "" {
-				t.Fatalf("nothing breaks in %d states to depth %d, all %v", r.States, r.Depth, r.Whole)
+			if r.Violation == "" {
+				t.Fatalf("no violation in %d states to depth %d, complete: %v", r.States, r.Depth, r.Complete)
 			}
-			t.Logf("%s, after %d steps, %d states:\n%s", r.Broken, len(r.Steps), r.States, strings.Join(r.Steps, "\n"))
+			t.Logf("%s, after %d steps, %d states:\n%s", r.Violation, len(r.Steps), r.States, strings.Join(r.Steps, "\n"))
 		})
 	}
 }
--- a/testbed/dutymodel/guards.go
+++ b/testbed/dutymodel/guards.go
@@ -1,28 +1,29 @@
 package dutymodel
 
-// Guards are the parts of the protocol that can be taken out.
+// Guards selects the safety rules of the protocol that are in effect.
 type Guards struct {
-	// Condition has writes expect the lease's version.
-	Condition bool
-	// WriteAhead has a report stored before it is sent.
+	// ConditionalWrites makes each write conditional on the version of the lease's row.
+	ConditionalWrites bool
+	// WriteAhead stores a report before it is sent.
 	WriteAhead bool
-	// StepDown has a holder that was refused call no more.
+	// StepDown makes a holder give up the lease once the platform has refused it.
 	StepDown bool
-	// EraInFence has generations begin with the store's era.
-	EraInFence bool
-	// EraRows gives each era a lease's row of its own, and closes those of earlier ones.
-	EraRows bool
-	// EraInLedger has windows left out that may have been reported in an earlier era.
+	// EraInToken puts the store's era into the high bits of fencing tokens.
+	EraInToken bool
+	// RowPerEra uses one lease row for each era and invalidates the rows of earlier eras.
+	RowPerEra bool
+	// EraInLedger skips windows that may have been reported in an earlier era.
 	EraInLedger bool
-	// EraOfAnswer takes a write as done only if it was answered in the era of its sending.
-	EraOfAnswer bool
-	// Adopt has a new holder go on from the stored ledger.
-	Adopt bool
+	// EraOfResponse accepts a write as done only if its response came in the era in which the
+	// write was sent.
+	EraOfResponse bool
+	// AdoptLedger makes a new holder continue from the stored ledger.
+	AdoptLedger bool
 }
 
-// All has all guards.
-func All() Guards {
+// AllGuards returns all guards, as the product has them.
+func AllGuards() Guards {
 	return Guards{
-		Condition: true, WriteAhead: true, StepDown: true, EraInFence: true, EraRows: true, EraInLedger: true, EraOfAnswer: true, Adopt: true,
+		ConditionalWrites: true, WriteAhead: true, StepDown: true, EraInToken: true, RowPerEra: true, EraInLedger: true, EraOfResponse: true, AdoptLedger: true,
 	}
 }
--- a/testbed/dutymodel/platform.go
+++ b/testbed/dutymodel/platform.go
@@ -2,65 +2,67 @@
 
 import "fmt"
 
-// eraBits and fenceMask take a fencing number apart, to index what is known of it.
+// A fencing token has the era above its lowest 40 bits, which hold the counter.
 const (
-	eraBits   = 40
-	fenceMask = 1<<eraBits - 1
+	eraBits     = 40
+	counterMask = 1<<eraBits - 1
 )
 
-// send sends a report: it is answered, its answer is lost, or it is late.
-func (e *explorer) send(s *state, c call) {
+// send adds the steps of sending a report: the response arrives, the response is lost, or
+// the report is late.
+func (e *explorer) send(s *state, c reportCall) {
 	to := *s
-	if to.gateways[c.by].refused == c.fence {
-		to.broken = fmt.Sprintf("gateway %d calls again under generation %d, with which it was refused", c.by, c.fence)
+	if to.gateways[c.gateway].refusedToken == c.token {
+		to.violation = fmt.Sprintf("gateway %d reports again with fencing token %d, with which it was refused", c.gateway, c.token)
 	}
 	answered := to
-	if answered.take(c) {
-		g := &answered.gateways[c.by]
-		g.ledger = fromProduct(g.ledger.product().Accept(uint64(c.window) + 1))
+	if answered.deliver(c) {
+		g := &answered.gateways[c.gateway]
+		g.ledger = fromProduct(g.ledger.toProduct().Accept(uint64(c.window) + 1))
 	} else {
-		answered.gateways[c.by].refused = c.fence
+		answered.gateways[c.gateway].refusedToken = c.token
 		if e.guards.StepDown {
-			answered.gateways[c.by].lose()
+			answered.gateways[c.gateway].stepDown()
 		}
 	}
-	e.add(answered, "gateway %d reports window %d under %d", c.by, c.window+1, c.fence)
+	e.add(answered, "gateway %d reports window %d with token %d", c.gateway, c.window+1, c.token)
 
-	if e.bounds.Answered {
+	if e.bounds.NoLostResponses {
 		return
 	}
 	lost := to
-	lost.take(c)
-	e.add(lost, "gateway %d reports window %d under %d, the answer is lost", c.by, c.window+1, c.fence)
-	for i := range s.calls {
-		if s.calls[i] == c {
+	lost.deliver(c)
+	e.add(lost, "gateway %d reports window %d with token %d, the response is lost", c.gateway, c.window+1, c.token)
+	for i := range s.lateReports {
+		if s.lateReports[i] == c {
 			break
 		}
-		if s.calls[i].content == 0 {
+		if s.lateReports[i].content == 0 {
 			late := to
-			late.calls[i] = c
-			e.add(late, "gateway %d reports window %d under %d, which is late", c.by, c.window+1, c.fence)
+			late.lateReports[i] = c
+			e.add(late, "gateway %d reports window %d with token %d, the report is late", c.gateway, c.window+1, c.token)
 			break
 		}
 	}
 }
 
-// take has the platform carry a report out; false if a higher generation was seen.
-func (s *state) take(c call) bool {
-	era, count := c.fence>>eraBits, c.fence&fenceMask
-	if holder := &s.holders[era][count]; *holder == 0 {
-		*holder = c.by + 1
-	} else if *holder != c.by+1 {
-		s.broken = fmt.Sprintf("gateways %d and %d report under generation %d", *holder-1, c.by, c.fence)
+// deliver makes the platform process a report. It returns false if the platform has seen
+// a higher fencing token and refuses the report.
+func (s *state) deliver(c reportCall) bool {
+	era, count := c.token>>eraBits, c.token&counterMask
+	if holder := &s.firstUsers[era][count]; *holder == 0 {
+		*holder = c.gateway + 1
+	} else if *holder != c.gateway+1 {
+		s.violation = fmt.Sprintf("gateways %d and %d report with fencing token %d", *holder-1, c.gateway, c.token)
 	}
-	if c.fence < s.highest {
+	if c.token < s.highestToken {
 		return false
 	}
-	s.highest = c.fence
+	s.highestToken = c.token
 	if before := &s.accepted[c.window]; *before == 0 {
 		*before = c.content
 	} else if *before != c.content {
-		s.broken = fmt.Sprintf("two reports of window %d differ", c.window+1)
+		s.violation = fmt.Sprintf("two different reports of window %d were accepted", c.window+1)
 	}
 	return true
 }
--- a/testbed/dutymodel/product.go
+++ b/testbed/dutymodel/product.go
@@ -4,25 +4,26 @@
 	"github.com/applepier/applepier/internal/gateway/usage"
 )
 
-// customer is whose requests a report's number stands for.
+// customer is the customer whose request count stands for a report's content number.
 const customer = "c"
 
-// report is a report with a number for its contents; windows are numbered from 1.
-func report(window uint64, content uint8) usage.Report {
+// newReport returns a report whose contents are a number. Windows are numbered from 1.
+func newReport(window uint64, content uint8) usage.Report {
 	return usage.Report{Window: window, Counts: map[string]int64{customer: int64(content)}}
 }
 
-// product is the product's ledger.
-func (l ledger) product() usage.Ledger {
+// toProduct converts the ledger to the product's type.
+func (l ledger) toProduct() usage.Ledger {
 	p := usage.Ledger{Era: l.era, Finalized: l.finalized}
 	for i, content := range l.pending {
 		if content != 0 {
-			p.Pending = append(p.Pending, report(uint64(i+1), content))
+			p.Pending = append(p.Pending, newReport(uint64(i+1), content))
 		}
 	}
 	return p
 }
 
+// fromProduct converts the product's ledger to the model's type.
 func fromProduct(p usage.Ledger) ledger {
 	l := ledger{found: true, era: p.Era, finalized: p.Finalized}
 	for _, r := range p.Pending {
@@ -31,20 +32,20 @@
 	return l
 }
 
-// recovered is the ledger that a gateway goes on from once it holds the lease.
-func (s *state) recovered(g *gateway, guards Guards) ledger {
+// recoverLedger returns the ledger from which a gateway continues once it holds the lease.
+func (s *state) recoverLedger(g *gateway, guards Guards) ledger {
 	stored := s.store.ledger
-	if !guards.Adopt {
+	if !guards.AdoptLedger {
 		stored = ledger{}
 	}
-	m := usage.Memory{Era: s.store.era, Started: 1, Over: uint64(s.over)}
+	m := usage.Memory{Era: s.store.era, Started: 1, Over: uint64(s.endedWindows)}
 	if !guards.EraInLedger {
 		m.Era = stored.era
 	}
-	for i, content := range g.own {
+	for i, content := range g.ownReports {
 		if content != 0 {
-			m.Own = append(m.Own, report(uint64(i+1), content))
+			m.Own = append(m.Own, newReport(uint64(i+1), content))
 		}
 	}
-	return fromProduct(usage.Recover(stored.product(), stored.found, m))
+	return fromProduct(usage.Recover(stored.toProduct(), stored.found, m))
 }
--- a/testbed/dutymodel/state.go
+++ b/testbed/dutymodel/state.go
@@ -1,22 +1,24 @@
-// Package dutymodel explores the protocol by which one gateway at a time reports usage:
-// election, the write ahead of a report, and the report itself, under lost, late and
-// doubled calls, kills, and a store that returns from an older copy. All states within
-// stated bounds are visited, and what must hold is checked in each. The decisions are the
-// product's own (usage.Ledger, usage.Recover, lease.NextFence). Start reading at Explore.
+// Package dutymodel is a model checker for the protocol by which one gateway at a time
+// reports usage: the election, the write of a report to the store before it is sent, and
+// the report itself. Calls may be lost, late or duplicated, gateways may be killed, and the
+// store may be restored from an older copy. Explore visits the states within given bounds
+// and checks the invariants in each. The decisions are made by the product's own code
+// (usage.Ledger, usage.Recover, lease.NextFence). Start reading at Explore.
 package dutymodel
 
 // Size of the model.
 const (
 	gateways = 3
 	windows  = 2
-	// mostLate bounds the calls of each kind that are on their way.
-	mostLate = 2
-	eras     = 2
-	// mostGenerations bounds the generations of an era.
-	mostGenerations = 4
+	// maxLate bounds the late calls of each kind.
+	maxLate = 2
+	eras    = 2
+	// maxTokenCounter bounds the counter of the fencing tokens of an era.
+	maxTokenCounter = 4
 )
 
-// ledger is a usage.Ledger whose reports are told apart by a number; 0 is none.
+// ledger is a usage.Ledger in which a number stands for a report's contents; 0 means no
+// report.
 type ledger struct {
 	found     bool
 	era       uint64
@@ -24,82 +26,86 @@
 	pending   [windows]uint8
 }
 
-// leaseRow is the lease's row; version 0 says that there is none.
+// leaseRow is the lease's row; version 0 means that the row doesn't exist.
 type leaseRow struct {
 	version uint8
-	fence   uint64
-	// write is unique to the write.
-	write uint16
+	token   uint64
+	// writeID identifies the write that stored the row.
+	writeID uint16
 }
 
-// contents are what the store holds.
-type contents struct {
+// storeData is the data in the store.
+type storeData struct {
 	version uint8
 	leases  [eras]leaseRow
 	ledger  ledger
 }
 
+// store is the store with its copy. The era grows when it is restored from the copy.
 type store struct {
-	contents
+	storeData
 	era      uint64
 	copied   bool
-	older    contents
-	returned bool
+	snapshot storeData
+	restored bool
 }
 
-// transaction is a write of the lease's row, with a ledger where a report is fixed.
+// transaction is a write of the lease's row, together with the ledger if it finalizes a
+// report.
 type transaction struct {
-	by     uint8
-	row    uint8
-	expect uint8
-	era    uint64
-	fence  uint64
-	write  uint16
-	// window is the one that is fixed, and content its report; 0 for an election.
+	gateway         uint8
+	row             uint8
+	expectedVersion uint8
+	era             uint64
+	token           uint64
+	writeID         uint16
+	// window is the window that is finalized, and content its report; both are 0 for an
+	// election.
 	window  uint64
 	content uint8
 	ledger  ledger
 }
 
-// gateway is one process.
+// gateway is the memory of one gateway process.
 type gateway struct {
 	holds   bool
-	fence   uint64
+	token   uint64
 	era     uint64
 	version uint8
 	ledger  ledger
-	// own are the reports that it has fixed itself.
-	own [windows]uint8
-	// open is a write whose outcome isn't known; its write is 0 for none.
-	open transaction
-	// refused is the fence under which the platform refused it.
-	refused uint64
+	// ownReports are the contents of the reports that this process has finalized.
+	ownReports [windows]uint8
+	// unresolved is a write with an unknown outcome; its writeID is 0 if there is none.
+	unresolved transaction
+	// refusedToken is the fencing token with which the platform refused it.
+	refusedToken uint64
 }
 
-// call is a report on its way.
-type call struct {
-	by      uint8
-	fence   uint64
+// reportCall is a report that is sent to the platform. Its window is numbered from 0.
+type reportCall struct {
+	gateway uint8
+	token   uint64
 	window  uint8
 	content uint8
 }
 
-// state is all of the model. It is compared as a value.
+// state is the state of the whole model. It must stay comparable.
 type state struct {
-	store    store
-	gateways [gateways]gateway
-	late     [mostLate]transaction
-	calls    [mostLate]call
-	// over is how many windows have ended.
-	over uint8
-	// accepted are the reports that the platform took, highest the highest generation that
-	// it has seen, and holders which gateway called first under each generation.
-	accepted [windows]uint8
-	highest  uint64
-	holders  [eras][mostGenerations + 1]uint8
-	writes   uint16
-	contents uint8
-	kills    uint8
-	// broken is what doesn't hold; empty for nothing.
-	broken string
+	store       store
+	gateways    [gateways]gateway
+	lateWrites  [maxLate]transaction
+	lateReports [maxLate]reportCall
+	// endedWindows is the number of windows that have ended.
+	endedWindows uint8
+	// accepted holds the contents of the reports that the platform accepted, highestToken
+	// the highest fencing token that it has seen, and firstUsers, for each fencing token,
+	// the index of the gateway that first used it, plus 1.
+	accepted     [windows]uint8
+	highestToken uint64
+	firstUsers   [eras][maxTokenCounter + 1]uint8
+	writeCount   uint16
+	reportCount  uint8
+	killCount    uint8
+	// violation describes the violated invariant; it is empty if there is none.
+	violation string
 }
--- a/testbed/dutymodel/steps.go
+++ b/testbed/dutymodel/steps.go
@@ -6,154 +6,157 @@
 	"github.com/applepier/applepier/internal/lease"
 )
 
-// step is a state that follows, and what led to it.
+// step is a successor state and a description of the action that leads to it.
 type step struct {
-	what string
-	to   state
+	action string
+	to     state
 }
 
-// Bounds bound what is explored.
+// Bounds limits an exploration.
 type Bounds struct {
-	// Gateways and Windows are how many there are, at most those of the model.
+	// Gateways and Windows are the numbers of gateways and windows, at most 3 and 2.
 	Gateways, Windows int
-	// Kills and Writes bound how often a gateway is killed and the store written.
+	// Kills and Writes bound the number of kills of gateways and of writes to the store.
 	Kills  uint8
 	Writes uint16
-	// Copied has the store keep its copy before the first step, Answered has each answer
-	// come that isn't late: both reach further.
-	Copied, Answered bool
-	// States ends the exploration; 0 for no bound.
+	// CopiedAtStart makes the store keep its copy before the first step. NoLostResponses
+	// excludes lost responses and late reports. Both allow a greater depth.
+	CopiedAtStart, NoLostResponses bool
+	// States bounds the number of visited states; 0 means no bound.
 	States int
 }
 
-// explorer lists the steps from a state.
+// explorer computes the steps from a state.
 type explorer struct {
 	guards Guards
 	bounds Bounds
 	steps  []step
 }
 
-func (e *explorer) add(to state, what string, args ...any) {
-	e.steps = append(e.steps, step{fmt.Sprintf(what, args...), to})
+// add adds a step to the state, described by a format and its arguments.
+func (e *explorer) add(to state, format string, args ...any) {
+	e.steps = append(e.steps, step{fmt.Sprintf(format, args...), to})
 }
 
-// from lists all steps from a state.
-func (e *explorer) from(s *state) []step {
+// successors returns all steps from a state. The slice is valid until the next call.
+func (e *explorer) successors(s *state) []step {
 	e.steps = e.steps[:0]
-	e.surroundings(s)
+	e.environmentSteps(s)
 	for i := range s.gateways[:e.bounds.Gateways] {
 		g := &s.gateways[i]
 		switch {
-		case g.open.write != 0:
-			e.settle(s, uint8(i))
+		case g.unresolved.writeID != 0:
+			e.resolve(s, uint8(i))
 		case g.holds:
-			e.act(s, uint8(i))
+			e.holderSteps(s, uint8(i))
 		default:
-			e.elect(s, uint8(i))
+			e.campaign(s, uint8(i))
 		}
 		e.kill(s, i)
 	}
-	e.land(s)
+	e.deliverLate(s)
 	return e.steps
 }
 
-// surroundings: time passes, the store keeps a copy, or returns from it.
-func (e *explorer) surroundings(s *state) {
-	if int(s.over) < e.bounds.Windows {
+// environmentSteps adds the steps outside the gateways: a window ends, the store is
+// copied, or the store is restored from its copy.
+func (e *explorer) environmentSteps(s *state) {
+	if int(s.endedWindows) < e.bounds.Windows {
 		to := *s
-		to.over++
-		e.add(to, "window %d is over", to.over)
+		to.endedWindows++
+		e.add(to, "window %d ends", to.endedWindows)
 	}
 	if !s.store.copied {
 		to := *s
-		to.store.copied, to.store.older = true, s.store.contents
+		to.store.copied, to.store.snapshot = true, s.store.storeData
 		e.add(to, "the store is copied")
 	}
-	if s.store.copied && !s.store.returned {
+	if s.store.copied && !s.store.restored {
 		to := *s
-		to.store.contents, to.store.returned = s.store.older, true
+		to.store.storeData, to.store.restored = s.store.snapshot, true
 		to.store.era++
-		e.add(to, "the store returns from the copy, era %d", to.store.era)
+		e.add(to, "the store is restored from the copy, era %d", to.store.era)
 	}
 }
 
-// kill has a process start again without its memory.
+// kill adds the step in which a process is killed and restarts without its memory.
 func (e *explorer) kill(s *state, i int) {
-	if s.kills >= e.bounds.Kills || s.gateways[i] == (gateway{}) {
+	if s.killCount >= e.bounds.Kills || s.gateways[i] == (gateway{}) {
 		return
 	}
 	to := *s
 	to.gateways[i] = gateway{}
-	to.kills++
-	e.add(to, "gateway %d is killed and starts again", i)
+	to.killCount++
+	e.add(to, "gateway %d is killed and restarts", i)
 }
 
-// row is the lease's row of an era.
-func (e *explorer) row(era uint64) uint8 {
-	if !e.guards.EraRows {
+// rowOf returns the index of the lease's row of an era.
+func (e *explorer) rowOf(era uint64) uint8 {
+	if !e.guards.RowPerEra {
 		return 0
 	}
 	return uint8(era)
 }
 
-// elect has a gateway try to get the lease, at any time: what must hold doesn't depend on
-// how long a lease lasts.
-func (e *explorer) elect(s *state, by uint8) {
+// campaign adds the steps in which a gateway tries to acquire the lease. It may do so at
+// any time, because the invariants don't depend on the lease's duration.
+func (e *explorer) campaign(s *state, id uint8) {
 	era := s.store.era
-	row := s.store.leases[e.row(era)]
-	fenceEra := era
-	if !e.guards.EraInFence {
-		fenceEra = 0
+	row := s.store.leases[e.rowOf(era)]
+	tokenEra := era
+	if !e.guards.EraInToken {
+		tokenEra = 0
 	}
-	e.write(s, transaction{by: by, row: e.row(era), expect: row.version, era: era, fence: lease.NextFence(row.fence, fenceEra)}, "campaigns")
+	e.write(s, transaction{gateway: id, row: e.rowOf(era), expectedVersion: row.version, era: era, token: lease.NextFence(row.token, tokenEra)}, "campaigns")
 }
 
-// act has a holder fix the next report, or send one that is fixed.
-func (e *explorer) act(s *state, by uint8) {
-	g := &s.gateways[by]
-	if window, due := g.ledger.product().Next(uint64(s.over)); due && window <= windows {
+// holderSteps adds the steps in which the holder finalizes the next report or sends a
+// finalized one.
+func (e *explorer) holderSteps(s *state, id uint8) {
+	g := &s.gateways[id]
+	if window, due := g.ledger.toProduct().Next(uint64(s.endedWindows)); due && window <= windows {
 		to := *s
-		to.contents++
-		next := fromProduct(g.ledger.product().Finalize(report(window, to.contents)))
-		t := transaction{by: by, row: e.row(g.era), expect: g.version, era: g.era, fence: g.fence, window: window, content: to.contents, ledger: next}
+		to.reportCount++
+		next := fromProduct(g.ledger.toProduct().Finalize(newReport(window, to.reportCount)))
+		t := transaction{gateway: id, row: e.rowOf(g.era), expectedVersion: g.version, era: g.era, token: g.token, window: window, content: to.reportCount, ledger: next}
 		if e.guards.WriteAhead {
-			e.write(&to, t, fmt.Sprintf("fixes window %d", window))
+			e.write(&to, t, fmt.Sprintf("finalizes window %d", window))
 		} else {
-			to.gateways[by].finalize(t)
-			e.add(to, "gateway %d counts window %d", by, window)
+			to.gateways[id].finalize(t)
+			e.add(to, "gateway %d finalizes window %d without a write", id, window)
 		}
 	}
 	for i, content := range g.ledger.pending {
 		if content != 0 {
-			e.send(s, call{by: by, fence: g.fence, window: uint8(i), content: content})
+			e.send(s, reportCall{gateway: id, token: g.token, window: uint8(i), content: content})
 		}
 	}
 }
 
-// finalize notes that a report is stored.
+// finalize records in the gateway's memory that a report is final.
 func (g *gateway) finalize(t transaction) {
 	g.ledger = t.ledger
-	g.own[t.window-1] = t.content
+	g.ownReports[t.window-1] = t.content
 }
 
-// land carries out calls that were late.
-func (e *explorer) land(s *state) {
-	for i, t := range s.late {
-		if t.write == 0 {
+// deliverLate adds the steps in which late writes and late reports take effect.
+func (e *explorer) deliverLate(s *state) {
+	for i, t := range s.lateWrites {
+		if t.writeID == 0 {
 			continue
 		}
 		to := *s
-		to.late[i] = transaction{}
-		e.carryOut(&to, t)
-		e.add(to, "a late write of gateway %d is carried out", t.by)
+		to.lateWrites[i] = transaction{}
+		e.apply(&to, t)
+		e.add(to, "a late write of gateway %d takes effect", t.gateway)
 	}
-	for i, c := range s.calls {
+	for i, c := range s.lateReports {
 		if c.content == 0 {
 			continue
 		}
 		to := *s
-		to.calls[i] = call{}
-		to.take(c)
-		e.add(to, "a late report of gateway %d is carried out", c.by)
+		to.lateReports[i] = reportCall{}
+		to.deliver(c)
+		e.add(to, "a late report of gateway %d takes effect", c.gateway)
 	}
 }
--- a/testbed/dutymodel/writes.go
+++ b/testbed/dutymodel/writes.go
@@ -1,99 +1,103 @@
 package dutymodel
 
-// write sends a transaction: it is done and answered, done without an answer, or late.
-func (e *explorer) write(s *state, t transaction, what string) {
-	if s.writes >= e.bounds.Writes {
+// write numbers a transaction and adds the steps of sending it, within the bound on
+// writes.
+func (e *explorer) write(s *state, t transaction, action string) {
+	if s.writeCount >= e.bounds.Writes {
 		return
 	}
-	begun := *s
-	begun.writes++
-	t.write = begun.writes
-	e.sendWrite(&begun, t, what)
+	started := *s
+	started.writeCount++
+	t.writeID = started.writeCount
+	e.sendWrite(&started, t, action)
 }
 
-func (e *explorer) sendWrite(s *state, t transaction, what string) {
+// sendWrite adds the steps of sending a transaction: the response arrives, the response is
+// lost, or the write is late.
+func (e *explorer) sendWrite(s *state, t transaction, action string) {
 	answered := *s
-	if e.carryOut(&answered, t) && (s.store.era == t.era || !e.guards.EraOfAnswer) {
-		answered.done(t, e.guards)
+	if e.apply(&answered, t) && (s.store.era == t.era || !e.guards.EraOfResponse) {
+		answered.acknowledge(t, e.guards)
 	} else {
-		answered.gateways[t.by].lose()
+		answered.gateways[t.gateway].stepDown()
 	}
-	e.add(answered, "gateway %d %s", t.by, what)
+	e.add(answered, "gateway %d %s", t.gateway, action)
 
-	if !e.bounds.Answered {
+	if !e.bounds.NoLostResponses {
 		lost := *s
-		e.carryOut(&lost, t)
-		lost.gateways[t.by].open = t
-		e.add(lost, "gateway %d %s, the answer is lost", t.by, what)
+		e.apply(&lost, t)
+		lost.gateways[t.gateway].unresolved = t
+		e.add(lost, "gateway %d %s, the response is lost", t.gateway, action)
 	}
 
-	for i := range s.late {
-		if s.late[i].write == 0 {
+	for i := range s.lateWrites {
+		if s.lateWrites[i].writeID == 0 {
 			late := *s
-			late.late[i] = t
-			late.gateways[t.by].open = t
-			e.add(late, "gateway %d %s, the write is late", t.by, what)
+			late.lateWrites[i] = t
+			late.gateways[t.gateway].unresolved = t
+			e.add(late, "gateway %d %s, the write is late", t.gateway, action)
 			break
 		}
 	}
 }
 
-// carryOut has the store do a transaction; false if its condition doesn't hold.
-func (e *explorer) carryOut(s *state, t transaction) bool {
+// apply applies a transaction to the store. It returns false if the transaction's
+// condition doesn't hold.
+func (e *explorer) apply(s *state, t transaction) bool {
 	row := &s.store.leases[t.row]
-	if e.guards.Condition && row.version != t.expect {
+	if e.guards.ConditionalWrites && row.version != t.expectedVersion {
 		return false
 	}
 	s.store.version++
-	*row = leaseRow{version: s.store.version, fence: t.fence, write: t.write}
+	*row = leaseRow{version: s.store.version, token: t.token, writeID: t.writeID}
 	switch {
 	case t.window != 0:
 		s.store.ledger = t.ledger
-	case t.expect == 0 && e.guards.EraRows:
+	case t.expectedVersion == 0 && e.guards.RowPerEra:
 		for earlier := range t.row {
 			s.store.leases[earlier].version = s.store.version
-			s.store.leases[earlier].write = 0
+			s.store.leases[earlier].writeID = 0
 		}
 	}
 	return true
 }
 
-// done takes a write as carried out.
-func (s *state) done(t transaction, guards Guards) {
-	g := &s.gateways[t.by]
-	g.open = transaction{}
+// acknowledge updates a gateway's memory after its write has been applied.
+func (s *state) acknowledge(t transaction, guards Guards) {
+	g := &s.gateways[t.gateway]
+	g.unresolved = transaction{}
 	g.version = s.store.leases[t.row].version
 	if t.window != 0 {
 		g.finalize(t)
 		return
 	}
-	g.holds, g.fence, g.era = true, t.fence, t.era
-	g.ledger = s.recovered(g, guards)
+	g.holds, g.token, g.era = true, t.token, t.era
+	g.ledger = s.recoverLedger(g, guards)
 }
 
-// lose has a gateway know that it doesn't hold the lease.
-func (g *gateway) lose() {
-	g.holds, g.open = false, transaction{}
-	g.fence, g.era, g.version, g.ledger = 0, 0, 0, ledger{}
+// stepDown makes a gateway give up the lease and forget any unresolved write.
+func (g *gateway) stepDown() {
+	g.holds, g.unresolved = false, transaction{}
+	g.token, g.era, g.version, g.ledger = 0, 0, 0, ledger{}
 }
 
-// settle has a gateway find out what became of a write without an answer, and send it
-// again as it was if the row is as before.
-func (e *explorer) settle(s *state, by uint8) {
-	t := s.gateways[by].open
+// resolve adds the step in which a gateway reads the lease's row to find the outcome of a
+// write without a response. If the row is unchanged, it sends the same write again.
+func (e *explorer) resolve(s *state, id uint8) {
+	t := s.gateways[id].unresolved
 	row := s.store.leases[t.row]
 	to := *s
 	switch {
-	case e.guards.EraOfAnswer && s.store.era != t.era:
-		to.gateways[by].lose()
-		e.add(to, "gateway %d reads another era", by)
-	case row.write == t.write:
-		to.done(t, e.guards)
-		e.add(to, "gateway %d reads its own write", by)
-	case row.version != t.expect:
-		to.gateways[by].lose()
-		e.add(to, "gateway %d reads another write", by)
+	case e.guards.EraOfResponse && s.store.era != t.era:
+		to.gateways[id].stepDown()
+		e.add(to, "gateway %d reads another era", id)
+	case row.writeID == t.writeID:
+		to.acknowledge(t, e.guards)
+		e.add(to, "gateway %d reads its own write", id)
+	case row.version != t.expectedVersion:
+		to.gateways[id].stepDown()
+		e.add(to, "gateway %d reads another write", id)
 	default:
-		e.sendWrite(&to, t, "writes the same again")
+		e.sendWrite(&to, t, "sends the same write again")
 	}
 }
--- a/testbed/matrix/breakpoint.go
+++ b/testbed/matrix/breakpoint.go
@@ -28,16 +28,16 @@
 // before the request is sent. Steps that no message marks have no holds; callers
 // detect them in other ways.
 func (h *harness) setBreakpoint(step Step, class string) *breakpoint {
-	reach := &breakpoint{class: class, connections: map[int]int64{}}
+	b := &breakpoint{class: class, connections: map[int]int64{}}
 	for agent, proxy := range h.proxies {
-		proxy.Observe(faultproxy.Upstream, reach.recordRequestID)
-		direction, match := reach.matcher(step, agent)
+		proxy.Observe(faultproxy.Upstream, b.recordRequestID)
+		direction, match := b.matcher(step, agent)
 		if match == nil {
 			continue
 		}
-		reach.holds = append(reach.holds, proxy.Hold(direction, match))
+		b.holds = append(b.holds, proxy.Hold(direction, match))
 	}
-	return reach
+	return b
 }
 
 // recordRequestID takes the request's ID from its first ticket.
--- a/testbed/matrix/client_request.go
+++ b/testbed/matrix/client_request.go
@@ -38,7 +38,7 @@
 	key         string
 	customer    string
 	tokens      int
-	unstreamed  bool // not streamed
+	unstreamed  bool
 	probe       bool
 	maxDuration time.Duration // longest allowed duration, see history.Call
 }
--- a/testbed/matrix/lease.go
+++ b/testbed/matrix/lease.go
@@ -54,7 +54,7 @@
 // fencingRow holds the fields of a lease's or an order's row that are read here.
 type fencingRow struct {
 	Holder       string `json:"holder"`
-	FencingToken uint64 `json:"fence"` // fencing token
+	FencingToken uint64 `json:"fence"`
 }
 
 // runLeaseCell runs a cell whose subject is a lease.
--- a/testbed/matrix/request.go
+++ b/testbed/matrix/request.go
@@ -27,8 +27,8 @@
 			return err
 		}
 	}
-	reach := h.setBreakpoint(c.Step, string(c.Subject))
-	defer reach.release()
+	b := h.setBreakpoint(c.Step, string(c.Subject))
+	defer b.release()
 	subject := clientRequest{class: string(c.Subject), marker: h.newMarker(string(c.Subject)), tokens: subjectTokens, customer: customerLarge}
 	if c.Subject == SubjectDocket {
 		subject.key = uuid.NewString()
@@ -36,10 +36,10 @@
 	done := make(chan history.Call, 1)
 	go func() { done <- h.call(ctx, subject, loc.entry) }()
 	var err error
-	if loc.agent, err = h.awaitStep(ctx, c.Step, reach, done); err != nil {
+	if loc.agent, err = h.awaitStep(ctx, c.Step, b, done); err != nil {
 		return err
 	}
-	call, err := h.injectAtStep(ctx, c, loc, reach, done)
+	call, err := h.injectAtStep(ctx, c, loc, b, done)
 	if err != nil {
 		return err
 	}
--- a/testbed/matrix/saturate.go
+++ b/testbed/matrix/saturate.go
@@ -42,7 +42,7 @@
 		cancel()
 	}
 	if !h.allAgentsWaiting() {
-		return errors.Errorf("the engines took all of %d requests without a waiting ticket at every agent", maxFillers)
+		return errors.Errorf("not every agent has waiting tickets after %d requests", maxFillers)
 	}
 	return nil
 }
--- a/testbed/matrix/service.go
+++ b/testbed/matrix/service.go
@@ -62,16 +62,16 @@
 		return err
 	}
 	loc := location{harness: h, entry: h.pickEntry(int(c.Seed))}
-	reach := h.setBreakpoint(c.Step, classService)
-	defer reach.release()
+	b := h.setBreakpoint(c.Step, classService)
+	defer b.release()
 	marker, key := h.newMarker(classService), uuid.NewString()
 	done := make(chan history.Call, 1)
 	go func() { done <- h.callService(ctx, marker, key, loc.entry) }()
 	var err error
-	if loc.agent, err = h.awaitServiceStep(ctx, c.Step, marker, reach, done); err != nil {
+	if loc.agent, err = h.awaitServiceStep(ctx, c.Step, marker, b, done); err != nil {
 		return err
 	}
-	call, err := h.injectAtStep(ctx, c, loc, reach, done)
+	call, err := h.injectAtStep(ctx, c, loc, b, done)
 	if err != nil {
 		return err
 	}
--- a/testbed/matrix/targets.go
+++ b/testbed/matrix/targets.go
@@ -150,6 +150,7 @@
 // an unknown outcome it reads the targets again and retries until its change is
 // accepted, through the entries in turn. It returns nil also if nothing was
 // accepted within operatorTimeout, as during an outage; no change is recorded then.
+// A 400 response is returned as an error.
 func (h *harness) changeClass(ctx context.Context, class string, operator int, entry *fleet.Entry) error {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
