--- a/testbed/platform/bench_test.go
+++ b/testbed/platform/bench_test.go
@@ -13,10 +13,10 @@
 	standin "github.com/applepier/applepier/testbed/platform"
 )
 
-// targetVMs is the VM list at the target size: 410 entries and 1,200 engines.
+// targetVMs is the length of the VM list at the target size: 410 entries and 1,200 engines.
 const targetVMs = 1610
 
-// countingListener counts the bytes of its connections, both ways.
+// countingListener counts the bytes read and written on its connections.
 type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
@@ -44,19 +44,18 @@
 	return n, err
 }
 
-// BenchmarkVMListRead is a reader's call for a list that stays as it was;
-// wire-B are its bytes both ways, headers included, and the times those of
-// both sides.
+// BenchmarkVMListRead measures reading an unchanged VM list. wire-B is the number
+// of bytes in both directions, headers included; times cover client and server.
 func BenchmarkVMListRead(b *testing.B) {
 	web := httptest.NewUnstartedServer(standin.New())
 	counter := &countingListener{Listener: web.Listener}
 	web.Listener = counter
 	web.Start()
 	b.Cleanup(web.Close)
-	f := &fixture{t: b, web: web}
+	f := &fixture{t: b, httpServer: web}
 	for i := range targetVMs {
 		name := fmt.Sprintf("/vms/backend-%04d", i)
-		f.admin(http.MethodPut, name, fmt.Sprintf(`{"addr":"10.0.%d.%d:8090","zone":"zone-%02d","role":"backend","serves":"model-%02d"}`, i/256, i%256, i%12, i%12))
+		f.sendControl(http.MethodPut, name, fmt.Sprintf(`{"addr":"10.0.%d.%d:8090","zone":"zone-%02d","role":"backend","serves":"model-%02d"}`, i/256, i%256, i%12, i%12))
 	}
 	client := storage.NewHTTP(web.URL)
 	read := func() {
--- a/testbed/platform/faults.go
+++ b/testbed/platform/faults.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// writeFunc applies a write and returns its status.
+// writeFunc applies a write and returns the HTTP status.
 type writeFunc func(body []byte, r *http.Request) int
 
-// read puts the faults and limits in front of a call that changes nothing.
-func (s *Server) read(next http.HandlerFunc) http.HandlerFunc {
+// limitRead wraps a read request with the configured faults and rate limits.
+func (s *Server) limitRead(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !s.admit(w, false) {
 			return
@@ -18,8 +18,8 @@
 	}
 }
 
-// write puts the faults and limits in front of a write.
-func (s *Server) write(apply writeFunc) http.HandlerFunc {
+// limitWrite wraps a write request with the configured faults and rate limits.
+func (s *Server) limitWrite(apply writeFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := readBody(r)
 		if err != nil {
@@ -30,15 +30,15 @@
 			return
 		}
 		status := apply(body, r)
-		if s.takeLoss() {
+		if s.takeDroppedResponse() {
 			panic(http.ErrAbortHandler)
 		}
 		w.WriteHeader(status)
 	}
 }
 
-// admit waits as long as the platform is slow and answers calls that it does
-// not take.
+// admit applies the configured delay and reports whether the request may go on.
+// If not, it has sent the error response.
 func (s *Server) admit(w http.ResponseWriter, isWrite bool) bool {
 	k := s.knobs.Get()
 	if k.SlowMS > 0 {
@@ -49,22 +49,22 @@
 		http.Error(w, "platform is down", http.StatusServiceUnavailable)
 		return false
 	}
-	if !s.takeCall(isWrite, k) {
-		http.Error(w, "too many calls", http.StatusServiceUnavailable)
+	if !s.countRequest(isWrite, k) {
+		http.Error(w, "too many requests", http.StatusServiceUnavailable)
 		return false
 	}
 	return true
 }
 
-// takeCall counts a call against the limits.
-func (s *Server) takeCall(isWrite bool, k Knobs) bool {
+// countRequest counts a request and reports whether it is within the rate limit.
+func (s *Server) countRequest(isWrite bool, k Knobs) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	calls, limit, counter := &s.reads, k.ReadsPerSecond, &s.stats.Reads
+	limiter, limit, counter := &s.reads, k.ReadsPerSecond, &s.stats.Reads
 	if isWrite {
-		calls, limit, counter = &s.writes, k.WritesPerSecond, &s.stats.Writes
+		limiter, limit, counter = &s.writes, k.WritesPerSecond, &s.stats.Writes
 	}
-	if !calls.take(time.Now(), limit) {
+	if !limiter.allow(time.Now(), limit) {
 		s.stats.Throttled++
 		return false
 	}
@@ -72,8 +72,8 @@
 	return true
 }
 
-// takeLoss reports whether this write's answer is to be lost.
-func (s *Server) takeLoss() bool {
+// takeDroppedResponse reports whether to drop this write's response, and counts the drop.
+func (s *Server) takeDroppedResponse() bool {
 	lose := false
 	s.knobs.Update(func(k *Knobs) {
 		if k.LoseAnswers > 0 {
@@ -82,7 +82,7 @@
 		}
 	})
 	if lose {
-		s.count(func(stats *Stats) { stats.Lost++ })
+		s.updateStats(func(stats *Stats) { stats.Lost++ })
 	}
 	return lose
 }
--- a/testbed/platform/knobs.go
+++ b/testbed/platform/knobs.go
@@ -1,22 +1,22 @@
 package platform
 
-// Knobs are the faults that a test turns on while the stand-in runs.
+// Knobs holds the faults and limits that a test can change while the stand-in runs.
 type Knobs struct {
-	// Down answers every call with "service unavailable".
+	// Down makes every request fail with status 503.
 	Down bool `json:"down"`
-	// ListDown does so for the VM list only.
+	// ListDown makes reads of the VM list fail with status 503.
 	ListDown bool `json:"list_down"`
-	// SlowMS delays every call by this many milliseconds before it takes
-	// effect, also when its client has given up by then.
+	// SlowMS delays every request by this many milliseconds before it takes
+	// effect, even if the client has disconnected by then.
 	SlowMS int `json:"slow_ms"`
-	// LoseAnswers is how many of the next writes take effect while their
-	// connection is cut without an answer.
+	// DropResponses is the number of upcoming writes that take effect but whose
+	// connection is closed without a response.
 	LoseAnswers int `json:"lose_answers"`
-	// ListLagMS is how many milliseconds pass before a change of the VM list
-	// is seen.
+	// ListLagMS is the delay in milliseconds before readers see a change of the
+	// VM list.
 	ListLagMS int `json:"list_lag_ms"`
-	// WritesPerSecond and ReadsPerSecond bound the calls taken; calls above
-	// them are answered with "service unavailable".
+	// WritesPerSecond and ReadsPerSecond are rate limits; requests above them
+	// fail with status 503.
 	WritesPerSecond int `json:"writes_per_second"`
 	ReadsPerSecond  int `json:"reads_per_second"`
 }
--- a/testbed/platform/limiter.go
+++ b/testbed/platform/limiter.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// limiter counts calls in windows of a second.
+// limiter is a rate limiter with fixed windows of one second.
 type limiter struct {
 	window time.Time
-	used   int
+	count  int
 }
 
-// take reports whether one more call fits into the second of now.
-func (l *limiter) take(now time.Time, limit int) bool {
+// allow counts one request and reports whether it fits within the current window's limit.
+func (l *limiter) allow(now time.Time, limit int) bool {
 	window := now.Truncate(time.Second)
 	if !window.Equal(l.window) {
 		l.window = window
-		l.used = 0
+		l.count = 0
 	}
-	if l.used >= limit {
+	if l.count >= limit {
 		return false
 	}
-	l.used++
+	l.count++
 	return true
 }
--- a/testbed/platform/server.go
+++ b/testbed/platform/server.go
@@ -1,6 +1,6 @@
-// Package platform is a stand-in of the platform in one process's memory: a
-// transactional table, an object store and a list of VMs, with faults that a
-// test turns on. Start reading at Server.
+// Package platform is an in-memory stand-in for the platform: a transactional
+// table, an object store and a VM list, with faults that a test can switch on.
+// Server is the main type.
 package platform
 
 import (
@@ -17,22 +17,22 @@
 )
 
 const (
-	// defaultWrites and defaultReads are what the platform is said to take
-	// a second: "several hundred" and "about two thousand".
-	defaultWrites = 400
-	defaultReads  = 2000
-	// maxBody bounds a request, in bytes.
-	maxBody = 64 << 20
+	// defaultWritesPerSecond and defaultReadsPerSecond are the default
+	// rate limits. The platform's stated rates are "several hundred" writes and "about two thousand" reads.
+	defaultWritesPerSecond = 400
+	defaultReadsPerSecond  = 2000
+	// maxBodyBytes is the maximum request body size in bytes.
+	maxBodyBytes = 64 << 20
 )
 
-// Server is the stand-in; it implements http.Handler.
+// Server is the stand-in platform; it implements http.Handler.
 type Server struct {
 	router http.Handler
 	knobs  knobs.Box[Knobs]
 	table  table
 	vms    vmList
 
-	// mu guards what follows; it is never held together with another lock.
+	// mu guards the fields below; it is never held together with another lock.
 	mu      sync.Mutex
 	objects map[string][]byte
 	stats   Stats
@@ -44,10 +44,10 @@
 func New() *Server {
 	s := &Server{objects: map[string][]byte{}}
 	s.table.rows = map[string]storage.Row{}
-	s.vms.now = map[string]storage.VM{}
+	s.vms.current = map[string]storage.VM{}
 	s.knobs.Update(func(k *Knobs) {
-		k.WritesPerSecond = defaultWrites
-		k.ReadsPerSecond = defaultReads
+		k.WritesPerSecond = defaultWritesPerSecond
+		k.ReadsPerSecond = defaultReadsPerSecond
 	})
 	s.router = s.routes()
 	return s
@@ -55,11 +55,11 @@
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	r.Body = http.MaxBytesReader(w, r.Body, maxBody)
+	r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
 	s.router.ServeHTTP(w, r)
 }
 
-// Stats returns the counts so far.
+// Stats returns the request counters.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,12 +70,12 @@
 	router := httprouter.New()
 	router.RedirectTrailingSlash = false
 	router.RedirectFixedPath = false
-	router.HandlerFunc(http.MethodGet, "/table/row", s.read(s.getRow))
-	router.HandlerFunc(http.MethodGet, "/table/rows", s.read(s.listRows))
-	router.HandlerFunc(http.MethodPost, "/table/commit", s.write(s.commit))
-	router.HandlerFunc(http.MethodGet, "/objects/*key", s.read(s.getObject))
-	router.HandlerFunc(http.MethodPut, "/objects/*key", s.write(s.putObject))
-	router.HandlerFunc(http.MethodGet, "/vms", s.read(s.listVMs))
+	router.HandlerFunc(http.MethodGet, "/table/row", s.limitRead(s.getRow))
+	router.HandlerFunc(http.MethodGet, "/table/rows", s.limitRead(s.listRows))
+	router.HandlerFunc(http.MethodPost, "/table/commit", s.limitWrite(s.commit))
+	router.HandlerFunc(http.MethodGet, "/objects/*key", s.limitRead(s.getObject))
+	router.HandlerFunc(http.MethodPut, "/objects/*key", s.limitWrite(s.putObject))
+	router.HandlerFunc(http.MethodGet, "/vms", s.limitRead(s.listVMs))
 	router.PUT("/vms/:name", s.putVM)
 	router.DELETE("/vms/:name", s.deleteVM)
 	router.POST("/vms/:name/leaving", s.markLeaving)
@@ -104,10 +104,10 @@
 		return http.StatusBadRequest
 	}
 	if !s.table.commit(tx.Writes) {
-		s.count(func(stats *Stats) { stats.Conflicts++ })
+		s.updateStats(func(stats *Stats) { stats.Conflicts++ })
 		return http.StatusConflict
 	}
-	s.count(func(stats *Stats) { stats.Rows += len(tx.Writes) })
+	s.updateStats(func(stats *Stats) { stats.Rows += len(tx.Writes) })
 	return http.StatusNoContent
 }
 
@@ -129,22 +129,22 @@
 	return http.StatusNoContent
 }
 
-// listVMs answers with the list, or with 304 to a reader that has it.
+// listVMs writes the VM list, or status 304 if the request's ETag is current.
 func (s *Server) listVMs(w http.ResponseWriter, r *http.Request) {
 	k := s.knobs.Get()
 	if k.ListDown {
 		http.Error(w, "VM list is down", http.StatusServiceUnavailable)
 		return
 	}
-	lag := time.Duration(k.ListLagMS) * time.Millisecond
-	seen := s.vms.asOf(time.Now().Add(-lag))
-	etag := seen.etag()
+	delay := time.Duration(k.ListLagMS) * time.Millisecond
+	version := s.vms.asOf(time.Now().Add(-delay))
+	etag := version.etag()
 	w.Header().Set("ETag", etag)
 	if r.Header.Get("If-None-Match") == etag {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
-	knobs.WriteJSON(w, seen.vms)
+	knobs.WriteJSON(w, version.vms)
 }
 
 func (s *Server) putVM(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
@@ -175,14 +175,14 @@
 	knobs.WriteJSON(w, s.Stats())
 }
 
-func (s *Server) count(change func(*Stats)) {
+func (s *Server) updateStats(change func(*Stats)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&s.stats)
 }
 
-// readBody reads a whole request body before it takes effect, so that a
-// request that was cut on its way does nothing.
+// readBody reads the whole request body. Writes take effect only afterwards, so
+// a request whose connection breaks midway has no effect.
 func readBody(r *http.Request) ([]byte, error) {
 	return io.ReadAll(r.Body)
 }
--- a/testbed/platform/server_test.go
+++ b/testbed/platform/server_test.go
@@ -17,10 +17,10 @@
 )
 
 type fixture struct {
-	t      testing.TB
-	server *standin.Server
-	web    *httptest.Server
-	client *storage.HTTP
+	t          testing.TB
+	server     *standin.Server
+	httpServer *httptest.Server
+	client     *storage.HTTP
 }
 
 func newFixture(t *testing.T) *fixture {
@@ -28,13 +28,13 @@
 	server := standin.New()
 	web := httptest.NewServer(server)
 	t.Cleanup(web.Close)
-	return &fixture{t: t, server: server, web: web, client: storage.NewHTTP(web.URL)}
+	return &fixture{t: t, server: server, httpServer: web, client: storage.NewHTTP(web.URL)}
 }
 
-// admin makes a call that only tests make.
-func (f *fixture) admin(method, path, body string) {
+// sendControl sends a request to a test-only endpoint or to the VM list and requires success.
+func (f *fixture) sendControl(method, path, body string) {
 	f.t.Helper()
-	req, err := http.NewRequest(method, f.web.URL+path, strings.NewReader(body))
+	req, err := http.NewRequest(method, f.httpServer.URL+path, strings.NewReader(body))
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -49,48 +49,48 @@
 	}
 }
 
-func (f *fixture) want(err, want error) {
+func (f *fixture) wantError(err, want error) {
 	f.t.Helper()
 	if !errors.Is(err, want) {
 		f.t.Fatalf("got %v, want %v", err, want)
 	}
 }
 
-func put(key, value string, expect uint64) storage.Write {
+func putWrite(key, value string, expect uint64) storage.Write {
 	return storage.Write{Key: key, Value: []byte(value), Expect: expect}
 }
 
 func TestCommitIsAllOrNothing(t *testing.T) {
 	f := newFixture(t)
 	ctx := context.Background()
-	f.want(f.client.Commit(ctx, []storage.Write{put("a/1", "x", 0), put("a/2", "y", 0), put("b", "z", 0)}), nil)
-	f.want(f.client.Commit(ctx, []storage.Write{put("a/1", "new", 1), put("a/2", "new", 7)}), storage.ErrConflict)
+	f.wantError(f.client.Commit(ctx, []storage.Write{putWrite("a/1", "x", 0), putWrite("a/2", "y", 0), putWrite("b", "z", 0)}), nil)
+	f.wantError(f.client.Commit(ctx, []storage.Write{putWrite("a/1", "new", 1), putWrite("a/2", "new", 7)}), storage.ErrConflict)
 	rows, err := f.client.List(ctx, "a/")
-	f.want(err, nil)
+	f.wantError(err, nil)
 	if len(rows) != 2 || string(rows[0].Value) != "x" || rows[1].Key != "a/2" || rows[1].Version != 1 {
 		t.Fatalf("rows: %+v", rows)
 	}
-	f.want(f.client.Commit(ctx, []storage.Write{put("a/1", "new", 1), {Key: "a/2", Expect: storage.AnyVersion, Delete: true}}), nil)
+	f.wantError(f.client.Commit(ctx, []storage.Write{putWrite("a/1", "new", 1), {Key: "a/2", Expect: storage.AnyVersion, Delete: true}}), nil)
 	row, err := f.client.Get(ctx, "a/1")
-	f.want(err, nil)
+	f.wantError(err, nil)
 	if string(row.Value) != "new" || row.Version != 2 {
 		t.Errorf("row: %+v", row)
 	}
 	_, err = f.client.Get(ctx, "a/2")
-	f.want(err, storage.ErrNotFound)
+	f.wantError(err, storage.ErrNotFound)
 }
 
-func TestLostAnswerLeavesTheWrite(t *testing.T) {
+func TestDroppedResponseKeepsWrite(t *testing.T) {
 	f := newFixture(t)
 	ctx := context.Background()
-	f.admin(http.MethodPut, "/knobs", `{"lose_answers":1}`)
-	f.want(f.client.Commit(ctx, []storage.Write{put("a", "x", 0)}), storage.ErrOutcomeUnknown)
+	f.sendControl(http.MethodPut, "/knobs", `{"lose_answers":1}`)
+	f.wantError(f.client.Commit(ctx, []storage.Write{putWrite("a", "x", 0)}), storage.ErrOutcomeUnknown)
 	row, err := f.client.Get(ctx, "a")
-	f.want(err, nil)
+	f.wantError(err, nil)
 	if row.Version != 1 {
 		t.Errorf("version: got %d, want 1: the write was sent more than once", row.Version)
 	}
-	f.want(f.client.Commit(ctx, []storage.Write{put("a", "y", 1)}), nil)
+	f.wantError(f.client.Commit(ctx, []storage.Write{putWrite("a", "y", 1)}), nil)
 	stats := f.server.Stats()
 	if stats.Writes != 2 || stats.Rows != 2 || stats.Lost != 1 || stats.Reads != 1 {
 		t.Errorf("stats: %+v", stats)
@@ -100,53 +100,53 @@
 func TestOutage(t *testing.T) {
 	f := newFixture(t)
 	ctx := context.Background()
-	f.want(f.client.PutObject(ctx, "w/ 1?", []byte("v")), nil)
+	f.wantError(f.client.PutObject(ctx, "w/ 1?", []byte("v")), nil)
 	value, err := f.client.GetObject(ctx, "w/ 1?")
-	f.want(err, nil)
+	f.wantError(err, nil)
 	if string(value) != "v" {
 		t.Errorf("object: %q", value)
 	}
 	_, err = f.client.GetObject(ctx, "w/2")
-	f.want(err, storage.ErrNotFound)
-	f.admin(http.MethodPut, "/knobs", `{"down":true}`)
+	f.wantError(err, storage.ErrNotFound)
+	f.sendControl(http.MethodPut, "/knobs", `{"down":true}`)
 	_, err = f.client.GetObject(ctx, "w/ 1?")
-	f.want(err, storage.ErrUnavailable)
-	f.want(f.client.Commit(ctx, []storage.Write{put("a", "x", 0)}), storage.ErrUnavailable)
+	f.wantError(err, storage.ErrUnavailable)
+	f.wantError(f.client.Commit(ctx, []storage.Write{putWrite("a", "x", 0)}), storage.ErrUnavailable)
 	_, err = f.client.VMs(ctx)
-	f.want(err, storage.ErrUnavailable)
-	f.web.Close()
-	f.want(f.client.Commit(ctx, []storage.Write{put("a", "x", 0)}), storage.ErrUnavailable)
+	f.wantError(err, storage.ErrUnavailable)
+	f.httpServer.Close()
+	f.wantError(f.client.Commit(ctx, []storage.Write{putWrite("a", "x", 0)}), storage.ErrUnavailable)
 }
 
-func TestSlowWriteLandsAfterItsClientGaveUp(t *testing.T) {
+func TestDelayedWriteTakesEffectAfterClientTimeout(t *testing.T) {
 	f := newFixture(t)
-	f.admin(http.MethodPut, "/knobs", `{"slow_ms":200}`)
+	f.sendControl(http.MethodPut, "/knobs", `{"slow_ms":200}`)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	err := f.client.Commit(ctx, []storage.Write{put("a", "x", 0)})
+	err := f.client.Commit(ctx, []storage.Write{putWrite("a", "x", 0)})
 	if !errors.Is(err, storage.ErrOutcomeUnknown) && !errors.Is(err, storage.ErrUnavailable) {
 		t.Fatalf("got %v, want ErrOutcomeUnknown, or ErrUnavailable when no connection was made in time", err)
 	}
 	if errors.Is(err, storage.ErrUnavailable) {
 		return
 	}
-	f.admin(http.MethodPut, "/knobs", `{"slow_ms":0}`)
+	f.sendControl(http.MethodPut, "/knobs", `{"slow_ms":0}`)
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		if _, err := f.client.Get(context.Background(), "a"); err == nil {
 			return
 		}
 	}
-	t.Fatal("the write never landed")
+	t.Fatal("the write did not take effect")
 }
 
-func TestVMListLags(t *testing.T) {
+func TestVMListDelay(t *testing.T) {
 	f := newFixture(t)
 	ctx := context.Background()
-	f.admin(http.MethodPut, "/vms/e1", `{"addr":"127.0.0.1:1","zone":"malaga","role":"entry"}`)
-	f.admin(http.MethodPut, "/vms/b1", `{"addr":"127.0.0.1:2","zone":"kewdale","role":"backend","serves":"m"}`)
+	f.sendControl(http.MethodPut, "/vms/e1", `{"addr":"127.0.0.1:1","zone":"malaga","role":"entry"}`)
+	f.sendControl(http.MethodPut, "/vms/b1", `{"addr":"127.0.0.1:2","zone":"kewdale","role":"backend","serves":"m"}`)
 	names := func() []string {
 		vms, err := f.client.VMs(ctx)
-		f.want(err, nil)
+		f.wantError(err, nil)
 		var names []string
 		for _, vm := range vms {
 			if vm.Leaving {
@@ -159,22 +159,22 @@
 	if got := names(); !slices.Equal(got, []string{"b1", "e1"}) {
 		t.Fatalf("list: %v", got)
 	}
-	f.admin(http.MethodPut, "/knobs", `{"list_lag_ms":3600000}`)
-	f.admin(http.MethodPost, "/vms/b1/leaving", "")
-	f.admin(http.MethodDelete, "/vms/e1", "")
+	f.sendControl(http.MethodPut, "/knobs", `{"list_lag_ms":3600000}`)
+	f.sendControl(http.MethodPost, "/vms/b1/leaving", "")
+	f.sendControl(http.MethodDelete, "/vms/e1", "")
 	if got := names(); len(got) != 0 {
-		t.Fatalf("list of an hour ago: %v", got)
+		t.Fatalf("list one hour ago: %v", got)
 	}
-	f.admin(http.MethodPut, "/knobs", `{"list_lag_ms":0}`)
+	f.sendControl(http.MethodPut, "/knobs", `{"list_lag_ms":0}`)
 	if got := names(); !slices.Equal(got, []string{"b1 leaving"}) {
-		t.Fatalf("list of now: %v", got)
+		t.Fatalf("current list: %v", got)
 	}
 }
 
-func TestCallsAboveTheLimitAreRefused(t *testing.T) {
+func TestRequestsAboveRateLimitAreRejected(t *testing.T) {
 	f := newFixture(t)
-	f.admin(http.MethodPut, "/knobs", `{"writes_per_second":0}`)
-	f.want(f.client.Commit(context.Background(), []storage.Write{put("a", "x", 0)}), storage.ErrUnavailable)
+	f.sendControl(http.MethodPut, "/knobs", `{"writes_per_second":0}`)
+	f.wantError(f.client.Commit(context.Background(), []storage.Write{putWrite("a", "x", 0)}), storage.ErrUnavailable)
 	if stats := f.server.Stats(); stats.Throttled != 1 || stats.Writes != 0 {
 		t.Errorf("stats: %+v", stats)
 	}
--- a/testbed/platform/stats.go
+++ b/testbed/platform/stats.go
@@ -1,16 +1,16 @@
 package platform
 
-// Stats counts the calls that the stand-in has taken.
+// Stats holds the stand-in's request counters.
 type Stats struct {
-	// Reads and Writes count calls; a commit of several rows is one write.
+	// Reads and Writes count admitted requests; a commit of several rows is one write.
 	Reads  int `json:"reads"`
 	Writes int `json:"writes"`
-	// Rows counts the rows that commits have written.
+	// RowsWritten counts the rows written by commits.
 	Rows int `json:"rows"`
-	// Conflicts counts commits that were refused for a row's version.
+	// Conflicts counts commits rejected because of a row's version.
 	Conflicts int `json:"conflicts"`
-	// Throttled counts calls above the limits.
+	// Throttled counts requests rejected by the rate limits.
 	Throttled int `json:"throttled"`
-	// Lost counts writes whose answer was lost on purpose.
+	// DroppedResponses counts writes whose response was dropped by Knobs.DropResponses.
 	Lost int `json:"lost"`
 }
--- a/testbed/platform/table.go
+++ b/testbed/platform/table.go
@@ -8,7 +8,7 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// table keeps rows in memory.
+// table is an in-memory table of versioned rows.
 type table struct {
 	mu   sync.Mutex
 	rows map[string]storage.Row
@@ -34,7 +34,8 @@
 	return rows
 }
 
-// commit applies all writes or none and reports which it was.
+// commit applies all writes atomically. It returns false and applies none if a
+// row's version isn't the expected one.
 func (t *table) commit(writes []storage.Write) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/testbed/platform/vmlist.go
+++ b/testbed/platform/vmlist.go
@@ -11,73 +11,73 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// vmList keeps who is there, with its history, since readers see it late.
+// vmList holds the VM list and its history, from which delayed reads are served.
 type vmList struct {
 	mu sync.Mutex
-	// now holds the list as it is; history what was there from when on.
-	now     map[string]storage.VM
-	history []vmChange
+	// current holds the current list by VM name; history holds every version in order.
+	current map[string]storage.VM
+	history []vmListVersion
 }
 
-// vmChange is the whole list from a moment on.
-type vmChange struct {
-	at time.Time
-	// number is that of the change in the history; the first is 1.
+// vmListVersion is one version of the whole list, valid from since on.
+type vmListVersion struct {
+	since time.Time
+	// number is the version's position in the history, starting at 1.
 	number int
 	vms    []storage.VM
 }
 
-// etag names the list's state. It starts with the moment of the change, so
-// that a stand-in that was started anew gives no tag a second time.
-func (c vmChange) etag() string {
-	return fmt.Sprintf(`"%x-%d"`, c.at.UnixNano(), c.number)
+// etag returns the version's ETag. It includes the time of the change, so that
+// a restarted stand-in doesn't reuse a tag.
+func (c vmListVersion) etag() string {
+	return fmt.Sprintf(`"%x-%d"`, c.since.UnixNano(), c.number)
 }
 
-// put adds or replaces a VM.
+// put adds a VM or replaces the one of the same name.
 func (l *vmList) put(vm storage.VM, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.now[vm.Name] = vm
-	l.note(at)
+	l.current[vm.Name] = vm
+	l.appendVersion(at)
 }
 
-// remove takes a VM off the list.
+// remove removes a VM from the list.
 func (l *vmList) remove(name string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.now, name)
-	l.note(at)
+	delete(l.current, name)
+	l.appendVersion(at)
 }
 
-// markLeaving marks a VM as leaving and reports whether it is there.
+// markLeaving marks a VM as leaving and reports whether it is listed.
 func (l *vmList) markLeaving(name string, at time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	vm, ok := l.now[name]
+	vm, ok := l.current[name]
 	if !ok {
 		return false
 	}
 	vm.Leaving = true
-	l.now[name] = vm
-	l.note(at)
+	l.current[name] = vm
+	l.appendVersion(at)
 	return true
 }
 
-// asOf returns the list as it was at a moment.
-func (l *vmList) asOf(at time.Time) vmChange {
+// asOf returns the version of the list at a point in time.
+func (l *vmList) asOf(at time.Time) vmListVersion {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, change := range slices.Backward(l.history) {
-		if !change.at.After(at) {
-			return change
+	for _, version := range slices.Backward(l.history) {
+		if !version.since.After(at) {
+			return version
 		}
 	}
-	return vmChange{vms: []storage.VM{}}
+	return vmListVersion{vms: []storage.VM{}}
 }
 
-func (l *vmList) note(at time.Time) {
-	vms := slices.SortedFunc(maps.Values(l.now), func(a, b storage.VM) int {
+func (l *vmList) appendVersion(at time.Time) {
+	vms := slices.SortedFunc(maps.Values(l.current), func(a, b storage.VM) int {
 		return strings.Compare(a.Name, b.Name)
 	})
-	l.history = append(l.history, vmChange{at: at, number: len(l.history) + 1, vms: vms})
+	l.history = append(l.history, vmListVersion{since: at, number: len(l.history) + 1, vms: vms})
 }
