--- a/testbed/rowstore/calls.go
+++ b/testbed/rowstore/calls.go
@@ -9,88 +9,89 @@
 	"time"
 )
 
-// pageRows is how many rows a read returns at most.
-const pageRows = 500
+// maxPageRows is the maximum number of rows that a read returns.
+const maxPageRows = 500
 
-// answer is the body of all answers about rows.
-type answer struct {
+// response is the body of all JSON responses.
+type response struct {
 	Rows    []Row  `json:"rows"`
-	More    bool   `json:"has-more"`
+	HasMore bool   `json:"has-more"`
 	Version uint64 `json:"vsn"`
 	NowMS   int64  `json:"now-ms"`
 }
 
-func write(w http.ResponseWriter, status int, a answer) {
+func writeResponse(w http.ResponseWriter, status int, a response) {
 	w.Header().Set("Content-Type", "application/json")
 	a.NowMS = nowMS()
 	w.WriteHeader(status)
-	// A caller that has left needs no answer.
+	// An encoding error means that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(a)
 }
 
-// get answers a read of a table's part.
+// get serves a read of one partition of a table.
 func (s *Store) get(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	limit, err := strconv.Atoi(q.Get("limit"))
-	if err != nil || limit <= 0 || limit > pageRows {
-		limit = pageRows
+	query := r.URL.Query()
+	limit, err := strconv.Atoi(query.Get("limit"))
+	if err != nil || limit <= 0 || limit > maxPageRows {
+		limit = maxPageRows
 	}
 	s.mu.Lock()
-	s.reads[q.Get("table")]++
-	out := answer{Version: s.version}
-	for _, row := range s.table(q.Get("table")) {
-		if row.Part == q.Get("part") && row.Key >= q.Get("from") && (q.Get("to") == "" || row.Key < q.Get("to")) {
-			out.Rows = append(out.Rows, row)
+	s.readCount[query.Get("table")]++
+	page := response{Version: s.version}
+	for _, row := range s.tableRows(query.Get("table")) {
+		if row.Partition == query.Get("part") && row.Key >= query.Get("from") && (query.Get("to") == "" || row.Key < query.Get("to")) {
+			page.Rows = append(page.Rows, row)
 		}
 	}
 	s.mu.Unlock()
-	slices.SortFunc(out.Rows, func(a, b Row) int { return cmp.Compare(a.Key, b.Key) })
-	if len(out.Rows) > limit {
-		out.Rows, out.More = out.Rows[:limit], true
+	slices.SortFunc(page.Rows, func(a, b Row) int { return cmp.Compare(a.Key, b.Key) })
+	if len(page.Rows) > limit {
+		page.Rows, page.HasMore = page.Rows[:limit], true
 	}
-	write(w, http.StatusOK, out)
+	writeResponse(w, http.StatusOK, page)
 }
 
-// feed waits for a table's changes.
+// feed serves a long poll for a table's changes. Status 410 means that the changes
+// after the requested version are no longer, or not yet, known.
 func (s *Store) feed(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	after, err := strconv.ParseUint(q.Get("since-rev"), 10, 64)
-	wait, waitErr := strconv.Atoi(q.Get("wait-ms"))
+	query := r.URL.Query()
+	after, err := strconv.ParseUint(query.Get("since-rev"), 10, 64)
+	wait, waitErr := strconv.Atoi(query.Get("wait-ms"))
 	if err != nil || waitErr != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	over := time.NewTimer(time.Duration(wait) * time.Millisecond)
-	defer over.Stop()
+	timeout := time.NewTimer(time.Duration(wait) * time.Millisecond)
+	defer timeout.Stop()
 	for waiting := true; ; {
-		out, changed, gone := s.news(q.Get("table"), after)
+		out, changed, gone := s.changesSince(query.Get("table"), after)
 		if gone {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
 		if len(out.Rows) > 0 || !waiting {
-			write(w, http.StatusOK, out)
+			writeResponse(w, http.StatusOK, out)
 			return
 		}
 		select {
 		case <-changed:
-		case <-over.C:
+		case <-timeout.C:
 			waiting = false
 		case <-r.Context().Done():
 			return
 		}
-		if !s.admitted() {
+		if !s.feedsRespond() {
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
-// news returns what changed in a table, a channel that is closed at the next
-// change, and whether the history is gone.
-func (s *Store) news(table string, after uint64) (out answer, changed <-chan struct{}, gone bool) {
+// changesSince returns a table's changes after a version, a channel that is closed at the
+// next change, and whether the version is outside the kept history.
+func (s *Store) changesSince(table string, after uint64) (out response, changed <-chan struct{}, gone bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if after < s.since || after > s.version {
+	if after < s.historyStart || after > s.version {
 		return out, nil, true
 	}
 	out.Version = s.version
@@ -98,18 +99,19 @@
 		out.Version = after
 		return out, s.changed, false
 	}
-	out.Rows = s.changes(table, after)
+	out.Rows = s.historyAfter(table, after)
 	return out, s.changed, false
 }
 
-// admitted reports whether calls that wait are still answered.
-func (s *Store) admitted() bool {
+// feedsRespond reports whether the current fault lets waiting feeds respond.
+func (s *Store) feedsRespond() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fault == Well || s.fault == Mute
 }
 
-// transact applies a transaction: all of it or nothing.
+// transact applies a transaction atomically. It responds with status 412 if a row's
+// version isn't the expected one.
 func (s *Store) transact(w http.ResponseWriter, r *http.Request) {
 	var tx struct {
 		Conditions []Row `json:"expect-rev"`
@@ -122,24 +124,24 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range tx.Conditions {
-		at := uint64(0)
-		if row := s.rows[c.Table+"\x00"+c.Part+"\x00"+c.Key]; row != nil && !row.Removed {
-			at = row.Version
+	for _, condition := range tx.Conditions {
+		version := uint64(0)
+		if row := s.rows[condition.Table+"\x00"+condition.Partition+"\x00"+condition.Key]; row != nil && !row.Removed {
+			version = row.Version
 		}
-		if at != c.Version {
-			write(w, http.StatusPreconditionFailed, answer{Version: s.version})
+		if version != condition.Version {
+			writeResponse(w, http.StatusPreconditionFailed, response{Version: s.version})
 			return
 		}
 	}
 	s.version++
 	for _, row := range tx.Puts {
 		row.Version = s.version
-		s.keep(row)
+		s.storeRow(row)
 	}
 	for _, row := range tx.Deletes {
-		s.keep(Row{Table: row.Table, Part: row.Part, Key: row.Key, Version: s.version, Removed: true})
+		s.storeRow(Row{Table: row.Table, Partition: row.Partition, Key: row.Key, Version: s.version, Removed: true})
 	}
-	s.wake()
-	write(w, http.StatusOK, answer{Version: s.version})
+	s.wakeFeeds()
+	writeResponse(w, http.StatusOK, response{Version: s.version})
 }
--- a/testbed/rowstore/snapshot.go
+++ b/testbed/rowstore/snapshot.go
@@ -5,55 +5,56 @@
 	"slices"
 )
 
-// eraHeader counts how many times the store has come back from an older copy; in all
-// answers.
+// eraHeader is set in every response to the number of times the store was restored
+// from a snapshot.
 const eraHeader = "Store-Era"
 
-// Copy is what a Store held at a moment.
+// Snapshot is the content of a Store at one point in time.
 type Copy struct {
-	version uint64
-	rows    map[string]*Row
-	history []Row
-	since   uint64
+	version      uint64
+	rows         map[string]*Row
+	history      []Row
+	historyStart uint64
 }
 
-// Copy keeps what the store holds now.
+// Snapshot returns a snapshot of the store's current content.
 func (s *Store) Copy() Copy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Copy{version: s.version, rows: maps.Clone(s.rows), history: slices.Clone(s.history), since: s.since}
+	return Copy{version: s.version, rows: maps.Clone(s.rows), history: slices.Clone(s.history), historyStart: s.historyStart}
 }
 
-// Return has the store come back from a copy, in the next era: what was written since is
-// gone, and its versions are given out again.
-func (s *Store) Return(from Copy) {
+// Restore restores the store from a snapshot and starts the next era: later writes are
+// lost, and their versions are assigned again.
+func (s *Store) Return(snapshot Copy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lost, s.lostAt = nil, from.version
+	s.lostRows, s.restoredVersion = nil, snapshot.version
 	for name, row := range s.rows {
-		if before := from.rows[name]; before == nil || before.Version != row.Version {
-			s.lost = append(s.lost, *row)
+		if saved := snapshot.rows[name]; saved == nil || saved.Version != row.Version {
+			s.lostRows = append(s.lostRows, *row)
 		}
 	}
-	s.version, s.rows, s.history, s.since = from.version, maps.Clone(from.rows), slices.Clone(from.history), from.since
+	s.version, s.rows, s.history, s.historyStart = snapshot.version, maps.Clone(snapshot.rows), slices.Clone(snapshot.history), snapshot.historyStart
 	s.era++
-	s.wake()
+	s.wakeFeeds()
 }
 
-// WriteAgain writes the rows of tables again that the last return took away, those that
-// were written meanwhile left out: what operators and servers do some time after it.
+// RewriteLost writes those rows of the given tables again that the last Restore discarded,
+// except rows written since. It simulates operators and servers that repeat their writes
+// some time after a restore.
 func (s *Store) WriteAgain(tables ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, row := range s.lost {
-		now := s.rows[row.Table+"\x00"+row.Part+"\x00"+row.Key]
-		if !slices.Contains(tables, row.Table) || now != nil && now.Version > s.lostAt {
+	for _, row := range s.lostRows {
+		current := s.rows[row.Table+"\x00"+row.Partition+"\x00"+row.Key]
+		if !slices.Contains(tables, row.Table) || current != nil && current.Version > s.restoredVersion {
 			continue
 		}
 		s.version++
 		row.Version = s.version
-		s.keep(row)
+		s.storeRow(row)
 	}
-	s.lost = nil
-	s.wake()
+	s.lostRows = nil
+	s.wakeFeeds()
 }
--- a/testbed/rowstore/snapshot_test.go
+++ b/testbed/rowstore/snapshot_test.go
@@ -7,44 +7,44 @@
 	"testing"
 )
 
-// feedStatus asks for what changed after a version.
+// feedStatus requests the changes after a version and returns the status and era.
 func feedStatus(s *Store, after uint64) (status int, era string) {
-	answer := httptest.NewRecorder()
-	s.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, fmt.Sprintf("/v1/rows-feed?table=t&since-rev=%d&wait-ms=0", after), nil))
-	return answer.Code, answer.Header().Get(eraHeader)
+	recorder := httptest.NewRecorder()
+	s.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, fmt.Sprintf("/v1/rows-feed?table=t&since-rev=%d&wait-ms=0", after), nil))
+	return recorder.Code, recorder.Header().Get(eraHeader)
 }
 
-// What was written after the copy is gone, its versions are given out again, a read from
-// one that there isn't gets 410, and all answers tell the era.
-func TestStoreReturnsFromACopy(t *testing.T) {
+// A restore discards the writes after the snapshot and assigns their versions again. A feed
+// from a version that no longer exists gets 410, and every response carries the era.
+func TestRestoreFromSnapshot(t *testing.T) {
 	s := New()
 	s.Put("t", "kept", nil)
-	older := s.Copy()
+	snapshot := s.Copy()
 	s.Put("t", "kept", []byte("later"))
 	lost := s.Put("t", "lost", nil)
 	if status, era := feedStatus(s, lost); status != http.StatusOK || era != "0" {
-		t.Errorf("status %d in era %q before", status, era)
+		t.Errorf("status %d in era %q before the restore", status, era)
 	}
-	s.Return(older)
+	s.Return(snapshot)
 	if keys := s.Keys("t"); len(keys) != 1 || keys[0] != "kept" {
-		t.Errorf("rows %v after the return", keys)
+		t.Errorf("rows %v after the restore", keys)
 	}
 	if status, era := feedStatus(s, lost); status != http.StatusGone || era != "1" {
-		t.Errorf("status %d in era %q for a version that there isn't", status, era)
+		t.Errorf("status %d in era %q for a version that doesn't exist", status, era)
 	}
 	if again := s.Put("t", "new", nil); again != lost-1 {
-		t.Errorf("version %d is given out, want %d again", again, lost-1)
+		t.Errorf("assigned version %d, want %d again", again, lost-1)
 	}
 	s.Put("t", "newer", nil)
 	if status, _ := feedStatus(s, lost); status != http.StatusOK {
-		t.Errorf("status %d for a version that was given out again", status)
+		t.Errorf("status %d for a version that was assigned again", status)
 	}
 	s.WriteAgain("t")
 	if keys := s.Keys("t"); len(keys) != 4 {
-		t.Errorf("rows %v once those that were lost are written again", keys)
+		t.Errorf("rows %v after the lost rows were written again", keys)
 	}
 	s.SetFault(Busy)
 	if status, era := feedStatus(s, 0); status != http.StatusServiceUnavailable || era != "1" {
-		t.Errorf("status %d, era %q while the store is busy", status, era)
+		t.Errorf("status %d, era %q while the store is unavailable", status, era)
 	}
 }
--- a/testbed/rowstore/store.go
+++ b/testbed/rowstore/store.go
@@ -1,6 +1,6 @@
-// Package rowstore is a stand-in of the platform's metadata store: tables of
-// rows under one counter of versions, with reads, feeds and transactions over
-// HTTP. Its faults are set by method. Start reading at Store.
+// Package rowstore is an in-memory stand-in for the platform's metadata store:
+// tables of rows that share one version counter, with reads, change feeds and
+// transactions over HTTP. Tests inject faults with Store.SetFault.
 package rowstore
 
 import (
@@ -13,70 +13,70 @@
 	"time"
 )
 
-// Row is one row, as it is written on the wire.
+// Row is one version of a row, in its wire format.
 type Row struct {
-	Table   string `json:"table"`
-	Part    string `json:"part"`
-	Key     string `json:"key"`
-	Value   []byte `json:"value,omitempty"`
-	Version uint64 `json:"vsn"`
-	Removed bool   `json:"removed,omitempty"`
+	Table     string `json:"table"`
+	Partition string `json:"part"`
+	Key       string `json:"key"`
+	Value     []byte `json:"value,omitempty"`
+	Version   uint64 `json:"vsn"`
+	Removed   bool   `json:"removed,omitempty"`
 }
 
-// Fault is what becomes of calls.
+// Fault selects how the store handles requests.
 type Fault int
 
 // Faults.
 const (
-	// Well: calls are answered.
+	// NoFault serves all requests.
 	Well Fault = iota
-	// Busy: calls get 503.
+	// Unavailable responds with status 503.
 	Busy
-	// Throttled: calls get 429.
+	// Throttled responds with status 429.
 	Throttled
-	// Silent: calls get no answer.
+	// Unresponsive never responds.
 	Silent
-	// Reset: connections are closed without an answer.
+	// Reset closes connections without a response.
 	Reset
-	// Mute: feeds hear of no change, reads are answered.
+	// StaleFeeds reports no changes to feeds but serves reads.
 	Mute
 )
 
-// Store is the stand-in. It implements http.Handler.
+// Store is the stand-in metadata store; it implements http.Handler.
 type Store struct {
-	// mu guards what follows; nothing is locked while it is held.
+	// mu guards the fields below; no other lock is taken while it is held.
 	mu      sync.Mutex
 	version uint64
 	rows    map[string]*Row
-	// history holds all changes in order: a row that changed twice is in it
-	// twice, and feeds say so.
+	// history holds all changes in order. A row that changed twice occurs
+	// twice, also in feeds.
 	history []Row
 	changed chan struct{}
-	// since is the version from which on the history is kept.
-	since uint64
-	fault Fault
-	calls int
-	// reads counts the reads of whole tables, by name.
-	reads map[string]int
-	// lost holds the rows that the last return took away, and lostAt the version to which
-	// the store returned.
-	lost   []Row
-	lostAt uint64
-	// era counts the returns from older copies.
+	// historyStart is the oldest version from which feeds can continue.
+	historyStart uint64
+	fault        Fault
+	requestCount int
+	// readCount counts reads by table name.
+	readCount map[string]int
+	// lostRows holds the rows that the last restore discarded, and
+	// restoredVersion the version that it restored.
+	lostRows        []Row
+	restoredVersion uint64
+	// era counts the restores.
 	era int
 }
 
-// New returns a Store without rows.
+// New returns an empty Store.
 func New() *Store {
-	return &Store{rows: map[string]*Row{}, changed: make(chan struct{}), reads: map[string]int{}}
+	return &Store{rows: map[string]*Row{}, changed: make(chan struct{}), readCount: map[string]int{}}
 }
 
-// Put writes a row and returns its version.
+// Put writes a row and returns its new version.
 func (s *Store) Put(table, key string, value []byte) uint64 {
 	return s.write(Row{Table: table, Key: key, Value: value})
 }
 
-// PutJSON writes a row that holds a document.
+// PutJSON writes a row whose value is document as JSON and returns its new version.
 func (s *Store) PutJSON(table, key string, document any) uint64 {
 	value, err := json.Marshal(document)
 	if err != nil {
@@ -85,46 +85,46 @@
 	return s.Put(table, key, value)
 }
 
-// Remove drops a row.
+// Delete deletes a row.
 func (s *Store) Remove(table, key string) { s.write(Row{Table: table, Key: key, Removed: true}) }
 
-// SetFault sets what becomes of calls; those that wait see it as well.
+// SetFault sets how requests are handled, including feeds that are waiting.
 func (s *Store) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
-	s.wake()
+	s.wakeFeeds()
 }
 
-// Forget drops the history: feeds from before get 410.
+// TruncateHistory discards the change history: feeds from earlier versions get status 410.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
-	s.since = s.version
-	s.wake()
+	s.historyStart = s.version
+	s.wakeFeeds()
 }
 
-// Calls counts the calls so far.
+// RequestCount returns the number of requests received.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls
+	return s.requestCount
 }
 
-// Reads counts the reads of a whole table so far, each page as one.
+// ReadCount returns the number of reads of a table; each page counts as one.
 func (s *Store) Reads(table string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.reads[table]
+	return s.readCount[table]
 }
 
-// Keys returns the keys of a table in order.
+// Keys returns the keys of a table, sorted.
 func (s *Store) Keys(table string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var keys []string
-	for _, r := range s.table(table) {
+	for _, r := range s.tableRows(table) {
 		keys = append(keys, r.Key)
 	}
 	slices.Sort(keys)
@@ -136,25 +136,25 @@
 	defer s.mu.Unlock()
 	s.version++
 	r.Version = s.version
-	s.keep(r)
-	s.wake()
+	s.storeRow(r)
+	s.wakeFeeds()
 	return s.version
 }
 
-// keep takes a changed row; s.mu is held.
-func (s *Store) keep(r Row) {
-	s.rows[r.Table+"\x00"+r.Part+"\x00"+r.Key] = &r
+// storeRow stores a changed row and appends it to the history. The caller holds s.mu.
+func (s *Store) storeRow(r Row) {
+	s.rows[r.Table+"\x00"+r.Partition+"\x00"+r.Key] = &r
 	s.history = append(s.history, r)
 }
 
-// wake wakes all feeds; s.mu is held.
-func (s *Store) wake() {
+// wakeFeeds wakes all waiting feeds. The caller holds s.mu.
+func (s *Store) wakeFeeds() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// table returns a table's rows; s.mu is held.
-func (s *Store) table(name string) []Row {
+// tableRows returns a table's rows in no particular order. The caller holds s.mu.
+func (s *Store) tableRows(name string) []Row {
 	var rows []Row
 	for _, r := range s.rows {
 		if r.Table == name && !r.Removed {
@@ -164,8 +164,8 @@
 	return rows
 }
 
-// changes returns a table's changes after a version, in order; s.mu is held.
-func (s *Store) changes(name string, after uint64) []Row {
+// historyAfter returns a table's changes after a version, in order. The caller holds s.mu.
+func (s *Store) historyAfter(name string, after uint64) []Row {
 	var rows []Row
 	for _, r := range s.history {
 		if r.Table == name && r.Version > after {
@@ -192,10 +192,10 @@
 	}
 }
 
-// admit counts a call and plays the fault.
+// admit counts a request and applies the fault. It reports whether to serve the request.
 func (s *Store) admit(w http.ResponseWriter, r *http.Request) bool {
 	s.mu.Lock()
-	s.calls++
+	s.requestCount++
 	fault, era := s.fault, s.era
 	s.mu.Unlock()
 	w.Header().Set(eraHeader, strconv.Itoa(era))
@@ -215,7 +215,7 @@
 	return false
 }
 
-// nowMS is the store's steady clock.
-func nowMS() int64 { return time.Since(started).Milliseconds() }
+// nowMS returns the store's monotonic clock, in milliseconds since the process started.
+func nowMS() int64 { return time.Since(startTime).Milliseconds() }
 
-var started = time.Now()
+var startTime = time.Now()
