--- a/testbed/faultproxy/event.go
+++ b/testbed/faultproxy/event.go
@@ -2,51 +2,51 @@
 
 import "github.com/applepier/applepier/internal/wire"
 
-// Direction is one of a connection's two.
+// Direction is a direction of a connection.
 type Direction int
 
-// Directions, seen from who connects.
+// Directions, as seen from the connecting process.
 const (
-	// Upstream runs towards the process behind the proxy.
+	// Upstream is the direction to the process behind the proxy.
 	Upstream Direction = iota + 1
-	// Downstream runs back.
+	// Downstream is the direction back to the connecting process.
 	Downstream
 )
 
-// SightKind says what passes.
-type SightKind int
+// EventKind is the kind of data that an event stands for.
+type EventKind int
 
-// Kinds of sights between an entry and an agent.
+// Event kinds between an entry and an agent.
 const (
-	// SightMessage is a message of the control connection.
-	SightMessage SightKind = iota + 1
-	// SightBody is a piece of a granted request, its body included.
+	// EventMessage is a message of the control connection.
+	EventMessage EventKind = iota + 1
+	// EventBody is a chunk of a granted request, headers or body.
 	SightBody
-	// SightData is a piece of an answer, SightEnd the mark of its end and
-	// SightFail that of its failure.
+	// EventData is a data frame of a response, EventEnd its end frame and
+	// EventFail its failure frame.
 	SightData
 	SightEnd
-	SightFail
+	EventFail
 )
 
-// Sight is something that was seen on the wire.
+// Event describes data that passes the proxy.
 type Sight struct {
 	Direction Direction
-	Kind      SightKind
-	// Link numbers the proxy's connections, each direction for itself.
+	Kind      EventKind
+	// Connection is the number of the connection; each direction is numbered separately.
 	Link int64
-	// Data is what passes, with SightBody and SightData. It is only valid
-	// during the match.
+	// Data is the chunk of an EventBody or EventData. It is valid only during
+	// the call of the Matcher.
 	Data []byte
-	// Message is set with SightMessage.
+	// Message is set for EventMessage.
 	Message *wire.Message
 }
 
-// Ticket matches a ticket.
+// IsTicket matches messages with a ticket.
 func Ticket(s Sight) bool { return s.Message != nil && s.Message.Ticket != nil }
 
-// Grant matches a grant.
+// IsGrant matches messages with a grant.
 func Grant(s Sight) bool { return s.Message != nil && s.Message.Grant != nil }
 
-// NewSet matches the targets on their way between processes.
+// IsTargetSet matches messages that carry a new set of targets.
 func NewSet(s Sight) bool { return s.Message != nil && s.Message.NewSet != nil }
--- a/testbed/faultproxy/eventparser.go
+++ b/testbed/faultproxy/eventparser.go
@@ -8,7 +8,7 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// protocol is what a connection speaks.
+// protocol is the protocol detected on a connection.
 type protocol int
 
 const (
@@ -17,72 +17,72 @@
 	protocolWebSocket
 )
 
-// Marks by which a connection's protocol and an answer's frames are known.
-// Frames are CBOR maps whose first key, 1, is the kind; JSON, which is all
-// they carry besides, holds no such bytes.
+// Byte patterns that identify a connection's protocol and the frames of a response.
+// Frames are CBOR maps whose first key, 1, is the kind. Their payload is JSON, which
+// doesn't contain these bytes.
 var (
-	markConnect = []byte("GET " + wire.ConnectPath)
-	markBody    = []byte("POST " + wire.RunPath)
-	markUpgrade = []byte("HTTP/1.1 101")
-	markAnswer  = []byte("HTTP/1.1 ")
-	headEnd     = []byte("\r\n\r\n")
-	markData    = []byte{0x01, byte(wire.FrameData), 0x02}
-	markEnd     = []byte{0xa1, 0x01, byte(wire.FrameEnd)}
-	markFail    = []byte{0x01, byte(wire.FrameFail), 0x04}
+	connectPrefix    = []byte("GET " + wire.ConnectPath)
+	runPrefix        = []byte("POST " + wire.RunPath)
+	upgradePrefix    = []byte("HTTP/1.1 101")
+	responsePrefix   = []byte("HTTP/1.1 ")
+	headerEnd        = []byte("\r\n\r\n")
+	dataFramePattern = []byte{0x01, byte(wire.FrameData), 0x02}
+	endFramePattern  = []byte{0xa1, 0x01, byte(wire.FrameEnd)}
+	failFramePattern = []byte{0x01, byte(wire.FrameFail), 0x04}
 )
 
-// reader makes out what passes on one connection in one direction. What it
-// does not know it lets pass unseen.
-type reader struct {
-	direction Direction
-	link      int64
-	protocol  protocol
-	frames    frameReader
+// eventParser parses the data of one connection in one direction into events. It ignores
+// data that it doesn't recognize.
+type eventParser struct {
+	direction  Direction
+	connection int64
+	protocol   protocol
+	frames     frameParser
 }
 
-func (r *reader) read(data []byte) []Sight {
+func (r *eventParser) parse(data []byte) []Sight {
 	switch {
-	case bytes.HasPrefix(data, markConnect) || bytes.HasPrefix(data, markUpgrade):
+	case bytes.HasPrefix(data, connectPrefix) || bytes.HasPrefix(data, upgradePrefix):
 		r.protocol = protocolWebSocket
-		_, data, _ = bytes.Cut(data, headEnd)
-	case bytes.HasPrefix(data, markBody):
+		_, data, _ = bytes.Cut(data, headerEnd)
+	case bytes.HasPrefix(data, runPrefix):
 		r.protocol = protocolRun
-	case bytes.HasPrefix(data, markAnswer):
+	case bytes.HasPrefix(data, responsePrefix):
 		r.protocol = protocolRun
 	}
 	if r.protocol == protocolWebSocket {
-		return r.messages(data)
+		return r.parseMessages(data)
 	}
 	if r.protocol == protocolRun && r.direction == Downstream {
-		return r.answer(data)
+		return r.parseResponse(data)
 	}
 	if r.protocol == protocolRun {
-		return []Sight{{Direction: r.direction, Kind: SightBody, Link: r.link, Data: data}}
+		return []Sight{{Direction: r.direction, Kind: SightBody, Link: r.connection, Data: data}}
 	}
 	return nil
 }
 
-func (r *reader) messages(data []byte) []Sight {
-	var sights []Sight
-	for _, payload := range r.frames.read(data) {
+func (r *eventParser) parseMessages(data []byte) []Sight {
+	var events []Sight
+	for _, payload := range r.frames.parse(data) {
 		message := new(wire.Message)
 		if err := cbor.Unmarshal(payload, message); err == nil {
-			sights = append(sights, Sight{Direction: r.direction, Kind: SightMessage, Link: r.link, Message: message})
+			events = append(events, Sight{Direction: r.direction, Kind: EventMessage, Link: r.connection, Message: message})
 		}
 	}
-	return sights
+	return events
 }
 
-func (r *reader) answer(data []byte) []Sight {
-	var sights []Sight
-	for range bytes.Count(data, markData) {
-		sights = append(sights, Sight{Direction: r.direction, Kind: SightData, Link: r.link, Data: data})
+func (r *eventParser) parseResponse(data []byte) []Sight {
+	var events []Sight
+	for range bytes.Count(data, dataFramePattern) {
+		events = append(events, Sight{Direction: r.direction, Kind: SightData, Link: r.connection, Data: data})
 	}
-	if bytes.Contains(data, markEnd) {
-		sights = append(sights, Sight{Direction: r.direction, Kind: SightEnd, Link: r.link})
+	if bytes.Contains(data, endFramePattern) {
+		events = append(events, Sight{Direction: r.direction, Kind: SightEnd, Link: r.connection})
 	}
-	if bytes.Contains(data, markFail) {
-		sights = append(sights, Sight{Direction: r.direction, Kind: SightFail, Link: r.link})
+	if bytes.Contains(data, failFramePattern) {
+		events = append(events, Sight{Direction: r.direction, Kind: EventFail, Link: r.connection})
 	}
-	return sights
+	return events
 }
--- a/testbed/faultproxy/hold.go
+++ b/testbed/faultproxy/hold.go
@@ -7,29 +7,29 @@
 	"github.com/go-faster/errors"
 )
 
-// Match says whether a sight is what a test waits for.
+// Matcher reports whether an event is the one that a test waits for.
 type Match func(Sight) bool
 
-// Nth matches the n-th sight, from 1, that match would.
+// Nth returns a Matcher for the n-th event, counted from 1, that match accepts.
 func Nth(n int, match Match) Match {
-	seen := 0
+	count := 0
 	return func(s Sight) bool {
 		if !match(s) {
 			return false
 		}
-		seen++
-		return seen == n
+		count++
+		return count == n
 	}
 }
 
-// Hold is a stop on one connection, which lasts until Release.
+// Hold blocks a connection in one direction, from the matching event until Release.
 type Hold struct {
 	match    Match
 	reached  chan struct{}
 	released chan struct{}
 	release  func()
 
-	sight Sight // set before reached is closed
+	event Sight // set before reached is closed
 }
 
 func newHold(match Match) *Hold {
@@ -42,22 +42,22 @@
 	}
 }
 
-func (h *Hold) arrive(sight Sight) {
-	h.sight = sight
+func (h *Hold) block(event Sight) {
+	h.event = event
 	close(h.reached)
 	<-h.released
 }
 
-// Wait waits until the data has been seen and returns it.
+// Wait waits for the matching event and returns it. It returns an error if ctx is done first.
 func (h *Hold) Wait(ctx context.Context) (Sight, error) {
 	select {
 	case <-h.reached:
-		return h.sight, nil
+		return h.event, nil
 	case <-ctx.Done():
-		return Sight{}, errors.Wrap(ctx.Err(), "not seen on the wire")
+		return Sight{}, errors.Wrap(ctx.Err(), "no matching event on the connection")
 	}
 }
 
-// Release lets the data pass. It may be called more than once, and before
-// the data was seen.
+// Release lets the held data pass. It may be called several times, also before
+// the event occurs.
 func (h *Hold) Release() { h.release() }
--- a/testbed/faultproxy/proxy.go
+++ b/testbed/faultproxy/proxy.go
@@ -1,7 +1,7 @@
-// Package faultproxy puts a TCP proxy with faults before a process: cut,
-// refused, delayed and silent connections, and holds, which stop a connection
-// at a message that the test waits for. It runs inside the test process, on
-// top of toxiproxy. Start reading at Proxy.
+// Package faultproxy is a TCP proxy that injects faults: closed, refused, delayed
+// and blackholed connections, and holds, which block a connection at a chosen
+// message. It runs in the test process and is built on toxiproxy. Proxy is the
+// main type.
 package faultproxy
 
 import (
@@ -17,34 +17,34 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Names of the toxics on a proxy.
+// Names and values in toxiproxy's settings.
 const (
-	tapUp      = "tap_upstream"
-	tapDown    = "tap_downstream"
-	anyPort    = "127.0.0.1:0"
-	allOfThem  = 1.0
-	streamUp   = "upstream"
-	streamDown = "downstream"
+	tapUp        = "tap_upstream"
+	tapDown      = "tap_downstream"
+	listenAddr   = "127.0.0.1:0"
+	fullToxicity = 1.0
+	streamUp     = "upstream"
+	streamDown   = "downstream"
 )
 
-// setup registers the tap and silences toxiproxy's own log, once.
+// setup registers the tap with toxiproxy and discards toxiproxy's log, once.
 var setup = sync.OnceFunc(func() {
 	toxics.Register(tapType, new(tap))
 	logrus.SetOutput(io.Discard)
 })
 
-// Proxy stands before one process. Its methods may be called concurrently
-// with traffic, but only one of them at a time.
+// Proxy forwards connections to one process. Its methods may be called during
+// traffic, but not concurrently with each other.
 type Proxy struct {
 	proxy    *toxiproxy.Proxy
 	up, down *tap
 }
 
-// New starts a proxy on a free port of 127.0.0.1 before a host:port.
+// New starts a proxy on a free port of 127.0.0.1 that forwards to the host:port upstream.
 func New(name, upstream string) (*Proxy, error) {
 	setup()
 	inner := toxiproxy.NewProxy()
-	inner.Name, inner.Listen, inner.Upstream = name, anyPort, upstream
+	inner.Name, inner.Listen, inner.Upstream = name, listenAddr, upstream
 	p := &Proxy{proxy: inner}
 	var err error
 	if p.up, err = p.addTap(tapUp, streamUp); err != nil {
@@ -54,72 +54,72 @@
 		return nil, err
 	}
 	if err := inner.Start(); err != nil {
-		return nil, errors.Wrapf(err, "proxy before %s", name)
+		return nil, errors.Wrapf(err, "start proxy for %s", name)
 	}
 	return p, nil
 }
 
-// Addr is the host:port to connect to instead of the process.
+// Addr returns the host:port on which the proxy listens.
 func (p *Proxy) Addr() string {
 	p.proxy.Lock()
 	defer p.proxy.Unlock()
 	return p.proxy.Listen
 }
 
-// Cut closes all connections; new ones work.
+// CloseConnections closes all connections. New ones are accepted.
 func (p *Proxy) Cut() error {
 	p.Refuse()
 	return p.Accept()
 }
 
-// Refuse closes all connections and refuses new ones until Accept.
+// Refuse closes all connections and refuses new ones until Accept is called.
 func (p *Proxy) Refuse() {
-	p.up.endAll()
-	p.down.endAll()
+	p.up.closeAll()
+	p.down.closeAll()
 	p.proxy.Stop()
 }
 
-// Accept takes connections again after Refuse.
+// Accept accepts connections again after Refuse.
 func (p *Proxy) Accept() error {
 	if err := p.proxy.Start(); err != nil {
-		return errors.Wrap(err, "proxy accepts again")
+		return errors.Wrap(err, "restart proxy")
 	}
 	return nil
 }
 
-// Silence makes all connections of now go silent for good, in the given
-// directions: nothing passes any more and neither end is told, not even that
-// the other has closed. New connections work.
+// Blackhole permanently discards all data on the existing connections, in the
+// given directions. Neither end is notified, not even when the other end closes.
+// New connections work.
 func (p *Proxy) Silence(directions ...Direction) {
 	for _, direction := range directions {
-		p.tap(direction).silence()
+		p.tap(direction).blackhole()
 	}
 }
 
-// Delay delays all data in both directions, by a time that is drawn for each
-// connection between least and most, so that connections overtake each other;
-// data of one connection keeps its order. Zero ends it.
-func (p *Proxy) Delay(least, most time.Duration) {
-	p.up.delay(least, most)
-	p.down.delay(least, most)
+// Delay delays all data in both directions. Each connection gets a random delay
+// between minDelay and maxDelay, so that data of different connections is
+// reordered; the order within a connection is kept. Zero for both ends the delay.
+func (p *Proxy) Delay(minDelay, maxDelay time.Duration) {
+	p.up.delay(minDelay, maxDelay)
+	p.down.delay(minDelay, maxDelay)
 }
 
-// Hold stops the first connection on which match sees what it waits for,
-// before the data passes on.
+// Hold blocks the first connection on which match accepts an event, before the
+// event's data is forwarded.
 func (p *Proxy) Hold(direction Direction, match Match) *Hold {
 	return p.tap(direction).hold(match)
 }
 
-// Observe calls see with everything that passes in a direction, before it
-// passes; see must not block.
-func (p *Proxy) Observe(direction Direction, see func(Sight)) {
+// Observe calls observe with every event in a direction, before its data is
+// forwarded. observe must not block.
+func (p *Proxy) Observe(direction Direction, observe func(Sight)) {
 	p.tap(direction).hold(func(s Sight) bool {
-		see(s)
+		observe(s)
 		return false
 	})
 }
 
-// Close ends the proxy and all its connections.
+// Close closes the proxy and all its connections and releases all holds.
 func (p *Proxy) Close() {
 	p.up.close()
 	p.down.close()
@@ -133,38 +133,38 @@
 	return p.down
 }
 
-// addTap must be called before the proxy starts: the tap is filled in after
-// toxiproxy has made it.
+// addTap adds a tap for one direction. It must be called before the proxy starts,
+// since the tap is initialized only after toxiproxy has created it.
 func (p *Proxy) addTap(name, direction string) (*tap, error) {
 	if err := p.addToxic(name, direction); err != nil {
 		return nil, err
 	}
 	t, ok := p.proxy.Toxics.GetToxic(name).Toxic.(*tap)
 	if !ok {
-		return nil, errors.Errorf("toxic %s is no tap", name)
+		return nil, errors.Errorf("toxic %s is not a tap", name)
 	}
 	t.direction = Downstream
 	if direction == streamUp {
 		t.direction = Upstream
 	}
-	t.released = make(chan struct{})
+	t.closed = make(chan struct{})
 	return t, nil
 }
 
-// emptySettings are the attributes of a tap, which is filled in by hand.
-type emptySettings struct{}
+// toxicAttributes is the empty attribute object of a tap; addTap sets the tap's fields.
+type toxicAttributes struct{}
 
-// toxicSettings is toxiproxy's own form of a toxic.
+// toxicSettings is toxiproxy's JSON format of a toxic.
 type toxicSettings struct {
-	Name       string        `json:"name"`
-	Type       string        `json:"type"`
-	Stream     string        `json:"stream"`
-	Toxicity   float32       `json:"toxicity"`
-	Attributes emptySettings `json:"attributes"`
+	Name       string          `json:"name"`
+	Type       string          `json:"type"`
+	Stream     string          `json:"stream"`
+	Toxicity   float32         `json:"toxicity"`
+	Attributes toxicAttributes `json:"attributes"`
 }
 
 func (p *Proxy) addToxic(name, direction string) error {
-	encoded, err := json.Marshal(toxicSettings{Name: name, Type: tapType, Stream: direction, Toxicity: allOfThem})
+	encoded, err := json.Marshal(toxicSettings{Name: name, Type: tapType, Stream: direction, Toxicity: fullToxicity})
 	if err != nil {
 		return errors.Wrapf(err, "toxic %s", name)
 	}
--- a/testbed/faultproxy/proxy_test.go
+++ b/testbed/faultproxy/proxy_test.go
@@ -16,11 +16,11 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// generous bounds what must happen at once, on a busy machine.
-const generous = 20 * time.Second
+// testTimeout bounds steps that normally complete immediately; it allows for a busy machine.
+const testTimeout = 20 * time.Second
 
-// quiet is how long a silent connection is watched.
-const quiet = 200 * time.Millisecond
+// blackholeCheck is how long a blackholed connection is checked for data.
+const blackholeCheck = 200 * time.Millisecond
 
 func startEcho(t *testing.T) *Proxy {
 	t.Helper()
@@ -61,9 +61,9 @@
 	return conn
 }
 
-func exchange(t *testing.T, conn net.Conn) {
+func checkEcho(t *testing.T, conn net.Conn) {
 	t.Helper()
-	conn.SetDeadline(time.Now().Add(generous))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(conn, "hello\n"); err != nil {
 		t.Fatal(err)
 	}
@@ -73,44 +73,44 @@
 	}
 }
 
-// mustStaySilent sends and checks that nothing comes, not even an end.
-func mustStaySilent(t *testing.T, conn net.Conn) {
+// checkBlackholed sends a line and checks that neither data nor an end of the connection arrives.
+func checkBlackholed(t *testing.T, conn net.Conn) {
 	t.Helper()
-	conn.SetDeadline(time.Now().Add(quiet))
+	conn.SetDeadline(time.Now().Add(blackholeCheck))
 	io.WriteString(conn, "hello\n")
 	n, err := conn.Read(make([]byte, 1))
 	if timeout, ok := err.(net.Error); n != 0 || !ok || !timeout.Timeout() {
-		t.Fatalf("silent connection: read %d bytes, %v", n, err)
+		t.Fatalf("blackholed connection: read %d bytes, %v", n, err)
 	}
 }
 
-func TestSilenceHitsOnlyConnectionsThatExist(t *testing.T) {
+func TestBlackholeAffectsOnlyExistingConnections(t *testing.T) {
 	proxy := startEcho(t)
 	old := dial(t, proxy)
-	exchange(t, old)
+	checkEcho(t, old)
 	proxy.Silence(Upstream, Downstream)
-	mustStaySilent(t, old)
-	exchange(t, dial(t, proxy))
-	mustStaySilent(t, old)
+	checkBlackholed(t, old)
+	checkEcho(t, dial(t, proxy))
+	checkBlackholed(t, old)
 }
 
-func TestCutClosesAndNewConnectionsWork(t *testing.T) {
+func TestCloseConnectionsKeepsProxyOpen(t *testing.T) {
 	proxy := startEcho(t)
-	silent := dial(t, proxy)
-	exchange(t, silent)
+	blackholed := dial(t, proxy)
+	checkEcho(t, blackholed)
 	proxy.Silence(Upstream, Downstream)
 	old := dial(t, proxy)
-	exchange(t, old)
+	checkEcho(t, old)
 	if err := proxy.Cut(); err != nil {
 		t.Fatal(err)
 	}
-	for _, conn := range []net.Conn{silent, old} {
-		conn.SetDeadline(time.Now().Add(generous))
+	for _, conn := range []net.Conn{blackholed, old} {
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		if _, err := conn.Read(make([]byte, 1)); err == nil {
-			t.Fatal("a cut connection gave data")
+			t.Fatal("read data from a closed connection")
 		}
 	}
-	exchange(t, dial(t, proxy))
+	checkEcho(t, dial(t, proxy))
 }
 
 func TestRefuseUntilAccept(t *testing.T) {
@@ -118,31 +118,31 @@
 	proxy.Refuse()
 	if conn, err := net.Dial("tcp", proxy.Addr()); err == nil {
 		conn.Close()
-		t.Fatal("connected to a proxy that refuses")
+		t.Fatal("connected to a proxy that refuses connections")
 	}
 	if err := proxy.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	exchange(t, dial(t, proxy))
+	checkEcho(t, dial(t, proxy))
 }
 
 func TestDelayKeepsOrder(t *testing.T) {
 	proxy := startEcho(t)
 	conn := dial(t, proxy)
-	exchange(t, conn)
+	checkEcho(t, conn)
 	proxy.Delay(20*time.Millisecond, 40*time.Millisecond)
 	start := time.Now()
 	for range 3 {
-		exchange(t, conn)
+		checkEcho(t, conn)
 	}
-	// Both directions are delayed; no upper bound, the machine may be busy.
+	// Both directions are delayed. There is no upper bound, since the machine may be busy.
 	if took := time.Since(start); took < 3*2*20*time.Millisecond {
 		t.Fatalf("three exchanges took %s", took)
 	}
 }
 
-func TestHoldStopsAtMessage(t *testing.T) {
-	ctx, cancel := context.WithTimeout(t.Context(), generous)
+func TestHoldBlocksMessage(t *testing.T) {
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	got := make(chan wire.Message, 10)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -182,13 +182,13 @@
 			<-got
 		}
 	}
-	sight, err := hold.Wait(ctx)
-	if err != nil || sight.Message.Ticket.Request != "b" {
-		t.Fatalf("held %+v, %v", sight, err)
+	event, err := hold.Wait(ctx)
+	if err != nil || event.Message.Ticket.Request != "b" {
+		t.Fatalf("held %+v, %v", event, err)
 	}
 	select {
 	case message := <-got:
-		t.Fatalf("a held message passed: %+v", message)
+		t.Fatalf("a held message was forwarded: %+v", message)
 	default:
 	}
 	hold.Release()
@@ -197,24 +197,24 @@
 	}
 }
 
-func TestAnswerFramesAreSeen(t *testing.T) {
-	r := reader{direction: Downstream}
+func TestResponseFramesAreParsed(t *testing.T) {
+	r := eventParser{direction: Downstream}
 	frames := []wire.Frame{
 		{Kind: wire.FrameData, Data: []byte("{}"), Tokens: 1},
 		{Kind: wire.FrameHeartbeat},
 		{Kind: wire.FrameEnd},
 		{Kind: wire.FrameFail, Fail: wire.FailCut},
 	}
-	kinds := []SightKind{SightData, 0, SightEnd, SightFail}
-	r.read([]byte("HTTP/1.1 200 OK\r\n\r\n"))
+	kinds := []EventKind{SightData, 0, SightEnd, EventFail}
+	r.parse([]byte("HTTP/1.1 200 OK\r\n\r\n"))
 	for i, frame := range frames {
 		data, err := cbor.Marshal(frame)
 		if err != nil {
 			t.Fatal(err)
 		}
-		sights := r.read(data)
-		if (kinds[i] == 0) != (len(sights) == 0) || (len(sights) > 0 && sights[0].Kind != kinds[i]) {
-			t.Fatalf("frame %d: saw %+v", i, sights)
+		events := r.parse(data)
+		if (kinds[i] == 0) != (len(events) == 0) || (len(events) > 0 && events[0].Kind != kinds[i]) {
+			t.Fatalf("frame %d: got events %+v", i, events)
 		}
 	}
 }
--- a/testbed/faultproxy/tap.go
+++ b/testbed/faultproxy/tap.go
@@ -9,79 +9,80 @@
 	"github.com/Shopify/toxiproxy/toxics"
 )
 
-// tapType is the tap's name among toxiproxy's toxics.
+// tapType is the name under which the tap is registered with toxiproxy.
 const tapType = "applepier_tap"
 
-// tap is a toxic of our own, on every connection in one direction. It makes
-// the connections that exist at some moment go silent while later ones work,
-// which toxiproxy's own toxics can't, and holds data that a test waits for.
-// toxiproxy makes it by reflection; addTap fills it in.
+// tap is a custom toxic on every connection in one direction. It blackholes the
+// connections that exist at some moment while later ones work, which toxiproxy's
+// built-in toxics can't do, and holds data that a test waits for. toxiproxy
+// creates it by reflection; addTap initializes it.
 type tap struct {
 	direction Direction
 
-	mu         sync.Mutex
-	generation int
-	links      int64
-	released   chan struct{} // closed to end all connections of now
-	holds      []*Hold
-	least      time.Duration
-	most       time.Duration
+	mu              sync.Mutex
+	generation      int
+	connectionCount int64
+	closed          chan struct{} // closed to close all existing connections
+	holds           []*Hold
+	minDelay        time.Duration
+	maxDelay        time.Duration
 }
 
-// link is a tap's state on one connection.
-type link struct {
-	born     int
-	released <-chan struct{}
-	reader   reader
-	// share is where the link's delay lies between the least and the most.
-	share float64
+// connState is a tap's state for one connection.
+type connState struct {
+	generation int
+	closed     <-chan struct{}
+	parser     eventParser
+	// delayFraction is the position of the connection's delay between minDelay (0) and maxDelay (1).
+	delayFraction float64
 }
 
-// bufferedChunks is how many chunks wait before a tap, as on a slow line.
+// bufferedChunks is the number of chunks buffered before a tap, as on a slow link.
 const bufferedChunks = 1024
 
-// GetBufferSize is called by toxiproxy.
+// GetBufferSize returns the input buffer's size in chunks; toxiproxy calls it.
 func (t *tap) GetBufferSize() int { return bufferedChunks }
 
-// NewState is called by toxiproxy for each connection.
+// NewState returns the state of a new connection; toxiproxy calls it.
 func (t *tap) NewState() interface{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.links++
-	return &link{born: t.generation, released: t.released, share: rand.Float64(), reader: reader{direction: t.direction, link: t.links}}
+	t.connectionCount++
+	return &connState{generation: t.generation, closed: t.closed, delayFraction: rand.Float64(), parser: eventParser{direction: t.direction, connection: t.connectionCount}}
 }
 
-// Pipe is called by toxiproxy and passes on one connection's data.
+// Pipe forwards the data of one connection; toxiproxy calls it.
 func (t *tap) Pipe(stub *toxics.ToxicStub) {
-	state, ok := stub.State.(*link)
+	state, ok := stub.State.(*connState)
 	if !ok {
-		state = &link{}
+		state = &connState{}
 	}
 	for {
 		select {
 		case <-stub.Interrupt:
 			return
-		case <-state.released:
+		case <-state.closed:
 			stub.Close()
 			return
 		case chunk := <-stub.Input:
-			if !t.pass(stub, state, chunk) {
+			if !t.forward(stub, state, chunk) {
 				return
 			}
 		}
 	}
 }
 
-// pass handles one chunk and reports whether the connection goes on.
-func (t *tap) pass(stub *toxics.ToxicStub, state *link, chunk *stream.StreamChunk) bool {
+// forward handles one chunk, nil at the end of the input, and reports whether the
+// connection stays open.
+func (t *tap) forward(stub *toxics.ToxicStub, state *connState, chunk *stream.StreamChunk) bool {
 	if chunk != nil {
-		for _, sight := range state.reader.read(chunk.Data) {
-			t.meet(sight)
+		for _, event := range state.parser.parse(chunk.Data) {
+			t.dispatch(event)
 		}
 	}
-	if t.silent(state) {
+	if t.blackholed(state) {
 		if chunk == nil {
-			<-state.released
+			<-state.closed
 			stub.Close()
 			return false
 		}
@@ -91,66 +92,66 @@
 		stub.Close()
 		return false
 	}
-	if !t.linger(state, chunk) {
+	if !t.delayChunk(state, chunk) {
 		stub.Close()
 		return false
 	}
 	select {
 	case stub.Output <- chunk:
 		return true
-	case <-state.released:
+	case <-state.closed:
 		stub.Close()
 		return false
 	}
 }
 
-// linger delays a chunk, counted from when it came, and reports whether the
-// connection goes on.
-func (t *tap) linger(state *link, chunk *stream.StreamChunk) bool {
+// delayChunk waits until the chunk's delay, counted from its arrival, has passed. It
+// reports whether the connection stays open.
+func (t *tap) delayChunk(state *connState, chunk *stream.StreamChunk) bool {
 	t.mu.Lock()
-	span := time.Duration(state.share * float64(t.most-t.least))
-	rest := t.least + span - time.Since(chunk.Timestamp)
+	jitter := time.Duration(state.delayFraction * float64(t.maxDelay-t.minDelay))
+	remaining := t.minDelay + jitter - time.Since(chunk.Timestamp)
 	t.mu.Unlock()
-	if rest <= 0 {
+	if remaining <= 0 {
 		return true
 	}
 	select {
-	case <-time.After(rest):
+	case <-time.After(remaining):
 		return true
-	case <-state.released:
+	case <-state.closed:
 		return false
 	}
 }
 
-func (t *tap) delay(least, most time.Duration) {
+func (t *tap) delay(minDelay, maxDelay time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.least, t.most = least, most
+	t.minDelay, t.maxDelay = minDelay, maxDelay
 }
 
-// silence makes all connections that exist now silent.
-func (t *tap) silence() {
+// blackhole makes all existing connections discard their data.
+func (t *tap) blackhole() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.generation++
 }
 
-func (t *tap) silent(state *link) bool {
+func (t *tap) blackholed(state *connState) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return state.born < t.generation
+	return state.generation < t.generation
 }
 
-// endAll ends all connections of now, the silent ones included, which don't
-// notice that their sockets are closed.
-func (t *tap) endAll() {
+// closeAll closes all existing connections. Blackholed ones need this, since they
+// don't react when their sockets are closed.
+func (t *tap) closeAll() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	close(t.released)
-	t.released = make(chan struct{})
+	close(t.closed)
+	t.closed = make(chan struct{})
 }
 
-// close lets go of everything.
+// close releases all holds and closes all connections.
 func (t *tap) close() {
 	t.mu.Lock()
 	holds := t.holds
@@ -159,7 +160,7 @@
 	for _, h := range holds {
 		h.Release()
 	}
-	t.endAll()
+	t.closeAll()
 }
 
 func (t *tap) hold(match Match) *Hold {
@@ -170,19 +171,19 @@
 	return h
 }
 
-// meet stops at the first hold that waits for the sight.
-func (t *tap) meet(sight Sight) {
+// dispatch blocks on the first hold that matches the event, until its release.
+func (t *tap) dispatch(event Sight) {
 	t.mu.Lock()
-	var met *Hold
+	var matched *Hold
 	for i, h := range t.holds {
-		if h.match(sight) {
-			met = h
+		if h.match(event) {
+			matched = h
 			t.holds = append(t.holds[:i], t.holds[i+1:]...)
 			break
 		}
 	}
 	t.mu.Unlock()
-	if met != nil {
-		met.arrive(sight)
+	if matched != nil {
+		matched.block(event)
 	}
 }
