--- a/testbed/plain/call.go
+++ b/testbed/plain/call.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Call records one call that took effect.
+// Call records one executed call.
 type Call struct {
-	// Run is the run's id; Request is its part before the attempt.
+	// Run is the run ID, REQUEST#ATTEMPT; Request is the part before "#".
 	Run     string `json:"run"`
 	Request string `json:"request"`
-	// Method and Path are the call's.
+	// Method and Path are the call's HTTP method and request URI.
 	Method string `json:"method"`
 	Path   string `json:"path"`
-	// At is when it took effect.
+	// At is the time of execution.
 	At time.Time `json:"at"`
 }
 
--- a/testbed/plain/knobs.go
+++ b/testbed/plain/knobs.go
@@ -1,14 +1,14 @@
 package plain
 
-// Knobs are the faults that a test turns on while the stand-in runs.
+// Knobs holds the faults that a test can change while the stand-in runs.
 type Knobs struct {
-	// SlowMS delays each answer by this many milliseconds, after the call
-	// has taken effect.
+	// SlowMS delays each response by this many milliseconds, after the call
+	// was executed.
 	SlowMS int `json:"slow_ms"`
-	// FailStatus, when set, answers each call with this status before it
-	// takes effect.
+	// FailStatus, if not 0, is the status with which every call fails without
+	// being executed.
 	FailStatus int `json:"fail_status"`
-	// CutAnswers is how many of the next calls take effect while their
-	// connection is cut without an answer.
+	// DropResponses is the number of upcoming calls that are executed but whose
+	// connection is closed without a response.
 	CutAnswers int `json:"cut_answers"`
 }
--- a/testbed/plain/recordfile.go
+++ b/testbed/plain/recordfile.go
@@ -2,8 +2,8 @@
 
 import "github.com/applepier/applepier/testbed/recordfile"
 
-// Open returns a service that also appends its record to a file. Each entry is
-// written before its call is answered.
+// Open returns a service that also appends each call to a record file, before
+// it sends the response. The caller must call Close.
 func Open(path string) (*Server, error) {
 	file, err := recordfile.Open(path)
 	if err != nil {
@@ -14,7 +14,7 @@
 	return s, nil
 }
 
-// Close closes the record file, if there is one.
+// Close closes the record file, if any.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -23,5 +23,5 @@
 	return file.Close()
 }
 
-// ReadRecordFile reads back the calls that took effect, oldest first.
+// ReadRecordFile returns the calls recorded in a file, oldest first.
 func ReadRecordFile(path string) ([]Call, error) { return recordfile.Read[Call](path) }
--- a/testbed/plain/recordfile_test.go
+++ b/testbed/plain/recordfile_test.go
@@ -10,7 +10,7 @@
 	"github.com/applepier/applepier/testbed/plain"
 )
 
-func TestRecordFileOutlivesTheService(t *testing.T) {
+func TestRecordFileSurvivesRestart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "calls")
 	for _, run := range []string{"a#1", "b#1"} {
 		service, err := plain.Open(path)
--- a/testbed/plain/server.go
+++ b/testbed/plain/server.go
@@ -1,5 +1,5 @@
-// Package plain is a stand-in of a plain service, which takes any call and
-// keeps a record of each. Start reading at Server.
+// Package plain is a stand-in for a plain service. It accepts any call and records
+// those it executes. Server is the main type.
 package plain
 
 import (
@@ -14,10 +14,10 @@
 	"github.com/applepier/applepier/testbed/recordfile"
 )
 
-// maxBody bounds a request, in bytes.
-const maxBody = 16 << 20
+// maxBodyBytes is the maximum request body size in bytes.
+const maxBodyBytes = 16 << 20
 
-// Server is the stand-in; it implements http.Handler.
+// Server is the stand-in service; it implements http.Handler.
 type Server struct {
 	mux   *http.ServeMux
 	knobs knobs.Box[Knobs]
@@ -27,11 +27,11 @@
 	file  *recordfile.File // nil without a record file
 }
 
-// New returns a service without faults.
+// New returns a service without faults or record file.
 func New() *Server {
 	s := &Server{mux: http.NewServeMux(), calls: []Call{}}
-	s.mux.HandleFunc("/", s.call)
-	s.mux.HandleFunc("GET /record", s.record)
+	s.mux.HandleFunc("/", s.handleCall)
+	s.mux.HandleFunc("GET /record", s.handleRecord)
 	s.mux.Handle("GET /knobs", &s.knobs)
 	s.mux.Handle("PUT /knobs", &s.knobs)
 	return s
@@ -42,44 +42,44 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// Answer is what the service answers to a call.
+// Response returns the body with which the service responds to a call.
 func Answer(method, path string, body []byte) string {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprintf(hash, "%s %s\n%s", method, path, body)
 	return fmt.Sprintf("docket %016x\n", hash.Sum64())
 }
 
-func (s *Server) call(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+func (s *Server) handleCall(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	k := s.knobs.Get()
 	if k.FailStatus != 0 {
-		http.Error(w, "out of order", k.FailStatus)
+		http.Error(w, "injected failure", k.FailStatus)
 		return
 	}
-	if err := s.note(r); err != nil {
+	if err := s.recordCall(r); err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	time.Sleep(time.Duration(k.SlowMS) * time.Millisecond)
-	if s.takeCut() {
+	if s.takeDroppedResponse() {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	_, _ = io.WriteString(w, Answer(r.Method, r.URL.RequestURI(), body))
 }
 
-func (s *Server) record(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleRecord(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	knobs.WriteJSON(w, s.calls)
 }
 
-// note records that a call takes effect.
-func (s *Server) note(r *http.Request) error {
+// recordCall records an executed call.
+func (s *Server) recordCall(r *http.Request) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	call := newCall(r, time.Now())
@@ -87,13 +87,13 @@
 	return s.file.Write(call)
 }
 
-func (s *Server) takeCut() bool {
-	cut := false
+func (s *Server) takeDroppedResponse() bool {
+	drop := false
 	s.knobs.Update(func(k *Knobs) {
 		if k.CutAnswers > 0 {
 			k.CutAnswers--
-			cut = true
+			drop = true
 		}
 	})
-	return cut
+	return drop
 }
