--- a/testbed/ports/ports.go
+++ b/testbed/ports/ports.go
@@ -1,5 +1,5 @@
-// Package ports gives out addresses on 127.0.0.1 for what tests start. Start
-// reading at Free and For.
+// Package ports allocates addresses on 127.0.0.1 for processes and servers that
+// tests start. Free and For are the main functions.
 package ports
 
 import (
@@ -12,60 +12,60 @@
 	"github.com/go-faster/errors"
 )
 
-// Ports are taken from below the range that Linux gives to outgoing connections
-// and to listeners that ask for any port, since one found free there may be
-// taken a moment later.
+// Ports are allocated below Linux's ephemeral range, which serves outgoing
+// connections and listeners on port 0: a port found free there may be in use a
+// moment later.
 const (
 	firstPort = 12000
 	lastPort  = 32000
-	// blockSize is how many ports a test process reserves: enough for thirty
-	// fleets before a port is given out again.
+	// blockSize is the number of ports that a test process reserves: enough
+	// for thirty fleets before a port is reused.
 	blockSize  = 400
 	blockCount = (lastPort - firstPort) / blockSize
-	// loopback is the only host that tests listen on.
+	// loopback is the host of all allocated addresses.
 	loopback = "127.0.0.1"
 )
 
-// own are the ports of this process. Test processes run side by side, and
-// one that only looked whether a port is free could lose it to another before
-// its own program listens there. A block therefore belongs to the process
-// that listens on the block's first port.
-var own = portBlock{taken: map[string]bool{}}
+// processBlock is the port block of this process. Test processes run concurrently, and a
+// port that one of them found free could be taken by another before the program under
+// test listens on it. Therefore each process reserves a block by listening on
+// the block's first port.
+var processBlock = portBlock{reserved: map[string]bool{}}
 
-// portBlock gives out the ports of one block in turn.
+// portBlock allocates the ports of one block round-robin.
 type portBlock struct {
 	mu sync.Mutex
-	// owner is kept open as long as the process runs.
-	owner net.Listener
-	first int
-	given int
-	taken map[string]bool
+	// owner listens on the block's first port and stays open until the process exits.
+	owner      net.Listener
+	first      int
+	lastOffset int
+	reserved   map[string]bool
 }
 
-// Free returns a host:port on 127.0.0.1 that nothing listens on. It is not given
-// out again before Release: a process that was killed must find its
-// port free when it starts again.
+// Free returns a host:port on 127.0.0.1 that nothing listens on. The address
+// stays reserved until Release, so that a killed process finds its port free
+// when it restarts. It returns an error if no port is free.
 func Free() (string, error) {
-	own.mu.Lock()
-	defer own.mu.Unlock()
-	if err := own.reserve(); err != nil {
+	processBlock.mu.Lock()
+	defer processBlock.mu.Unlock()
+	if err := processBlock.reserve(); err != nil {
 		return "", err
 	}
 	for range blockSize {
-		own.given = own.given%(blockSize-1) + 1
-		addr := localAddr(own.first + own.given)
-		if own.taken[addr] {
+		processBlock.lastOffset = processBlock.lastOffset%(blockSize-1) + 1
+		addr := loopbackAddr(processBlock.first + processBlock.lastOffset)
+		if processBlock.reserved[addr] {
 			continue
 		}
 		if listener, err := net.Listen("tcp", addr); err == nil {
-			own.taken[addr] = true
+			processBlock.reserved[addr] = true
 			return addr, listener.Close()
 		}
 	}
 	return "", errors.New("no free port on 127.0.0.1")
 }
 
-// For returns an address that is the test's until its end.
+// For returns an address reserved until the test ends. It fails the test if none is free.
 func For(t testing.TB) string {
 	t.Helper()
 	addr, err := Free()
@@ -76,27 +76,27 @@
 	return addr
 }
 
-// Release lets addresses be given out again.
+// Release makes addresses available to Free again.
 func Release(addrs ...string) {
-	own.mu.Lock()
-	defer own.mu.Unlock()
+	processBlock.mu.Lock()
+	defer processBlock.mu.Unlock()
 	for _, addr := range addrs {
-		delete(own.taken, addr)
+		delete(processBlock.reserved, addr)
 	}
 }
 
-// reserve takes a block unless there is one. Called with mu held.
+// reserve reserves a block unless the process has one. The caller holds mu.
 func (p *portBlock) reserve() error {
 	for i := 0; p.owner == nil && i < blockCount; i++ {
 		first := firstPort + (os.Getpid()+i)%blockCount*blockSize
-		if owner, err := net.Listen("tcp", localAddr(first)); err == nil {
+		if owner, err := net.Listen("tcp", loopbackAddr(first)); err == nil {
 			p.owner, p.first = owner, first
 		}
 	}
 	if p.owner == nil {
-		return errors.New("all blocks of ports are taken")
+		return errors.New("all port blocks are in use")
 	}
 	return nil
 }
 
-func localAddr(port int) string { return net.JoinHostPort(loopback, strconv.Itoa(port)) }
+func loopbackAddr(port int) string { return net.JoinHostPort(loopback, strconv.Itoa(port)) }
