--- a/testbed/cloud/cloud.go
+++ b/testbed/cloud/cloud.go
@@ -1,8 +1,8 @@
-// Package cloud is a stand-in of the platform's calls that are the duty of one process at
-// a time: it takes reports of usage and orders of servers, checks fences when it carries a
-// call out, loses answers, carries calls out late, and judges who called. A machine is
-// known by the address at which it calls (Cloud.Machine), whatever name it bears. Start
-// reading at Cloud.
+// Package cloud is a stand-in for the platform's endpoints that only one process at a time,
+// the holder of a lease, may call: usage reports and scaling of servers. It checks fencing
+// tokens when it executes a call, can drop responses and execute calls late, and records
+// violations by the callers. It identifies a machine by the handler through which it calls
+// (Cloud.Machine), not by the name in the request. Cloud is the main type.
 package cloud
 
 import (
@@ -15,24 +15,24 @@
 	"time"
 )
 
-// Fault is what becomes of calls.
+// Fault selects how calls are handled.
 type Fault int
 
 // Faults.
 const (
-	// Well: calls are carried out and answered.
+	// NoFault executes calls and responds.
 	Well Fault = iota
-	// Busy: calls get 429.
+	// Throttled responds with status 429 and doesn't execute calls.
 	Busy
-	// Silent: calls get no answer and aren't carried out.
+	// RequestLost closes the connection without executing the call.
 	Silent
-	// Lost: calls are carried out, their answers are lost.
+	// ResponseLost executes calls but closes the connection without a response.
 	Lost
-	// Late: calls get no answer and are carried out by Land.
+	// Delayed closes the connection without a response; RunDelayed executes the calls.
 	Late
 )
 
-// Report is a report of usage that was taken.
+// Report is an accepted usage report.
 type Report struct {
 	Window uint64
 	Counts map[string]int64
@@ -41,152 +41,158 @@
 	Fence  uint64
 }
 
-// Cloud is the stand-in.
+// Cloud is the stand-in; it implements http.Handler.
 type Cloud struct {
-	// leaseTime is within what time holders may not act by turns; 0 for no check.
-	leaseTime time.Duration
-	// mu guards what follows; nothing is locked while it is held.
-	mu      sync.Mutex
-	fault   Fault
-	late    []func()
-	calls   int
-	reports map[uint64]Report
-	// subjects holds what is known of each duty and subject.
-	subjects map[string]*subject
-	broken   []string
-}
-
-// subject is what was seen of one duty and subject.
-type subject struct {
-	highest uint64
-	// machines are who used each fence, acts who acted, in order.
+	// leaseDuration is the period within which holders must not alternate; 0 disables the check.
+	leaseDuration time.Duration
+	// mu guards the fields below; no other lock is taken while it is held.
+	mu        sync.Mutex
+	fault     Fault
+	delayed   []func()
+	callCount int
+	reports   map[uint64]Report
+	// tasks holds the calls seen for each leased task, by name.
+	tasks      map[string]*taskState
+	violations []string
+}
+
+// taskState holds the calls seen for one leased task: usage, or scaling of one service in one
+// availability zone.
+type taskState struct {
+	highestToken uint64
+	// machines maps each fencing token to the last machine that used it; acts lists the
+	// accepted calls in order.
 	machines map[uint64]string
-	acts     []act
+	calls    []acceptedCall
 }
 
-type act struct {
+// acceptedCall is an accepted call.
+type acceptedCall struct {
 	machine string
 	at      time.Time
 }
 
-// New returns a stand-in that knows nothing.
-func New(leaseTime time.Duration) *Cloud {
-	return &Cloud{leaseTime: leaseTime, reports: map[uint64]Report{}, subjects: map[string]*subject{}}
+// New returns a Cloud that has seen no calls. Violations describes the use of
+// leaseDuration.
+func New(leaseDuration time.Duration) *Cloud {
+	return &Cloud{leaseDuration: leaseDuration, reports: map[uint64]Report{}, tasks: map[string]*taskState{}}
 }
 
-// SetFault sets what becomes of calls.
+// SetFault sets how later calls are handled.
 func (c *Cloud) SetFault(f Fault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fault = f
 }
 
-// Land carries out the calls that are late.
+// RunDelayed executes the calls that Delayed has queued.
 func (c *Cloud) Land() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, do := range c.late {
-		do()
+	for _, execute := range c.delayed {
+		execute()
 	}
-	c.late = nil
+	c.delayed = nil
 }
 
-// Calls counts the calls so far.
+// CallCount returns the number of valid calls received.
 func (c *Cloud) Calls() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.calls
+	return c.callCount
 }
 
-// Reports returns the reports that were taken first, by window.
+// Reports returns the first accepted report of each window, by window.
 func (c *Cloud) Reports() map[uint64]Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.reports)
 }
 
-// Broken tells what should not have happened.
+// Violations describes the violations seen: different counts for one window, one fencing
+// token used by two machines, and holders that alternate within leaseDuration.
 func (c *Cloud) Broken() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]string(nil), c.broken...)
+	return append([]string(nil), c.violations...)
 }
 
-// ServeHTTP implements http.Handler for machines that bear their own names.
+// ServeHTTP handles a call of the machine named in the X-Owner header.
 func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.Machine(r.Header.Get("X-Owner")).ServeHTTP(w, r)
 }
 
-// Machine is the platform as one machine reaches it.
+// Machine returns the handler for the calls of one machine.
 func (c *Cloud) Machine(name string) http.Handler {
 	routes := http.NewServeMux()
-	routes.HandleFunc("POST /usage", func(w http.ResponseWriter, r *http.Request) { c.usage(w, r, name) })
-	routes.HandleFunc("POST /scale", func(w http.ResponseWriter, r *http.Request) { c.scale(w, r, name) })
+	routes.HandleFunc("POST /usage", func(w http.ResponseWriter, r *http.Request) { c.handleUsage(w, r, name) })
+	routes.HandleFunc("POST /scale", func(w http.ResponseWriter, r *http.Request) { c.handleScale(w, r, name) })
 	return routes
 }
 
-func (c *Cloud) usage(w http.ResponseWriter, r *http.Request, machine string) {
+func (c *Cloud) handleUsage(w http.ResponseWriter, r *http.Request, machine string) {
 	var body struct {
 		Window *uint64          `json:"window-id"`
 		Counts map[string]int64 `json:"counts"`
 	}
-	fence, err := strconv.ParseUint(r.Header.Get("X-Fence-Token"), 10, 64)
+	token, err := strconv.ParseUint(r.Header.Get("X-Fence-Token"), 10, 64)
 	if err != nil || json.NewDecoder(r.Body).Decode(&body) != nil || body.Window == nil || body.Counts == nil || r.Header.Get("X-Owner") == "" {
-		http.Error(w, "a window, counts, an owner and a fence are needed", http.StatusBadRequest)
+		http.Error(w, "window-id, counts, X-Owner and X-Fence-Token are required", http.StatusBadRequest)
 		return
 	}
-	report := Report{Window: *body.Window, Counts: body.Counts, Owner: r.Header.Get("X-Owner"), Fence: fence}
-	c.call(w, func() int {
-		if !c.fenced("usage", fence, machine) {
+	report := Report{Window: *body.Window, Counts: body.Counts, Owner: r.Header.Get("X-Owner"), Fence: token}
+	c.handleCall(w, func() int {
+		if !c.checkToken("usage", token, machine) {
 			return http.StatusConflict
 		}
-		c.take(report)
+		c.storeReport(report)
 		return http.StatusOK
 	})
 }
 
-// take takes a report; c.mu is held.
-func (c *Cloud) take(r Report) {
-	before, ok := c.reports[r.Window]
+// storeReport stores the first report of a window and checks that later ones have equal counts. The
+// caller holds c.mu.
+func (c *Cloud) storeReport(r Report) {
+	first, ok := c.reports[r.Window]
 	if !ok {
 		r.At = time.Now()
 		c.reports[r.Window] = r
 		return
 	}
-	if !maps.Equal(before.Counts, r.Counts) {
-		c.breaks("window %d was reported as %v by %s and as %v by %s", r.Window, before.Counts, before.Owner, r.Counts, r.Owner)
+	if !maps.Equal(first.Counts, r.Counts) {
+		c.addViolation("window %d was reported as %v by %s and as %v by %s", r.Window, first.Counts, first.Owner, r.Counts, r.Owner)
 	}
 }
 
-func (c *Cloud) scale(w http.ResponseWriter, r *http.Request, machine string) {
+func (c *Cloud) handleScale(w http.ResponseWriter, r *http.Request, machine string) {
 	var body struct {
 		Service string `json:"service"`
 		Zone    string `json:"zone"`
 		Desired *int   `json:"desired"`
 	}
-	fence, err := strconv.ParseUint(r.Header.Get("X-Fence-Token"), 10, 64)
+	token, err := strconv.ParseUint(r.Header.Get("X-Fence-Token"), 10, 64)
 	if err != nil || json.NewDecoder(r.Body).Decode(&body) != nil || body.Desired == nil {
-		http.Error(w, "a service, a zone, a number and a fence are needed", http.StatusBadRequest)
+		http.Error(w, "desired and X-Fence-Token are required", http.StatusBadRequest)
 		return
 	}
-	c.call(w, func() int {
-		if !c.fenced("scale "+body.Service+" "+body.Zone, fence, machine) {
+	c.handleCall(w, func() int {
+		if !c.checkToken("scale "+body.Service+" "+body.Zone, token, machine) {
 			return http.StatusConflict
 		}
 		return http.StatusOK
 	})
 }
 
-// call carries a call out as the fault says.
-func (c *Cloud) call(w http.ResponseWriter, do func() int) {
+// handleCall handles a call according to the fault; execute executes it and returns the HTTP status.
+func (c *Cloud) handleCall(w http.ResponseWriter, execute func() int) {
 	c.mu.Lock()
-	c.calls++
+	c.callCount++
 	fault, status := c.fault, 0
 	switch fault {
 	case Well, Lost:
-		status = do()
+		status = execute()
 	case Late:
-		c.late = append(c.late, func() { do() })
+		c.delayed = append(c.delayed, func() { execute() })
 	case Busy:
 		status = http.StatusTooManyRequests
 	case Silent:
@@ -199,42 +205,43 @@
 	panic(http.ErrAbortHandler)
 }
 
-// fenced notes a call on a subject and reports whether its fence is high enough; c.mu is
-// held.
-func (c *Cloud) fenced(name string, fence uint64, machine string) bool {
-	s := c.subjects[name]
-	if s == nil {
-		s = &subject{machines: map[uint64]string{}}
-		c.subjects[name] = s
+// checkToken records a call and reports whether its fencing token is at least the highest one
+// seen for the task. The caller holds c.mu.
+func (c *Cloud) checkToken(name string, token uint64, machine string) bool {
+	task := c.tasks[name]
+	if task == nil {
+		task = &taskState{machines: map[uint64]string{}}
+		c.tasks[name] = task
 	}
-	if other, ok := s.machines[fence]; ok && other != machine {
-		c.breaks("%s: %s and %s called under generation %d", name, other, machine, fence)
+	if other, ok := task.machines[token]; ok && other != machine {
+		c.addViolation("%s: %s and %s both used fencing token %d", name, other, machine, token)
 	}
-	s.machines[fence] = machine
-	if fence < s.highest {
+	task.machines[token] = machine
+	if token < task.highestToken {
 		return false
 	}
-	s.highest = fence
-	s.acts = append(s.acts, act{machine, time.Now()})
-	c.turns(name, s)
+	task.highestToken = token
+	task.calls = append(task.calls, acceptedCall{machine, time.Now()})
+	c.checkAlternation(name, task)
 	return true
 }
 
-// turns looks for holders that act by turns within the lease's time; c.mu is held.
-func (c *Cloud) turns(name string, s *subject) {
-	last := s.acts[len(s.acts)-1]
+// checkAlternation checks for holders that alternate within leaseDuration. The caller holds c.mu.
+func (c *Cloud) checkAlternation(name string, task *taskState) {
+	last := task.calls[len(task.calls)-1]
 	other := false
-	for i := len(s.acts) - 2; i >= 0 && last.at.Sub(s.acts[i].at) < c.leaseTime; i-- {
+	for i := len(task.calls) - 2; i >= 0 && last.at.Sub(task.calls[i].at) < c.leaseDuration; i-- {
 		switch {
-		case s.acts[i].machine != last.machine:
+		case task.calls[i].machine != last.machine:
 			other = true
 		case other:
-			c.breaks("%s: %s acted, another one, and %s again within %v", name, last.machine, last.machine, last.at.Sub(s.acts[i].at))
+			c.addViolation("%s: %s acted, then another machine, then %s again within %v", name, last.machine, last.machine, last.at.Sub(task.calls[i].at))
 			return
 		}
 	}
 }
 
-func (c *Cloud) breaks(format string, args ...any) {
-	c.broken = append(c.broken, fmt.Sprintf(format, args...))
+// addViolation records a violation. The caller holds c.mu.
+func (c *Cloud) addViolation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
--- a/testbed/cloud/cloud_test.go
+++ b/testbed/cloud/cloud_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// post makes a call as a machine; 0 for no answer.
-func post(c *Cloud, machine, path string, fence uint64, body string) (status int) {
+// post sends a call as a machine and returns the status, or 0 if there is no response.
+func post(c *Cloud, machine, path string, token uint64, body string) (status int) {
 	defer func() {
 		if recover() != nil {
 			status = 0
@@ -18,78 +18,78 @@
 	}()
 	req := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
 	req.Header.Set("X-Owner", "any")
-	req.Header.Set("X-Fence-Token", strconv.FormatUint(fence, 10))
-	answer := httptest.NewRecorder()
-	c.Machine(machine).ServeHTTP(answer, req)
-	return answer.Code
+	req.Header.Set("X-Fence-Token", strconv.FormatUint(token, 10))
+	recorder := httptest.NewRecorder()
+	c.Machine(machine).ServeHTTP(recorder, req)
+	return recorder.Code
 }
 
 const (
-	four  = `{"window-id":7,"counts":{"a":4}}`
-	five  = `{"window-id":7,"counts":{"a":5}}`
-	order = `{"service":"s","zone":"z","desired":3}`
+	reportOf4    = `{"window-id":7,"counts":{"a":4}}`
+	reportOf5    = `{"window-id":7,"counts":{"a":5}}`
+	scaleRequest = `{"service":"s","zone":"z","desired":3}`
 )
 
-func TestWhatBreaks(t *testing.T) {
+func TestViolations(t *testing.T) {
 	cases := map[string]struct {
-		do     func(c *Cloud)
-		breaks int
+		do         func(c *Cloud)
+		violations int
 	}{
-		"an exact repeat":          {func(c *Cloud) { post(c, "m", "/usage", 1, four); post(c, "m", "/usage", 1, four) }, 0},
-		"another count":            {func(c *Cloud) { post(c, "m", "/usage", 1, four); post(c, "m", "/usage", 1, five) }, 1},
-		"another machine":          {func(c *Cloud) { post(c, "m", "/usage", 1, four); post(c, "n", "/usage", 1, four) }, 1},
-		"a later holder's repeat":  {func(c *Cloud) { post(c, "m", "/usage", 1, four); post(c, "n", "/usage", 2, four) }, 0},
-		"a deposed holder's count": {func(c *Cloud) { post(c, "n", "/usage", 2, four); post(c, "m", "/usage", 1, five) }, 0},
-		"holders by turns": {func(c *Cloud) {
-			post(c, "m", "/usage", 1, four)
-			post(c, "n", "/usage", 2, four)
-			post(c, "m", "/usage", 3, four)
+		"identical report repeated":             {func(c *Cloud) { post(c, "m", "/usage", 1, reportOf4); post(c, "m", "/usage", 1, reportOf4) }, 0},
+		"different counts":                      {func(c *Cloud) { post(c, "m", "/usage", 1, reportOf4); post(c, "m", "/usage", 1, reportOf5) }, 1},
+		"token used by two machines":            {func(c *Cloud) { post(c, "m", "/usage", 1, reportOf4); post(c, "n", "/usage", 1, reportOf4) }, 1},
+		"report repeated by the next holder":    {func(c *Cloud) { post(c, "m", "/usage", 1, reportOf4); post(c, "n", "/usage", 2, reportOf4) }, 0},
+		"different counts from a former holder": {func(c *Cloud) { post(c, "n", "/usage", 2, reportOf4); post(c, "m", "/usage", 1, reportOf5) }, 0},
+		"alternating holders": {func(c *Cloud) {
+			post(c, "m", "/usage", 1, reportOf4)
+			post(c, "n", "/usage", 2, reportOf4)
+			post(c, "m", "/usage", 3, reportOf4)
 		}, 1},
-		"another subject's fence": {func(c *Cloud) { post(c, "m", "/usage", 1, four); post(c, "n", "/scale", 1, order) }, 0},
-		"a late call that is deposed": {func(c *Cloud) {
+		"token of another task": {func(c *Cloud) { post(c, "m", "/usage", 1, reportOf4); post(c, "n", "/scale", 1, scaleRequest) }, 0},
+		"delayed call of a former holder": {func(c *Cloud) {
 			c.SetFault(Late)
-			post(c, "m", "/usage", 1, five)
+			post(c, "m", "/usage", 1, reportOf5)
 			c.SetFault(Well)
-			post(c, "n", "/usage", 2, four)
+			post(c, "n", "/usage", 2, reportOf4)
 			c.Land()
 		}, 0},
-		"a late call that is first": {func(c *Cloud) {
+		"delayed call executed first": {func(c *Cloud) {
 			c.SetFault(Late)
-			post(c, "m", "/usage", 1, five)
+			post(c, "m", "/usage", 1, reportOf5)
 			c.SetFault(Well)
 			c.Land()
-			post(c, "n", "/usage", 2, four)
+			post(c, "n", "/usage", 2, reportOf4)
 		}, 1},
-		"a lost answer": {func(c *Cloud) {
+		"lost response": {func(c *Cloud) {
 			c.SetFault(Lost)
-			post(c, "m", "/usage", 1, five)
+			post(c, "m", "/usage", 1, reportOf5)
 			c.SetFault(Well)
-			post(c, "m", "/usage", 1, four)
+			post(c, "m", "/usage", 1, reportOf4)
 		}, 1},
 	}
 	for name, tc := range cases {
 		c := New(time.Minute)
 		tc.do(c)
-		if got := c.Broken(); len(got) != tc.breaks {
+		if got := c.Broken(); len(got) != tc.violations {
 			t.Errorf("%s: %q", name, got)
 		}
 	}
 }
 
-func TestAnswers(t *testing.T) {
+func TestStatusCodes(t *testing.T) {
 	c := New(0)
-	if got := post(c, "m", "/usage", 3, four); got != http.StatusOK {
+	if got := post(c, "m", "/usage", 3, reportOf4); got != http.StatusOK {
 		t.Errorf("status %d", got)
 	}
-	if got := post(c, "n", "/usage", 2, four); got != http.StatusConflict {
-		t.Errorf("status %d for a lower generation", got)
+	if got := post(c, "n", "/usage", 2, reportOf4); got != http.StatusConflict {
+		t.Errorf("status %d for a lower fencing token", got)
 	}
 	if got := post(c, "n", "/usage", 4, `{"window-id":8}`); got != http.StatusBadRequest {
 		t.Errorf("status %d without counts", got)
 	}
 	for fault, want := range map[Fault]int{Busy: http.StatusTooManyRequests, Silent: 0, Lost: 0, Late: 0} {
 		c.SetFault(fault)
-		if got := post(c, "m", "/scale", 1, order); got != want {
+		if got := post(c, "m", "/scale", 1, scaleRequest); got != want {
 			t.Errorf("fault %d: status %d, want %d", fault, got, want)
 		}
 	}
