--- a/testbed/fleet/backend.go
+++ b/testbed/fleet/backend.go
@@ -8,11 +8,11 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// Backend is a backend server VM: the server and the agent beside it.
+// Backend is a backend server VM, which runs a server and its agent.
 type Backend struct {
-	// VM is its row in the platform's list.
+	// VM is the VM's entry in the platform's VM list.
 	VM storage.VM
-	// Server is the engine or plain service, Agent the process beside it.
+	// Server is the engine or plain service; Agent is the agent process on the same VM.
 	Server *Server
 	Agent  *Process
 
@@ -34,22 +34,22 @@
 	if err != nil {
 		return nil, err
 	}
-	seenAddr, err := f.route(Link{Kind: LinkAgent, To: name, Addr: agentAddr})
+	routedAddr, err := f.routeAddr(Link{Kind: LinkAgent, To: name, Addr: agentAddr})
 	if err != nil {
 		return nil, err
 	}
 	agent := f.newProcess(name, agentAddr, f.options.Binaries.Agent, "serve", "--settings", path)
-	agent.ready = httpReady(agentAddr)
-	vm := storage.VM{Name: name, Addr: seenAddr, Zone: f.zone(number), Role: storage.RoleBackend, Serves: spec.Serves}
+	agent.ready = checkReadyz(agentAddr)
+	vm := storage.VM{Name: name, Addr: routedAddr, Zone: f.zone(number), Role: storage.RoleBackend, Serves: spec.Serves}
 	return &Backend{VM: vm, Server: server, Agent: agent, fleet: f}, nil
 }
 
 func (f *Fleet) writeAgentSettings(name, addr string, spec BackendSpec, server *Server) (string, error) {
-	platformAddr, err := f.route(Link{Kind: LinkPlatform, From: name, To: f.Platform.Name, Addr: f.Platform.Addr})
+	platformAddr, err := f.routeAddr(Link{Kind: LinkPlatform, From: name, To: f.Platform.Name, Addr: f.Platform.Addr})
 	if err != nil {
 		return "", err
 	}
-	serverAddr, err := f.route(Link{Kind: LinkBackend, From: name, To: server.Name, Addr: server.Addr})
+	serverAddr, err := f.routeAddr(Link{Kind: LinkBackend, From: name, To: server.Name, Addr: server.Addr})
 	if err != nil {
 		return "", err
 	}
@@ -70,7 +70,7 @@
 	})
 }
 
-// start starts the server, then its agent, and registers the VM.
+// start registers the VM, then starts the server and its agent.
 func (b *Backend) start(ctx context.Context) error {
 	if err := b.fleet.register(ctx, b.VM); err != nil {
 		return err
@@ -81,7 +81,7 @@
 	return b.Agent.start(ctx)
 }
 
-// zone gives the zones to processes in turn.
+// zone returns the availability zone of the process with this number. Zones are assigned round-robin.
 func (f *Fleet) zone(number int) string {
 	if len(f.options.Zones) == 0 {
 		return "zone-1"
@@ -89,7 +89,7 @@
 	return f.options.Zones[number%len(f.options.Zones)]
 }
 
-// seeds are the addresses of the agents that there are so far.
+// seeds returns the addresses of the agents created so far.
 func (f *Fleet) seeds() []string {
 	seeds := make([]string, 0, len(f.Backends))
 	for _, backend := range f.Backends {
--- a/testbed/fleet/binaries.go
+++ b/testbed/fleet/binaries.go
@@ -9,14 +9,14 @@
 	"github.com/go-faster/errors"
 )
 
-// Packages of the programs that a fleet runs.
+// Import paths of the programs that a fleet runs.
 const (
 	packageEntry   = "github.com/applepier/applepier/cmd/applepier"
 	packageAgent   = "github.com/applepier/applepier/cmd/applepier-agent"
 	packageStandIn = "github.com/applepier/applepier/testbed/cmd/standin"
 )
 
-// Binaries are the paths of the built programs.
+// Binaries holds the paths of the built programs.
 type Binaries struct {
 	Entry   string
 	Agent   string
@@ -25,12 +25,12 @@
 	dir string
 }
 
-// Build builds the programs into a temporary folder. It must be called from
-// within the workspace.
+// Build compiles the programs into a temporary directory. The working directory
+// must be inside the Go workspace.
 func Build(ctx context.Context) (*Binaries, error) {
 	dir, err := os.MkdirTemp("", "applepier-bin-")
 	if err != nil {
-		return nil, errors.Wrap(err, "folder for programs")
+		return nil, errors.Wrap(err, "create directory for programs")
 	}
 	build := exec.CommandContext(ctx, "go", "build", "-o", dir+string(filepath.Separator),
 		packageEntry, packageAgent, packageStandIn)
@@ -46,7 +46,7 @@
 	}, nil
 }
 
-// Remove deletes the programs.
+// Remove deletes the built programs and their directory.
 func (b *Binaries) Remove() {
 	os.RemoveAll(b.dir)
 }
--- a/testbed/fleet/client.go
+++ b/testbed/fleet/client.go
@@ -11,17 +11,17 @@
 	"github.com/go-faster/errors"
 )
 
-// Limits of calls to stand-ins and to the administration API.
+// Limits of requests to stand-ins and to the administration API.
 const (
-	callLimit   = 10 * time.Second
-	answerLimit = 64 << 20
+	requestTimeout   = 10 * time.Second
+	maxResponseBytes = 64 << 20 // bytes
 )
 
-// client makes a connection for each call: fleets come and go, and a kept
-// connection to a restarted process would fail its first call.
-var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callLimit}
+// client opens a new connection for each request: the first request on a
+// kept-alive connection to a restarted process would fail.
+var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: requestTimeout}
 
-// StatusError is an answer of an unexpected status.
+// StatusError reports an HTTP response with an unexpected status.
 type StatusError struct {
 	Method string
 	URL    string
@@ -33,41 +33,42 @@
 	return e.Method + " " + e.URL + ": " + http.StatusText(e.Status) + ": " + e.Body
 }
 
-// call is one JSON request.
+// call describes one JSON request.
 type call struct {
 	method string
 	url    string
 	header http.Header
-	// body is sent as JSON unless it is nil; answer is filled unless nil.
-	body   any
-	answer any
+	// body is sent as JSON and the response body is decoded into response; nil skips either.
+	body     any
+	response any
 }
 
-// do makes the call and returns the answer's headers.
+// do sends the request and returns the response headers. A status of 300 or
+// above is returned as a *StatusError.
 func (c call) do(ctx context.Context) (http.Header, error) {
-	request, err := c.request(ctx)
+	httpRequest, err := c.request(ctx)
 	if err != nil {
 		return nil, err
 	}
-	response, err := client.Do(request)
+	httpResponse, err := client.Do(httpRequest)
 	if err != nil {
-		return nil, errors.Wrap(err, "call")
+		return nil, errors.Wrap(err, "send request")
 	}
-	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, answerLimit))
+	defer httpResponse.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(httpResponse.Body, maxResponseBytes))
 	if err != nil {
-		return nil, errors.Wrapf(err, "answer of %s", c.url)
+		return nil, errors.Wrapf(err, "response of %s", c.url)
 	}
-	if response.StatusCode >= http.StatusMultipleChoices {
-		return response.Header, &StatusError{Method: c.method, URL: c.url, Status: response.StatusCode, Body: string(body)}
+	if httpResponse.StatusCode >= http.StatusMultipleChoices {
+		return httpResponse.Header, &StatusError{Method: c.method, URL: c.url, Status: httpResponse.StatusCode, Body: string(body)}
 	}
-	if c.answer == nil {
-		return response.Header, nil
+	if c.response == nil {
+		return httpResponse.Header, nil
 	}
-	if err := json.Unmarshal(body, c.answer); err != nil {
-		return nil, errors.Wrapf(err, "answer of %s", c.url)
+	if err := json.Unmarshal(body, c.response); err != nil {
+		return nil, errors.Wrapf(err, "response of %s", c.url)
 	}
-	return response.Header, nil
+	return httpResponse.Header, nil
 }
 
 func (c call) request(ctx context.Context) (*http.Request, error) {
@@ -75,13 +76,13 @@
 	if c.body != nil {
 		encoded, err := json.Marshal(c.body)
 		if err != nil {
-			return nil, errors.Wrap(err, "encode body")
+			return nil, errors.Wrap(err, "encode request body")
 		}
 		body = bytes.NewReader(encoded)
 	}
 	request, err := http.NewRequestWithContext(ctx, c.method, c.url, body)
 	if err != nil {
-		return nil, errors.Wrap(err, "request")
+		return nil, errors.Wrap(err, "create request")
 	}
 	for name, values := range c.header {
 		request.Header[name] = values
--- a/testbed/fleet/entry.go
+++ b/testbed/fleet/entry.go
@@ -14,12 +14,12 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-// Entry is an entry VM's process.
+// Entry is the process of an entry VM.
 type Entry struct {
 	*Process
-	// VM is its row in the platform's list.
+	// VM is the VM's entry in the platform's VM list.
 	VM storage.VM
-	// URL is the base address for callers, AdminURL that for operators.
+	// URL is the base URL for callers; AdminURL is the base URL of the administration API.
 	URL      string
 	AdminURL string
 
@@ -41,13 +41,13 @@
 		return nil, err
 	}
 	process := f.newProcess(name, addr, f.options.Binaries.Entry, "serve", "--settings", path)
-	process.ready = httpReady(adminAddr)
+	process.ready = checkReadyz(adminAddr)
 	vm := storage.VM{Name: name, Addr: adminAddr, Zone: f.zone(len(f.Entries)), Role: storage.RoleEntry}
 	return &Entry{Process: process, VM: vm, URL: "http://" + addr, AdminURL: "http://" + adminAddr, fleet: f}, nil
 }
 
 func (f *Fleet) writeEntrySettings(name, addr, adminAddr string) (string, error) {
-	platformAddr, err := f.route(Link{Kind: LinkPlatform, From: name, To: f.Platform.Name, Addr: f.Platform.Addr})
+	platformAddr, err := f.routeAddr(Link{Kind: LinkPlatform, From: name, To: f.Platform.Name, Addr: f.Platform.Addr})
 	if err != nil {
 		return "", err
 	}
@@ -71,7 +71,7 @@
 	return e.Process.start(ctx)
 }
 
-// AddEntry starts one more entry, as when a VM is replaced.
+// AddEntry starts one more entry, for example to replace a VM, and waits until it is ready.
 func (f *Fleet) AddEntry(ctx context.Context) (*Entry, error) {
 	entry, err := f.newEntry()
 	if err != nil {
@@ -81,45 +81,45 @@
 	return entry, entry.start(ctx)
 }
 
-// Targets reads the targets that the entry has in force.
+// Targets returns the targets that the entry currently applies.
 func (e *Entry) Targets(ctx context.Context) (*targets.Set, error) {
-	return e.fleet.targetsOf(ctx, e.VM.Addr)
+	return e.fleet.readTargets(ctx, e.VM.Addr)
 }
 
-// Targets reads the targets that the agent has in force.
+// Targets returns the targets that the agent currently applies.
 func (b *Backend) Targets(ctx context.Context) (*targets.Set, error) {
-	return b.fleet.targetsOf(ctx, b.Agent.Addr)
+	return b.fleet.readTargets(ctx, b.Agent.Addr)
 }
 
-func (f *Fleet) targetsOf(ctx context.Context, addr string) (*targets.Set, error) {
+func (f *Fleet) readTargets(ctx context.Context, addr string) (*targets.Set, error) {
 	state, err := peer.Ask(ctx, addr, f.systemKey)
 	return state.Targets, err
 }
 
-// changeAnswer is the part of the administration API's answer that is read.
-type changeAnswer struct {
+// changeResponse is the decoded part of the administration API's response to a change.
+type changeResponse struct {
 	Version uint64 `json:"version"`
 }
 
-// completionChange is a change of one field.
+// completionChange is the request body that changes a class's completion target.
 type completionChange struct {
 	Completion string `json:"completion"`
 }
 
-// SetCompletion changes a class's latency target to completion, upon a
-// version of the targets, and returns the new version once it is accepted.
-func (e *Entry) SetCompletion(ctx context.Context, class string, base uint64, completion time.Duration) (uint64, error) {
-	header := http.Header{"If-Match": {strconv.Quote(strconv.FormatUint(base, 10))}}
-	var answer changeAnswer
+// SetCompletionTarget sets a class's completion latency target, conditional on the
+// current targets version being baseVersion, and returns the new version.
+func (e *Entry) SetCompletion(ctx context.Context, class string, baseVersion uint64, completion time.Duration) (uint64, error) {
+	header := http.Header{"If-Match": {strconv.Quote(strconv.FormatUint(baseVersion, 10))}}
+	var response changeResponse
 	change := completionChange{Completion: completion.String()}
-	_, err := e.admin(ctx, http.MethodPatch, "/admin/v1/classes/"+url.PathEscape(class), header, change, &answer)
-	return answer.Version, err
+	_, err := e.callAdmin(ctx, http.MethodPatch, "/admin/v1/classes/"+url.PathEscape(class), header, change, &response)
+	return response.Version, err
 }
 
-func (e *Entry) admin(ctx context.Context, method, path string, header http.Header, body, answer any) (http.Header, error) {
+func (e *Entry) callAdmin(ctx context.Context, method, path string, header http.Header, body, response any) (http.Header, error) {
 	if header == nil {
 		header = http.Header{}
 	}
 	header.Set("Authorization", "Bearer "+e.fleet.OperatorKey)
-	return call{method: method, url: e.AdminURL + path, header: header, body: body, answer: answer}.do(ctx)
+	return call{method: method, url: e.AdminURL + path, header: header, body: body, response: response}.do(ctx)
 }
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet starts the system as real processes on 127.0.0.1, for the
-// demo, the load tool and the fault matrix: the stand-in platform, backend
-// servers with their agents, and entries. Each process can be killed, paused,
-// continued, told to stop and started again. Start reading at Start.
+// Package fleet runs the system as real processes on 127.0.0.1 for the demo,
+// the load tool and the fault matrix: a stand-in platform, backend servers with
+// their agents, and entries. Each process can be killed, paused, resumed,
+// terminated and restarted. Start is the main entry point.
 package fleet
 
 import (
@@ -19,40 +19,40 @@
 	"github.com/applepier/applepier/testbed/ports"
 )
 
-// stopLimit is how long Close waits for a process to end by itself.
-const stopLimit = 5 * time.Second
+// killTimeout bounds how long Close waits for a killed process to exit.
+const killTimeout = 5 * time.Second
 
-// Fleet is a running system. Its processes are reached by its fields.
+// Fleet is a running system of processes on the local machine.
 type Fleet struct {
 	// Platform is the stand-in platform.
 	Platform *Platform
-	// Entries are the entries, in the order of their numbers.
+	// Entries holds the entries in creation order.
 	Entries []*Entry
-	// Backends are the backend servers with their agents, in the order of
+	// Backends holds the backend servers with their agents, in the order of
 	// Options.Backends.
 	Backends []*Backend
-	// OperatorKey is the key of the administration API.
+	// OperatorKey authenticates requests to the administration API.
 	OperatorKey string
 
-	systemKey string
-	options   Options
-	dir       string
-	ownBuild  bool
-	launcher  *launcher
-	keys      keyFiles
+	systemKey    string
+	options      Options
+	dir          string
+	ownsBinaries bool
+	launcher     *launcher
+	keys         keyFiles
 
 	mu        sync.Mutex
 	processes []*Process
 	addrs     []string
 }
 
-// Start builds the programs unless options name them already, starts the
-// fleet, registers its VMs, writes the classes and waits until all is ready.
-// On an error all that was started is ended again.
+// Start starts a fleet, registers its VMs, writes the classes and waits until
+// every process is ready. It builds the programs if options.Binaries is nil. On
+// an error it stops all processes; the error contains the ends of their logs.
 func Start(ctx context.Context, options Options) (*Fleet, error) {
 	f := &Fleet{options: options, OperatorKey: uuid.NewString(), systemKey: uuid.NewString(), launcher: newLauncher()}
 	if err := f.start(ctx); err != nil {
-		err = errors.Wrap(err, f.tails(startFailureLines))
+		err = errors.Wrap(err, f.logTails(startFailureLines))
 		f.Close()
 		return nil, err
 	}
@@ -60,7 +60,7 @@
 }
 
 func (f *Fleet) start(ctx context.Context) error {
-	if err := f.prepare(ctx); err != nil {
+	if err := f.prepareFiles(ctx); err != nil {
 		return err
 	}
 	if err := f.startPlatform(ctx); err != nil {
@@ -72,14 +72,14 @@
 	return f.startEntries(ctx)
 }
 
-func (f *Fleet) prepare(ctx context.Context) error {
+func (f *Fleet) prepareFiles(ctx context.Context) error {
 	dir, err := os.MkdirTemp("", "applepier-fleet-")
 	if err != nil {
-		return errors.Wrap(err, "folder for logs and settings")
+		return errors.Wrap(err, "create directory for logs and settings")
 	}
 	f.dir = dir
 	if f.options.Binaries == nil {
-		f.ownBuild = true
+		f.ownsBinaries = true
 		if f.options.Binaries, err = Build(ctx); err != nil {
 			return err
 		}
@@ -134,7 +134,7 @@
 	return group.Wait()
 }
 
-// newProcess makes a process known to Close before it is started.
+// newProcess creates a process, not yet started, that Close stops.
 func (f *Fleet) newProcess(name, addr, program string, args ...string) *Process {
 	p := &Process{
 		Name:     name,
@@ -143,7 +143,7 @@
 		args:     args,
 		logPath:  filepath.Join(f.dir, name+".log"),
 		launcher: f.launcher,
-		ready:    dialReady(addr),
+		ready:    checkDial(addr),
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -151,7 +151,7 @@
 	return p
 }
 
-// newAddr returns an address that is the fleet's until Close.
+// newAddr reserves an address until Close.
 func (f *Fleet) newAddr() (string, error) {
 	addr, err := ports.Free()
 	if err != nil {
@@ -163,25 +163,25 @@
 	return addr, nil
 }
 
-// Processes lists all processes that the fleet ever had.
+// Processes returns all processes created so far, including those that have exited.
 func (f *Fleet) Processes() []*Process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]*Process(nil), f.processes...)
 }
 
-// Close ends every process that the fleet started and removes its files. It
-// kills: to see graceful ends, call Terminate on the processes before.
+// Close kills every process of the fleet and removes its files. For a graceful
+// shutdown, call Shutdown first.
 func (f *Fleet) Close() {
 	for _, p := range f.Processes() {
-		p.end(stopLimit)
+		p.kill(killTimeout)
 	}
 	f.launcher.close()
 	f.mu.Lock()
 	ports.Release(f.addrs...)
 	f.addrs = nil
 	f.mu.Unlock()
-	if f.ownBuild && f.options.Binaries != nil {
+	if f.ownsBinaries && f.options.Binaries != nil {
 		f.options.Binaries.Remove()
 	}
 	if f.dir != "" {
@@ -189,8 +189,8 @@
 	}
 }
 
-// route is the address by which one process reaches another.
-func (f *Fleet) route(link Link) (string, error) {
+// routeAddr returns the address at which one process reaches another.
+func (f *Fleet) routeAddr(link Link) (string, error) {
 	if f.options.Route == nil {
 		return link.Addr, nil
 	}
@@ -201,7 +201,7 @@
 	return addr, nil
 }
 
-// register puts a VM on the platform's list.
+// register adds a VM to the platform's VM list.
 func (f *Fleet) register(ctx context.Context, vm storage.VM) error {
 	if err := f.Platform.PutVM(ctx, vm); err != nil {
 		return errors.Wrapf(err, "register VM %s", vm.Name)
--- a/testbed/fleet/fleet_test.go
+++ b/testbed/fleet/fleet_test.go
@@ -13,12 +13,12 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-// limit is generous: the machine may be busy.
-const limit = 90 * time.Second
+// testTimeout bounds a whole test and allows for a busy machine.
+const testTimeout = 90 * time.Second
 
-func startTest(t *testing.T, options Options) (context.Context, *Fleet) {
+func startFleet(t *testing.T, options Options) (context.Context, *Fleet) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), limit)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
 	f, err := Start(ctx, options)
 	if err != nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-func ask(ctx context.Context, e *Entry) error {
+func sendChatCompletion(ctx context.Context, e *Entry) error {
 	body := `{"model":"m","messages":[{"role":"user","content":"hello"}],"max_tokens":3}`
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, e.URL+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -60,9 +60,9 @@
 	return nil
 }
 
-func TestLifeOfAFleet(t *testing.T) {
-	ctx, f := startTest(t, testOptions())
-	if err := ask(ctx, f.Entries[0]); err != nil {
+func TestProcessLifecycle(t *testing.T) {
+	ctx, f := startFleet(t, testOptions())
+	if err := sendChatCompletion(ctx, f.Entries[0]); err != nil {
 		t.Fatal(err)
 	}
 	engine := f.Backends[0].Server
@@ -91,7 +91,7 @@
 		t.Fatal(err)
 	}
 	if agent.Running() {
-		t.Fatal("agent runs after SIGTERM")
+		t.Fatal("agent is still running after SIGTERM")
 	}
 	if err := f.Entries[1].Kill(); err != nil {
 		t.Fatal(err)
@@ -101,8 +101,8 @@
 	}
 }
 
-func TestCloseEndsEveryProcess(t *testing.T) {
-	_, f := startTest(t, testOptions())
+func TestCloseKillsEveryProcess(t *testing.T) {
+	_, f := startFleet(t, testOptions())
 	if err := f.Entries[0].Stop(); err != nil {
 		t.Fatal(err)
 	}
@@ -113,7 +113,7 @@
 	f.Close()
 	for _, pid := range pids {
 		if err := syscall.Kill(pid, 0); err != syscall.ESRCH {
-			t.Errorf("process %d is still there: %v", pid, err)
+			t.Errorf("process %d still exists: %v", pid, err)
 		}
 	}
 	if len(pids) != 7 {
@@ -124,40 +124,40 @@
 func TestFailedStartShowsLogs(t *testing.T) {
 	options := testOptions()
 	options.Backends[0].Serves = ""
-	ctx, cancel := context.WithTimeout(t.Context(), limit)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	f, err := Start(ctx, options)
 	if err == nil {
 		f.Close()
-		t.Fatal("a fleet with bad settings started")
+		t.Fatal("fleet started with invalid settings")
 	}
 	if !strings.Contains(err.Error(), "log of") {
 		t.Fatalf("no log in %v", err)
 	}
 }
 
-// Guards against a start that fails without a trace, where a process was ended from outside: its
-// callers see connections that are reset or refused, and its log is empty.
+// Guards against a failed start whose error doesn't name the cause: a process killed from outside
+// leaves an empty log, and its callers only see reset or refused connections.
 func TestStartTellsWhichProcessEnded(t *testing.T) {
-	ctx, cancel := context.WithTimeout(t.Context(), limit)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	binaries, err := Build(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer binaries.Remove()
-	mortal := *binaries
-	mortal.StandIn = filepath.Join(t.TempDir(), "standin")
+	killedBinaries := *binaries
+	killedBinaries.StandIn = filepath.Join(t.TempDir(), "standin")
 	script := "#!/bin/sh\n\"" + binaries.StandIn + "\" \"$@\" &\nsleep 0.01\nkill -KILL $! $$\n"
-	if err := os.WriteFile(mortal.StandIn, []byte(script), 0o700); err != nil {
+	if err := os.WriteFile(killedBinaries.StandIn, []byte(script), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	options := testOptions()
-	options.Binaries = &mortal
+	options.Binaries = &killedBinaries
 	f, err := Start(ctx, options)
 	if err == nil {
 		f.Close()
-		t.Fatal("a fleet has started whose platform is gone")
+		t.Fatal("fleet started although its platform was killed")
 	}
 	if want := "platform (ended: signal: killed)"; !strings.Contains(err.Error(), want) {
 		t.Errorf("%v, want %q in it", err, want)
--- a/testbed/fleet/killwithparent_linux.go
+++ b/testbed/fleet/killwithparent_linux.go
@@ -2,8 +2,8 @@
 
 import "syscall"
 
-// endWithParent has the kernel kill a child whose parent died without Close,
-// for example after a test's panic.
-func endWithParent() *syscall.SysProcAttr {
+// killWithParent makes the kernel kill the child if its parent dies without
+// calling Close, for example when a test panics.
+func killWithParent() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 }
--- a/testbed/fleet/killwithparent_other.go
+++ b/testbed/fleet/killwithparent_other.go
@@ -4,8 +4,7 @@
 
 import "syscall"
 
-// endWithParent has no counterpart outside Linux: there Close alone ends the
-// children.
+// killWithParent returns nil: outside Linux only Close stops the children.
 func endWithParent() *syscall.SysProcAttr {
 	return nil
 }
--- a/testbed/fleet/launcher.go
+++ b/testbed/fleet/launcher.go
@@ -7,8 +7,8 @@
 )
 
 // launcher starts child processes from one operating system thread that lives
-// as long as the fleet. Linux ties "kill the child when its parent is gone"
-// to the thread that started it, and Go ends idle threads.
+// as long as the fleet. Linux sends the parent death signal when the thread that
+// started the child exits, and the Go runtime may end idle threads.
 type launcher struct {
 	jobs  chan launchJob
 	close func()
@@ -26,7 +26,7 @@
 	return l
 }
 
-// run never unlocks its thread, so that the thread ends with it.
+// run starts the queued commands. It never unlocks its thread, so the thread exits with it.
 func (l *launcher) run() {
 	runtime.LockOSThread()
 	for job := range l.jobs {
@@ -34,9 +34,9 @@
 	}
 }
 
-// start starts cmd so that it does not outlive this process.
+// start starts cmd and, on Linux, has it killed when this process dies.
 func (l *launcher) start(cmd *exec.Cmd) error {
-	cmd.SysProcAttr = endWithParent()
+	cmd.SysProcAttr = killWithParent()
 	job := launchJob{cmd: cmd, result: make(chan error, 1)}
 	l.jobs <- job
 	return <-job.result
--- a/testbed/fleet/logs.go
+++ b/testbed/fleet/logs.go
@@ -7,29 +7,29 @@
 	"strings"
 )
 
-// startFailureLines is how much of each log a failed Start shows.
+// startFailureLines is the number of log lines per process in the error of a failed Start.
 const startFailureLines = 8
 
-// WriteLogs writes the last lines of every process's log, for a failed test.
+// WriteLogs writes the last lines of every process's log to w.
 func (f *Fleet) WriteLogs(w io.Writer, lines int) {
-	io.WriteString(w, f.tails(lines))
+	io.WriteString(w, f.logTails(lines))
 }
 
-// tails are the last lines of each process's log, and how those ended that don't run: one that
-// was ended from outside writes nothing, and its callers see connections that are reset.
-func (f *Fleet) tails(lines int) string {
+// logTails returns the last lines of each process's log and how the process exited. The exit reason
+// is needed because a process killed from outside logs nothing; its callers only see resets.
+func (f *Fleet) logTails(lines int) string {
 	var text strings.Builder
 	for _, p := range f.Processes() {
-		ended := ""
-		if how := p.Ended(); how != "" {
-			ended = " (ended: " + how + ")"
+		exit := ""
+		if reason := p.Ended(); reason != "" {
+			exit = " (ended: " + reason + ")"
 		}
-		fmt.Fprintf(&text, "\n--- log of %s%s\n%s", p.Name, ended, p.logTail(lines))
+		fmt.Fprintf(&text, "\n--- log of %s%s\n%s", p.Name, exit, p.logTail(lines))
 	}
 	return text.String()
 }
 
-// Log returns everything that the process has logged so far.
+// Log returns the process's log, or the text of the error if it can't be read.
 func (p *Process) Log() string {
 	content, err := os.ReadFile(p.logPath)
 	if err != nil {
--- a/testbed/fleet/options.go
+++ b/testbed/fleet/options.go
@@ -7,32 +7,32 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-// Options say what a fleet consists of.
+// Options configures a fleet.
 type Options struct {
-	// Binaries are the built programs; Start builds them when it is nil.
+	// Binaries holds the built programs; if nil, Start builds them.
 	Binaries *Binaries
-	// Entries is how many entries there are.
+	// Entries is the number of entries.
 	Entries int
-	// Backends are the backend servers, each with an agent beside it.
+	// Backends describes the backend servers; each gets an agent.
 	Backends []BackendSpec
-	// Classes are written to the platform before the entries start; an entry
-	// is not ready without any.
+	// Classes are written to the platform before the entries start. An entry
+	// doesn't become ready while there are none.
 	Classes []targets.Class
-	// Customers are written with the classes; DefaultCustomer when empty.
+	// Customers are written with the classes; if empty, DefaultCustomer.
 	Customers []string
-	// Zones are given to the processes in turn; one zone when empty.
+	// Zones are the availability zones, assigned to VMs round-robin; if empty, one zone.
 	Zones []string
-	// LogLevel is the level of both programs; info when empty.
+	// LogLevel is the log level of entries and agents; if empty, info.
 	LogLevel string
-	// Route, when set, gives the address under which a process reaches
-	// another, for example that of a fault proxy before it.
+	// Route, if set, returns the address at which one process reaches
+	// another, for example that of a fault proxy.
 	Route func(Link) (string, error)
 }
 
-// DefaultCustomer is there when Options name no customers.
+// DefaultCustomer is the only customer if Options.Customers is empty.
 const DefaultCustomer = "kaivonkansi"
 
-// CustomerKey is the API key that a customer of a fleet has.
+// CustomerKey returns a customer's API key.
 func CustomerKey(customer string) string { return "key-of-customer-" + customer }
 
 func (o Options) customers() []string {
@@ -44,25 +44,27 @@
 
 // BackendSpec describes one backend server.
 type BackendSpec struct {
-	// Kind is engine or plain service.
+	// Kind selects an engine or a plain service.
 	Kind settings.BackendKind
-	// Serves is the model or the plain service's name.
+	// Serves is the name of the model or plain service.
 	Serves string
-	// Capacity is how many streams an engine runs at full speed.
+	// Capacity is the number of concurrent streams an engine runs at full speed.
 	Capacity int
 	// Interval is the time between an engine's tokens at full speed, in
 	// whole milliseconds.
 	Interval time.Duration
-	// PrefillPerToken is the time an engine reads a prompt token that it has
-	// not cached, in whole microseconds; its default when zero.
+	// PrefillPerToken is the engine's prefill time per uncached prompt token,
+	// in whole microseconds; zero selects the engine's default.
 	PrefillPerToken time.Duration
-	// LoadLag is how old an engine's load report can be; its default when zero.
+	// LoadLag is the maximum age of an engine's load report, in whole
+	// milliseconds; zero selects the engine's default.
 	LoadLag time.Duration
-	// IgnoresFence marks an engine that takes orders with old numbers.
+	// IgnoresFencingToken makes an engine accept orders with outdated fencing tokens.
 	IgnoresFence bool
 }
 
-// Engines returns count alike engines of one model.
+// Engines returns specs of count identical engines of one model. The interval
+// between tokens is in whole milliseconds.
 func Engines(count int, model string, capacity int, interval time.Duration) []BackendSpec {
 	specs := make([]BackendSpec, 0, count)
 	for range count {
@@ -76,25 +78,25 @@
 	return specs
 }
 
-// LinkKind says between which roles a link runs.
+// LinkKind is the pair of roles that a link connects.
 type LinkKind int
 
-// Kinds of links.
+// Link kinds.
 const (
-	// LinkAgent runs from all entries to one agent.
+	// LinkAgent connects all entries to one agent.
 	LinkAgent LinkKind = iota + 1
-	// LinkBackend runs from an agent to its backend server.
+	// LinkBackend connects an agent to its backend server.
 	LinkBackend
-	// LinkPlatform runs from one process to the platform.
+	// LinkPlatform connects one process to the platform.
 	LinkPlatform
 )
 
-// Link is a connection that one process is about to be told of.
+// Link describes a connection between processes whose address is about to be configured.
 type Link struct {
 	Kind LinkKind
-	// From names the process that connects; empty for LinkAgent.
+	// From is the name of the connecting process; empty for LinkAgent.
 	From string
-	// To names the process that listens, and Addr is its host:port.
+	// To is the name of the listening process, and Addr its host:port.
 	To   string
 	Addr string
 }
--- a/testbed/fleet/platform.go
+++ b/testbed/fleet/platform.go
@@ -14,29 +14,29 @@
 	standin "github.com/applepier/applepier/testbed/platform"
 )
 
-// Platform is the stand-in platform.
+// Platform is the process of the stand-in platform.
 type Platform struct {
 	*Process
-	// URL is its base address.
+	// URL is the platform's base URL.
 	URL string
 }
 
-// PutVM puts a VM on the list, or replaces it there.
+// PutVM adds a VM to the VM list or replaces its entry.
 func (p *Platform) PutVM(ctx context.Context, vm storage.VM) error {
 	_, err := call{method: http.MethodPut, url: p.vmURL(vm.Name), body: vm}.do(ctx)
 	return err
 }
 
-// MarkLeaving marks a VM on the list as leaving.
+// MarkLeaving marks a VM in the VM list as leaving.
 func (p *Platform) MarkLeaving(ctx context.Context, name string) error {
 	_, err := call{method: http.MethodPost, url: p.vmURL(name) + "/leaving"}.do(ctx)
 	return err
 }
 
-// UpdateKnobs changes the platform's faults.
+// UpdateKnobs reads the platform's fault settings, applies change and writes them back.
 func (p *Platform) UpdateKnobs(ctx context.Context, change func(*standin.Knobs)) error {
 	var knobs standin.Knobs
-	if _, err := (call{method: http.MethodGet, url: p.URL + "/knobs", answer: &knobs}).do(ctx); err != nil {
+	if _, err := (call{method: http.MethodGet, url: p.URL + "/knobs", response: &knobs}).do(ctx); err != nil {
 		return err
 	}
 	change(&knobs)
@@ -44,20 +44,20 @@
 	return err
 }
 
-// Stats reads the counts of calls that the platform has taken.
+// Stats returns the platform's request counters.
 func (p *Platform) Stats(ctx context.Context) (standin.Stats, error) {
 	var stats standin.Stats
-	_, err := call{method: http.MethodGet, url: p.URL + "/stats", answer: &stats}.do(ctx)
+	_, err := call{method: http.MethodGet, url: p.URL + "/stats", response: &stats}.do(ctx)
 	return stats, err
 }
 
-// Targets reads the newest targets that the table holds.
+// Targets returns the latest targets stored in the table.
 func (p *Platform) Targets(ctx context.Context) (*targets.Set, error) {
 	return store.New(storage.NewHTTP(p.URL)).Load(ctx)
 }
 
-// writeTargets writes the first targets, before any entry runs: an entry is
-// not ready without.
+// writeTargets writes the initial targets. It runs before any entry starts,
+// since an entry doesn't become ready without targets.
 func (p *Platform) writeTargets(ctx context.Context, classes []targets.Class, customers []string) error {
 	_, err := store.New(storage.NewHTTP(p.URL)).Change(ctx, 0, func(set *targets.Set) error {
 		set.Classes = append(set.Classes, classes...)
--- a/testbed/fleet/process.go
+++ b/testbed/fleet/process.go
@@ -11,37 +11,37 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrNotRunning is returned for signals to a process that has ended.
+// ErrNotRunning reports that a process isn't running.
 var ErrNotRunning = errors.New("process is not running")
 
-// Process is one process of a fleet. Its methods may be called from several
-// goroutines, but only one of them should decide over its life.
+// Process is one process of a fleet. Its methods are safe for concurrent use,
+// but only one goroutine should start, stop and signal it.
 type Process struct {
-	// Name is the VM's name, or what stands in for a part of the platform.
+	// Name is the VM's name, or the stand-in's name.
 	Name string
-	// Addr is the host:port it listens on.
+	// Addr is the host:port that the process listens on.
 	Addr string
 
-	program  string
-	args     []string
-	argsFor  func(start int) []string // instead of args, when set
-	starts   int
-	logPath  string
-	launcher *launcher
-	ready    readiness
+	program      string
+	args         []string
+	argsForStart func(start int) []string // if set, replaces args at each start
+	startCount   int
+	logPath      string
+	launcher     *launcher
+	ready        readinessCheck
 
-	mu      sync.Mutex
-	running *instance
+	mu   sync.Mutex
+	last *instance
 }
 
-// instance is one start of a process.
+// instance is one run of a process, from start to exit.
 type instance struct {
 	cmd  *exec.Cmd
 	done chan struct{}
 	err  error // set before done is closed
 }
 
-// start starts a process that does not run and waits until it is ready.
+// start starts the process and waits until it is ready. It fails if the process is running.
 func (p *Process) start(ctx context.Context) error {
 	if err := p.launch(); err != nil {
 		return err
@@ -52,26 +52,26 @@
 func (p *Process) launch() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.running != nil && !p.running.ended() {
-		return errors.Errorf("process %s runs already", p.Name)
+	if p.last != nil && !p.last.exited() {
+		return errors.Errorf("process %s is already running", p.Name)
 	}
 	log, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return errors.Wrapf(err, "log of %s", p.Name)
 	}
 	defer log.Close()
-	if p.argsFor != nil {
-		p.args = p.argsFor(p.starts)
+	if p.argsForStart != nil {
+		p.args = p.argsForStart(p.startCount)
 	}
-	p.starts++
+	p.startCount++
 	cmd := exec.Command(p.program, p.args...)
 	cmd.Stdout = log
 	cmd.Stderr = log
 	if err := p.launcher.start(cmd); err != nil {
 		return errors.Wrapf(err, "start %s", p.Name)
 	}
-	p.running = &instance{cmd: cmd, done: make(chan struct{})}
-	go p.running.wait()
+	p.last = &instance{cmd: cmd, done: make(chan struct{})}
+	go p.last.wait()
 	return nil
 }
 
@@ -80,7 +80,7 @@
 	close(i.done)
 }
 
-func (i *instance) ended() bool {
+func (i *instance) exited() bool {
 	select {
 	case <-i.done:
 		return true
@@ -89,27 +89,27 @@
 	}
 }
 
-// WaitReady waits until the process takes work; an error when it ends before
-// or ctx is done.
+// WaitReady waits until the process is ready. It returns an error if the
+// process exits first or ctx is done.
 func (p *Process) WaitReady(ctx context.Context) error {
-	i, err := p.current()
+	i, err := p.runningInstance()
 	if err != nil {
 		return err
 	}
 	return p.ready.wait(ctx, p.Name, i.done)
 }
 
-func (p *Process) current() (*instance, error) {
+func (p *Process) runningInstance() (*instance, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.running == nil || p.running.ended() {
+	if p.last == nil || p.last.exited() {
 		return nil, errors.Wrap(ErrNotRunning, p.Name)
 	}
-	return p.running, nil
+	return p.last, nil
 }
 
 func (p *Process) signal(sig syscall.Signal) error {
-	i, err := p.current()
+	i, err := p.runningInstance()
 	if err != nil {
 		return err
 	}
@@ -119,37 +119,37 @@
 	return nil
 }
 
-// PID is the process's id, 0 when it does not run.
+// PID returns the process ID, or 0 if the process isn't running.
 func (p *Process) PID() int {
-	i, err := p.current()
+	i, err := p.runningInstance()
 	if err != nil {
 		return 0
 	}
 	return i.cmd.Process.Pid
 }
 
-// Running reports whether the process runs; a paused one does.
+// Running reports whether the process is running; a paused process is.
 func (p *Process) Running() bool {
-	_, err := p.current()
+	_, err := p.runningInstance()
 	return err == nil
 }
 
-// Ended says how the process's last start ended; empty while it runs, and where it never did.
+// ExitReason returns how the last run exited; empty while it runs or if it was never started.
 func (p *Process) Ended() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case p.running == nil || !p.running.ended():
+	case p.last == nil || !p.last.exited():
 		return ""
-	case p.running.err != nil:
-		return p.running.err.Error()
+	case p.last.err != nil:
+		return p.last.err.Error()
 	}
 	return "exit status 0"
 }
 
-// Kill sends SIGKILL and waits for the end.
+// Kill sends SIGKILL and waits for the process to exit.
 func (p *Process) Kill() error {
-	i, err := p.current()
+	i, err := p.runningInstance()
 	if err != nil {
 		return err
 	}
@@ -160,16 +160,16 @@
 	return nil
 }
 
-// Stop pauses the process by SIGSTOP.
+// Pause pauses the process with SIGSTOP.
 func (p *Process) Stop() error { return p.signal(syscall.SIGSTOP) }
 
-// Continue wakes a paused process by SIGCONT.
+// Resume resumes a paused process with SIGCONT.
 func (p *Process) Continue() error { return p.signal(syscall.SIGCONT) }
 
-// BeginTerminate sends SIGTERM and does not wait.
+// SendTerminate sends SIGTERM without waiting for the process to exit.
 func (p *Process) BeginTerminate() error { return p.signal(syscall.SIGTERM) }
 
-// Terminate sends SIGTERM and waits for the end as AwaitEnd does.
+// Terminate sends SIGTERM and waits like WaitExit.
 func (p *Process) Terminate(ctx context.Context) error {
 	if err := p.BeginTerminate(); err != nil {
 		return err
@@ -177,11 +177,11 @@
 	return p.AwaitEnd(ctx)
 }
 
-// AwaitEnd waits until the process has ended by itself: an error when it ends
-// with another code than 0 or not before ctx is done.
+// WaitExit waits for the process to exit. It returns an error if the exit code
+// isn't 0 or ctx is done first.
 func (p *Process) AwaitEnd(ctx context.Context) error {
 	p.mu.Lock()
-	i := p.running
+	i := p.last
 	p.mu.Unlock()
 	if i == nil {
 		return errors.Wrap(ErrNotRunning, p.Name)
@@ -189,16 +189,16 @@
 	select {
 	case <-i.done:
 	case <-ctx.Done():
-		return errors.Wrapf(ctx.Err(), "%s has not ended", p.Name)
+		return errors.Wrapf(ctx.Err(), "%s has not exited", p.Name)
 	}
 	if i.err != nil {
-		return errors.Wrapf(i.err, "end of %s", p.Name)
+		return errors.Wrapf(i.err, "exit of %s", p.Name)
 	}
 	return nil
 }
 
-// Restart kills the process if it runs, starts it anew with the same
-// settings and waits until it is ready.
+// Restart kills the process if it is running, starts it with the same settings
+// and waits until it is ready.
 func (p *Process) Restart(ctx context.Context) error {
 	if err := p.Kill(); err != nil && !errors.Is(err, ErrNotRunning) {
 		return err
@@ -206,16 +206,16 @@
 	return p.start(ctx)
 }
 
-// end makes sure that the process is gone.
-func (p *Process) end(limit time.Duration) {
-	i, err := p.current()
+// kill kills the process if it is running and waits up to timeout for its exit.
+func (p *Process) kill(timeout time.Duration) {
+	i, err := p.runningInstance()
 	if err != nil {
 		return
 	}
-	// SIGKILL ends paused processes too. An error means it is gone already.
+	// SIGKILL also ends a paused process. An error means that it has already exited.
 	_ = i.cmd.Process.Kill()
 	select {
 	case <-i.done:
-	case <-time.After(limit):
+	case <-time.After(timeout):
 	}
 }
--- a/testbed/fleet/ready.go
+++ b/testbed/fleet/ready.go
@@ -9,36 +9,36 @@
 	"github.com/go-faster/errors"
 )
 
-// readyPoll is the pause between two looks at a starting process.
-const readyPoll = 20 * time.Millisecond
+// readyPollInterval is the interval between readiness checks of a starting process.
+const readyPollInterval = 20 * time.Millisecond
 
-// probeLimit bounds one look.
-const probeLimit = 2 * time.Second
+// probeTimeout bounds one readiness check.
+const probeTimeout = 2 * time.Second
 
-// readiness looks once whether a process takes work.
-type readiness func(ctx context.Context) error
+// readinessCheck checks once whether a process is ready and returns nil if it is.
+type readinessCheck func(ctx context.Context) error
 
-// wait polls until the process is ready, has ended or ctx is done.
-func (r readiness) wait(ctx context.Context, name string, ended <-chan struct{}) error {
+// wait polls until the process is ready; it returns an error if the process exits or ctx is done.
+func (r readinessCheck) wait(ctx context.Context, name string, exited <-chan struct{}) error {
 	for {
-		probe, cancel := context.WithTimeout(ctx, probeLimit)
-		err := r(probe)
+		probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
+		err := r(probeCtx)
 		cancel()
 		if err == nil {
 			return nil
 		}
 		select {
-		case <-ended:
-			return errors.Wrapf(ErrNotRunning, "%s ended before it was ready", name)
+		case <-exited:
+			return errors.Wrapf(ErrNotRunning, "%s exited before it was ready", name)
 		case <-ctx.Done():
 			return errors.Wrapf(err, "%s is not ready", name)
-		case <-time.After(readyPoll):
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
-// dialReady is met by a process that takes connections.
-func dialReady(addr string) readiness {
+// checkDial returns a check that succeeds once the process accepts TCP connections.
+func checkDial(addr string) readinessCheck {
 	return func(ctx context.Context) error {
 		conn, err := new(net.Dialer).DialContext(ctx, "tcp", addr)
 		if err != nil {
@@ -48,8 +48,8 @@
 	}
 }
 
-// httpReady is met by a process whose /readyz answers 200.
-func httpReady(addr string) readiness {
+// checkReadyz returns a check that succeeds once /readyz returns status 200.
+func checkReadyz(addr string) readinessCheck {
 	return func(ctx context.Context) error {
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/readyz", nil)
 		if err != nil {
--- a/testbed/fleet/server.go
+++ b/testbed/fleet/server.go
@@ -16,16 +16,16 @@
 	"github.com/applepier/applepier/testbed/plain"
 )
 
-// Server is a backend server: a stand-in engine or plain service.
+// Server is the process of a backend server: a stand-in engine or plain service.
 type Server struct {
 	*Process
-	// URL is its base address.
+	// URL is the server's base URL.
 	URL string
-	// Spec is what it was started with.
+	// Spec describes the server.
 	Spec BackendSpec
 
-	mu      sync.Mutex
-	records []string // record files: of an engine one for each start, oldest first
+	mu          sync.Mutex
+	recordFiles []string // record files, oldest first; an engine has one per start
 }
 
 func (f *Fleet) newServer(name string, spec BackendSpec) (*Server, error) {
@@ -34,23 +34,23 @@
 		return nil, err
 	}
 	s := &Server{URL: "http://" + addr, Spec: spec}
-	calls := filepath.Join(f.dir, name+".calls")
-	s.Process = f.newProcess(name, addr, f.options.Binaries.StandIn, "service", "--listen", addr, "--record-file", calls)
+	callsFile := filepath.Join(f.dir, name+".calls")
+	s.Process = f.newProcess(name, addr, f.options.Binaries.StandIn, "service", "--listen", addr, "--record-file", callsFile)
 	if spec.Kind == settings.BackendService {
-		s.records = []string{calls}
+		s.recordFiles = []string{callsFile}
 	}
 	if spec.Kind == settings.BackendEngine {
-		s.argsFor = func(start int) []string { return s.engineArgs(f.dir, start) }
+		s.argsForStart = func(start int) []string { return s.engineArgs(f.dir, start) }
 	}
 	return s, nil
 }
 
-// engineArgs gives each start a record file of its own: runs are numbered
-// from 1 again.
+// engineArgs returns the arguments for one start of an engine. Each start has
+// its own record file, since run numbers start at 1 again.
 func (s *Server) engineArgs(dir string, start int) []string {
 	record := filepath.Join(dir, fmt.Sprintf("%s-%d.runs", s.Name, start))
 	s.mu.Lock()
-	s.records = append(s.records, record)
+	s.recordFiles = append(s.recordFiles, record)
 	s.mu.Unlock()
 	args := []string{
 		"engine", "--listen", s.Addr, "--model", s.Spec.Serves, "--record-file", record,
@@ -69,11 +69,10 @@
 	return args
 }
 
-// Runs returns an engine's record of all runs, those of killed starts
-// included.
+// Runs returns an engine's records of all runs, including those before a restart.
 func (s *Server) Runs() ([]standin.Record, error) {
 	s.mu.Lock()
-	files := append([]string(nil), s.records...)
+	files := append([]string(nil), s.recordFiles...)
 	s.mu.Unlock()
 	var all []standin.Record
 	for _, file := range files {
@@ -86,11 +85,11 @@
 	return all, nil
 }
 
-// Calls returns a plain service's record of the calls that took effect, those
-// of killed starts included.
+// Calls returns the calls that a plain service executed, including those
+// before a restart.
 func (s *Server) Calls() ([]plain.Call, error) {
 	var all []plain.Call
-	for _, file := range s.records {
+	for _, file := range s.recordFiles {
 		calls, err := plain.ReadRecordFile(file)
 		if err != nil {
 			return nil, errors.Wrapf(err, "record of %s", s.Name)
@@ -100,20 +99,20 @@
 	return all, nil
 }
 
-// Orders returns the orders that an engine has carried out.
+// Orders returns the orders that an engine has executed.
 func (s *Server) Orders(ctx context.Context) ([]engine.Order, error) {
 	var orders []engine.Order
-	_, err := call{method: http.MethodGet, url: s.URL + "/orders", answer: &orders}.do(ctx)
+	_, err := call{method: http.MethodGet, url: s.URL + "/orders", response: &orders}.do(ctx)
 	return orders, err
 }
 
-// SetEngineKnobs replaces the faults of an engine.
+// SetEngineKnobs replaces the fault settings of an engine.
 func (s *Server) SetEngineKnobs(ctx context.Context, knobs standin.Knobs) error {
 	_, err := call{method: http.MethodPut, url: s.URL + "/knobs", body: knobs}.do(ctx)
 	return err
 }
 
-// SetServiceKnobs replaces the faults of a plain service.
+// SetServiceKnobs replaces the fault settings of a plain service.
 func (s *Server) SetServiceKnobs(ctx context.Context, knobs plain.Knobs) error {
 	_, err := call{method: http.MethodPut, url: s.URL + "/knobs", body: knobs}.do(ctx)
 	return err
--- a/testbed/fleet/settings.go
+++ b/testbed/fleet/settings.go
@@ -10,10 +10,10 @@
 	"github.com/applepier/applepier/internal/settings"
 )
 
-// ownerOnly is the mode of files with settings and keys.
-const ownerOnly = 0o600
+// secretFileMode is the mode of settings and key files: readable by the owner only.
+const secretFileMode = 0o600
 
-// keyFiles are the secrets of a fleet's processes.
+// keyFiles holds the paths of the key files that the processes read.
 type keyFiles struct {
 	operator string
 	system   string
@@ -21,11 +21,11 @@
 
 func writeKeys(dir, operator, system string) (keyFiles, error) {
 	files := keyFiles{operator: filepath.Join(dir, "operator.key"), system: filepath.Join(dir, "system.key")}
-	if err := os.WriteFile(files.operator, []byte(operator), ownerOnly); err != nil {
-		return files, errors.Wrap(err, "operator's key")
+	if err := os.WriteFile(files.operator, []byte(operator), secretFileMode); err != nil {
+		return files, errors.Wrap(err, "write operator key")
 	}
-	if err := os.WriteFile(files.system, []byte(system), ownerOnly); err != nil {
-		return files, errors.Wrap(err, "system's key")
+	if err := os.WriteFile(files.system, []byte(system), secretFileMode); err != nil {
+		return files, errors.Wrap(err, "write system key")
 	}
 	return files, nil
 }
@@ -44,7 +44,7 @@
 		return "", errors.Wrapf(err, "settings of %s", name)
 	}
 	path := filepath.Join(f.dir, name+".yaml")
-	if err := os.WriteFile(path, content, ownerOnly); err != nil {
+	if err := os.WriteFile(path, content, secretFileMode); err != nil {
 		return "", errors.Wrapf(err, "settings of %s", name)
 	}
 	return path, nil
--- a/testbed/fleet/shutdown.go
+++ b/testbed/fleet/shutdown.go
@@ -7,9 +7,9 @@
 	"github.com/sourcegraph/conc/pool"
 )
 
-// Shutdown sends SIGTERM to every process that runs, callers' side first, and
-// waits until each has ended by itself. The error names those that did not,
-// or not with exit code 0; Close ends them.
+// Shutdown sends SIGTERM to all entries, then all agents, then all servers, then
+// the platform, and waits for each group to exit. The error names the processes
+// that didn't exit with code 0 before ctx was done; Close kills them.
 func (f *Fleet) Shutdown(ctx context.Context) error {
 	var entries, agents, servers []*Process
 	for _, entry := range f.Entries {
@@ -27,7 +27,7 @@
 	)
 }
 
-// terminateAll ends processes of one kind side by side.
+// terminateAll terminates processes concurrently.
 func terminateAll(ctx context.Context, processes []*Process) error {
 	group := pool.New().WithErrors()
 	for _, p := range processes {
