--- a/testbed/demo/demo.go
+++ b/testbed/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo shows the system at work: it starts a small fleet of real
-// processes, sends it mixed load with a burst of one class, and tells what
-// callers got. Start reading at Run.
+// Package demo demonstrates the system: it starts a small fleet of real processes,
+// sends mixed load with a burst of one class, and reports the outcome for
+// callers. Run is the main function.
 package demo
 
 import (
@@ -18,37 +18,37 @@
 )
 
 //go:embed mix.yaml
-var mixText []byte
+var mixYAML []byte
 
 //go:embed shape.yaml
-var shapeText []byte
+var shapeYAML []byte
 
 const (
-	// entries is how many entries there are.
-	entries = 3
-	// returnWithin is how long a refused caller waits before it comes back.
-	returnWithin = 20 * time.Second
-	// startLimit bounds the start of all processes, without the build.
-	startLimit = time.Minute
-	// endLimit is how long the processes may take to end by themselves.
-	endLimit = 30 * time.Second
+	// entryCount is the number of entries.
+	entryCount = 3
+	// maxRetryAfter is the longest Retry-After after which a refused caller retries.
+	maxRetryAfter = 20 * time.Second
+	// startTimeout bounds the start of all processes, excluding the build.
+	startTimeout = time.Minute
+	// shutdownTimeout bounds the graceful shutdown of all processes.
+	shutdownTimeout = 30 * time.Second
 )
 
-// Options say what the demo does.
+// Options configures the demo.
 type Options struct {
-	// Seed draws the requests.
+	// Seed seeds the random generation of requests.
 	Seed uint64
-	// Duration is how long requests are sent.
+	// Duration is how long requests are sent, excluding start and shutdown.
 	Duration time.Duration
-	// Out takes what is found, Progress what goes on.
+	// Out receives the results; Progress receives status messages.
 	Out      io.Writer
 	Progress io.Writer
 }
 
-// Run builds the programs and runs the demo. It returns an error when a
-// process did not end by itself.
+// Run builds the programs and runs the demo. It returns an error if the demo
+// can't run or if a process doesn't shut down gracefully.
 func Run(ctx context.Context, options Options) error {
-	scenario, err := load.ParseScenario(mixText, shapeText)
+	scenario, err := load.ParseScenario(mixYAML, shapeYAML)
 	if err != nil {
 		return err
 	}
@@ -60,32 +60,32 @@
 	}
 	defer binaries.Remove()
 	_, _ = fmt.Fprintln(options.Progress, "starting the fleet")
-	running, err := start(ctx, scenario.Mix, binaries)
+	running, err := startFleet(ctx, scenario.Mix, binaries)
 	if err != nil {
 		return err
 	}
 	defer running.Close()
-	if err := send(ctx, running, scenario, options); err != nil {
-		return errors.Join(err, end(running, options.Out))
+	if err := runLoad(ctx, running, scenario, options); err != nil {
+		return errors.Join(err, shutdown(running, options.Out))
 	}
-	return end(running, options.Out)
+	return shutdown(running, options.Out)
 }
 
-func start(ctx context.Context, mix load.Mix, binaries *fleet.Binaries) (*fleet.Fleet, error) {
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+func startFleet(ctx context.Context, mix load.Mix, binaries *fleet.Binaries) (*fleet.Fleet, error) {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	return loadfleet.Start(ctx, mix, entries, binaries)
+	return loadfleet.Start(ctx, mix, entryCount, binaries)
 }
 
-// send sends the load and writes the table.
-func send(ctx context.Context, running *fleet.Fleet, scenario load.Scenario, options Options) error {
+// runLoad runs the load and writes the result table to options.Out.
+func runLoad(ctx context.Context, running *fleet.Fleet, scenario load.Scenario, options Options) error {
 	_, _ = fmt.Fprintf(options.Out, "%d processes: platform, %d entries, %d backend servers with an agent each\n",
 		len(running.Processes()), len(running.Entries), len(running.Backends))
 	target := loadfleet.Target(running, scenario)
 	target.Seed = options.Seed
 	target.Target = "applepier"
 	target.CheckRetryAfter = true
-	target.ReturnWithin = returnWithin
+	target.ReturnWithin = maxRetryAfter
 	target.Progress = func(p load.Progress) { writeProgress(options.Progress, p) }
 	report, err := load.Run(ctx, target)
 	_, _ = fmt.Fprintln(options.Progress)
@@ -100,12 +100,12 @@
 		p.Elapsed.Seconds(), p.Total.Seconds(), p.Phase, p.Sent, p.Ended)
 }
 
-// end ends all processes by SIGTERM, also when the demo was interrupted.
-func end(running *fleet.Fleet, out io.Writer) error {
-	ctx, cancel := context.WithTimeout(context.Background(), endLimit)
+// shutdown terminates all processes with SIGTERM, also if the demo was interrupted.
+func shutdown(running *fleet.Fleet, out io.Writer) error {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := running.Shutdown(ctx); err != nil {
-		return errors.Wrap(err, "did not end by itself on SIGTERM")
+		return errors.Wrap(err, "graceful shutdown on SIGTERM")
 	}
 	_, _ = fmt.Fprintf(out, "all %d processes ended by themselves on SIGTERM\n", len(running.Processes()))
 	return nil
