--- a/testbed/e2e/client_test.go
+++ b/testbed/e2e/client_test.go
@@ -26,8 +26,8 @@
 	fleet *fleet.Fleet
 }
 
-// TestMain starts one fleet for all tests of this package: three entries, two
-// engines and a plain service.
+// TestMain starts the fleet that most tests of this package share: three entries,
+// two engines and a plain service.
 func TestMain(m *testing.M) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	backends := fleet.Engines(2, model, 8, 2*time.Millisecond)
@@ -70,7 +70,7 @@
 	}
 }
 
-func wantAnswer(t *testing.T, p openai.ChatCompletionNewParams) string {
+func wantText(t *testing.T, p openai.ChatCompletionNewParams) string {
 	t.Helper()
 	body, err := p.MarshalJSON()
 	if err != nil {
@@ -79,14 +79,14 @@
 	return strings.Join(engine.Answer(body), "")
 }
 
-func TestRealClientGetsAWholeAnswerFromEveryEntry(t *testing.T) {
+func TestEveryEntryReturnsCompleteResponse(t *testing.T) {
 	for _, entry := range shared.fleet.Entries {
 		p := params(40)
-		completion, err := ptr(newClient(entry, "condition-summary")).Chat.Completions.New(t.Context(), p)
+		completion, err := clientPointer(newClient(entry, "condition-summary")).Chat.Completions.New(t.Context(), p)
 		if err != nil {
 			t.Fatalf("%s: %v", entry.Name, err)
 		}
-		if got, want := completion.Choices[0].Message.Content, wantAnswer(t, p); got != want {
+		if got, want := completion.Choices[0].Message.Content, wantText(t, p); got != want {
 			t.Errorf("%s: got %q, want %q", entry.Name, got, want)
 		}
 		if completion.Usage.CompletionTokens != 40 || completion.Choices[0].FinishReason == "" {
@@ -95,9 +95,9 @@
 	}
 }
 
-func ptr(c openai.Client) *openai.Client { return &c }
+func clientPointer(c openai.Client) *openai.Client { return &c }
 
-func TestRealClientStreams(t *testing.T) {
+func TestClientStreamsResponse(t *testing.T) {
 	p := params(40)
 	p.StreamOptions = openai.ChatCompletionStreamOptionsParam{IncludeUsage: openai.Bool(true)}
 	client := newClient(shared.fleet.Entries[0], "hazard-flag")
@@ -106,13 +106,13 @@
 	var collected openai.ChatCompletionAccumulator
 	for stream.Next() {
 		if !collected.AddChunk(stream.Current()) {
-			t.Fatalf("chunk doesn't fit those before: %s", stream.Current().RawJSON())
+			t.Fatalf("chunk doesn't continue the previous ones: %s", stream.Current().RawJSON())
 		}
 	}
 	if err := stream.Err(); err != nil {
 		t.Fatal(err)
 	}
-	if got, want := collected.Choices[0].Message.Content, wantAnswer(t, p); got != want {
+	if got, want := collected.Choices[0].Message.Content, wantText(t, p); got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 	if collected.Usage.CompletionTokens != 40 {
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestErrorsAreThoseOfAnOpenAIServer(t *testing.T) {
+func TestErrorsMatchOpenAIFormat(t *testing.T) {
 	cases := []struct {
 		name, class string
 		change      func(*openai.ChatCompletionNewParams)
--- a/testbed/e2e/doc.go
+++ b/testbed/e2e/doc.go
@@ -1,3 +1,3 @@
-// Package e2e holds tests of the whole path with real processes and a real
-// client; it has no code of its own.
+// Package e2e contains end-to-end tests with real processes and the OpenAI
+// client library. It has no non-test code.
 package e2e
--- a/testbed/e2e/idempotency_test.go
+++ b/testbed/e2e/idempotency_test.go
@@ -9,15 +9,15 @@
 	"github.com/applepier/applepier/testbed/fleet"
 )
 
-// answerOf is what a caller of the plain service got.
-type answerOf struct {
+// serviceResponse is a response of the plain service to a caller.
+type serviceResponse struct {
 	status   int
 	body     string
 	replayed bool
 	outcome  string
 }
 
-func postDocket(t *testing.T, entry *fleet.Entry, key, body string) answerOf {
+func postDocket(t *testing.T, entry *fleet.Entry, key, body string) serviceResponse {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, entry.URL+"/services/weighbridge/dockets", strings.NewReader(body))
 	if err != nil {
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return answerOf{
+	return serviceResponse{
 		status:   response.StatusCode,
 		body:     string(data),
 		replayed: response.Header.Get("Idempotency-Replayed") == "true",
@@ -42,24 +42,24 @@
 	}
 }
 
-func TestRepeatThroughAnotherEntryGetsTheFirstAnswer(t *testing.T) {
+func TestRetryThroughAnotherEntryReplaysResponse(t *testing.T) {
 	const key, body = "docket-1", `{"weight":7}`
 	first := postDocket(t, shared.fleet.Entries[0], key, body)
 	if first.status != http.StatusOK || first.replayed {
 		t.Fatalf("first call: %+v", first)
 	}
-	// The claim is finished just after the answer is given, so that a repeat
-	// at once may still be told that the call is in progress.
+	// The claim is completed just after the response is sent, so an immediate
+	// retry may still get status 409, call in progress.
 	second := postDocket(t, shared.fleet.Entries[1], key, body)
 	for second.status == http.StatusConflict {
 		second = postDocket(t, shared.fleet.Entries[1], key, body)
 	}
 	if !second.replayed || second.body != first.body || second.status != first.status {
-		t.Fatalf("repeat: got %+v, want the answer of %+v", second, first)
+		t.Fatalf("retry: got %+v, want the response %+v", second, first)
 	}
 }
 
-func TestKeyOfAnotherRequestIsRefused(t *testing.T) {
+func TestIdempotencyKeyOfAnotherRequestIsRejected(t *testing.T) {
 	const key = "docket-2"
 	postDocket(t, shared.fleet.Entries[0], key, `{"weight":7}`)
 	other := postDocket(t, shared.fleet.Entries[2], key, `{"weight":8}`)
--- a/testbed/e2e/orders_test.go
+++ b/testbed/e2e/orders_test.go
@@ -9,15 +9,15 @@
 	"github.com/applepier/applepier/testbed/fleet"
 )
 
-// lostModelLimit bounds the wait until another engine has loaded the model:
-// the absence must last 15 s, and agents look for orders every 10 s or so.
-const lostModelLimit = 2 * time.Minute
+// reloadTimeout bounds the wait until another engine has loaded the model: the
+// model must be absent for 15 s, and agents poll for orders about every 10 s.
+const reloadTimeout = 2 * time.Minute
 
-// TestModelThatLostItsEngineIsLoadedElsewhere kills the only engine of a model
-// and its agent; the holder of the lease then orders another engine to load
-// it, and requests of its class are served again.
+// TestModelThatLostItsEngineIsLoadedElsewhere kills the only engine of a model and
+// its agent. The lease holder must order another engine to load the model, so that
+// requests of its class are served again.
 func TestModelThatLostItsEngineIsLoadedElsewhere(t *testing.T) {
-	ctx, cancel := context.WithTimeout(t.Context(), lostModelLimit)
+	ctx, cancel := context.WithTimeout(t.Context(), reloadTimeout)
 	defer cancel()
 	backends := append(fleet.Engines(2, "other-model", 8, 2*time.Millisecond), fleet.Engines(1, model, 8, 2*time.Millisecond)...)
 	f, err := fleet.Start(ctx, fleet.Options{Entries: 2, Backends: backends, Classes: []targets.Class{
@@ -28,11 +28,11 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	lost := f.Backends[2]
-	if err := lost.Agent.Kill(); err != nil {
+	killed := f.Backends[2]
+	if err := killed.Agent.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	if err := lost.Server.Kill(); err != nil {
+	if err := killed.Server.Kill(); err != nil {
 		t.Fatal(err)
 	}
 	client := newClient(f.Entries[0], "condition-summary")
@@ -42,7 +42,7 @@
 			return
 		}
 		if ctx.Err() != nil {
-			t.Fatalf("the model was not loaded elsewhere: %v", err)
+			t.Fatalf("no other engine loaded the model: %v", err)
 		}
 	}
 }
--- a/testbed/e2e/zone_test.go
+++ b/testbed/e2e/zone_test.go
@@ -14,15 +14,15 @@
 
 const (
 	lostZone     = "kewdale"
-	zoneStreams  = 12
+	streamCount  = 12
 	streamTokens = 150
 )
 
-// TestStreamsOutliveTheLossOfAnAvailabilityZone kills every process of one
-// availability zone at once, an entry, two engines and their agents, while
-// answers stream through the other zone's entry: each is continued elsewhere
-// and whole.
-func TestStreamsOutliveTheLossOfAnAvailabilityZone(t *testing.T) {
+// TestStreamsSurviveAvailabilityZoneLoss kills every process of one
+// availability zone (an entry, two engines and their agents) while responses
+// stream through the entry of the other zone. Each response must continue on
+// another engine and arrive complete.
+func TestStreamsSurviveAvailabilityZoneLoss(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
 	f, err := fleet.Start(ctx, fleet.Options{
@@ -35,35 +35,35 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	want := wantAnswer(t, params(streamTokens))
-	started := make(chan struct{}, zoneStreams)
+	want := wantText(t, params(streamTokens))
+	started := make(chan struct{}, streamCount)
 	var wg conc.WaitGroup
-	for range zoneStreams {
-		wg.Go(func() { streamWhole(ctx, t, f.Entries[0], want, started) })
+	for range streamCount {
+		wg.Go(func() { checkStream(ctx, t, f.Entries[0], want, started) })
 	}
-	for range zoneStreams {
+	for range streamCount {
 		select {
 		case <-started:
 		case <-ctx.Done():
-			t.Fatal("streams have not started")
+			t.Fatal("not all streams started")
 		}
 	}
 	killZone(t, f)
 	wg.Wait()
 }
 
-// streamWhole reads one answer, tells of its first token, and compares it with
-// what the engine gives.
-func streamWhole(ctx context.Context, t *testing.T, entry *fleet.Entry, want string, started chan<- struct{}) {
+// checkStream streams one response, signals its first token on started, and checks
+// that the whole text equals want.
+func checkStream(ctx context.Context, t *testing.T, entry *fleet.Entry, want string, started chan<- struct{}) {
 	client := newClient(entry, "log-summary")
 	stream := client.Chat.Completions.NewStreaming(ctx, params(streamTokens))
 	defer stream.Close()
 	var collected openai.ChatCompletionAccumulator
-	told := false
+	signalled := false
 	for stream.Next() {
 		collected.AddChunk(stream.Current())
-		if !told {
-			told = true
+		if !signalled {
+			signalled = true
 			started <- struct{}{}
 		}
 	}
@@ -72,27 +72,27 @@
 		return
 	}
 	if got := collected.Choices[0].Message.Content; got != want {
-		t.Errorf("answer: got %d bytes, want %d", len(got), len(want))
+		t.Errorf("response: got %d bytes, want %d", len(got), len(want))
 	}
 }
 
 func killZone(t *testing.T, f *fleet.Fleet) {
 	t.Helper()
-	var lost []*fleet.Process
+	var processes []*fleet.Process
 	for _, entry := range f.Entries {
 		if entry.VM.Zone == lostZone {
-			lost = append(lost, entry.Process)
+			processes = append(processes, entry.Process)
 		}
 	}
 	for _, backend := range f.Backends {
 		if backend.VM.Zone == lostZone {
-			lost = append(lost, backend.Agent, backend.Server.Process)
+			processes = append(processes, backend.Agent, backend.Server.Process)
 		}
 	}
-	if len(lost) != 5 {
-		t.Fatalf("processes in the zone: %d, want an entry and two engines with agents", len(lost))
+	if len(processes) != 5 {
+		t.Fatalf("processes in the zone: %d, want an entry and two engines with agents", len(processes))
 	}
-	for _, p := range lost {
+	for _, p := range processes {
 		if err := p.Kill(); err != nil {
 			t.Error(err)
 		}
