--- a/testbed/cmd/demo/main.go
+++ b/testbed/cmd/demo/main.go
@@ -1,6 +1,6 @@
 // Command demo starts a small fleet of real processes on this machine, sends
-// it mixed load with a burst of one class, and prints what callers got. Run it
-// from the repository's root.
+// mixed load with a burst of one class, and prints the outcome for callers. Run
+// it from the repository root.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/applepier/applepier/testbed/demo"
 )
 
-// defaultDuration is how long requests are sent.
+// defaultDuration is the default time during which requests are sent.
 const defaultDuration = 30 * time.Second
 
 func main() {
@@ -31,9 +31,9 @@
 func newCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "demo",
-		Usage: "run a small fleet under a burst and print what callers got",
+		Usage: "run a small fleet under a burst of load and print the outcome for callers",
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "draws the requests"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "random seed of the requests"},
 			&cli.DurationFlag{Name: "duration", Value: defaultDuration, Usage: "how long requests are sent"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
