--- a/testbed/cmd/standin/engine.go
+++ b/testbed/cmd/standin/engine.go
@@ -10,24 +10,24 @@
 	"github.com/applepier/applepier/testbed/engine"
 )
 
-// crashStatus is the exit status of an engine that was told to crash.
+// crashStatus is the exit status of an engine that simulates a crash.
 const crashStatus = 3
 
 func engineCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "engine",
-		Usage: "stand in for a model's engine",
+		Usage: "run a stand-in engine",
 		Flags: []cli.Flag{
 			listenFlag(),
-			&cli.StringFlag{Name: "model", Value: engine.DefaultModel, Usage: "model that is loaded"},
-			&cli.IntFlag{Name: "capacity", Value: engine.DefaultCapacity, Usage: "streams at full speed"},
-			&cli.IntFlag{Name: "max-streams", Usage: "streams at once; 4 times the capacity when not given"},
-			&cli.FloatFlag{Name: "interval-ms", Value: milliseconds(engine.DefaultInterval), Usage: "time between tokens at full speed"},
-			&cli.FloatFlag{Name: "prefill-us-per-token", Value: 20, Usage: "time to read a prompt token that is not cached"},
-			&cli.IntFlag{Name: "cache-blocks", Value: engine.DefaultCacheBlocks, Usage: "blocks of 16 prompt tokens that are cached"},
-			&cli.FloatFlag{Name: "load-lag-ms", Value: milliseconds(engine.DefaultLoadLag), Usage: "age that the load report reaches"},
-			&cli.BoolFlag{Name: "ignore-fences", Usage: "take orders with an old fencing number"},
-			&cli.StringFlag{Name: "record-file", Usage: "file that takes the record of runs as JSON lines"},
+			&cli.StringFlag{Name: "model", Value: engine.DefaultModel, Usage: "name of the loaded model"},
+			&cli.IntFlag{Name: "capacity", Value: engine.DefaultCapacity, Usage: "concurrent streams at full speed"},
+			&cli.IntFlag{Name: "max-streams", Usage: "maximum concurrent streams (default: 4 times the capacity)"},
+			&cli.FloatFlag{Name: "interval-ms", Value: milliseconds(engine.DefaultInterval), Usage: "time between tokens at full speed, in ms"},
+			&cli.FloatFlag{Name: "prefill-us-per-token", Value: 20, Usage: "prefill time per uncached prompt token, in µs"},
+			&cli.IntFlag{Name: "cache-blocks", Value: engine.DefaultCacheBlocks, Usage: "size of the prompt cache, in blocks of 16 tokens"},
+			&cli.FloatFlag{Name: "load-lag-ms", Value: milliseconds(engine.DefaultLoadLag), Usage: "maximum age of the load report, in ms"},
+			&cli.BoolFlag{Name: "ignore-fences", Usage: "accept orders with an outdated fencing token"},
+			&cli.StringFlag{Name: "record-file", Usage: "file to which runs are recorded as JSON lines"},
 		},
 		Action: runEngine,
 	}
--- a/testbed/cmd/standin/main.go
+++ b/testbed/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs one stand-in: an engine, the platform or a plain
-// service. It prints nothing but errors; SIGTERM ends it gracefully.
+// Command standin runs one stand-in: an engine, the platform or a plain service.
+// It prints only errors and shuts down gracefully on SIGTERM.
 package main
 
 import (
@@ -24,7 +24,7 @@
 func newCommand() *cli.Command {
 	return &cli.Command{
 		Name:     "standin",
-		Usage:    "run a stand-in of an engine, the platform or a plain service",
+		Usage:    "run a stand-in for an engine, the platform or a plain service",
 		Commands: []*cli.Command{engineCommand(), platformCommand(), serviceCommand()},
 	}
 }
--- a/testbed/cmd/standin/main_test.go
+++ b/testbed/cmd/standin/main_test.go
@@ -9,7 +9,7 @@
 	"github.com/applepier/applepier/testbed/ports"
 )
 
-func TestEachStandInServesAndEnds(t *testing.T) {
+func TestStandInsServeAndShutDown(t *testing.T) {
 	paths := map[string]string{"engine": "/v1/models", "platform": "/vms", "service": "/record"}
 	for name, path := range paths {
 		t.Run(name, func(t *testing.T) {
@@ -18,22 +18,22 @@
 			defer cancel()
 			done := make(chan error, 1)
 			go func() { done <- newCommand().Run(ctx, []string{"standin", name, "--listen", addr}) }()
-			awaitOK(t, "http://"+addr+path, done)
+			waitForOK(t, "http://"+addr+path, done)
 			http.DefaultClient.CloseIdleConnections()
 			cancel()
 			if err := <-done; err != nil {
-				t.Fatalf("after the end: %v", err)
+				t.Fatalf("after shutdown: %v", err)
 			}
 		})
 	}
 }
 
-func awaitOK(t *testing.T, url string, done <-chan error) {
+func waitForOK(t *testing.T, url string, done <-chan error) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		select {
 		case err := <-done:
-			t.Fatalf("ended early: %v", err)
+			t.Fatalf("stopped early: %v", err)
 		default:
 		}
 		resp, err := http.Get(url)
@@ -45,5 +45,5 @@
 			return
 		}
 	}
-	t.Fatalf("%s never answered", url)
+	t.Fatalf("%s did not respond with status 200", url)
 }
--- a/testbed/cmd/standin/platform.go
+++ b/testbed/cmd/standin/platform.go
@@ -12,7 +12,7 @@
 func platformCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "platform",
-		Usage: "stand in for the platform's table, object store and VM list",
+		Usage: "run a stand-in for the platform's table, object store and VM list",
 		Flags: []cli.Flag{listenFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			return serve(ctx, cmd.String("listen"), platform.New())
@@ -23,11 +23,11 @@
 func serviceCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "service",
-		Usage: "stand in for a plain service",
+		Usage: "run a stand-in plain service",
 		Flags: []cli.Flag{
 			listenFlag(),
-			&cli.StringFlag{Name: "name", Usage: "the service's name, which only tells processes apart"},
-			&cli.StringFlag{Name: "record-file", Usage: "file that takes the record of calls as JSON lines"},
+			&cli.StringFlag{Name: "name", Usage: "service name, used only to identify the process"},
+			&cli.StringFlag{Name: "record-file", Usage: "file to which calls are recorded as JSON lines"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			return runService(ctx, cmd.String("listen"), cmd.String("record-file"))
--- a/testbed/cmd/standin/serve.go
+++ b/testbed/cmd/standin/serve.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// shutdownTimeout is how long streams in progress may take to end.
+	// shutdownTimeout bounds how long active streams may take to finish.
 	shutdownTimeout = 30 * time.Second
-	// headerTimeout bounds reading a request's headers.
+	// headerTimeout bounds the reading of a request's headers.
 	headerTimeout = 10 * time.Second
 )
 
@@ -21,7 +21,8 @@
 	return &cli.StringFlag{Name: "listen", Required: true, Usage: "host:port to listen on"}
 }
 
-// serve answers on addr until ctx ends, and then ends what is in progress.
+// serve serves HTTP on addr until ctx is done, then waits up to shutdownTimeout for active
+// requests. It returns an error if they don't finish in time.
 func serve(ctx context.Context, addr string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -35,11 +36,11 @@
 		return errors.Wrap(err, "serve")
 	case <-ctx.Done():
 	}
-	limit, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if err := server.Shutdown(limit); err != nil {
+	if err := server.Shutdown(shutdownCtx); err != nil {
 		_ = server.Close()
-		return errors.Wrap(err, "streams did not end in time")
+		return errors.Wrap(err, "active requests did not finish in time")
 	}
 	return nil
 }
