--- a/testbed/cloud/cloud.go
+++ b/testbed/cloud/cloud.go
@@ -60,7 +60,7 @@
 // availability zone.
 type taskState struct {
 	highestToken uint64
-	// machines maps each fencing token to the last machine that used it; acts lists the
+	// machines maps each fencing token to the last machine that used it; calls lists the
 	// accepted calls in order.
 	machines map[uint64]string
 	calls    []acceptedCall
@@ -183,7 +183,7 @@
 	})
 }
 
-// handleCall handles a call according to the fault; execute executes it and returns the HTTP status.
+// handleCall handles a call according to the fault; execute performs the call and returns the HTTP status.
 func (c *Cloud) handleCall(w http.ResponseWriter, execute func() int) {
 	c.mu.Lock()
 	c.callCount++
--- a/testbed/demo/demo.go
+++ b/testbed/demo/demo.go
@@ -107,6 +107,6 @@
 	if err := running.Shutdown(ctx); err != nil {
 		return errors.Wrap(err, "graceful shutdown on SIGTERM")
 	}
-	_, _ = fmt.Fprintf(out, "all %d processes ended by themselves on SIGTERM\n", len(running.Processes()))
+	_, _ = fmt.Fprintf(out, "all %d processes shut down gracefully on SIGTERM\n", len(running.Processes()))
 	return nil
 }
--- a/testbed/demo/demo_test.go
+++ b/testbed/demo/demo_test.go
@@ -17,7 +17,7 @@
 		t.Fatalf("%v\n%s", err, out.String())
 	}
 	for _, want := range []string{
-		"18 processes", "hazard-flag", "condition-summary", "gate-log", "total", "phase burst", "ended by themselves",
+		"18 processes", "hazard-flag", "condition-summary", "gate-log", "total", "phase burst", "shut down gracefully",
 	} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("output lacks %q:\n%s", want, out.String())
--- a/testbed/faultproxy/eventparser.go
+++ b/testbed/faultproxy/eventparser.go
@@ -40,49 +40,49 @@
 	frames     frameParser
 }
 
-func (r *eventParser) parse(data []byte) []Sight {
+func (p *eventParser) parse(data []byte) []Sight {
 	switch {
 	case bytes.HasPrefix(data, connectPrefix) || bytes.HasPrefix(data, upgradePrefix):
-		r.protocol = protocolWebSocket
+		p.protocol = protocolWebSocket
 		_, data, _ = bytes.Cut(data, headerEnd)
 	case bytes.HasPrefix(data, runPrefix):
-		r.protocol = protocolRun
+		p.protocol = protocolRun
 	case bytes.HasPrefix(data, responsePrefix):
-		r.protocol = protocolRun
+		p.protocol = protocolRun
 	}
-	if r.protocol == protocolWebSocket {
-		return r.parseMessages(data)
+	if p.protocol == protocolWebSocket {
+		return p.parseMessages(data)
 	}
-	if r.protocol == protocolRun && r.direction == Downstream {
-		return r.parseResponse(data)
+	if p.protocol == protocolRun && p.direction == Downstream {
+		return p.parseResponse(data)
 	}
-	if r.protocol == protocolRun {
-		return []Sight{{Direction: r.direction, Kind: SightBody, Link: r.connection, Data: data}}
+	if p.protocol == protocolRun {
+		return []Sight{{Direction: p.direction, Kind: SightBody, Link: p.connection, Data: data}}
 	}
 	return nil
 }
 
-func (r *eventParser) parseMessages(data []byte) []Sight {
+func (p *eventParser) parseMessages(data []byte) []Sight {
 	var events []Sight
-	for _, payload := range r.frames.parse(data) {
+	for _, payload := range p.frames.parse(data) {
 		message := new(wire.Message)
 		if err := cbor.Unmarshal(payload, message); err == nil {
-			events = append(events, Sight{Direction: r.direction, Kind: EventMessage, Link: r.connection, Message: message})
+			events = append(events, Sight{Direction: p.direction, Kind: EventMessage, Link: p.connection, Message: message})
 		}
 	}
 	return events
 }
 
-func (r *eventParser) parseResponse(data []byte) []Sight {
+func (p *eventParser) parseResponse(data []byte) []Sight {
 	var events []Sight
 	for range bytes.Count(data, dataFramePattern) {
-		events = append(events, Sight{Direction: r.direction, Kind: SightData, Link: r.connection, Data: data})
+		events = append(events, Sight{Direction: p.direction, Kind: SightData, Link: p.connection, Data: data})
 	}
 	if bytes.Contains(data, endFramePattern) {
-		events = append(events, Sight{Direction: r.direction, Kind: SightEnd, Link: r.connection})
+		events = append(events, Sight{Direction: p.direction, Kind: SightEnd, Link: p.connection})
 	}
 	if bytes.Contains(data, failFramePattern) {
-		events = append(events, Sight{Direction: r.direction, Kind: EventFail, Link: r.connection})
+		events = append(events, Sight{Direction: p.direction, Kind: EventFail, Link: p.connection})
 	}
 	return events
 }
--- a/testbed/fleet/fleet_test.go
+++ b/testbed/fleet/fleet_test.go
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestFailedStartShowsLogs(t *testing.T) {
+func TestFailedStartErrorContainsLogs(t *testing.T) {
 	options := testOptions()
 	options.Backends[0].Serves = ""
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
--- a/testbed/platform/bench_test.go
+++ b/testbed/platform/bench_test.go
@@ -47,17 +47,17 @@
 // BenchmarkVMListRead measures reading an unchanged VM list. wire-B is the number
 // of bytes in both directions, headers included; times cover client and server.
 func BenchmarkVMListRead(b *testing.B) {
-	web := httptest.NewUnstartedServer(standin.New())
-	counter := &countingListener{Listener: web.Listener}
-	web.Listener = counter
-	web.Start()
-	b.Cleanup(web.Close)
-	f := &fixture{t: b, httpServer: web}
+	httpServer := httptest.NewUnstartedServer(standin.New())
+	counter := &countingListener{Listener: httpServer.Listener}
+	httpServer.Listener = counter
+	httpServer.Start()
+	b.Cleanup(httpServer.Close)
+	f := &fixture{t: b, httpServer: httpServer}
 	for i := range targetVMs {
 		name := fmt.Sprintf("/vms/backend-%04d", i)
 		f.sendControl(http.MethodPut, name, fmt.Sprintf(`{"addr":"10.0.%d.%d:8090","zone":"zone-%02d","role":"backend","serves":"model-%02d"}`, i/256, i%256, i%12, i%12))
 	}
-	client := storage.NewHTTP(web.URL)
+	client := storage.NewHTTP(httpServer.URL)
 	read := func() {
 		if vms, err := client.VMs(context.Background()); err != nil || len(vms) != targetVMs {
 			b.Fatalf("%d VMs, error %v", len(vms), err)
--- a/testbed/platform/faults.go
+++ b/testbed/platform/faults.go
@@ -74,15 +74,15 @@
 
 // takeDroppedResponse reports whether to drop this write's response, and counts the drop.
 func (s *Server) takeDroppedResponse() bool {
-	lose := false
+	drop := false
 	s.knobs.Update(func(k *Knobs) {
 		if k.LoseAnswers > 0 {
 			k.LoseAnswers--
-			lose = true
+			drop = true
 		}
 	})
-	if lose {
+	if drop {
 		s.updateStats(func(stats *Stats) { stats.Lost++ })
 	}
-	return lose
+	return drop
 }
--- a/testbed/platform/server.go
+++ b/testbed/platform/server.go
@@ -175,10 +175,10 @@
 	knobs.WriteJSON(w, s.Stats())
 }
 
-func (s *Server) updateStats(change func(*Stats)) {
+func (s *Server) updateStats(update func(*Stats)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	change(&s.stats)
+	update(&s.stats)
 }
 
 // readBody reads the whole request body. Writes take effect only afterwards, so
--- a/testbed/platform/server_test.go
+++ b/testbed/platform/server_test.go
@@ -26,9 +26,9 @@
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	server := standin.New()
-	web := httptest.NewServer(server)
-	t.Cleanup(web.Close)
-	return &fixture{t: t, server: server, httpServer: web, client: storage.NewHTTP(web.URL)}
+	httpServer := httptest.NewServer(server)
+	t.Cleanup(httpServer.Close)
+	return &fixture{t: t, server: server, httpServer: httpServer, client: storage.NewHTTP(httpServer.URL)}
 }
 
 // sendControl sends a request to a test-only endpoint or to the VM list and requires success.
@@ -43,9 +43,9 @@
 		f.t.Fatal(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	answer, _ := io.ReadAll(resp.Body)
+	responseBody, _ := io.ReadAll(resp.Body)
 	if resp.StatusCode >= 300 {
-		f.t.Fatalf("%s %s: status %d: %s", method, path, resp.StatusCode, answer)
+		f.t.Fatalf("%s %s: status %d: %s", method, path, resp.StatusCode, responseBody)
 	}
 }
 
--- a/testbed/platform/vmlist.go
+++ b/testbed/platform/vmlist.go
@@ -29,8 +29,8 @@
 
 // etag returns the version's ETag. It includes the time of the change, so that
 // a restarted stand-in doesn't reuse a tag.
-func (c vmListVersion) etag() string {
-	return fmt.Sprintf(`"%x-%d"`, c.since.UnixNano(), c.number)
+func (v vmListVersion) etag() string {
+	return fmt.Sprintf(`"%x-%d"`, v.since.UnixNano(), v.number)
 }
 
 // put adds a VM or replaces the one of the same name.
--- a/testbed/rowstore/calls.go
+++ b/testbed/rowstore/calls.go
@@ -20,12 +20,12 @@
 	NowMS   int64  `json:"now-ms"`
 }
 
-func writeResponse(w http.ResponseWriter, status int, a response) {
+func writeResponse(w http.ResponseWriter, status int, body response) {
 	w.Header().Set("Content-Type", "application/json")
-	a.NowMS = nowMS()
+	body.NowMS = nowMS()
 	w.WriteHeader(status)
 	// An encoding error means that the client has disconnected.
-	_ = json.NewEncoder(w).Encode(a)
+	_ = json.NewEncoder(w).Encode(body)
 }
 
 // get serves a read of one partition of a table.
@@ -64,13 +64,13 @@
 	timeout := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timeout.Stop()
 	for waiting := true; ; {
-		out, changed, gone := s.changesSince(query.Get("table"), after)
+		changes, changed, gone := s.changesSince(query.Get("table"), after)
 		if gone {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		if len(out.Rows) > 0 || !waiting {
-			writeResponse(w, http.StatusOK, out)
+		if len(changes.Rows) > 0 || !waiting {
+			writeResponse(w, http.StatusOK, changes)
 			return
 		}
 		select {
@@ -88,19 +88,19 @@
 
 // changesSince returns a table's changes after a version, a channel that is closed at the
 // next change, and whether the version is outside the kept history.
-func (s *Store) changesSince(table string, after uint64) (out response, changed <-chan struct{}, gone bool) {
+func (s *Store) changesSince(table string, after uint64) (changes response, changed <-chan struct{}, gone bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if after < s.historyStart || after > s.version {
-		return out, nil, true
+		return changes, nil, true
 	}
-	out.Version = s.version
+	changes.Version = s.version
 	if s.fault == Mute {
-		out.Version = after
-		return out, s.changed, false
+		changes.Version = after
+		return changes, s.changed, false
 	}
-	out.Rows = s.historyAfter(table, after)
-	return out, s.changed, false
+	changes.Rows = s.historyAfter(table, after)
+	return changes, s.changed, false
 }
 
 // feedsRespond reports whether the current fault lets waiting feeds respond.
