--- /dev/null
+++ b/testbed/faultproxy/event.go
@@ -0,0 +1,52 @@
+package faultproxy
+
+import "github.com/applepier/applepier/internal/wire"
+
+// Direction is a direction of a connection.
+type Direction int
+
+// Directions, as seen from the connecting process.
+const (
+	// Upstream is the direction to the process behind the proxy.
+	Upstream Direction = iota + 1
+	// Downstream is the direction back to the connecting process.
+	Downstream
+)
+
+// EventKind is the kind of data that an event stands for.
+type EventKind int
+
+// Event kinds between an entry and an agent.
+const (
+	// EventMessage is a message of the control connection.
+	EventMessage EventKind = iota + 1
+	// EventBody is a chunk of a granted request, headers or body.
+	SightBody
+	// EventData is a data frame of a response, EventEnd its end frame and
+	// EventFail its failure frame.
+	SightData
+	SightEnd
+	EventFail
+)
+
+// Event describes data that passes the proxy.
+type Sight struct {
+	Direction Direction
+	Kind      EventKind
+	// Connection is the number of the connection; each direction is numbered separately.
+	Link int64
+	// Data is the chunk of an EventBody or EventData. It is valid only during
+	// the call of the Matcher.
+	Data []byte
+	// Message is set for EventMessage.
+	Message *wire.Message
+}
+
+// IsTicket matches messages with a ticket.
+func Ticket(s Sight) bool { return s.Message != nil && s.Message.Ticket != nil }
+
+// IsGrant matches messages with a grant.
+func Grant(s Sight) bool { return s.Message != nil && s.Message.Grant != nil }
+
+// IsTargetSet matches messages that carry a new set of targets.
+func NewSet(s Sight) bool { return s.Message != nil && s.Message.NewSet != nil }
