--- a/testbed/dutymodel/explore_test.go
+++ b/testbed/dutymodel/explore_test.go
@@ -15,17 +15,17 @@
 	shortBounds = Bounds{Gateways: 3, Windows: 2, Kills: 1, Writes: 5, States: 150_000}
 	wholeBounds = Bounds{Gateways: 3, Windows: 2, Kills: 2, Writes: 6, States: 1_500_000}
 	// smallBounds and lateWriteBounds explore two gateways and one window to a greater depth.
-	// lateWriteBounds reaches
-	// the greatest depth, because only writes can be late and nothing else fails.
+	// lateWriteBounds reaches the greatest depth, because only writes can be late and no gateway
+	// is killed.
 	lateWriteBounds = Bounds{Gateways: 2, Windows: 1, Writes: 6, States: 6_000_000, CopiedAtStart: true, NoLostResponses: true}
 	smallBounds     = Bounds{Gateways: 2, Windows: 1, Kills: 1, Writes: 5, States: 3_000_000}
 )
 
-// inDepthStates is the number of states of two gateways that are explored in CI. It includes the
-// longest of the shortest paths to a violation without one of the guards.
+// inDepthStates is the number of states of two gateways that are explored in CI. The longest
+// path to a violation without one of the guards lies within it.
 const inDepthStates = 500_000
 
-// All invariants hold in each state of three gateways and two windows.
+// All invariants hold in each visited state of three gateways and two windows.
 func TestProtocolHolds(t *testing.T) {
 	bounds := shortBounds
 	if *wholeFlag {
@@ -39,7 +39,7 @@
 	t.Logf("%d states to depth %d in %v, complete: %v", r.States, r.Depth, time.Since(start), r.Complete)
 }
 
-// All invariants hold in each state of two gateways and one window, to a greater depth.
+// All invariants hold in each visited state of two gateways and one window, to a greater depth.
 func TestProtocolHoldsInDepth(t *testing.T) {
 	for name, bounds := range map[string]Bounds{"all": smallBounds, "late writes": lateWriteBounds} {
 		if !*wholeFlag {
--- a/testbed/matrix/planned.go
+++ b/testbed/matrix/planned.go
@@ -12,9 +12,7 @@
 
 // StepUnderLoad is the step of planned stops and of a leaving VM: long streams
 // run through every entry.
-const (
-	StepUnderLoad Step = "under-load"
-)
+const StepUnderLoad Step = "under-load"
 
 // LeaveListed marks a VM as leaving on the platform's list and stops no process.
 const LeaveListed FaultKind = "leave-listed"
