--- a/testbed/cmd/soak/command.go
+++ b/testbed/cmd/soak/command.go
@@ -15,35 +15,35 @@
 	"github.com/applepier/applepier/testbed/soak"
 )
 
-// errBroken: a seed failed.
-var errBroken = errors.New("seeds failed")
+// errSeedsFailed is returned if a seed broke a check or could not be run.
+var errSeedsFailed = errors.New("seeds failed")
 
 func newCommand() *cli.Command {
-	text := func(name string) cli.Flag { return &cli.StringFlag{Name: name, Required: true} }
+	required := func(name string) cli.Flag { return &cli.StringFlag{Name: name, Required: true} }
 	return &cli.Command{
 		Name:  "soak",
-		Usage: "play faults on gateways that are processes of their own",
+		Usage: "inject faults into gateways that run as separate processes",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "how many seeds are played"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the first of them"},
-			&cli.DurationFlag{Name: "for", Value: 30 * time.Second, Usage: "how long each has faults"},
-			&cli.IntFlag{Name: "gateways", Value: 3, Usage: "how many gateways run"},
-			&cli.IntFlag{Name: "parallel", Value: 1, Usage: "how many seeds are played side by side"},
-			&cli.StringFlag{Name: "evidence", Usage: "folder for what failed seeds leave; the system's temporary one if empty"},
-			&cli.BoolFlag{Name: "keep", Usage: "keep evidence of seeds that hold as well"},
+			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "number of seeds to run"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "first seed"},
+			&cli.DurationFlag{Name: "for", Value: 30 * time.Second, Usage: "duration of the faults of each seed"},
+			&cli.IntFlag{Name: "gateways", Value: 3, Usage: "number of gateways"},
+			&cli.IntFlag{Name: "parallel", Value: 1, Usage: "number of seeds to run concurrently"},
+			&cli.StringFlag{Name: "evidence", Usage: "folder for the evidence of failed seeds; the system's temporary folder if empty"},
+			&cli.BoolFlag{Name: "keep", Usage: "keep the evidence of passing seeds as well"},
 		},
 		Action: run,
 		Commands: []*cli.Command{
 			{
-				Name: "server", Usage: "be a backend server's stand-in", Hidden: true,
-				Flags: []cli.Flag{text("listen"), text("control"), text("instance"), text("record")},
+				Name: "server", Usage: "run a simulated backend server", Hidden: true,
+				Flags: []cli.Flag{required("listen"), required("control"), required("instance"), required("record")},
 				Action: func(ctx context.Context, cmd *cli.Command) error {
 					return soak.ServeServer(ctx, cmd.String("listen"), cmd.String("control"), cmd.String("instance"), cmd.String("record"))
 				},
 			},
 			{
-				Name: "store", Usage: "be the store's stand-in", Hidden: true,
-				Flags: []cli.Flag{text("listen"), text("duties"), text("control")},
+				Name: "store", Usage: "run the simulated store", Hidden: true,
+				Flags: []cli.Flag{required("listen"), required("duties"), required("control")},
 				Action: func(ctx context.Context, cmd *cli.Command) error {
 					return soak.ServeStore(ctx, cmd.String("listen"), cmd.String("duties"), cmd.String("control"))
 				},
@@ -88,7 +88,7 @@
 	workers.Wait()
 	fmt.Printf("%d seeds, %d failed\n", cmd.Int("seeds"), failed)
 	if failed > 0 {
-		return errBroken
+		return errSeedsFailed
 	}
 	return ctx.Err()
 }
--- a/testbed/cmd/soak/main.go
+++ b/testbed/cmd/soak/main.go
@@ -1,6 +1,6 @@
-// Command soak plays faults that overlap, drawn from seeds, on gateways, backend
-// servers and a store that are processes of their own, and judges what callers
-// and servers saw. It is run from within the workspace.
+// Command soak injects overlapping faults, drawn from seeds, into gateways, backend
+// servers and a store that run as separate processes, and checks what clients and
+// servers observed. It must be run from within the workspace, whose programs it builds.
 package main
 
 import (
--- a/testbed/soak/call.go
+++ b/testbed/soak/call.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Kinds of requests: the first part of their path.
+// Request kinds. A kind is the first segment of the request's path.
 const (
 	kindSafe   = "safe"
 	kindUnsafe = "unsafe"
@@ -16,26 +16,26 @@
 	kindOpen   = "open"
 )
 
-// streamEvents is the length of a whole stream, and bodyMost that of a whole
-// body in bytes: several reads, no great part of a link.
+// streamEventCount is the number of events in a complete stream. maxBodyBytes
+// bounds a complete body: several reads, but a small share of a link's capacity.
 const (
-	streamEvents = 8
-	bodyMost     = 6000
+	streamEventCount = 8
+	maxBodyBytes     = 6000
 )
 
-// Call is one request as its caller saw it.
+// Call is one request as its client observed it.
 type Call struct {
 	ID, Gateway, Kind, Key string
-	// Before counts the requests on the connection before it, and Rested is how
-	// long the connection had asked nothing.
+	// Before is the number of earlier requests on the connection, and Rested is
+	// how long the connection had been idle.
 	Before int
 	Rested time.Duration
 	Sent   time.Time
-	// Written says that the whole request was written.
+	// Written reports whether the complete request was written.
 	Written bool
 	Done    time.Time
-	// Status is 0 without the head of an answer; Whole says that the answer
-	// looks whole.
+	// Status is 0 if no response header was received. Whole reports whether the
+	// response appears complete.
 	Status  int
 	Echoed  string
 	Signed  bool
@@ -43,40 +43,40 @@
 	Body    string
 	Err     string
 	Timeout time.Duration
-	// Stray says that bytes came that nothing had been asked for.
+	// Stray reports whether unsolicited bytes were received before the request.
 	Stray bool
 }
 
-// once says that the request may run once at most.
-func (c Call) once() bool { return c.Kind == kindUnsafe || c.Kind == kindStream }
+// runsAtMostOnce reports whether the request may run at most once.
+func (c Call) runsAtMostOnce() bool { return c.Kind == kindUnsafe || c.Kind == kindStream }
 
 func (c Call) String() string {
 	return fmt.Sprintf("%s at %s, %d before on its connection, rested %s, sent %s, took %s, status %d, %q",
 		c.ID, c.Gateway, c.Before, c.Rested.Round(time.Millisecond), c.Sent.Format("15:04:05.000"), c.Done.Sub(c.Sent).Round(time.Millisecond), c.Status, c.Err)
 }
 
-// streams says that a kind is answered with events.
-func streams(kind string) bool { return kind == kindStream || kind == kindResume }
+// isStream reports whether requests of a kind are answered with a stream of events.
+func isStream(kind string) bool { return kind == kindStream || kind == kindResume }
 
-// Whole is the whole answer to a request; of a stream what follows the event
-// after.
-func Whole(kind, id string, after int) string {
-	if !streams(kind) {
-		return "for " + id + "\n" + strings.Repeat(id[:1], int(luck(id)%bodyMost))
+// expectedBody returns the complete response body for a request. For a stream it
+// returns the events that follow event number after.
+func expectedBody(kind, id string, after int) string {
+	if !isStream(kind) {
+		return "for " + id + "\n" + strings.Repeat(id[:1], int(hashID(id)%maxBodyBytes))
 	}
 	var text strings.Builder
-	for n := after + 1; n <= streamEvents; n++ {
-		text.WriteString(eventOf(id, n))
+	for n := after + 1; n <= streamEventCount; n++ {
+		text.WriteString(streamEvent(id, n))
 	}
 	return text.String()
 }
 
-// eventOf is an event of a stream.
-func eventOf(id string, n int) string { return fmt.Sprintf("id: %d\ndata: for %s\n\n", n, id) }
+// streamEvent returns event n of a request's stream.
+func streamEvent(id string, n int) string { return fmt.Sprintf("id: %d\ndata: for %s\n\n", n, id) }
 
-// luck is a number that only depends on a request's id, so that a seed's replay
-// draws the same.
-func luck(id string) uint64 {
+// hashID returns a number that depends only on the request's ID, so that replaying
+// a seed draws the same values.
+func hashID(id string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id))
 	return h.Sum64()
--- a/testbed/soak/check.go
+++ b/testbed/soak/check.go
@@ -8,106 +8,108 @@
 	"time"
 )
 
-// Violation is a promise that wasn't kept.
+// Violation describes a guarantee that was broken.
 type Violation struct {
 	Check, Detail string
 }
 
 func (v Violation) String() string { return v.Check + ": " + v.Detail }
 
-// Names of the checks.
+// Names of the checks, as reported in Violation.Check.
 const (
-	checkOwn     = "own and whole"
-	checkOnce    = "once at most"
-	checkNotRun  = "not run"
-	checkLost    = "lost"
-	checkOrder   = "order"
-	checkGrace   = "grace"
-	checkKey     = "key taken away"
-	checkState   = "state goes back"
-	checkBounded = "bounded"
-	checkServed  = "served again"
-	checkDuties  = "one at a time"
+	checkIntegrity       = "own and whole"
+	checkAtMostOnce      = "once at most"
+	checkNotRun          = "not run"
+	checkLost            = "lost"
+	checkStreamOrder     = "order"
+	checkGrace           = "grace"
+	checkRevokedKey      = "key taken away"
+	checkStateRegression = "state goes back"
+	checkResourceUse     = "bounded"
+	checkRecovery        = "served again"
+	checkSingleHolder    = "one at a time"
 )
 
-// index is a history with what the checks look up.
-type index struct {
+// index is a History with its arrivals indexed by request ID.
+type indexedHistory struct {
 	History
 	arrivals map[string][]Arrival
 }
 
-// Check judges a history; nil if every promise was kept.
+// Check returns all violations in a history; nil if every guarantee was kept.
 func Check(h History) []Violation {
-	x := index{History: h, arrivals: map[string][]Arrival{}}
+	indexed := indexedHistory{History: h, arrivals: map[string][]Arrival{}}
 	for _, a := range h.Arrivals {
-		x.arrivals[a.ID] = append(x.arrivals[a.ID], a)
+		indexed.arrivals[a.ID] = append(indexed.arrivals[a.ID], a)
 	}
-	var all []Violation
+	var violations []Violation
 	report := func(check, format string, args ...any) {
-		all = append(all, Violation{check, fmt.Sprintf(format, args...)})
+		violations = append(violations, Violation{check, fmt.Sprintf(format, args...)})
 	}
 	for _, c := range h.Calls {
-		x.own(c, report)
-		x.once(c, report)
-		x.notRun(c, report)
-		if x.owed(c) && !c.Whole {
-			report(checkLost, "%s; reached %v", c, x.arrivals[c.ID])
+		indexed.verifyIntegrity(c, report)
+		indexed.verifyAtMostOnce(c, report)
+		indexed.verifyNotRun(c, report)
+		if indexed.responseOwed(c) && !c.Whole {
+			report(checkLost, "%s; reached %v", c, indexed.arrivals[c.ID])
 		}
-		x.order(c, report)
+		indexed.verifyStreamOrder(c, report)
 	}
-	x.keys(report)
-	x.stops(report)
-	x.readings(report)
+	indexed.verifyRevokedKeys(report)
+	indexed.verifyStops(report)
+	indexed.verifyReadings(report)
 	for _, p := range h.Probes {
 		if p.After < 0 || p.After > h.Bounds.Recover {
-			report(checkServed, "%s at %s after %s", p.Kind, p.Gateway, p.After)
+			report(checkRecovery, "%s at %s after %s", p.Kind, p.Gateway, p.After)
 		}
 	}
 	for _, broken := range h.Duties.Broken {
-		report(checkDuties, "%s", broken)
+		report(checkSingleHolder, "%s", broken)
 	}
-	return all
+	return violations
 }
 
-type reporter func(check, format string, args ...any)
+type reportFunc func(check, format string, args ...any)
 
-func success(status int) bool { return status >= 200 && status < 300 }
+func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-// own: an answer is the caller's own and whole, or doesn't look so.
-func (x index) own(c Call, report reporter) {
-	whole := Whole(c.Kind, c.ID, 0)
+// verifyIntegrity checks that a response which appears complete is the complete
+// response to this request, and that a partial one contains no foreign bytes.
+func (h indexedHistory) verifyIntegrity(c Call, report reportFunc) {
+	expected := expectedBody(c.Kind, c.ID, 0)
 	switch {
 	case c.Stray:
-		report(checkOwn, "%s: bytes that nothing had asked for", c)
+		report(checkIntegrity, "%s: bytes that nothing had asked for", c)
 	case c.Echoed != "" && c.Echoed != c.ID:
-		report(checkOwn, "%s: an answer to %s", c, c.Echoed)
-	case !success(c.Status):
+		report(checkIntegrity, "%s: an answer to %s", c, c.Echoed)
+	case !isSuccess(c.Status):
 	case c.Whole && !c.Signed:
-		report(checkOwn, "%s: a success that no server signed", c)
-	case c.Whole && c.Body != whole:
-		report(checkOwn, "%s: looks whole: %q", c, c.Body)
-	case !strings.HasPrefix(whole, c.Body):
-		report(checkOwn, "%s: another's bytes: %q", c, c.Body)
+		report(checkIntegrity, "%s: a success that no server signed", c)
+	case c.Whole && c.Body != expected:
+		report(checkIntegrity, "%s: looks whole: %q", c, c.Body)
+	case !strings.HasPrefix(expected, c.Body):
+		report(checkIntegrity, "%s: another's bytes: %q", c, c.Body)
 	}
 }
 
-// once: what may run once at most did.
-func (x index) once(c Call, report reporter) {
-	if runs := x.runs(c.ID); c.once() && runs > 1 {
-		report(checkOnce, "%s: ran %d times: %v", c, runs, x.arrivals[c.ID])
+// verifyAtMostOnce checks that a request which may run at most once did so.
+func (h indexedHistory) verifyAtMostOnce(c Call, report reportFunc) {
+	if runs := h.runCount(c.ID); c.runsAtMostOnce() && runs > 1 {
+		report(checkAtMostOnce, "%s: ran %d times: %v", c, runs, h.arrivals[c.ID])
 	}
 }
 
-// notRun: what is refused as not run never ran.
-func (x index) notRun(c Call, report reporter) {
+// verifyNotRun checks that a request which was refused with a status that means
+// "not run" never ran.
+func (h indexedHistory) verifyNotRun(c Call, report reportFunc) {
 	refusals := []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
-	if slices.Contains(refusals, c.Status) && x.runs(c.ID) > 0 {
-		report(checkNotRun, "%s: ran: %v", c, x.arrivals[c.ID])
+	if slices.Contains(refusals, c.Status) && h.runCount(c.ID) > 0 {
+		report(checkNotRun, "%s: ran: %v", c, h.arrivals[c.ID])
 	}
 }
 
-func (x index) runs(id string) (runs int) {
-	for _, a := range x.arrivals[id] {
+func (h indexedHistory) runCount(id string) (runs int) {
+	for _, a := range h.arrivals[id] {
 		if a.Ran {
 			runs++
 		}
@@ -115,94 +117,96 @@
 	return runs
 }
 
-// owed: a request that was written whole to a kept connection and reached a
-// backend server has an answer, unless something unplanned hit what it met. A
-// slow path, a planned stop, new settings and desired states excuse nothing.
-func (x index) owed(c Call) bool {
-	arrivals := x.arrivals[c.ID]
-	if c.Before == 0 || !c.Written || len(arrivals) == 0 || x.hit(c.Gateway, c) {
+// responseOwed reports whether a call must have a complete response: its request
+// was written completely to a reused connection and reached a backend server, and
+// no unplanned fault affected the gateway or the servers involved. A slow path,
+// a planned stop, new settings and new desired states are no excuse.
+func (h indexedHistory) responseOwed(c Call) bool {
+	arrivals := h.arrivals[c.ID]
+	if c.Before == 0 || !c.Written || len(arrivals) == 0 || h.affectedByFault(c.Gateway, c) {
 		return false
 	}
 	for _, a := range arrivals {
-		// An answer of which a part has been passed on ends where the
-		// server's does; before that there is still another one to give.
-		if x.hit(a.Server, c) || a.Cut && c.Status != 0 {
+		// A response that has been forwarded in part ends where the server
+		// broke it off; before that the gateway can still send another one.
+		if h.affectedByFault(a.Server, c) || a.Cut && c.Status != 0 {
 			return false
 		}
 	}
-	// The route's time was up in the midst of an answer.
+	// A response may be broken off when the route's timeout expires.
 	return c.Status == 0 || c.Done.Sub(c.Sent) < c.Timeout
 }
 
-// Owed counts the requests that check "lost" judged.
-func Owed(h History) (owed int) {
-	x := index{History: h, arrivals: map[string][]Arrival{}}
+// CountOwed returns the number of calls to which the check "lost" applies.
+func CountOwed(h History) (owed int) {
+	indexed := indexedHistory{History: h, arrivals: map[string][]Arrival{}}
 	for _, a := range h.Arrivals {
-		x.arrivals[a.ID] = append(x.arrivals[a.ID], a)
+		indexed.arrivals[a.ID] = append(indexed.arrivals[a.ID], a)
 	}
 	for _, c := range h.Calls {
-		if x.owed(c) {
+		if indexed.responseOwed(c) {
 			owed++
 		}
 	}
 	return owed
 }
 
-// hit reports whether a process or its path was in trouble during a call.
-func (x index) hit(who string, c Call) bool {
-	for _, f := range x.Faults {
-		if f.Who == who && f.From.Before(c.Done) && (f.To.IsZero() || f.To.After(c.Sent.Add(-x.Bounds.Contact))) {
+// affectedByFault reports whether a fault affected a process or its network path
+// during a call or within Bounds.Contact before it.
+func (h indexedHistory) affectedByFault(process string, c Call) bool {
+	for _, f := range h.Faults {
+		if f.Who == process && f.From.Before(c.Done) && (f.To.IsZero() || f.To.After(c.Sent.Add(-h.Bounds.Contact))) {
 			return true
 		}
 	}
 	return false
 }
 
-// order: the events of a stream come in order, each once, and a stream that
-// looks whole has its last one.
-func (x index) order(c Call, report reporter) {
-	if !streams(c.Kind) || !success(c.Status) {
+// verifyStreamOrder checks that the events of a stream arrive in order and once
+// each, and that a stream which appears complete includes its last event.
+func (h indexedHistory) verifyStreamOrder(c Call, report reportFunc) {
+	if !isStream(c.Kind) || !isSuccess(c.Status) {
 		return
 	}
-	seen := 0
+	last := 0
 	for _, event := range strings.Split(c.Body, "\n\n") {
 		var n int
 		if _, err := fmt.Sscanf(event, "id: %d\n", &n); err != nil {
-			// The end, or an event that was broken off.
+			// The end of the body or a truncated event.
 			continue
 		}
-		if n != seen+1 {
-			report(checkOrder, "%s: event %d follows %d", c, n, seen)
+		if n != last+1 {
+			report(checkStreamOrder, "%s: event %d follows %d", c, n, last)
 			return
 		}
-		seen = n
+		last = n
 	}
-	if c.Whole && seen < streamEvents {
-		report(checkOrder, "%s: looks whole after event %d", c, seen)
+	if c.Whole && last < streamEventCount {
+		report(checkStreamOrder, "%s: looks whole after event %d", c, last)
 	}
 }
 
-// keys: a key that was taken away stops working within its bound.
-func (x index) keys(report reporter) {
-	ends := map[string]time.Time{}
-	for _, s := range x.States {
+// verifyRevokedKeys checks that a removed key stops working within Bounds.Revoke.
+func (h indexedHistory) verifyRevokedKeys(report reportFunc) {
+	deadlines := map[string]time.Time{}
+	for _, s := range h.States {
 		for _, key := range s.Removed {
-			ends[key] = s.At.Add(x.Bounds.Revoke)
+			deadlines[key] = s.At.Add(h.Bounds.Revoke)
 		}
 	}
-	for _, c := range x.Calls {
-		if end, removed := ends[c.Key]; removed && c.Sent.After(end) && x.runs(c.ID) > 0 {
-			report(checkKey, "%s: ran %s after the bound", c, c.Sent.Sub(end))
+	for _, c := range h.Calls {
+		if deadline, removed := deadlines[c.Key]; removed && c.Sent.After(deadline) && h.runCount(c.ID) > 0 {
+			report(checkRevokedKey, "%s: ran %s after the bound", c, c.Sent.Sub(deadline))
 		}
 	}
 }
 
-// stops: a gateway that is told to stop ends by itself within its grace period.
-// One that was frozen meanwhile may take that much longer.
-func (x index) stops(report reporter) {
-	for _, s := range x.Stops {
+// verifyStops checks that a gateway exits by itself within its grace period after
+// a planned stop. Time for which it was frozen doesn't count.
+func (h indexedHistory) verifyStops(report reportFunc) {
+	for _, s := range h.Stops {
 		took := s.End.Sub(s.At)
-		for _, f := range x.Faults {
+		for _, f := range h.Faults {
 			if f.Who == s.Gateway && f.Kind == kindFreeze && f.From.Before(s.End) && f.To.After(s.At) {
 				took -= f.To.Sub(f.From)
 			}
@@ -213,21 +217,21 @@
 	}
 }
 
-// readings: in one process the desired state in force never goes back, and
-// memory and descriptors are bounded.
-func (x index) readings(report reporter) {
-	most := map[int]uint64{}
-	for _, r := range x.Readings {
-		at := fmt.Sprintf("%s, process %d, at %s", r.Gateway, r.Process, r.At.Format("15:04:05.000"))
-		if r.Version < most[r.Process] {
-			report(checkState, "%s: %d after %d", at, r.Version, most[r.Process])
+// verifyReadings checks that the version of the desired state never decreases
+// within one process, and that memory and file descriptors stay within their bounds.
+func (h indexedHistory) verifyReadings(report reportFunc) {
+	highest := map[int]uint64{}
+	for _, r := range h.Readings {
+		where := fmt.Sprintf("%s, process %d, at %s", r.Gateway, r.Process, r.At.Format("15:04:05.000"))
+		if r.Version < highest[r.Process] {
+			report(checkStateRegression, "%s: %d after %d", where, r.Version, highest[r.Process])
 		}
-		most[r.Process] = max(most[r.Process], r.Version)
-		if r.MemoryMB > x.Bounds.MemoryMB {
-			report(checkBounded, "%s: %.0f MB of %.0f", at, r.MemoryMB, x.Bounds.MemoryMB)
+		highest[r.Process] = max(highest[r.Process], r.Version)
+		if r.MemoryMB > h.Bounds.MemoryMB {
+			report(checkResourceUse, "%s: %.0f MB of %.0f", where, r.MemoryMB, h.Bounds.MemoryMB)
 		}
-		if r.Descriptors > x.Bounds.Descriptors {
-			report(checkBounded, "%s: %d descriptors of %d", at, r.Descriptors, x.Bounds.Descriptors)
+		if r.Descriptors > h.Bounds.Descriptors {
+			report(checkResourceUse, "%s: %d descriptors of %d", where, r.Descriptors, h.Bounds.Descriptors)
 		}
 	}
 }
--- a/testbed/soak/check_test.go
+++ b/testbed/soak/check_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// start is when the histories begin.
+// start is the time at which the test histories begin.
 var start = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// at is some seconds after the start.
+// at returns the time a number of seconds after start.
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-// sound is a history that keeps all promises: a request of each kind on kept
-// connections, all served, between a fault long before and one after, beside a
-// stop and a desired state that takes a key away.
-func sound() *History {
+// validHistory returns a history without violations: one served request of each
+// kind on reused connections, with a fault long before and one after them, a
+// planned stop and a desired state that removes a key.
+func validHistory() *History {
 	h := &History{
 		Bounds: Bounds{Contact: 4 * time.Second, Revoke: 5 * time.Second, Recover: 15 * time.Second, MemoryMB: 184, Descriptors: 4100},
-		Faults: []Fault{{"gateway-0", kindFreeze, at(0), at(5)}, {"server-0", kindCrash, at(30), at(31)}},
+		Faults: []Fault{{"gateway-0", kindFreeze, at(0), at(5)}, {"server-0", kindServerCrash, at(30), at(31)}},
 		Stops:  []Stop{{Gateway: "gateway-0", At: at(19), End: at(26), Grace: 8 * time.Second}},
 		States: []State{{Version: 1, At: at(0)}, {Version: 2, At: at(10), Removed: []string{"old"}}},
 		Readings: []Reading{
@@ -29,65 +29,69 @@
 	for _, kind := range []string{kindSafe, kindUnsafe, kindStream, kindResume} {
 		h.Calls = append(h.Calls, Call{
 			ID: kind, Gateway: "gateway-0", Kind: kind, Key: "old", Before: 1, Sent: at(14), Written: true, Done: at(15),
-			Status: 200, Echoed: kind, Signed: true, Whole: true, Body: Whole(kind, kind, 0), Timeout: timeoutOf(kind),
+			Status: 200, Echoed: kind, Signed: true, Whole: true, Body: expectedBody(kind, kind, 0), Timeout: routeTimeout(kind),
 		})
 		h.Arrivals = append(h.Arrivals, Arrival{ID: kind, Server: "server-0", At: at(14.1), Script: "well", Ran: true})
 	}
 	return h
 }
 
-// Places in the sound history.
+// Indexes of calls and arrivals in validHistory.
 const (
 	safeCall = iota
 	unsafeCall
 	streamCall
 )
 
-// closed ends a call by a closed connection.
-func (h *History) closed(call int) *Call {
+// closeConn changes a call so that its connection closed before any response.
+func (h *History) closeConn(call int) *Call {
 	c := &h.Calls[call]
 	c.Status, c.Whole, c.Body, c.Signed, c.Echoed, c.Err = 0, false, "", false, "", "EOF"
 	return c
 }
 
-func (h *History) again(call int) { h.Arrivals = append(h.Arrivals, h.Arrivals[call]) }
+func (h *History) duplicateArrival(call int) { h.Arrivals = append(h.Arrivals, h.Arrivals[call]) }
 
-// TestEachCheckFindsWhatItIsFor breaks one promise after the other, and what is
-// allowed beside them.
+// TestEachCheckFindsWhatItIsFor breaks one guarantee per case and expects the
+// check that covers it to report it; cases without a check are permitted behavior.
 func TestEachCheckFindsWhatItIsFor(t *testing.T) {
 	tests := []struct {
 		name  string
 		spoil func(h *History)
-		// want is the check that finds it; empty where it is allowed.
+		// want is the check that must report a violation; empty if none may.
 		want string
 	}{
 		{"all is well", func(*History) {}, ""},
-		{"another's answer", func(h *History) { h.Calls[safeCall].Body = Whole(kindSafe, "s2", 0) }, checkOwn},
-		{"another's id", func(h *History) { h.Calls[safeCall].Echoed = "s2" }, checkOwn},
-		{"short and looks whole", func(h *History) { h.Calls[safeCall].Body = h.Calls[safeCall].Body[:3] }, checkOwn},
-		{"unsigned", func(h *History) { h.Calls[safeCall].Signed = false }, checkOwn},
-		{"stray bytes", func(h *History) { h.Calls[safeCall].Stray = true }, checkOwn},
+		{"another's answer", func(h *History) { h.Calls[safeCall].Body = expectedBody(kindSafe, "s2", 0) }, checkIntegrity},
+		{"another's id", func(h *History) { h.Calls[safeCall].Echoed = "s2" }, checkIntegrity},
+		{"short and looks whole", func(h *History) { h.Calls[safeCall].Body = h.Calls[safeCall].Body[:3] }, checkIntegrity},
+		{"unsigned", func(h *History) { h.Calls[safeCall].Signed = false }, checkIntegrity},
+		{"stray bytes", func(h *History) { h.Calls[safeCall].Stray = true }, checkIntegrity},
 		{"another's bytes in part", func(h *History) {
 			h.Calls[safeCall].Whole, h.Calls[safeCall].Body, h.Arrivals[safeCall].Cut = false, "other", true
-		}, checkOwn},
+		}, checkIntegrity},
 		{"a part that doesn't look whole", func(h *History) {
 			h.Calls[safeCall].Whole, h.Calls[safeCall].Body, h.Arrivals[safeCall].Cut = false, h.Calls[safeCall].Body[:3], true
 		}, ""},
-		{"ran twice", func(h *History) { h.again(unsafeCall) }, checkOnce},
-		{"a stream ran twice", func(h *History) { h.again(streamCall) }, checkOnce},
-		{"a safe one ran twice", func(h *History) { h.again(safeCall) }, ""},
-		{"sent twice, ran once", func(h *History) { h.again(unsafeCall); h.Arrivals[unsafeCall].Ran = false }, ""},
+		{"ran twice", func(h *History) { h.duplicateArrival(unsafeCall) }, checkAtMostOnce},
+		{"a stream ran twice", func(h *History) { h.duplicateArrival(streamCall) }, checkAtMostOnce},
+		{"a safe one ran twice", func(h *History) { h.duplicateArrival(safeCall) }, ""},
+		{"sent twice, ran once", func(h *History) { h.duplicateArrival(unsafeCall); h.Arrivals[unsafeCall].Ran = false }, ""},
 		{"503 and ran", func(h *History) { h.Calls[unsafeCall].Status = 503 }, checkNotRun},
 		{"429 and ran", func(h *History) { h.Calls[safeCall].Status = 429 }, checkNotRun},
 		{"408 and ran", func(h *History) { h.Calls[unsafeCall].Status = 408 }, checkNotRun},
 		{"421 and ran later", func(h *History) { h.Calls[unsafeCall].Status, h.Arrivals[unsafeCall].At = 421, at(29) }, checkNotRun},
 		{"502 and ran", func(h *History) { h.Calls[unsafeCall].Status = 502 }, ""},
 		{"503 and refused", func(h *History) { h.Calls[unsafeCall].Status, h.Arrivals[unsafeCall].Ran = 503, false }, ""},
-		{"cut", func(h *History) { h.closed(unsafeCall) }, checkLost},
-		{"cut after a server refused", func(h *History) { h.closed(unsafeCall); h.Arrivals[unsafeCall].Ran = false }, checkLost},
-		{"cut where the server dropped it", func(h *History) { h.closed(safeCall); h.Arrivals[safeCall].Script = "drop" }, checkLost},
-		{"cut where the server broke off its answer", func(h *History) { h.closed(safeCall); h.Arrivals[safeCall].Cut = true }, checkLost},
-		{"cut within the grace period", func(h *History) { c := h.closed(unsafeCall); c.Sent, c.Done = at(19.5), at(25.9); c.Key = lastingKey }, checkLost},
+		{"cut", func(h *History) { h.closeConn(unsafeCall) }, checkLost},
+		{"cut after a server refused", func(h *History) { h.closeConn(unsafeCall); h.Arrivals[unsafeCall].Ran = false }, checkLost},
+		{"cut where the server dropped it", func(h *History) { h.closeConn(safeCall); h.Arrivals[safeCall].Script = "drop" }, checkLost},
+		{"cut where the server broke off its answer", func(h *History) { h.closeConn(safeCall); h.Arrivals[safeCall].Cut = true }, checkLost},
+		{"cut within the grace period", func(h *History) {
+			c := h.closeConn(unsafeCall)
+			c.Sent, c.Done = at(19.5), at(25.9)
+			c.Key = permanentKey
+		}, checkLost},
 		{"cut in the midst", func(h *History) { h.Calls[safeCall].Whole, h.Calls[safeCall].Body = false, "" }, checkLost},
 		{"cut in the midst by the server", func(h *History) {
 			h.Calls[safeCall].Whole, h.Calls[safeCall].Body, h.Arrivals[safeCall].Cut = false, "", true
@@ -96,31 +100,31 @@
 			c := &h.Calls[safeCall]
 			c.Whole, c.Body, c.Done = false, "", c.Sent.Add(c.Timeout)
 		}, ""},
-		{"cut soon after a freeze", func(h *History) { h.closed(unsafeCall); h.Faults[0].To = at(10.5) }, ""},
-		{"cut beside a freeze elsewhere", func(h *History) { h.closed(unsafeCall); h.Faults[0] = Fault{"gateway-1", kindFreeze, at(0), at(50)} }, checkLost},
-		{"cut where the server crashed", func(h *History) { h.closed(unsafeCall); h.Faults[1].From = at(14.5) }, ""},
-		{"cut before it reached a server", func(h *History) { h.closed(unsafeCall); h.Arrivals[unsafeCall].ID = "none" }, ""},
-		{"cut on a new connection", func(h *History) { h.closed(unsafeCall).Before = 0 }, ""},
-		{"not written whole", func(h *History) { h.closed(unsafeCall).Written = false }, ""},
+		{"cut soon after a freeze", func(h *History) { h.closeConn(unsafeCall); h.Faults[0].To = at(10.5) }, ""},
+		{"cut beside a freeze elsewhere", func(h *History) { h.closeConn(unsafeCall); h.Faults[0] = Fault{"gateway-1", kindFreeze, at(0), at(50)} }, checkLost},
+		{"cut where the server crashed", func(h *History) { h.closeConn(unsafeCall); h.Faults[1].From = at(14.5) }, ""},
+		{"cut before it reached a server", func(h *History) { h.closeConn(unsafeCall); h.Arrivals[unsafeCall].ID = "none" }, ""},
+		{"cut on a new connection", func(h *History) { h.closeConn(unsafeCall).Before = 0 }, ""},
+		{"not written whole", func(h *History) { h.closeConn(unsafeCall).Written = false }, ""},
 		{"an event is missing", func(h *History) {
 			h.Calls[streamCall].Whole, h.Arrivals[streamCall].Cut = false, true
-			h.Calls[streamCall].Body = eventOf(kindStream, 1) + eventOf(kindStream, 3)
-		}, checkOrder},
-		{"an event comes twice", func(h *History) { h.Calls[streamCall].Body = eventOf(kindStream, 1) + h.Calls[streamCall].Body }, checkOrder},
-		{"whole before the last event", func(h *History) { h.Calls[streamCall].Body = eventOf(kindStream, 1) }, checkOrder},
+			h.Calls[streamCall].Body = streamEvent(kindStream, 1) + streamEvent(kindStream, 3)
+		}, checkStreamOrder},
+		{"an event comes twice", func(h *History) { h.Calls[streamCall].Body = streamEvent(kindStream, 1) + h.Calls[streamCall].Body }, checkStreamOrder},
+		{"whole before the last event", func(h *History) { h.Calls[streamCall].Body = streamEvent(kindStream, 1) }, checkStreamOrder},
 		{"a slow stop", func(h *History) { h.Stops[0].End = at(27.1) }, checkGrace},
 		{"a failed stop", func(h *History) { h.Stops[0].Failed = true }, checkGrace},
 		{"a stop that a freeze held up", func(h *History) { h.Stops[0].End, h.Faults[0].From, h.Faults[0].To = at(27.1), at(20), at(22) }, ""},
-		{"a key that was taken away", func(h *History) { h.Calls[unsafeCall].Sent, h.Calls[unsafeCall].Done = at(15.1), at(16) }, checkKey},
-		{"the state goes back", func(h *History) { h.Readings[1].Process = 7 }, checkState},
-		{"too much memory", func(h *History) { h.Readings[0].MemoryMB = 185 }, checkBounded},
-		{"too many descriptors", func(h *History) { h.Readings[0].Descriptors = 4101 }, checkBounded},
-		{"never served again", func(h *History) { h.Probes[0].After = -1 }, checkServed},
-		{"served again too late", func(h *History) { h.Probes[0].After = 16 * time.Second }, checkServed},
+		{"a key that was taken away", func(h *History) { h.Calls[unsafeCall].Sent, h.Calls[unsafeCall].Done = at(15.1), at(16) }, checkRevokedKey},
+		{"the state goes back", func(h *History) { h.Readings[1].Process = 7 }, checkStateRegression},
+		{"too much memory", func(h *History) { h.Readings[0].MemoryMB = 185 }, checkResourceUse},
+		{"too many descriptors", func(h *History) { h.Readings[0].Descriptors = 4101 }, checkResourceUse},
+		{"never served again", func(h *History) { h.Probes[0].After = -1 }, checkRecovery},
+		{"served again too late", func(h *History) { h.Probes[0].After = 16 * time.Second }, checkRecovery},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			h := sound()
+			h := validHistory()
 			test.spoil(h)
 			found := Check(*h)
 			if test.want == "" && len(found) > 0 {
@@ -139,7 +143,8 @@
 	}
 }
 
-// TestASeedDrawsTheSameStepsAgain: a failed seed can be played once more.
+// TestASeedDrawsTheSameStepsAgain checks that a seed always yields the same steps,
+// so that a failed seed can be replayed.
 func TestASeedDrawsTheSameStepsAgain(t *testing.T) {
 	first, again, other := Plan(3, 3, servers, time.Minute), Plan(3, 3, servers, time.Minute), Plan(4, 3, servers, time.Minute)
 	if len(first) != len(again) || len(first) < 100 {
--- /dev/null
+++ b/testbed/soak/client.go
@@ -0,0 +1,146 @@
+package soak
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"time"
+)
+
+const (
+	// maxIdleFraction is the largest fraction of the idle timeout for which a
+	// client leaves a connection idle.
+	maxIdleFraction = 0.8
+	// clientTimeout is how long a client waits for a response: more than twice
+	// the longest route timeout plus the longest path delays.
+	clientTimeout = 10 * time.Second
+	// reconnectDelay is the delay between two connection attempts.
+	reconnectDelay = 50 * time.Millisecond
+	host           = "h.example"
+)
+
+// client sends requests to one gateway over a persistent connection, which it
+// keeps open until the gateway closes it or a request fails.
+type client struct {
+	name, gateway, addr string
+	random              *rand.Rand
+	state               *stateGenerator
+	// record is called with each finished call.
+	record func(Call)
+
+	conn         net.Conn
+	reader       *bufio.Reader
+	requestCount int
+	lastResponse time.Time
+}
+
+// run sends requests until ctx is done.
+func (c *client) run(ctx context.Context) {
+	defer c.closeConn()
+	for n := 0; ctx.Err() == nil; n++ {
+		if c.conn == nil && !c.connect(ctx) {
+			continue
+		}
+		if c.requestCount > 0 {
+			sleep(ctx, c.drawIdleTime())
+		}
+		kinds := []string{kindSafe, kindUnsafe, kindUnsafe, kindStream, kindResume, kindOpen}
+		kind, key := kinds[c.random.IntN(len(kinds))], ""
+		if kind != kindOpen {
+			key = c.state.drawKey(c.random)
+		}
+		call := c.send(fmt.Sprintf("%s-%d", c.name, n), kind, key)
+		c.record(call)
+		if call.Err != "" {
+			sleep(ctx, reconnectDelay)
+		}
+	}
+}
+
+// drawIdleTime draws how long the connection stays idle before its next request:
+// zero in a third of the cases and the maximum in another third.
+func (c *client) drawIdleTime() time.Duration {
+	longest := maxIdleFraction * float64(c.state.minIdleTimeout())
+	switch c.random.IntN(3) {
+	case 0:
+		return 0
+	case 1:
+		return time.Duration(longest)
+	default:
+		return time.Duration(c.random.Float64() * longest)
+	}
+}
+
+func (c *client) connect(ctx context.Context) bool {
+	conn, err := net.DialTimeout("tcp", c.addr, time.Second)
+	if err != nil {
+		sleep(ctx, reconnectDelay)
+		return false
+	}
+	c.conn, c.reader, c.requestCount = conn, bufio.NewReader(conn), 0
+	return true
+}
+
+func (c *client) closeConn() {
+	if c.conn != nil {
+		_ = c.conn.Close()
+		c.conn = nil
+	}
+}
+
+// send sends one request and reads its response. It closes the connection if
+// either fails.
+func (c *client) send(id, kind, key string) (call Call) {
+	call = Call{ID: id, Gateway: c.gateway, Kind: kind, Key: key, Before: c.requestCount, Timeout: routeTimeout(kind), Stray: c.reader.Buffered() > 0}
+	if c.requestCount > 0 {
+		call.Rested = time.Since(c.lastResponse)
+	}
+	body := "body of " + id
+	request := fmt.Sprintf("POST /%s/x HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %s\r\nContent-Length: %d\r\n", kind, host, id, len(body))
+	if call.Key != "" {
+		request += "Authorization: Bearer " + call.Key + "\r\n"
+	}
+	call.Sent = time.Now()
+	_ = c.conn.SetDeadline(call.Sent.Add(clientTimeout))
+	_, err := io.WriteString(c.conn, request+"\r\n"+body)
+	call.Written = err == nil
+	if err == nil {
+		err = c.readResponse(&call)
+	}
+	call.Done = time.Now()
+	c.requestCount++
+	c.lastResponse = call.Done
+	if err != nil {
+		call.Err = err.Error()
+		c.closeConn()
+	}
+	return call
+}
+
+func (c *client) readResponse(call *Call) error {
+	resp, err := http.ReadResponse(c.reader, &http.Request{Method: http.MethodPost})
+	if err != nil {
+		return err
+	}
+	defer func() { _ = resp.Body.Close() }()
+	call.Status, call.Echoed, call.Signed = resp.StatusCode, resp.Header.Get("X-Request-Id"), resp.Header.Get("X-Signature") != ""
+	body, err := io.ReadAll(resp.Body)
+	call.Body, call.Whole = string(body), err == nil
+	if err == nil && resp.Close {
+		c.closeConn()
+	}
+	return err
+}
+
+func sleep(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+}
--- a/testbed/soak/gatewayprocess.go
+++ b/testbed/soak/gatewayprocess.go
@@ -18,37 +18,38 @@
 )
 
 const (
-	// grace is how long a gateway may take to stop, and revokeWithin how soon a
-	// key must stop working: what operators set.
-	grace        = 8 * time.Second
-	revokeWithin = 5 * time.Second
-	// usageWindow, usageDelay and usageLease are of the report of usage.
+	// gracePeriod is how long a gateway may take to stop, and revokeTimeout is how
+	// soon a removed key must stop working. Operators set both.
+	gracePeriod   = 8 * time.Second
+	revokeTimeout = 5 * time.Second
+	// usageWindow, usageDelay and usageLease configure usage reporting.
 	usageWindow = time.Second
 	usageDelay  = 4 * time.Second
 	usageLease  = time.Second
-	// memoryMB is a small entry VM's.
+	// memoryMB is the memory limit of a small entry VM.
 	memoryMB = 184
 )
 
-// gatewayProcess is a gateway and its paths.
+// gatewayProcess is a gateway process with the proxies on its network paths.
 type gatewayProcess struct {
 	*fleet.Process
-	name, file         string
-	admin, peers       string
-	duties             string
-	front, store       *proxy
-	retryExtra, within int
-	// life is held by whoever stops or starts the process; before mu.
-	life sync.Mutex
-	// mu guards what follows; nothing is locked while it is held.
-	mu     sync.Mutex
-	listen string
-	frozen int
+	name, settingsFile        string
+	adminAddr, peerAddr       string
+	dutiesAddr                string
+	frontProxy, storeProxy    *proxy
+	retryExtra, revokeSeconds int
+	// lifecycle is held while the process is stopped or started; it is locked
+	// before mu.
+	lifecycle sync.Mutex
+	// mu guards the fields below; no other lock is acquired while it is held.
+	mu          sync.Mutex
+	listenAddr  string
+	freezeCount int
 }
 
-// newGateway gives a gateway its paths and settings; line is what the VM takes
-// in, in bits a second.
-func newGateway(programs *fleet.Programs, dir, program, name string, platform *storeProcess, line float64) (*gatewayProcess, error) {
+// newGateway creates a gateway's proxies and settings file without starting it.
+// line is the VM's inbound bandwidth in bits per second.
+func newGateway(programs *fleet.Programs, dir, program, name string, platform *storeProcess, bandwidth float64) (*gatewayProcess, error) {
 	var addrs [3]string
 	for i := range addrs {
 		addr, err := ports.Free()
@@ -58,104 +59,106 @@
 		addrs[i] = addr
 	}
 	g := &gatewayProcess{
-		name: name, file: filepath.Join(dir, name+".yaml"), listen: addrs[0], admin: addrs[1], peers: addrs[2],
-		duties: platform.duties, retryExtra: 50, within: int(revokeWithin / time.Second),
+		name: name, settingsFile: filepath.Join(dir, name+".yaml"), listenAddr: addrs[0], adminAddr: addrs[1], peerAddr: addrs[2],
+		dutiesAddr: platform.dutiesAddr, retryExtra: 50, revokeSeconds: int(revokeTimeout / time.Second),
 	}
-	in := &link{bits: line}
+	inbound := &link{bitsPerSecond: bandwidth}
 	var err error
-	if g.front, err = newProxy(g.listen, [directions]*link{up: in}); err != nil {
+	if g.frontProxy, err = newProxy(g.listenAddr, [directionCount]*link{upstream: inbound}); err != nil {
 		return nil, err
 	}
-	if g.store, err = newProxy(platform.listen, [directions]*link{down: in}); err != nil {
+	if g.storeProxy, err = newProxy(platform.listenAddr, [directionCount]*link{downstream: inbound}); err != nil {
 		return nil, err
 	}
 	// A small VM has one core.
-	g.Process = programs.New(name, g.addr, "/usr/bin/env", "GOMAXPROCS=1", program, "gateway", "serve", "--settings", g.file)
+	g.Process = programs.New(name, g.addr, "/usr/bin/env", "GOMAXPROCS=1", program, "gateway", "serve", "--settings", g.settingsFile)
 	return g, g.writeSettings()
 }
 
 func (g *gatewayProcess) addr() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.listen
+	return g.listenAddr
 }
 
-// writeSettings writes the settings file, at once for whoever reads it.
+// writeSettings replaces the settings file atomically.
 func (g *gatewayProcess) writeSettings() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	text := fmt.Sprintf("process: %s\nzone: z\nlisten: %s\nadmin_listen: %s\nready_path: /ready\npeer_listen: %s\nstore: %s\nmemory_mb: %d\n"+
 		"revoke:\n  strict: true\n  within: %ds\nretry:\n  ratio: 0.2\n  extra: %d\n  window: 10s\ngrace: %s\n"+
 		"usage:\n  addr: %s\n  duties: metering\n  window: %s\n  delay: %s\n  lease: %s\nlog:\n  level: debug\n",
-		g.name, g.listen, g.admin, g.peers, g.store.addr(), memoryMB, g.within, g.retryExtra, grace, g.duties, usageWindow, usageDelay, usageLease)
-	if err := os.WriteFile(g.file+".new", []byte(text), 0o600); err != nil {
-		return errors.Wrap(err, "settings")
+		g.name, g.listenAddr, g.adminAddr, g.peerAddr, g.storeProxy.addr(), memoryMB, g.revokeSeconds, g.retryExtra, gracePeriod, g.dutiesAddr, usageWindow, usageDelay, usageLease)
+	if err := os.WriteFile(g.settingsFile+".new", []byte(text), 0o600); err != nil {
+		return errors.Wrap(err, "write settings file")
 	}
-	return os.Rename(g.file+".new", g.file)
+	return os.Rename(g.settingsFile+".new", g.settingsFile)
 }
 
-// change changes settings that are taken in while the process runs; keys never
-// work longer than they may at first.
-func (g *gatewayProcess) change(n int) error {
+// changeSettings changes settings that the process reloads while it runs. The
+// revocation bound never exceeds its initial value.
+func (g *gatewayProcess) changeSettings(variant int) error {
 	g.mu.Lock()
-	g.retryExtra, g.within = 30+n%40, int(revokeWithin/time.Second)-n%2
+	g.retryExtra, g.revokeSeconds = 30+variant%40, int(revokeTimeout/time.Second)-variant%2
 	g.mu.Unlock()
 	return g.writeSettings()
 }
 
-// move has the next start listen elsewhere.
-func (g *gatewayProcess) move() error {
+// changeListenAddr makes the next start listen on another address.
+func (g *gatewayProcess) changeListenAddr() error {
 	addr, err := ports.Free()
 	if err != nil {
 		return err
 	}
 	g.mu.Lock()
-	ports.Release(g.listen)
-	g.listen = addr
+	ports.Release(g.listenAddr)
+	g.listenAddr = addr
 	g.mu.Unlock()
-	g.front.lead(addr)
+	g.frontProxy.setTarget(addr)
 	return g.writeSettings()
 }
 
-// freeze adds a reason to stand still, or takes one away.
-func (g *gatewayProcess) freeze(by int) {
+// addFreeze changes the number of reasons to keep the process suspended by delta;
+// it is suspended while the number is positive.
+func (g *gatewayProcess) addFreeze(delta int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	before := g.frozen > 0
-	g.frozen += by
-	// Whoever isn't running can't stand still.
-	if now := g.frozen > 0; now && !before {
+	wasFrozen := g.freezeCount > 0
+	g.freezeCount += delta
+	// The signal fails if the process isn't running.
+	if isFrozen := g.freezeCount > 0; isFrozen && !wasFrozen {
 		_ = g.Stop()
-	} else if before && !now {
+	} else if wasFrozen && !isFrozen {
 		_ = g.Continue()
 	}
 }
 
-// hangUp sends SIGHUP.
-func (g *gatewayProcess) hangUp() {
+// sendHangup sends SIGHUP to the process.
+func (g *gatewayProcess) sendHangup() {
 	if pid := g.PID(); pid > 0 {
 		_ = syscall.Kill(pid, syscall.SIGHUP)
 	}
 }
 
-// look reads what the process tells of itself and what it uses.
-func (g *gatewayProcess) look(ctx context.Context) (Reading, bool) {
+// sample reads the process's metrics and resource use. It returns false if the process
+// isn't running or ended meanwhile.
+func (g *gatewayProcess) sample(ctx context.Context) (Reading, bool) {
 	r := Reading{Gateway: g.name, Process: g.PID(), At: time.Now()}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	text, err := do(ctx, http.MethodGet, "http://"+g.admin+"/metrics", nil)
+	text, err := doRequest(ctx, http.MethodGet, "http://"+g.adminAddr+"/metrics", nil)
 	for line := range strings.Lines(text) {
 		if strings.HasPrefix(line, "applepier_targets_version") {
 			_, err = fmt.Sscan(line[strings.LastIndex(line, " "):], &r.Version)
 		}
 	}
-	open, dirErr := os.ReadDir(fmt.Sprintf("/proc/%d/fd", r.Process))
+	descriptors, dirErr := os.ReadDir(fmt.Sprintf("/proc/%d/fd", r.Process))
 	status, statusErr := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.Process))
-	// One that ended meanwhile tells nothing.
+	// The process ended or was restarted meanwhile.
 	if err != nil || dirErr != nil || statusErr != nil || r.Process == 0 || r.Process != g.PID() {
 		return r, false
 	}
-	r.Descriptors = len(open)
+	r.Descriptors = len(descriptors)
 	if _, resident, found := strings.Cut(string(status), "VmRSS:"); found {
 		_, _ = fmt.Sscan(resident, &r.MemoryMB)
 		r.MemoryMB /= 1 << 10
--- /dev/null
+++ b/testbed/soak/harness.go
@@ -0,0 +1,204 @@
+package soak
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"path/filepath"
+	"sync"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"github.com/applepier/applepier/testbed/fleet"
+	"github.com/applepier/applepier/testbed/ports"
+)
+
+const (
+	// servers is the number of backend servers; half of them get faults.
+	servers = 5
+	// clientsPerGateway is a load that a small VM's fraction of a core can serve.
+	clientsPerGateway = 30
+	// sampleInterval is how often a gateway's metrics and descriptors are read.
+	sampleInterval = 150 * time.Millisecond
+	startTimeout   = 20 * time.Second
+)
+
+// Bandwidths in bits per second and fractions of a core of entry VMs, as operators
+// have them.
+var (
+	bandwidths    = []float64{10e6, 20e6, 50e6}
+	coreFractions = []float64{0.144, 0.3, 0.8}
+)
+
+// harness holds the processes and the recorded history of one seed's run.
+type harness struct {
+	config   Config
+	programs *fleet.Programs
+	store    *storeProcess
+	gateways []*gatewayProcess
+	servers  []*serverProcess
+	states   *stateGenerator
+	// mu guards the fields below; no other lock is acquired while it is held.
+	mu       sync.Mutex
+	history  History
+	firstErr error
+}
+
+// newHarness writes the first desired state and starts the processes. The harness
+// is returned with an error too, so that the caller can close it.
+func newHarness(ctx context.Context, c Config, dir string) (*harness, error) {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
+	defer cancel()
+	h := &harness{config: c, programs: fleet.NewPrograms(dir), states: newStateGenerator()}
+	h.history.Bounds = Bounds{Contact: faultMargin, Revoke: revokeTimeout, Recover: recoveryTimeout, MemoryMB: memoryMB, Descriptors: maxDescriptors}
+	var err error
+	if h.store, err = newStore(h.programs, c.Soak); err != nil {
+		return h, err
+	}
+	if err := h.store.Restart(ctx); err != nil {
+		return h, err
+	}
+	if err := h.writeState(ctx, 0, 0, false); err != nil {
+		return h, err
+	}
+	for n := range servers {
+		s, err := newServer(h.programs, dir, c.Soak, fmt.Sprintf("server-%d", n), h.store)
+		if err != nil {
+			return h, err
+		}
+		h.servers = append(h.servers, s)
+		if err := s.startInstance(ctx); err != nil {
+			return h, err
+		}
+	}
+	random := rand.New(rand.NewPCG(c.Seed, 0))
+	for n := range c.Gateways {
+		g, err := newGateway(h.programs, dir, c.Gateway, fmt.Sprintf("gateway-%d", n), h.store, bandwidths[random.IntN(len(bandwidths))])
+		if err != nil {
+			return h, err
+		}
+		h.gateways = append(h.gateways, g)
+		if err := g.Restart(ctx); err != nil {
+			return h, err
+		}
+	}
+	return h, nil
+}
+
+// close kills all processes and releases their ports.
+func (h *harness) close() {
+	for _, g := range h.gateways {
+		_ = g.Kill()
+		g.frontProxy.close()
+		g.storeProxy.close()
+		ports.Release(g.addr(), g.adminAddr, g.peerAddr)
+	}
+	for _, s := range h.servers {
+		if s.Process != nil {
+			_ = s.Kill()
+		}
+		s.proxy.close()
+		ports.Release(s.listenAddr, s.controlAddr)
+	}
+	_ = h.store.Kill()
+	ports.Release(h.store.listenAddr, h.store.dutiesAddr, h.store.controlAddr)
+	h.programs.Close()
+}
+
+// writeState creates the next desired state and writes it to the store.
+func (h *harness) writeState(ctx context.Context, idleTimeout time.Duration, addRoutes int, replaceKey bool) error {
+	document, acknowledged := h.states.next(idleTimeout, addRoutes, replaceKey)
+	if err := h.store.put(ctx, "op", "config", document); err != nil {
+		return errors.Wrap(err, "write desired state")
+	}
+	acknowledged()
+	return nil
+}
+
+// recordCall adds a call to the history.
+func (h *harness) recordCall(c Call) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.history.Calls = append(h.history.Calls, c)
+}
+
+// recordFault adds a fault that begins now to the history and returns the function
+// that records its end.
+func (h *harness) recordFault(process, kind string) (end func()) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.history.Faults = append(h.history.Faults, Fault{Who: process, Kind: kind, From: time.Now()})
+	index := len(h.history.Faults) - 1
+	return func() {
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		h.history.Faults[index].To = time.Now()
+	}
+}
+
+// fail records the first error of the soak itself.
+func (h *harness) fail(err error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.firstErr == nil {
+		h.firstErr = err
+	}
+}
+
+// sampleGateway records readings of a gateway until ctx is done.
+func (h *harness) sampleGateway(ctx context.Context, g *gatewayProcess) {
+	for ; ctx.Err() == nil; sleep(ctx, sampleInterval) {
+		if reading, ok := g.sample(ctx); ok {
+			h.mu.Lock()
+			h.history.Readings = append(h.history.Readings, reading)
+			h.mu.Unlock()
+		}
+	}
+}
+
+// probe sends requests over new connections until the gateway serves one or
+// recoveryTimeout has passed.
+func (h *harness) probe(ctx context.Context, g *gatewayProcess, kind string) {
+	started := time.Now()
+	probe := Probe{Gateway: g.name, Kind: kind, After: -1}
+	for n := 0; probe.After < 0 && ctx.Err() == nil && time.Since(started) < recoveryTimeout; n++ {
+		c := &client{gateway: g.name, addr: g.frontProxy.addr(), random: rand.New(rand.NewPCG(h.config.Seed, 0)), state: h.states}
+		if c.connect(ctx) {
+			key := permanentKey
+			if kind == kindOpen {
+				key = ""
+			}
+			call := c.send(fmt.Sprintf("probe-%s-%s-%d", g.name, kind, n), kind, key)
+			c.closeConn()
+			h.recordCall(call)
+			if call.Status == 200 && call.Whole {
+				probe.After = time.Since(started)
+			}
+		}
+		sleep(ctx, reconnectDelay)
+	}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.history.Probes = append(h.history.Probes, probe)
+}
+
+// collect completes the history with what the servers and the platform recorded.
+func (h *harness) collect(dir string) (History, error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.history.States = h.states.snapshot()
+	for _, s := range h.servers {
+		arrivals, err := s.arrivals()
+		if err != nil {
+			return h.history, errors.Wrap(err, filepath.Join(dir, s.name))
+		}
+		h.history.Arrivals = append(h.history.Arrivals, arrivals...)
+	}
+	// The platform reports on the calls it has received so far.
+	limit, cancel := context.WithTimeout(context.Background(), startTimeout)
+	defer cancel()
+	var err error
+	h.history.Duties, err = h.store.dutiesReport(limit)
+	return h.history, err
+}
--- a/testbed/soak/history.go
+++ b/testbed/soak/history.go
@@ -1,13 +1,13 @@
-// Package soak plays series of faults that overlap, drawn from a seed, on
-// gateways, backend servers and a store that are processes of their own, under
-// callers that keep their connections, and judges what callers and servers saw.
-// Start reading at Run; the judgement is Check.
+// Package soak injects overlapping series of faults, drawn from a seed, into
+// gateways, backend servers and a store that run as separate processes, while
+// clients send requests over persistent connections. It then checks what clients
+// and servers observed. Start reading at Run; Check contains the checks.
 package soak
 
 import "time"
 
-// History is what was seen in one seed's play. All times are of one machine's
-// clock.
+// History is everything observed during the run of one seed. All times are read
+// from one machine's clock.
 type History struct {
 	Calls    []Call
 	Arrivals []Arrival
@@ -15,48 +15,49 @@
 	Stops    []Stop
 	States   []State
 	Readings []Reading
-	// Probes tells when each gateway served again after the last fault.
+	// Probes records when each gateway served again after the last fault.
 	Probes []Probe
 	Bounds Bounds
 	Duties Duties
 }
 
-// Duties is what the platform says of the calls that one gateway at a time makes: how many
-// windows were reported, and what should not have happened.
+// Duties is the platform's record of the calls that only one gateway at a time may
+// make: the number of usage windows reported, and the rule violations it saw.
 type Duties struct {
 	Reports int
 	Broken  []string
 }
 
-// Bounds are what is promised: by the settings of the gateways, the operators'
-// pages, or the VMs' size.
+// Bounds are the guaranteed limits, from the gateways' settings, the operator
+// documentation or the size of the VMs.
 type Bounds struct {
-	// Contact is for how long before a request nothing may have hit what it
-	// meets, so that it is owed an answer.
+	// Contact is how long before a request the processes involved must have been
+	// free of faults for the request to be owed a response.
 	Contact time.Duration
-	// Revoke is how soon a key that is taken away stops working.
+	// Revoke is how soon a removed key must stop working.
 	Revoke time.Duration
-	// Recover is how soon a gateway serves after the last fault.
+	// Recover is how soon a gateway must serve after the last fault.
 	Recover time.Duration
-	// MemoryMB and Descriptors are what a gateway may use.
+	// MemoryMB and Descriptors bound a gateway's resident memory and open file
+	// descriptors.
 	MemoryMB    float64
 	Descriptors int
 }
 
-// Arrival is a request as it reached a backend server.
+// Arrival is a request as a backend server received it.
 type Arrival struct {
 	ID     string
 	Server string
 	At     time.Time
-	// Script is what the server did with it, Ran whether that is a run, and Cut
-	// whether the server broke off an answer that it had begun.
+	// Script names the server's behavior. Ran reports whether that behavior
+	// counts as a run, and Cut whether the server broke off its response.
 	Script string
 	Ran    bool
 	Cut    bool
 }
 
-// Fault is something unplanned that hit a process or a path; Who is the name of
-// the gateway or server.
+// Fault is an unplanned failure of a process or network path. Who is the name of
+// the gateway or server. To is zero while the fault lasts.
 type Fault struct {
 	Who, Kind string
 	From, To  time.Time
@@ -67,33 +68,33 @@
 	Gateway string
 	At, End time.Time
 	Grace   time.Duration
-	// Failed says that the process ended with an error, or had to be killed.
+	// Failed reports whether the process exited with an error or had to be killed.
 	Failed bool
 }
 
-// State is a desired state; At is when the store acknowledged it.
+// State is a desired state. At is when the store acknowledged it, or zero.
 type State struct {
 	Version uint64
 	At      time.Time
 	Idle    time.Duration
 	Routes  int
-	// Removed are the keys that it takes away.
+	// Removed are the keys that the state no longer lists.
 	Removed []string
 }
 
-// Reading is a look at a gateway's process.
+// Reading is one sample of a gateway process's state and resource use.
 type Reading struct {
 	Gateway  string
 	Process  int
 	At       time.Time
 	Version  uint64
 	MemoryMB float64
-	// Descriptors are the open ones.
+	// Descriptors is the number of open file descriptors.
 	Descriptors int
 }
 
-// Probe is when a gateway served a kind of request after the last fault; After
-// is negative if it never did.
+// Probe records how long after the last fault a gateway served a kind of request.
+// After is negative if it didn't.
 type Probe struct {
 	Gateway, Kind string
 	After         time.Duration
--- a/testbed/soak/link.go
+++ b/testbed/soak/link.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// link is a VM's line in one direction: what passes waits for what came before,
-// whatever connection it is on, as in a router's queue.
+// link models a VM's bandwidth in one direction. Data of all connections shares
+// one FIFO queue, as in a router.
 type link struct {
-	// bits is its rate in bits a second.
-	bits float64
-	// mu guards free; nothing is locked while it is held.
-	mu   sync.Mutex
-	free time.Time
+	// bitsPerSecond is the link's bandwidth.
+	bitsPerSecond float64
+	// mu guards freeAt; no other lock is acquired while it is held.
+	mu     sync.Mutex
+	freeAt time.Time
 }
 
-// reserve returns when bytes that came now are through.
+// reserve queues a number of bytes at time now and returns when they have been sent.
 func (l *link) reserve(bytes int, now time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.free.Before(now) {
-		l.free = now
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(float64(bytes) * 8 / l.bits * float64(time.Second)))
-	return l.free
+	l.freeAt = l.freeAt.Add(time.Duration(float64(bytes) * 8 / l.bitsPerSecond * float64(time.Second)))
+	return l.freeAt
 }
--- a/testbed/soak/plan.go
+++ b/testbed/soak/plan.go
@@ -7,33 +7,35 @@
 	"time"
 )
 
-// Kinds of steps. Freezes, kills, cuts and resets excuse; the rest doesn't.
+// Kinds of steps. Freezes, kills, cuts, resets and crashes of gateways and servers
+// are faults that excuse a lost request; the other kinds are no excuse.
 const (
-	kindFreeze   = "freeze"
-	kindKill     = "kill"
-	kindCut      = "cut"
-	kindReset    = "reset"
-	kindDelay    = "delay"
-	kindStop     = "stop"
-	kindHangUp   = "hang up"
-	kindSettings = "settings"
-	kindRoutes   = "routes"
-	kindIdle     = "idle limit"
-	kindKeys     = "keys"
-	kindBad      = "store fault"
-	kindSlow     = "store slow"
-	kindForget   = "store forgets"
-	kindStoreCut = "store cut"
-	kindReturn   = "store returns"
-	kindDuties   = "duties fault"
-	kindScript   = "server script"
-	kindCrash    = "server crash"
-	kindServer   = "server freeze"
-	kindWay      = "server reset"
+	kindFreeze       = "freeze"
+	kindKill         = "kill"
+	kindCut          = "cut"
+	kindReset        = "reset"
+	kindDelay        = "delay"
+	kindStop         = "stop"
+	kindHangup       = "hang up"
+	kindSettings     = "settings"
+	kindRoutes       = "routes"
+	kindIdleTimeout  = "idle limit"
+	kindKeys         = "keys"
+	kindStoreFault   = "store fault"
+	kindStoreSlow    = "store slow"
+	kindStoreForget  = "store forgets"
+	kindStoreCut     = "store cut"
+	kindStoreRestore = "store returns"
+	kindDutiesFault  = "duties fault"
+	kindServerScript = "server script"
+	kindServerCrash  = "server crash"
+	kindServerFreeze = "server freeze"
+	kindServerReset  = "server reset"
 )
 
-// Step is one fault or planned change: what, on whom, from when for how long,
-// and a number that says how.
+// Step is one fault or planned change. At is its offset from the start, Who the
+// index of the gateway or server, For its duration, and How a random number from
+// which the step's details are derived.
 type Step struct {
 	At   time.Duration
 	Kind string
@@ -42,63 +44,65 @@
 	How  int
 }
 
-// series is a stream of steps with the pauses between them; what is there more
-// than once is drawn more often.
-type series struct {
-	kinds       []string
-	least, most time.Duration
-	forMost     time.Duration
+// stepSeries describes a sequence of steps and the pauses between them. A kind that
+// is listed more than once is drawn more often.
+type stepSeries struct {
+	kinds              []string
+	minPause, maxPause time.Duration
+	maxDuration        time.Duration
 }
 
-// The series overlap; each gateway and each server has the ones of its own.
+// The series run concurrently; each gateway and each server has its own.
 var (
-	hardSeries    = series{[]string{kindFreeze, kindFreeze, kindKill, kindCut, kindReset}, 3 * time.Second, 8 * time.Second, 2 * time.Second}
-	plannedSeries = series{[]string{kindStop, kindHangUp, kindSettings}, 2 * time.Second, 6 * time.Second, 0}
-	pathSeries    = series{[]string{kindDelay}, 500 * time.Millisecond, 3 * time.Second, 2500 * time.Millisecond}
-	stateSeries   = series{[]string{kindRoutes, kindRoutes, kindIdle, kindIdle, kindKeys}, 800 * time.Millisecond, 3 * time.Second, 0}
-	storeSeries   = series{[]string{kindBad, kindBad, kindSlow, kindForget, kindStoreCut}, 2 * time.Second, 6 * time.Second, 2500 * time.Millisecond}
-	returnSeries  = series{[]string{kindReturn}, 5 * time.Second, 12 * time.Second, 3 * time.Second}
-	dutiesSeries  = series{[]string{kindDuties}, 2 * time.Second, 6 * time.Second, 3 * time.Second}
-	scriptSeries  = series{[]string{kindScript}, time.Second, 5 * time.Second, 2 * time.Second}
-	serverSeries  = series{[]string{kindCrash, kindServer, kindWay}, time.Second, 6 * time.Second, 2 * time.Second}
+	faultSeries   = stepSeries{[]string{kindFreeze, kindFreeze, kindKill, kindCut, kindReset}, 3 * time.Second, 8 * time.Second, 2 * time.Second}
+	plannedSeries = stepSeries{[]string{kindStop, kindHangup, kindSettings}, 2 * time.Second, 6 * time.Second, 0}
+	pathSeries    = stepSeries{[]string{kindDelay}, 500 * time.Millisecond, 3 * time.Second, 2500 * time.Millisecond}
+	stateSeries   = stepSeries{[]string{kindRoutes, kindRoutes, kindIdleTimeout, kindIdleTimeout, kindKeys}, 800 * time.Millisecond, 3 * time.Second, 0}
+	storeSeries   = stepSeries{[]string{kindStoreFault, kindStoreFault, kindStoreSlow, kindStoreForget, kindStoreCut}, 2 * time.Second, 6 * time.Second, 2500 * time.Millisecond}
+	restoreSeries = stepSeries{[]string{kindStoreRestore}, 5 * time.Second, 12 * time.Second, 3 * time.Second}
+	dutiesSeries  = stepSeries{[]string{kindDutiesFault}, 2 * time.Second, 6 * time.Second, 3 * time.Second}
+	scriptSeries  = stepSeries{[]string{kindServerScript}, time.Second, 5 * time.Second, 2 * time.Second}
+	serverSeries  = stepSeries{[]string{kindServerCrash, kindServerFreeze, kindServerReset}, time.Second, 6 * time.Second, 2 * time.Second}
 )
 
-// Plan draws a seed's steps. One gateway and half of the servers meet nothing
-// that excuses a lost request: what they owe is owed all the while.
-func Plan(seed uint64, gateways, servers int, over time.Duration) []Step {
+// Plan draws the steps of a seed, ordered by time. One gateway and half of the
+// servers get no fault that excuses a lost request, so that their requests are
+// owed a response at all times.
+func Plan(seed uint64, gateways, servers int, duration time.Duration) []Step {
 	var steps []Step
-	stream := uint64(0)
-	play := func(s series, who int) {
-		stream++
-		random := rand.New(rand.NewPCG(seed, stream))
-		span := func(least, most time.Duration) time.Duration {
-			return least + time.Duration(random.Int64N(int64(most-least)+1))
+	streamID := uint64(0)
+	addSeries := func(s stepSeries, target int) {
+		streamID++
+		random := rand.New(rand.NewPCG(seed, streamID))
+		drawDuration := func(shortest, longest time.Duration) time.Duration {
+			return shortest + time.Duration(random.Int64N(int64(longest-shortest)+1))
 		}
-		for at := span(0, s.most); at < over; at += span(s.least, s.most) {
-			lasts := min(span(0, s.forMost), over-at)
-			steps = append(steps, Step{At: at, Kind: s.kinds[random.IntN(len(s.kinds))], Who: who, For: lasts, How: random.IntN(1 << 20)})
+		for at := drawDuration(0, s.maxPause); at < duration; at += drawDuration(s.minPause, s.maxPause) {
+			length := min(drawDuration(0, s.maxDuration), duration-at)
+			steps = append(steps, Step{At: at, Kind: s.kinds[random.IntN(len(s.kinds))], Who: target, For: length, How: random.IntN(1 << 20)})
 		}
 	}
-	for who := range gateways {
-		play(plannedSeries, who)
-		play(pathSeries, who)
-		if who != calm(seed, gateways) {
-			play(hardSeries, who)
+	for target := range gateways {
+		addSeries(plannedSeries, target)
+		addSeries(pathSeries, target)
+		if target != faultFreeGateway(seed, gateways) {
+			addSeries(faultSeries, target)
 		}
 	}
-	for who := range servers {
-		play(scriptSeries, who)
-		if who < servers/2 {
-			play(serverSeries, who)
+	for target := range servers {
+		addSeries(scriptSeries, target)
+		if target < servers/2 {
+			addSeries(serverSeries, target)
 		}
 	}
-	play(stateSeries, 0)
-	play(storeSeries, 0)
-	play(returnSeries, 0)
-	play(dutiesSeries, 0)
+	addSeries(stateSeries, 0)
+	addSeries(storeSeries, 0)
+	addSeries(restoreSeries, 0)
+	addSeries(dutiesSeries, 0)
 	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 	return steps
 }
 
-// calm is the gateway that meets nothing that excuses it.
-func calm(seed uint64, gateways int) int { return int(seed % uint64(gateways)) }
+// faultFreeGateway returns the index of the gateway that gets no faults which
+// excuse a lost request.
+func faultFreeGateway(seed uint64, gateways int) int { return int(seed % uint64(gateways)) }
--- a/testbed/soak/proxy.go
+++ b/testbed/soak/proxy.go
@@ -9,44 +9,45 @@
 	"time"
 )
 
-// Directions of a connection.
+// Directions of a connection: upstream is from the client to the target.
 const (
-	up = iota
-	down
-	directions
+	upstream = iota
+	downstream
+	directionCount
 )
 
 const (
-	// chunkBytes is read at once, and queued is how many such are on their way
-	// in a direction of a connection: a window of 128 KB. What a connection that
-	// is closed has left in the line is no more than that.
-	chunkBytes = 16 << 10
-	queued     = 7
-	// holdPoll is how often a direction that is cut looks whether it still is.
-	holdPoll = 5 * time.Millisecond
+	// chunkBytes is the size of a read, and queuedChunks bounds the chunks in
+	// flight in one direction of a connection: a window of 128 KB. A closed
+	// connection leaves no more than that on the link; with a megabyte each,
+	// closed connections kept a narrow link busy for good.
+	chunkBytes   = 16 << 10
+	queuedChunks = 7
+	// blockedPollInterval is how often a blocked direction is polled.
+	blockedPollInterval = 5 * time.Millisecond
 )
 
-// proxy is the path to one process: it delays, holds back, cuts either way and
-// resets. testbed/faultproxy reads the messages between entry and agent, has no
-// line that connections share and can't lift a silence, so that it is no part
-// of this.
+// proxy is a TCP proxy on the network path to one process. It can delay data, block
+// either direction and reset connections. testbed/faultproxy isn't used because it
+// parses the messages between entry and agent, has no link that connections share
+// and can't unblock a direction.
 type proxy struct {
 	listener net.Listener
-	// links are the lines that a direction passes; nil for none.
-	links [directions]*link
-	// mu guards what follows; nothing is locked while it is held.
+	// links are the shared links by direction; nil means unlimited bandwidth.
+	links [directionCount]*link
+	// mu guards the fields below; no other lock is acquired while it is held.
 	mu     sync.Mutex
 	target string
-	// least and most bound the delay, which is drawn for each piece of data.
-	least, most time.Duration
-	// slows counts the reasons for delays.
-	slows int
-	cut   [directions]int
-	conns map[net.Conn]net.Conn
+	// minDelay and maxDelay bound the delay, which is drawn for each chunk.
+	minDelay, maxDelay time.Duration
+	// delayCount is the number of delays in effect.
+	delayCount int
+	blocked    [directionCount]int
+	conns      map[net.Conn]net.Conn
 }
 
-// newProxy opens a path to a host:port.
-func newProxy(target string, links [directions]*link) (*proxy, error) {
+// newProxy starts a proxy on a free loopback port to target, a host:port.
+func newProxy(target string, links [directionCount]*link) (*proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -58,43 +59,43 @@
 
 func (p *proxy) addr() string { return p.listener.Addr().String() }
 
-// lead leads new connections elsewhere.
-func (p *proxy) lead(target string) {
+// setTarget changes the target of new connections.
+func (p *proxy) setTarget(target string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.target = target
 }
 
-// slow delays what comes from now on, each piece of data by a time of its own;
-// those of one connection keep their order. It lasts until each such has been
-// lifted.
-func (p *proxy) slow(least, most time.Duration) (lift func()) {
+// addDelay delays data received from now on, each chunk by a random time; chunks of
+// a connection keep their order. Delays end when every returned function has been
+// called.
+func (p *proxy) addDelay(shortest, longest time.Duration) (remove func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.least, p.most = least, most
-	p.slows++
+	p.minDelay, p.maxDelay = shortest, longest
+	p.delayCount++
 	return func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if p.slows--; p.slows == 0 {
-			p.least, p.most = 0, 0
+		if p.delayCount--; p.delayCount == 0 {
+			p.minDelay, p.maxDelay = 0, 0
 		}
 	}
 }
 
-// silence cuts a direction, or lifts one such cut: what came meanwhile passes
-// then.
-func (p *proxy) silence(direction int, on bool) {
+// setBlocked blocks a direction, or removes one such block. Data received meanwhile
+// is forwarded once no block is left.
+func (p *proxy) setBlocked(direction int, block bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if on {
-		p.cut[direction]++
+	if block {
+		p.blocked[direction]++
 	} else {
-		p.cut[direction]--
+		p.blocked[direction]--
 	}
 }
 
-// reset resets all connections of now.
+// reset resets all open connections.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,7 +110,7 @@
 	p.reset()
 }
 
-// abort closes a connection by a reset.
+// abort closes a connection with a TCP reset.
 func abort(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -123,45 +124,45 @@
 		if err != nil {
 			return
 		}
-		go p.join(c)
+		go p.relay(c)
 	}
 }
 
-// join leads one connection on until both directions have ended.
-func (p *proxy) join(from net.Conn) {
+// relay forwards one connection until both directions have ended.
+func (p *proxy) relay(client net.Conn) {
 	p.mu.Lock()
 	target := p.target
 	p.mu.Unlock()
-	to, err := net.Dial("tcp", target)
+	server, err := net.Dial("tcp", target)
 	if err != nil {
-		abort(from)
+		abort(client)
 		return
 	}
 	p.mu.Lock()
-	p.conns[from] = to
+	p.conns[client] = server
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.pass(from, to, up) })
-	both.Go(func() { p.pass(to, from, down) })
+	both.Go(func() { p.forward(client, server, upstream) })
+	both.Go(func() { p.forward(server, client, downstream) })
 	both.Wait()
 	p.mu.Lock()
-	delete(p.conns, from)
+	delete(p.conns, client)
 	p.mu.Unlock()
-	_, _ = from.Close(), to.Close()
+	_, _ = client.Close(), server.Close()
 }
 
-// chunk is data on its way.
+// chunk is data in flight; due is when it is forwarded.
 type chunk struct {
 	data []byte
 	due  time.Time
 }
 
-// pass leads one direction on, its end as well.
-func (p *proxy) pass(from, to net.Conn, direction int) {
-	way := make(chan chunk, queued)
-	var end error
+// forward copies one direction of a connection and propagates its end.
+func (p *proxy) forward(from, to net.Conn, direction int) {
+	chunks := make(chan chunk, queuedChunks)
+	var readErr error
 	go func() {
-		defer close(way)
+		defer close(chunks)
 		for {
 			data := make([]byte, chunkBytes)
 			n, err := from.Read(data)
@@ -171,32 +172,32 @@
 				due = l.reserve(n, now)
 			}
 			p.mu.Lock()
-			due = due.Add(p.least + rand.N(p.most-p.least+1))
+			due = due.Add(p.minDelay + rand.N(p.maxDelay-p.minDelay+1))
 			p.mu.Unlock()
-			way <- chunk{data[:n], due}
+			chunks <- chunk{data[:n], due}
 			if err != nil {
-				end = err
+				readErr = err
 				return
 			}
 		}
 	}()
 	broken := false
-	for c := range way {
+	for c := range chunks {
 		if broken {
 			continue
 		}
 		time.Sleep(time.Until(c.due))
-		for p.silent(direction) {
-			time.Sleep(holdPoll)
+		for p.isBlocked(direction) {
+			time.Sleep(blockedPollInterval)
 		}
 		if _, err := to.Write(c.data); err != nil {
-			// Whoever sends learns of it as of a reset, and reading ends.
+			// The sender sees a reset, and the reader goroutine ends.
 			broken = true
 			abort(from)
 		}
 	}
-	// The reader's last word was written before it closed the way.
-	if errors.Is(end, io.EOF) {
+	// The reader sets end before it closes the channel.
+	if errors.Is(readErr, io.EOF) {
 		if tcp, ok := to.(*net.TCPConn); ok {
 			_ = tcp.CloseWrite()
 		}
@@ -205,8 +206,8 @@
 	abort(to)
 }
 
-func (p *proxy) silent(direction int) bool {
+func (p *proxy) isBlocked(direction int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cut[direction] > 0
+	return p.blocked[direction] > 0
 }
--- a/testbed/soak/quota.go
+++ b/testbed/soak/quota.go
@@ -9,53 +9,54 @@
 )
 
 const (
-	// quotaPeriod is how often a small VM's process gets its part of a core
-	// anew, as the kernel's own bandwidth control has it.
-	quotaPeriod = 100 * time.Millisecond
-	quotaLook   = 4 * time.Millisecond
+	// quotaPeriod is the period after which a process's CPU quota is renewed,
+	// as in the kernel's CFS bandwidth control.
+	quotaPeriod       = 100 * time.Millisecond
+	quotaPollInterval = 4 * time.Millisecond
 )
 
-// keepQuota holds a gateway to a part of a core: it stands still for the rest of
-// a period whose part it has used up, and what it used beyond counts for the
-// next ones. That is what a small VM is, and no fault.
-func keepQuota(ctx context.Context, g *gatewayProcess, part float64) {
-	share := time.Duration(part * float64(quotaPeriod))
+// enforceCPUQuota limits a gateway to a fraction of a core until ctx is done. The
+// process is suspended for the rest of a period whose quota it has used up, and
+// excess use is charged to the next periods. This models a small VM and isn't
+// recorded as a fault.
+func enforceCPUQuota(ctx context.Context, g *gatewayProcess, coreFraction float64) {
+	quota := time.Duration(coreFraction * float64(quotaPeriod))
 	var allowed time.Duration
-	process, stopped := 0, false
-	ticker := time.NewTicker(quotaLook)
+	currentPID, suspended := 0, false
+	ticker := time.NewTicker(quotaPollInterval)
 	defer ticker.Stop()
 	defer func() {
-		if stopped {
-			g.freeze(-1)
+		if suspended {
+			g.addFreeze(-1)
 		}
 	}()
-	period := time.Now()
+	periodStart := time.Now()
 	for ctx.Err() == nil {
 		now := <-ticker.C
 		pid := g.PID()
-		used := usedTime(pid)
-		if pid != process {
-			process, allowed = pid, used+share
+		used := cpuTime(pid)
+		if pid != currentPID {
+			currentPID, allowed = pid, used+quota
 		}
-		for now.Sub(period) >= quotaPeriod {
-			period = period.Add(quotaPeriod)
-			// Unused parts aren't saved.
-			allowed = min(allowed, used) + share
+		for now.Sub(periodStart) >= quotaPeriod {
+			periodStart = periodStart.Add(quotaPeriod)
+			// Unused quota doesn't accumulate.
+			allowed = min(allowed, used) + quota
 		}
-		if over := used > allowed; over != stopped {
-			stopped = over
-			if over {
-				g.freeze(1)
+		if overQuota := used > allowed; overQuota != suspended {
+			suspended = overQuota
+			if overQuota {
+				g.addFreeze(1)
 			} else {
-				g.freeze(-1)
+				g.addFreeze(-1)
 			}
 		}
 	}
 }
 
-// usedTime is the processor time that a process has used; 0 if it has ended.
-func usedTime(pid int) (used time.Duration) {
-	// A pattern that is spelled here is no bad one.
+// cpuTime returns the CPU time that a process has used; 0 if it has ended.
+func cpuTime(pid int) (used time.Duration) {
+	// The only possible error is a malformed pattern.
 	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	for _, thread := range threads {
 		var nanoseconds int64
--- a/testbed/soak/run.go
+++ b/testbed/soak/run.go
@@ -13,30 +13,30 @@
 	"github.com/go-faster/errors"
 )
 
-// What is promised on the operators' pages.
+// Limits that the operator documentation guarantees.
 const (
-	contact       = 4 * time.Second
-	recoverWithin = 15 * time.Second
-	// descriptors is a small entry VM's limit.
-	descriptors = 4100
+	faultMargin     = 4 * time.Second
+	recoveryTimeout = 15 * time.Second
+	// maxDescriptors is the file descriptor limit of a small entry VM.
+	maxDescriptors = 4100
 )
 
-// Config says what is played.
+// Config configures the run of one seed.
 type Config struct {
 	Seed     uint64
 	For      time.Duration
 	Gateways int
-	// Gateway and Soak are the programs: the gateway's, and the one that serves
-	// the stand-ins by its commands "server" and "store".
+	// Gateway and Soak are the paths of the gateway program and of the program
+	// whose commands "server" and "store" run the simulated server and store.
 	Gateway, Soak string
-	// Evidence is where a failed seed's logs, settings, steps and history are
-	// kept; a temporary folder if empty.
+	// Evidence is the folder under which a failed seed's logs, settings, steps
+	// and history are kept; the system's temporary folder if empty.
 	Evidence string
-	// Keep keeps it for a seed that holds as well.
+	// Keep keeps the evidence of a passing seed as well.
 	Keep bool
 }
 
-// Result is what came of a seed.
+// Result summarizes the run of a seed.
 type Result struct {
 	Seed       uint64
 	Calls      int
@@ -44,7 +44,7 @@
 	Owed       int
 	Steps      int
 	Violations []Violation
-	// Evidence is the folder of a failed seed.
+	// Evidence is the folder that was kept; empty if it was removed.
 	Evidence string
 }
 
@@ -56,69 +56,70 @@
 	return fmt.Sprintf("seed %d: %d steps, %d calls, %d served, %d judged as owed an answer: %s", r.Seed, r.Steps, r.Calls, r.Served, r.Owed, verdict)
 }
 
-// Run plays a seed and judges it. An error is the soak's own, and keeps the
-// evidence as well.
+// Run runs a seed and checks its history. An error means that the soak itself
+// failed, not that a check did; the evidence is then kept as well.
 func Run(ctx context.Context, c Config) (Result, error) {
 	dir, err := os.MkdirTemp(c.Evidence, fmt.Sprintf("soak-%d-", c.Seed))
 	if err != nil {
-		return Result{}, errors.Wrap(err, "folder for evidence")
+		return Result{}, errors.Wrap(err, "create evidence folder")
 	}
 	steps := Plan(c.Seed, c.Gateways, servers, c.For)
-	history, err := play(ctx, c, dir, steps)
-	result := Result{Seed: c.Seed, Calls: len(history.Calls), Owed: Owed(history), Steps: len(steps), Violations: Check(history)}
+	history, err := run(ctx, c, dir, steps)
+	result := Result{Seed: c.Seed, Calls: len(history.Calls), Owed: CountOwed(history), Steps: len(steps), Violations: Check(history)}
 	for _, call := range history.Calls {
-		if success(call.Status) && call.Whole {
+		if isSuccess(call.Status) && call.Whole {
 			result.Served++
 		}
 	}
 	if err != nil || len(result.Violations) > 0 || c.Keep {
 		result.Evidence = dir
-		return result, errors.Join(err, keep(dir, "steps.json", steps), keep(dir, "history.json", history), keep(dir, "violations.json", result.Violations))
+		return result, errors.Join(err, writeEvidence(dir, "steps.json", steps), writeEvidence(dir, "history.json", history), writeEvidence(dir, "violations.json", result.Violations))
 	}
 	return result, os.RemoveAll(dir)
 }
 
-func keep(dir, name string, what any) error {
-	text, err := json.MarshalIndent(what, "", " ")
+func writeEvidence(dir, name string, value any) error {
+	text, err := json.MarshalIndent(value, "", " ")
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(filepath.Join(dir, name), text, 0o600)
 }
 
-// play plays the steps under callers, then waits until all is served again.
-func play(ctx context.Context, c Config, dir string, steps []Step) (History, error) {
-	r, err := newRig(ctx, c, dir)
-	defer r.end()
+// play runs the steps under load, then waits until every gateway serves again or
+// its recovery timeout has passed.
+func run(ctx context.Context, c Config, dir string, steps []Step) (History, error) {
+	h, err := newHarness(ctx, c, dir)
+	defer h.close()
 	if err != nil {
-		return r.history, err
+		return h.history, err
 	}
 	work, stop := context.WithCancel(ctx)
 	defer stop()
-	var all sync.WaitGroup
-	for n, g := range r.gateways {
+	var workers sync.WaitGroup
+	for n, g := range h.gateways {
 		random := rand.New(rand.NewPCG(c.Seed, uint64(n)+1))
-		part := parts[random.IntN(len(parts))]
-		all.Go(func() { keepQuota(work, g, part) })
-		all.Go(func() { r.watch(work, g) })
-		for i := range callersEach {
-			caller := &caller{
-				name: fmt.Sprintf("c%d-%d", n, i), gateway: g.name, addr: g.front.addr(),
-				random: rand.New(rand.NewPCG(c.Seed, uint64(n*callersEach+i)+1<<32)), state: r.state, took: r.took,
+		coreFraction := coreFractions[random.IntN(len(coreFractions))]
+		workers.Go(func() { enforceCPUQuota(work, g, coreFraction) })
+		workers.Go(func() { h.sampleGateway(work, g) })
+		for i := range clientsPerGateway {
+			loadClient := &client{
+				name: fmt.Sprintf("c%d-%d", n, i), gateway: g.name, addr: g.frontProxy.addr(),
+				random: rand.New(rand.NewPCG(c.Seed, uint64(n*clientsPerGateway+i)+1<<32)), state: h.states, record: h.recordCall,
 			}
-			all.Go(func() { caller.run(work) })
+			workers.Go(func() { loadClient.run(work) })
 		}
 	}
-	r.trouble(work, steps)
+	h.runSteps(work, steps)
 	var probes sync.WaitGroup
-	for _, g := range r.gateways {
+	for _, g := range h.gateways {
 		for _, kind := range []string{kindSafe, kindUnsafe, kindStream, kindOpen} {
-			probes.Go(func() { r.probe(work, g, kind) })
+			probes.Go(func() { h.probe(work, g, kind) })
 		}
 	}
 	probes.Wait()
 	stop()
-	all.Wait()
-	history, err := r.collect(dir)
-	return history, errors.Join(err, r.failed, ctx.Err())
+	workers.Wait()
+	history, err := h.collect(dir)
+	return history, errors.Join(err, h.firstErr, ctx.Err())
 }
--- a/testbed/soak/script.go
+++ b/testbed/soak/script.go
@@ -10,21 +10,21 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// Scripts of backend servers by name. The first answers well; a name that is
-// there more than once is drawn more often.
+// scriptNames are the behaviors of backend servers. The first responds normally; a
+// name that is listed more than once is drawn more often.
 var scriptNames = []string{"well", "well", "well", "refuse", "drop", "hang", "fail", "half", "extra", "garble", "slow"}
 
 const (
-	// workMost is how long a request takes in ms, and slowMost at a slow
-	// server: less than the shortest time limit.
-	workMost = 60
-	slowMost = 1500
-	// eventPause is between two events of a stream.
-	eventPause = 15 * time.Millisecond
+	// maxServiceMS bounds the service time of a request in milliseconds, and
+	// maxSlowServiceMS that at a slow server: less than the shortest timeout.
+	maxServiceMS     = 60
+	maxSlowServiceMS = 1500
+	// eventInterval is the time between two events of a stream.
+	eventInterval = 15 * time.Millisecond
 )
 
-// script answers as its name says.
-func script(name string) gateway.Script {
+// scriptByName returns the behavior of a name; normal responses for an unknown one.
+func scriptByName(name string) gateway.Script {
 	switch name {
 	case "refuse":
 		return gateway.Refuse(503)
@@ -35,26 +35,27 @@
 	case "fail":
 		return gateway.Failure(500)
 	case "half":
-		return half
+		return respondHalf
 	case "extra":
-		return extra
+		return respondTwice
 	case "garble":
 		return func(c net.Conn, _ *gateway.Arrival) bool {
 			_, _ = io.WriteString(c, "this is no answer\r\n\r\n")
 			return false
 		}
 	case "slow":
-		return after(slowMost, answer)
+		return delayed(maxSlowServiceMS, respond)
 	default:
-		return after(workMost, answer)
+		return delayed(maxServiceMS, respond)
 	}
 }
 
-// after works for a while, which the request's id draws.
-func after(most uint64, then gateway.Script) gateway.Script {
+// delayed runs then after a delay derived from the request's ID, below most
+// milliseconds. It gives up if the client disconnects meanwhile.
+func delayed(most uint64, then gateway.Script) gateway.Script {
 	return func(c net.Conn, a *gateway.Arrival) bool {
 		select {
-		case <-time.After(time.Duration(luck(a.ID)%most) * time.Millisecond):
+		case <-time.After(time.Duration(hashID(a.ID)%most) * time.Millisecond):
 			return then(c, a)
 		case <-a.Left:
 			return false
@@ -62,26 +63,27 @@
 	}
 }
 
-// kindOf is the kind of a request, and from which event on it is to be answered.
-func kindOf(a *gateway.Arrival) (kind string, from int) {
-	// No number stands for none.
-	_, _ = fmt.Sscan(a.Header.Get("Last-Event-Id"), &from)
+// parseRequest returns the kind of a request and the number of the last event that
+// its client has received; 0 for none.
+func parseRequest(a *gateway.Arrival) (kind string, lastEvent int) {
+	// Without a valid number the stream starts at its first event.
+	_, _ = fmt.Sscan(a.Header.Get("Last-Event-Id"), &lastEvent)
 	kind, _, _ = strings.Cut(strings.TrimPrefix(a.Target, "/"), "/")
-	return kind, from
+	return kind, lastEvent
 }
 
-// answer answers whole, a stream event by event.
-func answer(c net.Conn, a *gateway.Arrival) bool {
-	kind, from := kindOf(a)
-	if !streams(kind) {
-		return gateway.Answer(Whole(kind, a.ID, 0))(c, a)
+// respond sends a complete response; a stream event by event.
+func respond(c net.Conn, a *gateway.Arrival) bool {
+	kind, from := parseRequest(a)
+	if !isStream(kind) {
+		return gateway.Answer(expectedBody(kind, a.ID, 0))(c, a)
 	}
 	if _, err := io.WriteString(c, gateway.Head(a, 200, "Transfer-Encoding: chunked", "Content-Type: text/event-stream")); err != nil {
 		return false
 	}
-	for n := from + 1; n <= streamEvents; n++ {
-		time.Sleep(eventPause)
-		event := eventOf(a.ID, n)
+	for n := from + 1; n <= streamEventCount; n++ {
+		time.Sleep(eventInterval)
+		event := streamEvent(a.ID, n)
 		if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(event), event); err != nil {
 			return false
 		}
@@ -90,17 +92,17 @@
 	return err == nil
 }
 
-// half breaks off in the middle.
-func half(c net.Conn, a *gateway.Arrival) bool {
-	kind, from := kindOf(a)
-	whole := Whole(kind, a.ID, from)
+// respondHalf breaks off its response in the middle.
+func respondHalf(c net.Conn, a *gateway.Arrival) bool {
+	kind, from := parseRequest(a)
+	whole := expectedBody(kind, a.ID, from)
 	_, _ = io.WriteString(c, gateway.Head(a, 200, fmt.Sprintf("Content-Length: %d", len(whole)))+whole[:len(whole)/2])
 	return false
 }
 
-// extra answers whole, and then to nobody.
-func extra(c net.Conn, a *gateway.Arrival) bool {
+// respondTwice sends a complete response, then one that no request asked for.
+func respondTwice(c net.Conn, a *gateway.Arrival) bool {
 	stale := *a
 	stale.ID = "nobody"
-	return answer(c, a) && gateway.Answer("for nobody")(c, &stale)
+	return respond(c, a) && gateway.Answer("for nobody")(c, &stale)
 }
--- a/testbed/soak/serverprocess.go
+++ b/testbed/soak/serverprocess.go
@@ -14,51 +14,51 @@
 	"github.com/applepier/applepier/testbed/ports"
 )
 
-// serverSlots is how many requests a server works on at once, as it says.
+// serverSlots is the number of concurrent requests that a server advertises.
 const serverSlots = 16
 
-// serverProcess is a backend server and the path to it.
+// serverProcess is a backend server process with the proxy in front of it.
 type serverProcess struct {
 	*fleet.Process
-	name, dir, program string
-	listen, control    string
-	record             string
-	path               *proxy
-	programs           *fleet.Programs
-	store              *storeProcess
-	starts             int
-	// life is held by whoever stops or starts the process, or tells it a
-	// script.
-	life sync.Mutex
+	name, dir, program      string
+	listenAddr, controlAddr string
+	arrivalsFile            string
+	proxy                   *proxy
+	programs                *fleet.Programs
+	store                   *storeProcess
+	startCount              int
+	// lifecycle is held while the process is stopped or started, or its script
+	// is changed.
+	lifecycle sync.Mutex
 }
 
 func newServer(programs *fleet.Programs, dir, program, name string, store *storeProcess) (*serverProcess, error) {
-	s := &serverProcess{name: name, dir: dir, program: program, programs: programs, store: store, record: filepath.Join(dir, name+".arrivals")}
-	for _, addr := range []*string{&s.listen, &s.control} {
+	s := &serverProcess{name: name, dir: dir, program: program, programs: programs, store: store, arrivalsFile: filepath.Join(dir, name+".arrivals")}
+	for _, addr := range []*string{&s.listenAddr, &s.controlAddr} {
 		var err error
 		if *addr, err = ports.Free(); err != nil {
 			return nil, err
 		}
 	}
 	var err error
-	s.path, err = newProxy(s.listen, [directions]*link{})
+	s.proxy, err = newProxy(s.listenAddr, [directionCount]*link{})
 	return s, err
 }
 
 func (s *serverProcess) instance() string {
-	return fmt.Sprintf("%s%s%d", s.name, instanceMark, s.starts)
+	return fmt.Sprintf("%s%s%d", s.name, instanceSeparator, s.startCount)
 }
 
-// begin starts the server as a new one and lists it.
-func (s *serverProcess) begin(ctx context.Context) error {
-	s.starts++
-	s.Process = s.programs.New(s.instance(), func() string { return s.listen }, s.program,
-		"server", "--listen", s.listen, "--control", s.control, "--instance", s.instance(), "--record", s.record)
+// startInstance starts the server as a new instance and registers it in the store.
+func (s *serverProcess) startInstance(ctx context.Context) error {
+	s.startCount++
+	s.Process = s.programs.New(s.instance(), func() string { return s.listenAddr }, s.program,
+		"server", "--listen", s.listenAddr, "--control", s.controlAddr, "--instance", s.instance(), "--record", s.arrivalsFile)
 	if err := s.Restart(ctx); err != nil {
 		return err
 	}
 	entry, err := json.Marshal(map[string]any{
-		"service": "plain", "addr": s.path.addr(), "zone": "z", "version": "v1", "slots": serverSlots,
+		"service": "plain", "addr": s.proxy.addr(), "zone": "z", "version": "v1", "slots": serverSlots,
 		"state": "ready", "seq": 1, "warmup-left-ms": 0, "born": time.Now().UnixMilli(),
 	})
 	if err != nil {
@@ -67,15 +67,15 @@
 	return s.store.put(ctx, "servers", s.instance(), entry)
 }
 
-// follow has the server follow a script.
-func (s *serverProcess) follow(ctx context.Context, name string) error {
-	_, err := do(ctx, http.MethodPost, "http://"+s.control+pathScript+"?name="+name, nil)
+// setScript changes the server's behavior.
+func (s *serverProcess) setScript(ctx context.Context, name string) error {
+	_, err := doRequest(ctx, http.MethodPost, "http://"+s.controlAddr+pathScript+"?name="+name, nil)
 	return err
 }
 
-// arrivals reads what reached the server.
+// arrivals reads the requests that the server recorded.
 func (s *serverProcess) arrivals() ([]Arrival, error) {
-	file, err := os.Open(s.record)
+	file, err := os.Open(s.arrivalsFile)
 	if err != nil {
 		return nil, err
 	}
--- /dev/null
+++ b/testbed/soak/simulators.go
@@ -0,0 +1,128 @@
+package soak
+
+import (
+	"context"
+	"encoding/json"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"github.com/applepier/applepier/testbed/cloud"
+	"github.com/applepier/applepier/testbed/gateway"
+	"github.com/applepier/applepier/testbed/rowstore"
+)
+
+// Paths of the control servers of the simulated server and store.
+const (
+	pathScript       = "/script"
+	pathPut          = "/put"
+	pathRemove       = "/remove"
+	pathFault        = "/fault"
+	pathForget       = "/forget"
+	pathCopy         = "/copy"
+	pathRestore      = "/return"
+	pathRewrite      = "/again"
+	pathDutiesFault  = "/cloud"
+	pathLand         = "/land"
+	pathDutiesReport = "/broken"
+)
+
+// instanceSeparator separates a server's name from the number of its start.
+const instanceSeparator = "."
+
+// ServeServer runs a simulated backend server until ctx is done. It serves requests
+// at listen, takes its script at control and appends each arrival as a line of JSON
+// to the file record.
+func ServeServer(ctx context.Context, listen, control, instance, record string) error {
+	file, err := os.OpenFile(record, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
+		return errors.Wrap(err, "open arrivals file")
+	}
+	name, _, _ := strings.Cut(instance, instanceSeparator)
+	var writing sync.Mutex
+	recordArrival := func(as string) gateway.Script {
+		do := scriptByName(as)
+		return func(c net.Conn, a *gateway.Arrival) bool {
+			arrival := Arrival{ID: a.ID, Server: name, At: time.Now(), Script: as, Ran: as != "refuse", Cut: as == "half"}
+			writing.Lock()
+			// Recorded before the request runs, so that no run of a killed
+			// process is missing.
+			err := json.NewEncoder(file).Encode(arrival)
+			writing.Unlock()
+			return err == nil && do(c, a)
+		}
+	}
+	server, err := gateway.Listen(listen, instance, recordArrival(scriptNames[0]), func(*gateway.Arrival) {})
+	if err != nil {
+		return errors.Wrap(err, "listen")
+	}
+	defer server.Stop()
+	mux := http.NewServeMux()
+	mux.HandleFunc(pathScript, func(_ http.ResponseWriter, r *http.Request) { server.Do(recordArrival(r.FormValue("name"))) })
+	return serve(ctx, control, mux)
+}
+
+// ServeStore runs the simulated platform until ctx is done or a listener fails. It
+// serves the store at listen and the usage reporting API at duties, and takes rows
+// and faults at control.
+func ServeStore(ctx context.Context, listen, duties, control string) error {
+	store := rowstore.New()
+	platform := cloud.New(usageLease)
+	mux := http.NewServeMux()
+	mux.HandleFunc(pathPut, func(_ http.ResponseWriter, r *http.Request) {
+		// Gateways detect a truncated document.
+		value, _ := io.ReadAll(r.Body)
+		store.Put(r.URL.Query().Get("table"), r.URL.Query().Get("key"), value)
+	})
+	mux.HandleFunc(pathRemove, func(_ http.ResponseWriter, r *http.Request) {
+		store.Remove(r.FormValue("table"), r.FormValue("key"))
+	})
+	mux.HandleFunc(pathFault, func(w http.ResponseWriter, r *http.Request) {
+		fault, err := strconv.Atoi(r.FormValue("fault"))
+		if err != nil {
+			w.WriteHeader(http.StatusBadRequest)
+			return
+		}
+		store.SetFault(rowstore.Fault(fault))
+	})
+	mux.HandleFunc(pathForget, func(http.ResponseWriter, *http.Request) { store.Forget() })
+	backup := store.Copy()
+	mux.HandleFunc(pathCopy, func(http.ResponseWriter, *http.Request) { backup = store.Copy() })
+	mux.HandleFunc(pathRestore, func(http.ResponseWriter, *http.Request) { store.Return(backup) })
+	mux.HandleFunc(pathRewrite, func(http.ResponseWriter, *http.Request) { store.WriteAgain("op", "servers") })
+	mux.HandleFunc(pathDutiesFault, func(w http.ResponseWriter, r *http.Request) {
+		fault, err := strconv.Atoi(r.FormValue("fault"))
+		if err != nil {
+			w.WriteHeader(http.StatusBadRequest)
+			return
+		}
+		platform.SetFault(cloud.Fault(fault))
+	})
+	mux.HandleFunc(pathLand, func(http.ResponseWriter, *http.Request) { platform.Land() })
+	mux.HandleFunc(pathDutiesReport, func(w http.ResponseWriter, _ *http.Request) {
+		// A client that disconnects must ask again.
+		_ = json.NewEncoder(w).Encode(Duties{Reports: len(platform.Reports()), Broken: platform.Broken()})
+	})
+	failed := make(chan error, 3)
+	go func() { failed <- serve(ctx, duties, platform) }()
+	go func() { failed <- serve(ctx, listen, store) }()
+	go func() { failed <- serve(ctx, control, mux) }()
+	return <-failed
+}
+
+// serve runs an HTTP server until ctx is done.
+func serve(ctx context.Context, addr string, handler http.Handler) error {
+	server := &http.Server{Addr: addr, Handler: handler}
+	context.AfterFunc(ctx, func() { _ = server.Close() })
+	if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
+		return errors.Wrap(err, "serve")
+	}
+	return nil
+}
--- a/testbed/soak/soak_test.go
+++ b/testbed/soak/soak_test.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// soakSeed and soakFor are of the short soak; the long ones are played by
-	// hand, with the command.
-	soakSeed = 1
-	soakFor  = 8 * time.Second
+	// soakSeed and soakDuration configure the short soak; long ones are run by
+	// hand with the command soak.
+	soakSeed     = 1
+	soakDuration = 8 * time.Second
 )
 
-// TestShortSoak plays a seed on three gateways that are processes of their own.
-// A failed one leaves its evidence and is played again by the command soak.
+// TestShortSoak runs one seed against three gateway processes. A failed run keeps its
+// evidence; the command soak replays its seed.
 func TestShortSoak(t *testing.T) {
 	dir := t.TempDir()
 	build := exec.CommandContext(t.Context(), "go", "build", "-o", dir+string(filepath.Separator),
@@ -27,7 +27,7 @@
 		t.Fatalf("go build: %v: %s", err, output)
 	}
 	result, err := soak.Run(t.Context(), soak.Config{
-		Seed: soakSeed, For: soakFor, Gateways: 3, Evidence: os.TempDir(),
+		Seed: soakSeed, For: soakDuration, Gateways: 3, Evidence: os.TempDir(),
 		Gateway: filepath.Join(dir, "applepier"), Soak: filepath.Join(dir, "soak"),
 	})
 	t.Log(result)
--- /dev/null
+++ b/testbed/soak/steps.go
@@ -0,0 +1,249 @@
+package soak
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"github.com/applepier/applepier/testbed/cloud"
+	"github.com/applepier/applepier/testbed/rowstore"
+)
+
+const (
+	// minPathDelay and maxPathDelay bound the delay of a slow path; storeDelay
+	// is that of a slow store.
+	minPathDelay = 50 * time.Millisecond
+	maxPathDelay = 1600 * time.Millisecond
+	storeDelay   = 1500 * time.Millisecond
+	// maxDowntime bounds how long a stopped process stays down.
+	maxDowntime = 1500 * time.Millisecond
+	// maxCopyAge bounds the age of the copy from which the store is restored,
+	// restoreOutage is how long it is unavailable then, and rewriteDelay is the
+	// delay until the lost rows are written again.
+	maxCopyAge    = 3 * time.Second
+	restoreOutage = 200 * time.Millisecond
+	rewriteDelay  = 500 * time.Millisecond
+	// routesPerStep routes are added at once, up to maxExtraRoutes.
+	routesPerStep  = 1500
+	maxExtraRoutes = 6000
+)
+
+var (
+	idleTimeouts = []time.Duration{300 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second, 3 * time.Second}
+	dutiesFaults = []cloud.Fault{cloud.Busy, cloud.Silent, cloud.Lost, cloud.Late}
+	storeFaults  = []rowstore.Fault{rowstore.Busy, rowstore.Throttled, rowstore.Silent, rowstore.Reset, rowstore.Mute}
+)
+
+// runSteps runs the steps at their times and returns when all have ended.
+func (h *harness) runSteps(ctx context.Context, steps []Step) {
+	started := time.Now()
+	var running sync.WaitGroup
+	for _, step := range steps {
+		sleep(ctx, time.Until(started.Add(step.At)))
+		if ctx.Err() != nil {
+			break
+		}
+		running.Go(func() {
+			if err := h.runStep(ctx, step); err != nil && ctx.Err() == nil {
+				h.fail(err)
+			}
+		})
+	}
+	running.Wait()
+}
+
+func (h *harness) runStep(ctx context.Context, s Step) error {
+	switch s.Kind {
+	case kindFreeze, kindKill, kindCut, kindReset, kindDelay, kindStop, kindHangup, kindSettings:
+		return h.runGatewayStep(ctx, s, h.gateways[s.Who])
+	case kindServerScript, kindServerCrash, kindServerFreeze, kindServerReset:
+		return h.runServerStep(ctx, s, h.servers[s.Who])
+	case kindRoutes:
+		more := routesPerStep
+		if h.states.extraRouteCount()+more > maxExtraRoutes {
+			more = -h.states.extraRouteCount()
+		}
+		return h.writeState(ctx, 0, more, false)
+	case kindIdleTimeout:
+		return h.writeState(ctx, idleTimeouts[s.How%len(idleTimeouts)], 0, false)
+	case kindKeys:
+		return h.writeState(ctx, 0, 0, true)
+	default:
+		return h.runStoreStep(ctx, s)
+	}
+}
+
+func (h *harness) runGatewayStep(ctx context.Context, s Step, g *gatewayProcess) error {
+	switch s.Kind {
+	case kindFreeze:
+		endFault := h.recordFault(g.name, s.Kind)
+		g.addFreeze(1)
+		sleep(ctx, s.For)
+		g.addFreeze(-1)
+		endFault()
+	case kindCut:
+		endFault := h.recordFault(g.name, s.Kind)
+		// Blocks one direction or both.
+		ways := s.How%3 + 1
+		for direction := range directionCount {
+			if ways&(1<<direction) != 0 {
+				g.frontProxy.setBlocked(direction, true)
+				defer g.frontProxy.setBlocked(direction, false)
+			}
+		}
+		sleep(ctx, s.For)
+		defer endFault()
+	case kindReset:
+		endFault := h.recordFault(g.name, s.Kind)
+		g.frontProxy.reset()
+		endFault()
+	case kindDelay:
+		defer g.frontProxy.addDelay(minPathDelay, minPathDelay+time.Duration(s.How)*time.Millisecond%(maxPathDelay-minPathDelay))()
+		sleep(ctx, s.For)
+	case kindHangup:
+		g.sendHangup()
+	case kindSettings:
+		return g.changeSettings(s.How)
+	default:
+		return h.restart(ctx, s, g)
+	}
+	return nil
+}
+
+// restart stops or kills a gateway and starts it on the same or another address.
+// It does nothing if another restart is in progress.
+func (h *harness) restart(ctx context.Context, s Step, g *gatewayProcess) error {
+	if !g.lifecycle.TryLock() {
+		return nil
+	}
+	defer g.lifecycle.Unlock()
+	endFault := func() {}
+	if s.Kind == kindKill {
+		endFault = h.recordFault(g.name, s.Kind)
+		if err := g.Kill(); err != nil {
+			return err
+		}
+	} else {
+		h.stop(g)
+	}
+	if s.How%2 == 0 {
+		if err := g.changeListenAddr(); err != nil {
+			return err
+		}
+	}
+	sleep(ctx, time.Duration(s.How)*time.Millisecond%maxDowntime)
+	err := g.Restart(ctx)
+	endFault()
+	return err
+}
+
+// stop terminates a gateway, and kills it if the grace period expires.
+func (h *harness) stop(g *gatewayProcess) {
+	stop := Stop{Gateway: g.name, At: time.Now(), Grace: gracePeriod}
+	limit, cancel := context.WithTimeout(context.Background(), gracePeriod)
+	defer cancel()
+	stop.Failed = g.Terminate(limit) != nil
+	stop.End = time.Now()
+	if stop.Failed {
+		// The process may have exited meanwhile.
+		_ = g.Kill()
+	}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.history.Stops = append(h.history.Stops, stop)
+}
+
+func (h *harness) runServerStep(ctx context.Context, s Step, server *serverProcess) error {
+	if !server.lifecycle.TryLock() {
+		return nil
+	}
+	defer server.lifecycle.Unlock()
+	switch s.Kind {
+	case kindServerScript:
+		if err := server.setScript(ctx, scriptNames[s.How%len(scriptNames)]); err != nil {
+			return err
+		}
+		sleep(ctx, s.For)
+		return server.setScript(context.WithoutCancel(ctx), scriptNames[0])
+	case kindServerFreeze:
+		endFault := h.recordFault(server.name, s.Kind)
+		defer endFault()
+		if err := server.Stop(); err != nil {
+			return err
+		}
+		sleep(ctx, s.For)
+		return server.Continue()
+	case kindServerReset:
+		endFault := h.recordFault(server.name, s.Kind)
+		defer endFault()
+		server.proxy.reset()
+		return nil
+	}
+	endFault := h.recordFault(server.name, s.Kind)
+	defer endFault()
+	if err := server.Kill(); err != nil {
+		return err
+	}
+	sleep(ctx, time.Duration(s.How)*time.Millisecond%maxDowntime)
+	if s.How%2 == 0 {
+		return server.Restart(ctx)
+	}
+	if err := h.store.remove(ctx, "servers", server.instance()); err != nil {
+		return err
+	}
+	return server.startInstance(ctx)
+}
+
+// restoreStore restores the store from an older copy after a short outage. Operators
+// and servers write the lost rows again soon after.
+func (h *harness) restoreStore(ctx context.Context, s Step) error {
+	if err := h.store.control(ctx, pathCopy); err != nil {
+		return err
+	}
+	sleep(ctx, min(s.For, maxCopyAge))
+	ctx = context.WithoutCancel(ctx)
+	if err := errors.Join(h.store.setFault(ctx, rowstore.Busy), h.store.control(ctx, pathRestore)); err != nil {
+		return err
+	}
+	sleep(ctx, restoreOutage)
+	if err := h.store.setFault(ctx, rowstore.Well); err != nil {
+		return err
+	}
+	sleep(ctx, rewriteDelay)
+	return h.store.control(ctx, pathRewrite)
+}
+
+func (h *harness) runStoreStep(ctx context.Context, s Step) error {
+	switch s.Kind {
+	case kindStoreForget:
+		return h.store.forget(ctx)
+	case kindStoreRestore:
+		return h.restoreStore(ctx, s)
+	case kindDutiesFault:
+		if err := h.store.setDutiesFault(ctx, dutiesFaults[s.How%len(dutiesFaults)]); err != nil {
+			return err
+		}
+		sleep(ctx, s.For)
+		ctx = context.WithoutCancel(ctx)
+		return errors.Join(h.store.setDutiesFault(ctx, cloud.Well), h.store.control(ctx, pathLand))
+	case kindStoreFault:
+		if err := h.store.setFault(ctx, storeFaults[s.How%len(storeFaults)]); err != nil {
+			return err
+		}
+		sleep(ctx, s.For)
+		return h.store.setFault(context.WithoutCancel(ctx), rowstore.Well)
+	case kindStoreSlow:
+		for _, g := range h.gateways {
+			defer g.storeProxy.addDelay(storeDelay, storeDelay)()
+		}
+		sleep(ctx, s.For)
+	case kindStoreCut:
+		path, direction := h.gateways[s.How%len(h.gateways)].storeProxy, s.How/8%directionCount
+		path.setBlocked(direction, true)
+		defer path.setBlocked(direction, false)
+		sleep(ctx, s.For)
+	}
+	return nil
+}
--- a/testbed/soak/storeprocess.go
+++ b/testbed/soak/storeprocess.go
@@ -16,72 +16,73 @@
 	"github.com/applepier/applepier/testbed/rowstore"
 )
 
-// storeProcess is the platform's store.
+// storeProcess is the process of the simulated platform and its store.
 type storeProcess struct {
 	*fleet.Process
-	listen, duties, control string
+	listenAddr, dutiesAddr, controlAddr string
 }
 
 func newStore(programs *fleet.Programs, program string) (*storeProcess, error) {
 	s := &storeProcess{}
-	for _, addr := range []*string{&s.listen, &s.duties, &s.control} {
+	for _, addr := range []*string{&s.listenAddr, &s.dutiesAddr, &s.controlAddr} {
 		var err error
 		if *addr, err = ports.Free(); err != nil {
 			return nil, err
 		}
 	}
-	s.Process = programs.New("store", func() string { return s.control }, program, "store", "--listen", s.listen, "--duties", s.duties, "--control", s.control)
+	s.Process = programs.New("store", func() string { return s.controlAddr }, program, "store", "--listen", s.listenAddr, "--duties", s.dutiesAddr, "--control", s.controlAddr)
 	return s, nil
 }
 
 // put writes a row.
 func (s *storeProcess) put(ctx context.Context, table, key string, value []byte) error {
-	_, err := do(ctx, http.MethodPost, "http://"+s.control+pathPut+"?table="+table+"&key="+key, value)
+	_, err := doRequest(ctx, http.MethodPost, "http://"+s.controlAddr+pathPut+"?table="+table+"&key="+key, value)
 	return err
 }
 
-// remove drops a row.
+// remove deletes a row.
 func (s *storeProcess) remove(ctx context.Context, table, key string) error {
-	_, err := do(ctx, http.MethodPost, "http://"+s.control+pathRemove+"?table="+table+"&key="+key, nil)
+	_, err := doRequest(ctx, http.MethodPost, "http://"+s.controlAddr+pathRemove+"?table="+table+"&key="+key, nil)
 	return err
 }
 
-// fault sets what becomes of calls.
-func (s *storeProcess) fault(ctx context.Context, f rowstore.Fault) error {
-	_, err := do(ctx, http.MethodPost, fmt.Sprintf("http://%s%s?fault=%d", s.control, pathFault, f), nil)
+// setFault sets how the store responds to calls.
+func (s *storeProcess) setFault(ctx context.Context, f rowstore.Fault) error {
+	_, err := doRequest(ctx, http.MethodPost, fmt.Sprintf("http://%s%s?fault=%d", s.controlAddr, pathFault, f), nil)
 	return err
 }
 
-// forget drops the history.
+// forget drops the store's change history.
 func (s *storeProcess) forget(ctx context.Context) error {
-	_, err := do(ctx, http.MethodPost, "http://"+s.control+pathForget, nil)
+	_, err := doRequest(ctx, http.MethodPost, "http://"+s.controlAddr+pathForget, nil)
 	return err
 }
 
-// order has the store or the platform do something that needs no more words.
-func (s *storeProcess) order(ctx context.Context, path string) error {
-	_, err := do(ctx, http.MethodPost, "http://"+s.control+path, nil)
+// control posts to a control path that takes no body.
+func (s *storeProcess) control(ctx context.Context, path string) error {
+	_, err := doRequest(ctx, http.MethodPost, "http://"+s.controlAddr+path, nil)
 	return err
 }
 
-// dutiesFault sets what becomes of the duties' calls.
-func (s *storeProcess) dutiesFault(ctx context.Context, f cloud.Fault) error {
-	return s.order(ctx, fmt.Sprintf("%s?fault=%d", pathCloud, f))
+// setDutiesFault sets how the platform responds to usage reporting calls.
+func (s *storeProcess) setDutiesFault(ctx context.Context, f cloud.Fault) error {
+	return s.control(ctx, fmt.Sprintf("%s?fault=%d", pathDutiesFault, f))
 }
 
-// judged is what the platform says of the duties' calls.
-func (s *storeProcess) judged(ctx context.Context) (Duties, error) {
+// dutiesReport returns the platform's record of the usage reporting calls.
+func (s *storeProcess) dutiesReport(ctx context.Context) (Duties, error) {
 	var d Duties
-	text, err := do(ctx, http.MethodGet, "http://"+s.control+pathBroken, nil)
+	text, err := doRequest(ctx, http.MethodGet, "http://"+s.controlAddr+pathDutiesReport, nil)
 	if err != nil {
 		return d, err
 	}
 	return d, json.Unmarshal([]byte(text), &d)
 }
 
-// do makes a call on a connection of its own, so that none rests at a process
-// that is killed, and returns the answer's body.
-func do(ctx context.Context, method, url string, body []byte) (string, error) {
+// doRequest sends a request over a new connection, so that none stays idle at a
+// process that is killed. It returns the response body, or an error for any status
+// but 200.
+func doRequest(ctx context.Context, method, url string, body []byte) (string, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return "", err
