--- a/testbed/history/once.go
+++ b/testbed/history/atmostonce.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// checkOnce looks for work that must not be repeated and ran more than once.
-func checkOnce(h *indexed) []Violation {
+// checkAtMostOnce reports work that is not repeatable and ran more than once.
+func checkAtMostOnce(h *indexedHistory) []Violation {
 	var found []Violation
 	seen := map[string]bool{}
 	for _, call := range h.Calls {
@@ -20,9 +20,9 @@
 	return found
 }
 
-// checkUnknown looks for callers who were told "unknown" or saw a failure
-// although nothing had failed between their request and its end.
-func checkUnknown(h *indexed) []Violation {
+// checkUnknown reports calls that ended with "unknown" or a failure although no
+// fault was in effect while they were in progress.
+func checkUnknown(h *indexedHistory) []Violation {
 	var found []Violation
 	for _, call := range h.Calls {
 		if call.Told != ToldUnknown && call.Told != ToldFailed {
@@ -36,9 +36,9 @@
 	return found
 }
 
-// earlierAttempt reports whether another call with the same key came before,
-// so that this one's end may rightly be that call's.
-func (h *indexed) earlierAttempt(call Call) bool {
+// earlierAttempt reports whether another call with the same idempotency key was sent
+// before, so that this call may correctly return that call's outcome.
+func (h *indexedHistory) earlierAttempt(call Call) bool {
 	for _, other := range h.Calls {
 		if call.IdempotencyKey != "" && other.IdempotencyKey == call.IdempotencyKey && other.Sent.Before(call.Sent) {
 			return true
--- a/testbed/history/call.go
+++ b/testbed/history/call.go
@@ -2,68 +2,68 @@
 
 import "time"
 
-// Told is what a caller was told in the end.
+// Outcome is the final result of a call as its client observed it.
 type Told string
 
-// What a caller can be told.
+// Outcomes of calls.
 const (
-	// ToldWhole: an answer with its end mark.
+	// OutcomeComplete means a response with its end marker.
 	ToldWhole Told = "whole"
-	// ToldNotRun: refused, and certainly not run.
+	// OutcomeNotRun means a refusal that guarantees that the request didn't run.
 	ToldNotRun Told = "not_run"
-	// ToldUnknown: it may have run.
+	// OutcomeUnknown means an error after which the request may have run.
 	ToldUnknown Told = "unknown"
-	// ToldFailed: a failure that the caller can see, such as an error event
+	// OutcomeFailed means a failure visible to the client, such as an error event
 	// in a stream or a broken connection.
 	ToldFailed Told = "failed"
-	// ToldNothing: the caller had no end within its generous limit.
+	// OutcomeNone means that the call didn't end within the client's timeout.
 	ToldNothing Told = "nothing"
 )
 
-// Call is one request as its caller saw it.
+// Call is one request as its client observed it.
 type Call struct {
-	// Marker names the work; it is in the prompt, so that runs carry it.
-	// Calls that repeat the same work share it.
+	// Marker identifies the work. It is part of the prompt, so that runs contain
+	// it. Calls that retry the same work share it.
 	Marker string `json:"marker"`
-	// RequestID is what the entry called the request; empty when the caller
-	// was not told.
+	// RequestID is the ID that the entry gave the request; empty if the client
+	// didn't receive it.
 	RequestID string `json:"request_id,omitempty"`
-	// Entry is the process it was sent to.
+	// Entry is the entry process that the call was sent to.
 	Entry          string `json:"entry"`
 	Class          string `json:"class"`
 	Tier           int    `json:"tier"`
 	Customer       string `json:"customer"`
 	IdempotencyKey string `json:"idempotency_key,omitempty"`
-	// Serves is the model or plain service that the class runs on.
+	// Service is the model or plain service that the class runs on.
 	Serves string `json:"serves"`
-	// Repeatable is the class's.
+	// Repeatable reports whether requests of the class may run more than once.
 	Repeatable bool `json:"repeatable"`
-	// Probe calls are sent when all faults are lifted and must be served.
+	// Probe marks a call sent after all faults have ended, which must be served.
 	Probe bool `json:"probe,omitempty"`
-	// Within, when set, is how long the call may take if it is served; its
-	// work must be served by one of the calls that repeat it.
+	// MaxDuration, if positive, is how long the call may take if it is served;
+	// one of the calls with its marker must be served.
 	Within time.Duration `json:"within,omitempty"`
-	// RetryAfter is when a refused caller was told to come back.
+	// RetryAfter is the retry delay that a refusal asked for.
 	RetryAfter time.Duration `json:"retry_after,omitempty"`
 
 	Sent time.Time `json:"sent"`
-	// Done is when the caller was told.
+	// Done is when the client observed the outcome.
 	Done time.Time `json:"done"`
 	Told Told      `json:"told"`
-	// Status and Code are the answer's HTTP status and error code.
+	// Status and Code are the response's HTTP status and error code.
 	Status int    `json:"status,omitempty"`
 	Code   string `json:"code,omitempty"`
-	// Text is what came of the answer, and Expected the whole one.
+	// Text is the received response text, and Expected the complete one.
 	Text     string `json:"text"`
 	Expected string `json:"expected"`
-	// Detail helps a reader of a failure; it is not judged.
+	// Detail describes a failure for the reader; no check uses it.
 	Detail string `json:"detail,omitempty"`
 }
 
-// CodeOverloaded is the error code of a request refused for want of capacity.
+// CodeOverloaded is the error code of a request refused for lack of capacity.
 const CodeOverloaded = "overloaded"
 
-// inProgress reports whether the call was under way at a time.
+// inProgress reports whether the call was in progress at a time.
 func (c Call) inProgress(at time.Time) bool {
 	return c.Sent.Before(at) && c.Done.After(at)
 }
--- a/testbed/history/check.go
+++ b/testbed/history/check.go
@@ -2,41 +2,41 @@
 
 import "fmt"
 
-// Point numbers one of the promises that must always hold.
+// Guarantee is the number of a guarantee that must always hold.
 type Point int
 
-// The promises, in the order of the project's list.
+// Guarantees, in the order of the project's list.
 const (
-	// PointTopTier: top-tier work is not refused or cancelled while lower
-	// work of the same kind is let in.
+	// GuaranteeTopTier: top-tier work is not refused or cancelled while
+	// lower-tier work of the same model or service is admitted.
 	PointTopTier Point = iota + 1
-	// PointServed: every call has an end, and every class is served again
-	// once faults are lifted.
+	// GuaranteeServed: every call ends, and every class is served again once
+	// all faults have ended.
 	PointServed
-	// PointWhole: a whole answer is the caller's own, and a failed one is a
-	// visible failure that holds nothing foreign.
+	// GuaranteeComplete: a complete response is the one to the client's own
+	// request, and a failure is visible and contains no foreign data.
 	PointWhole
-	// PointNotRun: what was said not to have run did not run.
+	// GuaranteeNotRun: a request reported as not run did not run.
 	PointNotRun
-	// PointOnce: what must not be repeated runs at most once, and unknown is
-	// said only when something failed.
+	// GuaranteeAtMostOnce: work that is not repeatable runs at most once, and
+	// "unknown" is reported only when something failed.
 	PointOnce
-	// PointLeaving: a leaving backend server gets no new work after a limit.
+	// GuaranteeLeaving: a leaving backend server gets no new work after a time limit.
 	PointLeaving
-	// PointStop: a planned stop cuts off nothing.
+	// GuaranteeStop: a planned stop interrupts no call.
 	PointStop
-	// PointTargets: an accepted change is in force within its limit and
-	// never reverts.
+	// GuaranteeTargets: an accepted change of targets is in force within its
+	// time limit and is never reverted.
 	PointTargets
-	// PointLease: nobody acts on a lease that is no longer his. It is no
-	// promise of its own, but what others rest on.
+	// GuaranteeLease: no process acts on a lease that it no longer holds. Other
+	// guarantees depend on this; it is not in the project's list.
 	PointLease
 )
 
-// Violation is one breach of a promise.
+// Violation describes one case in which a guarantee was broken.
 type Violation struct {
 	Point Point `json:"point"`
-	// Subject names the call, run or process concerned.
+	// Subject identifies the call, run or process concerned.
 	Subject string `json:"subject"`
 	Detail  string `json:"detail"`
 }
@@ -45,23 +45,23 @@
 	return fmt.Sprintf("point %d: %s: %s", v.Point, v.Subject, v.Detail)
 }
 
-// Check judges a history against all promises; none broken gives nil.
+// Check returns all violations in a history; nil if every guarantee was kept.
 func Check(h History) []Violation {
-	x := newIndexed(h)
+	x := newIndexedHistory(h)
 	var all []Violation
-	for _, check := range []func(*indexed) []Violation{
+	for _, check := range []func(*indexedHistory) []Violation{
 		checkTopTier,
 		checkServed,
 		checkBound,
-		checkWhole,
+		checkComplete,
 		checkNotRun,
-		checkOnce,
+		checkAtMostOnce,
 		checkUnknown,
 		checkLeaving,
 		checkStops,
 		checkVersions,
 		checkChanges,
-		checkFences,
+		checkFencingTokens,
 	} {
 		all = append(all, check(x)...)
 	}
--- a/testbed/history/check_test.go
+++ b/testbed/history/check_test.go
@@ -9,8 +9,8 @@
 
 func at(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 
-// good is a history that keeps every promise; tests break it.
-func good() History {
+// validHistory returns a history without violations, which tests modify.
+func validHistory() History {
 	call := func(marker string, tier int, sent int) Call {
 		return Call{Marker: marker, RequestID: "r-" + marker, Entry: "e0", Class: marker, Tier: tier, Serves: "m", Sent: at(sent),
 			Done: at(sent + 4), Told: ToldWhole, Text: "answer " + marker, Expected: "answer " + marker}
@@ -37,10 +37,10 @@
 	docket = 1
 )
 
-func failed(c *Call, told Told) { c.Told, c.Text = told, "" }
+func setFailed(c *Call, told Told) { c.Told, c.Text = told, "" }
 
 func TestGoodHistoryPasses(t *testing.T) {
-	if found := Check(good()); len(found) > 0 {
+	if found := Check(validHistory()); len(found) > 0 {
 		t.Fatal(found)
 	}
 }
@@ -52,30 +52,30 @@
 		spoil func(*History)
 	}{
 		{"top tier shed for lower work", PointTopTier, func(h *History) {
-			failed(&h.Calls[flag], ToldNotRun)
+			setFailed(&h.Calls[flag], ToldNotRun)
 			h.Calls[flag].Code = CodeOverloaded
 			h.Runs = h.Runs[1:]
 		}},
 		{"top tier preempted", PointTopTier, func(h *History) {
-			failed(&h.Calls[flag], ToldFailed)
+			setFailed(&h.Calls[flag], ToldFailed)
 			h.Runs[flag].Ending = EndingCancelled
 		}},
-		{"call without an end", PointServed, func(h *History) { failed(&h.Calls[docket], ToldNothing) }},
+		{"call without an end", PointServed, func(h *History) { setFailed(&h.Calls[docket], ToldNothing) }},
 		{"class not served after a fault", PointServed, func(h *History) {
-			failed(&h.Calls[docket], ToldNotRun)
+			setFailed(&h.Calls[docket], ToldNotRun)
 			h.Calls[docket].Probe = true
 			h.Runs = h.Runs[:1]
 		}},
 		{"served after its bound", PointServed, func(h *History) { h.Calls[docket].Within = time.Second }},
 		{"never served although its caller came back", PointServed, func(h *History) {
-			failed(&h.Calls[docket], ToldNotRun)
+			setFailed(&h.Calls[docket], ToldNotRun)
 			h.Calls[docket].Within = time.Minute
 			h.Runs = h.Runs[:1]
 		}},
 		{"not run, ran before in a run of no other call", PointNotRun, func(h *History) {
 			repeat := h.Calls[docket]
 			repeat.RequestID, repeat.Sent, repeat.Done = "r-repeat", at(10), at(14)
-			failed(&repeat, ToldNotRun)
+			setFailed(&repeat, ToldNotRun)
 			h.Calls = append(h.Calls, repeat)
 			h.Runs[docket].Request = "r-nobody"
 		}},
@@ -87,9 +87,9 @@
 			h.Calls[docket].Text = "answer flag"
 		}},
 		{"answer without a run", PointWhole, func(h *History) { h.Runs = h.Runs[:1] }},
-		{"not run, but it ran", PointNotRun, func(h *History) { failed(&h.Calls[docket], ToldNotRun) }},
+		{"not run, but it ran", PointNotRun, func(h *History) { setFailed(&h.Calls[docket], ToldNotRun) }},
 		{"not run, ran afterwards", PointNotRun, func(h *History) {
-			failed(&h.Calls[docket], ToldNotRun)
+			setFailed(&h.Calls[docket], ToldNotRun)
 			h.Runs[docket].Started = at(30)
 		}},
 		{"not run, ran afterwards under its own id beside a repeat", PointNotRun, func(h *History) {
@@ -97,7 +97,7 @@
 			repeat.RequestID = "r-repeat"
 			repeat.Sent, repeat.Done = at(10), at(14)
 			h.Calls = append(h.Calls, repeat)
-			failed(&h.Calls[docket], ToldNotRun)
+			setFailed(&h.Calls[docket], ToldNotRun)
 			h.Runs[docket].Started = at(11)
 		}},
 		{"ran twice", PointOnce, func(h *History) { h.Runs = append(h.Runs, h.Runs[docket]) }},
@@ -106,15 +106,15 @@
 			again.ID, again.Request = "r-other/1", "r-other"
 			h.Runs = append(h.Runs, again)
 		}},
-		{"unknown without a fault", PointOnce, func(h *History) { failed(&h.Calls[docket], ToldUnknown) }},
+		{"unknown without a fault", PointOnce, func(h *History) { setFailed(&h.Calls[docket], ToldUnknown) }},
 		{"unknown after the fault was lifted", PointOnce, func(h *History) {
-			failed(&h.Calls[docket], ToldUnknown)
+			setFailed(&h.Calls[docket], ToldUnknown)
 			h.Faults = []Fault{{At: at(-5), Lifted: at(-1)}}
 		}},
 		{"new work on a leaving server", PointLeaving, func(h *History) { h.Runs[docket].Started = at(4) }},
-		{"planned stop cut an answer", PointStop, func(h *History) { failed(&h.Calls[docket], ToldFailed) }},
+		{"planned stop cut an answer", PointStop, func(h *History) { setFailed(&h.Calls[docket], ToldFailed) }},
 		{"planned stop refused what waited", PointStop, func(h *History) {
-			failed(&h.Calls[docket], ToldNotRun)
+			setFailed(&h.Calls[docket], ToldNotRun)
 			h.Runs = h.Runs[:1]
 		}},
 		{"planned stop did not end", PointStop, func(h *History) { h.Stops[0].Clean = false }},
@@ -137,7 +137,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h := good()
+			h := validHistory()
 			c.spoil(&h)
 			for _, violation := range Check(h) {
 				if violation.Point == c.point {
@@ -155,7 +155,7 @@
 		allow func(*History)
 	}{
 		{"unknown after a fault", func(h *History) {
-			failed(&h.Calls[docket], ToldUnknown)
+			setFailed(&h.Calls[docket], ToldUnknown)
 			h.Faults = []Fault{{Kind: "kill", Process: "vm0", At: at(2)}}
 		}},
 		{"refused, then run by the caller's own retry", func(h *History) {
@@ -163,7 +163,7 @@
 			repeat.RequestID, repeat.IdempotencyKey = "r-repeat", "k"
 			repeat.Sent, repeat.Done = at(10), at(14)
 			h.Calls = append(h.Calls, repeat)
-			failed(&h.Calls[docket], ToldNotRun)
+			setFailed(&h.Calls[docket], ToldNotRun)
 			h.Calls[docket].Done = at(1)
 			h.Runs[docket].Request, h.Runs[docket].Started = "r-repeat", at(11)
 			h.Leavings = nil
@@ -171,18 +171,18 @@
 		{"without a key: ran and failed, then refused", func(h *History) {
 			repeat := h.Calls[docket]
 			repeat.RequestID, repeat.Sent, repeat.Done = "r-repeat", at(10), at(14)
-			failed(&repeat, ToldNotRun)
+			setFailed(&repeat, ToldNotRun)
 			h.Calls = append(h.Calls, repeat)
 		}},
 		{"refused, then served within the bound", func(h *History) {
 			h.Calls[docket].Within = time.Minute
 			refused := h.Calls[docket]
 			refused.RequestID, refused.Sent, refused.Done = "r-first", at(-9), at(-8)
-			failed(&refused, ToldNotRun)
+			setFailed(&refused, ToldNotRun)
 			h.Calls = append(h.Calls, refused)
 		}},
 		{"top tier refused while nothing lower is let in", func(h *History) {
-			failed(&h.Calls[flag], ToldNotRun)
+			setFailed(&h.Calls[flag], ToldNotRun)
 			h.Calls[flag].Code = CodeOverloaded
 			h.Calls[flag].Sent = at(2)
 			h.Runs = h.Runs[1:]
@@ -194,7 +194,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h := good()
+			h := validHistory()
 			c.allow(&h)
 			if found := Check(h); len(found) > 0 {
 				t.Fatal(found)
--- a/testbed/history/whole.go
+++ b/testbed/history/complete.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// shownLength bounds how much of a wrong answer a violation quotes.
-const shownLength = 60
+// maxExcerptBytes bounds the excerpt of a wrong response in a violation.
+const maxExcerptBytes = 60
 
-// checkWhole looks for answers with an end mark that are not the expected
-// ones, and for broken answers that are not a beginning of them.
-func checkWhole(h *indexed) []Violation {
+// checkComplete reports complete responses that differ from the expected ones or had
+// no run, and incomplete ones that are not a prefix of the expected response.
+func checkComplete(h *indexedHistory) []Violation {
 	var found []Violation
 	for _, call := range h.Calls {
 		if call.Told == ToldWhole && call.Text != call.Expected {
@@ -27,16 +27,16 @@
 }
 
 func difference(call Call) string {
-	at := 0
-	for at < len(call.Text) && at < len(call.Expected) && call.Text[at] == call.Expected[at] {
-		at++
+	offset := 0
+	for offset < len(call.Text) && offset < len(call.Expected) && call.Text[offset] == call.Expected[offset] {
+		offset++
 	}
-	return fmt.Sprintf("%d bytes of %d, differs at %d: %q", len(call.Text), len(call.Expected), at, excerpt(call.Text[at:]))
+	return fmt.Sprintf("%d bytes of %d, differs at %d: %q", len(call.Text), len(call.Expected), offset, excerpt(call.Text[offset:]))
 }
 
 func excerpt(text string) string {
-	if len(text) > shownLength {
-		return text[:shownLength]
+	if len(text) > maxExcerptBytes {
+		return text[:maxExcerptBytes]
 	}
 	return text
 }
--- a/testbed/history/bound.go
+++ b/testbed/history/duration.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// checkBound looks for served calls that took longer than their bound, and for
-// work with a bound that was never served although its caller came back.
-func checkBound(h *indexed) []Violation {
+// checkBound reports served calls that took longer than MaxDuration, and work with
+// such a bound that was never served although its client retried.
+func checkBound(h *indexedHistory) []Violation {
 	var found []Violation
-	served, asked := map[string]bool{}, map[string]Call{}
+	served, lastCalls := map[string]bool{}, map[string]Call{}
 	for _, call := range h.Calls {
 		if call.Within <= 0 {
 			continue
 		}
-		asked[call.Marker] = call
+		lastCalls[call.Marker] = call
 		if call.Told != ToldWhole {
 			continue
 		}
@@ -21,7 +21,7 @@
 				fmt.Sprintf("class %s was served after %s, bound %s", call.Class, took, call.Within)})
 		}
 	}
-	for marker, last := range asked {
+	for marker, last := range lastCalls {
 		if !served[marker] {
 			found = append(found, Violation{PointServed, marker,
 				fmt.Sprintf("class %s was never served: %s %s", last.Class, last.Told, last.Detail)})
--- a/testbed/history/event.go
+++ b/testbed/history/event.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Fault is something that the test did and nobody planned for.
+// Fault is an unplanned failure that the test injected.
 type Fault struct {
 	Kind string `json:"kind"`
-	// Process is whom it hit, or the connection's far end.
+	// Process is the affected process, or the remote end of the affected connection.
 	Process string    `json:"process"`
 	At      time.Time `json:"at"`
-	// Lifted is zero for faults that last.
+	// Lifted is when the fault ended; zero if it lasts.
 	Lifted time.Time `json:"lifted"`
 }
 
-// Leaving is a VM that was told to leave.
+// Leaving records that a VM was told to leave.
 type Leaving struct {
 	Server string    `json:"server"`
 	At     time.Time `json:"at"`
-	// Limit is how long new work may still start there.
+	// Limit is for how long after At new work may still start on the VM.
 	Limit time.Duration `json:"limit"`
 }
 
@@ -24,31 +24,31 @@
 type Stop struct {
 	Process string    `json:"process"`
 	At      time.Time `json:"at"`
-	// Clean says that the process ended by itself with code 0.
+	// Clean reports whether the process exited by itself with code 0.
 	Clean bool `json:"clean"`
-	// Detail is what was seen instead.
+	// Detail describes what was observed otherwise.
 	Detail string `json:"detail,omitempty"`
 }
 
 // Change is a change of targets that an entry accepted.
 type Change struct {
-	// Version is the one the entry gave it.
+	// Version is the version that the entry assigned to the change.
 	Version  uint64    `json:"version"`
 	Class    string    `json:"class"`
 	Accepted time.Time `json:"accepted"`
-	// Limit is how long it may take to be in force everywhere.
+	// Limit is how long the change may take to be in force in all processes.
 	Limit time.Duration `json:"limit"`
 }
 
-// VersionSeen is one reading of the targets in force at a process.
+// VersionReading is one reading of the version of the targets in force at a process.
 type VersionSeen struct {
 	Process string    `json:"process"`
 	At      time.Time `json:"at"`
 	Version uint64    `json:"version"`
-	// Held names the classes whose accepted change the reading contained:
-	// class by the version that last changed it, as the test can tell.
+	// ClassVersions maps a class to the version of the last accepted change to
+	// it that the reading contains. Classes that the test can't tell are missing.
 	Held map[string]uint64 `json:"held,omitempty"`
-	// Excused readings come from a process that was paused, cut off or not
-	// running a moment ago: they may be late, but may not go back.
+	// Excused marks a reading of a process that was recently paused, disconnected
+	// or not running: its version may be late, but must not decrease.
 	Excused bool `json:"excused,omitempty"`
 }
--- a/testbed/history/history.go
+++ b/testbed/history/history.go
@@ -1,19 +1,19 @@
-// Package history records what callers, backend servers and processes saw
-// during a test and judges it. One checker serves every test: Check compares
-// what callers were told with the backend servers' own record of runs. All
-// times are readings of one machine's clock. Start reading at History.
+// Package history records what clients, backend servers and processes observed
+// during a test and checks it. All tests share one checker: Check compares the
+// outcomes that clients observed with the backend servers' own record of runs. All
+// times are read from one machine's clock. Start reading at History.
 package history
 
 import "time"
 
-// History is what was seen in one test.
+// History is everything observed during one test.
 type History struct {
-	// Calls is the callers' side.
+	// Calls lists the calls as clients observed them.
 	Calls []Call `json:"calls"`
-	// Runs is the backend servers' own record.
+	// Runs lists the runs as backend servers recorded them.
 	Runs []Run `json:"runs"`
-	// Faults lists what the test did to processes and connections, planned
-	// stops excepted.
+	// Faults lists the injected faults of processes and connections; planned
+	// stops are not faults.
 	Faults []Fault `json:"faults"`
 	// Leavings lists VMs that were told to leave.
 	Leavings []Leaving `json:"leavings"`
@@ -21,21 +21,21 @@
 	Stops []Stop `json:"stops"`
 	// Changes lists accepted changes of targets.
 	Changes []Change `json:"changes"`
-	// Versions lists readings of the targets in force by process.
+	// Versions lists readings of the version of the targets in force at a process.
 	Versions []VersionSeen `json:"versions"`
-	// Fences lists readings of fencing numbers, in their order.
+	// FencingTokens lists readings of fencing tokens, in order.
 	Fences []FenceSeen `json:"fences"`
 }
 
-// indexed is a History with what the checks look up again and again.
-type indexed struct {
+// indexedHistory is a History with its runs and calls indexed by marker.
+type indexedHistory struct {
 	History
 	runs  map[string][]Run // by marker
 	calls map[string]int   // by marker, how many there are
 }
 
-func newIndexed(h History) *indexed {
-	x := &indexed{History: h, runs: map[string][]Run{}, calls: map[string]int{}}
+func newIndexedHistory(h History) *indexedHistory {
+	x := &indexedHistory{History: h, runs: map[string][]Run{}, calls: map[string]int{}}
 	for _, run := range h.Runs {
 		x.runs[run.Marker] = append(x.runs[run.Marker], run)
 	}
@@ -45,11 +45,11 @@
 	return x
 }
 
-// runsOf finds the runs that carry a marker.
-func (h *indexed) runsOf(marker string) []Run { return h.runs[marker] }
+// runsOf returns the runs with a marker.
+func (h *indexedHistory) runsOf(marker string) []Run { return h.runs[marker] }
 
-// faultDuring reports whether any fault was in force between two times.
-func (h *indexed) faultDuring(from, to time.Time) bool {
+// faultDuring reports whether any fault was in effect between two times.
+func (h *indexedHistory) faultDuring(from, to time.Time) bool {
 	for _, fault := range h.Faults {
 		if fault.At.Before(to) && (fault.Lifted.IsZero() || fault.Lifted.After(from)) {
 			return true
--- a/testbed/history/leaving.go
+++ b/testbed/history/leaving.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// checkLeaving looks for runs that started on a leaving server too late.
-func checkLeaving(h *indexed) []Violation {
+// checkLeaving reports runs that started on a leaving server after its time limit.
+func checkLeaving(h *indexedHistory) []Violation {
 	var found []Violation
 	for _, leaving := range h.Leavings {
 		last := leaving.At.Add(leaving.Limit)
--- a/testbed/history/notrun.go
+++ b/testbed/history/notrun.go
@@ -1,22 +1,22 @@
 package history
 
-// checkNotRun looks for runs of calls whose callers were told "not run".
+// checkNotRun reports runs of calls whose outcome was "not run".
 //
-// A call that repeats the work of others is judged by the request's id, and
-// by runs that had started when the caller was told: a later call may have
-// run the work since. Without a key each call is a request of its own, so that
-// one which came before may have run and failed; the run must then be that of
-// another call, by its id or by a call that was not told its id.
-func checkNotRun(h *indexed) []Violation {
+// If several calls share a marker, a run counts against a call if it has the call's
+// request ID or started before the call ended: a later call may have run the work
+// since. Without an idempotency key each call is a separate request, and an earlier
+// one may have run and failed; a run is then attributed to another call that has its
+// request ID, or that didn't receive one.
+func checkNotRun(h *indexedHistory) []Violation {
 	var found []Violation
 	for _, call := range h.Calls {
 		if call.Told != ToldNotRun {
 			continue
 		}
-		shared := h.sharedMarker(call)
+		shared := h.hasSharedMarker(call)
 		for _, run := range h.runsOf(call.Marker) {
 			own := call.RequestID != "" && run.Request == call.RequestID
-			if !own && call.IdempotencyKey == "" && h.otherCalls(call, run) {
+			if !own && call.IdempotencyKey == "" && h.ranByOtherCall(call, run) {
 				continue
 			}
 			if own || !shared || run.Started.Before(call.Done) {
@@ -27,10 +27,11 @@
 	return found
 }
 
-func (h *indexed) sharedMarker(call Call) bool { return h.calls[call.Marker] > 1 }
+func (h *indexedHistory) hasSharedMarker(call Call) bool { return h.calls[call.Marker] > 1 }
 
-// otherCalls reports whether a run is explained by another call of its work.
-func (h *indexed) otherCalls(call Call, run Run) bool {
+// ranByOtherCall reports whether a run can be attributed to another call with the
+// same marker.
+func (h *indexedHistory) ranByOtherCall(call Call, run Run) bool {
 	for _, other := range h.Calls {
 		if other.Marker != call.Marker || other.Sent.Equal(call.Sent) {
 			continue
--- a/testbed/history/recorder.go
+++ b/testbed/history/recorder.go
@@ -2,69 +2,69 @@
 
 import "sync"
 
-// Recorder gathers a History from several goroutines.
+// Recorder collects a History. It is safe for concurrent use.
 type Recorder struct {
 	mu      sync.Mutex
 	history History
 }
 
-// Call notes a caller's side of a request.
+// Call records a call.
 func (r *Recorder) Call(c Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.Calls = append(r.history.Calls, c)
 }
 
-// Runs notes runs of a backend server.
+// Runs records runs of a backend server.
 func (r *Recorder) Runs(runs ...Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.Runs = append(r.history.Runs, runs...)
 }
 
-// Fault notes a fault.
+// Fault records a fault.
 func (r *Recorder) Fault(f Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.Faults = append(r.history.Faults, f)
 }
 
-// Leaving notes a VM that was told to leave.
+// Leaving records that a VM was told to leave.
 func (r *Recorder) Leaving(l Leaving) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.Leavings = append(r.history.Leavings, l)
 }
 
-// Stop notes a planned stop.
+// Stop records a planned stop.
 func (r *Recorder) Stop(s Stop) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.Stops = append(r.history.Stops, s)
 }
 
-// Change notes an accepted change of targets.
+// Change records an accepted change of targets.
 func (r *Recorder) Change(c Change) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.Changes = append(r.history.Changes, c)
 }
 
-// Version notes a reading of the targets in force.
+// Version records a reading of the version of the targets in force.
 func (r *Recorder) Version(v VersionSeen) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.Versions = append(r.history.Versions, v)
 }
 
-// Fence notes a reading of a fencing number.
+// FencingToken records a reading of a fencing token.
 func (r *Recorder) Fence(f FenceSeen) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.Fences = append(r.history.Fences, f)
 }
 
-// History returns what has been noted so far.
+// History returns a copy of what has been recorded so far.
 func (r *Recorder) History() History {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/testbed/history/run.go
+++ b/testbed/history/run.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// Ending says how a backend server's run ended.
+// Ending is how a run on a backend server ended.
 type Ending string
 
 // Endings of runs.
 const (
-	// EndingWhole: the whole answer was written.
+	// EndingComplete means that the complete response was written.
 	EndingWhole Ending = "whole"
-	// EndingCancelled: the agent cancelled it or closed the connection.
+	// EndingCancelled means that the agent cancelled the run or closed the connection.
 	EndingCancelled Ending = "cancelled"
-	// EndingOpen: it had not ended when the record was read, or its server
-	// died first.
+	// EndingOpen means that the run had not ended when the record was read, or
+	// that its server died first.
 	EndingOpen Ending = "open"
 )
 
-// Run is one run as its backend server recorded it.
+// Run is one run of a request as its backend server recorded it.
 type Run struct {
-	// ID is the run's name at the server: the request's id and its attempt.
+	// ID identifies the run at the server: the request's ID and the attempt's number.
 	ID string `json:"id"`
-	// Request is the request's id in ID.
+	// Request is the request's ID.
 	Request string `json:"request"`
-	// Marker is the one in the prompt.
+	// Marker is the marker in the prompt; see Call.Marker.
 	Marker string `json:"marker"`
-	// Server is the backend server's VM.
+	// Server is the VM of the backend server.
 	Server  string    `json:"server"`
 	Started time.Time `json:"started"`
 	Ended   time.Time `json:"ended"`
 	Ending  Ending    `json:"ending"`
-	// ResumeFrom is the first token that the run wrote.
+	// ResumeFrom is the index of the first token that the run wrote.
 	ResumeFrom int `json:"resume_from"`
-	// Tokens is how many it wrote.
+	// Tokens is the number of tokens that the run wrote.
 	Tokens int `json:"tokens"`
 }
--- a/testbed/history/served.go
+++ b/testbed/history/served.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// checkServed looks for calls without an end, and for probes, sent when all
-// faults were lifted, that were not served.
-func checkServed(h *indexed) []Violation {
+// checkServed reports calls that never ended, and probes, sent after all faults had
+// ended, that were not served.
+func checkServed(h *indexedHistory) []Violation {
 	var found []Violation
 	for _, call := range h.Calls {
 		if call.Told == ToldNothing {
--- a/testbed/history/stops.go
+++ b/testbed/history/stops.go
@@ -2,10 +2,11 @@
 
 import "fmt"
 
-// checkStops looks for calls that were under way at a planned stop and did
-// not get their whole answer, and for processes that did not end cleanly.
-// Calls that also met a fault are left to the other checks.
-func checkStops(h *indexed) []Violation {
+// checkStops reports calls that were in progress at a planned stop and did not get
+// a complete response, and processes that did not exit cleanly. Calls that a fault
+// may also have affected, and calls refused for lack of capacity, are left to the
+// other checks.
+func checkStops(h *indexedHistory) []Violation {
 	var found []Violation
 	for _, stop := range h.Stops {
 		if !stop.Clean {
--- a/testbed/history/targets.go
+++ b/testbed/history/targets.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// checkVersions looks for processes whose targets went back, also across a
-// restart.
-func checkVersions(h *indexed) []Violation {
+// checkVersions reports processes whose targets went back to an older version, even
+// across a restart.
+func checkVersions(h *indexedHistory) []Violation {
 	var found []Violation
 	highest := map[string]uint64{}
 	seen := slices.Clone(h.Versions)
@@ -24,9 +24,9 @@
 	return found
 }
 
-// checkChanges looks for accepted changes that share a version, that are not
-// in force in time, or that a later reading does not hold any more.
-func checkChanges(h *indexed) []Violation {
+// checkChanges reports accepted changes that share a version, that are not in force
+// in time, or that a later reading no longer contains.
+func checkChanges(h *indexedHistory) []Violation {
 	var found []Violation
 	byVersion := map[uint64]Change{}
 	for _, change := range h.Changes {
@@ -35,21 +35,21 @@
 				fmt.Sprintf("accepted as version %d like the change of %s", change.Version, other.Class)})
 		}
 		byVersion[change.Version] = change
-		found = append(found, lateReadings(h, change)...)
+		found = append(found, checkReadings(h, change)...)
 	}
 	return found
 }
 
-func lateReadings(h *indexed, change Change) []Violation {
+func checkReadings(h *indexedHistory, change Change) []Violation {
 	var found []Violation
-	due := change.Accepted.Add(change.Limit)
+	deadline := change.Accepted.Add(change.Limit)
 	for _, v := range h.Versions {
-		if v.At.After(due) && v.Version < change.Version && !v.Excused {
+		if v.At.After(deadline) && v.Version < change.Version && !v.Excused {
 			found = append(found, Violation{PointTargets, v.Process, fmt.Sprintf("has version %d, %s after %d was accepted",
 				v.Version, v.At.Sub(change.Accepted).Round(time.Millisecond), change.Version)})
 		}
-		held, told := v.Held[change.Class]
-		if told && v.Version >= change.Version && held < change.Version {
+		held, known := v.Held[change.Class]
+		if known && v.Version >= change.Version && held < change.Version {
 			found = append(found, Violation{PointTargets, v.Process, fmt.Sprintf("version %d holds %s as of version %d, not %d",
 				v.Version, change.Class, held, change.Version)})
 		}
--- a/testbed/history/toptier.go
+++ b/testbed/history/toptier.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// checkTopTier looks for top-tier calls that were refused for want of
-// capacity while lower work of the same model or service was started, and for
-// top-tier runs that were cancelled although nothing had failed.
-func checkTopTier(h *indexed) []Violation {
+// checkTopTier reports top-tier calls that were refused for lack of capacity while
+// lower-tier work of the same model or service was started, and top-tier runs that
+// were cancelled although no fault was in effect.
+func checkTopTier(h *indexedHistory) []Violation {
 	var found []Violation
 	for _, call := range h.Calls {
 		if call.Tier != 0 || call.Told == ToldWhole {
@@ -22,7 +22,7 @@
 	return found
 }
 
-func (h *indexed) lowerStartedDuring(top Call) (Run, bool) {
+func (h *indexedHistory) lowerStartedDuring(top Call) (Run, bool) {
 	for _, lower := range h.Calls {
 		if lower.Tier == 0 || lower.Serves != top.Serves {
 			continue
@@ -36,7 +36,7 @@
 	return Run{}, false
 }
 
-func (h *indexed) cancelledRun(call Call) (Run, bool) {
+func (h *indexedHistory) cancelledRun(call Call) (Run, bool) {
 	for _, run := range h.runsOf(call.Marker) {
 		if run.Ending == EndingCancelled {
 			return run, true
