--- a/testbed/baseline/leastload.go
+++ b/testbed/baseline/leastload.go
@@ -9,12 +9,12 @@
 	"github.com/applepier/applepier/internal/engine"
 )
 
-// pollInterval is how often the engines' load reports are read. The reports
-// lag by more than that.
+// pollInterval is how often the engines' load reports are read. The reports lag
+// behind the actual load by more than that.
 const pollInterval = 100 * time.Millisecond
 
-// leastLoad takes the engine that reported the least load, and leaves the
-// waiting to the engines.
+// leastLoad picks the engine with the least reported load. Requests queue in the
+// engines.
 type leastLoad struct {
 	engines []engine.Engine
 	cancel  context.CancelFunc
@@ -36,7 +36,7 @@
 	return l
 }
 
-// pick draws among the engines with the least reported load.
+// pick returns a random one of the engines with the least reported load.
 func (l *leastLoad) pick(context.Context) (engine.Engine, func(), error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/testbed/baseline/router.go
+++ b/testbed/baseline/router.go
@@ -1,6 +1,6 @@
-// Package baseline holds two plain routers to compare with: round robin with
-// a first-in-first-out queue for each engine, and the least reported load.
-// They know no classes, targets or priorities. Start reading at Router.
+// Package baseline implements two simple routers for comparison: round robin with a
+// FIFO queue for each engine, and least reported load. They ignore classes, targets
+// and priorities. Start reading at Router.
 package baseline
 
 import (
@@ -14,38 +14,39 @@
 	"github.com/applepier/applepier/internal/engine"
 )
 
-// maxBody bounds a request, in bytes.
-const maxBody = 16 << 20
+// maxBodyBytes bounds the body of a request.
+const maxBodyBytes = 16 << 20
 
-var endMark = []byte("[DONE]")
+var doneMarker = []byte("[DONE]")
 
-// picker chooses the engine of a request.
+// picker chooses an engine for each request.
 type picker interface {
-	// pick returns an engine and what frees its place; it may wait.
+	// pick returns an engine and a function that releases its slot. It may block
+	// until a slot is free or ctx is done.
 	pick(ctx context.Context) (engine.Engine, func(), error)
-	// close ends what the picker runs in the background.
+	// close stops the picker's background goroutines.
 	close()
 }
 
-// Router sends each request to one engine, whatever comes of it; it
-// implements http.Handler for the callers' streaming API.
+// Router sends each request to one engine, without retries. It implements
+// http.Handler for the clients' streaming API.
 type Router struct {
 	picker picker
 }
 
 // ServeHTTP implements http.Handler.
 func (r *Router) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	target, free, err := r.picker.pick(req.Context())
+	target, release, err := r.picker.pick(req.Context())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	defer free()
+	defer release()
 	stream, err := target.Start(req.Context(), engine.Run{ID: uuid.NewString() + "#1", Body: body})
 	if err != nil {
 		writeStartError(w, err)
@@ -57,19 +58,19 @@
 	}
 }
 
-// Close ends what the router runs in the background.
+// Close stops the router's background goroutines.
 func (r *Router) Close() {
 	r.picker.close()
 }
 
-// relay passes a stream on to its end mark.
+// relay forwards a stream as server-sent events, including its end marker.
 func relay(w http.ResponseWriter, stream engine.Stream) error {
 	w.Header().Set("Content-Type", "text/event-stream")
 	control := http.NewResponseController(w)
 	for {
 		chunk, err := stream.Next()
 		if err == io.EOF {
-			return writeEvent(w, control, endMark)
+			return writeEvent(w, control, doneMarker)
 		}
 		if err != nil {
 			return err
--- a/testbed/baseline/router_test.go
+++ b/testbed/baseline/router_test.go
@@ -14,8 +14,8 @@
 	"github.com/applepier/applepier/testbed/engine"
 )
 
-// patience bounds waiting for something that must happen.
-const patience = 20 * time.Second
+// testTimeout bounds each wait for an expected event.
+const testTimeout = 20 * time.Second
 
 func startEngine(t *testing.T) (*engine.Server, string) {
 	t.Helper()
@@ -31,12 +31,12 @@
 	return server, web.URL
 }
 
-// ask sends a request and returns its answer's events.
-func ask(t *testing.T, url, prompt string) string {
+// sendChat sends a request and returns the events of its response.
+func sendChat(t *testing.T, url, prompt string) string {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	body := strings.NewReader(chat(prompt))
+	body := strings.NewReader(chatBody(prompt))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/chat/completions", body)
 	if err != nil {
 		t.Fatal(err)
@@ -53,7 +53,7 @@
 	return string(text)
 }
 
-func chat(prompt string) string {
+func chatBody(prompt string) string {
 	return fmt.Sprintf(`{"model":"m","messages":[{"role":"user","content":%q}],"max_tokens":3}`, prompt)
 }
 
@@ -67,8 +67,8 @@
 	defer router.Close()
 	for i := range 6 {
 		prompt := fmt.Sprint("prompt ", i)
-		text := ask(t, router.URL, prompt)
-		for _, token := range engine.Answer([]byte(chat(prompt))) {
+		text := sendChat(t, router.URL, prompt)
+		for _, token := range engine.Answer([]byte(chatBody(prompt))) {
 			if !strings.Contains(text, token) {
 				t.Fatalf("token %q is missing", token)
 			}
@@ -91,14 +91,14 @@
 		t.Fatal(err)
 	}
 	defer router.Close()
-	// The first report of the load may not have come yet.
-	deadline := time.Now().Add(patience)
+	// The router may not have read the first load report yet.
+	deadline := time.Now().Add(testTimeout)
 	for seen := 0; seen < 3; {
 		if time.Now().After(deadline) {
 			t.Fatal("requests still go to the loaded engine")
 		}
 		before := len(idle.Record())
-		ask(t, router.URL, "x")
+		sendChat(t, router.URL, "x")
 		seen++
 		if len(idle.Record()) == before {
 			seen = 0
--- a/testbed/baseline/server.go
+++ b/testbed/baseline/server.go
@@ -14,16 +14,17 @@
 	LeastLoad  = "leastload"
 )
 
-// Names lists the baselines.
+// Names returns the names of the baselines.
 func Names() []string {
 	return []string{RoundRobin, LeastLoad}
 }
 
-// New returns the router of a name before engines at their base URLs.
-// Capacity is how many streams an engine runs at full speed.
+// New returns the named router in front of engines, given by their base URLs.
+// Capacity is the number of streams that an engine runs at full speed. It returns an
+// error for an unknown name, without engines or for a capacity below 1.
 func New(name string, engines []string, capacity int) (*Router, error) {
 	if len(engines) == 0 || capacity <= 0 {
-		return nil, errors.New("a baseline needs engines and their capacity")
+		return nil, errors.New("a baseline needs at least one engine and a positive capacity")
 	}
 	switch name {
 	case RoundRobin:
@@ -31,13 +32,13 @@
 	case LeastLoad:
 		return &Router{picker: newLeastLoad(engines)}, nil
 	default:
-		return nil, errors.Errorf("no baseline %q among %s", name, strings.Join(Names(), ", "))
+		return nil, errors.Errorf("unknown baseline %q; available: %s", name, strings.Join(Names(), ", "))
 	}
 }
 
 // Server is a router that listens on a port of 127.0.0.1.
 type Server struct {
-	// URL is its base URL.
+	// URL is the server's base URL.
 	URL string
 
 	router *Router
@@ -45,7 +46,7 @@
 	done   chan struct{}
 }
 
-// Start runs the router of a name; see New.
+// Start starts a server with the named router; see New.
 func Start(name string, engines []string, capacity int) (*Server, error) {
 	router, err := New(name, engines, capacity)
 	if err != nil {
@@ -69,7 +70,7 @@
 	return s, nil
 }
 
-// Close ends the router and all that it has in progress.
+// Close stops the server and the router, and aborts requests in progress.
 func (s *Server) Close() {
 	_ = s.server.Close()
 	<-s.done
--- a/testbed/cmd/rounds/main.go
+++ b/testbed/cmd/rounds/main.go
@@ -1,5 +1,5 @@
-// Command rounds sets played days before and after a change side by side, and
-// draws a day over time.
+// Command rounds compares the results of simulated days before and after a change,
+// draws a day over time and lists where a day lost score.
 package main
 
 import (
@@ -24,25 +24,25 @@
 func newCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:  "rounds",
-		Usage: "compare played days, draw one, or tell where it lost",
+		Usage: "compare simulated days, draw one, or list where it lost score",
 		Commands: []*cli.Command{{
 			Name:  "compare",
 			Usage: "medians of days before and after a change",
 			Flags: []cli.Flag{
-				&cli.StringFlag{Name: "journal", Value: "journal", Usage: "`DIR` of the runs"},
-				&cli.StringFlag{Name: "before", Required: true, Usage: "beginning of a commit's id or of a run's reason"},
-				&cli.StringFlag{Name: "after", Required: true, Usage: "the same for the other side"},
+				&cli.StringFlag{Name: "journal", Value: "journal", Usage: "`DIR` of the journal of runs"},
+				&cli.StringFlag{Name: "before", Required: true, Usage: "prefix of a commit ID or of a run's reason"},
+				&cli.StringFlag{Name: "after", Required: true, Usage: "prefix of the commit ID or reason to compare with"},
 			},
 			Action: func(_ context.Context, c *cli.Command) error {
-				all, err := rounds.ReadJournal(c.String("journal"))
+				runs, err := rounds.ReadJournal(c.String("journal"))
 				if err != nil {
 					return err
 				}
-				return rounds.Write(out, rounds.Compare(all, c.String("before"), c.String("after")))
+				return rounds.WriteComparisons(out, rounds.Compare(runs, c.String("before"), c.String("after")))
 			},
 		}, {
 			Name:      "draw",
-			Usage:     "a picture of a day over time, from its report",
+			Usage:     "draw a day over time from its report",
 			ArgsUsage: "REPORT PICTURE.png",
 			Action: func(_ context.Context, c *cli.Command) error {
 				r, err := rounds.ReadReport(c.Args().Get(0))
@@ -53,17 +53,17 @@
 			},
 		}, {
 			Name:      "losses",
-			Usage:     "where a day's worth was lost, from its report: rows that add up to 1",
+			Usage:     "list where a day lost score, from its report; the losses and the score add up to 1",
 			ArgsUsage: "REPORT",
 			Flags: []cli.Flag{
-				&cli.StringMapFlag{Name: "weight", Usage: "what one request of a class counts for, as `CLASS=WEIGHT`; 1 for the others"},
+				&cli.StringMapFlag{Name: "weight", Usage: "weight of one request of a class, as `CLASS=WEIGHT`; 1 by default"},
 			},
 			Action: func(_ context.Context, c *cli.Command) error {
 				r, err := rounds.ReadReport(c.Args().Get(0))
 				if err != nil {
 					return err
 				}
-				weights, err := weightsOf(c.StringMap("weight"))
+				weights, err := parseWeights(c.StringMap("weight"))
 				if err != nil {
 					return err
 				}
@@ -77,8 +77,8 @@
 	}
 }
 
-// weightsOf reads the weights of classes.
-func weightsOf(texts map[string]string) (map[string]float64, error) {
+// parseWeights parses the weights of classes.
+func parseWeights(texts map[string]string) (map[string]float64, error) {
 	weights := map[string]float64{}
 	for class, text := range texts {
 		weight, err := strconv.ParseFloat(text, 64)
--- a/testbed/knobs/box.go
+++ b/testbed/knobs/value.go
@@ -1,5 +1,5 @@
-// Package knobs holds the settings of a stand-in that a test changes while it
-// runs. Start reading at Box.
+// Package knobs holds settings of a simulated service that a test changes while the
+// service runs. Start reading at Value.
 package knobs
 
 import (
@@ -8,7 +8,8 @@
 	"sync"
 )
 
-// Box holds one value of settings. Its zero value holds T's zero value.
+// Value holds settings of type T and is safe for concurrent use. Its zero value holds
+// T's zero value.
 type Box[T any] struct {
 	mu    sync.Mutex
 	value T
@@ -21,15 +22,15 @@
 	return b.value
 }
 
-// Update changes the settings in one step.
+// Update changes the settings atomically. The function must not use the Value.
 func (b *Box[T]) Update(change func(*T)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	change(&b.value)
 }
 
-// ServeHTTP answers GET with the settings. PUT changes those that its JSON
-// body names, leaves the others, and answers with the result.
+// ServeHTTP returns the settings as JSON. PUT first changes those that its JSON body
+// contains and leaves the others; it fails with status 400 on an unknown field.
 func (b *Box[T]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPut {
 		if err := b.decode(r); err != nil {
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// WriteJSON answers with a value.
+// WriteJSON writes a value as a JSON response, or status 500 if it can't be encoded.
 func WriteJSON(w http.ResponseWriter, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
--- a/testbed/measure/series.go
+++ b/testbed/measure/fleetrun.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// entries is how many entries a fleet has.
-	entries = 3
-	// startLimit bounds the start of a fleet.
-	startLimit = 90 * time.Second
-	// quiet is the shape at which the router's added time is measured.
-	quiet = "quiet"
+	// entryCount is the number of entries in a fleet.
+	entryCount = 3
+	// startTimeout bounds the start of a fleet.
+	startTimeout = 90 * time.Second
+	// quietShape is the shape at which the router's added latency is measured.
+	quietShape = "quiet"
 )
 
 // Targets besides the baselines.
@@ -26,15 +26,15 @@
 	targetDirect    = "direct"
 )
 
-// series is all shapes of a mix with one seed, on one fleet.
-type series struct {
+// fleetRun runs all shapes of a mix with one seed on one fleet.
+type fleetRun struct {
 	options Options
 	mix     string
 	seed    uint64
-	results *collected
+	results *resultList
 }
 
-func (s *series) run(ctx context.Context, binaries *fleet.Binaries) error {
+func (s *fleetRun) run(ctx context.Context, binaries *fleet.Binaries) error {
 	first, err := scenarios.Load(s.mix, s.options.Shapes[0])
 	if err != nil {
 		return err
@@ -45,21 +45,21 @@
 	}
 	defer running.Close()
 	for _, shape := range s.options.Shapes {
-		if err := s.play(ctx, running, shape); err != nil {
+		if err := s.runShape(ctx, running, shape); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *series) start(ctx context.Context, mix load.Mix, binaries *fleet.Binaries) (*fleet.Fleet, error) {
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+func (s *fleetRun) start(ctx context.Context, mix load.Mix, binaries *fleet.Binaries) (*fleet.Fleet, error) {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	return loadfleet.Start(ctx, mix, entries, binaries)
+	return loadfleet.Start(ctx, mix, entryCount, binaries)
 }
 
-// play runs one shape with each target in turn.
-func (s *series) play(ctx context.Context, running *fleet.Fleet, shape string) error {
+// runShape runs one shape against each target in turn.
+func (s *fleetRun) runShape(ctx context.Context, running *fleet.Fleet, shape string) error {
 	scenario, err := scenarios.Load(s.mix, shape)
 	if err != nil {
 		return err
@@ -69,24 +69,25 @@
 	target.Patience = s.options.Patience
 	target.ReturnWithin = s.options.ReturnWithin
 	for _, name := range s.options.Targets {
-		if name == targetDirect && shape != quiet {
+		if name == targetDirect && shape != quietShape {
 			continue
 		}
-		if err := s.round(ctx, shape, name, target); err != nil {
+		if err := s.runTarget(ctx, shape, name, target); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Targets lists all targets in the order in which they take turns. Direct is
-// only played at quiet load.
+// Targets returns the names of all targets in the order in which they run: the
+// system, the engines called directly, and the baselines. "direct" only runs at quiet
+// load.
 func Targets() []string {
 	return append([]string{targetApplepier, targetDirect}, baseline.Names()...)
 }
 
-// round runs the load against one target.
-func (s *series) round(ctx context.Context, shape, name string, options load.Options) error {
+// runTarget runs the load against one target and adds the result.
+func (s *fleetRun) runTarget(ctx context.Context, shape, name string, options load.Options) error {
 	options.Target = name
 	switch name {
 	case targetApplepier:
@@ -111,7 +112,7 @@
 		Seed:   s.seed,
 		Target: name,
 		Report: report,
-		Useful: options.Scenario.Useful(height(report)),
+		Useful: options.Scenario.Useful(peakPhase(report)),
 	})
 	return nil
 }
--- a/testbed/measure/options.go
+++ b/testbed/measure/options.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Options say what is measured.
+// Options configures a measurement.
 type Options struct {
-	// Mixes and Shapes are names of package scenarios.
+	// Mixes and Shapes are names from package scenarios.
 	Mixes  []string
 	Shapes []string
-	// Targets are the system, the baselines and the engines themselves; see
-	// Targets.
+	// Targets are names of targets; see the function Targets.
 	Targets []string
-	// Seeds is how many seeds each scenario is run with.
+	// Seeds is the number of seeds that each scenario is run with.
 	Seeds int
-	// Scale multiplies the phases' durations.
+	// Scale multiplies the durations of the phases.
 	Scale float64
-	// Parallel is how many fleets run side by side.
+	// Parallel is the number of fleets that run concurrently.
 	Parallel int
-	// Patience is how long a caller waits.
+	// ClientTimeout is how long a client waits for the end of its response.
 	Patience time.Duration
-	// ReturnWithin is how long a refused one waits before it comes back.
+	// MaxRetryAfter is the longest retry delay that a refused client obeys; it
+	// doesn't retry after a longer one.
 	ReturnWithin time.Duration
-	// Progress takes a line for each run of load.
+	// Progress receives one line for each result.
 	Progress io.Writer
 }
--- a/testbed/measure/sample.go
+++ b/testbed/measure/sample.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// sample is one figure of all seeds.
+// sample holds the values of one metric over all seeds, sorted.
 type sample []float64
 
-// sampleOf takes a figure of each round.
-func sampleOf(rounds []Round, figure func(Round) float64) sample {
+// newSample returns the values of a metric over results.
+func newSample(rounds []Round, figure func(Round) float64) sample {
 	var s sample
 	for _, round := range rounds {
 		s = append(s, figure(round))
@@ -18,7 +18,7 @@
 	return s
 }
 
-// median is the middle one, or the lower of the two.
+// median returns the median, or the lower of the two middle values; 0 if empty.
 func (s sample) median() float64 {
 	if len(s) == 0 {
 		return 0
@@ -26,8 +26,8 @@
 	return s[(len(s)-1)/2]
 }
 
-// text is the median with the spread, unless all are alike when written.
-func (s sample) text(format string) string {
+// formatted returns the median, with the range unless all values are equal as formatted.
+func (s sample) formatted(format string) string {
 	if len(s) == 0 {
 		return "not run"
 	}
--- a/testbed/measure/sample_test.go
+++ b/testbed/measure/sample_test.go
@@ -9,7 +9,7 @@
 		"2":          {{Useful: 2.1}, {Useful: 1.9}},
 		"not run":    nil,
 	} {
-		if got := sampleOf(rounds, figure).text("%.0f"); got != want {
+		if got := newSample(rounds, figure).formatted("%.0f"); got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
--- a/testbed/readme/readme_test.go
+++ b/testbed/readme/readme_test.go
@@ -1,4 +1,4 @@
-// Package readme_test follows the README word for word.
+// Package readme_test runs the commands in the README.
 package readme_test
 
 import (
@@ -16,8 +16,8 @@
 
 const root = "../.."
 
-// block returns the commands of the README's block under a heading.
-func block(t *testing.T, heading string) []string {
+// readmeCommands returns the commands in the README's code block under a heading.
+func readmeCommands(t *testing.T, heading string) []string {
 	t.Helper()
 	page, err := os.ReadFile(filepath.Join(root, "README.md"))
 	if err != nil {
@@ -26,7 +26,7 @@
 	pattern := regexp.MustCompile("(?s)\n## " + heading + "\n\n```\n(.*?)\n```")
 	match := pattern.FindStringSubmatch(string(page))
 	if match == nil {
-		t.Fatalf("the README has no block under %q", heading)
+		t.Fatalf("the README has no code block under %q", heading)
 	}
 	return strings.Split(match[1], "\n")
 }
@@ -39,10 +39,10 @@
 	return cmd
 }
 
-// TestTryItNamesWhatIsThere: the commands run the whole demo and all checks, so
-// that this test, which is one of them, sees to it only that they are there.
+// TestTryItNamesWhatIsThere checks only that the files in the commands exist: the
+// commands run the whole demo and all checks, of which this test is one.
 func TestTryItNamesWhatIsThere(t *testing.T) {
-	for _, line := range block(t, "Try it") {
+	for _, line := range readmeCommands(t, "Try it") {
 		words := strings.Fields(line)
 		if _, err := os.Stat(filepath.Join(root, words[len(words)-1])); err != nil {
 			t.Errorf("%s: %v", line, err)
@@ -50,10 +50,10 @@
 	}
 }
 
-// TestRunIt runs the commands in order. The last two serve; they get the
-// example settings with free ports, and are stopped as an operator would.
+// TestRunIt runs the commands in order. The last two start servers; they use the
+// example settings with free ports and are stopped by SIGTERM, as by an operator.
 func TestRunIt(t *testing.T) {
-	for _, line := range block(t, "Run it") {
+	for _, line := range readmeCommands(t, "Run it") {
 		before, settings, serves := strings.Cut(line, " serve --settings ")
 		if serves {
 			startAndStop(t, before+" serve --settings "+withFreePorts(t, settings))
@@ -65,7 +65,8 @@
 	}
 }
 
-// startAndStop waits until the process says that it serves and then stops it.
+// startAndStop starts a command, waits until it logs that it has started, and then
+// stops it.
 func startAndStop(t *testing.T, line string) {
 	t.Helper()
 	cmd := command(line)
@@ -76,9 +77,9 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	var seen []string
+	var logged []string
 	for lines := bufio.NewScanner(log); lines.Scan(); {
-		seen = append(seen, lines.Text())
+		logged = append(logged, lines.Text())
 		if strings.Contains(lines.Text(), "event=started") {
 			if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 				t.Error(err)
@@ -86,13 +87,14 @@
 		}
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("%s: %v\n%s", line, err, strings.Join(seen, "\n"))
+		t.Errorf("%s: %v\n%s", line, err, strings.Join(logged, "\n"))
 	}
 }
 
 var portPattern = regexp.MustCompile(`127\.0\.0\.1:\d+`)
 
-// withFreePorts copies an example with each address replaced by a free one.
+// withFreePorts copies an example settings file, with each loopback address replaced
+// by a free one, and returns the path of the copy.
 func withFreePorts(t *testing.T, example string) string {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join(root, example))
--- a/testbed/recordfile/recordfile.go
+++ b/testbed/recordfile/recordfile.go
@@ -1,5 +1,5 @@
-// Package recordfile keeps what a stand-in did as JSON lines, so that the record
-// survives the process. Start reading at Open and Read.
+// Package recordfile stores the record of a simulated service as JSON lines in a file,
+// so that it survives the process. Start reading at Open and Read.
 package recordfile
 
 import (
@@ -10,25 +10,25 @@
 	"github.com/go-faster/errors"
 )
 
-// ownerOnly is the mode of a record file.
-const ownerOnly = 0o600
+// fileMode is the mode of a record file: only its owner may read or write it.
+const fileMode = 0o600
 
-// File is a record that is being written. A nil File keeps nothing. Not safe for
+// File appends entries to a record file. A nil File discards them. It is not safe for
 // concurrent use.
 type File struct {
 	file *os.File
 }
 
-// Open opens a record to append to it.
+// Open opens a record file for appending and creates it if it doesn't exist.
 func Open(path string) (*File, error) {
-	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, ownerOnly)
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, fileMode)
 	if err != nil {
 		return nil, errors.Wrap(err, "open record file")
 	}
 	return &File{file: file}, nil
 }
 
-// Write appends one entry.
+// Write appends one entry as a line of JSON.
 func (f *File) Write(entry any) error {
 	if f == nil {
 		return nil
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// Read reads a record back, oldest entry first.
+// Read returns the entries of a record file, oldest first.
 func Read[T any](path string) ([]T, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/testbed/rounds/compare.go
+++ b/testbed/rounds/compare.go
@@ -9,74 +9,74 @@
 	"text/tabwriter"
 )
 
-// Row is a day's runs before and after a change.
-type Row struct {
+// Comparison holds the runs of one day at one site before and after a change.
+type Comparison struct {
 	Site, Day     string
 	Before, After []Day
 }
 
-// Compare gathers the runs of two commits, or reasons, by site and day. Days that
-// were played on one side only are in it as well.
-func Compare(all []Entry, before, after string) []Row {
-	rows := map[string]*Row{}
-	for i := range all {
-		e := &all[i]
+// Compare groups the runs of two commits or reasons by site and day; see Run.Matches.
+// The result is sorted by site and day and includes days that ran on one side only.
+func Compare(runs []Run, before, after string) []Comparison {
+	rows := map[string]*Comparison{}
+	for i := range runs {
+		e := &runs[i]
 		for _, d := range e.Days {
-			if !e.Of(before) && !e.Of(after) {
+			if !e.Matches(before) && !e.Matches(after) {
 				continue
 			}
 			key := e.Site + " " + d.Name
 			if rows[key] == nil {
-				rows[key] = &Row{Site: e.Site, Day: d.Name}
+				rows[key] = &Comparison{Site: e.Site, Day: d.Name}
 			}
-			if e.Of(before) {
+			if e.Matches(before) {
 				rows[key].Before = append(rows[key].Before, d)
 			}
-			if e.Of(after) {
+			if e.Matches(after) {
 				rows[key].After = append(rows[key].After, d)
 			}
 		}
 	}
-	var sorted []Row
+	var sorted []Comparison
 	for _, key := range slices.Sorted(maps.Keys(rows)) {
 		sorted = append(sorted, *rows[key])
 	}
 	return sorted
 }
 
-// Write prints rows as a table of medians: before, after.
-func Write(out io.Writer, rows []Row) error {
+// WriteComparisons writes a table with the medians before and after the change.
+func WriteComparisons(out io.Writer, rows []Comparison) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	// What is written goes into the table's buffer, and fails when it is flushed.
+	// The table buffers its output, so that errors are returned by Flush.
 	_, _ = fmt.Fprintln(table, "site\tday\truns\tworth\tserved\trefused\tfailed\trules broken")
 	for _, r := range rows {
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%d, %d\t%s\t%s\t%s\t%s\t%s\n", r.Site, r.Day, len(r.Before), len(r.After),
-			r.pair(func(d Day) float64 { return d.Worth }), r.pair(func(d Day) float64 { return d.Served }),
-			r.pair(func(d Day) float64 { return d.Refused }), r.pair(func(d Day) float64 { return d.Failed }), r.broken())
+			r.medians(func(d Day) float64 { return d.Score }), r.medians(func(d Day) float64 { return d.Served }),
+			r.medians(func(d Day) float64 { return d.Refused }), r.medians(func(d Day) float64 { return d.Failed }), r.brokenRules())
 	}
 	return table.Flush()
 }
 
-func (r *Row) pair(of func(Day) float64) string {
-	return median(r.Before, of) + ", " + median(r.After, of)
+func (r *Comparison) medians(metric func(Day) float64) string {
+	return median(r.Before, metric) + ", " + median(r.After, metric)
 }
 
-// median is "-" for no runs.
-func median(days []Day, of func(Day) float64) string {
+// median formats the median of a figure; "-" without runs.
+func median(days []Day, metric func(Day) float64) string {
 	if len(days) == 0 {
 		return "-"
 	}
 	values := make([]float64, len(days))
 	for i, d := range days {
-		values[i] = of(d)
+		values[i] = metric(d)
 	}
 	slices.Sort(values)
 	middle := (values[(len(values)-1)/2] + values[len(values)/2]) / 2
 	return fmt.Sprintf("%.3f", middle)
 }
 
-// broken names the rules that were broken after the change.
-func (r *Row) broken() string {
+// brokenRules returns the names of the rules that were broken after the change.
+func (r *Comparison) brokenRules() string {
 	names := map[string]bool{}
 	for _, d := range r.After {
 		for name := range d.Rules {
--- a/testbed/rounds/draw.go
+++ b/testbed/rounds/draw.go
@@ -9,21 +9,21 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// ErrNotDrawn: the picture could not be made.
-var ErrNotDrawn = errors.New("day can't be drawn")
+// ErrDraw is returned if a day can't be drawn.
+var ErrDraw = errors.New("can't draw the day")
 
-// Size of a picture, and of a bar of it.
+// Sizes of the picture and of a bar.
 const (
 	width    = 24 * vg.Centimeter
 	height   = 12 * vg.Centimeter
 	barWidth = 0.5 * vg.Centimeter
 )
 
-// series is one outcome of requests.
+// series is one layer of the stacked bars: the requests with one outcome.
 type series struct {
 	name   string
 	colour color.RGBA
-	of     func(Outcome) int
+	count  func(Outcome) int
 }
 
 var outcomes = []series{
@@ -34,20 +34,20 @@
 	{"not owed", color.RGBA{R: 189, G: 189, B: 189, A: 255}, func(w Outcome) int { return w.NotOwed }},
 }
 
-// Draw makes a picture of the day over time, stacked by what became of the
-// requests. The file's ending says of which kind: png, svg or pdf.
+// Draw writes a stacked bar chart of a day's requests over time, by outcome. The
+// file's extension selects the format: png, svg or pdf. Errors wrap ErrDraw.
 func Draw(file, title string, r Report) error {
 	if len(r.Windows) == 0 {
-		return errors.Wrap(ErrNotDrawn, "the report has no windows")
+		return errors.Wrap(ErrDraw, "the report has no windows")
 	}
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "from second", "requests"
 	p.Legend.Top = true
 	var below *plotter.BarChart
 	for _, s := range outcomes {
-		bars, err := plotter.NewBarChart(valuesOf(r, s.of), barWidth)
+		bars, err := plotter.NewBarChart(windowValues(r, s.count), barWidth)
 		if err != nil {
-			return errors.Wrap(ErrNotDrawn, err.Error())
+			return errors.Wrap(ErrDraw, err.Error())
 		}
 		bars.Color, bars.LineStyle.Width = s.colour, 0
 		if below != nil {
@@ -63,15 +63,15 @@
 	}
 	p.NominalX(seconds...)
 	if err := p.Save(width, height, file); err != nil {
-		return errors.Wrap(ErrNotDrawn, err.Error())
+		return errors.Wrap(ErrDraw, err.Error())
 	}
 	return nil
 }
 
-func valuesOf(r Report, of func(Outcome) int) plotter.Values {
+func windowValues(r Report, count func(Outcome) int) plotter.Values {
 	values := make(plotter.Values, len(r.Windows))
 	for i, w := range r.Windows {
-		values[i] = float64(of(w))
+		values[i] = float64(count(w))
 	}
 	return values
 }
--- a/testbed/rounds/losses.go
+++ b/testbed/rounds/losses.go
@@ -8,51 +8,54 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrDoesNotAddUp: a report's parts and prices don't make its worth.
-var ErrDoesNotAddUp = errors.New("parts and prices don't add up to the day's worth")
+// ErrScoreMismatch is returned if a report's parts and penalties don't add up to its
+// score.
+var ErrScoreMismatch = errors.New("parts and penalties don't add up to the day's score")
 
-// mostOff is by how much a report's rounded figures may miss its worth.
-const mostOff = 0.002
+// maxRoundingError bounds the difference between a report's score and the sum
+// of its rounded figures.
+const maxRoundingError = 0.002
 
-// Part is a share of the worth that is taken over some of the requests.
+// Part is a weighted part of the score, computed over some of the requests.
 type Part struct {
 	Name          string
 	Weight, Value float64
 }
 
-// Price is what is taken off.
-type Price struct {
+// Penalty is subtracted from the score.
+type Penalty struct {
 	Name         string
 	Amount, Cost float64
 }
 
-// Outcome counts what became of a group of requests, and Worth is the part of
-// their benefit that was earned.
+// Outcome counts the outcomes of a group of requests. Earned is the fraction of their
+// benefit that was earned.
 type Outcome struct {
 	Name    string  `json:"name"`
-	Asked   int     `json:"n"`
+	Total   int     `json:"n"`
 	InTime  int     `json:"in_aim"`
 	Late    int     `json:"late"`
 	Refused int     `json:"refused"`
 	Failed  int     `json:"failed"`
 	NotOwed int     `json:"not_owed"`
-	Worth   float64 `json:"worth"`
+	Earned  float64 `json:"worth"`
 }
 
-// owed counts the requests that benefit was owed for.
-func (o *Outcome) owed() int { return o.Asked - o.NotOwed }
+// owed returns the number of requests for which benefit was owed.
+func (o *Outcome) owed() int { return o.Total - o.NotOwed }
 
-// Loss is one row of the table: worth that a day lost.
+// Loss is one row of the table of lost score.
 type Loss struct {
-	// Of is what it is a part of, Name which, and Detail the counts behind it.
-	Of, Name, Detail string
-	Worth            float64
+	// Group is the kind of loss, Name identifies it within the group, and Detail
+	// gives the counts behind it.
+	Group, Name, Detail string
+	Score               float64
 }
 
-// Losses tells where a day's worth was lost; the rows and the day's worth make 1.
-// What the whole day lost is split by class, by how much of their benefit they
-// lost: weights are what one request of a class counts for, 1 where there is
-// none.
+// Losses lists where a day lost score; the losses and the day's score add up to 1.
+// Penalties that round to nothing are omitted. The loss of the report's first part,
+// the whole day, is split by class in proportion to lost benefit. weights gives the
+// weight of one request of a class; the default is 1.
 func Losses(r *Report, weights map[string]float64) ([]Loss, error) {
 	var rows []Loss
 	left := 1.0
@@ -60,25 +63,25 @@
 		lost := p.Weight * (1 - p.Value)
 		left -= lost
 		if i == 0 {
-			rows = append(rows, byClass(lost, r.Classes, weights)...)
+			rows = append(rows, splitByClass(lost, r.Classes, weights)...)
 			continue
 		}
-		rows = append(rows, Loss{Of: "parts", Name: p.Name, Worth: lost, Detail: fmt.Sprintf("%.3f of their benefit earned, weight %.2f", p.Value, p.Weight)})
+		rows = append(rows, Loss{Group: "parts", Name: p.Name, Score: lost, Detail: fmt.Sprintf("%.3f of their benefit earned, weight %.2f", p.Value, p.Weight)})
 	}
-	for _, p := range r.Prices {
+	for _, p := range r.Penalties {
 		left -= p.Cost
-		if p.Cost >= mostOff/4 {
-			rows = append(rows, Loss{Of: "prices", Name: p.Name, Worth: p.Cost, Detail: fmt.Sprintf("%.0f", p.Amount)})
+		if p.Cost >= maxRoundingError/4 {
+			rows = append(rows, Loss{Group: "prices", Name: p.Name, Score: p.Cost, Detail: fmt.Sprintf("%.0f", p.Amount)})
 		}
 	}
-	if off := left - r.Worth; off > mostOff || off < -mostOff {
-		return nil, errors.Wrapf(ErrDoesNotAddUp, "%.4f and %.4f", left, r.Worth)
+	if off := left - r.Score; off > maxRoundingError || off < -maxRoundingError {
+		return nil, errors.Wrapf(ErrScoreMismatch, "computed %.4f, reported %.4f", left, r.Score)
 	}
 	return rows, nil
 }
 
-// byClass splits what the whole day lost.
-func byClass(lost float64, classes []Outcome, weights map[string]float64) []Loss {
+// splitByClass splits the loss of the whole day by class.
+func splitByClass(lost float64, classes []Outcome, weights map[string]float64) []Loss {
 	all := 0.0
 	each := make([]float64, len(classes))
 	for i := range classes {
@@ -86,7 +89,7 @@
 		if !ok {
 			weight = 1
 		}
-		each[i] = weight * float64(classes[i].owed()) * (1 - classes[i].Worth)
+		each[i] = weight * float64(classes[i].owed()) * (1 - classes[i].Earned)
 		all += each[i]
 	}
 	rows := make([]Loss, 0, len(classes))
@@ -95,26 +98,26 @@
 			break
 		}
 		detail := fmt.Sprintf("%d owed: %d late, %d refused, %d failed", c.owed(), c.Late, c.Refused, c.Failed)
-		rows = append(rows, Loss{Of: "whole day", Name: c.Name, Worth: lost * each[i] / all, Detail: detail})
+		rows = append(rows, Loss{Group: "whole day", Name: c.Name, Score: lost * each[i] / all, Detail: detail})
 	}
 	return rows
 }
 
-// WriteLosses prints the rows, what the whole day lost by moment, and how the
-// requests ended that weren't served.
+// WriteLosses writes tables of the losses, of the requests lost in each time window,
+// and of the last attempts of unserved requests.
 func WriteLosses(out io.Writer, r *Report, rows []Loss) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	// What is written goes into the table's buffer, and fails when it is flushed.
+	// The table buffers its output, so that errors are returned by Flush.
 	_, _ = fmt.Fprintln(table, "of\twhat\tworth lost\tcounts")
 	for _, l := range rows {
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%.4f\t%s\n", l.Of, l.Name, l.Worth, l.Detail)
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%.4f\t%s\n", l.Group, l.Name, l.Score, l.Detail)
 	}
-	_, _ = fmt.Fprintf(table, "left\tworth\t%.4f\t\n\n", r.Worth)
+	_, _ = fmt.Fprintf(table, "left\tworth\t%.4f\t\n\n", r.Score)
 	_, _ = fmt.Fprintln(table, "from second\tbenefit earned\trequests lost\tcounts")
 	for _, w := range r.Windows {
-		lost := float64(w.owed()) * (1 - w.Worth)
+		lost := float64(w.owed()) * (1 - w.Earned)
 		_, _ = fmt.Fprintf(table, "%s\t%.3f\t%.0f\t%d owed: %d late, %d refused, %d failed; %d not owed\n",
-			w.Name, w.Worth, lost, w.owed(), w.Late, w.Refused, w.Failed, w.NotOwed)
+			w.Name, w.Earned, lost, w.owed(), w.Late, w.Refused, w.Failed, w.NotOwed)
 	}
 	_, _ = fmt.Fprintln(table, "\nnot served, last try\trequests\t\t")
 	for _, c := range r.Unserved {
--- a/testbed/rounds/report.go
+++ b/testbed/rounds/report.go
@@ -6,59 +6,60 @@
 	"github.com/go-faster/errors"
 )
 
-// Report is a day in full, as far as it is read here.
+// Report is the detailed report of a day; fields that this package doesn't use are
+// left out.
 type Report struct {
-	// Worth is benefit earned by benefit owed, less prices: parts and prices make
-	// it.
-	Worth   float64   `json:"G"`
-	Parts   []Part    `json:"parts"`
-	Prices  []Price   `json:"prices"`
-	Classes []Outcome `json:"classes"`
-	// Windows are a few seconds each; their names are the seconds at which they
-	// begin.
+	// Score is the earned benefit divided by the owed benefit, less penalties:
+	// the weighted parts less the penalties.
+	Score     float64   `json:"G"`
+	Parts     []Part    `json:"parts"`
+	Penalties []Penalty `json:"prices"`
+	Classes   []Outcome `json:"classes"`
+	// Windows are time windows of a few seconds, named by the second at which
+	// they begin.
 	Windows  []Outcome `json:"windows"`
 	Unserved []Ending  `json:"unserved_by"`
 }
 
-// Ending is how the last try of so many requests ended that weren't served.
+// Ending counts the unserved requests whose last attempt ended in the same way.
 type Ending struct {
 	Name     string
 	Requests int
 }
 
-// ReadReport reads a day's report.
+// ReadReport reads the report of a day. Errors wrap ErrUnreadable.
 func ReadReport(name string) (Report, error) {
 	var r Report
 	err := readJSON(name, &r)
 	return r, err
 }
 
-// UnmarshalJSON reads [name, weight, value].
+// UnmarshalJSON decodes [name, weight, value].
 func (p *Part) UnmarshalJSON(data []byte) error {
-	return readRow(data, &p.Name, &p.Weight, &p.Value)
+	return decodeArray(data, &p.Name, &p.Weight, &p.Value)
 }
 
-// UnmarshalJSON reads [name, amount, cost].
-func (p *Price) UnmarshalJSON(data []byte) error {
-	return readRow(data, &p.Name, &p.Amount, &p.Cost)
+// UnmarshalJSON decodes [name, amount, cost].
+func (p *Penalty) UnmarshalJSON(data []byte) error {
+	return decodeArray(data, &p.Name, &p.Amount, &p.Cost)
 }
 
-// UnmarshalJSON reads [name, requests, ...]; examples follow.
+// UnmarshalJSON decodes [name, requests, ...]; the examples that follow are ignored.
 func (e *Ending) UnmarshalJSON(data []byte) error {
-	return readRow(data, &e.Name, &e.Requests)
+	return decodeArray(data, &e.Name, &e.Requests)
 }
 
-// readRow reads the first values of an array.
-func readRow(data []byte, into ...any) error {
-	var row []json.RawMessage
-	if err := json.Unmarshal(data, &row); err != nil {
+// decodeArray decodes the first elements of a JSON array into the targets.
+func decodeArray(data []byte, targets ...any) error {
+	var elements []json.RawMessage
+	if err := json.Unmarshal(data, &elements); err != nil {
 		return errors.Wrap(ErrUnreadable, err.Error())
 	}
-	if len(row) < len(into) {
-		return errors.Wrapf(ErrUnreadable, "a row of %d values, %d are needed", len(row), len(into))
+	if len(elements) < len(targets) {
+		return errors.Wrapf(ErrUnreadable, "array has %d elements, need at least %d", len(elements), len(targets))
 	}
-	for i := range into {
-		if err := json.Unmarshal(row[i], into[i]); err != nil {
+	for i := range targets {
+		if err := json.Unmarshal(elements[i], targets[i]); err != nil {
 			return errors.Wrap(ErrUnreadable, err.Error())
 		}
 	}
--- a/testbed/rounds/rounds_test.go
+++ b/testbed/rounds/rounds_test.go
@@ -9,7 +9,7 @@
 	"github.com/go-faster/errors"
 )
 
-func write(t *testing.T, dir, name, text string) string {
+func writeFile(t *testing.T, dir, name, text string) string {
 	t.Helper()
 	path := filepath.Join(dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -20,17 +20,17 @@
 
 func TestMediansSideBySide(t *testing.T) {
 	dir := t.TempDir()
-	write(t, dir, "1.json", `{"head":"aaa1","why":"base","site":"s","days":[{"name":"d","G":0.5,"served":0.8}]}`)
-	write(t, dir, "2.json", `{"head":"aaa1","why":"base","site":"s","days":[{"name":"d","G":0.7,"served":0.9}]}`)
-	write(t, dir, "3.json", `{"head":"bbb2","why":"trial: x","site":"s","days":[{"name":"d","G":0.65,"rules":{"TIER":1}},{"name":"e","G":0.1}]}`)
-	write(t, dir, "4.json", `{"head":"ccc3","why":"other","site":"s","days":[{"name":"d","G":0.9}]}`)
+	writeFile(t, dir, "1.json", `{"head":"aaa1","why":"base","site":"s","days":[{"name":"d","G":0.5,"served":0.8}]}`)
+	writeFile(t, dir, "2.json", `{"head":"aaa1","why":"base","site":"s","days":[{"name":"d","G":0.7,"served":0.9}]}`)
+	writeFile(t, dir, "3.json", `{"head":"bbb2","why":"trial: x","site":"s","days":[{"name":"d","G":0.65,"rules":{"TIER":1}},{"name":"e","G":0.1}]}`)
+	writeFile(t, dir, "4.json", `{"head":"ccc3","why":"other","site":"s","days":[{"name":"d","G":0.9}]}`)
 	all, err := ReadJournal(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, after := range []string{"bbb", "trial: x"} {
 		var out strings.Builder
-		if err := Write(&out, Compare(all, "aaa", after)); err != nil {
+		if err := WriteComparisons(&out, Compare(all, "aaa", after)); err != nil {
 			t.Fatal(err)
 		}
 		lines := strings.Split(strings.TrimSpace(out.String()), "\n")
@@ -48,7 +48,7 @@
 
 func TestWhatCannotBeRead(t *testing.T) {
 	dir := t.TempDir()
-	write(t, dir, "1.json", "{")
+	writeFile(t, dir, "1.json", "{")
 	if _, err := ReadJournal(dir); !errors.Is(err, ErrUnreadable) {
 		t.Errorf("a broken journal: %v", err)
 	}
@@ -58,7 +58,7 @@
 }
 
 func TestDayIsDrawn(t *testing.T) {
-	path := write(t, t.TempDir(), "r.json", `{"windows":[{"name":"0","in_aim":245,"late":29,"refused":8},{"name":"2","in_aim":231,"failed":2}]}`)
+	path := writeFile(t, t.TempDir(), "r.json", `{"windows":[{"name":"0","in_aim":245,"late":29,"refused":8},{"name":"2","in_aim":231,"failed":2}]}`)
 	r, err := ReadReport(path)
 	if err != nil {
 		t.Fatal(err)
@@ -76,10 +76,10 @@
 			t.Errorf("the picture lacks %q", part)
 		}
 	}
-	if err := Draw(picture, "nothing", Report{}); !errors.Is(err, ErrNotDrawn) {
+	if err := Draw(picture, "nothing", Report{}); !errors.Is(err, ErrDraw) {
 		t.Errorf("a day without windows: %v", err)
 	}
-	if err := Draw(picture+".odd", "a day", r); !errors.Is(err, ErrNotDrawn) {
+	if err := Draw(picture+".odd", "a day", r); !errors.Is(err, ErrDraw) {
 		t.Errorf("a file of an unknown kind: %v", err)
 	}
 }
@@ -91,7 +91,7 @@
 "unserved_by":[["503",15,["an example"]],["deadline",5,[]]]}`
 
 func TestLossesAddUp(t *testing.T) {
-	r, err := ReadReport(write(t, t.TempDir(), "r.json", dayReport))
+	r, err := ReadReport(writeFile(t, t.TempDir(), "r.json", dayReport))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,16 +99,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sum := r.Worth
+	sum := r.Score
 	for _, l := range rows {
-		sum += l.Worth
+		sum += l.Score
 	}
 	if sum < 0.999 || sum > 1.001 {
 		t.Errorf("rows and worth make %v: %+v", sum, rows)
 	}
-	// 100 long ones that lost three tenths and count twice, 100 short ones that
-	// lost one: six to one.
-	if long, short := rows[0].Worth, rows[1].Worth; long < 5.9*short || long > 6.1*short {
+	// 100 owed "long" requests of weight 2 lost 0.3 of their benefit, and 100
+	// "short" ones of weight 1 lost 0.1: a ratio of 6 to 1.
+	if long, short := rows[0].Score, rows[1].Score; long < 5.9*short || long > 6.1*short {
 		t.Errorf("long lost %v, short %v", long, short)
 	}
 	var out strings.Builder
@@ -120,11 +120,11 @@
 			t.Errorf("lacks %q:\n%s", part, out.String())
 		}
 	}
-	r.Worth += 0.01
-	if _, err := Losses(&r, nil); !errors.Is(err, ErrDoesNotAddUp) {
+	r.Score += 0.01
+	if _, err := Losses(&r, nil); !errors.Is(err, ErrScoreMismatch) {
 		t.Errorf("a report that doesn't add up: %v", err)
 	}
-	if _, err := ReadReport(write(t, t.TempDir(), "r.json", `{"parts":[["whole day"]]}`)); !errors.Is(err, ErrUnreadable) {
+	if _, err := ReadReport(writeFile(t, t.TempDir(), "r.json", `{"parts":[["whole day"]]}`)); !errors.Is(err, ErrUnreadable) {
 		t.Errorf("a part without a value: %v", err)
 	}
 }
--- a/testbed/scenarios/scenarios.go
+++ b/testbed/scenarios/scenarios.go
@@ -1,5 +1,5 @@
-// Package scenarios holds the load of the two users, as mixes of work and
-// shapes of load that go together freely. Start reading at Load.
+// Package scenarios contains the load scenarios of the two users as mixes of work and
+// shapes of load, which can be combined freely. Start reading at Load.
 package scenarios
 
 import (
@@ -12,11 +12,11 @@
 )
 
 //go:embed mixes/*.yaml shapes/*.yaml
-var files embed.FS
+var embedded embed.FS
 
-const suffix = ".yaml"
+const fileSuffix = ".yaml"
 
-// Load returns the scenario of a mix and a shape, by their names.
+// Load returns the scenario of a named mix and a named shape.
 func Load(mix, shape string) (load.Scenario, error) {
 	mixText, err := Mix(mix)
 	if err != nil {
@@ -29,42 +29,42 @@
 	return load.ParseScenario(mixText, shapeText)
 }
 
-// Mix returns the YAML of a mix.
+// Mix returns the YAML of a named mix.
 func Mix(name string) ([]byte, error) {
 	return read("mixes", name)
 }
 
-// Shape returns the YAML of a shape.
+// Shape returns the YAML of a named shape.
 func Shape(name string) ([]byte, error) {
 	return read("shapes", name)
 }
 
-// Mixes lists the names of the mixes.
+// Mixes returns the names of all mixes.
 func Mixes() []string {
 	return names("mixes")
 }
 
-// Shapes lists the names of the shapes.
+// Shapes returns the names of all shapes.
 func Shapes() []string {
 	return names("shapes")
 }
 
 func read(folder, name string) ([]byte, error) {
-	text, err := files.ReadFile(folder + "/" + name + suffix)
+	text, err := embedded.ReadFile(folder + "/" + name + fileSuffix)
 	if err != nil {
-		return nil, errors.Errorf("no %q among the %s: %s", name, folder, strings.Join(names(folder), ", "))
+		return nil, errors.Errorf("unknown name %q in %s; available: %s", name, folder, strings.Join(names(folder), ", "))
 	}
 	return text, nil
 }
 
 func names(folder string) []string {
-	entries, err := files.ReadDir(folder)
+	entries, err := embedded.ReadDir(folder)
 	if err != nil {
 		return nil
 	}
 	var list []string
 	for _, entry := range entries {
-		list = append(list, strings.TrimSuffix(entry.Name(), suffix))
+		list = append(list, strings.TrimSuffix(entry.Name(), fileSuffix))
 	}
 	return list
 }
