--- a/testbed/baseline/server.go
+++ b/testbed/baseline/server.go
@@ -22,15 +22,15 @@
 // New returns the named router in front of engines, given by their base URLs.
 // Capacity is the number of streams that an engine runs at full speed. It returns an
 // error for an unknown name, without engines or for a capacity below 1.
-func New(name string, engines []string, capacity int) (*Router, error) {
-	if len(engines) == 0 || capacity <= 0 {
+func New(name string, urls []string, capacity int) (*Router, error) {
+	if len(urls) == 0 || capacity <= 0 {
 		return nil, errors.New("a baseline needs at least one engine and a positive capacity")
 	}
 	switch name {
 	case RoundRobin:
-		return &Router{picker: newRoundRobin(engines, capacity)}, nil
+		return &Router{picker: newRoundRobin(urls, capacity)}, nil
 	case LeastLoad:
-		return &Router{picker: newLeastLoad(engines)}, nil
+		return &Router{picker: newLeastLoad(urls)}, nil
 	default:
 		return nil, errors.Errorf("unknown baseline %q; available: %s", name, strings.Join(Names(), ", "))
 	}
@@ -47,8 +47,8 @@
 }
 
 // Start starts a server with the named router; see New.
-func Start(name string, engines []string, capacity int) (*Server, error) {
-	router, err := New(name, engines, capacity)
+func Start(name string, urls []string, capacity int) (*Server, error) {
+	router, err := New(name, urls, capacity)
 	if err != nil {
 		return nil, err
 	}
--- a/testbed/measure/measure.go
+++ b/testbed/measure/measure.go
@@ -35,16 +35,16 @@
 
 // resultList collects the results of all fleets. It is safe for concurrent use.
 type resultList struct {
-	// mu guards rounds.
+	// mu guards results.
 	mu      sync.Mutex
 	results []Round
 }
 
-func (c *resultList) add(options Options, round Round) {
+func (c *resultList) add(options Options, result Round) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.results = append(c.results, round)
-	total := round.Report.Total
+	c.results = append(c.results, result)
+	total := result.Report.Total
 	_, _ = fmt.Fprintf(options.Progress, "%s seed %d %s: %d sent, %.1f%% on time, useful %.0f%%, wasted %.1f%%\n",
-		round.Report.Scenario, round.Seed, round.Target, total.Sent, 100*total.Attainment, 100*round.Useful, 100*total.WastedShare)
+		result.Report.Scenario, result.Seed, result.Target, total.Sent, 100*total.Attainment, 100*result.Useful, 100*total.WastedShare)
 }
--- a/testbed/measure/sample.go
+++ b/testbed/measure/sample.go
@@ -9,10 +9,10 @@
 type sample []float64
 
 // newSample returns the values of a metric over results.
-func newSample(rounds []Round, figure func(Round) float64) sample {
+func newSample(results []Round, metric func(Round) float64) sample {
 	var s sample
-	for _, round := range rounds {
-		s = append(s, figure(round))
+	for _, result := range results {
+		s = append(s, metric(result))
 	}
 	slices.Sort(s)
 	return s
@@ -31,10 +31,10 @@
 	if len(s) == 0 {
 		return "not run"
 	}
-	middle := fmt.Sprintf(format, s.median())
+	median := fmt.Sprintf(format, s.median())
 	low, high := fmt.Sprintf(format, s[0]), fmt.Sprintf(format, s[len(s)-1])
 	if low == high {
-		return middle
+		return median
 	}
-	return fmt.Sprintf("%s (%s to %s)", middle, low, high)
+	return fmt.Sprintf("%s (%s to %s)", median, low, high)
 }
--- a/testbed/measure/table.go
+++ b/testbed/measure/table.go
@@ -13,9 +13,9 @@
 
 // WriteTables writes Markdown tables of all results: medians over the seeds, with the
 // lowest and the highest value where they differ.
-func WriteTables(w io.Writer, options Options, rounds []Round) {
+func WriteTables(w io.Writer, options Options, results []Round) {
 	for _, mix := range options.Mixes {
-		t := table{out: w, shapes: options.Shapes, results: filter(rounds, func(r Round) bool { return r.Mix == mix })}
+		t := table{out: w, shapes: options.Shapes, results: filter(results, func(r Round) bool { return r.Mix == mix })}
 		if len(t.results) == 0 {
 			continue
 		}
@@ -33,8 +33,8 @@
 	results []Round
 }
 
-func filter(rounds []Round, keep func(Round) bool) []Round {
-	return slices.DeleteFunc(slices.Clone(rounds), func(r Round) bool { return !keep(r) })
+func filter(results []Round, keep func(Round) bool) []Round {
+	return slices.DeleteFunc(slices.Clone(results), func(r Round) bool { return !keep(r) })
 }
 
 // resultsFor returns the results of all seeds for a shape and a target.
@@ -60,51 +60,51 @@
 	t.header(cells...)
 	for _, shape := range t.shapes {
 		for _, target := range append([]string{targetApplepier}, baseline.Names()...) {
-			if rounds := t.resultsFor(shape, target); len(rounds) > 0 {
-				t.row(append([]string{shape, target}, t.metricCells(shape, rounds)...)...)
+			if results := t.resultsFor(shape, target); len(results) > 0 {
+				t.row(append([]string{shape, target}, t.metricCells(shape, results)...)...)
 			}
 		}
 	}
 	_, _ = fmt.Fprintln(t.out)
 }
 
-func (t table) metricCells(shape string, rounds []Round) []string {
+func (t table) metricCells(shape string, results []Round) []string {
 	var cells []string
-	for i := range rounds[0].Report.Classes {
-		attained := newSample(rounds, func(r Round) float64 { return percent * r.Report.Classes[i].Attainment })
-		cells = append(cells, attained.formatted("%.1f"))
+	for i := range results[0].Report.Classes {
+		attainment := newSample(results, func(r Round) float64 { return percent * r.Report.Classes[i].Attainment })
+		cells = append(cells, attainment.formatted("%.1f"))
 	}
 	return append(cells,
-		topTierMissed(rounds),
-		goodput(rounds).formatted("%.1f"),
-		newSample(rounds, func(r Round) float64 { return percent * r.Useful }).formatted("%.0f%%"),
-		newSample(rounds, func(r Round) float64 { return percent * r.Report.Total.WastedShare }).formatted("%.1f%%"),
-		newSample(rounds, func(r Round) float64 { return r.Report.Total.FirstTokenMaxMS / 1000 }).formatted("%.1f"),
-		fmt.Sprint(sum(rounds, func(r Round) int { return r.Report.Total.RanThoughRefused })),
-		t.goodputRatio(shape, rounds),
+		topTierMissed(results),
+		goodput(results).formatted("%.1f"),
+		newSample(results, func(r Round) float64 { return percent * r.Useful }).formatted("%.0f%%"),
+		newSample(results, func(r Round) float64 { return percent * r.Report.Total.WastedShare }).formatted("%.1f%%"),
+		newSample(results, func(r Round) float64 { return r.Report.Total.FirstTokenMaxMS / 1000 }).formatted("%.1f"),
+		fmt.Sprint(sum(results, func(r Round) int { return r.Report.Total.RanThoughRefused })),
+		t.goodputRatio(shape, results),
 	)
 }
 
 // goodputRatio returns the system's goodput divided by that of a baseline; empty for
 // the system itself.
-func (t table) goodputRatio(shape string, rounds []Round) string {
-	own := goodput(t.resultsFor(shape, targetApplepier)).median()
-	other := goodput(rounds).median()
-	if rounds[0].Target == targetApplepier || other == 0 {
+func (t table) goodputRatio(shape string, results []Round) string {
+	system := goodput(t.resultsFor(shape, targetApplepier)).median()
+	baselineGoodput := goodput(results).median()
+	if results[0].Target == targetApplepier || baselineGoodput == 0 {
 		return ""
 	}
-	return fmt.Sprintf("%.2f", own/other)
+	return fmt.Sprintf("%.2f", system/baselineGoodput)
 }
 
 // goodput returns the goodput during the shape's peak phase.
-func goodput(rounds []Round) sample {
-	return newSample(rounds, func(r Round) float64 { return peakPhase(r.Report).Total.Goodput })
+func goodput(results []Round) sample {
+	return newSample(results, func(r Round) float64 { return peakPhase(r.Report).Total.Goodput })
 }
 
-func topTierMissed(rounds []Round) string {
+func topTierMissed(results []Round) string {
 	missed, sent := 0, 0
-	for _, round := range rounds {
-		for _, class := range round.Report.Classes {
+	for _, result := range results {
+		for _, class := range result.Report.Classes {
 			if class.Tier == 0 {
 				sent += class.Sent
 				missed += class.Sent - class.OnTime
@@ -114,10 +114,10 @@
 	return fmt.Sprintf("%d of %d", missed, sent)
 }
 
-func sum(rounds []Round, figure func(Round) int) int {
+func sum(results []Round, metric func(Round) int) int {
 	total := 0
-	for _, round := range rounds {
-		total += figure(round)
+	for _, result := range results {
+		total += metric(result)
 	}
 	return total
 }
--- a/testbed/readme/readme_test.go
+++ b/testbed/readme/readme_test.go
@@ -54,9 +54,9 @@
 // example settings with free ports and are stopped by SIGTERM, as by an operator.
 func TestRunIt(t *testing.T) {
 	for _, line := range readmeCommands(t, "Run it") {
-		before, settings, serves := strings.Cut(line, " serve --settings ")
+		program, settings, serves := strings.Cut(line, " serve --settings ")
 		if serves {
-			startAndStop(t, before+" serve --settings "+withFreePorts(t, settings))
+			startAndStop(t, program+" serve --settings "+withFreePorts(t, settings))
 			continue
 		}
 		if out, err := command(line).CombinedOutput(); err != nil {
@@ -70,7 +70,7 @@
 func startAndStop(t *testing.T, line string) {
 	t.Helper()
 	cmd := command(line)
-	log, err := cmd.StderrPipe()
+	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 		t.Fatal(err)
 	}
 	var logged []string
-	for lines := bufio.NewScanner(log); lines.Scan(); {
+	for lines := bufio.NewScanner(stderr); lines.Scan(); {
 		logged = append(logged, lines.Text())
 		if strings.Contains(lines.Text(), "event=started") {
 			if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
--- a/testbed/rounds/compare.go
+++ b/testbed/rounds/compare.go
@@ -20,19 +20,19 @@
 func Compare(runs []Run, before, after string) []Comparison {
 	rows := map[string]*Comparison{}
 	for i := range runs {
-		e := &runs[i]
-		for _, d := range e.Days {
-			if !e.Matches(before) && !e.Matches(after) {
+		run := &runs[i]
+		for _, d := range run.Days {
+			if !run.Matches(before) && !run.Matches(after) {
 				continue
 			}
-			key := e.Site + " " + d.Name
+			key := run.Site + " " + d.Name
 			if rows[key] == nil {
-				rows[key] = &Comparison{Site: e.Site, Day: d.Name}
+				rows[key] = &Comparison{Site: run.Site, Day: d.Name}
 			}
-			if e.Matches(before) {
+			if run.Matches(before) {
 				rows[key].Before = append(rows[key].Before, d)
 			}
-			if e.Matches(after) {
+			if run.Matches(after) {
 				rows[key].After = append(rows[key].After, d)
 			}
 		}
@@ -71,8 +71,8 @@
 		values[i] = metric(d)
 	}
 	slices.Sort(values)
-	middle := (values[(len(values)-1)/2] + values[len(values)/2]) / 2
-	return fmt.Sprintf("%.3f", middle)
+	value := (values[(len(values)-1)/2] + values[len(values)/2]) / 2
+	return fmt.Sprintf("%.3f", value)
 }
 
 // brokenRules returns the names of the rules that were broken after the change.
--- a/testbed/rounds/draw.go
+++ b/testbed/rounds/draw.go
@@ -43,17 +43,17 @@
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "from second", "requests"
 	p.Legend.Top = true
-	var below *plotter.BarChart
+	var previous *plotter.BarChart
 	for _, s := range outcomes {
 		bars, err := plotter.NewBarChart(windowValues(r, s.count), barWidth)
 		if err != nil {
 			return errors.Wrap(ErrDraw, err.Error())
 		}
 		bars.Color, bars.LineStyle.Width = s.colour, 0
-		if below != nil {
-			bars.StackOn(below)
+		if previous != nil {
+			bars.StackOn(previous)
 		}
-		below = bars
+		previous = bars
 		p.Add(bars)
 		p.Legend.Add(s.name, bars)
 	}
--- a/testbed/rounds/journal.go
+++ b/testbed/rounds/journal.go
@@ -57,8 +57,8 @@
 
 // Matches reports whether the run's commit or reason begins with prefix. An empty
 // prefix matches nothing.
-func (e *Run) Matches(prefix string) bool {
-	return prefix != "" && (strings.HasPrefix(e.Head, prefix) || strings.HasPrefix(e.Why, prefix))
+func (r *Run) Matches(prefix string) bool {
+	return prefix != "" && (strings.HasPrefix(r.Head, prefix) || strings.HasPrefix(r.Why, prefix))
 }
 
 func readJSON(name string, into any) error {
--- a/testbed/rounds/losses.go
+++ b/testbed/rounds/losses.go
@@ -58,10 +58,10 @@
 // weight of one request of a class; the default is 1.
 func Losses(r *Report, weights map[string]float64) ([]Loss, error) {
 	var rows []Loss
-	left := 1.0
+	score := 1.0
 	for i, p := range r.Parts {
 		lost := p.Weight * (1 - p.Value)
-		left -= lost
+		score -= lost
 		if i == 0 {
 			rows = append(rows, splitByClass(lost, r.Classes, weights)...)
 			continue
@@ -69,36 +69,36 @@
 		rows = append(rows, Loss{Group: "parts", Name: p.Name, Score: lost, Detail: fmt.Sprintf("%.3f of their benefit earned, weight %.2f", p.Value, p.Weight)})
 	}
 	for _, p := range r.Penalties {
-		left -= p.Cost
+		score -= p.Cost
 		if p.Cost >= maxRoundingError/4 {
 			rows = append(rows, Loss{Group: "prices", Name: p.Name, Score: p.Cost, Detail: fmt.Sprintf("%.0f", p.Amount)})
 		}
 	}
-	if off := left - r.Score; off > maxRoundingError || off < -maxRoundingError {
-		return nil, errors.Wrapf(ErrScoreMismatch, "computed %.4f, reported %.4f", left, r.Score)
+	if diff := score - r.Score; diff > maxRoundingError || diff < -maxRoundingError {
+		return nil, errors.Wrapf(ErrScoreMismatch, "computed %.4f, reported %.4f", score, r.Score)
 	}
 	return rows, nil
 }
 
 // splitByClass splits the loss of the whole day by class.
 func splitByClass(lost float64, classes []Outcome, weights map[string]float64) []Loss {
-	all := 0.0
-	each := make([]float64, len(classes))
+	total := 0.0
+	losses := make([]float64, len(classes))
 	for i := range classes {
 		weight, ok := weights[classes[i].Name]
 		if !ok {
 			weight = 1
 		}
-		each[i] = weight * float64(classes[i].owed()) * (1 - classes[i].Earned)
-		all += each[i]
+		losses[i] = weight * float64(classes[i].owed()) * (1 - classes[i].Earned)
+		total += losses[i]
 	}
 	rows := make([]Loss, 0, len(classes))
 	for i, c := range classes {
-		if all == 0 {
+		if total == 0 {
 			break
 		}
 		detail := fmt.Sprintf("%d owed: %d late, %d refused, %d failed", c.owed(), c.Late, c.Refused, c.Failed)
-		rows = append(rows, Loss{Group: "whole day", Name: c.Name, Score: lost * each[i] / all, Detail: detail})
+		rows = append(rows, Loss{Group: "whole day", Name: c.Name, Score: lost * losses[i] / total, Detail: detail})
 	}
 	return rows
 }
--- a/testbed/soak/client.go
+++ b/testbed/soak/client.go
@@ -62,7 +62,7 @@
 }
 
 // drawIdleTime draws how long the connection stays idle before its next request:
-// zero in a third of the cases and the maximum in another third.
+// zero in a third of the cases, the maximum in another third, else a random time.
 func (c *client) drawIdleTime() time.Duration {
 	longest := maxIdleFraction * float64(c.state.minIdleTimeout())
 	switch c.random.IntN(3) {
--- a/testbed/soak/gatewayprocess.go
+++ b/testbed/soak/gatewayprocess.go
@@ -48,7 +48,7 @@
 }
 
 // newGateway creates a gateway's proxies and settings file without starting it.
-// line is the VM's inbound bandwidth in bits per second.
+// bandwidth is the VM's inbound bandwidth in bits per second.
 func newGateway(programs *fleet.Programs, dir, program, name string, platform *storeProcess, bandwidth float64) (*gatewayProcess, error) {
 	var addrs [3]string
 	for i := range addrs {
--- a/testbed/soak/proxy.go
+++ b/testbed/soak/proxy.go
@@ -181,9 +181,9 @@
 			}
 		}
 	}()
-	broken := false
+	sendFailed := false
 	for c := range chunks {
-		if broken {
+		if sendFailed {
 			continue
 		}
 		time.Sleep(time.Until(c.due))
@@ -192,7 +192,7 @@
 		}
 		if _, err := to.Write(c.data); err != nil {
 			// The sender sees a reset, and the reader goroutine ends.
-			broken = true
+			sendFailed = true
 			abort(from)
 		}
 	}
--- a/testbed/soak/run.go
+++ b/testbed/soak/run.go
@@ -64,7 +64,7 @@
 		return Result{}, errors.Wrap(err, "create evidence folder")
 	}
 	steps := Plan(c.Seed, c.Gateways, servers, c.For)
-	history, err := run(ctx, c, dir, steps)
+	history, err := runSeed(ctx, c, dir, steps)
 	result := Result{Seed: c.Seed, Calls: len(history.Calls), Owed: CountOwed(history), Steps: len(steps), Violations: Check(history)}
 	for _, call := range history.Calls {
 		if isSuccess(call.Status) && call.Whole {
@@ -86,9 +86,9 @@
 	return os.WriteFile(filepath.Join(dir, name), text, 0o600)
 }
 
-// play runs the steps under load, then waits until every gateway serves again or
+// runSeed runs the steps under load, then waits until every gateway serves again or
 // its recovery timeout has passed.
-func run(ctx context.Context, c Config, dir string, steps []Step) (History, error) {
+func runSeed(ctx context.Context, c Config, dir string, steps []Step) (History, error) {
 	h, err := newHarness(ctx, c, dir)
 	defer h.close()
 	if err != nil {
--- a/testbed/soak/script.go
+++ b/testbed/soak/script.go
@@ -50,12 +50,12 @@
 	}
 }
 
-// delayed runs then after a delay derived from the request's ID, below most
+// delayed runs then after a delay derived from the request's ID, below maxMS
 // milliseconds. It gives up if the client disconnects meanwhile.
-func delayed(most uint64, then gateway.Script) gateway.Script {
+func delayed(maxMS uint64, then gateway.Script) gateway.Script {
 	return func(c net.Conn, a *gateway.Arrival) bool {
 		select {
-		case <-time.After(time.Duration(hashID(a.ID)%most) * time.Millisecond):
+		case <-time.After(time.Duration(hashID(a.ID)%maxMS) * time.Millisecond):
 			return then(c, a)
 		case <-a.Left:
 			return false
--- a/testbed/soak/simulators.go
+++ b/testbed/soak/simulators.go
@@ -47,16 +47,16 @@
 	}
 	name, _, _ := strings.Cut(instance, instanceSeparator)
 	var writing sync.Mutex
-	recordArrival := func(as string) gateway.Script {
-		do := scriptByName(as)
+	recordArrival := func(scriptName string) gateway.Script {
+		respondWith := scriptByName(scriptName)
 		return func(c net.Conn, a *gateway.Arrival) bool {
-			arrival := Arrival{ID: a.ID, Server: name, At: time.Now(), Script: as, Ran: as != "refuse", Cut: as == "half"}
+			arrival := Arrival{ID: a.ID, Server: name, At: time.Now(), Script: scriptName, Ran: scriptName != "refuse", Cut: scriptName == "half"}
 			writing.Lock()
 			// Recorded before the request runs, so that no run of a killed
 			// process is missing.
 			err := json.NewEncoder(file).Encode(arrival)
 			writing.Unlock()
-			return err == nil && do(c, a)
+			return err == nil && respondWith(c, a)
 		}
 	}
 	server, err := gateway.Listen(listen, instance, recordArrival(scriptNames[0]), func(*gateway.Arrival) {})
--- a/testbed/soak/stategenerator.go
+++ b/testbed/soak/stategenerator.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// document encodes the current desired state as JSON. The caller holds d.mu.
+// document encodes the current desired state as JSON. The caller must hold g.mu.
 func (g *stateGenerator) document() []byte {
 	route := func(name, kind string, more map[string]any) map[string]any {
 		r := map[string]any{
--- a/testbed/soak/steps.go
+++ b/testbed/soak/steps.go
@@ -86,9 +86,9 @@
 	case kindCut:
 		endFault := h.recordFault(g.name, s.Kind)
 		// Blocks one direction or both.
-		ways := s.How%3 + 1
+		mask := s.How%3 + 1
 		for direction := range directionCount {
-			if ways&(1<<direction) != 0 {
+			if mask&(1<<direction) != 0 {
 				g.frontProxy.setBlocked(direction, true)
 				defer g.frontProxy.setBlocked(direction, false)
 			}
