--- a/testbed/rounds/compare.go
+++ b/testbed/rounds/compare.go
@@ -61,7 +61,7 @@
 	return median(r.Before, metric) + ", " + median(r.After, metric)
 }
 
-// median formats the median of a figure; "-" without runs.
+// median formats the median of a metric; "-" without runs.
 func median(days []Day, metric func(Day) float64) string {
 	if len(days) == 0 {
 		return "-"
--- a/testbed/soak/harness.go
+++ b/testbed/soak/harness.go
@@ -39,7 +39,8 @@
 	gateways []*gatewayProcess
 	servers  []*serverProcess
 	states   *stateGenerator
-	// mu guards the fields below; no other lock is acquired while it is held.
+	// mu guards the fields below. collect locks stateGenerator.mu while it holds mu;
+	// no lock is held when mu is locked.
 	mu       sync.Mutex
 	history  History
 	firstErr error
