--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -44,7 +44,7 @@
 	Store Store
 	// Holder holds the targets applied in this process. Accepted changes are
 	// offered to it immediately.
-	Holder *targets.Holder
+	Holder *targets.Cache
 	// Fleet reports the status of all processes and backend servers.
 	Fleet Fleet
 	// OperatorKey is the key that every request must carry. If it is empty, all
@@ -55,7 +55,7 @@
 	// after a short time if none could be reached. The change therefore takes
 	// effect even if the table service goes down and this process dies right
 	// after the response. May be nil.
-	Spread func(ctx context.Context, version uint64)
+	Propagate func(ctx context.Context, version uint64)
 	// Log receives the API's log messages. Nil disables logging.
 	Log *zap.Logger
 }
@@ -63,7 +63,7 @@
 // API serves the administration API over HTTP.
 type API struct {
 	store           Store
-	holder          *targets.Holder
+	holder          *targets.Cache
 	fleet           Fleet
 	propagate       func(ctx context.Context, version uint64)
 	requireOperator auth.Middleware
@@ -80,8 +80,8 @@
 		store:           config.Store,
 		holder:          config.Holder,
 		fleet:           config.Fleet,
-		propagate:       config.Spread,
-		requireOperator: auth.Operator(config.OperatorKey),
+		propagate:       config.Propagate,
+		requireOperator: auth.RequireOperatorKey(config.OperatorKey),
 		log:             log,
 	}
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -31,23 +31,23 @@
 }
 
 func (f fakeFleet) Processes() []Process { return f.processes() }
-func (f fakeFleet) Engines() []Engine {
-	return []Engine{{VM: "e1", Serves: "apple-avustaja", Limit: 4, Heard: true, Age: time.Second}}
+func (f fakeFleet) BackendServers() []BackendServer {
+	return []BackendServer{{VM: "e1", Serves: "apple-avustaja", Limit: 4, HasStatus: true, StatusAge: time.Second}}
 }
 
 // testAPI is an API with an in-memory table.
 type testAPI struct {
 	table  *storagetest.Table
-	holder *targets.Holder
+	holder *targets.Cache
 	router *httprouter.Router
 	// reportedVersion is the targets version that process "a" reports.
 	reportedVersion atomic.Uint64
 }
 
 func newTestAPI() *testAPI {
-	api := &testAPI{table: storagetest.NewTable(), holder: targets.NewHolder(), router: httprouter.New()}
+	api := &testAPI{table: storagetest.NewTable(), holder: targets.NewCache(), router: httprouter.New()}
 	fleet := fakeFleet{processes: func() []Process {
-		return []Process{{Name: "a", Heard: true, Version: api.reportedVersion.Load()}, {Name: "silent", Heard: true, Age: time.Minute}, {Name: "never"}}
+		return []Process{{Name: "a", HasStatus: true, TargetsVersion: api.reportedVersion.Load()}, {Name: "silent", HasStatus: true, StatusAge: time.Minute}, {Name: "never"}}
 	}}
 	New(Config{Store: store.New(api.table), Holder: api.holder, Fleet: fleet, OperatorKey: operatorKey}).Register(api.router)
 	return api
@@ -163,12 +163,12 @@
 func TestChangeWithTableFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		api := newTestAPI()
-		api.table.FailCommits(storagetest.FaultLost)
+		api.table.InjectFaults(storagetest.FaultResponseLost)
 		accepted := decodeResponse[changeResponse](t, api.send(http.MethodPut, "/classes/hazard-flag", "0", classBody), http.StatusOK)
 		if accepted.Version != 1 {
 			t.Fatalf("after a lost commit response: %+v", accepted)
 		}
-		api.table.SetDown(true)
+		api.table.SetUnavailable(true)
 		w := api.send(http.MethodPut, "/classes/gate-check", "1", classBody)
 		if response := decodeResponse[errorResponse](t, w, http.StatusServiceUnavailable); response.Error.Code != codeTableUnavailable || w.Header().Get("Retry-After") == "" {
 			t.Fatalf("while the table is down: %+v", response)
@@ -177,9 +177,9 @@
 		if read.Source != sourceMemory || read.Version != 1 || len(read.Classes) != 1 {
 			t.Fatalf("read while the table is down: %+v", read)
 		}
-		api.table.SetDown(false)
-		api.table.FailCommits(storagetest.FaultLate)
-		api.table.BeforeCommit(func([]storage.Write) { api.table.SetDown(api.table.Commits() > 1) })
+		api.table.SetUnavailable(false)
+		api.table.InjectFaults(storagetest.FaultDelayed)
+		api.table.BeforeCommit(func([]storage.Write) { api.table.SetUnavailable(api.table.Commits() > 1) })
 		unknown := decodeResponse[errorResponse](t, api.send(http.MethodPut, "/classes/gate-check", "1", classBody), http.StatusGatewayTimeout)
 		if unknown.Error.Code != codeOutcomeUnknown || unknown.Version != 2 {
 			t.Fatalf("unknown outcome: %+v", unknown)
@@ -192,7 +192,7 @@
 	created := decodeResponse[changeResponse](t, api.send(http.MethodPut, "/customers/ledger", "0", ""), http.StatusOK)
 	r := httptest.NewRequest(http.MethodPost, "/", nil)
 	auth.SetBearer(r.Header, created.APIKey)
-	if name, err := auth.Caller(api.holder.Current(), false, r); err != nil || name != "ledger" {
+	if name, err := auth.AuthenticateCustomer(api.holder.Current(), false, r); err != nil || name != "ledger" {
 		t.Fatalf("caller with the new key: %q, %v", name, err)
 	}
 	for _, path := range []string{"/customers", "/customers/ledger"} {
@@ -206,7 +206,7 @@
 		t.Fatal("a key was generated although a hash was given")
 	}
 	decodeResponse[changeResponse](t, api.send(http.MethodDelete, "/customers/ledger", "2", ""), http.StatusOK)
-	if _, err := auth.Caller(api.holder.Current(), false, r); err == nil {
+	if _, err := auth.AuthenticateCustomer(api.holder.Current(), false, r); err == nil {
 		t.Fatal("the key of a removed customer still works")
 	}
 }
--- a/internal/admin/change.go
+++ b/internal/admin/change.go
@@ -129,7 +129,7 @@
 		a.writeChangeError(w, err, attach)
 		return
 	}
-	a.holder.Offer(set)
+	a.holder.UpdateIfNewer(set)
 	if a.propagate != nil {
 		a.propagate(r.Context(), set.Version)
 	}
@@ -156,7 +156,7 @@
 		writeProblems(w, invalid.Problems)
 		return
 	}
-	if unsettled, ok := errors.Into[*store.UnsettledError](err); ok {
+	if unsettled, ok := errors.Into[*store.OutcomeUnknownError](err); ok {
 		response := newErrorResponse(codeOutcomeUnknown, "the change may or may not have taken effect, or may yet; read the targets again once the table service answers")
 		response.Version = unsettled.Version
 		writeJSON(w, http.StatusGatewayTimeout, response)
--- a/internal/admin/fleet.go
+++ b/internal/admin/fleet.go
@@ -14,7 +14,7 @@
 	// status.
 	Processes() []Process
 	// BackendServers returns the backend servers of the agents.
-	Engines() []Engine
+	BackendServers() []BackendServer
 }
 
 // Process is the last known status of a process.
@@ -27,22 +27,22 @@
 	Role string
 	// TargetsVersion is the version of the targets that the process last
 	// reported as applied.
-	Version uint64
+	TargetsVersion uint64
 	// HasStatus is true if the process has ever reported its status. StatusAge
 	// is the time since its last report.
-	Heard bool
-	Age   time.Duration
+	HasStatus bool
+	StatusAge time.Duration
 	// Leaving is true if the process takes no new work.
-	Leaving bool
+	Draining bool
 }
 
 // hasRecentStatus reports whether the last status is at most maxStatusAge old.
 func (p Process) hasRecentStatus() bool {
-	return p.Heard && p.Age <= maxStatusAge
+	return p.HasStatus && p.StatusAge <= maxStatusAge
 }
 
 // BackendServer is the last known status of a backend server.
-type Engine struct {
+type BackendServer struct {
 	// VM is the name of its VM. Zone is its availability zone.
 	VM   string
 	Zone string
@@ -55,10 +55,10 @@
 	Limit   int
 	// Leaving is true if its agent takes no new work. Down is true if the agent
 	// can't reach the backend server.
-	Leaving bool
-	Down    bool
+	Draining bool
+	Down     bool
 	// HasStatus is true if its agent has ever reported its status. StatusAge is
 	// the time since that agent's last report.
-	Heard bool
-	Age   time.Duration
+	HasStatus bool
+	StatusAge time.Duration
 }
--- a/internal/admin/load.go
+++ b/internal/admin/load.go
@@ -25,6 +25,6 @@
 		a.log.Warn(logging.EventAdminReadFailed, zap.Error(err))
 		return a.holder.Current(), sourceMemory
 	}
-	a.holder.Offer(set)
+	a.holder.UpdateIfNewer(set)
 	return set, sourceTable
 }
--- a/internal/admin/propagation.go
+++ b/internal/admin/propagation.go
@@ -34,7 +34,7 @@
 	result := propagation{Behind: []string{}, NotHeardFrom: []string{}}
 	for _, p := range processes {
 		switch {
-		case p.Heard && p.Version >= version:
+		case p.HasStatus && p.TargetsVersion >= version:
 			// A process never goes back to an older version, so an old report of
 			// this version is still valid.
 		case !p.hasRecentStatus():
--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -21,10 +21,10 @@
 			Name:            p.Name,
 			Zone:            p.Zone,
 			Role:            p.Role,
-			Version:         p.Version,
+			Version:         p.TargetsVersion,
 			HasRecentStatus: p.hasRecentStatus(),
-			StatusAge:       optionalAge(p.Heard, p.Age),
-			Leaving:         p.Leaving,
+			StatusAge:       optionalAge(p.HasStatus, p.StatusAge),
+			Leaving:         p.Draining,
 		})
 	}
 	setETag(w, set.Version)
@@ -36,7 +36,7 @@
 func (a *API) listBackendServers(w http.ResponseWriter, _ *http.Request) {
 	version := a.holder.Current().Version
 	response := backendServersResponse{Version: version, BackendServers: []backendServerView{}}
-	for _, e := range a.fleet.Engines() {
+	for _, e := range a.fleet.BackendServers() {
 		response.BackendServers = append(response.BackendServers, backendServerView{
 			VM:        e.VM,
 			Zone:      e.Zone,
@@ -44,9 +44,9 @@
 			Running:   e.Running,
 			Waiting:   e.Waiting,
 			Limit:     e.Limit,
-			Leaving:   e.Leaving,
+			Leaving:   e.Draining,
 			Down:      e.Down,
-			StatusAge: optionalAge(e.Heard, e.Age),
+			StatusAge: optionalAge(e.HasStatus, e.StatusAge),
 		})
 	}
 	setETag(w, version)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -58,7 +58,7 @@
 
 	clock    timeline.Clock
 	events   *timeline.Ring
-	targets  *targets.Holder
+	targets  *targets.Cache
 	metrics  *metrics.Metrics
 	vmList   storage.VMList
 	rowStore storage.Table
@@ -73,20 +73,20 @@
 // New returns an Agent with the settings cfg. systemKey authenticates the
 // other processes of the system.
 func New(cfg settings.Agent, systemKey string, log *zap.Logger) *Agent {
-	a := &Agent{settings: cfg, incarnation: ids.New(), systemKey: systemKey, log: log, targets: targets.NewHolder(), metrics: metrics.New()}
+	a := &Agent{settings: cfg, incarnation: ids.New(), systemKey: systemKey, log: log, targets: targets.NewCache(), metrics: metrics.New()}
 	a.events = timeline.NewRing(cfg.Process, &a.clock, eventCapacity)
-	a.dispatcher = newDispatcher(a.incarnation, cfg.Backend.Serves, a.events, a.targets, a.metrics.Queue)
-	platform := counted.New(storage.NewHTTP(cfg.Platform.URL), a.metrics.Platform)
+	a.dispatcher = newDispatcher(a.incarnation, cfg.Backend.ServedName, a.events, a.targets, a.metrics.Queue)
+	platform := counted.New(storage.NewHTTPClient(cfg.Platform.URL), a.metrics.Platform)
 	a.vmList = platform
 	a.rowStore = platform
-	a.metrics.OnRead(func() { a.metrics.TargetsVersion(a.targets.Current().Version) })
+	a.metrics.OnScrape(func() { a.metrics.SetTargetsVersion(a.targets.Current().Version) })
 	a.setBackendClient()
 	return a
 }
 
 func (a *Agent) setBackendClient() {
 	if a.settings.Backend.Kind == settings.BackendService {
-		a.service = engine.NewService(a.settings.Backend.URL)
+		a.service = engine.NewServiceClient(a.settings.Backend.URL)
 		return
 	}
 	a.engine = engine.NewClient(a.settings.Backend.URL)
@@ -193,7 +193,7 @@
 }
 
 func (a *Agent) cancelEarlierRuns(ctx context.Context) error {
-	runIDs, err := a.engine.Running(ctx)
+	runIDs, err := a.engine.RunIDs(ctx)
 	if err != nil {
 		return errors.Wrap(err, "list runs")
 	}
@@ -219,7 +219,7 @@
 	}
 }
 
-func (a *Agent) connOptions() wire.Local {
+func (a *Agent) connOptions() wire.Config {
 	version := func() uint64 { return a.targets.Current().Version }
-	return wire.Local{Clock: &a.clock, TargetsVersion: version, Traffic: a.metrics.Control}
+	return wire.Config{Clock: &a.clock, TargetsVersion: version, Traffic: a.metrics.Control}
 }
--- a/internal/agent/dispatcher.go
+++ b/internal/agent/dispatcher.go
@@ -30,7 +30,7 @@
 type dispatcher struct {
 	incarnation  string
 	events       *timeline.Ring
-	targets      *targets.Holder
+	targets      *targets.Cache
 	queueMetrics *metrics.Queue
 
 	mu         sync.Mutex
@@ -53,7 +53,7 @@
 	drained   chan struct{}
 }
 
-func newDispatcher(incarnation, served string, events *timeline.Ring, targetHolder *targets.Holder, queueMetrics *metrics.Queue) *dispatcher {
+func newDispatcher(incarnation, served string, events *timeline.Ring, targetHolder *targets.Cache, queueMetrics *metrics.Queue) *dispatcher {
 	return &dispatcher{
 		incarnation:  incarnation,
 		served:       served,
@@ -111,6 +111,6 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for s := range d.sessions {
-		s.conn.End()
+		s.conn.CloseNow()
 	}
 }
--- a/internal/agent/dispatcher_grants.go
+++ b/internal/agent/dispatcher_grants.go
@@ -63,7 +63,7 @@
 	d.grants.addIssued(g)
 	d.events.Record(timeline.KindGrant, t.requestID, t.policy.Class, "")
 	t.session.send(wire.Message{
-		Grant:  &wire.Grant{Request: t.requestID, Attempt: t.attempt, ID: g.id},
+		Grant:  &wire.Grant{RequestID: t.requestID, Attempt: t.attempt, ID: g.id},
 		Status: d.statusLocked(0),
 	})
 }
@@ -111,8 +111,8 @@
 func (d *dispatcher) useGrant(req *wire.RunRequest) (*grant, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	g, ok := d.grants.byID[req.Grant]
-	if !ok || g.state != grantIssued || g.ticketID != ticketID(req.Request, req.Attempt) {
+	g, ok := d.grants.byID[req.GrantID]
+	if !ok || g.state != grantIssued || g.ticketID != ticketID(req.RequestID, req.Attempt) {
 		return nil, false
 	}
 	d.grants.markUsed(g)
--- a/internal/agent/dispatcher_state.go
+++ b/internal/agent/dispatcher_state.go
@@ -15,7 +15,7 @@
 // with mu held.
 func (d *dispatcher) unavailableLocked() (wire.Reason, bool) {
 	if d.draining {
-		return wire.ReasonLeaving, true
+		return wire.ReasonDraining, true
 	}
 	if !d.engineUp {
 		return wire.ReasonEngineDown, true
@@ -35,7 +35,7 @@
 		d.events.Record(timeline.KindLeave, "", "", "takes no new work")
 	}
 	d.draining = true
-	d.refuseWaiting(wire.ReasonLeaving)
+	d.refuseWaiting(wire.ReasonDraining)
 	d.broadcastLocked(wire.Message{Status: d.statusLocked(0)})
 	d.signalIfDrained()
 }
@@ -87,7 +87,7 @@
 		Waiting:    load.Waiting,
 		Running:    load.Running,
 		Limit:      load.Limit,
-		Leaving:    d.draining,
+		Draining:   d.draining,
 		EngineDown: !d.engineUp || d.switching,
 	}
 }
--- a/internal/agent/dispatcher_test.go
+++ b/internal/agent/dispatcher_test.go
@@ -20,7 +20,7 @@
 	return nil
 }
 
-func (s *recordingSender) End() {}
+func (s *recordingSender) CloseNow() {}
 
 func (s *recordingSender) grants() []*wire.Grant {
 	var grants []*wire.Grant
@@ -43,7 +43,7 @@
 }
 
 func newTestDispatcher() (*dispatcher, *session, *recordingSender) {
-	d := newDispatcher("incarnation", "model", timeline.NewRing("agent", &timeline.Clock{}, 64), targets.NewHolder(), metrics.New().Queue)
+	d := newDispatcher("incarnation", "model", timeline.NewRing("agent", &timeline.Clock{}, 64), targets.NewCache(), metrics.New().Queue)
 	d.setEngineUp(true)
 	sender := &recordingSender{}
 	s := &session{conn: sender}
@@ -54,11 +54,11 @@
 func testHello(served string) *wire.Hello { return &wire.Hello{Serves: served} }
 
 func testTicket(request string) *wire.Ticket {
-	return &wire.Ticket{Request: request, Attempt: 1, Class: "hazard-flag", Customer: "c", Serves: "model", SlackMS: 5000, Size: 10, Copies: 1}
+	return &wire.Ticket{RequestID: request, Attempt: 1, Class: "hazard-flag", Customer: "c", Serves: "model", SlackMS: 5000, Size: 10, Copies: 1}
 }
 
 func newRunRequest(g *wire.Grant) *wire.RunRequest {
-	return &wire.RunRequest{Grant: g.ID, Request: g.Request, Attempt: g.Attempt}
+	return &wire.RunRequest{GrantID: g.ID, RequestID: g.RequestID, Attempt: g.Attempt}
 }
 
 func TestGrantIsSingleUse(t *testing.T) {
@@ -93,7 +93,7 @@
 	if result := d.voidGrant("earlier-1"); result != wire.VoidUnknown {
 		t.Fatalf("void: got %q", result)
 	}
-	if _, ok := d.useGrant(&wire.RunRequest{Grant: "earlier-1", Request: "r", Attempt: 1}); ok {
+	if _, ok := d.useGrant(&wire.RunRequest{GrantID: "earlier-1", RequestID: "r", Attempt: 1}); ok {
 		t.Fatal("a grant from before the restart was used")
 	}
 }
@@ -135,7 +135,7 @@
 	d.drain()
 	d.enqueue(s, testTicket("late"))
 	refusals := sender.refusals()
-	if len(refusals) != 1 || refusals[0].Reason != wire.ReasonLeaving {
+	if len(refusals) != 1 || refusals[0].Reason != wire.ReasonDraining {
 		t.Fatalf("refusals: %+v", refusals)
 	}
 	select {
@@ -166,7 +166,7 @@
 
 func TestTierComesFromNewestTargets(t *testing.T) {
 	d, s, _ := newTestDispatcher()
-	d.targets.Offer(&targets.Set{Version: 2, Classes: []targets.Class{{Name: "hazard-flag", Tier: 3}}})
+	d.targets.UpdateIfNewer(&targets.Set{Version: 2, Classes: []targets.Class{{Name: "hazard-flag", Tier: 3}}})
 	ticket := newTicket(time.Now(), s, testTicket("r"), d.targets.Current())
 	if ticket.policy.Tier != 3 {
 		t.Fatalf("tier: got %d, want that of the newest targets", ticket.policy.Tier)
@@ -232,7 +232,7 @@
 	newer := &session{conn: sender}
 	d.addSession(newer, testHello)
 	d.enqueue(newer, testTicket("r"))
-	d.withdraw(older, &wire.Withdraw{Request: "r", Attempt: 1})
+	d.withdraw(older, &wire.Withdraw{RequestID: "r", Attempt: 1})
 	d.tick(time.Now())
 	if len(sender.grants()) != 1 {
 		t.Fatal("an older session withdrew the ticket")
--- a/internal/agent/dispatcher_tickets.go
+++ b/internal/agent/dispatcher_tickets.go
@@ -12,11 +12,11 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if reason, unavailable := d.unavailableLocked(); unavailable {
-		d.refuse(s, m.Request, m.Attempt, reason, unavailableRetryAfter)
+		d.refuse(s, m.RequestID, m.Attempt, reason, unavailableRetryAfter)
 		return
 	}
 	if m.Serves != d.served {
-		d.refuse(s, m.Request, m.Attempt, wire.ReasonSwitching, unavailableRetryAfter)
+		d.refuse(s, m.RequestID, m.Attempt, wire.ReasonSwitching, unavailableRetryAfter)
 		return
 	}
 	now := time.Now()
@@ -30,7 +30,7 @@
 		return
 	}
 	d.tickets[t.policy.ID] = t
-	d.events.Record(timeline.KindTicket, m.Request, m.Class, "")
+	d.events.Record(timeline.KindTicket, m.RequestID, m.Class, "")
 	d.dispatch(now)
 }
 
@@ -48,7 +48,7 @@
 	}
 	g, ok := d.grants.issued[id]
 	if ok {
-		s.send(wire.Message{Grant: &wire.Grant{Request: g.requestID, Attempt: g.attempt, ID: g.id}})
+		s.send(wire.Message{Grant: &wire.Grant{RequestID: g.requestID, Attempt: g.attempt, ID: g.id}})
 	}
 	return ok
 }
@@ -64,7 +64,7 @@
 		return true
 	}
 	reason := wire.ReasonOverload
-	if decision.Full {
+	if decision.QueueFull {
 		reason = wire.ReasonQueueFull
 	}
 	d.refuse(s, t.requestID, t.attempt, reason, decision.RetryAfter)
@@ -84,7 +84,7 @@
 func (d *dispatcher) refuse(s *session, requestID string, attempt int, reason wire.Reason, retryAfter time.Duration) {
 	d.events.Record(timeline.KindRefusal, requestID, "", string(reason))
 	s.send(wire.Message{
-		Refuse: &wire.Refuse{Request: requestID, Attempt: attempt, Reason: reason, RetryAfterMS: retryAfter.Milliseconds()},
+		Refuse: &wire.Refuse{RequestID: requestID, Attempt: attempt, Reason: reason, RetryAfterMS: retryAfter.Milliseconds()},
 		Status: d.statusLocked(0),
 	})
 }
@@ -104,7 +104,7 @@
 func (d *dispatcher) withdraw(s *session, m *wire.Withdraw) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	id := ticketID(m.Request, m.Attempt)
+	id := ticketID(m.RequestID, m.Attempt)
 	if t, ok := d.tickets[id]; ok {
 		if s.seq < t.session.seq {
 			return
--- a/internal/agent/model_switch.go
+++ b/internal/agent/model_switch.go
@@ -26,7 +26,7 @@
 		return
 	}
 	guard := orders.NewGuard(a.rowStore, orders.LeaseName, a.settings.Process)
-	orders.NewFollower(guard, a.loadModel, a.log).Run(ctx)
+	orders.NewExecutor(guard, a.loadModel, a.log).Run(ctx)
 }
 
 // loadModel switches the engine to another model. It stops issuing grants,
@@ -41,7 +41,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	if err := a.engine.Order(ctx, engine.Order{Fence: order.Fence, LoadModel: order.Model}); err != nil {
+	if err := a.engine.SendOrder(ctx, engine.Order{FencingToken: order.FencingToken, LoadModel: order.Model}); err != nil {
 		return errors.Wrap(err, "send order to engine")
 	}
 	served = order.Model
--- a/internal/agent/relay_test.go
+++ b/internal/agent/relay_test.go
@@ -91,7 +91,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			outcome, elapsed := relayWithPauses(t, 0, c.pauses...)
-			if outcome != policy.OutcomeFailed || elapsed < c.timeout || elapsed > c.timeout+2*wire.HeartbeatEvery {
+			if outcome != policy.OutcomeFailed || elapsed < c.timeout || elapsed > c.timeout+2*wire.HeartbeatInterval {
 				t.Fatalf("%s: %v after %v, want %v at %v", name, outcome, elapsed, policy.OutcomeFailed, c.timeout)
 			}
 		})
--- a/internal/agent/routes.go
+++ b/internal/agent/routes.go
@@ -22,11 +22,11 @@
 const vmListInterval = 5 * time.Second
 
 func (a *Agent) routes() http.Handler {
-	system := auth.System(a.systemKey)
+	system := auth.RequireSystemKey(a.systemKey)
 	router := httprouter.New()
 	router.Handler(http.MethodGet, wire.ConnectPath, system(http.HandlerFunc(a.serveConnect)))
 	router.Handler(http.MethodPost, wire.RunPath, system(http.HandlerFunc(a.serveRun)))
-	router.Handler(http.MethodGet, peer.StatePath, system(peer.Handler(a.peerState)))
+	router.Handler(http.MethodGet, peer.StatePath, system(peer.StateHandler(a.peerState)))
 	router.Handler(http.MethodGet, peer.VersionPath, system(peer.VersionHandler(a.peerVersion)))
 	router.Handler(http.MethodGet, timeline.PathEvents, system(timeline.Handler(a.events)))
 	metrics.Register(router, a.metrics, a.ready)
@@ -72,7 +72,7 @@
 	a.vms = vms
 	a.vmsMu.Unlock()
 	for _, vm := range vms {
-		if vm.Name == a.settings.Process && vm.Leaving {
+		if vm.Name == a.settings.Process && vm.Draining {
 			a.Drain()
 		}
 	}
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -103,7 +103,7 @@
 // before that tick. Such a pause thus adds at most one heartbeat interval to the
 // idle time, and none if a frame is ready.
 func (r *run) relay(ctx context.Context, results <-chan frameResult) policy.Outcome {
-	heartbeat := time.NewTicker(wire.HeartbeatEvery)
+	heartbeat := time.NewTicker(wire.HeartbeatInterval)
 	defer heartbeat.Stop()
 	timeouts := r.idleTimeouts()
 	timeout, idle := timeouts.first, time.Duration(0)
@@ -127,8 +127,8 @@
 			continue
 		}
 		// The first tick may come immediately after a frame, hence ">".
-		if idle += wire.HeartbeatEvery; idle > timeout {
-			return r.fail(ctx, wire.FailCut, engine.ErrCut)
+		if idle += wire.HeartbeatInterval; idle > timeout {
+			return r.fail(ctx, wire.FailInterrupted, engine.ErrTruncated)
 		}
 		if err := r.out.Write(wire.Frame{Kind: wire.FrameHeartbeat}); err != nil {
 			return policy.OutcomeCancelled
@@ -166,7 +166,7 @@
 
 func (r *run) finish(ctx context.Context, err error) policy.Outcome {
 	if !errors.Is(err, io.EOF) {
-		return r.fail(ctx, wire.FailCut, err)
+		return r.fail(ctx, wire.FailInterrupted, err)
 	}
 	if err := r.out.Write(wire.Frame{Kind: wire.FrameEnd}); err != nil {
 		return policy.OutcomeCancelled
--- a/internal/agent/run_test.go
+++ b/internal/agent/run_test.go
@@ -44,7 +44,7 @@
 	a := New(settings.Agent{
 		Process:  "agent",
 		Platform: settings.Platform{URL: "http://127.0.0.1:1"},
-		Backend:  settings.Backend{Kind: settings.BackendEngine, Serves: "model", URL: "http://127.0.0.1:1"},
+		Backend:  settings.Backend{Kind: settings.BackendEngine, ServedName: "model", URL: "http://127.0.0.1:1"},
 	}, "key", zap.NewNop())
 	a.engine = e
 	a.dispatcher.setEngineUp(true)
--- a/internal/agent/service_source.go
+++ b/internal/agent/service_source.go
@@ -23,8 +23,8 @@
 }
 
 func startServiceCall(ctx context.Context, service engine.Service, req *wire.RunRequest) (frameSource, error) {
-	response, err := service.Do(ctx, engine.ServiceCall{
-		ID:     ticketID(req.Request, req.Attempt),
+	response, err := service.Do(ctx, engine.ServiceRequest{
+		ID:     ticketID(req.RequestID, req.Attempt),
 		Method: req.Method,
 		Path:   req.Path,
 		Header: toHTTPHeader(req.Header),
@@ -57,7 +57,7 @@
 func (s *serviceSource) Next() (wire.Frame, error) {
 	if !s.headSent {
 		s.headSent = true
-		return wire.Frame{Kind: wire.FrameHead, Status: s.response.Status, Header: toWireHeaders(s.response.Header)}, nil
+		return wire.Frame{Kind: wire.FrameHeaders, Status: s.response.Status, Header: toWireHeaders(s.response.Header)}, nil
 	}
 	for {
 		n, err := s.response.Body.Read(s.buffer)
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -23,7 +23,7 @@
 	// Send queues a message without blocking.
 	Send(m wire.Message) error
 	// End closes the connection.
-	End()
+	CloseNow()
 }
 
 // serveConnect handles the control connection of an entry until it ends.
@@ -45,7 +45,7 @@
 		Incarnation: a.incarnation,
 		Zone:        a.settings.Zone,
 		Serves:      served,
-		Loads:       a.engine != nil,
+		LoadsModels: a.engine != nil,
 	}
 }
 
@@ -71,8 +71,8 @@
 	case m.Withdraw != nil:
 		s.agent.dispatcher.withdraw(s, m.Withdraw)
 	case m.Void != nil:
-		result := s.agent.dispatcher.voidGrant(m.Void.Grant)
-		s.send(wire.Message{Voided: &wire.Voided{Grant: m.Void.Grant, Result: result}})
+		result := s.agent.dispatcher.voidGrant(m.Void.GrantID)
+		s.send(wire.Message{Voided: &wire.Voided{GrantID: m.Void.GrantID, Result: result}})
 	case m.Ping != nil:
 		s.send(wire.Message{Status: s.agent.dispatcher.status(m.Ping.Seq)})
 	}
@@ -82,18 +82,18 @@
 // requests newer targets, sends the agent's targets on request, and notifies an
 // entry that has an older version.
 func (s *session) syncTargets(m wire.Message) {
-	if m.NewSet != nil && s.agent.targets.Offer(m.NewSet) {
+	if m.TargetSet != nil && s.agent.targets.UpdateIfNewer(m.TargetSet) {
 		s.agent.events.Record(timeline.KindTargetChange, "", "", "")
 	}
-	if m.WantSet != nil {
-		s.send(wire.Message{NewSet: s.agent.targets.Current()})
+	if m.GetTargets != nil {
+		s.send(wire.Message{TargetSet: s.agent.targets.Current()})
 		return
 	}
 	current := s.agent.targets.Current().Version
-	if s.agent.targets.Ask(m.Targets) {
-		s.send(wire.Message{WantSet: &wire.WantSet{}})
+	if s.agent.targets.ShouldFetch(m.TargetsVersion) {
+		s.send(wire.Message{GetTargets: &wire.GetTargets{}})
 	}
-	if m.Targets < current {
+	if m.TargetsVersion < current {
 		s.send(wire.Message{})
 	}
 }
--- a/internal/agent/ticket.go
+++ b/internal/agent/ticket.go
@@ -26,16 +26,16 @@
 // change applies even if the entry has not yet received it.
 func newTicket(now time.Time, s *session, m *wire.Ticket, desired *targets.Set) *ticket {
 	t := policy.Ticket{
-		ID:       ticketID(m.Request, m.Attempt),
-		Class:    m.Class,
-		Customer: m.Customer,
-		Tier:     policy.Tier(m.Tier),
-		Arrived:  now,
-		Deadline: now.Add(time.Duration(m.SlackMS) * time.Millisecond),
-		Due:      m.Due,
-		Size:     m.Size,
-		Copies:   m.Copies,
-		Asks:     m.Asks,
+		ID:                ticketID(m.RequestID, m.Attempt),
+		Class:             m.Class,
+		Customer:          m.Customer,
+		Tier:              policy.Tier(m.Tier),
+		Arrived:           now,
+		Deadline:          now.Add(time.Duration(m.SlackMS) * time.Millisecond),
+		DeadlineMilestone: m.DeadlineMilestone,
+		Size:              m.Size,
+		Copies:            m.Copies,
+		MaxEngines:        m.MaxEngines,
 
 		Preemptible: m.Preemptible,
 	}
@@ -44,5 +44,5 @@
 		t.FirstToken = c.FirstToken
 		t.BetweenTokens = c.BetweenTokens
 	}
-	return &ticket{policy: t, session: s, requestID: m.Request, attempt: m.Attempt}
+	return &ticket{policy: t, session: s, requestID: m.RequestID, attempt: m.Attempt}
 }
--- a/internal/agent/ticket_test.go
+++ b/internal/agent/ticket_test.go
@@ -11,10 +11,10 @@
 func TestNewTicketCopiesSchedulingFields(t *testing.T) {
 	m := testTicket("r")
 	m.Preemptible = true
-	m.Asks = 4
-	m.Due = policy.MilestoneCompletion
+	m.MaxEngines = 4
+	m.DeadlineMilestone = policy.MilestoneCompletion
 	got := newTicket(time.Now(), nil, m, &targets.Set{}).policy
-	if got.Due != policy.MilestoneCompletion || !got.Preemptible || got.Asks != 4 {
+	if got.DeadlineMilestone != policy.MilestoneCompletion || !got.Preemptible || got.MaxEngines != 4 {
 		t.Errorf("got %+v", got)
 	}
 }
--- a/internal/agentcli/agentcli.go
+++ b/internal/agentcli/agentcli.go
@@ -19,15 +19,15 @@
 // returns the exit code.
 func Run(ctx context.Context, args []string, out, errOut io.Writer, serve Serve) program.ExitCode {
 	return program.Program[settings.Agent]{
-		Name:     "applepier-agent",
-		Usage:    "the process of applepier beside a backend server",
-		Example:  "examples/agent.yaml",
-		Load:     settings.LoadAgent,
-		Identify: processIdentity,
-		Serve:    serve,
+		Name:         "applepier-agent",
+		Usage:        "the process of applepier beside a backend server",
+		ExampleFile:  "examples/agent.yaml",
+		Load:         settings.LoadAgent,
+		LoggerConfig: processIdentity,
+		Serve:        serve,
 	}.Run(ctx, args, out, errOut)
 }
 
-func processIdentity(agent settings.Agent) program.Identity {
-	return program.Identity{Process: agent.Process, LogLevel: agent.Log.Level}
+func processIdentity(agent settings.Agent) program.LoggerConfig {
+	return program.LoggerConfig{Process: agent.Process, LogLevel: agent.Log.Level}
 }
--- a/internal/auth/auth.go
+++ b/internal/auth/auth.go
@@ -37,7 +37,7 @@
 // If the request has an API key, only the key counts, even if it is wrong.
 // Otherwise CustomerHeader is used if trustHeader is set. The error is ErrNoKey,
 // ErrUnknownKey or ErrUnknownCustomer.
-func Caller(set *targets.Set, trustHeader bool, r *http.Request) (string, error) {
+func AuthenticateCustomer(set *targets.Set, trustHeader bool, r *http.Request) (string, error) {
 	if key := bearerToken(r); key != "" {
 		return customerByKey(set, key)
 	}
--- a/internal/auth/auth_test.go
+++ b/internal/auth/auth_test.go
@@ -38,7 +38,7 @@
 			r := httptest.NewRequest(http.MethodPost, "/", nil)
 			r.Header.Set("Authorization", tt.authorization)
 			r.Header.Set(CustomerHeader, tt.header)
-			got, err := Caller(set, tt.trust, r)
+			got, err := AuthenticateCustomer(set, tt.trust, r)
 			if got != tt.want || !errors.Is(err, tt.err) {
 				t.Fatalf("got %q, %v, want %q, %v", got, err, tt.want, tt.err)
 			}
@@ -58,7 +58,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			handler := Operator(tt.key)(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			handler := RequireOperatorKey(tt.key)(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(http.StatusNoContent)
 			}))
 			r := httptest.NewRequest(http.MethodGet, "/", nil)
--- a/internal/auth/bench_test.go
+++ b/internal/auth/bench_test.go
@@ -20,7 +20,7 @@
 	SetBearer(r.Header, "key-of-customer-399")
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := Caller(set, false, r); err != nil {
+		if _, err := AuthenticateCustomer(set, false, r); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/auth/middleware.go
+++ b/internal/auth/middleware.go
@@ -13,14 +13,14 @@
 // RequireOperatorKey returns a middleware that accepts only requests with the
 // operator key and responds with 401 to all others. An empty key rejects every
 // request.
-func Operator(key string) Middleware {
+func RequireOperatorKey(key string) Middleware {
 	return requireKey(key, "the operators' key is required: send it as Authorization: Bearer KEY")
 }
 
 // RequireSystemKey returns a middleware that accepts only requests with the key
 // of the system's own processes and responds with 401 to all others. An empty
 // key rejects every request.
-func System(key string) Middleware {
+func RequireSystemKey(key string) Middleware {
 	return requireKey(key, "this address is for the system's own processes")
 }
 
--- a/internal/callers/blocking_server_test.go
+++ b/internal/callers/blocking_server_test.go
@@ -34,7 +34,7 @@
 func newBlockingServer(t testing.TB, idleTimeout time.Duration) *blockingServer {
 	s := &blockingServer{t: t, incoming: make(chan net.Conn), closed: make(chan struct{})}
 	s.timeout.Store(int64(idleTimeout))
-	s.server = New(s, Config{Handler: s, HeaderTime: 10 * time.Second, MaxHeader: 1 << 16, Limit: s.idleTimeout, Log: zap.NewNop()})
+	s.server = New(s, Config{Handler: s, HeaderTimeout: 10 * time.Second, MaxHeaderBytes: 1 << 16, IdleTimeout: s.idleTimeout, Log: zap.NewNop()})
 	go s.server.Serve()
 	return s
 }
@@ -44,7 +44,7 @@
 // lowerTimeout applies a lower idle timeout.
 func (s *blockingServer) lowerTimeout(timeout time.Duration) {
 	s.timeout.Store(int64(timeout))
-	s.server.Lower()
+	s.server.ApplyIdleTimeout()
 }
 
 // shutdown closes the server and all connections.
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -223,12 +223,12 @@
 }
 
 // status returns a snapshot for the log.
-func (c *Conn) status() End {
+func (c *Conn) status() ConnStatus {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	status := End{Cause: c.closeReason, Rested: c.idleTime, Requests: c.requests}
-	if status.Cause == ReasonNone && c.deadlineHit {
-		status.Cause = ReasonReadDeadline
+	status := ConnStatus{CloseReason: c.closeReason, IdleTime: c.idleTime, Requests: c.requests}
+	if status.CloseReason == ReasonNone && c.deadlineHit {
+		status.CloseReason = ReasonReadDeadline
 	}
 	return status
 }
--- a/internal/callers/conn_status.go
+++ b/internal/callers/conn_status.go
@@ -25,11 +25,11 @@
 )
 
 // ConnStatus is a connection's state as written to the log.
-type End struct {
-	Cause CloseReason
+type ConnStatus struct {
+	CloseReason CloseReason
 	// IdleTime is how long the connection was idle before its last request, or before
 	// it was closed if it was idle then.
-	Rested time.Duration
+	IdleTime time.Duration
 	// Requests is the number of requests read so far.
 	Requests int
 }
--- a/internal/callers/context.go
+++ b/internal/callers/context.go
@@ -16,16 +16,16 @@
 
 // ConnStatusOf returns the status of the connection of a request's context, or the zero
 // value if the context has none.
-func EndOf(ctx context.Context) End {
+func ConnStatusOf(ctx context.Context) ConnStatus {
 	if conn, ok := ctx.Value(connKey{}).(*Conn); ok {
 		return conn.status()
 	}
-	return End{}
+	return ConnStatus{}
 }
 
 // ResetOnClose makes the connection of a request's context close with a TCP reset, so
 // that a response whose end is marked by the close isn't taken for complete.
-func Reset(ctx context.Context) {
+func ResetOnClose(ctx context.Context) {
 	conn, ok := ctx.Value(connKey{}).(*Conn)
 	if !ok {
 		return
--- a/internal/callers/partial_read_test.go
+++ b/internal/callers/partial_read_test.go
@@ -157,7 +157,7 @@
 		}
 		synctest.Wait()
 		s.timeout.Store(int64(time.Second))
-		s.Lower()
+		s.ApplyIdleTimeout()
 		if err := readResponse(in); err != nil {
 			t.Error(err)
 		}
@@ -168,17 +168,17 @@
 // A read deadline that ends the background read is reported as the close reason.
 func TestReadDeadlineIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		statuses := make(chan End, 1)
+		statuses := make(chan ConnStatus, 1)
 		s := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(time.Second))
 			<-r.Context().Done()
-			statuses <- EndOf(r.Context())
+			statuses <- ConnStatusOf(r.Context())
 		}, zap.NewNop())
 		c, _ := s.dial()
 		if err := writePart(c, simpleGet); err != nil {
 			t.Fatal(err)
 		}
-		if status := <-statuses; status.Cause != ReasonReadDeadline {
+		if status := <-statuses; status.CloseReason != ReasonReadDeadline {
 			t.Errorf("connection status: %+v", status)
 		}
 		s.shutdown()
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -37,13 +37,13 @@
 	Handler http.Handler
 	// HeaderTimeout bounds the reading of a request's header, and MaxHeaderBytes its
 	// size.
-	HeaderTime time.Duration
-	MaxHeader  int
+	HeaderTimeout  time.Duration
+	MaxHeaderBytes int
 	// IdleTimeout returns how long a connection may be idle. The value may change while
 	// the server runs: the one at the end of an idle period applies. After it was
 	// lowered, ApplyIdleTimeout must be called.
-	Limit func() time.Duration
-	Log   *zap.Logger
+	IdleTimeout func() time.Duration
+	Log         *zap.Logger
 }
 
 // Server serves the clients of one listener.
@@ -66,11 +66,11 @@
 // New returns a Server that owns l. Serve starts it.
 func New(l net.Listener, config Config) *Server {
 	s := &Server{
-		listener: l, idleTimeout: config.Limit, headerTimeout: config.HeaderTime, log: config.Log,
+		listener: l, idleTimeout: config.IdleTimeout, headerTimeout: config.HeaderTimeout, log: config.Log,
 		acceptDone: make(chan struct{}), conns: map[*Conn]struct{}{}, drained: make(chan struct{}),
 	}
 	s.http = &http.Server{
-		Handler: config.Handler, ReadHeaderTimeout: config.HeaderTime, MaxHeaderBytes: config.MaxHeader,
+		Handler: config.Handler, ReadHeaderTimeout: config.HeaderTimeout, MaxHeaderBytes: config.MaxHeaderBytes,
 		ConnState: s.connStateChanged, ConnContext: withConn, ErrorLog: newErrorLog(config.Log),
 		// net/http would answer OPTIONS * itself, with a success that no backend server
 		// gave.
@@ -111,7 +111,7 @@
 func (s *Server) Close() error { return s.http.Close() }
 
 // ApplyIdleTimeout applies a lowered idle timeout to connections that are idle already.
-func (s *Server) Lower() {
+func (s *Server) ApplyIdleTimeout() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -156,6 +156,6 @@
 
 // logIdleClose logs that an idle connection is closed.
 func (s *Server) logIdleClose(peer net.Addr, idleTime time.Duration, requests int) {
-	s.log.Info(logging.EventCallerClosed, logging.Reason(string(ReasonIdle)), logging.Peer(peer.String()),
+	s.log.Info(logging.EventIdleConnClosed, logging.Reason(string(ReasonIdle)), logging.Peer(peer.String()),
 		zap.Duration("rested", idleTime), zap.Duration("limit", s.idleTimeout()), zap.Int("requests", requests))
 }
--- a/internal/callers/server_test.go
+++ b/internal/callers/server_test.go
@@ -57,7 +57,7 @@
 func newTestServer(t *testing.T, handler http.HandlerFunc, log *zap.Logger) *testServer {
 	server := &testServer{t: t, pipeListener: &pipeListener{make(chan net.Conn), make(chan struct{})}, serveDone: make(chan struct{})}
 	server.timeout.Store(int64(10 * time.Second))
-	server.Server = New(server.pipeListener, Config{Handler: handler, HeaderTime: testHeaderTimeout, MaxHeader: 1 << 16, Limit: server.currentTimeout, Log: log})
+	server.Server = New(server.pipeListener, Config{Handler: handler, HeaderTimeout: testHeaderTimeout, MaxHeaderBytes: 1 << 16, IdleTimeout: server.currentTimeout, Log: log})
 	go func() { defer close(server.serveDone); server.Serve() }()
 	return server
 }
@@ -145,7 +145,7 @@
 		if len(s.conns) != 0 {
 			t.Error("a closed connection is still tracked as open")
 		}
-		if lines.FilterMessage(logging.EventCallerClosed).Len() != 1 {
+		if lines.FilterMessage(logging.EventIdleConnClosed).Len() != 1 {
 			t.Errorf("log lines: %v", lines.All())
 		}
 		s.shutdown()
@@ -178,7 +178,7 @@
 		}
 		began := time.Now()
 		s.timeout.Store(int64(time.Second))
-		s.Lower()
+		s.ApplyIdleTimeout()
 		if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
 			t.Errorf("idle connection: read error %v, want EOF", err)
 		}
@@ -343,10 +343,10 @@
 // The close reason distinguishes a close by the client from one by this process.
 func TestCloseReason(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		statuses := make(chan End, 1)
+		statuses := make(chan ConnStatus, 1)
 		s := newTestServer(t, func(_ http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
-			statuses <- EndOf(r.Context())
+			statuses <- ConnStatusOf(r.Context())
 		}, zap.NewNop())
 		c, _ := s.dial()
 		if _, err := io.WriteString(c, simpleGet); err != nil {
@@ -354,7 +354,7 @@
 		}
 		synctest.Wait()
 		_ = c.Close()
-		if status := <-statuses; status.Cause != ReasonClientClosed || status.Requests != 1 {
+		if status := <-statuses; status.CloseReason != ReasonClientClosed || status.Requests != 1 {
 			t.Errorf("closed by the client: %+v", status)
 		}
 		c, _ = s.dial()
@@ -363,7 +363,7 @@
 		}
 		synctest.Wait()
 		s.shutdown()
-		if status := <-statuses; status.Cause != ReasonServerClosed {
+		if status := <-statuses; status.CloseReason != ReasonServerClosed {
 			t.Errorf("closed by the server: %+v", status)
 		}
 	})
--- a/internal/claim/batch_test.go
+++ b/internal/claim/batch_test.go
@@ -17,7 +17,7 @@
 // workers, so that the claims form one batch. It returns the results in key order.
 func claimInOneBatch(t *testing.T, c *Claimer, table *storagetest.Table, keys []string) []result {
 	t.Helper()
-	table.FailCommits(slices.Repeat([]storagetest.Fault{storagetest.FaultSlow}, maxInFlightBatches)...)
+	table.InjectFaults(slices.Repeat([]storagetest.Fault{storagetest.FaultTimeout}, maxInFlightBatches)...)
 	var blockers sync.WaitGroup
 	for i := range maxInFlightBatches {
 		blockers.Go(func() {
@@ -65,7 +65,7 @@
 }
 
 func TestConflictDoesNotFailOtherTransitionsInBatch(t *testing.T) {
-	for _, fault := range []storagetest.Fault{storagetest.FaultNone, storagetest.FaultLost, storagetest.FaultDropped, storagetest.FaultLate} {
+	for _, fault := range []storagetest.Fault{storagetest.FaultNone, storagetest.FaultResponseLost, storagetest.FaultRequestLost, storagetest.FaultDelayed} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storagetest.NewTable()
 			other := NewClaimer(table)
@@ -94,7 +94,7 @@
 	var once sync.Once
 	table.BeforeCommit(func(writes []storage.Write) {
 		if len(writes) > 1 {
-			once.Do(func() { table.FailCommits(fault) })
+			once.Do(func() { table.InjectFaults(fault) })
 		}
 	})
 }
@@ -106,7 +106,7 @@
 		defer c.Close()
 		table.BeforeCommit(func(writes []storage.Write) {
 			if len(writes) > 1 {
-				table.SetDown(true)
+				table.SetUnavailable(true)
 			}
 		})
 		for i, r := range claimInOneBatch(t, c, table, numberedKeys(20)) {
--- a/internal/claim/bench_test.go
+++ b/internal/claim/bench_test.go
@@ -48,7 +48,7 @@
 		b.Error(err)
 		return
 	}
-	outcome := Outcome{Whole: true, Status: 200, ContentType: "application/json", Answer: make([]byte, 500)}
+	outcome := Outcome{Complete: true, Status: 200, ContentType: "application/json", Response: make([]byte, 500)}
 	if _, err = claimer.Finish(ctx, c, outcome); err != nil {
 		b.Error(err)
 	}
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -44,7 +44,7 @@
 	// that does not shorten Retention.
 	MaxClockSkew = 10 * time.Minute
 	// MaxResponseBytes is the size of the largest response that is stored.
-	MaxAnswer = 64 << 10
+	MaxResponseBytes = 64 << 10
 )
 
 // State is the progress of the claimed work. The zero value means that no claim exists.
@@ -71,7 +71,7 @@
 	State       State
 	// Owned reports that the attempt of the call that returned this Claim owns it.
 	// Otherwise another attempt does.
-	Mine bool
+	Owned bool
 	// Agent and Grant are the agent address and the grant id recorded by Grant; they
 	// are set from StateGranted on.
 	Agent string
--- a/internal/claim/claimer.go
+++ b/internal/claim/claimer.go
@@ -45,7 +45,7 @@
 	t := &transition{row: row, next: newRecord(fingerprint, attempt)}
 	for range maxClaimAttempts {
 		claim, err := c.advance(ctx, t)
-		conflict, isConflict := errors.Into[*LostError](err)
+		conflict, isConflict := errors.Into[*ConflictError](err)
 		if !isConflict {
 			return claim, err
 		}
@@ -67,7 +67,7 @@
 // the request body is sent. A later grant replaces one that was voided. Errors:
 // ErrNotOwner, *ConflictError, ErrUnavailable, ErrOutcomeUnknown, ErrCorrupt.
 func (c *Claimer) Grant(ctx context.Context, claim Claim, agent, grant string) (Claim, error) {
-	if !claim.Mine {
+	if !claim.Owned {
 		return claim, ErrNotOwner
 	}
 	t := claim.transition(StateGranted)
@@ -80,14 +80,14 @@
 // at most MaxResponseBytes. It returns the same errors as Grant. After an error the
 // work has still run, and a repeated call may find the claim granted.
 func (c *Claimer) Finish(ctx context.Context, claim Claim, outcome Outcome) (Claim, error) {
-	if !claim.Mine {
+	if !claim.Owned {
 		return claim, ErrNotOwner
 	}
 	t := claim.transition(StateFinished)
-	t.response = outcome.Answer
+	t.response = outcome.Response
 	t.next.Outcome = outcome
-	t.next.Outcome.ResponseStored = outcome.Answer != nil && len(outcome.Answer) <= MaxAnswer
-	t.next.Outcome.Answer = nil
+	t.next.Outcome.ResponseStored = outcome.Response != nil && len(outcome.Response) <= MaxResponseBytes
+	t.next.Outcome.Response = nil
 	return c.advance(ctx, t)
 }
 
@@ -97,7 +97,7 @@
 // The row is not deleted: row versions would restart, and a delayed earlier write could
 // then be applied to the next claim.
 func (c *Claimer) Release(ctx context.Context, claim Claim) error {
-	if !claim.Mine {
+	if !claim.Owned {
 		return ErrNotOwner
 	}
 	_, err := c.advance(ctx, claim.transition(StateReleased))
@@ -117,7 +117,7 @@
 
 // Response reads the stored response of a finished claim. Errors: ErrResponseNotStored,
 // ErrUnavailable.
-func (c *Claimer) Answer(ctx context.Context, claim Claim) ([]byte, error) {
+func (c *Claimer) Response(ctx context.Context, claim Claim) ([]byte, error) {
 	if !claim.Outcome.ResponseStored {
 		return nil, ErrResponseNotStored
 	}
@@ -135,7 +135,7 @@
 func (c *Claimer) advance(ctx context.Context, t *transition) (Claim, error) {
 	r := c.committer.submit(ctx, t)
 	if errors.Is(r.err, errConflict) {
-		return Claim{}, &LostError{Current: r.current.claim(t.row, r.version, t.next.Attempt)}
+		return Claim{}, &ConflictError{Current: r.current.claim(t.row, r.version, t.next.Attempt)}
 	}
 	if r.err != nil {
 		return Claim{}, r.err
--- a/internal/claim/claimer_test.go
+++ b/internal/claim/claimer_test.go
@@ -24,7 +24,7 @@
 func mustClaim(t *testing.T, c *Claimer, attempt string) Claim {
 	t.Helper()
 	claim, err := c.Claim(t.Context(), customer, key, fingerprint, attempt)
-	if err != nil || !claim.Mine {
+	if err != nil || !claim.Owned {
 		t.Fatalf("claim: %+v, %v", claim, err)
 	}
 	return claim
@@ -45,7 +45,7 @@
 	c := NewClaimer(table)
 	defer c.Close()
 	claim, err := c.Claim(t.Context(), customer, key, fingerprint, "finder")
-	if err != nil || claim.Mine {
+	if err != nil || claim.Owned {
 		t.Fatalf("claim of an existing key: %+v, %v", claim, err)
 	}
 	return claim
@@ -63,14 +63,14 @@
 		t.Fatalf("after the grant: %+v", found)
 	}
 	response := []byte(`{"docket":17}`)
-	if _, err := c.Finish(t.Context(), claim, Outcome{Whole: true, Status: 200, Answer: response}); err != nil {
+	if _, err := c.Finish(t.Context(), claim, Outcome{Complete: true, Status: 200, Response: response}); err != nil {
 		t.Fatal(err)
 	}
 	found := claimExisting(t, table)
-	if found.State != StateFinished || !found.Outcome.Whole || found.Outcome.Status != 200 {
+	if found.State != StateFinished || !found.Outcome.Complete || found.Outcome.Status != 200 {
 		t.Fatalf("after finish: %+v", found)
 	}
-	stored, err := c.Answer(t.Context(), found)
+	stored, err := c.Response(t.Context(), found)
 	if err != nil || !bytes.Equal(stored, response) {
 		t.Fatalf("response: %q, %v", stored, err)
 	}
@@ -83,10 +83,10 @@
 	table := storagetest.NewTable()
 	c := NewClaimer(table)
 	claim := mustGrant(t, c, mustClaim(t, c, "first"), "grant-1")
-	if _, err := c.Finish(t.Context(), claim, Outcome{Whole: true, Answer: make([]byte, MaxAnswer+1)}); err != nil {
+	if _, err := c.Finish(t.Context(), claim, Outcome{Complete: true, Response: make([]byte, MaxResponseBytes+1)}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Answer(t.Context(), claimExisting(t, table)); !errors.Is(err, ErrResponseNotStored) {
+	if _, err := c.Response(t.Context(), claimExisting(t, table)); !errors.Is(err, ErrResponseNotStored) {
 		t.Fatalf("got %v, want ErrResponseNotStored", err)
 	}
 }
@@ -99,7 +99,7 @@
 		t.Fatalf("got %v, want ErrKeyReused", err)
 	}
 	other, err := c.Claim(t.Context(), "kaivonkansi", key, "f2", "third")
-	if err != nil || !other.Mine {
+	if err != nil || !other.Owned {
 		t.Fatalf("the same key of another customer: %+v, %v", other, err)
 	}
 }
@@ -116,21 +116,21 @@
 func TestExactlyOneConcurrentAttemptClaimsKey(t *testing.T) {
 	faults := map[string][]storagetest.Fault{
 		"none":    nil,
-		"lost":    {storagetest.FaultLost},
-		"dropped": {storagetest.FaultDropped},
-		"late":    {storagetest.FaultLate},
-		"outage":  {storagetest.FaultDropped, storagetest.FaultDropped, storagetest.FaultLost},
-		"several": {storagetest.FaultLost, storagetest.FaultLate, storagetest.FaultDropped, storagetest.FaultLost},
+		"lost":    {storagetest.FaultResponseLost},
+		"dropped": {storagetest.FaultRequestLost},
+		"late":    {storagetest.FaultDelayed},
+		"outage":  {storagetest.FaultRequestLost, storagetest.FaultRequestLost, storagetest.FaultResponseLost},
+		"several": {storagetest.FaultResponseLost, storagetest.FaultDelayed, storagetest.FaultRequestLost, storagetest.FaultResponseLost},
 	}
 	for name, faults := range faults {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				table := storagetest.NewTable()
-				table.FailCommits(faults...)
+				table.InjectFaults(faults...)
 				if claimed := countClaimed(t, NewClaimer(table), NewClaimer(table)); claimed != 1 {
 					t.Fatalf("attempts that claimed the key: %d, want 1", claimed)
 				}
-				if table.Land() != 0 {
+				if table.ApplyDelayed() != 0 {
 					t.Fatal("a delayed write was applied after all outcomes were reported")
 				}
 			})
@@ -154,7 +154,7 @@
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				if claim.Mine {
+				if claim.Owned {
 					claimed++
 				}
 			})
@@ -165,19 +165,19 @@
 }
 
 func TestTransitionsSurviveCommitFaults(t *testing.T) {
-	for _, fault := range []storagetest.Fault{storagetest.FaultLost, storagetest.FaultDropped, storagetest.FaultLate, storagetest.FaultSlow} {
+	for _, fault := range []storagetest.Fault{storagetest.FaultResponseLost, storagetest.FaultRequestLost, storagetest.FaultDelayed, storagetest.FaultTimeout} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storagetest.NewTable()
 			c := NewClaimer(table)
-			table.FailCommits(fault)
+			table.InjectFaults(fault)
 			claim := mustClaim(t, c, "first")
-			table.FailCommits(fault)
+			table.InjectFaults(fault)
 			claim = mustGrant(t, c, claim, "grant-1")
-			table.FailCommits(fault)
-			if _, err := c.Finish(t.Context(), claim, Outcome{Whole: true}); err != nil {
+			table.InjectFaults(fault)
+			if _, err := c.Finish(t.Context(), claim, Outcome{Complete: true}); err != nil {
 				t.Fatalf("fault %v: %v", fault, err)
 			}
-			table.Land()
+			table.ApplyDelayed()
 			if found := claimExisting(t, table); found.State != StateFinished {
 				t.Fatalf("fault %v: %+v", fault, found)
 			}
@@ -189,14 +189,14 @@
 	table := storagetest.NewTable()
 	c := NewClaimer(table)
 	claim := mustClaim(t, c, "first")
-	table.SetDown(true)
+	table.SetUnavailable(true)
 	if _, err := c.Claim(t.Context(), customer, "other", fingerprint, "second"); !errors.Is(err, ErrUnavailable) {
 		t.Fatalf("claim: %v", err)
 	}
 	if _, err := c.Grant(t.Context(), claim, "a", "g"); !errors.Is(err, ErrUnavailable) {
 		t.Fatalf("grant: %v", err)
 	}
-	table.SetDown(false)
+	table.SetUnavailable(false)
 	if found := claimExisting(t, table); found.State != StateClaimed {
 		t.Fatalf("after the outage: %+v", found)
 	}
@@ -209,11 +209,11 @@
 	owner, other := NewClaimer(table), NewClaimer(table)
 	claim := mustClaim(t, owner, "first")
 	taken, err := other.TakeOver(t.Context(), claimExisting(t, table), "second")
-	if err != nil || !taken.Mine {
+	if err != nil || !taken.Owned {
 		t.Fatalf("take over: %+v, %v", taken, err)
 	}
 	_, err = owner.Grant(t.Context(), claim, "a", "g")
-	conflict, isConflict := errors.Into[*LostError](err)
+	conflict, isConflict := errors.Into[*ConflictError](err)
 	if !isConflict || conflict.Current.Attempt != "second" {
 		t.Fatalf("grant by the former owner: %v", err)
 	}
@@ -229,7 +229,7 @@
 		t.Fatal(err)
 	}
 	_, err := NewClaimer(table).TakeOver(t.Context(), found, "third")
-	if conflict, isConflict := errors.Into[*LostError](err); !isConflict || conflict.Current.Attempt != "second" {
+	if conflict, isConflict := errors.Into[*ConflictError](err); !isConflict || conflict.Current.Attempt != "second" {
 		t.Fatalf("second take-over: %v", err)
 	}
 }
@@ -237,7 +237,7 @@
 func TestCancelledCallReportsOutcomeUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
-		table.FailCommits(storagetest.FaultSlow)
+		table.InjectFaults(storagetest.FaultTimeout)
 		c := NewClaimer(table)
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
@@ -255,11 +255,11 @@
 // A write whose reply was lost just before an outage may have been applied, so the
 // error must not be ErrUnavailable, which means that nothing was written.
 func TestOutageAfterLostReplyReportsOutcomeUnknown(t *testing.T) {
-	for _, fault := range []storagetest.Fault{storagetest.FaultLost, storagetest.FaultLate} {
+	for _, fault := range []storagetest.Fault{storagetest.FaultResponseLost, storagetest.FaultDelayed} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storagetest.NewTable()
 			c := NewClaimer(downAfterCommit{table})
-			table.FailCommits(fault)
+			table.InjectFaults(fault)
 			_, err := c.Claim(t.Context(), customer, key, fingerprint, "first")
 			if !errors.Is(err, ErrOutcomeUnknown) || errors.Is(err, ErrUnavailable) {
 				t.Fatalf("fault %v: got %v, want ErrOutcomeUnknown", fault, err)
@@ -272,6 +272,6 @@
 type downAfterCommit struct{ *storagetest.Table }
 
 func (d downAfterCommit) Commit(ctx context.Context, writes []storage.Write) error {
-	defer d.SetDown(true)
+	defer d.SetUnavailable(true)
 	return d.Table.Commit(ctx, writes)
 }
--- a/internal/claim/errors.go
+++ b/internal/claim/errors.go
@@ -29,12 +29,12 @@
 
 // ConflictError means that another writer changed the claim first. The caller must not
 // send the request.
-type LostError struct {
+type ConflictError struct {
 	// Current is the stored claim. Its State is empty if the row does not exist.
 	Current Claim
 }
 
 // Error names the attempt that owns the claim.
-func (e *LostError) Error() string {
+func (e *ConflictError) Error() string {
 	return "claim was changed by attempt " + e.Current.Attempt
 }
--- a/internal/claim/faults_test.go
+++ b/internal/claim/faults_test.go
@@ -20,7 +20,7 @@
 			table := storagetest.NewTable()
 			random := rand.New(rand.NewSource(seed))
 			for range 12 {
-				table.FailCommits(storagetest.Fault(random.Intn(int(storagetest.FaultSlow) + 1)))
+				table.InjectFaults(storagetest.Fault(random.Intn(int(storagetest.FaultTimeout) + 1)))
 			}
 			for key, count := range countGrants(t, table) {
 				if count > 1 {
@@ -50,7 +50,7 @@
 					grants[key]++
 				}
 				// Apply delayed writes while other attempts are in progress.
-				table.Land()
+				table.ApplyDelayed()
 			})
 		}
 	}
@@ -66,7 +66,7 @@
 	if err != nil || claim.State != StateClaimed {
 		return false
 	}
-	if !claim.Mine {
+	if !claim.Owned {
 		if claim, err = c.TakeOver(t.Context(), claim, attempt); err != nil {
 			return false
 		}
--- a/internal/claim/outcome.go
+++ b/internal/claim/outcome.go
@@ -4,7 +4,7 @@
 type Outcome struct {
 	// Complete reports that the response was delivered completely. Otherwise the
 	// work ran and failed or was interrupted.
-	Whole bool `json:"whole"`
+	Complete bool `json:"whole"`
 	// Status is the HTTP status sent to the caller.
 	Status int `json:"status"`
 	// ContentType is the media type of Response.
@@ -14,5 +14,5 @@
 	ResponseStored bool `json:"kept,omitempty"`
 	// Response is the body sent to the caller. It is an input of Finish only and
 	// is nil in claims that are returned.
-	Answer []byte `json:"-"`
+	Response []byte `json:"-"`
 }
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -74,7 +74,7 @@
 		Attempt:     r.Attempt,
 		Fingerprint: r.Fingerprint,
 		State:       r.State,
-		Mine:        r.Attempt == attempt,
+		Owned:       r.Attempt == attempt,
 		Agent:       r.Agent,
 		Grant:       r.Grant,
 		Outcome:     r.Outcome,
--- a/internal/claim/sweeper.go
+++ b/internal/claim/sweeper.go
@@ -53,7 +53,7 @@
 		if _, err := s.sweepShard(ctx, shard); err != nil {
 			s.log.Warn(logging.EventClaimSweepFailed, zap.Int("shard", shard), zap.Error(err))
 		}
-		if !pause.For(ctx, sweepInterval) {
+		if !pause.Sleep(ctx, sweepInterval) {
 			return ctx.Err()
 		}
 	}
--- a/internal/claim/sweeper_test.go
+++ b/internal/claim/sweeper_test.go
@@ -32,7 +32,7 @@
 		table := storagetest.NewTable()
 		c := NewClaimer(table)
 		claim := mustGrant(t, c, mustClaim(t, c, "first"), "grant-1")
-		if _, err := c.Finish(t.Context(), claim, Outcome{Whole: true, Answer: []byte("a")}); err != nil {
+		if _, err := c.Finish(t.Context(), claim, Outcome{Complete: true, Response: []byte("a")}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(Retention + MaxClockSkew)
--- a/internal/cli/change.go
+++ b/internal/cli/change.go
@@ -64,8 +64,8 @@
 	}
 	return &program.Error{
 		Code:    program.ExitPartial,
-		Problem: "accepted, but not known to be in force everywhere" + propagation.unconfirmedProcesses(),
-		Advice:  "the change is durable, don't repeat it; applepier status shows how far it has come",
+		Message: "accepted, but not known to be in force everywhere" + propagation.unconfirmedProcesses(),
+		Hint:    "the change is durable, don't repeat it; applepier status shows how far it has come",
 	}
 }
 
--- a/internal/cli/class.go
+++ b/internal/cli/class.go
@@ -35,7 +35,7 @@
 
 func runClassList(ctx context.Context, command *cli.Command) error {
 	if command.Args().Present() {
-		return program.Usage(command, "class list takes no arguments")
+		return program.UsageError(command, "class list takes no arguments")
 	}
 	ctx, session, err := openSession(ctx, command)
 	if err != nil {
@@ -90,7 +90,7 @@
 // it returns a usage error.
 func className(command *cli.Command) (string, error) {
 	if command.Args().Len() != 1 {
-		return "", program.Usage(command, "give the name of one class")
+		return "", program.UsageError(command, "give the name of one class")
 	}
 	return command.Args().First(), nil
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -22,16 +22,16 @@
 // package.
 func Run(ctx context.Context, args []string, out, errOut io.Writer, serve Serve, extraCommands ...*cli.Command) program.ExitCode {
 	return program.Program[settings.Entry]{
-		Name:     "applepier",
-		Usage:    "a router for language-model traffic with latency targets and tiers",
-		Example:  "examples/entry.yaml",
-		Load:     settings.LoadEntry,
-		Identify: processIdentity,
-		Serve:    serve,
-		Commands: append([]*cli.Command{newClassCommand(), newStatusCommand(), newTimelineCommand()}, extraCommands...),
+		Name:         "applepier",
+		Usage:        "a router for language-model traffic with latency targets and tiers",
+		ExampleFile:  "examples/entry.yaml",
+		Load:         settings.LoadEntry,
+		LoggerConfig: processIdentity,
+		Serve:        serve,
+		Commands:     append([]*cli.Command{newClassCommand(), newStatusCommand(), newTimelineCommand()}, extraCommands...),
 	}.Run(ctx, args, out, errOut)
 }
 
-func processIdentity(entry settings.Entry) program.Identity {
-	return program.Identity{Process: entry.Process, LogLevel: entry.Log.Level}
+func processIdentity(entry settings.Entry) program.LoggerConfig {
+	return program.LoggerConfig{Process: entry.Process, LogLevel: entry.Log.Level}
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -30,22 +30,22 @@
 
 func (f staticFleet) Processes() []admin.Process { return f.processes }
 
-func (f staticFleet) Engines() []admin.Engine {
-	return []admin.Engine{
-		{VM: "engine-1", Zone: "zone-a", Serves: "assistant", Running: 4, Waiting: 2, Limit: 8, Heard: true, Age: 120 * time.Millisecond},
-		{VM: "engine-2", Zone: "zone-b", Serves: "assistant", Heard: true, Down: true, Age: time.Second},
+func (f staticFleet) BackendServers() []admin.BackendServer {
+	return []admin.BackendServer{
+		{VM: "engine-1", Zone: "zone-a", Serves: "assistant", Running: 4, Waiting: 2, Limit: 8, HasStatus: true, StatusAge: 120 * time.Millisecond},
+		{VM: "engine-2", Zone: "zone-b", Serves: "assistant", HasStatus: true, Down: true, StatusAge: time.Second},
 		{VM: "engine-3", Zone: "zone-b", Serves: "assistant"},
-		{VM: "tablet-1", Zone: "zone-a", Serves: "tablet-service", Leaving: true, Heard: true, Age: time.Second},
+		{VM: "tablet-1", Zone: "zone-a", Serves: "tablet-service", Draining: true, HasStatus: true, StatusAge: time.Second},
 	}
 }
 
 var testTimeline = timeline.View{
 	Events: []timeline.Event{
-		{Stamp: timeline.Stamp{Wall: 1_000_000_000}, Process: "entry-1", Kind: timeline.KindTicket, Request: "r-1", Class: "hazard-flag", Detail: "engine-1"},
-		{Stamp: timeline.Stamp{Wall: 1_000_000_000, Logical: 1}, Process: "engine-1", Kind: timeline.KindGrant, Request: "r-1"},
+		{Timestamp: timeline.Timestamp{Wall: 1_000_000_000}, Process: "entry-1", Kind: timeline.KindTicket, Request: "r-1", Class: "hazard-flag", Detail: "engine-1"},
+		{Timestamp: timeline.Timestamp{Wall: 1_000_000_000, Logical: 1}, Process: "engine-1", Kind: timeline.KindGrant, Request: "r-1"},
 	},
-	Answered:    2,
-	NotAnswered: []timeline.Missing{},
+	Responded: 2,
+	Missing:   []timeline.MissingPeer{},
 }
 
 // testAPI is an administration API server with an in-memory table and a fixed
@@ -60,20 +60,20 @@
 func newTestAPI(t *testing.T) *testAPI {
 	api := &testAPI{table: storagetest.NewTable(), timeline: testTimeline}
 	api.fleet.processes = []admin.Process{
-		{Name: "entry-1", Role: "entry", Zone: "zone-a", Version: 99, Heard: true, Age: 40 * time.Millisecond},
-		{Name: "engine-1", Role: "agent", Zone: "zone-a", Version: 99, Heard: true, Age: 80 * time.Millisecond, Leaving: true},
+		{Name: "entry-1", Role: "entry", Zone: "zone-a", TargetsVersion: 99, HasStatus: true, StatusAge: 40 * time.Millisecond},
+		{Name: "engine-1", Role: "agent", Zone: "zone-a", TargetsVersion: 99, HasStatus: true, StatusAge: 80 * time.Millisecond, Draining: true},
 	}
 	router := httprouter.New()
-	admin.New(admin.Config{Store: store.New(api.table), Holder: targets.NewHolder(), Fleet: api, OperatorKey: testKey}).Register(router)
-	router.Handler(http.MethodGet, timeline.PathView, auth.Operator(testKey)(http.HandlerFunc(api.serveTimeline)))
+	admin.New(admin.Config{Store: store.New(api.table), Holder: targets.NewCache(), Fleet: api, OperatorKey: testKey}).Register(router)
+	router.Handler(http.MethodGet, timeline.PathView, auth.RequireOperatorKey(testKey)(http.HandlerFunc(api.serveTimeline)))
 	server := httptest.NewServer(router)
 	t.Cleanup(server.Close)
 	api.url = server.URL
 	return api
 }
 
-func (api *testAPI) Processes() []admin.Process { return api.fleet.Processes() }
-func (api *testAPI) Engines() []admin.Engine    { return api.fleet.Engines() }
+func (api *testAPI) Processes() []admin.Process            { return api.fleet.Processes() }
+func (api *testAPI) BackendServers() []admin.BackendServer { return api.fleet.BackendServers() }
 
 func (api *testAPI) serveTimeline(w http.ResponseWriter, _ *http.Request) {
 	_ = (printer{out: w, format: OutputJSON}).print(api.timeline, nil)
@@ -143,7 +143,7 @@
 	t.Setenv(envKey, testKey)
 	api := newTestAPI(t)
 	api.fleet.processes = append(api.fleet.processes,
-		admin.Process{Name: "entry-2", Role: "entry", Zone: "zone-b", Version: 0, Heard: true, Age: time.Second},
+		admin.Process{Name: "entry-2", Role: "entry", Zone: "zone-b", TargetsVersion: 0, HasStatus: true, StatusAge: time.Second},
 		admin.Process{Name: "engine-3", Role: "agent", Zone: "zone-b"},
 	)
 	got := run(t, api.url, strings.Fields("class set flag --tier 0 --model m --first-token 1s --wait 1ms")...)
@@ -154,7 +154,7 @@
 func TestTableServiceDown(t *testing.T) {
 	t.Setenv(envKey, testKey)
 	api := newTestAPI(t)
-	api.table.SetDown(true)
+	api.table.SetUnavailable(true)
 	goldie.New(t).Assert(t, "set_table_down", []byte(run(t, api.url, strings.Fields("class set flag --tier 0 --model m --first-token 1s")...)))
 	goldie.New(t).Assert(t, "list_table_down", []byte(run(t, api.url, "class", "list")))
 }
@@ -162,7 +162,7 @@
 func TestTimelineListsMissingProcesses(t *testing.T) {
 	t.Setenv(envKey, testKey)
 	api := newTestAPI(t)
-	api.timeline.NotAnswered = []timeline.Missing{{Peer: timeline.Peer{Process: "engine-3", Addr: "10.0.0.8:8090"}, Reason: "no answer in time"}}
+	api.timeline.Missing = []timeline.MissingPeer{{Peer: timeline.Peer{Process: "engine-3", Addr: "10.0.0.8:8090"}, Reason: "no answer in time"}}
 	api.timeline.Truncated = true
 	goldie.New(t).Assert(t, "timeline_missing", []byte(run(t, api.url, "timeline")))
 }
--- a/internal/cli/errors.go
+++ b/internal/cli/errors.go
@@ -18,16 +18,16 @@
 func (c *client) transportError(apiReq apiRequest, err error) error {
 	if apiReq.isChange() && !isDialError(err) {
 		return &program.Error{
-			Code:    program.ExitUnknown,
-			Problem: "the answer was lost, the change may or may not have been made: " + rootCause(err),
-			Advice:  "look at the present state (applepier class list) before trying again",
+			Code:    program.ExitOutcomeUnknown,
+			Message: "the answer was lost, the change may or may not have been made: " + rootCause(err),
+			Hint:    "look at the present state (applepier class list) before trying again",
 			Cause:   err,
 		}
 	}
 	return &program.Error{
 		Code:    program.ExitUnreachable,
-		Problem: fmt.Sprintf("%s does not answer: %s", c.base, rootCause(err)),
-		Advice:  "check --admin and that the process runs; any other entry will do as well",
+		Message: fmt.Sprintf("%s does not answer: %s", c.base, rootCause(err)),
+		Hint:    "check --admin and that the process runs; any other entry will do as well",
 		Cause:   err,
 	}
 }
@@ -60,8 +60,8 @@
 func (c *client) unexpectedResponse(err error) error {
 	return &program.Error{
 		Code:    program.ExitFailure,
-		Problem: fmt.Sprintf("%s did not answer as an administration API does", c.base),
-		Advice:  "check that --admin is the admin_listen address of an entry of this version",
+		Message: fmt.Sprintf("%s did not answer as an administration API does", c.base),
+		Hint:    "check that --admin is the admin_listen address of an entry of this version",
 		Cause:   err,
 	}
 }
@@ -77,31 +77,31 @@
 	for _, p := range apiError.Problems {
 		problem += fmt.Sprintf("\n  %s: %s", p.Field, p.Reason)
 	}
-	result := &program.Error{Problem: problem}
+	result := &program.Error{Message: problem}
 	switch response.StatusCode {
 	case http.StatusBadRequest:
 		result.Code = program.ExitUsage
-		result.Advice = "correct what is listed; nothing was changed"
+		result.Hint = "correct what is listed; nothing was changed"
 	case http.StatusUnauthorized, http.StatusForbidden:
-		result.Code = program.ExitDenied
-		result.Advice = "use the operator's key of this fleet (" + envKey + " or --" + flagKeyFile + ")"
+		result.Code = program.ExitUnauthorized
+		result.Hint = "use the operator's key of this fleet (" + envKey + " or --" + flagKeyFile + ")"
 	case http.StatusNotFound:
 		result.Code = program.ExitNotFound
-		result.Advice = "applepier class list shows the names"
+		result.Hint = "applepier class list shows the names"
 	case http.StatusConflict:
 		result.Code = program.ExitConflict
-		result.Problem += describeNewerState(apiError)
-		result.Advice = "nothing was changed; look at the newer state and repeat the command if it still applies"
+		result.Message += describeNewerState(apiError)
+		result.Hint = "nothing was changed; look at the newer state and repeat the command if it still applies"
 	case http.StatusServiceUnavailable:
 		result.Code = program.ExitUnreachable
-		result.Advice = "nothing was changed; try again" + retryAfter(response)
+		result.Hint = "nothing was changed; try again" + retryAfter(response)
 	default:
 		result.Code = program.ExitFailure
-		result.Advice = "see the log of the entry at " + c.base.Host
+		result.Hint = "see the log of the entry at " + c.base.Host
 	}
 	if apiError.Error.Code == codeOutcomeUnknown {
-		result.Code = program.ExitUnknown
-		result.Advice = "look at the present state (applepier class list) before trying again"
+		result.Code = program.ExitOutcomeUnknown
+		result.Hint = "look at the present state (applepier class list) before trying again"
 	}
 	return result
 }
--- a/internal/cli/flags.go
+++ b/internal/cli/flags.go
@@ -74,11 +74,11 @@
 func openSession(ctx context.Context, command *cli.Command) (context.Context, *session, error) {
 	format := OutputFormat(command.String(flagOutput))
 	if format != OutputTable && format != OutputJSON {
-		return nil, nil, program.Usage(command, "--output must be table or json, not "+string(format))
+		return nil, nil, program.UsageError(command, "--output must be table or json, not "+string(format))
 	}
 	base, err := url.Parse(command.String(flagAdmin))
 	if err != nil || base.Host == "" || (base.Scheme != "http" && base.Scheme != "https") {
-		return nil, nil, program.Usage(command, "--admin must be a URL such as "+defaultAdmin)
+		return nil, nil, program.UsageError(command, "--admin must be a URL such as "+defaultAdmin)
 	}
 	key, err := readKey(command.String(flagKeyFile))
 	if err != nil {
@@ -105,16 +105,16 @@
 // readKey returns the operator key from file, or from the environment if file is
 // empty.
 func readKey(file string) (string, error) {
-	secret := settings.Secret{File: file}
+	secret := settings.SecretSource{File: file}
 	if file == "" {
-		secret = settings.Secret{Env: envKey}
+		secret = settings.SecretSource{Env: envKey}
 	}
 	key, err := secret.Read()
 	if err != nil {
 		return "", &program.Error{
 			Code:    program.ExitUsage,
-			Problem: "no operator key: " + err.Error(),
-			Advice:  "set " + envKey + " or give --" + flagKeyFile + " FILE",
+			Message: "no operator key: " + err.Error(),
+			Hint:    "set " + envKey + " or give --" + flagKeyFile + " FILE",
 			Cause:   err,
 		}
 	}
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -21,12 +21,12 @@
 	return program.Program[settings.Gateway]{
 		Name:        "applepier gateway",
 		Usage:       "run an entry that sends straight to the backend servers",
-		Example:     "examples/gateway.yaml",
+		ExampleFile: "examples/gateway.yaml",
 		SettingsEnv: settingsEnv,
 		Load:        settings.LoadGateway,
-		Identify: func(s settings.Gateway) program.Identity {
-			return program.Identity{Process: s.Process, LogLevel: s.Log.Level}
+		LoggerConfig: func(s settings.Gateway) program.LoggerConfig {
+			return program.LoggerConfig{Process: s.Process, LogLevel: s.Log.Level}
 		},
-		ServeReloading: serve,
+		ServeWithReload: serve,
 	}.Command("gateway")
 }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -29,7 +29,7 @@
 
 func runStatus(ctx context.Context, command *cli.Command) error {
 	if command.Args().Present() {
-		return program.Usage(command, "status takes no arguments")
+		return program.UsageError(command, "status takes no arguments")
 	}
 	ctx, session, err := openSession(ctx, command)
 	if err != nil {
--- a/internal/cli/timeline.go
+++ b/internal/cli/timeline.go
@@ -41,7 +41,7 @@
 
 func runTimeline(ctx context.Context, command *cli.Command) error {
 	if command.Args().Present() {
-		return program.Usage(command, "timeline takes no arguments")
+		return program.UsageError(command, "timeline takes no arguments")
 	}
 	ctx, session, err := openSession(ctx, command)
 	if err != nil {
@@ -70,7 +70,7 @@
 func eventTable(events []timeline.Event) table {
 	t := table{header: []string{"TIME", "PROCESS", "EVENT", "REQUEST", "CLASS", "DETAIL"}}
 	for _, event := range events {
-		eventTime := time.Unix(0, event.Stamp.Wall).UTC().Format(timeFormat)
+		eventTime := time.Unix(0, event.Timestamp.Wall).UTC().Format(timeFormat)
 		t.add(eventTime, event.Process, string(event.Kind), event.Request, event.Class, event.Detail)
 	}
 	return t
@@ -79,16 +79,16 @@
 // missingError returns an error that lists the processes whose events are
 // missing, or nil if all processes responded.
 func missingError(view timeline.View) error {
-	if len(view.NotAnswered) == 0 {
+	if len(view.Missing) == 0 {
 		return nil
 	}
 	problem := "these processes did not answer, their events are missing:"
-	for _, missing := range view.NotAnswered {
+	for _, missing := range view.Missing {
 		problem += "\n  " + missing.Process + " (" + missing.Addr + "): " + missing.Reason
 	}
 	return &program.Error{
 		Code:    program.ExitPartial,
-		Problem: problem,
-		Advice:  "see docs/OPERATING.md, \"A process does not answer\"",
+		Message: problem,
+		Hint:    "see docs/OPERATING.md, \"A process does not answer\"",
 	}
 }
--- a/internal/cli/transport_test.go
+++ b/internal/cli/transport_test.go
@@ -68,7 +68,7 @@
 func TestExitCodesAreStable(t *testing.T) {
 	codes := []program.ExitCode{
 		program.ExitOK, program.ExitFailure, program.ExitUsage, program.ExitConflict, program.ExitUnreachable,
-		program.ExitDenied, program.ExitNotFound, program.ExitPartial, program.ExitUnknown,
+		program.ExitUnauthorized, program.ExitNotFound, program.ExitPartial, program.ExitOutcomeUnknown,
 	}
 	for want, code := range codes {
 		if int(code) != want {
--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -22,7 +22,7 @@
 // NewDialer returns a dialer that gives up connecting after connectTimeout. The
 // kernel closes its connections if sent data stays unacknowledged for longer than
 // userTimeout (TCP_USER_TIMEOUT, in whole milliseconds).
-func Dialer(connectTimeout, userTimeout time.Duration) net.Dialer {
+func NewDialer(connectTimeout, userTimeout time.Duration) net.Dialer {
 	return net.Dialer{
 		Timeout:         connectTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes},
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -80,7 +80,7 @@
 }
 
 // Running implements Engine.
-func (c *Client) Running(ctx context.Context) ([]string, error) {
+func (c *Client) RunIDs(ctx context.Context) ([]string, error) {
 	var list RunList
 	if err := c.call(ctx, c.controlClient, http.MethodGet, pathRuns, nil, &list); err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 }
 
 // Order implements Engine.
-func (c *Client) Order(ctx context.Context, order Order) error {
+func (c *Client) SendOrder(ctx context.Context, order Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
 		return errors.Wrap(err, "encode order")
@@ -118,7 +118,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode == http.StatusConflict {
-		return ErrFenced
+		return ErrStaleFencingToken
 	}
 	if resp.StatusCode >= http.StatusMultipleChoices {
 		return statusError(resp)
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -84,7 +84,7 @@
 			if err != nil || chunk.Tokens != 1 {
 				t.Fatalf("first chunk: got %d tokens, %v", chunk.Tokens, err)
 			}
-			if _, err := stream.Next(); !errors.Is(err, engine.ErrCut) {
+			if _, err := stream.Next(); !errors.Is(err, engine.ErrTruncated) {
 				t.Fatalf("second chunk: got %v, want ErrTruncated", err)
 			}
 		})
@@ -138,8 +138,8 @@
 		}
 		_, _ = io.WriteString(w, "data: [DONE]\n\n")
 	})
-	service := engine.NewService(url)
-	call := engine.ServiceCall{
+	service := engine.NewServiceClient(url)
+	call := engine.ServiceRequest{
 		ID: "r1#1", Method: http.MethodGet, Path: "/gate",
 		Header: http.Header{"Idempotency-Key": {"k"}},
 	}
@@ -168,7 +168,7 @@
 		w.WriteHeader(http.StatusTeapot)
 		_, _ = w.Write(body)
 	})
-	response, err := engine.NewService(url).Do(context.Background(), engine.ServiceCall{
+	response, err := engine.NewServiceClient(url).Do(context.Background(), engine.ServiceRequest{
 		ID: "r2#1", Method: http.MethodPut, Path: "/gate/4?x=1", Body: []byte("weigh"),
 		Header: http.Header{"Connection": {"X-Hop"}, "X-Hop": {"1"}, "Te": {"gzip"}, "X-Kept": {"2"}},
 	})
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -17,10 +17,10 @@
 	// so the run has not started.
 	ErrUnreachable = errors.New("engine is unreachable")
 	// ErrTruncated means that the stream ended without the engine's done marker.
-	ErrCut = errors.New("engine stream ended without its done marker")
+	ErrTruncated = errors.New("engine stream ended without its done marker")
 	// ErrStaleFencingToken means that the engine refused an order because it
 	// has seen a higher fencing token.
-	ErrFenced = errors.New("stale fencing token")
+	ErrStaleFencingToken = errors.New("stale fencing token")
 )
 
 // RejectedError means that the engine refused a request, which did not run.
@@ -71,13 +71,13 @@
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 	// ReportedAt is the time of the report.
-	At time.Time `json:"at"`
+	ReportedAt time.Time `json:"at"`
 }
 
 // Order is an instruction to an engine from the holder of a lease.
 type Order struct {
 	// FencingToken is the fencing token of that lease.
-	Fence uint64 `json:"fence"`
+	FencingToken uint64 `json:"fence"`
 	// LoadModel is the model to load.
 	LoadModel string `json:"load_model"`
 }
@@ -90,10 +90,10 @@
 	// Cancel cancels a run. It returns nil when no such run exists.
 	Cancel(ctx context.Context, id string) error
 	// RunIDs returns the IDs of all runs of the engine, waiting ones included.
-	Running(ctx context.Context) ([]string, error)
+	RunIDs(ctx context.Context) ([]string, error)
 	// Load returns the engine's latest load report.
 	Load(ctx context.Context) (Load, error)
 	// SendOrder sends an order. It returns ErrStaleFencingToken when the engine
 	// has seen a higher fencing token.
-	Order(ctx context.Context, order Order) error
+	SendOrder(ctx context.Context, order Order) error
 }
--- a/internal/engine/service.go
+++ b/internal/engine/service.go
@@ -7,7 +7,7 @@
 )
 
 // ServiceRequest is one call of a plain service.
-type ServiceCall struct {
+type ServiceRequest struct {
 	// ID identifies the run. It consists of the request ID and the attempt.
 	ID string
 	// Method is the HTTP method.
@@ -37,5 +37,5 @@
 	// Do makes a call. It returns ErrUnreachable when the call has certainly
 	// not started, and another error when that is unknown. No HTTP status is an
 	// error.
-	Do(ctx context.Context, call ServiceCall) (*ServiceResponse, error)
+	Do(ctx context.Context, call ServiceRequest) (*ServiceResponse, error)
 }
--- a/internal/engine/service_client.go
+++ b/internal/engine/service_client.go
@@ -26,13 +26,13 @@
 var _ Service = (*ServiceClient)(nil)
 
 // NewServiceClient returns a client for the plain service at baseURL.
-func NewService(baseURL string) *ServiceClient {
+func NewServiceClient(baseURL string) *ServiceClient {
 	return &ServiceClient{baseURL: baseURL, transport: newNoReuseTransport()}
 }
 
 // Do implements Service. It follows no redirects. Cancelling ctx also aborts
 // reading the response body.
-func (s *ServiceClient) Do(ctx context.Context, call ServiceCall) (*ServiceResponse, error) {
+func (s *ServiceClient) Do(ctx context.Context, call ServiceRequest) (*ServiceResponse, error) {
 	var trace connectTrace
 	req, err := s.newRequest(trace.attach(ctx), call)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return &ServiceResponse{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}, nil
 }
 
-func (s *ServiceClient) newRequest(ctx context.Context, call ServiceCall) (*http.Request, error) {
+func (s *ServiceClient) newRequest(ctx context.Context, call ServiceRequest) (*http.Request, error) {
 	var body io.Reader
 	if len(call.Body) > 0 {
 		body = io.NopCloser(bytes.NewReader(call.Body))
--- a/internal/engine/sse.go
+++ b/internal/engine/sse.go
@@ -50,9 +50,9 @@
 		return decodeChunk(data)
 	}
 	if err := s.scanner.Err(); err != nil {
-		return Chunk{}, errors.Wrap(ErrCut, err.Error())
+		return Chunk{}, errors.Wrap(ErrTruncated, err.Error())
 	}
-	return Chunk{}, ErrCut
+	return Chunk{}, ErrTruncated
 }
 
 // Close implements Stream. It closes the connection, upon which engines cancel
@@ -77,10 +77,10 @@
 func decodeChunk(data []byte) (Chunk, error) {
 	var fields chunkFields
 	if err := json.Unmarshal(data, &fields); err != nil {
-		return Chunk{}, errors.Wrap(ErrCut, "event is not JSON")
+		return Chunk{}, errors.Wrap(ErrTruncated, "event is not JSON")
 	}
 	if len(fields.Error) > 0 && string(fields.Error) != "null" {
-		return Chunk{}, errors.Wrap(ErrCut, "engine reported an error")
+		return Chunk{}, errors.Wrap(ErrTruncated, "engine reported an error")
 	}
 	chunk := Chunk{Data: bytes.Clone(data)}
 	if len(fields.Choices) > 0 && fields.Choices[0].Delta.Content != "" {
--- a/internal/entry/api/api.go
+++ b/internal/entry/api/api.go
@@ -85,7 +85,7 @@
 
 // Config holds the dependencies of an API.
 type Config struct {
-	Targets    *targets.Holder
+	Targets    *targets.Cache
 	Dispatcher Dispatcher
 	Catalog    Catalog
 	Auth       Authenticator
@@ -137,14 +137,14 @@
 // client that announces a body and doesn't send it would otherwise get no response until
 // it disconnects.
 func refuseWithoutBody(w http.ResponseWriter, r *http.Request, e apiError) {
-	unread.Answer(w, r, false, func() { writeError(w, e) })
+	unread.Respond(w, r, false, func() { writeError(w, e) })
 }
 
 // limitInFlight refuses requests beyond maxInFlight.
 func (a *API) limitInFlight(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !a.beginRequest() {
-			unread.Answer(w, r, false, func() { a.refuseAtCapacity(w, r, reasonEntryFull) })
+			unread.Respond(w, r, false, func() { a.refuseAtCapacity(w, r, reasonEntryFull) })
 			return
 		}
 		defer a.endRequest()
--- a/internal/entry/api/bench_test.go
+++ b/internal/entry/api/bench_test.go
@@ -25,7 +25,7 @@
 	resp := newStreamResponse(discardWriter{header: http.Header{}}, "1", false)
 	b.ReportAllocs()
 	for b.Loop() {
-		if err := resp.Frame(frame); err != nil {
+		if err := resp.WriteFrame(frame); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/entry/api/buffered_response.go
+++ b/internal/entry/api/buffered_response.go
@@ -53,7 +53,7 @@
 
 // Frame adds one chunk to the response. It returns an error for a chunk that can't be
 // decoded or has a choice index out of range.
-func (b *bufferedResponse) Frame(f wire.Frame) error {
+func (b *bufferedResponse) WriteFrame(f wire.Frame) error {
 	var c chunk
 	if err := json.Unmarshal(f.Data, &c); err != nil {
 		return errors.Wrap(err, "decode chunk")
--- a/internal/entry/api/chat.go
+++ b/internal/entry/api/chat.go
@@ -70,8 +70,8 @@
 	}
 	req := a.newRequest(class, customer, arrived)
 	req.Serves = chat.Model
-	req.Size = chat.estimateTokens()
-	req.Prefix = chat.prefixHash()
+	req.EstimatedTokens = chat.estimateTokens()
+	req.PrefixHash = chat.prefixHash()
 	req.Body = body.data
 	chat.Messages = nil // frees a copy of most of the body
 	a.dispatchRequest(w, r, req, func(w http.ResponseWriter) response {
--- a/internal/entry/api/claim_guard.go
+++ b/internal/entry/api/claim_guard.go
@@ -14,7 +14,7 @@
 }
 
 // Take durably records the grant in the claim.
-func (g *claimGuard) Take(ctx context.Context, agent, grant string) error {
+func (g *claimGuard) RecordGrant(ctx context.Context, agent, grant string) error {
 	c, err := g.claims.Grant(ctx, g.claim, agent, grant)
 	if err != nil {
 		return err
--- a/internal/entry/api/claims.go
+++ b/internal/entry/api/claims.go
@@ -21,7 +21,7 @@
 	Finish(ctx context.Context, c claim.Claim, o claim.Outcome) (claim.Claim, error)
 	Release(ctx context.Context, c claim.Claim) error
 	TakeOver(ctx context.Context, c claim.Claim, attempt string) (claim.Claim, error)
-	Answer(ctx context.Context, c claim.Claim) ([]byte, error)
+	Response(ctx context.Context, c claim.Claim) ([]byte, error)
 }
 
 // GrantVoider voids a grant that another entry has recorded, so that it can no longer be
@@ -56,7 +56,7 @@
 		a.endWithoutDispatch(w, req, claimError(err))
 		return nil, false
 	}
-	if !c.Mine {
+	if !c.Owned {
 		if c, err = a.resolveExistingClaim(w, r, c, req); err != nil {
 			return nil, false
 		}
@@ -97,8 +97,8 @@
 
 // replayResponse writes the stored response of the call that ran.
 func (a *API) replayResponse(w http.ResponseWriter, r *http.Request, c claim.Claim, req *dispatch.Request) {
-	body, err := a.config.Claims.Answer(r.Context(), c)
-	if err != nil || !c.Outcome.Whole {
+	body, err := a.config.Claims.Response(r.Context(), c)
+	if err != nil || !c.Outcome.Complete {
 		a.endWithoutDispatch(w, req, apiError{
 			status:  http.StatusConflict,
 			code:    "already_run",
@@ -111,7 +111,7 @@
 	w.Header().Set(headerIdempotencyReplayed, "true")
 	w.WriteHeader(c.Outcome.Status)
 	_, _ = w.Write(body)
-	a.config.Observer.RequestEnded(req.Class, dispatch.Result{Outcome: dispatch.Whole}, time.Since(req.Arrived))
+	a.config.Observer.RequestEnded(req.Class, dispatch.Result{Outcome: dispatch.Completed}, time.Since(req.Arrived))
 }
 
 // endWithoutDispatch ends a received request with an error, without dispatching it.
@@ -136,7 +136,7 @@
 }
 
 func claimError(err error) apiError {
-	var lost *claim.LostError
+	var lost *claim.ConflictError
 	switch {
 	case errors.Is(err, claim.ErrKeyReused):
 		return apiError{
@@ -160,9 +160,9 @@
 	defer cancel()
 	var err error
 	switch {
-	case result.Outcome == dispatch.Whole:
-		_, err = a.config.Claims.Finish(ctx, guard.claim, claim.Outcome{Whole: true, Status: recorder.status, ContentType: recorder.Header().Get("Content-Type"), Answer: recorder.recordedBody()})
-	case result.Outcome == dispatch.NotRun, result.Outcome == dispatch.Rejected, !result.Sent:
+	case result.Outcome == dispatch.Completed:
+		_, err = a.config.Claims.Finish(ctx, guard.claim, claim.Outcome{Complete: true, Status: recorder.status, ContentType: recorder.Header().Get("Content-Type"), Response: recorder.recordedBody()})
+	case result.Outcome == dispatch.NotRun, result.Outcome == dispatch.Rejected, !result.BodySent:
 		err = a.config.Claims.Release(ctx, guard.claim)
 	}
 	if err != nil {
--- a/internal/entry/api/claims_test.go
+++ b/internal/entry/api/claims_test.go
@@ -10,7 +10,7 @@
 
 func endWith(o dispatch.Outcome) func(*dispatch.Request, dispatch.Sink) dispatch.Result {
 	return func(*dispatch.Request, dispatch.Sink) dispatch.Result {
-		return dispatch.Result{Outcome: o, Reason: "test", Sent: true}
+		return dispatch.Result{Outcome: o, Reason: "test", BodySent: true}
 	}
 }
 
@@ -72,7 +72,7 @@
 
 func TestClaimedCallIsNotRunWhileClaimStoreIsDown(t *testing.T) {
 	api := newTestAPI(t)
-	api.table.SetDown(true)
+	api.table.SetUnavailable(true)
 	w := api.postDocket("k")
 	if w.Code != http.StatusServiceUnavailable || w.Header().Get(HeaderOutcome) != string(dispatch.NotRun) || api.dispatcher.runs != 0 {
 		t.Fatalf("got %d %v after %d runs", w.Code, w.Header(), api.dispatcher.runs)
--- a/internal/entry/api/dispatch.go
+++ b/internal/entry/api/dispatch.go
@@ -40,7 +40,7 @@
 	if !ok {
 		return
 	}
-	req.Guard = guard
+	req.GrantRecorder = guard
 	req.Repeatable = false
 	recorder := newResponseRecorder(w)
 	result := a.dispatchAndRespond(r.Context(), recorder, req, newResponse)
@@ -57,8 +57,8 @@
 
 func (a *API) writeResult(w http.ResponseWriter, result dispatch.Result, resp response) {
 	switch {
-	case result.Outcome == dispatch.Gone:
-	case result.Outcome == dispatch.Whole:
+	case result.Outcome == dispatch.Cancelled:
+	case result.Outcome == dispatch.Completed:
 		resp.finish()
 	case resp.started():
 		resp.fail(resultError(result))
--- a/internal/entry/api/fake_test.go
+++ b/internal/entry/api/fake_test.go
@@ -27,8 +27,8 @@
 }
 
 func (d *fakeDispatcher) Do(ctx context.Context, r *dispatch.Request, sink dispatch.Sink) dispatch.Result {
-	if r.Guard != nil {
-		if err := r.Guard.Take(ctx, "agent", "grant-"+r.ID); err != nil {
+	if r.GrantRecorder != nil {
+		if err := r.GrantRecorder.RecordGrant(ctx, "agent", "grant-"+r.ID); err != nil {
 			return dispatch.Result{Outcome: dispatch.NotRun, Reason: "claim_unavailable", RetryAfter: time.Second}
 		}
 	}
@@ -68,8 +68,8 @@
 
 func newTestAPI(t *testing.T) *testAPI {
 	t.Helper()
-	holder := targets.NewHolder()
-	holder.Offer(&targets.Set{Version: 1, Classes: []targets.Class{
+	holder := targets.NewCache()
+	holder.UpdateIfNewer(&targets.Set{Version: 1, Classes: []targets.Class{
 		{Name: "summary", Model: "apple", Tier: 4},
 		{Name: "docket", Service: "ledger", Tier: 2},
 	}})
@@ -106,7 +106,7 @@
 
 // serveDocket sends a complete response to a service call.
 func serveDocket(_ *dispatch.Request, sink dispatch.Sink) dispatch.Result {
-	_ = sink.Frame(wire.Frame{Kind: wire.FrameHead, Status: http.StatusCreated, Header: []wire.Header{{Name: "Content-Type", Value: "text/plain"}}})
-	_ = sink.Frame(wire.Frame{Kind: wire.FrameData, Data: []byte("docket 1")})
-	return dispatch.Result{Outcome: dispatch.Whole, Sent: true}
+	_ = sink.WriteFrame(wire.Frame{Kind: wire.FrameHeaders, Status: http.StatusCreated, Header: []wire.Header{{Name: "Content-Type", Value: "text/plain"}}})
+	_ = sink.WriteFrame(wire.Frame{Kind: wire.FrameData, Data: []byte("docket 1")})
+	return dispatch.Result{Outcome: dispatch.Completed, BodySent: true}
 }
--- a/internal/entry/api/fixture_test.go
+++ b/internal/entry/api/fixture_test.go
@@ -32,8 +32,8 @@
 func newBlockingFixture(t testing.TB, claims ClaimStore) *blockingFixture {
 	t.Helper()
 	f := &blockingFixture{t: t, router: httprouter.New(), recorder: &recordingObserver{}, dispatched: make(chan string), release: make(chan struct{})}
-	holder := targets.NewHolder()
-	holder.Offer(&targets.Set{Version: 1, Classes: []targets.Class{
+	holder := targets.NewCache()
+	holder.UpdateIfNewer(&targets.Set{Version: 1, Classes: []targets.Class{
 		{Name: "urgent", Tier: 1, Model: "m"},
 		{Name: "lower", Tier: 2, Model: "m"},
 		{Name: "only", Tier: 2, Model: "n"},
@@ -52,7 +52,7 @@
 func (f *blockingFixture) Do(_ context.Context, r *dispatch.Request, _ dispatch.Sink) dispatch.Result {
 	f.dispatched <- r.Class.Name
 	<-f.release
-	return dispatch.Result{Outcome: dispatch.Whole}
+	return dispatch.Result{Outcome: dispatch.Completed}
 }
 
 // Serves implements Catalog.
--- a/internal/entry/api/request_body.go
+++ b/internal/entry/api/request_body.go
@@ -54,7 +54,7 @@
 	}
 	body.release()
 	timedOut := !errors.Is(err, errBodyBudgetExceeded) && !isTooLarge(err)
-	unread.Answer(w, r, timedOut, func() {
+	unread.Respond(w, r, timedOut, func() {
 		if errors.Is(err, errBodyBudgetExceeded) {
 			a.refuseAtCapacity(w, r, reasonBodiesFull)
 		} else {
--- a/internal/entry/api/response_recorder.go
+++ b/internal/entry/api/response_recorder.go
@@ -30,7 +30,7 @@
 
 // Write records and forwards a part of the body.
 func (r *responseRecorder) Write(p []byte) (int, error) {
-	if len(r.body)+len(p) > claim.MaxAnswer {
+	if len(r.body)+len(p) > claim.MaxResponseBytes {
 		r.tooLong = true
 		r.body = nil
 	}
--- a/internal/entry/api/response_test.go
+++ b/internal/entry/api/response_test.go
@@ -25,9 +25,9 @@
 func respondWith(outcome dispatch.Outcome, chunks ...string) func(*dispatch.Request, dispatch.Sink) dispatch.Result {
 	return func(_ *dispatch.Request, sink dispatch.Sink) dispatch.Result {
 		for _, c := range chunks {
-			_ = sink.Frame(wire.Frame{Kind: wire.FrameData, Data: []byte(c), Tokens: 1})
+			_ = sink.WriteFrame(wire.Frame{Kind: wire.FrameData, Data: []byte(c), Tokens: 1})
 		}
-		return dispatch.Result{Outcome: outcome, Reason: "test", Sent: true}
+		return dispatch.Result{Outcome: outcome, Reason: "test", BodySent: true}
 	}
 }
 
@@ -44,7 +44,7 @@
 
 func TestResumedStreamLooksLikeOneRun(t *testing.T) {
 	api := newTestAPI(t)
-	api.dispatcher.script = respondWith(dispatch.Whole, roleChunk, firstChunk, resumedRoleChunk, resumedChunk, usageChunk)
+	api.dispatcher.script = respondWith(dispatch.Completed, roleChunk, firstChunk, resumedRoleChunk, resumedChunk, usageChunk)
 	list := sseEvents(api.post("/v1/chat/completions", "", streamRequest))
 	if len(list) != 4 || list[3] != "[DONE]" {
 		t.Fatalf("events: got %d %q, want the role, two deltas and [DONE]", len(list), list)
@@ -77,7 +77,7 @@
 
 func TestBufferedResponseJoinsChunks(t *testing.T) {
 	api := newTestAPI(t)
-	api.dispatcher.script = respondWith(dispatch.Whole, roleChunk, firstChunk, resumedRoleChunk, resumedChunk, usageChunk)
+	api.dispatcher.script = respondWith(dispatch.Completed, roleChunk, firstChunk, resumedRoleChunk, resumedChunk, usageChunk)
 	w := api.post("/v1/chat/completions", "", bufferedRequest)
 	var got completion
 	if err := json.Unmarshal(w.Body.Bytes(), &got); err != nil {
@@ -100,7 +100,7 @@
 
 func TestToolCallDeltasAreJoined(t *testing.T) {
 	api := newTestAPI(t)
-	api.dispatcher.script = respondWith(dispatch.Whole,
+	api.dispatcher.script = respondWith(dispatch.Completed,
 		`{"choices":[{"index":0,"delta":{"tool_calls":[{"index":0,"id":"a","type":"function","function":{"name":"look","arguments":"{\"x\""}}]}}]}`,
 		`{"choices":[{"index":0,"delta":{"tool_calls":[{"index":0,"function":{"arguments":":1}"}}]},"finish_reason":"tool_calls"}]}`,
 	)
--- a/internal/entry/api/service.go
+++ b/internal/entry/api/service.go
@@ -39,10 +39,10 @@
 	defer body.release()
 	req := a.newRequest(class, customer, arrived)
 	req.Serves = class.Service
-	req.Size = len(body.data)/bytesPerToken + 1
+	req.EstimatedTokens = len(body.data)/bytesPerToken + 1
 	req.Body = body.data
 	req.Repeatable = class.Repeatable || isIdempotent(r.Method)
-	req.Call = &dispatch.Call{Method: r.Method, Path: pathWithQuery(params.ByName("path"), r.URL.RawQuery), Header: selectForwardedHeaders(r.Header)}
+	req.ServiceCall = &dispatch.ServiceCall{Method: r.Method, Path: pathWithQuery(params.ByName("path"), r.URL.RawQuery), Header: selectForwardedHeaders(r.Header)}
 	a.dispatchRequest(w, r, req, func(w http.ResponseWriter) response {
 		return &serviceResponse{w: w, control: http.NewResponseController(w)}
 	})
--- a/internal/entry/api/service_response.go
+++ b/internal/entry/api/service_response.go
@@ -19,9 +19,9 @@
 func (s *serviceResponse) started() bool { return s.headerSent }
 
 // Frame forwards the status and headers, then each part of the body.
-func (s *serviceResponse) Frame(f wire.Frame) error {
+func (s *serviceResponse) WriteFrame(f wire.Frame) error {
 	_ = s.control.SetWriteDeadline(time.Now().Add(writeTimeout))
-	if f.Kind == wire.FrameHead {
+	if f.Kind == wire.FrameHeaders {
 		s.writeHeader(f)
 		return nil
 	}
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -33,7 +33,7 @@
 	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", answer), newFakeAgent(t, "two", answer)}}
 	sink := &fakeSink{}
 	result := newTestDispatcher(agents).Do(t.Context(), testRequest(true), sink)
-	if result.Outcome != Whole || sink.received != "ab" || result.Tokens != 2 {
+	if result.Outcome != Completed || sink.received != "ab" || result.Tokens != 2 {
 		t.Fatalf("got %+v with %q", result, sink.received)
 	}
 	runs := len(agents.agents[0].receivedRuns()) + len(agents.agents[1].receivedRuns())
@@ -47,7 +47,7 @@
 	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", streamTokens(answer, 2))}}
 	sink := &fakeSink{}
 	result := newTestDispatcher(agents).Do(t.Context(), testRequest(true), sink)
-	if result.Outcome != Whole || sink.received != "abcd" {
+	if result.Outcome != Completed || sink.received != "abcd" {
 		t.Fatalf("got %+v with %q", result, sink.received)
 	}
 	runs := agents.agents[0].receivedRuns()
@@ -72,7 +72,7 @@
 	})
 	sink := &fakeSink{}
 	result := newTestDispatcher(&fakeAgents{agents: []*fakeAgent{agent}}).Do(t.Context(), testRequest(true), sink)
-	if result.Outcome != Whole || sink.received != strings.Join(answer, "") {
+	if result.Outcome != Completed || sink.received != strings.Join(answer, "") {
 		t.Fatalf("got %+v with %q", result, sink.received)
 	}
 }
@@ -91,7 +91,7 @@
 	dispatcher := newTestDispatcher(agents)
 	exhaustRetryBudget(dispatcher)
 	result := dispatcher.Do(t.Context(), testRequest(true), sink)
-	if result.Outcome != Whole || sink.received != "abcd" {
+	if result.Outcome != Completed || sink.received != "abcd" {
 		t.Fatalf("got %+v with %q", result, sink.received)
 	}
 }
@@ -165,7 +165,7 @@
 			t.Error("a request with a target between tokens is preemptible")
 		}
 		request.Class.BetweenTokens = 0
-		request.Call = &Call{}
+		request.ServiceCall = &ServiceCall{}
 		if j.ticket().Preemptible {
 			t.Error("a call of a plain HTTP service is preemptible")
 		}
@@ -197,7 +197,7 @@
 	}
 	agents := &fakeAgents{agents: []*fakeAgent{agent}}
 	result := newTestDispatcher(agents).Do(t.Context(), testRequest(false), &fakeSink{})
-	if result.Outcome != Whole {
+	if result.Outcome != Completed {
 		t.Fatalf("got %+v, want whole", result)
 	}
 }
@@ -216,7 +216,7 @@
 
 func TestLeavingAgentsAreNotAskedForever(t *testing.T) {
 	agent := newFakeAgent(t, "one", nil)
-	agent.refusalReason = wire.ReasonLeaving
+	agent.refusalReason = wire.ReasonDraining
 	result := newTestDispatcher(&fakeAgents{agents: []*fakeAgent{agent}}).Do(t.Context(), testRequest(true), &fakeSink{})
 	if result.Outcome != NotRun || result.Reason != "no_backend_server" {
 		t.Fatalf("got %+v", result)
@@ -253,13 +253,15 @@
 // failingGrantRecorder simulates an unavailable table service.
 type failingGrantRecorder struct{}
 
-func (failingGrantRecorder) Take(context.Context, string, string) error { return errors.New("down") }
+func (failingGrantRecorder) RecordGrant(context.Context, string, string) error {
+	return errors.New("down")
+}
 
 func TestRequestIsNotSentWithoutRecordedGrant(t *testing.T) {
 	agent := newFakeAgent(t, "one", nil)
 	agents := &fakeAgents{agents: []*fakeAgent{agent}}
 	request := testRequest(false)
-	request.Guard = failingGrantRecorder{}
+	request.GrantRecorder = failingGrantRecorder{}
 	result := newTestDispatcher(agents).Do(t.Context(), request, &fakeSink{})
 	if result.Outcome != NotRun || len(agent.receivedRuns()) != 0 {
 		t.Fatalf("got %+v with %d runs, want not run", result, len(agent.receivedRuns()))
@@ -271,7 +273,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
 	result := newTestDispatcher(agents).Do(ctx, testRequest(true), &fakeSink{})
-	if result.Outcome != Gone {
+	if result.Outcome != Cancelled {
 		t.Fatalf("got %+v, want gone", result)
 	}
 }
--- a/internal/entry/dispatch/dispatcher.go
+++ b/internal/entry/dispatch/dispatcher.go
@@ -23,7 +23,7 @@
 	// Candidates lists the agents of a model or service that can take a ticket.
 	Candidates(serves string) []policy.Candidate
 	// Place sends a ticket; it returns false if the agent is not connected.
-	Place(agent string, t *wire.Ticket, l Listener) bool
+	Place(agent string, t *wire.Ticket, l TicketHandler) bool
 	// Withdraw cancels a ticket.
 	Withdraw(agent, request string, attempt int)
 	// Void asks an agent to make an unused grant unusable.
@@ -34,7 +34,7 @@
 
 // TicketHandler receives the replies to an attempt's tickets. See
 // fleet.TicketHandler.
-type Listener = interface {
+type TicketHandler = interface {
 	Granted(agent, grant string) bool
 	Refused(agent string, reason wire.Reason, retryAfter time.Duration)
 	Lost(agent string)
@@ -42,14 +42,14 @@
 
 // Config holds the dependencies of a Dispatcher.
 type Config struct {
-	Zone      string
-	SystemKey string
-	Agents    Agents
-	Placer    *policy.Placer
-	Ejector   *policy.Ejector
-	Budget    *policy.RetryBudget
-	Ring      *timeline.Ring
-	Log       *zap.Logger
+	Zone        string
+	SystemKey   string
+	Agents      Agents
+	Placer      *policy.Placer
+	Ejector     *policy.Ejector
+	RetryBudget *policy.RetryBudget
+	Timeline    *timeline.Ring
+	Log         *zap.Logger
 }
 
 // Dispatcher executes requests on backend servers. It is safe for concurrent
@@ -82,7 +82,7 @@
 	}
 	return &Dispatcher{
 		config:   c,
-		policies: sharedPolicies{placer: c.Placer, ejector: c.Ejector, budget: c.Budget},
+		policies: sharedPolicies{placer: c.Placer, ejector: c.Ejector, budget: c.RetryBudget},
 		client:   &http.Client{Transport: transport},
 	}
 }
@@ -94,7 +94,7 @@
 	j := &job{dispatcher: d, request: r, sink: sink}
 	result := j.execute(ctx)
 	result.Tokens = j.tokensDelivered
-	result.Sent = j.bodySent
+	result.BodySent = j.bodySent
 	result.Attempts = j.attempt
 	result.FirstToken = j.timeToFirstToken
 	d.recordResult(r, result)
@@ -103,12 +103,12 @@
 
 // ForgetAgent removes the failure history of an agent that was removed from the
 // fleet. VM names are never reused.
-func (d *Dispatcher) Forget(agent string) { d.policies.forgetAgent(agent) }
+func (d *Dispatcher) ForgetAgent(agent string) { d.policies.forgetAgent(agent) }
 
 // recordResult writes the final result to the timeline and the log.
 func (d *Dispatcher) recordResult(r *Request, result Result) {
 	kind, event := eventsFor(result.Outcome)
-	d.config.Ring.Record(kind, r.ID, r.Class.Name, result.Reason)
+	d.config.Timeline.Record(kind, r.ID, r.Class.Name, result.Reason)
 	d.config.Log.Info(event,
 		logging.Request(r.ID),
 		logging.Class(r.Class.Name),
@@ -129,7 +129,7 @@
 		return timeline.KindRefusal, logging.EventRequestRefused
 	case Unknown:
 		return timeline.KindUnknown, logging.EventRequestUnknown
-	case Gone:
+	case Cancelled:
 		return timeline.KindFinish, logging.EventRequestCancelled
 	default:
 		return timeline.KindFinish, logging.EventRequestFinished
--- a/internal/entry/dispatch/fake_test.go
+++ b/internal/entry/dispatch/fake_test.go
@@ -82,12 +82,12 @@
 func (f *fakeAgents) Candidates(string) []policy.Candidate {
 	var all []policy.Candidate
 	for _, a := range f.agents {
-		all = append(all, policy.Candidate{Name: a.name, Limit: 8, Seen: time.Now()})
+		all = append(all, policy.Candidate{Name: a.name, Limit: 8, ReportedAt: time.Now()})
 	}
 	return all
 }
 
-func (f *fakeAgents) Place(agent string, t *wire.Ticket, l Listener) bool {
+func (f *fakeAgents) Place(agent string, t *wire.Ticket, l TicketHandler) bool {
 	a := f.find(agent)
 	if a.refusalReason != "" {
 		go l.Refused(agent, a.refusalReason, 3*time.Second)
@@ -95,7 +95,7 @@
 	}
 	go func() {
 		if !l.Granted(agent, agent+"-grant") {
-			f.Withdraw(agent, t.Request, t.Attempt)
+			f.Withdraw(agent, t.RequestID, t.Attempt)
 		}
 	}()
 	return true
@@ -121,7 +121,7 @@
 // fakeSink collects the data that the caller received.
 type fakeSink struct{ received string }
 
-func (s *fakeSink) Frame(f wire.Frame) error {
+func (s *fakeSink) WriteFrame(f wire.Frame) error {
 	s.received += string(f.Data)
 	return nil
 }
@@ -129,12 +129,12 @@
 func newTestDispatcher(agents *fakeAgents) *Dispatcher {
 	ejector := policy.NewEjector()
 	return New(Config{
-		Agents:  agents,
-		Placer:  policy.NewPlacer(rand.New(rand.NewPCG(1, 2)), ejector),
-		Ejector: ejector,
-		Budget:  policy.NewRetryBudget(),
-		Ring:    timeline.NewRing("entry", &timeline.Clock{}, 64),
-		Log:     zap.NewNop(),
+		Agents:      agents,
+		Placer:      policy.NewPlacer(rand.New(rand.NewPCG(1, 2)), ejector),
+		Ejector:     ejector,
+		RetryBudget: policy.NewRetryBudget(),
+		Timeline:    timeline.NewRing("entry", &timeline.Clock{}, 64),
+		Log:         zap.NewNop(),
 	})
 }
 
--- a/internal/entry/dispatch/grant_search.go
+++ b/internal/entry/dispatch/grant_search.go
@@ -68,11 +68,11 @@
 			search.retryPlacement()
 		case <-deadline.C:
 			if search.collector.close() {
-				return acceptedGrant{}, &Result{Outcome: NotRun, Reason: "waited_too_long", RetryAfter: policy.Hint(search.overloadRefusals)}
+				return acceptedGrant{}, &Result{Outcome: NotRun, Reason: "waited_too_long", RetryAfter: policy.CombineRetryAfter(search.overloadRefusals)}
 			}
 		case <-ctx.Done():
 			if search.collector.close() {
-				return acceptedGrant{}, &Result{Outcome: Gone, Reason: "caller_gone"}
+				return acceptedGrant{}, &Result{Outcome: Cancelled, Reason: "caller_gone"}
 			}
 		}
 	}
@@ -90,7 +90,7 @@
 		}
 		return &Result{Outcome: NotRun, Reason: "no_backend_server", RetryAfter: noAgentTimeout}
 	}
-	return &Result{Outcome: NotRun, Reason: string(s.overloadReason), RetryAfter: policy.Hint(s.overloadRefusals)}
+	return &Result{Outcome: NotRun, Reason: string(s.overloadReason), RetryAfter: policy.CombineRetryAfter(s.overloadRefusals)}
 }
 
 // handleRefusal places a ticket at one more agent, unless enough agents have
@@ -99,7 +99,7 @@
 	delete(s.pending, r.agent)
 	if !r.connectionLost && isOverload(r.reason) {
 		s.overloadReason = r.reason
-		s.overloadRefusals = append(s.overloadRefusals, policy.Decision{RetryAfter: r.retryAfter, Full: r.reason == wire.ReasonQueueFull})
+		s.overloadRefusals = append(s.overloadRefusals, policy.Decision{RetryAfter: r.retryAfter, QueueFull: r.reason == wire.ReasonQueueFull})
 	}
 	if len(s.overloadRefusals) >= maxOverloadRefusals && s.job.tier() != policy.TopTier {
 		return
@@ -126,7 +126,7 @@
 func (s *grantSearch) placeTickets(n int) {
 	j := s.job
 	candidates := j.dispatcher.config.Agents.Candidates(j.request.Serves)
-	placement := policy.Placement{Tier: j.tier(), Zone: j.dispatcher.config.Zone, Prefix: j.request.Prefix, Exclude: s.tried}
+	placement := policy.PlacementRequest{Tier: j.tier(), Zone: j.dispatcher.config.Zone, Prefix: j.request.PrefixHash, Exclude: s.tried}
 	agents := j.dispatcher.policies.pickAgents(time.Now(), placement, candidates, n)
 	agentsAsked := maxAgentsAsked(j.tier(), len(candidates))
 	for _, agent := range agents {
@@ -153,10 +153,10 @@
 	j := s.job
 	s.tried = append(s.tried, agent)
 	ticket := j.ticket()
-	ticket.Asks = agentsAsked
+	ticket.MaxEngines = agentsAsked
 	if j.dispatcher.config.Agents.Place(agent, ticket, s.collector) {
 		s.pending[agent] = struct{}{}
-		j.dispatcher.config.Ring.Record(timeline.KindTicket, j.request.ID, j.request.Class.Name, agent)
+		j.dispatcher.config.Timeline.Record(timeline.KindTicket, j.request.ID, j.request.Class.Name, agent)
 	}
 }
 
--- a/internal/entry/dispatch/head_test.go
+++ b/internal/entry/dispatch/head_test.go
@@ -56,16 +56,16 @@
 // Guards against returning a response whose context the head timeout has
 // already cancelled: no byte of its body could be read.
 func TestReturnedResponseIsNotCancelledByHeadTimeout(t *testing.T) {
-	for _, delay := range []time.Duration{0, wire.SilenceBound - 1, wire.SilenceBound, wire.SilenceBound + 1} {
+	for _, delay := range []time.Duration{0, wire.HeartbeatTimeout - 1, wire.HeartbeatTimeout, wire.HeartbeatTimeout + 1} {
 		synctest.Test(t, func(t *testing.T) {
 			transport, response, err := requestWithDelayedHead(t, delay)
-			time.Sleep(2 * wire.SilenceBound)
+			time.Sleep(2 * wire.HeartbeatTimeout)
 			synctest.Wait()
-			if delay < wire.SilenceBound && err != nil {
+			if delay < wire.HeartbeatTimeout && err != nil {
 				t.Fatalf("head after %v: got %v", delay, err)
 			}
 			if err != nil {
-				if response != nil || !transport.bodyClosed || !errors.Is(err, wire.ErrSilent) {
+				if response != nil || !transport.bodyClosed || !errors.Is(err, wire.ErrHeartbeatTimeout) {
 					t.Fatalf("head after %v: got %v with %v, body closed: %v", delay, response, err, transport.bodyClosed)
 				}
 				return
--- a/internal/entry/dispatch/job.go
+++ b/internal/entry/dispatch/job.go
@@ -48,7 +48,7 @@
 		if result, final := j.evaluate(attempted); final {
 			return result
 		}
-		j.dispatcher.config.Ring.Record(timeline.KindRetry, j.request.ID, j.request.Class.Name, attempted.reason)
+		j.dispatcher.config.Timeline.Record(timeline.KindRetry, j.request.ID, j.request.Class.Name, attempted.reason)
 	}
 }
 
@@ -65,11 +65,11 @@
 func (j *job) evaluate(attempted attemptResult) (Result, bool) {
 	switch attempted.outcome {
 	case attemptCompleted:
-		return Result{Outcome: Whole, Reason: "whole"}, true
+		return Result{Outcome: Completed, Reason: "whole"}, true
 	case attemptRejected:
 		return Result{Outcome: Rejected, Reason: "rejected", Status: attempted.httpStatus, Body: attempted.body}, true
 	case attemptCancelled:
-		return Result{Outcome: Gone, Reason: "caller_gone"}, true
+		return Result{Outcome: Cancelled, Reason: "caller_gone"}, true
 	case attemptBlocked:
 		return Result{Outcome: NotRun, Reason: attempted.reason, RetryAfter: noAgentTimeout}, true
 	case attemptNotRun:
@@ -136,17 +136,17 @@
 	timeLimit, due := r.Class.Deadline()
 	slack := timeLimit - time.Since(r.Arrived)
 	return &wire.Ticket{
-		Request:  r.ID,
-		Attempt:  j.attempt,
-		Class:    r.Class.Name,
-		Tier:     r.Class.Tier,
-		Customer: r.Customer,
-		SlackMS:  slack.Milliseconds(),
-		Due:      due,
-		Size:     r.Size,
-		Prefix:   r.Prefix,
-		Copies:   policy.Copies(j.tier()),
-		Retry:    j.mayHaveRun,
+		RequestID:         r.ID,
+		Attempt:           j.attempt,
+		Class:             r.Class.Name,
+		Tier:              r.Class.Tier,
+		Customer:          r.Customer,
+		SlackMS:           slack.Milliseconds(),
+		DeadlineMilestone: due,
+		Size:              r.EstimatedTokens,
+		PrefixHash:        r.PrefixHash,
+		Copies:            policy.Copies(j.tier()),
+		Retry:             j.mayHaveRun,
 
 		Preemptible: r.preemptible(),
 		Serves:      r.Serves,
--- a/internal/entry/dispatch/request.go
+++ b/internal/entry/dispatch/request.go
@@ -21,9 +21,9 @@
 	// Arrived is the time when the entry had read the whole request.
 	Arrived time.Time
 	// EstimatedTokens is the estimated amount of work in tokens.
-	Size int
+	EstimatedTokens int
 	// PrefixHash is a hash of the beginning of the prompt.
-	Prefix uint64
+	PrefixHash uint64
 	// Repeatable is set if the request may run again when the outcome of an
 	// attempt is unknown.
 	Repeatable bool
@@ -31,15 +31,15 @@
 	Body []byte
 	// ServiceCall is set for a request to a plain HTTP service, nil for a
 	// model.
-	Call *Call
+	ServiceCall *ServiceCall
 	// GrantRecorder is called before a grant is used; nil for a request without
 	// an idempotency key.
-	Guard Guard
+	GrantRecorder GrantRecorder
 }
 
 // ServiceCall holds the method, path and headers of a request to a plain HTTP
 // service.
-type Call struct {
+type ServiceCall struct {
 	Method string
 	Path   string
 	Header []wire.Header
@@ -47,7 +47,7 @@
 
 // resumable reports whether an interrupted response can be continued. Only a
 // model's token stream can; the bytes of a plain HTTP service cannot.
-func (r *Request) resumable() bool { return r.Repeatable && r.Call == nil }
+func (r *Request) resumable() bool { return r.Repeatable && r.ServiceCall == nil }
 
 // preemptible reports whether a run may be stopped for an urgent one and
 // resumed later without making its response late. A pause would break a target
--- a/internal/entry/dispatch/result.go
+++ b/internal/entry/dispatch/result.go
@@ -8,7 +8,7 @@
 // Outcomes of a request.
 const (
 	// Completed: the caller got the complete response.
-	Whole Outcome = "whole"
+	Completed Outcome = "whole"
 	// NotRun: the request did not run.
 	NotRun Outcome = "not_run"
 	// Rejected: the backend server rejected the request; it did not run.
@@ -19,7 +19,7 @@
 	// Unknown: the request may have run and must not be repeated.
 	Unknown Outcome = "unknown"
 	// Cancelled: the caller disconnected.
-	Gone Outcome = "gone"
+	Cancelled Outcome = "gone"
 )
 
 // Result is the final result of a request.
@@ -35,7 +35,7 @@
 	Status int
 	Body   []byte
 	// BodySent is set if the body may have reached an agent.
-	Sent bool
+	BodySent bool
 	// Tokens is the number of tokens delivered to the caller.
 	Tokens int
 	// Attempts is the number of attempts.
--- a/internal/entry/dispatch/run.go
+++ b/internal/entry/dispatch/run.go
@@ -22,15 +22,15 @@
 
 // runAttempt sends the body with a grant and relays the response.
 func (j *job) runAttempt(ctx context.Context, grant acceptedGrant) attemptResult {
-	if recorder := j.request.Guard; recorder != nil {
-		if err := recorder.Take(ctx, grant.agent, grant.id); err != nil {
+	if recorder := j.request.GrantRecorder; recorder != nil {
+		if err := recorder.RecordGrant(ctx, grant.agent, grant.id); err != nil {
 			j.voidBestEffort(ctx, grant)
 			return attemptResult{outcome: attemptBlocked, reason: "claim_unavailable"}
 		}
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	j.dispatcher.config.Ring.Record(timeline.KindSent, j.request.ID, j.request.Class.Name, grant.agent)
+	j.dispatcher.config.Timeline.Record(timeline.KindSent, j.request.ID, j.request.Class.Name, grant.agent)
 	j.bodySent = true
 	response, err := j.send(ctx, grant)
 	if err != nil {
@@ -76,13 +76,13 @@
 
 func (j *job) newRunRequest(grant acceptedGrant) *wire.RunRequest {
 	r := &wire.RunRequest{
-		Grant:      grant.id,
-		Request:    j.request.ID,
+		GrantID:    grant.id,
+		RequestID:  j.request.ID,
 		Attempt:    j.attempt,
 		ResumeFrom: j.tokensDelivered,
 		Body:       j.request.Body,
 	}
-	if call := j.request.Call; call != nil {
+	if call := j.request.ServiceCall; call != nil {
 		r.Method = call.Method
 		r.Path = call.Path
 		r.Header = call.Header
@@ -97,17 +97,17 @@
 // cannot be read, so wire.ErrSilent is returned.
 func (d *Dispatcher) doWithHeadTimeout(req *http.Request) (*http.Response, error) {
 	ctx, cancel := context.WithCancelCause(req.Context())
-	watchdog := wire.NewSilence(func() { cancel(wire.ErrSilent) })
-	watchdog.Begin()
+	watchdog := wire.NewWatchdog(func() { cancel(wire.ErrHeartbeatTimeout) })
+	watchdog.Start()
 	response, err := d.client.Do(req.WithContext(ctx))
-	inTime := watchdog.End()
+	inTime := watchdog.Stop()
 	if err != nil {
 		cancel(nil)
 		return nil, errors.Wrap(err, "send body")
 	}
 	if !inTime {
 		_ = response.Body.Close()
-		return nil, errors.Wrap(wire.ErrSilent, "send body")
+		return nil, errors.Wrap(wire.ErrHeartbeatTimeout, "send body")
 	}
 	return response, nil
 }
@@ -169,7 +169,7 @@
 			return attemptResult{outcome: attemptCompleted}
 		case wire.FrameFail:
 			return classifyFailFrame(f)
-		case wire.FrameData, wire.FrameHead:
+		case wire.FrameData, wire.FrameHeaders:
 			if err := j.deliver(f); err != nil {
 				return attemptResult{outcome: attemptCancelled}
 			}
@@ -179,7 +179,7 @@
 
 // classifyStreamError converts an error of the frame reader to a result.
 func (j *job) classifyStreamError(ctx context.Context, err error) attemptResult {
-	if errors.Is(err, wire.ErrSilent) {
+	if errors.Is(err, wire.ErrHeartbeatTimeout) {
 		return attemptResult{outcome: attemptInterrupted, reason: "stream_silent"}
 	}
 	if ctx.Err() != nil {
@@ -190,11 +190,11 @@
 
 // deliver passes a frame to the sink and counts its tokens.
 func (j *job) deliver(f wire.Frame) error {
-	if f.Kind == wire.FrameData && (f.Tokens > 0 || j.request.Call != nil) && j.timeToFirstToken == 0 {
+	if f.Kind == wire.FrameData && (f.Tokens > 0 || j.request.ServiceCall != nil) && j.timeToFirstToken == 0 {
 		j.timeToFirstToken = time.Since(j.request.Arrived)
-		j.dispatcher.config.Ring.Record(timeline.KindFirstToken, j.request.ID, j.request.Class.Name, "")
+		j.dispatcher.config.Timeline.Record(timeline.KindFirstToken, j.request.ID, j.request.Class.Name, "")
 	}
-	if err := j.sink.Frame(f); err != nil {
+	if err := j.sink.WriteFrame(f); err != nil {
 		return errors.Wrap(errCallerGone, err.Error())
 	}
 	j.tokensDelivered += f.Tokens
--- a/internal/entry/dispatch/shared_policies.go
+++ b/internal/entry/dispatch/shared_policies.go
@@ -20,7 +20,7 @@
 func (s *sharedPolicies) recordRequest(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget.Fresh(now)
+	s.budget.CountRequest(now)
 }
 
 // allowRetry takes a retry from the budget; it returns false if there is none.
@@ -36,7 +36,7 @@
 	s.ejector.Observe(now, agent, outcome)
 }
 
-func (s *sharedPolicies) pickAgents(now time.Time, placement policy.Placement, candidates []policy.Candidate, n int) []string {
+func (s *sharedPolicies) pickAgents(now time.Time, placement policy.PlacementRequest, candidates []policy.Candidate, n int) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.placer.Pick(now, placement, candidates, n)
--- a/internal/entry/dispatch/sink.go
+++ b/internal/entry/dispatch/sink.go
@@ -6,5 +6,5 @@
 // disconnected.
 type Sink interface {
 	// WriteFrame writes a FrameHead or FrameData to the caller.
-	Frame(f wire.Frame) error
+	WriteFrame(f wire.Frame) error
 }
--- a/internal/entry/fleet/agent_info.go
+++ b/internal/entry/fleet/agent_info.go
@@ -11,23 +11,23 @@
 type AgentInfo struct {
 	VM        storage.VM
 	Connected bool
-	Leaving   bool
+	Draining  bool
 	// BackendServerDown is set if the agent's backend server cannot be reached
 	// or is loading a model.
-	EngineDown bool
+	BackendServerDown bool
 	// Waiting and Running count requests and Limit bounds Running, as of the
 	// last Status.
 	Waiting, Running, Limit int
 	// LastHeard is when the last message was received; zero if none was.
-	Seen time.Time
+	LastHeard time.Time
 	// TargetsVersion is the version of the targets in force there then.
-	Targets uint64
+	TargetsVersion uint64
 	// Serves is the model or plain HTTP service as reported by the agent. The
 	// VM list may be out of date when an address was reassigned to another VM.
 	Serves string
 	// CanLoadModels is set if the backend server accepts orders to load a
 	// model.
-	Loads bool
+	CanLoadModels bool
 }
 
 // Agents returns what is known of each agent that this entry connects to.
@@ -43,17 +43,17 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return AgentInfo{
-		VM:         l.vm,
-		Connected:  l.conn != nil,
-		Leaving:    l.vm.Leaving || l.status.Leaving,
-		EngineDown: l.status.EngineDown,
-		Waiting:    l.status.Waiting,
-		Running:    l.status.Running,
-		Limit:      l.status.Limit,
-		Seen:       l.lastHeard,
-		Targets:    l.targetsVersion,
-		Serves:     l.hello.Serves,
-		Loads:      l.hello.Loads,
+		VM:                l.vm,
+		Connected:         l.conn != nil,
+		Draining:          l.vm.Draining || l.status.Draining,
+		BackendServerDown: l.status.EngineDown,
+		Waiting:           l.status.Waiting,
+		Running:           l.status.Running,
+		Limit:             l.status.Limit,
+		LastHeard:         l.lastHeard,
+		TargetsVersion:    l.targetsVersion,
+		Serves:            l.hello.Serves,
+		CanLoadModels:     l.hello.LoadsModels,
 	}
 }
 
@@ -61,16 +61,16 @@
 // tickets for serves.
 func (l *link) candidate(serves string) (policy.Candidate, bool) {
 	info := l.info()
-	if info.Serves != serves || !info.Connected || info.Leaving || info.EngineDown {
+	if info.Serves != serves || !info.Connected || info.Draining || info.BackendServerDown {
 		return policy.Candidate{}, false
 	}
 	return policy.Candidate{
-		Name:    info.VM.Name,
-		Zone:    info.VM.Zone,
-		Waiting: info.Waiting,
-		Running: info.Running,
-		Limit:   info.Limit,
-		Seen:    info.Seen,
+		Name:       info.VM.Name,
+		Zone:       info.VM.Zone,
+		Waiting:    info.Waiting,
+		Running:    info.Running,
+		Limit:      info.Limit,
+		ReportedAt: info.LastHeard,
 	}, true
 }
 
--- a/internal/entry/fleet/await_targets.go
+++ b/internal/entry/fleet/await_targets.go
@@ -17,7 +17,7 @@
 // AwaitTargets waits until at least one agent has reported this version of the
 // targets, or a newer one. It returns false if awaitTargetsTimeout passes or
 // ctx ends first.
-func (f *Fleet) AwaitFirst(ctx context.Context, version uint64) bool {
+func (f *Fleet) AwaitTargets(ctx context.Context, version uint64) bool {
 	ctx, cancel := context.WithTimeout(ctx, awaitTargetsTimeout)
 	defer cancel()
 	ticker := time.NewTicker(awaitTargetsPollInterval)
--- a/internal/entry/fleet/bench_test.go
+++ b/internal/entry/fleet/bench_test.go
@@ -40,7 +40,7 @@
 func (nopTicketHandler) Lost(string)                                {}
 
 // pingOnlyAgent answers pings and leaves tickets waiting.
-func pingOnlyAgent(local wire.Local) http.HandlerFunc {
+func pingOnlyAgent(local wire.Config) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		conn, err := wire.Accept(w, r, local)
 		if err != nil {
@@ -59,8 +59,8 @@
 	}
 }
 
-func testLocal(t wire.Traffic) wire.Local {
-	return wire.Local{Clock: &timeline.Clock{}, TargetsVersion: func() uint64 { return 0 }, Traffic: t}
+func testLocal(t wire.TrafficCounter) wire.Config {
+	return wire.Config{Clock: &timeline.Clock{}, TargetsVersion: func() uint64 { return 0 }, Traffic: t}
 }
 
 // BenchmarkWatching measures the traffic of an entry that monitors 192
@@ -87,7 +87,7 @@
 	var traffic trafficCounter
 	f, stop := runFleet(testLocal(&traffic), vms...)
 	for _, vm := range vms {
-		t := &wire.Ticket{Request: "r-" + vm.Name, Attempt: 1, Tier: tier, Serves: vm.Serves}
+		t := &wire.Ticket{RequestID: "r-" + vm.Name, Attempt: 1, Tier: tier, Serves: vm.Serves}
 		for !f.Place(vm.Name, t, nopTicketHandler{}) {
 			time.Sleep(time.Millisecond)
 		}
@@ -100,10 +100,10 @@
 }
 
 // runFleet runs a Fleet with the given VMs until stop is called.
-func runFleet(local wire.Local, vms ...storage.VM) (f *Fleet, stop func()) {
+func runFleet(local wire.Config, vms ...storage.VM) (f *Fleet, stop func()) {
 	f = New(Config{
-		Process: "entry-1", Local: local, Holder: targets.NewHolder(),
-		List: storagetest.NewVMList(vms...), Ring: timeline.NewRing("entry-1", &timeline.Clock{}, 16), Log: zap.NewNop(),
+		Process: "entry-1", Local: local, Targets: targets.NewCache(),
+		VMList: storagetest.NewVMList(vms...), Timeline: timeline.NewRing("entry-1", &timeline.Clock{}, 16), Log: zap.NewNop(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/internal/entry/fleet/fleet.go
+++ b/internal/entry/fleet/fleet.go
@@ -37,17 +37,17 @@
 	Process   string
 	Zone      string
 	SystemKey string
-	Local     wire.Local
-	Holder    *targets.Holder
-	List      storage.VMList
-	Ring      *timeline.Ring
+	Local     wire.Config
+	Targets   *targets.Cache
+	VMList    storage.VMList
+	Timeline  *timeline.Ring
 	Log       *zap.Logger
 	// FallbackVMList returns the VM list while the platform is unavailable. It
 	// is only called until a first list was read.
-	Fallback func(ctx context.Context) ([]storage.VM, error)
+	FallbackVMList func(ctx context.Context) ([]storage.VM, error)
 	// OnAgentRemoved is called for each agent that this entry no longer
 	// connects to, with the Fleet's lock held. It must not call the Fleet.
-	Gone func(agent string)
+	OnAgentRemoved func(agent string)
 }
 
 // Fleet maintains the links to the agents. It is safe for concurrent use. Lock
@@ -81,7 +81,7 @@
 	defer ticker.Stop()
 	for {
 		f.refresh(ctx)
-		if f.config.Holder.Behind() {
+		if f.config.Targets.Behind() {
 			f.announceTargets()
 		}
 		select {
@@ -96,13 +96,13 @@
 // refresh reads the VM list. It keeps the last list if the platform is
 // unavailable.
 func (f *Fleet) refresh(ctx context.Context) {
-	vms, err := f.config.List.VMs(ctx)
-	if err != nil && f.Known() {
+	vms, err := f.config.VMList.VMs(ctx)
+	if err != nil && f.HasVMList() {
 		f.config.Log.Warn(logging.EventPlatformDown, logging.Reason(err.Error()))
 		return
 	}
 	if err != nil {
-		vms, err = f.config.Fallback(ctx)
+		vms, err = f.config.FallbackVMList(ctx)
 	}
 	if err != nil {
 		f.config.Log.Warn(logging.EventPlatformDown, logging.Reason(err.Error()))
@@ -112,7 +112,7 @@
 }
 
 // HasVMList reports whether a VM list was ever read.
-func (f *Fleet) Known() bool {
+func (f *Fleet) HasVMList() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.listedAt.IsZero()
@@ -145,8 +145,8 @@
 		}
 		m.cancel()
 		delete(f.links, name)
-		f.config.Ring.Record(timeline.KindLeave, "", "", name)
-		f.config.Gone(name)
+		f.config.Timeline.Record(timeline.KindLeave, "", "", name)
+		f.config.OnAgentRemoved(name)
 	}
 }
 
@@ -161,7 +161,7 @@
 		linkCtx, cancel := context.WithCancel(ctx)
 		l := newLink(f, vm)
 		f.links[name] = &managedLink{link: l, cancel: cancel}
-		f.config.Ring.Record(timeline.KindJoin, "", "", name)
+		f.config.Timeline.Record(timeline.KindJoin, "", "", name)
 		f.wg.Go(func() { l.run(linkCtx) })
 	}
 }
@@ -170,7 +170,7 @@
 // into force here.
 func (f *Fleet) announceChanges(ctx context.Context) {
 	for {
-		changed := f.config.Holder.Changed()
+		changed := f.config.Targets.Changed()
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/entry/fleet/fleet_test.go
+++ b/internal/entry/fleet/fleet_test.go
@@ -17,12 +17,12 @@
 	var gone []string
 	clock := &timeline.Clock{}
 	f := New(Config{
-		Process: "entry",
-		Local:   wire.Local{Clock: clock, TargetsVersion: func() uint64 { return 0 }, Traffic: metrics.New().Control},
-		Holder:  targets.NewHolder(),
-		Ring:    timeline.NewRing("entry", clock, 16),
-		Log:     zap.NewNop(),
-		Gone:    func(agent string) { gone = append(gone, agent) },
+		Process:        "entry",
+		Local:          wire.Config{Clock: clock, TargetsVersion: func() uint64 { return 0 }, Traffic: metrics.New().Control},
+		Targets:        targets.NewCache(),
+		Timeline:       timeline.NewRing("entry", clock, 16),
+		Log:            zap.NewNop(),
+		OnAgentRemoved: func(agent string) { gone = append(gone, agent) },
 	})
 	stays := storage.VM{Name: "stays", Addr: "127.0.0.1:1", Role: storage.RoleBackend, Serves: "m"}
 	leaves := storage.VM{Name: "leaves", Addr: "127.0.0.1:1", Role: storage.RoleBackend, Serves: "m"}
--- a/internal/entry/fleet/link.go
+++ b/internal/entry/fleet/link.go
@@ -60,7 +60,7 @@
 	l.mu.Lock()
 	l.lastHeard = time.Now()
 	l.liveness.messageReceived(l.lastHeard)
-	l.targetsVersion = m.Targets
+	l.targetsVersion = m.TargetsVersion
 	if m.Status != nil {
 		l.storeStatus(*m.Status)
 	}
@@ -83,19 +83,19 @@
 // requests a newer set and sends or announces the current one if the agent's is
 // older.
 func (l *link) syncTargets(m wire.Message) {
-	holder := l.fleet.config.Holder
-	if m.NewSet != nil {
-		holder.Offer(m.NewSet)
+	holder := l.fleet.config.Targets
+	if m.TargetSet != nil {
+		holder.UpdateIfNewer(m.TargetSet)
 	}
-	if m.WantSet != nil {
-		l.send(wire.Message{NewSet: holder.Current()})
+	if m.GetTargets != nil {
+		l.send(wire.Message{TargetSet: holder.Current()})
 		return
 	}
 	current := holder.Current().Version
-	if holder.Ask(m.Targets) {
-		l.send(wire.Message{WantSet: &wire.WantSet{}})
+	if holder.ShouldFetch(m.TargetsVersion) {
+		l.send(wire.Message{GetTargets: &wire.GetTargets{}})
 	}
-	if m.Targets < current && m.WantSet == nil {
+	if m.TargetsVersion < current && m.GetTargets == nil {
 		l.send(wire.Message{})
 	}
 }
@@ -104,14 +104,14 @@
 // that no attempt waits for is declined immediately, so that the backend
 // server's slot is not blocked until the grant expires.
 func (l *link) handleGrant(grant *wire.Grant) {
-	handler, ok := l.removePending(attemptKey{grant.Request, grant.Attempt})
+	handler, ok := l.removePending(attemptKey{grant.RequestID, grant.Attempt})
 	if !ok || !handler.Granted(l.name, grant.ID) {
-		l.send(wire.Message{Withdraw: &wire.Withdraw{Request: grant.Request, Attempt: grant.Attempt}})
+		l.send(wire.Message{Withdraw: &wire.Withdraw{RequestID: grant.RequestID, Attempt: grant.Attempt}})
 	}
 }
 
 func (l *link) handleRefusal(refusal *wire.Refuse) {
-	handler, ok := l.removePending(attemptKey{refusal.Request, refusal.Attempt})
+	handler, ok := l.removePending(attemptKey{refusal.RequestID, refusal.Attempt})
 	if ok {
 		handler.Refused(l.name, refusal.Reason, time.Duration(refusal.RetryAfterMS)*time.Millisecond)
 	}
@@ -132,7 +132,7 @@
 	if l.conn == nil {
 		return false
 	}
-	key := attemptKey{t.Request, t.Attempt}
+	key := attemptKey{t.RequestID, t.Attempt}
 	l.pending.add(key, t.Tier, handler)
 	if err := l.conn.Send(wire.Message{Ticket: t}); err != nil {
 		l.pending.remove(key)
@@ -145,7 +145,7 @@
 // withdraw cancels a ticket that has not been answered.
 func (l *link) withdraw(request string, attempt int) {
 	if _, ok := l.removePending(attemptKey{request, attempt}); ok {
-		l.send(wire.Message{Withdraw: &wire.Withdraw{Request: request, Attempt: attempt}})
+		l.send(wire.Message{Withdraw: &wire.Withdraw{RequestID: request, Attempt: attempt}})
 	}
 }
 
--- a/internal/entry/fleet/link_conn.go
+++ b/internal/entry/fleet/link_conn.go
@@ -30,7 +30,7 @@
 			delay = minRedialDelay
 			l.serveConn(ctx, conn)
 		}
-		pause.For(ctx, delay/2+rand.N(delay/2))
+		pause.Sleep(ctx, delay/2+rand.N(delay/2))
 	}
 }
 
--- a/internal/entry/fleet/link_void.go
+++ b/internal/entry/fleet/link_void.go
@@ -19,8 +19,8 @@
 func (l *link) handleVoided(v *wire.Voided) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if answer, ok := l.pendingVoids[v.Grant]; ok {
-		delete(l.pendingVoids, v.Grant)
+	if answer, ok := l.pendingVoids[v.GrantID]; ok {
+		delete(l.pendingVoids, v.GrantID)
 		answer <- v.Result
 	}
 }
@@ -54,7 +54,7 @@
 		return false
 	}
 	l.pendingVoids[grant] = answer
-	return l.conn.Send(wire.Message{Void: &wire.Void{Grant: grant}}) == nil
+	return l.conn.Send(wire.Message{Void: &wire.Void{GrantID: grant}}) == nil
 }
 
 // removeVoid ends the wait for an answer, also if none arrived: a link with a
--- a/internal/entry/fleet/refresh_status.go
+++ b/internal/entry/fleet/refresh_status.go
@@ -17,7 +17,7 @@
 // unasked with grants and refusals only, so the last known status of an idle
 // agent is from before its last run ended. It costs 60 B per connection and is
 // meant for operators' requests.
-func (f *Fleet) AskStatus(ctx context.Context) {
+func (f *Fleet) RefreshStatus(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	var updates []<-chan struct{}
--- a/internal/entry/fleet/refresh_status_test.go
+++ b/internal/entry/fleet/refresh_status_test.go
@@ -16,7 +16,7 @@
 	f := runWithOneAgent(t)
 	ctx := t.Context()
 	for deadline := time.Now().Add(time.Minute); ; time.Sleep(time.Millisecond) {
-		f.AskStatus(ctx)
+		f.RefreshStatus(ctx)
 		if agents := f.Agents(); len(agents) == 1 && agents[0].Running == 8 {
 			return
 		}
--- a/internal/entry/fleet_status.go
+++ b/internal/entry/fleet_status.go
@@ -71,16 +71,16 @@
 // queryProcess returns the status of the process on vm. If the process does not answer,
 // it returns the previous status with its age increased.
 func (s *fleetStatus) queryProcess(vm storage.VM, previous admin.Process) admin.Process {
-	p := admin.Process{Name: vm.Name, Zone: vm.Zone, Role: roleName(vm.Role), Leaving: vm.Leaving}
-	v, err := peer.AskVersion(context.Background(), vm.Addr, s.key)
+	p := admin.Process{Name: vm.Name, Zone: vm.Zone, Role: roleName(vm.Role), Draining: vm.Draining}
+	v, err := peer.FetchVersion(context.Background(), vm.Addr, s.key)
 	if err == nil && v.Process == vm.Name {
-		p.Version = v.Targets
-		p.Heard = true
+		p.TargetsVersion = v.Targets
+		p.HasStatus = true
 		return p
 	}
-	p.Heard = previous.Heard
-	p.Version = previous.Version
-	p.Age = previous.Age + time.Since(s.refreshedAt)
+	p.HasStatus = previous.HasStatus
+	p.TargetsVersion = previous.TargetsVersion
+	p.StatusAge = previous.StatusAge + time.Since(s.refreshedAt)
 	return p
 }
 
@@ -93,21 +93,21 @@
 
 // Engines queries the agents that this entry is connected to and returns the status of
 // their backend servers. Values of an agent that does not answer are as old as their Age.
-func (s *fleetStatus) Engines() []admin.Engine {
-	s.fleet.AskStatus(context.Background())
-	var engines []admin.Engine
+func (s *fleetStatus) BackendServers() []admin.BackendServer {
+	s.fleet.RefreshStatus(context.Background())
+	var engines []admin.BackendServer
 	for _, v := range s.fleet.Agents() {
-		engines = append(engines, admin.Engine{
-			VM:      v.VM.Name,
-			Zone:    v.VM.Zone,
-			Serves:  v.VM.Serves,
-			Running: v.Running,
-			Waiting: v.Waiting,
-			Limit:   v.Limit,
-			Leaving: v.Leaving,
-			Down:    v.EngineDown,
-			Heard:   !v.Seen.IsZero(),
-			Age:     time.Since(v.Seen),
+		engines = append(engines, admin.BackendServer{
+			VM:        v.VM.Name,
+			Zone:      v.VM.Zone,
+			Serves:    v.VM.Serves,
+			Running:   v.Running,
+			Waiting:   v.Waiting,
+			Limit:     v.Limit,
+			Draining:  v.Draining,
+			Down:      v.BackendServerDown,
+			HasStatus: !v.LastHeard.IsZero(),
+			StatusAge: time.Since(v.LastHeard),
 		})
 	}
 	return engines
--- a/internal/entry/leader_tasks.go
+++ b/internal/entry/leader_tasks.go
@@ -25,9 +25,9 @@
 // leaderTasks are the tasks that one entry at a time runs for the whole fleet while it
 // holds a lease: it removes expired idempotency claims and orders engines to load models.
 type leaderTasks struct {
-	targets  *targets.Holder
+	targets  *targets.Cache
 	fleet    *fleet.Fleet
-	orders   *orders.Book
+	orders   *orders.Store
 	sweeper  *claim.Sweeper
 	timeline *timeline.Ring
 	log      *zap.Logger
@@ -41,13 +41,13 @@
 	t := &leaderTasks{
 		targets:  e.targets,
 		fleet:    e.fleet,
-		orders:   orders.NewBook(e.platform),
+		orders:   orders.NewStore(e.platform),
 		sweeper:  claim.NewSweeper(e.platform, e.log),
 		timeline: e.timeline,
 		log:      e.log,
 	}
 	leaderLease := lease.New(e.platform, orders.LeaseName, e.settings.Process)
-	lease.NewKeeper(leaderLease, e.log).Run(ctx, t.runWhileLeader)
+	lease.NewElector(leaderLease, e.log).Run(ctx, t.runWhileLeader)
 }
 
 // runWhileLeader runs all tasks until ctx is cancelled, which happens when the lease is
@@ -80,12 +80,12 @@
 }
 
 func (t *leaderTasks) orderModelLoad(ctx context.Context, leaderLease *lease.Lease, move policy.ModelMove) {
-	if err := t.orders.Give(ctx, leaderLease, move.Engine, move.Model); err != nil {
+	if err := t.orders.Issue(ctx, leaderLease, move.Engine, move.Model); err != nil {
 		t.log.Warn(logging.EventOrderFailed, logging.Peer(move.Engine), logging.Reason(err.Error()))
 		return
 	}
 	t.timeline.Record(timeline.KindOrder, "", "", move.Engine+" loads "+move.Model)
-	t.log.Info(logging.EventOrderGiven, logging.Peer(move.Engine), zap.String("model", move.Model), zap.Uint64("fence", leaderLease.Fence()))
+	t.log.Info(logging.EventOrderIssued, logging.Peer(move.Engine), zap.String("model", move.Model), zap.Uint64("fence", leaderLease.FencingToken()))
 }
 
 // updateKnownModels adds the models that the VM list names and those that connected
@@ -118,8 +118,8 @@
 func (t *leaderTasks) availableEngines() []policy.ModelEngine {
 	var engines []policy.ModelEngine
 	for _, v := range t.fleet.Agents() {
-		if v.Connected && !v.Leaving && !v.EngineDown && v.Loads {
-			engines = append(engines, policy.ModelEngine{Name: v.VM.Name, Model: v.Serves, Busy: v.Waiting + v.Running})
+		if v.Connected && !v.Draining && !v.BackendServerDown && v.CanLoadModels {
+			engines = append(engines, policy.ModelEngine{Name: v.VM.Name, Model: v.Serves, ActiveRequests: v.Waiting + v.Running})
 		}
 	}
 	return engines
--- a/internal/entry/metrics_observer.go
+++ b/internal/entry/metrics_observer.go
@@ -12,44 +12,44 @@
 type metricsObserver struct{ metrics *metrics.Metrics }
 
 // RequestReceived counts an accepted request.
-func (o metricsObserver) RequestReceived(class string) { o.metrics.Request(class).Received() }
+func (o metricsObserver) RequestReceived(class string) { o.metrics.ForClass(class).Received() }
 
 // RequestRefused counts a request that was refused before it was accepted. It counts as
 // received, too.
 func (o metricsObserver) RequestRefused(class, reason string) {
-	m := o.metrics.Request(class)
+	m := o.metrics.ForClass(class)
 	m.Received()
 	m.Refused(metrics.Reason(reason))
 }
 
 // RequestEnded counts the outcome of a request, its retries and its wasted tokens.
 func (o metricsObserver) RequestEnded(class targets.Class, r dispatch.Result, duration time.Duration) {
-	m := o.metrics.Request(class.Name)
+	m := o.metrics.ForClass(class.Name)
 	for range r.Attempts - 1 {
 		m.Retried()
 	}
 	if r.FirstToken > 0 {
-		m.FirstToken(r.FirstToken)
+		m.ObserveFirstToken(r.FirstToken)
 	}
-	if r.Outcome != dispatch.Whole {
-		m.Wasted(r.Tokens)
+	if r.Outcome != dispatch.Completed {
+		m.WastedTokens(r.Tokens)
 	}
 	switch r.Outcome {
-	case dispatch.Whole:
+	case dispatch.Completed:
 		m.Finished(timingOf(class, r, duration), r.Tokens)
 	case dispatch.NotRun, dispatch.Rejected:
 		m.Refused(metrics.Reason(r.Reason))
 	case dispatch.Unknown:
-		m.Unknown()
+		m.OutcomeUnknown()
 	case dispatch.Failed:
 		m.Failed()
-	case dispatch.Gone:
+	case dispatch.Cancelled:
 		m.Cancelled()
 	}
 }
 
 func timingOf(class targets.Class, r dispatch.Result, duration time.Duration) metrics.Timing {
-	if class.Met(targets.Measured{FirstToken: r.FirstToken, Took: duration, Tokens: r.Tokens}) {
+	if class.MeetsTargets(targets.Measurement{FirstToken: r.FirstToken, Duration: duration, Tokens: r.Tokens}) {
 		return metrics.OnTime
 	}
 	return metrics.Late
@@ -57,6 +57,6 @@
 
 // updateGauges sets the gauges whose values are kept elsewhere; it runs on each scrape.
 func (e *entry) updateGauges() {
-	e.metrics.TargetsVersion(e.targetsVersion())
+	e.metrics.SetTargetsVersion(e.targetsVersion())
 	e.metrics.Queue.Set(0, e.api.InFlight(), 0)
 }
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -34,14 +34,14 @@
 		Holder:      e.targets,
 		Fleet:       e.fleetStatus,
 		OperatorKey: e.keys.operator,
-		Spread:      func(ctx context.Context, version uint64) { e.fleet.AwaitFirst(ctx, version) },
+		Propagate:   func(ctx context.Context, version uint64) { e.fleet.AwaitTargets(ctx, version) },
 		Log:         e.log,
 	}).Register(router)
-	operator := auth.Operator(e.keys.operator)
+	operator := auth.RequireOperatorKey(e.keys.operator)
 	router.Handler(http.MethodGet, timeline.PathView, operator(timeline.ViewHandler(e.timeline, e.timelinePeers, e.keys.system)))
-	system := auth.System(e.keys.system)
+	system := auth.RequireSystemKey(e.keys.system)
 	router.Handler(http.MethodGet, timeline.PathEvents, system(timeline.Handler(e.timeline)))
-	router.Handler(http.MethodGet, peer.StatePath, system(peer.Handler(e.peerState)))
+	router.Handler(http.MethodGet, peer.StatePath, system(peer.StateHandler(e.peerState)))
 	router.Handler(http.MethodGet, peer.VersionPath, system(peer.VersionHandler(e.peerVersion)))
 	return router
 }
@@ -53,7 +53,7 @@
 	switch {
 	case e.draining.Load():
 		return errDraining
-	case !e.fleet.Known():
+	case !e.fleet.HasVMList():
 		return errNoVMList
 	case e.targetsVersion() == 0:
 		return errNoTargets
@@ -63,12 +63,12 @@
 
 func (e *entry) selfStatus() admin.Process {
 	return admin.Process{
-		Name:    e.settings.Process,
-		Zone:    e.settings.Zone,
-		Role:    roleName(storage.RoleEntry),
-		Version: e.targetsVersion(),
-		Heard:   true,
-		Leaving: e.draining.Load(),
+		Name:           e.settings.Process,
+		Zone:           e.settings.Zone,
+		Role:           roleName(storage.RoleEntry),
+		TargetsVersion: e.targetsVersion(),
+		HasStatus:      true,
+		Draining:       e.draining.Load(),
 	}
 }
 
@@ -93,7 +93,7 @@
 // fetchVMsFromSeeds gets the VM list from the seed processes; it is the fallback while
 // the platform is unreachable.
 func (e *entry) fetchVMsFromSeeds(ctx context.Context) ([]storage.VM, error) {
-	return peer.AskAny(ctx, e.settings.Seeds, e.keys.system, e.targets)
+	return peer.FetchFromAny(ctx, e.settings.Seeds, e.keys.system, e.targets)
 }
 
 // pollTargets polls the table service for newer targets until ctx is cancelled.
@@ -108,5 +108,5 @@
 // Customer returns the name of the customer that sent the request, or an error if it
 // can't be authenticated.
 func (c clientAuth) Customer(set *targets.Set, r *http.Request) (string, error) {
-	return auth.Caller(set, c.trustHeader, r)
+	return auth.AuthenticateCustomer(set, c.trustHeader, r)
 }
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -57,7 +57,7 @@
 
 	clock       timeline.Clock
 	timeline    *timeline.Ring
-	targets     *targets.Holder
+	targets     *targets.Cache
 	metrics     *metrics.Metrics
 	platform    *counted.Platform
 	store       *store.Store
@@ -90,26 +90,26 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &entry{settings: s, keys: k, log: log, targets: targets.NewHolder(), metrics: metrics.New()}
+	e := &entry{settings: s, keys: k, log: log, targets: targets.NewCache(), metrics: metrics.New()}
 	e.timeline = timeline.NewRing(s.Process, &e.clock, timelineCapacity)
-	e.platform = counted.New(storage.NewHTTP(s.Platform.URL), e.metrics.Platform)
+	e.platform = counted.New(storage.NewHTTPClient(s.Platform.URL), e.metrics.Platform)
 	e.store = store.New(e.platform)
 	e.claimer = claim.NewClaimer(e.platform)
 	e.fleet = fleet.New(fleet.Config{
-		Process:   s.Process,
-		Zone:      s.Zone,
-		SystemKey: k.system,
-		Local:     wire.Local{Clock: &e.clock, TargetsVersion: e.targetsVersion, Traffic: e.metrics.Control},
-		Holder:    e.targets,
-		List:      e.platform,
-		Ring:      e.timeline,
-		Log:       log,
-		Fallback:  e.fetchVMsFromSeeds,
-		Gone:      func(agent string) { e.dispatcher.Forget(agent) },
+		Process:        s.Process,
+		Zone:           s.Zone,
+		SystemKey:      k.system,
+		Local:          wire.Config{Clock: &e.clock, TargetsVersion: e.targetsVersion, Traffic: e.metrics.Control},
+		Targets:        e.targets,
+		VMList:         e.platform,
+		Timeline:       e.timeline,
+		Log:            log,
+		FallbackVMList: e.fetchVMsFromSeeds,
+		OnAgentRemoved: func(agent string) { e.dispatcher.ForgetAgent(agent) },
 	})
 	e.fleetStatus = &fleetStatus{self: e.selfStatus, fleet: e.fleet, key: k.system}
 	e.api = e.newAPI()
-	e.metrics.OnRead(e.updateGauges)
+	e.metrics.OnScrape(e.updateGauges)
 	return e, nil
 }
 
@@ -119,20 +119,20 @@
 	ejector := policy.NewEjector()
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	e.dispatcher = dispatch.New(dispatch.Config{
-		Zone:      e.settings.Zone,
-		SystemKey: e.keys.system,
-		Agents:    dispatchAgents{e.fleet},
-		Placer:    policy.NewPlacer(random, ejector),
-		Ejector:   ejector,
-		Budget:    policy.NewRetryBudget(),
-		Ring:      e.timeline,
-		Log:       e.log,
+		Zone:        e.settings.Zone,
+		SystemKey:   e.keys.system,
+		Agents:      dispatchAgents{e.fleet},
+		Placer:      policy.NewPlacer(random, ejector),
+		Ejector:     ejector,
+		RetryBudget: policy.NewRetryBudget(),
+		Timeline:    e.timeline,
+		Log:         e.log,
 	})
 	return api.New(api.Config{
 		Targets:    e.targets,
 		Dispatcher: e.dispatcher,
 		Catalog:    e.fleet,
-		Auth:       clientAuth{trustHeader: e.settings.Callers.TrustCustomerHeader},
+		Auth:       clientAuth{trustHeader: e.settings.ClientAuth.TrustCustomerHeader},
 		Claims:     e.claimer,
 		Grants:     e.fleet,
 		Observer:   metricsObserver{e.metrics},
@@ -177,13 +177,13 @@
 
 func (e *entry) newServer(listener net.Listener, handler http.Handler) *callers.Server {
 	idleLimit := func() time.Duration { return idleTimeout }
-	return callers.New(listener, callers.Config{Handler: handler, HeaderTime: headerTimeout, MaxHeader: maxHeaderBytes, Limit: idleLimit, Log: e.log})
+	return callers.New(listener, callers.Config{Handler: handler, HeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleLimit, Log: e.log})
 }
 
 // dispatchAgents adapts the fleet to dispatch.Agents.
 type dispatchAgents struct{ *fleet.Fleet }
 
 // Place sends a ticket to an agent and reports whether the agent is reachable.
-func (a dispatchAgents) Place(agent string, t *wire.Ticket, l dispatch.Listener) bool {
+func (a dispatchAgents) Place(agent string, t *wire.Ticket, l dispatch.TicketHandler) bool {
 	return a.Fleet.Place(agent, t, l)
 }
--- a/internal/gateway/backend/load.go
+++ b/internal/gateway/backend/load.go
@@ -13,7 +13,7 @@
 	// Running is the number of requests whose first response byte has arrived.
 	Running int
 	// Pending holds the requests still waiting for their first response byte, by urgency.
-	Pending policy.Ahead
+	Pending policy.PendingWork
 }
 
 // Add adds other to c, or subtracts it if sign is -1.
@@ -44,7 +44,7 @@
 	for f := range l.pending {
 		level := &c.Pending[f.urgency]
 		level.Requests++
-		level.Tokens += f.plan.Left(now)
+		level.Tokens += f.plan.Remaining(now)
 	}
 	return c
 }
--- a/internal/gateway/backend/registry.go
+++ b/internal/gateway/backend/registry.go
@@ -23,7 +23,7 @@
 	loaded    atomic.Bool
 	// OnRemove, if not nil, is called with the id of each server removed from the list. It runs
 	// with the Registry's lock held, so it must not call the Registry.
-	Gone func(id string)
+	OnRemove func(id string)
 
 	// mu guards the fields below. OnRemove may acquire locks that come after mu in the lock order.
 	mu      sync.Mutex
@@ -56,7 +56,7 @@
 }
 
 // Loaded reports whether the list has been read at least once.
-func (r *Registry) Known() bool { return r.loaded.Load() }
+func (r *Registry) Loaded() bool { return r.loaded.Load() }
 
 // Server returns a listed server, or nil if the id is not listed.
 func (r *Registry) Server(id string) *Server {
@@ -75,10 +75,10 @@
 }
 
 // CountUsable returns the number of servers in All that are not draining.
-func (r *Registry) Usable() int {
+func (r *Registry) CountUsable() int {
 	n := 0
 	for _, s := range r.All() {
-		if !s.Info().Leaving {
+		if !s.Info().Draining {
 			n++
 		}
 	}
@@ -86,7 +86,7 @@
 }
 
 // ReplaceAll sets the whole list. Servers whose entries are unreadable are removed.
-func (r *Registry) Reset(now time.Time, entries []Info, unreadable []string) {
+func (r *Registry) ReplaceAll(now time.Time, entries []Info, unreadable []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.storeAnswered(now)
@@ -107,7 +107,7 @@
 
 // SeedFromPeer sets the list as received from another gateway, unless a list has already been
 // loaded. It reports whether it did.
-func (r *Registry) Adopt(entries []Info) bool {
+func (r *Registry) SeedFromPeer(entries []Info) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.loaded.Load() {
@@ -123,7 +123,7 @@
 
 // ApplyChanges applies a change of the list. Servers whose entries have become unreadable are
 // removed.
-func (r *Registry) Change(now time.Time, changed []Info, removed, unreadable []string) {
+func (r *Registry) ApplyChanges(now time.Time, changed []Info, removed, unreadable []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.storeAnswered(now)
@@ -141,7 +141,7 @@
 
 // MarkStoreUnavailable records that the store did not answer a request, which need not have been
 // for this list.
-func (r *Registry) Unavailable() {
+func (r *Registry) MarkStoreUnavailable() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.storeDown = true
@@ -150,7 +150,7 @@
 // MarkStoreRestored records that the store was restored from an older copy. For expiryGrace after
 // now, until servers have rewritten their entries, entries older than the known ones are ignored,
 // and servers missing from the list are kept.
-func (r *Registry) Restored(now time.Time) {
+func (r *Registry) MarkStoreRestored(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.storeRecoveredAt = now
@@ -191,7 +191,7 @@
 
 // MarkStoreAvailable records that the store answered a request, which need not have been for this
 // list.
-func (r *Registry) Available(now time.Time) {
+func (r *Registry) MarkStoreAvailable(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.storeAnswered(now)
@@ -220,7 +220,7 @@
 // new Server replaces the old one: its counts, and what was learned about it, no longer apply.
 func (r *Registry) apply(now time.Time, info Info) {
 	s := r.servers[info.ID]
-	if s != nil && info.Born != 0 && info.Born < s.Info().Born {
+	if s != nil && info.StartUnixMilli != 0 && info.StartUnixMilli < s.Info().StartUnixMilli {
 		// A late entry of an earlier instance.
 		return
 	}
@@ -245,7 +245,7 @@
 		return
 	}
 	removeAt := r.storeRecoveredAt.Add(expiryGrace)
-	if now.Before(removeAt) && !s.Info().Leaving {
+	if now.Before(removeAt) && !s.Info().Draining {
 		if _, ok := r.expiring[id]; !ok {
 			r.expiring[id] = removeAt
 		}
@@ -270,8 +270,8 @@
 		r.tombstones.add(now, s.Info())
 	}
 	delete(r.servers, id)
-	if r.Gone != nil {
-		r.Gone(id)
+	if r.OnRemove != nil {
+		r.OnRemove(id)
 	}
 }
 
@@ -280,7 +280,7 @@
 	snapshot := map[string][]*Server{}
 	newest := r.newestStartByAddr()
 	for _, s := range r.servers {
-		if info := s.Info(); s.replaced || info.Born != 0 && info.Born < newest[info.Addr] {
+		if info := s.Info(); s.replaced || info.StartUnixMilli != 0 && info.StartUnixMilli < newest[info.Addr] {
 			continue
 		}
 		service := s.Info().Service
@@ -298,8 +298,8 @@
 func (r *Registry) newestStartByAddr() map[string]int64 {
 	newest := make(map[string]int64, len(r.servers))
 	for _, s := range r.servers {
-		if info := s.Info(); !s.replaced && info.Born > newest[info.Addr] {
-			newest[info.Addr] = info.Born
+		if info := s.Info(); !s.replaced && info.StartUnixMilli > newest[info.Addr] {
+			newest[info.Addr] = info.StartUnixMilli
 		}
 	}
 	return newest
--- a/internal/gateway/backend/registry_test.go
+++ b/internal/gateway/backend/registry_test.go
@@ -35,31 +35,31 @@
 
 func TestRemovedEntriesDisappearImmediately(t *testing.T) {
 	r := NewRegistry()
-	if r.Known() {
+	if r.Loaded() {
 		t.Error("loaded before the list was read")
 	}
-	r.Reset(testStart, testEntries("a", "b", "c"), nil)
+	r.ReplaceAll(testStart, testEntries("a", "b", "c"), nil)
 	removed := ""
-	r.Gone = func(id string) { removed += id }
-	r.Change(testStart.Add(time.Second), testEntries("d"), []string{"b", "unheard of"}, nil)
+	r.OnRemove = func(id string) { removed += id }
+	r.ApplyChanges(testStart.Add(time.Second), testEntries("d"), []string{"b", "unheard of"}, nil)
 	expectListed(t, r, "a c d")
 	if removed != "b" {
 		t.Errorf("OnRemove called for %q", removed)
 	}
-	r.Gone = nil
+	r.OnRemove = nil
 	// A server whose entry is unreadable is removed.
-	r.Reset(testStart.Add(2*time.Second), testEntries("a", "e"), []string{"c"})
+	r.ReplaceAll(testStart.Add(2*time.Second), testEntries("a", "e"), []string{"c"})
 	expectListed(t, r, "a e")
 }
 
 func TestLoadCountsSurviveEntryChanges(t *testing.T) {
 	r := NewRegistry()
-	r.Reset(testStart, testEntries("a"), nil)
+	r.ReplaceAll(testStart, testEntries("a"), nil)
 	inFlight := r.Server("a").Load.Track(3, (&policy.PrefillRate{}).Plan(testStart, 100, 100))
 	draining := testEntries("a")
-	draining[0].Leaving = true
-	r.Change(testStart, draining, nil, nil)
-	if s := r.Server("a"); !s.Info().Leaving || s.Load.Counts(testStart).Pending[3].Tokens != 100 {
+	draining[0].Draining = true
+	r.ApplyChanges(testStart, draining, nil, nil)
+	if s := r.Server("a"); !s.Info().Draining || s.Load.Counts(testStart).Pending[3].Tokens != 100 {
 		t.Errorf("after a change: %+v, %+v", s.Info(), s.Load.Counts(testStart))
 	}
 	if !inFlight.MarkStarted() || inFlight.MarkStarted() {
@@ -78,19 +78,19 @@
 // and are renewed within two seconds after it.
 func TestExpiredEntriesKeptDuringGracePeriod(t *testing.T) {
 	r := NewRegistry()
-	r.Reset(testStart, testEntries("a", "b", "c"), nil)
-	r.Unavailable()
+	r.ReplaceAll(testStart, testEntries("a", "b", "c"), nil)
+	r.MarkStoreUnavailable()
 	r.Sweep(testStart.Add(time.Minute))
 	expectListed(t, r, "a b c")
 	storeBack := testStart.Add(time.Minute)
-	r.Reset(storeBack, testEntries("a"), nil)
+	r.ReplaceAll(storeBack, testEntries("a"), nil)
 	expectListed(t, r, "a b c")
-	r.Change(storeBack.Add(time.Second), testEntries("b"), nil, nil)
+	r.ApplyChanges(storeBack.Add(time.Second), testEntries("b"), nil, nil)
 	r.Sweep(storeBack.Add(expiryGrace - time.Millisecond))
 	expectListed(t, r, "a b c")
 	r.Sweep(storeBack.Add(expiryGrace))
 	expectListed(t, r, "a b")
-	r.Change(storeBack.Add(expiryGrace+time.Second), nil, []string{"a"}, nil)
+	r.ApplyChanges(storeBack.Add(expiryGrace+time.Second), nil, []string{"a"}, nil)
 	expectListed(t, r, "b")
 }
 
@@ -99,10 +99,10 @@
 func TestDrainingServersGetNoGracePeriod(t *testing.T) {
 	r := NewRegistry()
 	entries := testEntries("a", "b")
-	entries[0].Leaving = true
-	r.Reset(testStart, entries, nil)
-	r.Unavailable()
-	r.Reset(testStart.Add(time.Second), nil, nil)
+	entries[0].Draining = true
+	r.ReplaceAll(testStart, entries, nil)
+	r.MarkStoreUnavailable()
+	r.ReplaceAll(testStart.Add(time.Second), nil, nil)
 	expectListed(t, r, "b")
 }
 
@@ -110,39 +110,39 @@
 // up.
 func TestReplacedServersStayExcluded(t *testing.T) {
 	r := NewRegistry()
-	r.Reset(testStart, testEntries("a", "b"), nil)
+	r.ReplaceAll(testStart, testEntries("a", "b"), nil)
 	r.MarkReplaced("a")
 	r.MarkReplaced("unheard of")
 	expectListed(t, r, "b")
-	r.Change(testStart, testEntries("a"), nil, nil)
-	r.Reset(testStart, testEntries("a", "b", "c"), nil)
+	r.ApplyChanges(testStart, testEntries("a"), nil, nil)
+	r.ReplaceAll(testStart, testEntries("a", "b", "c"), nil)
 	expectListed(t, r, "b c")
-	r.Change(testStart, nil, []string{"a"}, nil)
-	r.Change(testStart, testEntries("a"), nil, nil)
+	r.ApplyChanges(testStart, nil, []string{"a"}, nil)
+	r.ApplyChanges(testStart, testEntries("a"), nil, nil)
 	expectListed(t, r, "a b c")
 }
 
 // Guards against carrying counts and learned data over to a server that restarted under the same
 // id, whichever field of its entry shows the restart.
 func TestRestartedServerIsNewInstance(t *testing.T) {
-	first := Info{ID: "a", Addr: "127.0.0.1:1", Service: "s", Slots: 4, Born: 1000, Sequence: 7}
+	first := Info{ID: "a", Addr: "127.0.0.1:1", Service: "s", Slots: 4, StartUnixMilli: 1000, Sequence: 7}
 	for name, c := range map[string]struct {
 		before, after Info
 		isNew         bool
 	}{
-		"later entry":                   {first, modified(first, func(i *Info) { i.Sequence, i.Leaving = 8, true }), false},
-		"later start time":              {first, modified(first, func(i *Info) { i.Born, i.Sequence = 2000, 9 }), true},
-		"lower sequence, no start time": {modified(first, func(i *Info) { i.Born = 0 }), modified(first, func(i *Info) { i.Born, i.Sequence = 0, 1 }), true},
-		"other address, no start time":  {modified(first, func(i *Info) { i.Born = 0 }), modified(first, func(i *Info) { i.Born, i.Sequence, i.Addr = 0, 9, "127.0.0.1:2" }), true},
-		"start time appears":            {modified(first, func(i *Info) { i.Born = 0 }), modified(first, func(i *Info) { i.Sequence = 8 }), false},
+		"later entry":                   {first, modified(first, func(i *Info) { i.Sequence, i.Draining = 8, true }), false},
+		"later start time":              {first, modified(first, func(i *Info) { i.StartUnixMilli, i.Sequence = 2000, 9 }), true},
+		"lower sequence, no start time": {modified(first, func(i *Info) { i.StartUnixMilli = 0 }), modified(first, func(i *Info) { i.StartUnixMilli, i.Sequence = 0, 1 }), true},
+		"other address, no start time":  {modified(first, func(i *Info) { i.StartUnixMilli = 0 }), modified(first, func(i *Info) { i.StartUnixMilli, i.Sequence, i.Addr = 0, 9, "127.0.0.1:2" }), true},
+		"start time appears":            {modified(first, func(i *Info) { i.StartUnixMilli = 0 }), modified(first, func(i *Info) { i.Sequence = 8 }), false},
 	} {
 		r := NewRegistry()
 		removed := ""
-		r.Gone = func(id string) { removed += id }
-		r.Reset(testStart, []Info{c.before}, nil)
+		r.OnRemove = func(id string) { removed += id }
+		r.ReplaceAll(testStart, []Info{c.before}, nil)
 		before := r.Server("a")
 		inFlight := before.Load.Track(3, policy.PrefillPlan{})
-		r.Change(testStart.Add(time.Second), []Info{c.after}, nil, nil)
+		r.ApplyChanges(testStart.Add(time.Second), []Info{c.after}, nil, nil)
 		after := r.Server("a")
 		if isNew := after != before; isNew != c.isNew || isNew != (removed == "a") {
 			t.Errorf("%s: new server %v, removed %q", name, isNew, removed)
@@ -162,9 +162,9 @@
 // Guards against a late entry of an earlier instance overwriting the current one.
 func TestEntryOfEarlierInstanceIsIgnored(t *testing.T) {
 	r := NewRegistry()
-	current := Info{ID: "a", Addr: "127.0.0.1:1", Service: "s", Born: 2000, Sequence: 1}
-	r.Reset(testStart, []Info{current}, nil)
-	r.Change(testStart, []Info{modified(current, func(i *Info) { i.Born, i.Sequence, i.Leaving = 1000, 9, true })}, nil, nil)
+	current := Info{ID: "a", Addr: "127.0.0.1:1", Service: "s", StartUnixMilli: 2000, Sequence: 1}
+	r.ReplaceAll(testStart, []Info{current}, nil)
+	r.ApplyChanges(testStart, []Info{modified(current, func(i *Info) { i.StartUnixMilli, i.Sequence, i.Draining = 1000, 9, true })}, nil, nil)
 	if got := *r.Server("a").Info(); got != current {
 		t.Errorf("%+v", got)
 	}
@@ -173,10 +173,10 @@
 // Guards against excluding a replaced server after it has restarted under the same id.
 func TestReplacedServerReturnsAfterRestart(t *testing.T) {
 	r := NewRegistry()
-	before := Info{ID: "a", Addr: "127.0.0.1:1", Service: "s", Born: 1000, Sequence: 7}
-	r.Reset(testStart, []Info{before}, nil)
+	before := Info{ID: "a", Addr: "127.0.0.1:1", Service: "s", StartUnixMilli: 1000, Sequence: 7}
+	r.ReplaceAll(testStart, []Info{before}, nil)
 	r.MarkReplaced("a")
-	r.Change(testStart, []Info{modified(before, func(i *Info) { i.Born, i.Sequence = 2000, 1 })}, nil, nil)
+	r.ApplyChanges(testStart, []Info{modified(before, func(i *Info) { i.StartUnixMilli, i.Sequence = 2000, 1 })}, nil, nil)
 	if got := len(r.Servers("s")); got != 1 {
 		t.Errorf("%d servers", got)
 	}
@@ -184,16 +184,16 @@
 
 func TestUnreadableEntriesRemoveServers(t *testing.T) {
 	r := NewRegistry()
-	r.Reset(testStart, testEntries("a", "b", "c"), nil)
-	r.Change(testStart.Add(time.Second), nil, nil, []string{"b", "unheard of"})
-	if got := r.Usable(); got != 2 || r.Server("b") != nil {
+	r.ReplaceAll(testStart, testEntries("a", "b", "c"), nil)
+	r.ApplyChanges(testStart.Add(time.Second), nil, nil, []string{"b", "unheard of"})
+	if got := r.CountUsable(); got != 2 || r.Server("b") != nil {
 		t.Errorf("%d servers are usable after one entry of three became unreadable", got)
 	}
-	r.Reset(testStart.Add(2*time.Second), testEntries("a"), []string{"c"})
-	if got := r.Usable(); got != 1 || r.Server("a") == nil {
+	r.ReplaceAll(testStart.Add(2*time.Second), testEntries("a"), []string{"c"})
+	if got := r.CountUsable(); got != 1 || r.Server("a") == nil {
 		t.Errorf("%d servers are usable, one of two entries is readable", got)
 	}
-	r.Change(testStart.Add(3*time.Second), testEntries("b"), nil, nil)
+	r.ApplyChanges(testStart.Add(3*time.Second), testEntries("b"), nil, nil)
 	if r.Server("b") == nil {
 		t.Error("the server of an entry that is readable again is not listed")
 	}
@@ -206,30 +206,30 @@
 
 // entryAt returns the entry of an instance at an address.
 func entryAt(id, addr string, startMillis int64) Info {
-	return Info{ID: id, Addr: addr, Service: "s", Born: startMillis}
+	return Info{ID: id, Addr: addr, Service: "s", StartUnixMilli: startMillis}
 }
 
 // Guards against sending requests to crashed servers: they restart at their addresses long before
 // their old entries expire, and each gateway would send one request to each old entry to find out.
 func TestNewestInstanceOwnsAddress(t *testing.T) {
 	r := NewRegistry()
-	r.Reset(testStart, []Info{entryAt("a", "10.0.0.1:1", 1000), entryAt("b", "10.0.0.2:1", 1000)}, nil)
-	r.Change(testStart, []Info{entryAt("c", "10.0.0.1:1", 2000)}, nil, nil)
+	r.ReplaceAll(testStart, []Info{entryAt("a", "10.0.0.1:1", 1000), entryAt("b", "10.0.0.2:1", 1000)}, nil)
+	r.ApplyChanges(testStart, []Info{entryAt("c", "10.0.0.1:1", 2000)}, nil, nil)
 	expectListed(t, r, "b c")
 	if r.Server("a") == nil {
 		t.Error("the earlier instance is removed, though it is still listed")
 	}
 	// All entries at once, the newest first.
 	r = NewRegistry()
-	r.Reset(testStart, []Info{entryAt("c", "10.0.0.1:1", 2000), entryAt("a", "10.0.0.1:1", 1000)}, nil)
+	r.ReplaceAll(testStart, []Info{entryAt("c", "10.0.0.1:1", 2000), entryAt("a", "10.0.0.1:1", 1000)}, nil)
 	expectListed(t, r, "c")
 	// The address may move to another service.
 	other := entryAt("d", "10.0.0.1:1", 3000)
 	other.Service = "other"
-	r.Change(testStart, []Info{other}, nil, nil)
+	r.ApplyChanges(testStart, []Info{other}, nil, nil)
 	expectListed(t, r, "")
 	// An instance without a start time takes over no address and loses its own to none.
-	r.Change(testStart, []Info{entryAt("e", "10.0.0.2:1", 0), entryAt("f", "10.0.0.2:1", 4000)}, nil, nil)
+	r.ApplyChanges(testStart, []Info{entryAt("e", "10.0.0.2:1", 0), entryAt("f", "10.0.0.2:1", 4000)}, nil, nil)
 	expectListed(t, r, "e f")
 }
 
@@ -237,8 +237,8 @@
 // instance is found there.
 func TestFalseAddressClaim(t *testing.T) {
 	r := NewRegistry()
-	r.Reset(testStart, []Info{entryAt("a", "10.0.0.1:1", 1000)}, nil)
-	r.Change(testStart, []Info{entryAt("false", "10.0.0.1:1", 2000)}, nil, nil)
+	r.ReplaceAll(testStart, []Info{entryAt("a", "10.0.0.1:1", 1000)}, nil)
+	r.ApplyChanges(testStart, []Info{entryAt("false", "10.0.0.1:1", 2000)}, nil, nil)
 	expectListed(t, r, "false")
 	r.MarkReplaced("false")
 	expectListed(t, r, "a")
--- a/internal/gateway/backend/restored_test.go
+++ b/internal/gateway/backend/restored_test.go
@@ -8,7 +8,7 @@
 // entryWithSequence returns a server's entry with a sequence number.
 func entryWithSequence(id string, sequence int64, leaving bool) Info {
 	i := testEntries(id)[0]
-	i.Sequence, i.Leaving = sequence, leaving
+	i.Sequence, i.Draining = sequence, leaving
 	return i
 }
 
@@ -16,18 +16,18 @@
 // draining server as ready and a removed one as listed, and lacks one that started since.
 func TestRestoredOlderListIsIgnored(t *testing.T) {
 	r := NewRegistry()
-	r.Reset(testStart, []Info{entryWithSequence("drains", 4, true), entryWithSequence("gone", 4, false), entryWithSequence("new", 1, false)}, nil)
-	r.Change(testStart.Add(10*time.Second), nil, []string{"gone"}, nil)
+	r.ReplaceAll(testStart, []Info{entryWithSequence("drains", 4, true), entryWithSequence("gone", 4, false), entryWithSequence("new", 1, false)}, nil)
+	r.ApplyChanges(testStart.Add(10*time.Second), nil, []string{"gone"}, nil)
 
 	storeBack := testStart.Add(11 * time.Second)
-	r.Restored(storeBack)
-	r.Reset(storeBack, []Info{entryWithSequence("drains", 3, false), entryWithSequence("gone", 4, false)}, nil)
+	r.MarkStoreRestored(storeBack)
+	r.ReplaceAll(storeBack, []Info{entryWithSequence("drains", 3, false), entryWithSequence("gone", 4, false)}, nil)
 	expectListed(t, r, "drains new")
-	if !r.Server("drains").Info().Leaving {
+	if !r.Server("drains").Info().Draining {
 		t.Error("a draining server is ready again")
 	}
 	// The removed server turns out to be alive and writes its entry again, as does the new one.
-	r.Change(storeBack.Add(time.Second), []Info{entryWithSequence("gone", 5, false), entryWithSequence("new", 2, false)}, nil, nil)
+	r.ApplyChanges(storeBack.Add(time.Second), []Info{entryWithSequence("gone", 5, false), entryWithSequence("new", 2, false)}, nil, nil)
 	expectListed(t, r, "drains gone new")
 	r.Sweep(storeBack.Add(2 * expiryGrace))
 	expectListed(t, r, "drains gone new")
@@ -37,9 +37,9 @@
 // restored.
 func TestServerMissingAfterRestoreIsRemoved(t *testing.T) {
 	r := NewRegistry()
-	r.Reset(testStart, []Info{entryWithSequence("a", 1, false), entryWithSequence("b", 1, false)}, nil)
-	r.Restored(testStart.Add(time.Minute))
-	r.Reset(testStart.Add(time.Minute), []Info{entryWithSequence("a", 1, false)}, nil)
+	r.ReplaceAll(testStart, []Info{entryWithSequence("a", 1, false), entryWithSequence("b", 1, false)}, nil)
+	r.MarkStoreRestored(testStart.Add(time.Minute))
+	r.ReplaceAll(testStart.Add(time.Minute), []Info{entryWithSequence("a", 1, false)}, nil)
 	expectListed(t, r, "a b")
 	r.Sweep(testStart.Add(time.Minute + expiryGrace))
 	expectListed(t, r, "a")
@@ -49,13 +49,13 @@
 func TestNewInstanceAcceptedAfterRestore(t *testing.T) {
 	r := NewRegistry()
 	first := entryWithSequence("a", 7, false)
-	first.Born = 1000
-	r.Reset(testStart, []Info{first}, nil)
-	r.Restored(testStart)
+	first.StartUnixMilli = 1000
+	r.ReplaceAll(testStart, []Info{first}, nil)
+	r.MarkStoreRestored(testStart)
 	later := entryWithSequence("a", 1, false)
-	later.Born = 2000
-	r.Change(testStart, []Info{later}, nil, nil)
-	if got := r.Server("a").Info().Born; got != 2000 {
+	later.StartUnixMilli = 2000
+	r.ApplyChanges(testStart, []Info{later}, nil, nil)
+	if got := r.Server("a").Info().StartUnixMilli; got != 2000 {
 		t.Errorf("the instance started at %d is listed", got)
 	}
 }
--- a/internal/gateway/backend/server.go
+++ b/internal/gateway/backend/server.go
@@ -15,15 +15,15 @@
 	ID string
 	// StartUnixMilli is the time of the instance's start in Unix milliseconds, 0 if the server does
 	// not report it. Sequence is the number of the entry among those that the instance wrote.
-	Born     int64 `cbor:"Born"`
-	Sequence int64
-	Addr     string
-	Service  string
-	Zone     string
+	StartUnixMilli int64 `cbor:"Born"`
+	Sequence       int64
+	Addr           string
+	Service        string
+	Zone           string
 	// Slots is how many requests the server runs concurrently.
 	Slots int
 	// Draining servers take no new requests.
-	Leaving bool `cbor:"Leaving"`
+	Draining bool `cbor:"Leaving"`
 	// WarmupLeft is how much longer the server will be slow after its start, at the time when the
 	// list was read.
 	WarmupLeft time.Duration
@@ -32,23 +32,23 @@
 // InstanceKey returns a key that identifies the instance, even if a later one has the same ID.
 func (i *Info) InstanceKey() policy.Key {
 	const mixer = 0x9e3779b97f4a7c15
-	return policy.KeyOf(i.ID) ^ policy.Key(uint64(i.Born)*mixer>>32)
+	return policy.KeyOf(i.ID) ^ policy.Key(uint64(i.StartUnixMilli)*mixer>>32)
 }
 
 // sameInstance reports whether a later entry under the same ID belongs to the same instance. An
 // entry with another start time does not; where start times are missing, neither does one with a
 // lower sequence number or another address.
 func (i *Info) sameInstance(later *Info) bool {
-	if i.Born != 0 && later.Born != 0 {
-		return i.Born == later.Born
+	if i.StartUnixMilli != 0 && later.StartUnixMilli != 0 {
+		return i.StartUnixMilli == later.StartUnixMilli
 	}
 	return later.Sequence >= i.Sequence && i.Addr == later.Addr
 }
 
 // olderThan reports whether an entry was written before another one under the same ID.
 func (i *Info) olderThan(other *Info) bool {
-	if i.Born != other.Born {
-		return i.Born < other.Born
+	if i.StartUnixMilli != other.StartUnixMilli {
+		return i.StartUnixMilli < other.StartUnixMilli
 	}
 	return i.Sequence < other.Sequence
 }
@@ -72,7 +72,7 @@
 // Peer returns the identity of the server for the connection pool.
 func (s *Server) Peer() exchange.Peer {
 	info := s.Info()
-	return exchange.Peer{Addr: info.Addr, Instance: info.ID, Born: info.Born}
+	return exchange.Peer{Addr: info.Addr, Instance: info.ID, StartTime: info.StartUnixMilli}
 }
 
 // MarkEnded records that the instance has ended. It reports whether this was the first call.
--- a/internal/gateway/client_server_test.go
+++ b/internal/gateway/client_server_test.go
@@ -134,7 +134,7 @@
 		if err := exchangeRequest(clientConn, reader, postRequest); err != nil {
 			t.Fatal(err)
 		}
-		g := &gateway{settings: settings.Gateway{Grace: 8 * time.Second}, log: zap.NewNop()}
+		g := &gateway{settings: settings.Gateway{ShutdownTimeout: 8 * time.Second}, log: zap.NewNop()}
 		go func() {
 			defer close(drained)
 			g.drain(server)
--- a/internal/gateway/desired_state_sink.go
+++ b/internal/gateway/desired_state_sink.go
@@ -40,28 +40,28 @@
 	outdated atomic.Bool
 }
 
-var _ follow.Sink[*routes.Set] = (*desiredStateSink)(nil)
+var _ follow.Sink[*routes.Snapshot] = (*desiredStateSink)(nil)
 
 // Reset implements follow.Sink.
-func (s *desiredStateSink) Reset(readAt time.Duration, all follow.Batch[*routes.Set]) {
+func (s *desiredStateSink) Reset(readAt time.Duration, all follow.Batch[*routes.Snapshot]) {
 	s.outdated.Store(s.holder.Version() != 0)
 	s.apply(readAt, all)
 }
 
 // Change implements follow.Sink.
-func (s *desiredStateSink) Change(receivedAt time.Duration, changes follow.Batch[*routes.Set]) {
+func (s *desiredStateSink) Change(receivedAt time.Duration, changes follow.Batch[*routes.Snapshot]) {
 	s.apply(receivedAt-maxFeedSilence, changes)
 }
 
 // Unavailable implements follow.Sink.
 func (s *desiredStateSink) Unavailable(error) {
-	s.registry.Unavailable()
+	s.registry.MarkStoreUnavailable()
 	s.unavailableSince.CompareAndSwap(0, int64(boottime.Now()))
 }
 
 // Available implements follow.Sink.
 func (s *desiredStateSink) Available() {
-	s.registry.Available(time.Now())
+	s.registry.MarkStoreAvailable(time.Now())
 	s.unavailableSince.Store(0)
 }
 
@@ -76,7 +76,7 @@
 
 // apply offers the states of a batch to the holder. If the batch is readable and up to date, it
 // proves that the state in force was the newest at provenAt.
-func (s *desiredStateSink) apply(provenAt time.Duration, batch follow.Batch[*routes.Set]) {
+func (s *desiredStateSink) apply(provenAt time.Duration, batch follow.Batch[*routes.Snapshot]) {
 	s.Available()
 	if len(batch.Unreadable) > 0 {
 		s.unreadable.Store(true)
@@ -87,14 +87,14 @@
 		}
 		s.unreadable.Store(false)
 		s.outdated.Store(set.Version < s.holder.Version())
-		if s.holder.Offer(set, provenAt) {
-			s.log.Info(logging.EventTargetsAdopted, zap.Uint64("version", set.Version), zap.Int("routes", set.Routes()), zap.Duration("idle_limit", set.Limits.IdleTime))
+		if s.holder.Update(set, provenAt) {
+			s.log.Info(logging.EventTargetsAdopted, zap.Uint64("version", set.Version), zap.Int("routes", set.RouteCount()), zap.Duration("idle_limit", set.Limits.IdleTimeout))
 		}
 	}
 	if !s.unreadable.Load() && !s.outdated.Load() {
 		// Only the follower's goroutine writes storeProvenAt, so load and store needn't be atomic
 		// together.
 		s.storeProvenAt.Store(max(s.storeProvenAt.Load(), int64(provenAt)))
-		s.holder.Prove(s.holder.Version(), provenAt)
+		s.holder.Confirm(s.holder.Version(), provenAt)
 	}
 }
--- a/internal/gateway/desired_state_sink_test.go
+++ b/internal/gateway/desired_state_sink_test.go
@@ -18,12 +18,12 @@
 func TestStoreProofTimeNeverDecreases(t *testing.T) {
 	sink := &desiredStateSink{holder: &routes.Holder{}, registry: backend.NewRegistry(), log: zap.NewNop()}
 	const readAt = 10 * time.Second
-	sink.Reset(readAt, follow.Batch[*routes.Set]{Items: []*routes.Set{routes.NewSet(1, routes.Limits{}, nil, nil, nil)}})
-	sink.Change(readAt+maxFeedSilence/2, follow.Batch[*routes.Set]{})
+	sink.Reset(readAt, follow.Batch[*routes.Snapshot]{Items: []*routes.Snapshot{routes.NewSnapshot(1, routes.Limits{}, nil, nil, nil)}})
+	sink.Change(readAt+maxFeedSilence/2, follow.Batch[*routes.Snapshot]{})
 	if got := time.Duration(sink.storeProvenAt.Load()); got != readAt {
 		t.Errorf("proof time %v, want %v", got, readAt)
 	}
-	sink.Change(readAt+2*maxFeedSilence, follow.Batch[*routes.Set]{})
+	sink.Change(readAt+2*maxFeedSilence, follow.Batch[*routes.Snapshot]{})
 	if got := time.Duration(sink.storeProvenAt.Load()); got != readAt+maxFeedSilence {
 		t.Errorf("proof time %v, want %v", got, readAt+maxFeedSilence)
 	}
@@ -32,20 +32,20 @@
 // After a restore from an older copy the store may hold an older state than it had acknowledged.
 // That state must neither replace the newer one nor count as proof.
 func TestOlderStateIsNoProof(t *testing.T) {
-	set := func(version uint64) follow.Batch[*routes.Set] {
-		return follow.Batch[*routes.Set]{Items: []*routes.Set{routes.NewSet(version, routes.Limits{}, nil, nil, nil)}}
+	set := func(version uint64) follow.Batch[*routes.Snapshot] {
+		return follow.Batch[*routes.Snapshot]{Items: []*routes.Snapshot{routes.NewSnapshot(version, routes.Limits{}, nil, nil, nil)}}
 	}
-	for name, older := range map[string]follow.Batch[*routes.Set]{"an older one": set(4), "none": {}} {
+	for name, older := range map[string]follow.Batch[*routes.Snapshot]{"an older one": set(4), "none": {}} {
 		sink := &desiredStateSink{holder: &routes.Holder{}, registry: backend.NewRegistry(), log: zap.NewNop()}
 		sink.Reset(10*time.Second, set(5))
 		sink.Reset(20*time.Second, older)
-		sink.Change(30*time.Second, follow.Batch[*routes.Set]{})
-		if sink.holder.Version() != 5 || sink.holder.ProvenAt() != 10*time.Second || sink.storeProvenAt.Load() != int64(10*time.Second) {
-			t.Errorf("%s: version %d, proof time %v", name, sink.holder.Version(), sink.holder.ProvenAt())
+		sink.Change(30*time.Second, follow.Batch[*routes.Snapshot]{})
+		if sink.holder.Version() != 5 || sink.holder.ConfirmedAt() != 10*time.Second || sink.storeProvenAt.Load() != int64(10*time.Second) {
+			t.Errorf("%s: version %d, proof time %v", name, sink.holder.Version(), sink.holder.ConfirmedAt())
 		}
 		sink.Change(40*time.Second, set(5))
-		if want := 40*time.Second - maxFeedSilence; sink.holder.ProvenAt() != want {
-			t.Errorf("%s: proof time %v after operators wrote the state again, want %v", name, sink.holder.ProvenAt(), want)
+		if want := 40*time.Second - maxFeedSilence; sink.holder.ConfirmedAt() != want {
+			t.Errorf("%s: proof time %v after operators wrote the state again, want %v", name, sink.holder.ConfirmedAt(), want)
 		}
 	}
 }
@@ -62,9 +62,9 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
-	follower := follow.Follower[*routes.Set]{
-		Name: "t", Source: sourceWithoutHistory{}, Sink: sink, Wait: follow.Always(time.Second), Idle: func() bool { return true },
-		Defers: func() bool { return true }, Log: zap.NewNop(),
+	follower := follow.Follower[*routes.Snapshot]{
+		Name: "t", Source: sourceWithoutHistory{}, Sink: sink, MaxWait: follow.FixedWait(time.Second), Idle: func() bool { return true },
+		DefersFullRead: func() bool { return true }, Log: zap.NewNop(),
 	}
 	follower.Run(ctx)
 	if sink.unavailableFor() != 0 {
@@ -75,10 +75,10 @@
 // sourceWithoutHistory is a store whose history is gone.
 type sourceWithoutHistory struct{}
 
-func (sourceWithoutHistory) Read(context.Context, string) (follow.Batch[*routes.Set], error) {
-	return follow.Batch[*routes.Set]{}, follow.ErrHistoryGone
+func (sourceWithoutHistory) Read(context.Context, string) (follow.Batch[*routes.Snapshot], error) {
+	return follow.Batch[*routes.Snapshot]{}, follow.ErrHistoryGone
 }
 
-func (sourceWithoutHistory) Next(context.Context, follow.Position, time.Duration) (follow.Batch[*routes.Set], error) {
-	return follow.Batch[*routes.Set]{}, follow.ErrHistoryGone
+func (sourceWithoutHistory) Next(context.Context, follow.Position, time.Duration) (follow.Batch[*routes.Snapshot], error) {
+	return follow.Batch[*routes.Snapshot]{}, follow.ErrHistoryGone
 }
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -24,8 +24,8 @@
 	start := time.Now()
 	g.draining.Store(true)
 	g.log.Info(logging.EventStopping)
-	time.Sleep(min(drainDelay, g.settings.Grace/2))
-	ctx, cancel := context.WithDeadline(context.Background(), start.Add(g.settings.Grace-min(shutdownMargin, g.settings.Grace/shutdownMarginDivisor)))
+	time.Sleep(min(drainDelay, g.settings.ShutdownTimeout/2))
+	ctx, cancel := context.WithDeadline(context.Background(), start.Add(g.settings.ShutdownTimeout-min(shutdownMargin, g.settings.ShutdownTimeout/shutdownMarginDivisor)))
 	defer cancel()
 	if err := server.Drain(ctx); err != nil {
 		g.log.Warn(logging.EventStopping, logging.Reason(err.Error()))
--- a/internal/gateway/exchange/errors.go
+++ b/internal/gateway/exchange/errors.go
@@ -9,7 +9,7 @@
 	ErrNotSent = errors.New("request not sent")
 	// ErrIncomplete means that the connection ended or the response was malformed or incomplete;
 	// the request may have run.
-	ErrBroken = errors.New("incomplete response")
+	ErrIncomplete = errors.New("incomplete response")
 	// ErrTimeout means that nothing arrived in time; the request may have run.
 	ErrTimeout = errors.New("response timeout")
 	// ErrCancelled means that the context ended; the request may have run.
--- a/internal/gateway/exchange/exchange.go
+++ b/internal/gateway/exchange/exchange.go
@@ -29,7 +29,7 @@
 )
 
 // Response is a backend server's response. The caller must read its body to the end or call Abort.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	// Length is the length of the body in bytes; -1 if unknown, 0 for HEAD.
@@ -56,8 +56,8 @@
 
 // Do sends a request and reads the response header. It returns early when ctx ends. Errors wrap one
 // of ErrNotSent, ErrIncomplete, ErrTimeout and ErrCancelled.
-func (p *Pool) Do(ctx context.Context, peer Peer, r *Request) (*Answer, error) {
-	c, err := p.acquire(ctx, peer, r.Young)
+func (p *Pool) Do(ctx context.Context, peer Peer, r *Request) (*Response, error) {
+	c, err := p.acquire(ctx, peer, r.MaxIdle)
 	if err != nil {
 		return nil, err
 	}
@@ -98,7 +98,7 @@
 }
 
 // readHead reads the header of the response that belongs to the request.
-func (e *exchange) readHead(r *Request) (*Answer, error) {
+func (e *exchange) readHead(r *Request) (*Response, error) {
 	for range maxMismatchedResponses + 1 {
 		httpResp, err := http.ReadResponse(e.conn.reader, &http.Request{Method: r.Method})
 		if err != nil {
@@ -107,24 +107,24 @@
 		if httpResp.StatusCode < http.StatusOK {
 			continue
 		}
-		if r.Mine(httpResp.Header) {
+		if r.Matches(httpResp.Header) {
 			return e.newResponse(httpResp), nil
 		}
 		// Whatever the cause, this connection can't be trusted any more.
 		e.keepConn = false
 		if httpResp.ContentLength < 0 && len(httpResp.TransferEncoding) == 0 {
-			return nil, errors.Wrap(ErrBroken, "response to another request without a body length")
+			return nil, errors.Wrap(ErrIncomplete, "response to another request without a body length")
 		}
 		if _, err := io.Copy(io.Discard, httpResp.Body); err != nil {
 			return nil, err
 		}
 	}
-	return nil, errors.Wrap(ErrBroken, "too many responses to other requests")
+	return nil, errors.Wrap(ErrIncomplete, "too many responses to other requests")
 }
 
 // newResponse returns the Response for a received header, and records whether and how long the
 // connection may be reused.
-func (e *exchange) newResponse(httpResp *http.Response) *Answer {
+func (e *exchange) newResponse(httpResp *http.Response) *Response {
 	e.keepConn = e.keepConn && !httpResp.Close && httpResp.ProtoAtLeast(1, 1)
 	e.conn.keepAlive = keepAliveTimeout(httpResp.Header)
 	length := httpResp.ContentLength
@@ -132,12 +132,12 @@
 		// The Content-Length of a HEAD response is that of the GET response.
 		length = 0
 	}
-	return &Answer{Status: httpResp.StatusCode, Header: httpResp.Header, Length: length, body: httpResp.Body, exchange: e}
+	return &Response{Status: httpResp.StatusCode, Header: httpResp.Header, Length: length, body: httpResp.Body, exchange: e}
 }
 
 // Read reads the body. It returns io.EOF after the complete body; any other error wraps one of this
 // package's errors. Once the exchange has ended, also by an error or Abort, it returns io.EOF.
-func (r *Answer) Read(p []byte) (int, error) {
+func (r *Response) Read(p []byte) (int, error) {
 	if r.exchange.ended {
 		return 0, io.EOF
 	}
@@ -151,17 +151,17 @@
 	default:
 		r.exchange.end(false)
 		err = r.exchange.classify(err)
-		r.incomplete = errors.Is(err, ErrBroken)
+		r.incomplete = errors.Is(err, ErrIncomplete)
 		return n, err
 	}
 }
 
 // Incomplete reports whether reading the body ended in ErrIncomplete.
-func (r *Answer) Broken() bool { return r.incomplete }
+func (r *Response) Incomplete() bool { return r.incomplete }
 
 // Abort ends the exchange by closing its connection, which tells the backend server to stop. After
 // the complete body was read it does nothing.
-func (r *Answer) Abandon() { r.exchange.end(false) }
+func (r *Response) Abort() { r.exchange.end(false) }
 
 // end returns the connection to the pool or closes it.
 func (e *exchange) end(complete bool) {
@@ -202,14 +202,14 @@
 func (e *exchange) classify(err error) error {
 	var netErr net.Error
 	switch {
-	case errors.Is(err, ErrNotSent), errors.Is(err, ErrBroken):
+	case errors.Is(err, ErrNotSent), errors.Is(err, ErrIncomplete):
 		return err
 	case e.ctx.Err() != nil:
 		return errors.Wrap(ErrCancelled, e.ctx.Err().Error())
 	case errors.Is(err, os.ErrDeadlineExceeded), errors.As(err, &netErr) && netErr.Timeout():
 		return errors.Wrap(ErrTimeout, err.Error())
 	default:
-		return errors.Wrap(ErrBroken, err.Error())
+		return errors.Wrap(ErrIncomplete, err.Error())
 	}
 }
 
--- a/internal/gateway/exchange/exchange_test.go
+++ b/internal/gateway/exchange/exchange_test.go
@@ -70,7 +70,7 @@
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 100 {
-		_, err := pool.Do(cancelled, Peer{Addr: addr, Instance: "i"}, &Request{Method: http.MethodPost, Target: "/", Header: http.Header{"Id": {"2"}}, Young: time.Hour, Mine: func(http.Header) bool { return true }})
+		_, err := pool.Do(cancelled, Peer{Addr: addr, Instance: "i"}, &Request{Method: http.MethodPost, Target: "/", Header: http.Header{"Id": {"2"}}, MaxIdle: time.Hour, Matches: func(http.Header) bool { return true }})
 		if !errors.Is(err, ErrNotSent) {
 			t.Fatalf("got %v", err)
 		}
@@ -94,13 +94,13 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	response, err := p.Do(ctx, Peer{Addr: addr, Instance: "i"}, &Request{
-		Method: "POST", Target: "/a%2Fb?x=1", Host: "h", Header: http.Header{"Id": {id}}, Body: body, Young: time.Hour,
-		Mine: func(h http.Header) bool { return h.Get("Id") == id },
+		Method: "POST", Target: "/a%2Fb?x=1", Host: "h", Header: http.Header{"Id": {id}}, Body: body, MaxIdle: time.Hour,
+		Matches: func(h http.Header) bool { return h.Get("Id") == id },
 	})
 	if err != nil {
 		return "", err
 	}
-	defer response.Abandon()
+	defer response.Abort()
 	text, err := io.ReadAll(response)
 	return string(text), err
 }
@@ -178,11 +178,11 @@
 		response string
 		want     error
 	}{
-		"truncated header":     {"HTTP/1.1 200 OK\r\nId: 1\r\nConte", ErrBroken},
-		"truncated body":       {"HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nhalf", ErrBroken},
-		"truncated chunks":     {"HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", ErrBroken},
-		"not HTTP":             {"\x00\x01garbage\r\n\r\n", ErrBroken},
-		"other responses only": {response("0", "a") + response("0", "b") + response("0", "c") + response("0", "d") + response("0", "e"), ErrBroken},
+		"truncated header":     {"HTTP/1.1 200 OK\r\nId: 1\r\nConte", ErrIncomplete},
+		"truncated body":       {"HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nhalf", ErrIncomplete},
+		"truncated chunks":     {"HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", ErrIncomplete},
+		"not HTTP":             {"\x00\x01garbage\r\n\r\n", ErrIncomplete},
+		"other responses only": {response("0", "a") + response("0", "b") + response("0", "c") + response("0", "d") + response("0", "e"), ErrIncomplete},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -209,7 +209,7 @@
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, cancel)
-	_, err := NewPool().Do(ctx, Peer{Addr: addr}, &Request{Method: "GET", Target: "/", Host: "h", Young: time.Hour, Mine: func(http.Header) bool { return true }})
+	_, err := NewPool().Do(ctx, Peer{Addr: addr}, &Request{Method: "GET", Target: "/", Host: "h", MaxIdle: time.Hour, Matches: func(http.Header) bool { return true }})
 	if !errors.Is(err, ErrCancelled) {
 		t.Errorf("got %v", err)
 	}
@@ -261,7 +261,7 @@
 		time.Sleep(10 * time.Millisecond)
 		_ = c.(*net.TCPConn).SetLinger(0)
 	})
-	if text, err := send(t, pool, resetAddr, "1", nil); !errors.Is(err, ErrBroken) {
+	if text, err := send(t, pool, resetAddr, "1", nil); !errors.Is(err, ErrIncomplete) {
 		t.Errorf("a reset response counts as complete: %q, %v", text, err)
 	}
 }
--- a/internal/gateway/exchange/pool.go
+++ b/internal/gateway/exchange/pool.go
@@ -52,7 +52,7 @@
 	Instance string
 	// StartTime distinguishes starts where one instance may start again; larger is later, and 0
 	// means that the backend server reports none.
-	Born int64
+	StartTime int64
 }
 
 // Pool holds idle connections to backend servers. Its methods may be called concurrently.
@@ -67,7 +67,7 @@
 func NewPool() *Pool {
 	return &Pool{
 		idle:   map[Peer][]*conn{},
-		dialer: dial.Dialer(dialTimeout, maxUnacknowledged),
+		dialer: dial.NewDialer(dialTimeout, maxUnacknowledged),
 	}
 }
 
@@ -97,7 +97,7 @@
 // accepts connections for a process that is about to exit. A peer therefore counts as running only
 // if a second connection opens processExitTime later; both connections then go to the pool. It
 // returns false if the result isn't known within refusalCheckTimeout.
-func (p *Pool) Refuses(ctx context.Context, peer Peer) bool {
+func (p *Pool) RefusesConnections(ctx context.Context, peer Peer) bool {
 	ctx, cancel := context.WithTimeout(ctx, refusalCheckTimeout)
 	defer cancel()
 	var first *conn
@@ -121,7 +121,7 @@
 		default:
 			first, delay = probe, processExitTime
 		}
-		if !pause.For(ctx, delay) {
+		if !pause.Sleep(ctx, delay) {
 			return false
 		}
 	}
--- a/internal/gateway/exchange/pool_test.go
+++ b/internal/gateway/exchange/pool_test.go
@@ -53,7 +53,7 @@
 					start := time.Now()
 					// On a busy machine the listener may have stayed open long enough to count as
 					// running.
-					if !NewPool().Refuses(t.Context(), peer) && (<-closed).Sub(start) < processExitTime {
+					if !NewPool().RefusesConnections(t.Context(), peer) && (<-closed).Sub(start) < processExitTime {
 						t.Fatal("an exiting server counts as running")
 					}
 				}
@@ -84,7 +84,7 @@
 				}
 			}()
 			start := time.Now()
-			if NewPool().Refuses(t.Context(), Peer{Addr: listener.Addr().String(), Instance: "i"}) {
+			if NewPool().RefusesConnections(t.Context(), Peer{Addr: listener.Addr().String(), Instance: "i"}) {
 				t.Error("a running server counts as exited")
 			}
 			if took := time.Since(start); took > 5*refusalCheckTimeout {
@@ -115,7 +115,7 @@
 	}
 	port := sockaddr.(*syscall.SockaddrInet4).Port
 	peer, pool := Peer{Addr: fmt.Sprintf("127.0.0.1:%d", port), Instance: "i"}, NewPool()
-	if pool.Refuses(t.Context(), peer) {
+	if pool.RefusesConnections(t.Context(), peer) {
 		t.Error("counts as exited, though no connection was refused")
 	}
 	if pooled := len(pool.idle[peer]); pooled != 0 {
--- a/internal/gateway/exchange/request.go
+++ b/internal/gateway/exchange/request.go
@@ -17,10 +17,10 @@
 	Body   []byte
 	// MaxIdle bounds how long a pooled connection may have been idle. Requests that may run at most
 	// once are safer on a recently used connection.
-	Young time.Duration
+	MaxIdle time.Duration
 	// Matches reports whether a response header belongs to this request. Other responses are late
 	// ones to earlier requests and are skipped.
-	Mine func(http.Header) bool
+	Matches func(http.Header) bool
 }
 
 // encode returns the request as written to the connection.
--- a/internal/gateway/follow/as_of_test.go
+++ b/internal/gateway/follow/as_of_test.go
@@ -28,15 +28,15 @@
 func TestAsOfTimeOfHeldAnswers(t *testing.T) {
 	const wait = 200 * time.Millisecond
 	src := &scriptedSource{calls: []scriptedCall{
-		{batch: Batch[string]{At: 1}},
-		{duration: wait, batch: Batch[string]{At: 1}},
-		{duration: wait, batch: Batch[string]{At: 2, Items: []string{"news"}}},
-		{duration: wait / 4, batch: Batch[string]{At: 2}},
+		{batch: Batch[string]{Position: 1}},
+		{duration: wait, batch: Batch[string]{Position: 1}},
+		{duration: wait, batch: Batch[string]{Position: 2, Items: []string{"news"}}},
+		{duration: wait / 4, batch: Batch[string]{Position: 2}},
 	}}
 	sink := &ageSink{}
 	ctx, cancel := context.WithTimeout(t.Context(), 5*wait)
 	defer cancel()
-	f := Follower[string]{Name: "t", Source: src, Sink: sink, Wait: Always(wait), Log: zap.NewNop()}
+	f := Follower[string]{Name: "t", Source: src, Sink: sink, MaxWait: FixedWait(wait), Log: zap.NewNop()}
 	f.Run(ctx)
 	if len(sink.ages) != 4 {
 		t.Fatalf("%d batches", len(sink.ages))
@@ -54,9 +54,9 @@
 
 // Stores count waits in milliseconds.
 func TestWaitsAreWholeMilliseconds(t *testing.T) {
-	f := Follower[string]{Wait: Always(777777777 * time.Nanosecond)}
+	f := Follower[string]{MaxWait: FixedWait(777777777 * time.Nanosecond)}
 	for range 100 {
-		if wait := f.nextWait(); wait%time.Millisecond != 0 || wait > f.Wait() || wait < f.Wait()/2 {
+		if wait := f.nextWait(); wait%time.Millisecond != 0 || wait > f.MaxWait() || wait < f.MaxWait()/2 {
 			t.Fatalf("wait is %v", wait)
 		}
 	}
--- a/internal/gateway/follow/convergence_property_test.go
+++ b/internal/gateway/follow/convergence_property_test.go
@@ -67,7 +67,7 @@
 }
 
 func (s *restorableStore) Read(context.Context, string) (Batch[string], error) {
-	batch := Batch[string]{At: At(s.era, s.version)}
+	batch := Batch[string]{Position: NewPosition(s.era, s.version)}
 	for key, value := range s.rows {
 		batch.Items = append(batch.Items, key+"="+value)
 	}
@@ -81,7 +81,7 @@
 	if after.Era() != s.era || after.Version() < s.historyStart || after.Version() > s.version {
 		return Batch[string]{}, ErrHistoryGone
 	}
-	batch := Batch[string]{At: At(s.era, s.version)}
+	batch := Batch[string]{Position: NewPosition(s.era, s.version)}
 	for _, change := range s.changes {
 		switch {
 		case change.version <= after.Version():
@@ -140,7 +140,7 @@
 
 func newTestFollower(store *restorableStore) *testFollower {
 	f := &testFollower{table: mapSink{}}
-	f.Follower = Follower[string]{Name: "t", Source: store, Sink: f.table, Wait: Always(0), Log: zap.NewNop()}
+	f.Follower = Follower[string]{Name: "t", Source: store, Sink: f.table, MaxWait: FixedWait(0), Log: zap.NewNop()}
 	return f
 }
 
@@ -157,9 +157,9 @@
 	if to.Position() == 0 {
 		return
 	}
-	if deltas, complete := f.Since(to.Position()); complete {
+	if deltas, complete := f.DeltasSince(to.Position()); complete {
 		// Deltas that can't be applied are read from the store instead.
-		_ = to.Take(0, deltas)
+		_ = to.ApplyDeltas(0, deltas)
 	}
 }
 
--- a/internal/gateway/follow/era_test.go
+++ b/internal/gateway/follow/era_test.go
@@ -16,7 +16,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		version := rapid.Uint64Range(0, 1<<versionBits-1)
 		era := rapid.Uint64Range(0, 1<<16-1)
-		p, q := At(era.Draw(t, "era"), version.Draw(t, "version")), At(era.Draw(t, "other"), version.Draw(t, "otherVersion"))
+		p, q := NewPosition(era.Draw(t, "era"), version.Draw(t, "version")), NewPosition(era.Draw(t, "other"), version.Draw(t, "otherVersion"))
 		if p.Era() < q.Era() && p >= q || p.Era() == q.Era() && (p.Version() < q.Version()) != (p < q) {
 			t.Errorf("version %d of era %d and version %d of era %d are in the wrong order as %v and %v", p.Version(), p.Era(), q.Version(), q.Era(), p, q)
 		}
@@ -30,9 +30,9 @@
 // pages that were read afterwards.
 func TestPagedReadRejectsPagesOfTwoEras(t *testing.T) {
 	src := &scriptedSource{calls: []scriptedCall{
-		{batch: Batch[string]{Items: []string{"a"}, At: At(0, 9), More: "b"}},
-		{batch: Batch[string]{Items: []string{"b"}, At: At(1, 4)}},
-		{batch: Batch[string]{Items: []string{"c"}, At: At(1, 4)}},
+		{batch: Batch[string]{Items: []string{"a"}, Position: NewPosition(0, 9), NextPage: "b"}},
+		{batch: Batch[string]{Items: []string{"b"}, Position: NewPosition(1, 4)}},
+		{batch: Batch[string]{Items: []string{"c"}, Position: NewPosition(1, 4)}},
 	}}
 	var r pagedRead[string]
 	if err := r.read(t.Context(), src); err == nil {
@@ -48,37 +48,37 @@
 func TestSnapshotIsSharedAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &scriptedSource{calls: []scriptedCall{
-			{batch: Batch[string]{Items: []string{"a"}, At: At(0, 9)}},
+			{batch: Batch[string]{Items: []string{"a"}, Position: NewPosition(0, 9)}},
 			{duration: time.Second, err: ErrHistoryGone},
-			{batch: Batch[string]{Items: []string{"b"}, At: At(1, 4)}},
-			{duration: time.Second, batch: Batch[string]{Items: []string{"c"}, At: At(1, 5)}},
+			{batch: Batch[string]{Items: []string{"b"}, Position: NewPosition(1, 4)}},
+			{duration: time.Second, batch: Batch[string]{Items: []string{"c"}, Position: NewPosition(1, 5)}},
 		}}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		first := Follower[string]{Name: "t", Source: src, Sink: &recordingSink{}, Wait: Always(time.Second), Log: zap.NewNop()}
+		first := Follower[string]{Name: "t", Source: src, Sink: &recordingSink{}, MaxWait: FixedWait(time.Second), Log: zap.NewNop()}
 		sink := &recordingSink{}
 		restored := 0
-		second := Follower[string]{Name: "t", Sink: sink, Restored: func() { restored++ }, Log: zap.NewNop()}
-		second.applyFullRead(0, Batch[string]{Items: []string{"a"}, At: At(0, 8)})
+		second := Follower[string]{Name: "t", Sink: sink, OnRestore: func() { restored++ }, Log: zap.NewNop()}
+		second.applyFullRead(0, Batch[string]{Items: []string{"a"}, Position: NewPosition(0, 8)})
 		first.Run(ctx)
-		if first.Changed() != At(1, 5) || second.Position() >= first.Changed() {
-			t.Fatalf("last change at %v, the other follower is at %v", first.Changed(), second.Position())
+		if first.LastChange() != NewPosition(1, 5) || second.Position() >= first.LastChange() {
+			t.Fatalf("last change at %v, the other follower is at %v", first.LastChange(), second.Position())
 		}
-		deltas, complete := first.Since(second.Position())
-		if err := second.Take(0, deltas); err != nil || !complete {
+		deltas, complete := first.DeltasSince(second.Position())
+		if err := second.ApplyDeltas(0, deltas); err != nil || !complete {
 			t.Fatalf("deltas complete: %v, error %v", complete, err)
 		}
-		if got := fmt.Sprint(sink.items); got != "[all a all b c]" || second.Position() != At(1, 5) {
+		if got := fmt.Sprint(sink.items); got != "[all a all b c]" || second.Position() != NewPosition(1, 5) {
 			t.Errorf("sink got %v, position %v", got, second.Position())
 		}
 		if restored != 1 {
 			t.Errorf("OnRestore was called %d times", restored)
 		}
 		// A third follower gets the table from the second.
-		if deltas, complete = second.Since(At(0, 2)); !complete || len(deltas) != 2 {
+		if deltas, complete = second.DeltasSince(NewPosition(0, 2)); !complete || len(deltas) != 2 {
 			t.Errorf("third follower gets %v, complete: %v", deltas, complete)
 		}
-		if _, complete = second.Since(0); complete {
+		if _, complete = second.DeltasSince(0); complete {
 			t.Error("deltas were returned for a follower that hasn't read the table")
 		}
 	})
@@ -89,12 +89,12 @@
 func TestDeltasOfOtherErasAreNotApplied(t *testing.T) {
 	sink := &recordingSink{}
 	f := Follower[string]{Name: "t", Sink: sink, Log: zap.NewNop()}
-	f.applyFullRead(0, Batch[string]{At: At(2, 5)})
-	f.applyChanges(0, Batch[string]{Items: []string{"old"}, At: At(1, 9)})
-	if err := f.Take(0, []Step[string]{{From: At(1, 3), To: At(1, 9), Items: []string{"old"}}}); err != nil {
+	f.applyFullRead(0, Batch[string]{Position: NewPosition(2, 5)})
+	f.applyChanges(0, Batch[string]{Items: []string{"old"}, Position: NewPosition(1, 9)})
+	if err := f.ApplyDeltas(0, []Delta[string]{{From: NewPosition(1, 3), To: NewPosition(1, 9), Items: []string{"old"}}}); err != nil {
 		t.Error(err)
 	}
-	if err := f.Take(0, []Step[string]{{From: At(1, 3), To: At(3, 1), Items: []string{"new"}}}); err == nil {
+	if err := f.ApplyDeltas(0, []Delta[string]{{From: NewPosition(1, 3), To: NewPosition(3, 1), Items: []string{"new"}}}); err == nil {
 		t.Error("deltas across a restore were applied")
 	}
 	if len(sink.items) != 1 {
