--- a/internal/gateway/follow/follower.go
+++ b/internal/gateway/follow/follower.go
@@ -54,9 +54,9 @@
 	// earlier values.
 	Unreadable []string
 	// Position is the position after which to continue.
-	At Position
+	Position Position
 	// NextPage is where the next page of the whole table begins; empty on the last page.
-	More string
+	NextPage string
 }
 
 func (b *Batch[T]) empty() bool {
@@ -95,37 +95,37 @@
 	// MaxWait returns the maximum time for which the store may hold back an answer without changes.
 	// It is called before each call. The actual wait is drawn from the upper quarter of the range,
 	// so that followers that received the same change don't all call at the same time from then on.
-	Wait func() time.Duration
+	MaxWait func() time.Duration
 	// CoalesceDelay is the delay after a change. Further changes during the delay are returned by a
 	// single call, which matters because each call is paid for.
-	Gather time.Duration
+	CoalesceDelay time.Duration
 	// ConfirmChanges reports whether the first call after a change uses a short wait. Only an
 	// answer without changes confirms that the known state is the newest, and with a full wait it
 	// would come later by the time that the call with the change took. May be nil, which means
 	// never.
-	Confirm func() bool
+	ConfirmChanges func() bool
 	// ShouldCancelPoll is called during a long poll. If it returns true, the poll is cancelled and
 	// repeated with a short wait. May be nil.
-	Hurry func() bool
+	ShouldCancelPoll func() bool
 	// Receiving is set while a response is being received; a long poll isn't cancelled then. May be
 	// nil.
-	Arriving *atomic.Bool
+	Receiving *atomic.Bool
 	// StoreHealth is shared by all followers of one store; may be nil. ProbesStore is set for the
 	// follower that keeps calling the store while it is unavailable. The others wait until that one
 	// succeeds, so that an outage costs the calls of one follower only.
-	Store *Health
-	Leads bool
+	StoreHealth *Health
+	ProbesStore bool
 	// Idle reports whether other gateways poll the table and share its changes, so that this
 	// follower needn't call the store. May be nil, which means never.
 	Idle func() bool
 	// DefersFullRead reports whether other followers poll the table; after a loss of the history
 	// they read it first. May be nil, which means never.
-	Defers func() bool
+	DefersFullRead func() bool
 	// OnCall is called before each call; may be nil.
-	Asked func()
+	OnCall func()
 	// OnRestore is called when the store was restored from an older copy; may be nil.
-	Restored func()
-	Log      *zap.Logger
+	OnRestore func()
+	Log       *zap.Logger
 
 	// mu guards position, up to which the table is known, and serializes calls of the Sink with its
 	// changes. It is locked before the Sink's locks.
@@ -168,10 +168,10 @@
 			backOff.Reset()
 			continue
 		case errors.Is(err, ErrHistoryGone):
-			f.Store.markAvailable()
+			f.StoreHealth.markAvailable()
 			f.Sink.Available()
 			f.historyGone, f.historyGoneAt = true, f.Position()
-			pause.For(ctx, rereadDelay)
+			pause.Sleep(ctx, rereadDelay)
 			f.delayFullRead(ctx)
 			continue
 		case errors.Is(err, errPollCancelled):
@@ -180,21 +180,21 @@
 			return
 		}
 		f.recordFailure(err)
-		pause.For(ctx, backOff.NextBackOff())
-		if f.Store != nil && !f.Leads {
-			f.Store.waitAvailable(ctx, time.Now().Add(maxProbeWait))
+		pause.Sleep(ctx, backOff.NextBackOff())
+		if f.StoreHealth != nil && !f.ProbesStore {
+			f.StoreHealth.waitAvailable(ctx, time.Now().Add(maxProbeWait))
 		}
 	}
 }
 
 // callOnce reads the whole table or polls once for changes, and applies the result.
 func (f *Follower[T]) callOnce(ctx context.Context, tableRead bool) error {
-	if f.Arriving != nil {
-		ctx = withResponseStarted(ctx, func() { f.Arriving.Store(true) })
-		defer f.Arriving.Store(false)
+	if f.Receiving != nil {
+		ctx = withResponseStarted(ctx, func() { f.Receiving.Store(true) })
+		defer f.Receiving.Store(false)
 	}
-	if f.Asked != nil {
-		f.Asked()
+	if f.OnCall != nil {
+		f.OnCall()
 	}
 	asOf := boottime.Now()
 	if !tableRead {
@@ -206,7 +206,7 @@
 		f.historyGone = false
 		if f.Idle != nil {
 			// Peers announce during this delay whether they follow the table.
-			pause.For(ctx, f.Gather)
+			pause.Sleep(ctx, f.CoalesceDelay)
 		}
 		return nil
 	}
@@ -220,8 +220,8 @@
 	}
 	f.applyChanges(asOf, batch)
 	f.changed = !batch.empty()
-	if !batch.empty() && f.Gather > 0 {
-		pause.For(ctx, f.Gather)
+	if !batch.empty() && f.CoalesceDelay > 0 {
+		pause.Sleep(ctx, f.CoalesceDelay)
 	}
 	return nil
 }
@@ -229,7 +229,7 @@
 // pollChanges waits for changes unless ShouldCancelPoll cancels the call.
 func (f *Follower[T]) pollChanges(ctx context.Context, after Position, wait time.Duration) (Batch[T], error) {
 	f.pollCancelled = false
-	if f.Hurry == nil {
+	if f.ShouldCancelPoll == nil {
 		return f.Source.Next(ctx, after, wait)
 	}
 	callCtx, cancel := context.WithCancel(ctx)
@@ -237,8 +237,8 @@
 	var cancelled atomic.Bool
 	var watcher conc.WaitGroup
 	watcher.Go(func() {
-		for pause.For(callCtx, cancelCheckInterval); callCtx.Err() == nil; pause.For(callCtx, cancelCheckInterval) {
-			if f.Hurry() && (f.Arriving == nil || !f.Arriving.Load()) {
+		for pause.Sleep(callCtx, cancelCheckInterval); callCtx.Err() == nil; pause.Sleep(callCtx, cancelCheckInterval) {
+			if f.ShouldCancelPoll() && (f.Receiving == nil || !f.Receiving.Load()) {
 				cancelled.Store(true)
 				cancel()
 			}
@@ -258,8 +258,8 @@
 // store was back; after a cancelled poll; after an idle period, so that peers soon learn that this
 // follower polls; and after changes that have to be confirmed.
 func (f *Follower[T]) nextWait() time.Duration {
-	longest := f.Wait()
-	if f.failing || f.pollCancelled || f.wasIdle || f.changed && f.Confirm != nil && f.Confirm() {
+	longest := f.MaxWait()
+	if f.failing || f.pollCancelled || f.wasIdle || f.changed && f.ConfirmChanges != nil && f.ConfirmChanges() {
 		return min(longest, immediateWait)
 	}
 	// Stores count whole milliseconds. If the store rounded the wait down, its answer would seem to
@@ -268,12 +268,12 @@
 }
 
 // FixedWait returns a MaxWait function that always returns the same time.
-func Always(wait time.Duration) func() time.Duration {
+func FixedWait(wait time.Duration) func() time.Duration {
 	return func() time.Duration { return wait }
 }
 
 func (f *Follower[T]) recordSuccess() {
-	f.Store.markAvailable()
+	f.StoreHealth.markAvailable()
 	f.live.Store(true)
 	f.wasIdle = false
 	if f.failing {
@@ -283,7 +283,7 @@
 }
 
 func (f *Follower[T]) recordFailure(err error) {
-	f.Store.markUnavailable()
+	f.StoreHealth.markUnavailable()
 	f.live.Store(false)
 	f.Sink.Unavailable(err)
 	if !f.failing {
--- a/internal/gateway/follow/follower_test.go
+++ b/internal/gateway/follow/follower_test.go
@@ -66,17 +66,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		src := &scriptedSource{calls: []scriptedCall{
 			{err: errors.New("down")},
-			{batch: Batch[string]{Items: []string{"a"}, At: 3}},
-			{batch: Batch[string]{Items: []string{"b"}, At: 5}},
+			{batch: Batch[string]{Items: []string{"a"}, Position: 3}},
+			{batch: Batch[string]{Items: []string{"b"}, Position: 5}},
 			{err: errors.New("slow")},
-			{batch: Batch[string]{Items: []string{"c"}, At: 6}},
+			{batch: Batch[string]{Items: []string{"c"}, Position: 6}},
 			{err: ErrHistoryGone},
-			{batch: Batch[string]{Items: []string{"d"}, At: 9}},
+			{batch: Batch[string]{Items: []string{"d"}, Position: 9}},
 		}}
 		sink := &recordingSink{}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		f := Follower[string]{Name: "t", Source: src, Sink: sink, Wait: Always(time.Second), Log: zap.NewNop()}
+		f := Follower[string]{Name: "t", Source: src, Sink: sink, MaxWait: FixedWait(time.Second), Log: zap.NewNop()}
 		f.Run(ctx)
 		if got, want := join(src.requests), "read read next after 3 next after 5 next after 5 next after 6 read next after 9"; got != want {
 			t.Errorf("requests %q, want %q", got, want)
@@ -108,7 +108,7 @@
 		src := &failOnceSource{}
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		defer cancel()
-		f := Follower[string]{Name: "t", Source: src, Sink: &recordingSink{}, Wait: Always(4 * time.Second), Log: zap.NewNop()}
+		f := Follower[string]{Name: "t", Source: src, Sink: &recordingSink{}, MaxWait: FixedWait(4 * time.Second), Log: zap.NewNop()}
 		f.Run(ctx)
 		if len(src.waits) < 4 || src.waits[0] < 3*time.Second || src.waits[1] > immediateWait || src.waits[2] < 3*time.Second {
 			t.Errorf("waits %v; the second follows a failure and must be short", src.waits)
@@ -124,7 +124,7 @@
 		sink := &confirmationSink{}
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		defer cancel()
-		f := Follower[string]{Name: "t", Source: src, Sink: sink, Wait: Always(2 * time.Second), Confirm: func() bool { return true }, Log: zap.NewNop()}
+		f := Follower[string]{Name: "t", Source: src, Sink: sink, MaxWait: FixedWait(2 * time.Second), ConfirmChanges: func() bool { return true }, Log: zap.NewNop()}
 		f.Run(ctx)
 		if sink.longestGap > 2*time.Second+immediateWait {
 			t.Errorf("%v passed without confirmation with a wait of two seconds", sink.longestGap)
@@ -176,7 +176,7 @@
 		sink := &recordingSink{}
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
-		f := Follower[string]{Name: "t", Source: src, Sink: sink, Wait: Always(time.Second), Gather: 250 * time.Millisecond, Log: zap.NewNop()}
+		f := Follower[string]{Name: "t", Source: src, Sink: sink, MaxWait: FixedWait(time.Second), CoalesceDelay: 250 * time.Millisecond, Log: zap.NewNop()}
 		f.Run(ctx)
 		if src.calls > 15 {
 			t.Errorf("%d calls for 100 changes within two seconds", src.calls)
@@ -202,13 +202,13 @@
 	s.calls++
 	for end := time.Now().Add(wait); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if newest := min(Position(time.Since(s.started)/s.interval), 100); newest > after {
-			return Batch[string]{Items: make([]string, newest-after), At: newest}, nil
+			return Batch[string]{Items: make([]string, newest-after), Position: newest}, nil
 		}
 		if ctx.Err() != nil {
 			return Batch[string]{}, ctx.Err()
 		}
 	}
-	return Batch[string]{At: after}, nil
+	return Batch[string]{Position: after}, nil
 }
 
 // A long poll is cancelled when the last confirmation gets too old, and the next call uses a short
@@ -222,8 +222,8 @@
 		started := time.Now()
 		confirmed := started
 		f := Follower[string]{
-			Name: "t", Source: src, Sink: sink, Wait: Always(8 * time.Second), Log: zap.NewNop(),
-			Hurry: func() bool { return time.Since(confirmed) > 3*time.Second },
+			Name: "t", Source: src, Sink: sink, MaxWait: FixedWait(8 * time.Second), Log: zap.NewNop(),
+			ShouldCancelPoll: func() bool { return time.Since(confirmed) > 3*time.Second },
 		}
 		src.onAnswer = func() { confirmed = time.Now() }
 		f.Run(ctx)
@@ -249,7 +249,7 @@
 }
 
 func (*slowSource) Read(context.Context, string) (Batch[string], error) {
-	return Batch[string]{At: 1}, nil
+	return Batch[string]{Position: 1}, nil
 }
 
 func (s *slowSource) Next(ctx context.Context, _ Position, wait time.Duration) (Batch[string], error) {
@@ -262,7 +262,7 @@
 	case <-time.After(wait):
 		s.longest = max(s.longest, time.Since(started))
 		s.onAnswer()
-		return Batch[string]{At: 1}, nil
+		return Batch[string]{Position: 1}, nil
 	}
 }
 
@@ -278,8 +278,8 @@
 		probingSource, waitingSource := &unavailableSource{until: started.Add(outage)}, &unavailableSource{until: started.Add(outage)}
 		var wg conc.WaitGroup
 		for _, f := range []*Follower[string]{
-			{Name: "probing", Source: probingSource, Sink: &recordingSink{}, Wait: Always(time.Minute), Store: &store, Leads: true, Log: zap.NewNop()},
-			{Name: "waiting", Source: waitingSource, Sink: &recordingSink{}, Wait: Always(time.Minute), Store: &store, Log: zap.NewNop()},
+			{Name: "probing", Source: probingSource, Sink: &recordingSink{}, MaxWait: FixedWait(time.Minute), StoreHealth: &store, ProbesStore: true, Log: zap.NewNop()},
+			{Name: "waiting", Source: waitingSource, Sink: &recordingSink{}, MaxWait: FixedWait(time.Minute), StoreHealth: &store, Log: zap.NewNop()},
 		} {
 			wg.Go(func() { f.Run(ctx) })
 		}
@@ -307,7 +307,7 @@
 		return Batch[string]{}, errors.New("unavailable")
 	}
 	s.firstSuccess = time.Now()
-	return Batch[string]{At: 1}, nil
+	return Batch[string]{Position: 1}, nil
 }
 
 func (s *unavailableSource) Next(ctx context.Context, _ Position, _ time.Duration) (Batch[string], error) {
--- a/internal/gateway/follow/health.go
+++ b/internal/gateway/follow/health.go
@@ -29,11 +29,11 @@
 }
 
 // Unavailable reports whether the last call to the store failed.
-func (h *Health) Away() bool { return h != nil && h.unavailable.Load() }
+func (h *Health) Unavailable() bool { return h != nil && h.unavailable.Load() }
 
 // waitAvailable waits until the store is available again, the deadline passes or ctx ends.
 func (h *Health) waitAvailable(ctx context.Context, deadline time.Time) {
 	for h.unavailable.Load() && ctx.Err() == nil && time.Now().Before(deadline) {
-		pause.For(ctx, availabilityCheckInterval)
+		pause.Sleep(ctx, availabilityCheckInterval)
 	}
 }
--- a/internal/gateway/follow/history.go
+++ b/internal/gateway/follow/history.go
@@ -7,7 +7,7 @@
 const maxHistoryDeltas = 256
 
 // Delta is the change of a table between two positions.
-type Step[T any] struct {
+type Delta[T any] struct {
 	_          struct{} `cbor:",toarray"`
 	From       Position
 	To         Position
@@ -25,21 +25,21 @@
 	mu sync.Mutex
 	// start is the position after which deltas is complete.
 	start  Position
-	deltas []Step[T]
+	deltas []Delta[T]
 	// snapshot is the table at start if the store was restored from an older copy at that point;
 	// nil otherwise.
-	snapshot *Step[T]
+	snapshot *Delta[T]
 }
 
 // reset restarts the history at a position. A follower that knows the table as of an earlier era
 // can continue from the snapshot, which is nil if there is none.
-func (h *history[T]) reset(position Position, snapshot *Step[T]) {
+func (h *history[T]) reset(position Position, snapshot *Delta[T]) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.start, h.deltas, h.snapshot = position, nil, snapshot
 }
 
-func (h *history[T]) add(delta Step[T]) {
+func (h *history[T]) add(delta Delta[T]) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.deltas = append(h.deltas, delta)
@@ -75,10 +75,10 @@
 }
 
 // since returns the deltas after a position; false if not all of them are known.
-func (h *history[T]) since(after Position) ([]Step[T], bool) {
+func (h *history[T]) since(after Position) ([]Delta[T], bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var deltas []Step[T]
+	var deltas []Delta[T]
 	switch {
 	case h.start != 0 && after >= h.start:
 	case h.snapshot != nil && after != 0 && after.Era() < h.snapshot.To.Era():
--- a/internal/gateway/follow/idle.go
+++ b/internal/gateway/follow/idle.go
@@ -28,24 +28,24 @@
 	}
 	f.live.Store(false)
 	f.wasIdle = true
-	f.Log.Info(logging.EventStoreLeft, zap.String("table", f.Name))
+	f.Log.Info(logging.EventStorePollingStopped, zap.String("table", f.Name))
 	for f.Idle() && ctx.Err() == nil {
-		pause.For(ctx, idleCheckInterval)
+		pause.Sleep(ctx, idleCheckInterval)
 	}
 	if ctx.Err() == nil {
-		f.Log.Info(logging.EventStoreAsked, zap.String("table", f.Name))
+		f.Log.Info(logging.EventStorePollingStarted, zap.String("table", f.Name))
 	}
 }
 
 // delayFullRead gives other gateways time to read the whole table and to share it.
 func (f *Follower[T]) delayFullRead(ctx context.Context) {
-	if f.Defers != nil {
-		pause.For(ctx, gossipDelay)
+	if f.DefersFullRead != nil {
+		pause.Sleep(ctx, gossipDelay)
 	}
-	for deadline := time.Now().Add(maxFullReadDelay); f.Idle != nil && f.Defers != nil && time.Now().Before(deadline) && ctx.Err() == nil; {
-		if !f.Defers() || f.Idle() {
+	for deadline := time.Now().Add(maxFullReadDelay); f.Idle != nil && f.DefersFullRead != nil && time.Now().Before(deadline) && ctx.Err() == nil; {
+		if !f.DefersFullRead() || f.Idle() {
 			return
 		}
-		pause.For(ctx, idleCheckInterval)
+		pause.Sleep(ctx, idleCheckInterval)
 	}
 }
--- a/internal/gateway/follow/paged_read.go
+++ b/internal/gateway/follow/paged_read.go
@@ -25,21 +25,21 @@
 // attempt. It returns ErrHistoryGone if the store was restored from an older copy between two
 // pages.
 func (r *pagedRead[T]) read(ctx context.Context, source Source[T]) error {
-	if now := boottime.Now(); r.batch.More == "" || now-r.startedAt > maxPagedReadAge {
+	if now := boottime.Now(); r.batch.NextPage == "" || now-r.startedAt > maxPagedReadAge {
 		*r = pagedRead[T]{startedAt: now}
 	}
 	for {
-		page, err := source.Read(ctx, r.batch.More)
+		page, err := source.Read(ctx, r.batch.NextPage)
 		if err != nil {
 			return err
 		}
-		if r.batch.More != "" && page.At.Era() != r.batch.At.Era() {
+		if r.batch.NextPage != "" && page.Position.Era() != r.batch.Position.Era() {
 			// The previous pages belong to a history that no longer exists.
 			*r = pagedRead[T]{}
 			return ErrHistoryGone
 		}
 		r.addPage(page)
-		if r.batch.More == "" {
+		if r.batch.NextPage == "" {
 			return nil
 		}
 	}
@@ -51,8 +51,8 @@
 	batch := &r.batch
 	batch.Items = append(batch.Items, page.Items...)
 	batch.Unreadable = append(batch.Unreadable, page.Unreadable...)
-	if batch.At == 0 || page.At < batch.At {
-		batch.At = page.At
+	if batch.Position == 0 || page.Position < batch.Position {
+		batch.Position = page.Position
 	}
-	batch.More = page.More
+	batch.NextPage = page.NextPage
 }
--- a/internal/gateway/follow/paged_read_test.go
+++ b/internal/gateway/follow/paged_read_test.go
@@ -17,18 +17,18 @@
 func TestPagedReadResumesAtFailedPage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &scriptedSource{calls: []scriptedCall{
-			{batch: Batch[string]{Items: []string{"a"}, At: 7, More: "/b"}},
+			{batch: Batch[string]{Items: []string{"a"}, Position: 7, NextPage: "/b"}},
 			{err: errors.New("rejected")},
-			{batch: Batch[string]{Items: []string{"b"}, Unreadable: []string{"x"}, At: 9, More: "/c"}},
+			{batch: Batch[string]{Items: []string{"b"}, Unreadable: []string{"x"}, Position: 9, NextPage: "/c"}},
 			{err: errors.New("rejected")},
-			{batch: Batch[string]{Items: []string{"c"}, At: 8}},
+			{batch: Batch[string]{Items: []string{"c"}, Position: 8}},
 			{err: ErrHistoryGone},
-			{batch: Batch[string]{Items: []string{"d"}, At: 20}},
+			{batch: Batch[string]{Items: []string{"d"}, Position: 20}},
 		}}
 		sink := &recordingSink{}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		f := Follower[string]{Name: "t", Source: src, Sink: sink, Wait: Always(time.Second), Log: zap.NewNop()}
+		f := Follower[string]{Name: "t", Source: src, Sink: sink, MaxWait: FixedWait(time.Second), Log: zap.NewNop()}
 		f.Run(ctx)
 		if got, want := join(src.requests[:7]), "read read/b read/b read/c read/c next after 7 read"; got != want {
 			t.Errorf("requests %q, want %q", got, want)
@@ -43,9 +43,9 @@
 func TestOldPagesAreDiscarded(t *testing.T) {
 	var r pagedRead[string]
 	src := &scriptedSource{calls: []scriptedCall{
-		{batch: Batch[string]{Items: []string{"a"}, At: 7, More: "/b"}},
+		{batch: Batch[string]{Items: []string{"a"}, Position: 7, NextPage: "/b"}},
 		{err: errors.New("rejected")},
-		{batch: Batch[string]{Items: []string{"b"}, At: 9}},
+		{batch: Batch[string]{Items: []string{"b"}, Position: 9}},
 	}}
 	if err := r.read(t.Context(), src); err == nil {
 		t.Fatal("no error from a failed page")
@@ -54,8 +54,8 @@
 	if err := r.read(t.Context(), src); err != nil {
 		t.Fatal(err)
 	}
-	if got, want := join(src.requests), "read read/b read"; got != want || r.batch.At != 9 {
-		t.Errorf("requests %q, want %q; position %d", got, want, r.batch.At)
+	if got, want := join(src.requests), "read read/b read"; got != want || r.batch.Position != 9 {
+		t.Errorf("requests %q, want %q; position %d", got, want, r.batch.Position)
 	}
 }
 
@@ -91,16 +91,16 @@
 	}
 	s.remaining--
 	page, _ := strconv.Atoi(from)
-	batch := Batch[string]{Items: []string{from}, At: 1}
+	batch := Batch[string]{Items: []string{from}, Position: 1}
 	if page+1 < s.pages {
-		batch.More = strconv.Itoa(page + 1)
+		batch.NextPage = strconv.Itoa(page + 1)
 	}
 	return batch, nil
 }
 
 func (s *limitedStore) Next(ctx context.Context, after Position, wait time.Duration) (Batch[string], error) {
 	time.Sleep(wait)
-	return Batch[string]{At: after}, ctx.Err()
+	return Batch[string]{Position: after}, ctx.Err()
 }
 
 // resetTimeSink sends the time at which the whole table was received.
@@ -126,7 +126,7 @@
 		wg.Go(func() { store.refill(ctx) })
 		resets, started := make(chan time.Time, gateways), time.Now()
 		for range gateways {
-			f := Follower[string]{Name: "t", Source: store, Sink: resetTimeSink{resets}, Wait: Always(15 * time.Second), Log: zap.NewNop()}
+			f := Follower[string]{Name: "t", Source: store, Sink: resetTimeSink{resets}, MaxWait: FixedWait(15 * time.Second), Log: zap.NewNop()}
 			wg.Go(func() { f.Run(ctx) })
 		}
 		var last time.Duration
@@ -148,7 +148,7 @@
 	var r pagedRead[string]
 	src := &scriptedSource{calls: []scriptedCall{
 		{err: errors.New("unavailable")},
-		{batch: Batch[string]{Items: []string{"a"}, At: 7}},
+		{batch: Batch[string]{Items: []string{"a"}, Position: 7}},
 	}}
 	if err := r.read(t.Context(), src); err == nil {
 		t.Fatal("no error from an unavailable store")
--- a/internal/gateway/follow/position.go
+++ b/internal/gateway/follow/position.go
@@ -19,7 +19,7 @@
 type Position uint64
 
 // NewPosition returns the position of a version in an era.
-func At(era, version uint64) Position {
+func NewPosition(era, version uint64) Position {
 	return Position(era<<versionBits | version&(1<<versionBits-1))
 }
 
--- a/internal/gateway/follow/response_started.go
+++ b/internal/gateway/follow/response_started.go
@@ -7,7 +7,7 @@
 
 // ResponseStarted is called by a Source, with the context of the call, when the response starts to
 // arrive. The store no longer holds back the answer then.
-func Arrives(ctx context.Context) {
+func ResponseStarted(ctx context.Context) {
 	if notify, ok := ctx.Value(responseStartedKey{}).(func()); ok {
 		notify()
 	}
--- a/internal/gateway/follow/sharing.go
+++ b/internal/gateway/follow/sharing.go
@@ -14,14 +14,14 @@
 
 // LastChange returns the position after the newest change that is known from the store or from
 // another gateway; 0 if there was none since the whole table was read.
-func (f *Follower[T]) Changed() Position { return f.history.lastChange() }
+func (f *Follower[T]) LastChange() Position { return f.history.lastChange() }
 
 // LastKnown returns LastChange or, if that is 0, the position at which the whole table was read.
 // The table includes the changes before that position, but the single changes aren't known.
-func (f *Follower[T]) Known() Position { return f.history.lastKnown() }
+func (f *Follower[T]) LastKnown() Position { return f.history.lastKnown() }
 
 // DeltasSince returns the changes after a position; false if not all of them are known.
-func (f *Follower[T]) Since(after Position) ([]Step[T], bool) { return f.history.since(after) }
+func (f *Follower[T]) DeltasSince(after Position) ([]Delta[T], bool) { return f.history.since(after) }
 
 // Position returns the position up to which the table is known; 0 before it has been read.
 func (f *Follower[T]) Position() Position {
@@ -35,7 +35,7 @@
 
 // ApplyDeltas applies the changes that another follower received from the store, and skips those
 // that are already known. It returns ErrGap if changes are missing before the deltas.
-func (f *Follower[T]) Take(asOf time.Duration, deltas []Step[T]) error {
+func (f *Follower[T]) ApplyDeltas(asOf time.Duration, deltas []Delta[T]) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, delta := range deltas {
@@ -43,13 +43,13 @@
 			continue
 		}
 		if delta.Snapshot && f.position != 0 && delta.To.Era() > f.position.Era() {
-			f.replaceLocked(asOf, Batch[T]{Items: delta.Items, Unreadable: delta.Unreadable, At: delta.To})
+			f.replaceLocked(asOf, Batch[T]{Items: delta.Items, Unreadable: delta.Unreadable, Position: delta.To})
 			continue
 		}
 		if delta.From > f.position || delta.From.Era() != f.position.Era() || f.position == 0 {
 			return ErrGap
 		}
-		f.Sink.Change(asOf, Batch[T]{Items: delta.Items, Removed: delta.Removed, Unreadable: delta.Unreadable, At: delta.To})
+		f.Sink.Change(asOf, Batch[T]{Items: delta.Items, Removed: delta.Removed, Unreadable: delta.Unreadable, Position: delta.To})
 		f.position = delta.To
 		f.history.add(delta)
 	}
@@ -67,19 +67,19 @@
 // older copy, the table is kept as a snapshot, so that not all other followers have to read it from
 // the store.
 func (f *Follower[T]) replaceLocked(asOf time.Duration, table Batch[T]) {
-	var snapshot *Step[T]
-	if f.position != 0 && table.At.Era() > f.position.Era() {
+	var snapshot *Delta[T]
+	if f.position != 0 && table.Position.Era() > f.position.Era() {
 		f.Log.Warn(logging.EventStoreRestored, zap.String("table", f.Name),
-			zap.Uint64("era_before", f.position.Era()), zap.Uint64("era", table.At.Era()),
-			zap.Uint64("version_before", f.position.Version()), zap.Uint64("version", table.At.Version()), zap.Int("rows", len(table.Items)))
-		if f.Restored != nil {
-			f.Restored()
+			zap.Uint64("era_before", f.position.Era()), zap.Uint64("era", table.Position.Era()),
+			zap.Uint64("version_before", f.position.Version()), zap.Uint64("version", table.Position.Version()), zap.Int("rows", len(table.Items)))
+		if f.OnRestore != nil {
+			f.OnRestore()
 		}
-		snapshot = &Step[T]{To: table.At, Items: table.Items, Unreadable: table.Unreadable, Snapshot: true}
+		snapshot = &Delta[T]{To: table.Position, Items: table.Items, Unreadable: table.Unreadable, Snapshot: true}
 	}
 	f.Sink.Reset(asOf, table)
-	f.position = table.At
-	f.history.reset(table.At, snapshot)
+	f.position = table.Position
+	f.history.reset(table.Position, snapshot)
 }
 
 // applyChanges applies the store's answer to a call for the changes after a position. It ignores
@@ -87,12 +87,12 @@
 func (f *Follower[T]) applyChanges(asOf time.Duration, changes Batch[T]) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if changes.At < f.position || changes.At.Era() != f.position.Era() {
+	if changes.Position < f.position || changes.Position.Era() != f.position.Era() {
 		return
 	}
 	f.Sink.Change(asOf, changes)
 	if !changes.empty() {
-		f.history.add(Step[T]{From: f.position, To: changes.At, Items: changes.Items, Removed: changes.Removed, Unreadable: changes.Unreadable})
+		f.history.add(Delta[T]{From: f.position, To: changes.Position, Items: changes.Items, Removed: changes.Removed, Unreadable: changes.Unreadable})
 	}
-	f.position = changes.At
+	f.position = changes.Position
 }
--- a/internal/gateway/follow/sharing_test.go
+++ b/internal/gateway/follow/sharing_test.go
@@ -22,7 +22,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	f := &Follower[string]{
-		Name: "t", Source: source, Sink: sink, Wait: Always(time.Second), Gather: 200 * time.Millisecond,
+		Name: "t", Source: source, Sink: sink, MaxWait: FixedWait(time.Second), CoalesceDelay: 200 * time.Millisecond,
 		Idle: idle.Load, Log: zap.NewNop(),
 	}
 	go f.Run(ctx)
@@ -32,7 +32,7 @@
 }
 
 func readUpToPosition3() []scriptedCall {
-	return []scriptedCall{{batch: Batch[string]{Items: []string{"a"}, At: 3}}}
+	return []scriptedCall{{batch: Batch[string]{Items: []string{"a"}, Position: 3}}}
 }
 
 func TestIdleFollowerMakesNoCalls(t *testing.T) {
@@ -62,7 +62,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		f := &Follower[string]{
-			Name: "t", Source: src, Sink: &recordingSink{}, Wait: Always(4 * time.Second), Idle: idle.Load, Log: zap.NewNop(),
+			Name: "t", Source: src, Sink: &recordingSink{}, MaxWait: FixedWait(4 * time.Second), Idle: idle.Load, Log: zap.NewNop(),
 		}
 		var wg conc.WaitGroup
 		wg.Go(func() { f.Run(ctx) })
@@ -88,23 +88,23 @@
 		var idle atomic.Bool
 		idle.Store(true)
 		f := startIdle(t, &scriptedSource{calls: readUpToPosition3()}, sink, &idle)
-		if f.Changed() != 0 || f.Known() != 3 {
-			t.Errorf("last change %d, last known %d after the whole table was read", f.Changed(), f.Known())
+		if f.LastChange() != 0 || f.LastKnown() != 3 {
+			t.Errorf("last change %d, last known %d after the whole table was read", f.LastChange(), f.LastKnown())
 		}
-		deltas := []Step[string]{{From: 2, To: 3, Items: []string{"old"}}, {From: 3, To: 5, Items: []string{"b"}}, {From: 5, To: 9, Items: []string{"c"}}}
-		if err := f.Take(0, deltas); err != nil {
+		deltas := []Delta[string]{{From: 2, To: 3, Items: []string{"old"}}, {From: 3, To: 5, Items: []string{"b"}}, {From: 5, To: 9, Items: []string{"c"}}}
+		if err := f.ApplyDeltas(0, deltas); err != nil {
 			t.Fatal(err)
 		}
-		if got := join(sink.items); got != "all a b c" || f.Position() != 9 || f.Changed() != 9 {
-			t.Errorf("sink got %q, position %d, last change %d", got, f.Position(), f.Changed())
+		if got := join(sink.items); got != "all a b c" || f.Position() != 9 || f.LastChange() != 9 {
+			t.Errorf("sink got %q, position %d, last change %d", got, f.Position(), f.LastChange())
 		}
-		if err := f.Take(0, []Step[string]{{From: 10, To: 12, Items: []string{"d"}}}); !errors.Is(err, ErrGap) {
+		if err := f.ApplyDeltas(0, []Delta[string]{{From: 10, To: 12, Items: []string{"d"}}}); !errors.Is(err, ErrGap) {
 			t.Errorf("error %v for deltas after a gap, want ErrGap", err)
 		}
-		if got, complete := f.Since(3); !complete || len(got) != 2 {
+		if got, complete := f.DeltasSince(3); !complete || len(got) != 2 {
 			t.Errorf("shares deltas %v, complete: %v", got, complete)
 		}
-		if _, complete := f.Since(2); complete {
+		if _, complete := f.DeltasSince(2); complete {
 			t.Error("claims to know the changes before the table was read")
 		}
 	})
@@ -116,9 +116,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		sink := &recordingSink{}
 		var idle atomic.Bool
-		src := &scriptedSource{calls: append(readUpToPosition3(), scriptedCall{duration: 2 * time.Minute, batch: Batch[string]{Items: []string{"old"}, At: 5}})}
+		src := &scriptedSource{calls: append(readUpToPosition3(), scriptedCall{duration: 2 * time.Minute, batch: Batch[string]{Items: []string{"old"}, Position: 5}})}
 		f := startIdle(t, src, sink, &idle)
-		if err := f.Take(0, []Step[string]{{From: 3, To: 7, Items: []string{"new"}}}); err != nil {
+		if err := f.ApplyDeltas(0, []Delta[string]{{From: 3, To: 7, Items: []string{"new"}}}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Minute)
@@ -133,7 +133,7 @@
 	var h history[string]
 	h.reset(1, nil)
 	for position := Position(1); position < 2*maxHistoryDeltas; position++ {
-		h.add(Step[string]{From: position, To: position + 1})
+		h.add(Delta[string]{From: position, To: position + 1})
 	}
 	if _, complete := h.since(maxHistoryDeltas - 1); complete || len(h.deltas) > maxHistoryDeltas {
 		t.Errorf("%d deltas kept, complete after %d: %v", len(h.deltas), maxHistoryDeltas-1, complete)
@@ -152,8 +152,8 @@
 		idle.Store(true)
 		calls := 0
 		f := &Follower[string]{
-			Name: "t", Source: &scriptedSource{calls: readUpToPosition3()}, Sink: &recordingSink{}, Wait: Always(time.Second),
-			Idle: idle.Load, Asked: func() { calls++ }, Log: zap.New(core),
+			Name: "t", Source: &scriptedSource{calls: readUpToPosition3()}, Sink: &recordingSink{}, MaxWait: FixedWait(time.Second),
+			Idle: idle.Load, OnCall: func() { calls++ }, Log: zap.New(core),
 		}
 		go f.Run(ctx)
 		time.Sleep(time.Minute)
@@ -161,7 +161,7 @@
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		all := lines.All()
-		if len(all) != 2 || all[0].Message != logging.EventStoreLeft || all[1].Message != logging.EventStoreAsked {
+		if len(all) != 2 || all[0].Message != logging.EventStorePollingStopped || all[1].Message != logging.EventStorePollingStarted {
 			t.Errorf("log lines %v", all)
 		}
 		if calls != 2 {
--- a/internal/gateway/followers.go
+++ b/internal/gateway/followers.go
@@ -47,11 +47,11 @@
 )
 
 // newDesiredStateFollower returns the follower of the desired state.
-func (g *gateway) newDesiredStateFollower() *follow.Follower[*routes.Set] {
-	return &follow.Follower[*routes.Set]{
-		Name: "desired state", Source: g.platform.Desired, Sink: g.desiredSink,
-		Wait: g.desiredStateWait, Confirm: g.isPoller, Hurry: g.proofNeedsRenewal, Arriving: &g.receivingState, Idle: func() bool { return g.desiredStateFromPeers() && !g.proofOverdue() }, Defers: g.defersToPollers,
-		Store: &g.storeHealth, Leads: true, Asked: g.platform.Metrics.StoreAsked("targets"), Restored: g.platform.Metrics.StoreRestored("targets"), Log: g.log,
+func (g *gateway) newDesiredStateFollower() *follow.Follower[*routes.Snapshot] {
+	return &follow.Follower[*routes.Snapshot]{
+		Name: "desired state", Source: g.platform.DesiredState, Sink: g.desiredSink,
+		MaxWait: g.desiredStateWait, ConfirmChanges: g.isPoller, ShouldCancelPoll: g.proofNeedsRenewal, Receiving: &g.receivingState, Idle: func() bool { return g.desiredStateFromPeers() && !g.proofOverdue() }, DefersFullRead: g.defersToPollers,
+		StoreHealth: &g.storeHealth, ProbesStore: true, OnCall: g.platform.Metrics.StoreCallCounter("targets"), OnRestore: g.platform.Metrics.StoreRestoreCounter("targets"), Log: g.log,
 	}
 }
 
@@ -61,19 +61,19 @@
 	if !g.isPoller() {
 		return nonPollerWait
 	}
-	return pollerWait(g.router.Bounds().Proof)
+	return pollerWait(g.router.Bounds().MaxStateAge)
 }
 
 // isPoller reports whether this gateway is one of the pollerCount gateways that poll the store
 // frequently, and again immediately after a change.
-func (g *gateway) isPoller() bool { return g.mesh.Before() < pollerCount }
+func (g *gateway) isPoller() bool { return g.mesh.PrecedingPeers() < pollerCount }
 
 // proofOverdue reports whether the proof is older than it can get while the pollers receive
 // responses from the store. A poller notices a silent store only by its timeout, which is too late
 // for changes that other gateways must learn within two seconds.
 func (g *gateway) proofOverdue() bool {
-	provenAt := g.holder.ProvenAt()
-	return provenAt != 0 && boottime.Now()-provenAt > maxFeedSilence+pollerWait(g.router.Bounds().Proof)+proofDeliverySlack
+	provenAt := g.holder.ConfirmedAt()
+	return provenAt != 0 && boottime.Now()-provenAt > maxFeedSilence+pollerWait(g.router.Bounds().MaxStateAge)+proofDeliverySlack
 }
 
 // defersToPollers reports whether this gateway leaves polling the store to other gateways.
@@ -82,13 +82,13 @@
 // proofNeedsRenewal reports whether this gateway must renew the proof of the desired state itself,
 // whether or not it is a poller.
 func (g *gateway) proofNeedsRenewal() bool {
-	maxAge := g.router.Bounds().Proof
+	maxAge := g.router.Bounds().MaxStateAge
 	if maxAge == 0 || g.holder.Version() == 0 {
 		// Without a bound no renewal is needed. Without a state there is nothing to prove, and the
 		// first state ends the pending call.
 		return false
 	}
-	return boottime.Now()-g.holder.ProvenAt() > time.Duration(proofRenewalShare*float64(maxAge))
+	return boottime.Now()-g.holder.ConfirmedAt() > time.Duration(proofRenewalShare*float64(maxAge))
 }
 
 // pollerWait returns how long the store may hold a poller's request for the desired state, given
@@ -104,7 +104,7 @@
 func (g *gateway) newServersFollower() *follow.Follower[backend.Info] {
 	return &follow.Follower[backend.Info]{
 		Name: "backend servers", Source: g.platform.Servers, Sink: &serverListSink{registry: g.registry, log: g.log},
-		Wait: follow.Always(serverListMaxWait), Gather: serverListBatchDelay, Idle: func() bool { return g.serversFromPeers() && !g.proofOverdue() }, Defers: g.defersToPollers,
-		Store: &g.storeHealth, Asked: g.platform.Metrics.StoreAsked("backend_servers"), Restored: g.platform.Metrics.StoreRestored("backend_servers"), Log: g.log,
+		MaxWait: follow.FixedWait(serverListMaxWait), CoalesceDelay: serverListBatchDelay, Idle: func() bool { return g.serversFromPeers() && !g.proofOverdue() }, DefersFullRead: g.defersToPollers,
+		StoreHealth: &g.storeHealth, OnCall: g.platform.Metrics.StoreCallCounter("backend_servers"), OnRestore: g.platform.Metrics.StoreRestoreCounter("backend_servers"), Log: g.log,
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -73,7 +73,7 @@
 	mesh  *peers.Mesh
 	// servers follows the list of backend servers, targets the desired state.
 	servers *follow.Follower[backend.Info]
-	targets *follow.Follower[*routes.Set]
+	targets *follow.Follower[*routes.Snapshot]
 	// serversBehind and stateBehind track since when other gateways have had changes of the server
 	// list, or a newer desired state, that this gateway hasn't got from them.
 	serversBehind, stateBehind timedCondition
@@ -92,7 +92,7 @@
 // again; it is called on SIGHUP and periodically. Serve returns the error of peers.Listen, or one
 // that wraps ErrListen, if it can't listen on an address.
 func Serve(ctx context.Context, s settings.Gateway, reload func() (settings.Gateway, error), p Platform, log *zap.Logger) error {
-	limitMemory(s.MemoryMB)
+	limitMemory(s.MemoryLimitMB)
 	g, err := newGateway(s, p, log)
 	if err != nil {
 		return err
@@ -120,10 +120,12 @@
 	var err error
 	g.mesh, err = peers.Listen(peers.Config{
 		Self:  peers.Entry{Name: s.Process, Addr: s.PeerListen},
-		Loads: g.loads, Shortages: func() map[string]policy.Shortage { return g.router.Shortages() },
-		News: func() policy.News { return g.router.News() }, Merge: func(n policy.News) { g.router.Merge(n) },
-		Proof: func() peers.Proof { return peers.Proof{Version: g.holder.Version(), At: g.holder.ProvenAt()} },
-		Prove: func(p peers.Proof) { g.holder.Prove(p.Version, p.At) }, Following: g.pollStatus,
+		Loads: g.loads, Shortages: func() map[string]policy.OfferCounts { return g.router.Shortages() },
+		TakeUpdates: func() policy.PeerUpdate { return g.router.TakeUpdates() }, MergeUpdates: func(n policy.PeerUpdate) { g.router.MergeUpdates(n) },
+		Confirmation: func() peers.Confirmation {
+			return peers.Confirmation{Version: g.holder.Version(), At: g.holder.ConfirmedAt()}
+		},
+		Confirm: func(p peers.Confirmation) { g.holder.Confirm(p.Version, p.At) }, StoreStatus: g.pollStatus,
 		Usage: g.peerUsage(), Log: log,
 	})
 	if err != nil {
@@ -134,34 +136,34 @@
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	g.router = router.New(router.Config{
 		Zone: s.Zone, Dialect: p.Dialect, Holder: g.holder, Registry: g.registry, Pool: g.pool,
-		Others: g.mesh, Gateways: g.mesh.Listed,
-		Chooser: policy.NewChooser(random, ejector, index), Random: random, Ejector: ejector, Index: index,
+		Peers: g.mesh, ListedGateways: g.mesh.ListedGateways,
+		Chooser: policy.NewChooser(random, ejector, index), Random: random, Ejector: ejector, PrefixIndex: index,
 		Observer: requestObserver{p.Metrics, log, g.enqueueQuarantined, counter},
 	}, routerBounds(s), g.sheddingClients)
-	g.registry.Gone = g.router.Forget
+	g.registry.OnRemove = g.router.ForgetServer
 	g.servers, g.targets = g.newServersFollower(), g.newDesiredStateFollower()
-	p.Metrics.ReadGateway(g.metricsSnapshot)
+	p.Metrics.CollectGateway(g.metricsSnapshot)
 	return g, nil
 }
 
 // idleLimit returns how long a client connection may stay idle.
 func (g *gateway) idleLimit() time.Duration {
-	if s := g.holder.Current(); s != nil && s.Limits.IdleTime > 0 {
-		return s.Limits.IdleTime
+	if s := g.holder.Current(); s != nil && s.Limits.IdleTimeout > 0 {
+		return s.Limits.IdleTimeout
 	}
 	return defaultIdleTimeout
 }
 
 // metricsSnapshot returns the current values of the gateway's gauges.
-func (g *gateway) metricsSnapshot() metrics.Gateway {
+func (g *gateway) metricsSnapshot() metrics.GatewayStats {
 	var generation uint64
 	if g.usage != nil {
 		generation = g.usage.Generation()
 	}
-	return metrics.Gateway{
-		Version: g.holder.Version(), ProofAge: boottime.Now() - g.holder.ProvenAt(),
-		Gateways: g.mesh.Gateways(), Asking: g.servers.Live(), Servers: g.registry.Usable(), Quarantined: g.router.Quarantined(),
-		Limited: g.router.Limited(), LimitedSends: g.router.LimitedSends(), UsageGeneration: generation, LinesDropped: logging.Dropped(),
+	return metrics.GatewayStats{
+		StateVersion: g.holder.Version(), StateAge: boottime.Now() - g.holder.ConfirmedAt(),
+		LiveGateways: g.mesh.LiveGateways(), PollsStore: g.servers.Live(), UsableServers: g.registry.CountUsable(), QuarantinedRequests: g.router.QuarantinedCount(),
+		LimitedServers: g.router.LimitedServerCount(), LimitedSends: g.router.LimitedSendCount(), UsageGeneration: generation, DroppedLogLines: logging.DroppedLines(),
 	}
 }
 
@@ -193,7 +195,7 @@
 	clientServer := newClientServer(clientListener, g.router, g.idleLimit, g.log)
 	wg.Go(func() { g.sweep(workCtx, clientServer) })
 	adminServer := &http.Server{Handler: g.adminRoutes(), ReadHeaderTimeout: headerTimeout, IdleTimeout: defaultIdleTimeout}
-	handoverServer := &http.Server{Handler: handover.Routes(g.handoverState, g.servers.Since), ReadTimeout: handoverTimeout, WriteTimeout: handoverTimeout + handover.Longest, ErrorLog: zap.NewStdLog(zap.NewNop())}
+	handoverServer := &http.Server{Handler: handover.NewHandler(g.handoverState, g.servers.DeltasSince), ReadTimeout: handoverTimeout, WriteTimeout: handoverTimeout + handover.MaxDuration, ErrorLog: zap.NewStdLog(zap.NewNop())}
 	// These calls return when their servers are closed.
 	wg.Go(clientServer.Serve)
 	wg.Go(func() { _ = adminServer.Serve(adminListener) })
@@ -219,12 +221,12 @@
 		case now := <-ticker.C:
 			previous := limit
 			if limit = g.idleLimit(); limit < previous {
-				server.Lower()
+				server.ApplyIdleTimeout()
 			}
 			g.registry.Sweep(now)
 			g.pool.Sweep(now, func(p exchange.Peer) bool {
 				s := g.registry.Server(p.Instance)
-				return s != nil && !s.Info().Leaving && s.Info().Born == p.Born
+				return s != nil && !s.Info().Draining && s.Info().StartUnixMilli == p.StartTime
 			})
 		}
 	}
--- a/internal/gateway/gateway_list.go
+++ b/internal/gateway/gateway_list.go
@@ -18,8 +18,8 @@
 // are known. Gateways that start later have read the list and are known by their datagrams.
 func (g *gateway) followGatewayList(ctx context.Context) {
 	follower := follow.Follower[peers.Entry]{
-		Name: "gateways", Source: g.platform.Entries, Sink: g.mesh, Wait: follow.Always(gatewayListMaxWait), Gather: gatewayListBatchDelay,
-		Idle: g.gatewayListFresh, Defers: g.defersToPollers, Store: &g.storeHealth, Asked: g.platform.Metrics.StoreAsked("gateways"), Restored: g.platform.Metrics.StoreRestored("gateways"), Log: g.log,
+		Name: "gateways", Source: g.platform.Gateways, Sink: g.mesh, MaxWait: follow.FixedWait(gatewayListMaxWait), CoalesceDelay: gatewayListBatchDelay,
+		Idle: g.gatewayListFresh, DefersFullRead: g.defersToPollers, StoreHealth: &g.storeHealth, OnCall: g.platform.Metrics.StoreCallCounter("gateways"), OnRestore: g.platform.Metrics.StoreRestoreCounter("gateways"), Log: g.log,
 	}
 	follower.Run(ctx)
 }
@@ -52,7 +52,7 @@
 	g.retryUntilDone(ctx, logging.EventRegisterFailed, func(ctx context.Context) error {
 		err := g.platform.Register(ctx, g.mesh.Self)
 		if err == nil {
-			g.mesh.Registered()
+			g.mesh.MarkRegistered()
 		}
 		return err
 	})
@@ -61,11 +61,11 @@
 // removeStaleGateways removes the entries of gateways that are gone. It stops at the first error,
 // which it logs.
 func (g *gateway) removeStaleGateways(ctx context.Context) {
-	for _, name := range g.mesh.Gone() {
+	for _, name := range g.mesh.SilentPeers() {
 		if err := g.platform.Unregister(ctx, name); err != nil {
 			g.log.Warn(logging.EventRegisterFailed, logging.Peer(name), logging.Reason(err.Error()))
 			return
 		}
-		g.log.Info(logging.EventGatewayGone, logging.Peer(name))
+		g.log.Info(logging.EventGatewayRemoved, logging.Peer(name))
 	}
 }
--- a/internal/gateway/handover/client.go
+++ b/internal/gateway/handover/client.go
@@ -21,7 +21,7 @@
 	progressTimeout = time.Second
 	// MaxDuration bounds a whole transfer that makes progress. The largest state takes seven
 	// seconds on an otherwise idle link of 10 Mbit/s.
-	Longest = 20 * time.Second
+	MaxDuration = 20 * time.Second
 	// maxStateBytes is the largest response that is read, in bytes.
 	maxStateBytes = 8 << 20
 )
@@ -33,7 +33,7 @@
 
 // NewClient returns a Client. It keeps no idle connections, because requests are rare.
 func NewClient() *Client {
-	dialer := dial.Dialer(progressTimeout, progressTimeout)
+	dialer := dial.NewDialer(progressTimeout, progressTimeout)
 	return &Client{http: http.Client{
 		Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true},
 	}}
@@ -51,7 +51,7 @@
 // It is meant for gateways that could also read the store: if the document is too large it
 // returns ErrTooLarge, and the caller should read the store instead. Other errors are those of
 // Get.
-func (c *Client) Targets(ctx context.Context, addr string) (State, error) {
+func (c *Client) DesiredState(ctx context.Context, addr string) (State, error) {
 	var state State
 	err := c.get(ctx, addr, desiredStatePath, &state)
 	return state, err
@@ -60,14 +60,14 @@
 // Changes returns the changes of the list of backend servers after a position, from the gateway
 // at addr. It returns ErrHistoryGap if that gateway doesn't know all of them, and otherwise
 // ErrUnreachable or ErrMalformed on failure.
-func (c *Client) Changes(ctx context.Context, addr string, after follow.Position) ([]follow.Step[backend.Info], error) {
-	var steps []follow.Step[backend.Info]
+func (c *Client) Changes(ctx context.Context, addr string, after follow.Position) ([]follow.Delta[backend.Info], error) {
+	var steps []follow.Delta[backend.Info]
 	err := c.get(ctx, addr, serverChangesPath+after.String(), &steps)
 	return steps, err
 }
 
 func (c *Client) get(ctx context.Context, addr, path string, result any) error {
-	ctx, guard := stall.New(ctx, progressTimeout, Longest)
+	ctx, guard := stall.WithWatchdog(ctx, progressTimeout, MaxDuration)
 	defer guard.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
--- a/internal/gateway/handover/handler.go
+++ b/internal/gateway/handover/handler.go
@@ -27,14 +27,14 @@
 
 // ChangesSince returns the changes of the list of backend servers after a position; false if
 // not all of them are known.
-type ChangesSince func(after follow.Position) ([]follow.Step[backend.Info], bool)
+type ChangesSince func(after follow.Position) ([]follow.Delta[backend.Info], bool)
 
 // cborContentType is the media type of CBOR (RFC 8949).
 const cborContentType = "application/cbor"
 
 // NewHandler returns a handler that serves the results of getState and changesSince to other
 // gateways.
-func Routes(getState func() State, changesSince ChangesSince) http.Handler {
+func NewHandler(getState func() State, changesSince ChangesSince) http.Handler {
 	router := httprouter.New()
 	router.GET(statePath, func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		writeCBOR(w, getState())
--- a/internal/gateway/handover/handover_test.go
+++ b/internal/gateway/handover/handover_test.go
@@ -17,9 +17,9 @@
 func TestGetReturnsStateOfPeer(t *testing.T) {
 	want := State{
 		Version: 7, Document: []byte(`{"version":7}`),
-		Servers: []backend.Info{{ID: "i-1", Addr: "127.0.0.1:1", Service: "s", Zone: "z", Slots: 8, Leaving: true, WarmupLeft: time.Second}},
+		Servers: []backend.Info{{ID: "i-1", Addr: "127.0.0.1:1", Service: "s", Zone: "z", Slots: 8, Draining: true, WarmupLeft: time.Second}},
 	}
-	server := httptest.NewServer(Routes(func() State { return want }, nil))
+	server := httptest.NewServer(NewHandler(func() State { return want }, nil))
 	defer server.Close()
 	got, err := NewClient().Get(t.Context(), strings.TrimPrefix(server.URL, "http://"))
 	if err != nil || !reflect.DeepEqual(got, want) {
@@ -52,8 +52,8 @@
 }
 
 func TestChangesReturnsServerChangesOfPeer(t *testing.T) {
-	want := []follow.Step[backend.Info]{{From: 3, To: 7, Items: []backend.Info{{ID: "i-1", Addr: "127.0.0.1:1"}}, Removed: []string{"i-2"}, Unreadable: []string{"i-3"}}}
-	server := httptest.NewServer(Routes(nil, func(after follow.Position) ([]follow.Step[backend.Info], bool) { return want, after >= 3 }))
+	want := []follow.Delta[backend.Info]{{From: 3, To: 7, Items: []backend.Info{{ID: "i-1", Addr: "127.0.0.1:1"}}, Removed: []string{"i-2"}, Unreadable: []string{"i-3"}}}
+	server := httptest.NewServer(NewHandler(nil, func(after follow.Position) ([]follow.Delta[backend.Info], bool) { return want, after >= 3 }))
 	defer server.Close()
 	addr := strings.TrimPrefix(server.URL, "http://")
 	got, err := NewClient().Changes(t.Context(), addr, 3)
@@ -69,14 +69,14 @@
 // callers would be delayed.
 func TestLargeDesiredStateIsLeftToTheStore(t *testing.T) {
 	state := State{Version: 7, Document: make([]byte, maxDesiredStateBytes), Servers: []backend.Info{{ID: "i-1"}}}
-	server := httptest.NewServer(Routes(func() State { return state }, nil))
+	server := httptest.NewServer(NewHandler(func() State { return state }, nil))
 	defer server.Close()
 	addr := strings.TrimPrefix(server.URL, "http://")
-	if got, err := NewClient().Targets(t.Context(), addr); err != nil || got.Version != 7 || len(got.Document) != maxDesiredStateBytes || got.Servers != nil {
+	if got, err := NewClient().DesiredState(t.Context(), addr); err != nil || got.Version != 7 || len(got.Document) != maxDesiredStateBytes || got.Servers != nil {
 		t.Errorf("version %d, %d bytes, servers %v, %v", got.Version, len(got.Document), got.Servers, err)
 	}
 	state.Document = make([]byte, maxDesiredStateBytes+1)
-	if _, err := NewClient().Targets(t.Context(), addr); !errors.Is(err, ErrTooLarge) {
+	if _, err := NewClient().DesiredState(t.Context(), addr); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("got %v for a state that is too large", err)
 	}
 	if got, err := NewClient().Get(t.Context(), addr); err != nil || got.Version != 7 {
--- a/internal/gateway/peer_sync.go
+++ b/internal/gateway/peer_sync.go
@@ -28,16 +28,16 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			addr, version := g.mesh.Newest()
+			addr, version := g.mesh.PeerWithNewestState()
 			// Data that is already arriving from the store isn't fetched from another gateway too.
 			// Over the same link a large state takes seconds, during which client requests queue
 			// behind it.
 			behind := version > g.holder.Version()
 			if g.stateBehind.set(behind); behind && g.desiredStateFromPeers() {
-				g.fetchFromPeer(ctx, addr, client.Targets)
+				g.fetchFromPeer(ctx, addr, client.DesiredState)
 				continue
 			}
-			missing := behind && !g.receivingState.Load() || !g.registry.Known()
+			missing := behind && !g.receivingState.Load() || !g.registry.Loaded()
 			if fallback.due(now, addr != "" && missing) {
 				g.fetchFromPeer(ctx, addr, client.Get)
 			}
@@ -70,12 +70,12 @@
 			return err
 		}
 		// The handover proves nothing; the other gateway's proof arrives by datagram.
-		if g.holder.Offer(set, 0) {
-			g.log.Info(logging.EventTargetsAdopted, zap.Uint64("version", set.Version), zap.Int("routes", set.Routes()), logging.Peer(addr))
+		if g.holder.Update(set, 0) {
+			g.log.Info(logging.EventTargetsAdopted, zap.Uint64("version", set.Version), zap.Int("routes", set.RouteCount()), logging.Peer(addr))
 		}
 	}
-	if len(state.Servers) > 0 && g.registry.Adopt(state.Servers) {
-		g.log.Info(logging.EventServersListed, zap.Int("servers", len(state.Servers)), zap.Int("usable", g.registry.Usable()), logging.Peer(addr))
+	if len(state.Servers) > 0 && g.registry.SeedFromPeer(state.Servers) {
+		g.log.Info(logging.EventServersListed, zap.Int("servers", len(state.Servers)), zap.Int("usable", g.registry.CountUsable()), logging.Peer(addr))
 	}
 	return nil
 }
@@ -86,7 +86,7 @@
 	if set := g.holder.Current(); set != nil {
 		state.Version, state.Document = set.Version, set.Document
 	}
-	if g.registry.Known() {
+	if g.registry.Loaded() {
 		for _, s := range g.registry.All() {
 			state.Servers = append(state.Servers, *s.Info())
 		}
--- a/internal/gateway/peers/bench_test.go
+++ b/internal/gateway/peers/bench_test.go
@@ -20,20 +20,20 @@
 		loads[i] = Load{Server: fmt.Sprintf("i-%08x", i), Counts: backend.Counts{Running: 2}}
 		loads[i].Counts.Pending[3].Requests, loads[i].Counts.Pending[3].Tokens = 1, 800
 	}
-	updates := policy.News{Uses: make([]policy.Use, 20), Firsts: make([]policy.FirstToken, 2)}
-	for i := range updates.Uses {
-		updates.Uses[i] = policy.Use{Server: policy.Key(i) << 20, Part: uint64(i) << 50, Read: true}
+	updates := policy.PeerUpdate{PrefixUses: make([]policy.PrefixUse, 20), FirstTokens: make([]policy.TTFTSample, 2)}
+	for i := range updates.PrefixUses {
+		updates.PrefixUses[i] = policy.PrefixUse{Server: policy.Key(i) << 20, Segment: uint64(i) << 50, Prefilled: true}
 	}
 	m, err := Listen(Config{
-		Self:      Entry{Name: "a", Addr: "127.0.0.1:0"},
-		Loads:     func() []Load { return loads },
-		News:      func() policy.News { return updates },
-		Merge:     func(policy.News) {},
-		Shortages: func() map[string]policy.Shortage { return nil },
-		Proof:     func() Proof { return Proof{} },
-		Prove:     func(Proof) {},
-		Following: func() Following { return Following{Able: true, Asks: true, Servers: 1 << 20} },
-		Log:       zap.NewNop(),
+		Self:         Entry{Name: "a", Addr: "127.0.0.1:0"},
+		Loads:        func() []Load { return loads },
+		TakeUpdates:  func() policy.PeerUpdate { return updates },
+		MergeUpdates: func(policy.PeerUpdate) {},
+		Shortages:    func() map[string]policy.OfferCounts { return nil },
+		Confirmation: func() Confirmation { return Confirmation{} },
+		Confirm:      func(Confirmation) {},
+		StoreStatus:  func() StoreStatus { return StoreStatus{Reachable: true, Polling: true, ServersPosition: 1 << 20} },
+		Log:          zap.NewNop(),
 	})
 	if err != nil {
 		b.Fatal(err)
--- a/internal/gateway/peers/broadcast.go
+++ b/internal/gateway/peers/broadcast.go
@@ -37,9 +37,9 @@
 // buildSharedState returns the part of a datagram that is the same for all receivers. The
 // confirmation's age is measured before the datagram's Stamp is taken.
 func (m *Mesh) buildSharedState() *sharedState {
-	confirmation := m.Proof()
-	store := m.Following()
-	shared := &sharedState{StateVersion: confirmation.Version, StoreMode: store.mode(), ServersPosition: store.Servers, QuarantineKnown: store.Quarantine}
+	confirmation := m.Confirmation()
+	store := m.StoreStatus()
+	shared := &sharedState{StateVersion: confirmation.Version, StoreMode: store.mode(), ServersPosition: store.ServersPosition, QuarantineKnown: store.QuarantineKnown}
 	if confirmation.At > 0 {
 		shared.ConfirmationAge = uint64((boottime.Now() - confirmation.At).Milliseconds() + 1)
 	}
@@ -53,8 +53,8 @@
 			shared.Shortages = append(shared.Shortages, packed)
 		}
 	}
-	updates := m.News()
-	shared.PrefixUses, shared.FirstTokens, shared.Pauses = packPrefixUses(updates.Uses), packFirstTokens(updates.Firsts), packPauses(updates.Pauses)
+	updates := m.TakeUpdates()
+	shared.PrefixUses, shared.FirstTokens, shared.Pauses = packPrefixUses(updates.PrefixUses), packFirstTokens(updates.FirstTokens), packPauses(updates.Pauses)
 	now := time.Now()
 	shared.Unanswered, shared.Suspicions, shared.Limits = updates.Unanswered, packSuspicions(now, updates.Suspicions), packLimits(now, updates.Limits)
 	return shared
--- a/internal/gateway/peers/config.go
+++ b/internal/gateway/peers/config.go
@@ -37,7 +37,7 @@
 
 // Confirmation states when a gateway's version of the desired state was last known to be the
 // newest.
-type Proof struct {
+type Confirmation struct {
 	Version uint64
 	// At is the time of the confirmation on the boottime clock; 0 means never.
 	At time.Duration
@@ -49,19 +49,19 @@
 	// Loads returns this gateway's load by backend server; servers without load may be omitted.
 	Loads func() []Load
 	// Shortages returns this gateway's shortages, by service.
-	Shortages func() map[string]policy.Shortage
+	Shortages func() map[string]policy.OfferCounts
 	// TakeUpdates returns the updates to send to other gateways; MergeUpdates merges the
 	// updates of another gateway.
-	News  func() policy.News
-	Merge func(policy.News)
+	TakeUpdates  func() policy.PeerUpdate
+	MergeUpdates func(policy.PeerUpdate)
 	// Confirmation returns this gateway's confirmation; Confirm is called with a confirmation
 	// derived from another gateway's datagram.
-	Proof func() Proof
-	Prove func(Proof)
+	Confirmation func() Confirmation
+	Confirm      func(Confirmation)
 	// StoreStatus returns what this gateway has observed of the store.
-	Following func() Following
+	StoreStatus func() StoreStatus
 	// Usage connects the exchange to usage reporting; nil if usage isn't reported.
-	Usage *Usage
+	Usage *UsageExchange
 	Log   *zap.Logger
 }
 
--- a/internal/gateway/peers/first_token.go
+++ b/internal/gateway/peers/first_token.go
@@ -18,12 +18,12 @@
 }
 
 // packFirstTokens encodes first-token samples.
-func packFirstTokens(samples []policy.FirstToken) []firstToken {
+func packFirstTokens(samples []policy.TTFTSample) []firstToken {
 	packed := make([]firstToken, len(samples))
 	for i, sample := range samples {
 		packed[i] = firstToken{
 			Service: uint32(sample.Service), Server: uint32(sample.Server), Urgency: uint8(sample.Urgency),
-			TokensAhead: uint32(max(sample.Ahead, 0)), LatencyMillis: uint32(max(sample.Took.Milliseconds(), 0)),
+			TokensAhead: uint32(max(sample.TokensAhead, 0)), LatencyMillis: uint32(max(sample.Latency.Milliseconds(), 0)),
 		}
 	}
 	return packed
@@ -31,12 +31,12 @@
 
 // unpackFirstTokens decodes first-token samples. An unknown urgency level is mapped to the
 // least urgent one.
-func unpackFirstTokens(packed []firstToken) []policy.FirstToken {
-	samples := make([]policy.FirstToken, len(packed))
+func unpackFirstTokens(packed []firstToken) []policy.TTFTSample {
+	samples := make([]policy.TTFTSample, len(packed))
 	for i, sample := range packed {
-		samples[i] = policy.FirstToken{
+		samples[i] = policy.TTFTSample{
 			Service: policy.Key(sample.Service), Server: policy.Key(sample.Server), Urgency: min(int(sample.Urgency), policy.UrgencyLevels-1),
-			Ahead: float64(sample.TokensAhead), Took: time.Duration(sample.LatencyMillis) * time.Millisecond,
+			TokensAhead: float64(sample.TokensAhead), Latency: time.Duration(sample.LatencyMillis) * time.Millisecond,
 		}
 	}
 	return samples
--- a/internal/gateway/peers/mesh.go
+++ b/internal/gateway/peers/mesh.go
@@ -80,62 +80,66 @@
 func (m *Mesh) Close() { _ = m.conn.Close() }
 
 // LoadAt returns the sum of all other gateways' load at a backend server.
-func (m *Mesh) At(server string) backend.Counts { return m.table.loadAt(hashName(server)) }
+func (m *Mesh) LoadAt(server string) backend.Counts { return m.table.loadAt(hashName(server)) }
 
 // Shortage returns the sum of all other gateways' shortages of a service.
-func (m *Mesh) Shortage(service string) policy.Shortage { return m.table.shortage(hashName(service)) }
+func (m *Mesh) Shortage(service string) policy.OfferCounts {
+	return m.table.shortage(hashName(service))
+}
 
 // LimitedSends returns how many requests all other gateways have recently sent to one start of
 // a backend server that has announced a limit.
 func (m *Mesh) LimitedSends(start policy.Key) float64 { return m.table.limitedSends(uint32(start)) }
 
 // LiveGateways returns the number of live gateways, including this one.
-func (m *Mesh) Gateways() int { return 1 + m.table.livePeers(time.Now()) }
+func (m *Mesh) LiveGateways() int { return 1 + m.table.livePeers(time.Now()) }
 
 // PrecedingPeers returns the number of live peers that come before this gateway in an order on
 // which all gateways that are live to each other agree. Peers known to be unable to reach the
 // store are not counted.
-func (m *Mesh) Before() int { return m.table.precedingPeers(time.Now(), m.Self.Name) }
+func (m *Mesh) PrecedingPeers() int { return m.table.precedingPeers(time.Now(), m.Self.Name) }
 
 // PeerPollsStore reports whether a live peer polls the store for changes.
-func (m *Mesh) Followed() bool { return m.table.anyPolling(time.Now()) }
+func (m *Mesh) PeerPollsStore() bool { return m.table.anyPolling(time.Now()) }
 
 // PeerKnowsQuarantine reports whether a live peer knows the quarantined requests. Such a peer
 // sends them in rotation.
-func (m *Mesh) Quarantined() bool { return m.table.anyKnowsQuarantine(time.Now()) }
+func (m *Mesh) PeerKnowsQuarantine() bool { return m.table.anyKnowsQuarantine(time.Now()) }
 
 // PeerWithNewerServers returns the address of a live peer that knows changes of the list of
 // backend servers after a position; empty if there is none.
-func (m *Mesh) Ahead(position follow.Position) string {
+func (m *Mesh) PeerWithNewerServers(position follow.Position) string {
 	return m.table.withNewerServers(time.Now(), position)
 }
 
 // PeerWithNewestState returns the address of the live peer with the newest desired state, and
 // its version; empty if there is none.
-func (m *Mesh) Newest() (addr string, version uint64) { return m.table.newestState(time.Now()) }
+func (m *Mesh) PeerWithNewestState() (addr string, version uint64) {
+	return m.table.newestState(time.Now())
+}
 
 // BootID returns the random identifier of this process start.
-func (m *Mesh) Start() uint64 { return m.bootID }
+func (m *Mesh) BootID() uint64 { return m.bootID }
 
 // Addr returns the address at which this gateway listens for datagrams.
 func (m *Mesh) Addr() string { return m.conn.LocalAddr().String() }
 
 // ReportInterval returns the time between two reports of another gateway. Its newer requests
 // are unknown here for up to that long.
-func (m *Mesh) Unseen() time.Duration { return gossipInterval }
+func (m *Mesh) ReportInterval() time.Duration { return gossipInterval }
 
 // ListedGateways returns the number of gateways in the list, including this one, whether or not
 // they are running.
-func (m *Mesh) Listed() int { return 1 + m.table.size() }
+func (m *Mesh) ListedGateways() int { return 1 + m.table.size() }
 
 // ListUpdates returns the number of answers received about the list of gateways, and the age of
 // the last one.
-func (m *Mesh) Listings() (count int64, age time.Duration) {
+func (m *Mesh) ListUpdates() (count int64, age time.Duration) {
 	return m.listUpdates.Load(), boottime.Now() - time.Duration(m.listUpdatedAt.Load())
 }
 
 // MarkRegistered records that this gateway's entry has just been written to the list.
-func (m *Mesh) Registered() { m.registeredAt.Store(int64(boottime.Now())) }
+func (m *Mesh) MarkRegistered() { m.registeredAt.Store(int64(boottime.Now())) }
 
 // Reset implements follow.Sink. If the list was read after this gateway's entry was written but
 // doesn't contain it, the store has returned an older copy, and Unlisted is signalled.
@@ -180,7 +184,7 @@
 // SilentPeers returns the names of known gateways that have been silent for so long that their
 // VMs are taken to be gone. A VM's name is never reused, so a stale entry would stay for good
 // and count in the shared budgets.
-func (m *Mesh) Gone() []string { return m.table.silentPeers(time.Now(), removeAfter) }
+func (m *Mesh) SilentPeers() []string { return m.table.silentPeers(time.Now(), removeAfter) }
 
 // Available implements follow.Sink.
 func (m *Mesh) Available() {}
--- a/internal/gateway/peers/mesh_test.go
+++ b/internal/gateway/peers/mesh_test.go
@@ -13,19 +13,19 @@
 
 // newMeshPair returns two meshes on loopback, and the confirmations that the second one has
 // accepted.
-func newMeshPair(t *testing.T) (a, b *Mesh, confirmations *[]Proof) {
+func newMeshPair(t *testing.T) (a, b *Mesh, confirmations *[]Confirmation) {
 	t.Helper()
-	confirmations = &[]Proof{}
-	listen := func(name string, confirm func(Proof)) *Mesh {
+	confirmations = &[]Confirmation{}
+	listen := func(name string, confirm func(Confirmation)) *Mesh {
 		m, err := Listen(Config{
-			Self:      Entry{Name: name, Addr: "127.0.0.1:0"},
-			Loads:     func() []Load { return nil },
-			News:      func() policy.News { return policy.News{} },
-			Shortages: func() map[string]policy.Shortage { return nil },
-			Proof:     func() Proof { return Proof{Version: 7, At: boottime.Now() - time.Second} },
-			Prove:     confirm,
-			Following: func() Following { return Following{Able: true} },
-			Log:       zap.NewNop(),
+			Self:         Entry{Name: name, Addr: "127.0.0.1:0"},
+			Loads:        func() []Load { return nil },
+			TakeUpdates:  func() policy.PeerUpdate { return policy.PeerUpdate{} },
+			Shortages:    func() map[string]policy.OfferCounts { return nil },
+			Confirmation: func() Confirmation { return Confirmation{Version: 7, At: boottime.Now() - time.Second} },
+			Confirm:      confirm,
+			StoreStatus:  func() StoreStatus { return StoreStatus{Reachable: true} },
+			Log:          zap.NewNop(),
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -33,8 +33,8 @@
 		t.Cleanup(m.Close)
 		return m
 	}
-	a = listen("a", func(Proof) {})
-	b = listen("b", func(p Proof) { *confirmations = append(*confirmations, p) })
+	a = listen("a", func(Confirmation) {})
+	b = listen("b", func(p Confirmation) { *confirmations = append(*confirmations, p) })
 	return a, b, confirmations
 }
 
@@ -93,8 +93,8 @@
 		t.Errorf("silent peers %v, want a and listed", names)
 	}
 	b.Change(0, follow.Batch[Entry]{Removed: []string{"a", "b"}})
-	if b.Listed() != 2 || len(b.Unlisted) != 1 {
-		t.Errorf("%d listed, %d signals on Unlisted; want 2 and 1: a is removed, b is signalled", b.Listed(), len(b.Unlisted))
+	if b.ListedGateways() != 2 || len(b.Unlisted) != 1 {
+		t.Errorf("%d listed, %d signals on Unlisted; want 2 and 1: a is removed, b is signalled", b.ListedGateways(), len(b.Unlisted))
 	}
 }
 
@@ -103,8 +103,8 @@
 	a, b, _ := newMeshPair(t)
 	deliver(t, a, b)
 	deliver(t, b, a)
-	if a.Before()+b.Before() != 1 {
-		t.Fatalf("%d peers precede a, %d precede b", a.Before(), b.Before())
+	if a.PrecedingPeers()+b.PrecedingPeers() != 1 {
+		t.Fatalf("%d peers precede a, %d precede b", a.PrecedingPeers(), b.PrecedingPeers())
 	}
 	afterTimeout := time.Now().Add(2 * peerTimeout)
 	if preceding := a.table.precedingPeers(afterTimeout, "a") + b.table.precedingPeers(afterTimeout, "b"); preceding != 0 {
@@ -129,7 +129,7 @@
 		t.Error("signalled before the first registration")
 	}
 	before := boottime.Now()
-	mesh.Registered()
+	mesh.MarkRegistered()
 	mesh.Reset(before, follow.Batch[Entry]{})
 	if unlisted() {
 		t.Error("signalled by a list read before the registration")
--- a/internal/gateway/peers/prefix_use.go
+++ b/internal/gateway/peers/prefix_use.go
@@ -12,19 +12,19 @@
 }
 
 // packPrefixUses encodes prefix uses.
-func packPrefixUses(uses []policy.Use) []prefixUse {
+func packPrefixUses(uses []policy.PrefixUse) []prefixUse {
 	packed := make([]prefixUse, len(uses))
 	for i, u := range uses {
-		packed[i] = prefixUse{Server: uint32(u.Server), Part: u.Part, Processed: u.Read}
+		packed[i] = prefixUse{Server: uint32(u.Server), Part: u.Segment, Processed: u.Prefilled}
 	}
 	return packed
 }
 
 // unpackPrefixUses decodes prefix uses.
-func unpackPrefixUses(packed []prefixUse) []policy.Use {
-	uses := make([]policy.Use, len(packed))
+func unpackPrefixUses(packed []prefixUse) []policy.PrefixUse {
+	uses := make([]policy.PrefixUse, len(packed))
 	for i, u := range packed {
-		uses[i] = policy.Use{Server: policy.Key(u.Server), Part: u.Part, Read: u.Processed}
+		uses[i] = policy.PrefixUse{Server: policy.Key(u.Server), Segment: u.Part, Prefilled: u.Processed}
 	}
 	return uses
 }
--- a/internal/gateway/peers/receive.go
+++ b/internal/gateway/peers/receive.go
@@ -66,14 +66,14 @@
 	}
 	m.receiveUsage(now, in)
 	if len(in.PrefixUses)+len(in.FirstTokens)+len(in.Pauses)+len(in.Unanswered)+len(in.Suspicions)+len(in.Limits) > 0 {
-		m.Merge(policy.News{
-			Uses: unpackPrefixUses(in.PrefixUses), Firsts: unpackFirstTokens(in.FirstTokens), Pauses: unpackPauses(in.Pauses), Unanswered: in.Unanswered,
+		m.MergeUpdates(policy.PeerUpdate{
+			PrefixUses: unpackPrefixUses(in.PrefixUses), FirstTokens: unpackFirstTokens(in.FirstTokens), Pauses: unpackPauses(in.Pauses), Unanswered: in.Unanswered,
 			Suspicions: unpackSuspicions(now, in.Suspicions), Limits: unpackLimits(now, in.Limits),
 		})
 	}
 	age := time.Duration(in.ConfirmationAge) * time.Millisecond
 	stamp := time.Duration(in.Echo)
 	if in.EchoBootID == m.bootID && in.StateVersion != 0 && age > 0 && stamp > age && stamp <= boottime.Now() {
-		m.Prove(Proof{Version: in.StateVersion, At: stamp - age})
+		m.Confirm(Confirmation{Version: in.StateVersion, At: stamp - age})
 	}
 }
--- a/internal/gateway/peers/server_limit.go
+++ b/internal/gateway/peers/server_limit.go
@@ -23,7 +23,7 @@
 }
 
 // packLimits encodes server limits.
-func packLimits(now time.Time, limits []policy.ServerLimit) []serverLimit {
+func packLimits(now time.Time, limits []policy.LimitReport) []serverLimit {
 	packed := make([]serverLimit, len(limits))
 	for i, l := range limits {
 		packed[i] = serverLimit{ServerStart: uint32(l.Server), Rate: l.Rate, Lifted: l.Lifted, SentRequests: float32(l.Sent)}
@@ -36,15 +36,15 @@
 
 // unpackLimits decodes server limits; entries without evidence of the sender's own, or with an
 // invalid rate, are dropped.
-func unpackLimits(now time.Time, packed []serverLimit) []policy.ServerLimit {
-	var limits []policy.ServerLimit
+func unpackLimits(now time.Time, packed []serverLimit) []policy.LimitReport {
+	var limits []policy.LimitReport
 	for _, l := range packed {
 		if l.Age == 0 || !(l.Rate >= 0) || math.IsInf(l.Rate, 0) {
 			continue
 		}
-		limits = append(limits, policy.ServerLimit{
-			Server:   policy.Key(l.ServerStart),
-			Evidence: policy.Evidence{Rate: l.Rate, Lifted: l.Lifted, At: timeAtAge(now, l.Age)},
+		limits = append(limits, policy.LimitReport{
+			Server:        policy.Key(l.ServerStart),
+			LimitEvidence: policy.LimitEvidence{Rate: l.Rate, Lifted: l.Lifted, At: timeAtAge(now, l.Age)},
 		})
 	}
 	return limits
--- a/internal/gateway/peers/shortage.go
+++ b/internal/gateway/peers/shortage.go
@@ -28,7 +28,7 @@
 }
 
 // packShortage encodes the shortage of a service.
-func packShortage(service string, counts *policy.Shortage) shortage {
+func packShortage(service string, counts *policy.OfferCounts) shortage {
 	packed := shortage{Service: hashName(service)}
 	for urgency, level := range counts {
 		if level.Offered >= minOffered {
@@ -40,8 +40,8 @@
 
 // unpack decodes a shortage; invalid counts are ignored. An unknown urgency level is mapped to
 // the least urgent one.
-func (s *shortage) unpack() policy.Shortage {
-	var sum policy.Shortage
+func (s *shortage) unpack() policy.OfferCounts {
+	var sum policy.OfferCounts
 	for _, packed := range s.Levels {
 		if !validCount(packed.Offered) || !validCount(packed.Refused) {
 			continue
--- a/internal/gateway/peers/shortage_test.go
+++ b/internal/gateway/peers/shortage_test.go
@@ -10,10 +10,10 @@
 // A gateway's shortage reaches its peers, and is dropped when the gateway falls silent.
 func TestShortagesReachPeers(t *testing.T) {
 	a, b, _ := newMeshPair(t)
-	var sent policy.Shortage
+	var sent policy.OfferCounts
 	sent[3].Offered, sent[3].Lacked = 40, 10
 	sent[4].Offered = minOffered / 2
-	a.Shortages = func() map[string]policy.Shortage { return map[string]policy.Shortage{"chat": sent} }
+	a.Shortages = func() map[string]policy.OfferCounts { return map[string]policy.OfferCounts{"chat": sent} }
 	deliver(t, a, b)
 	got := b.Shortage("chat")
 	if got[3].Offered != 40 || got[3].Lacked != 10 {
@@ -22,7 +22,7 @@
 	if got[4].Offered != 0 {
 		t.Errorf("a count below minOffered was sent: %+v", got[4])
 	}
-	if other := b.Shortage("search"); other != (policy.Shortage{}) {
+	if other := b.Shortage("search"); other != (policy.OfferCounts{}) {
 		t.Errorf("shortage %+v of another service", other)
 	}
 	sent[3].Lacked = 4
--- a/internal/gateway/peers/size_test.go
+++ b/internal/gateway/peers/size_test.go
@@ -14,14 +14,14 @@
 	makeSuspicions := func(n int) []policy.Suspicion {
 		list := make([]policy.Suspicion, n)
 		for i := range list {
-			list[i] = policy.Suspicion{Fingerprint: 1<<63 + policy.Fingerprint(i), Seen: now.Add(-time.Hour), Crashes: []policy.Crash{{Start: 1 << 31, At: now.Add(-time.Hour)}, {Start: 1 << 30, At: now}, {Start: 3 << 30, At: now}}}
+			list[i] = policy.Suspicion{Fingerprint: 1<<63 + policy.Fingerprint(i), Seen: now.Add(-time.Hour), Crashes: []policy.Crash{{Instance: 1 << 31, At: now.Add(-time.Hour)}, {Instance: 1 << 30, At: now}, {Instance: 3 << 30, At: now}}}
 		}
 		return list
 	}
-	makeLimits := func(n int) []policy.ServerLimit {
-		list := make([]policy.ServerLimit, n)
+	makeLimits := func(n int) []policy.LimitReport {
+		list := make([]policy.LimitReport, n)
 		for i := range list {
-			list[i] = policy.ServerLimit{Server: 1<<31 + policy.Key(i), Evidence: policy.Evidence{Rate: 1.8, At: now.Add(-time.Minute)}, Sent: 2.3}
+			list[i] = policy.LimitReport{Server: 1<<31 + policy.Key(i), LimitEvidence: policy.LimitEvidence{Rate: 1.8, At: now.Add(-time.Minute)}, Sent: 2.3}
 		}
 		return list
 	}
--- a/internal/gateway/peers/store_status.go
+++ b/internal/gateway/peers/store_status.go
@@ -19,24 +19,24 @@
 )
 
 // StoreStatus is what a gateway has observed of the platform's store.
-type Following struct {
+type StoreStatus struct {
 	// Reachable is whether this gateway's last call to the store did not fail.
-	Able bool
+	Reachable bool
 	// Polling is whether this gateway polls the store and gets answers.
-	Asks bool
+	Polling bool
 	// ServersPosition is the position after the newest known change of the list of backend
 	// servers, whether from the store or from a peer; 0 if there is none.
-	Servers follow.Position
+	ServersPosition follow.Position
 	// QuarantineKnown is whether this gateway knows the quarantined requests, either from the
 	// store or from gateways that know them.
-	Quarantine bool
+	QuarantineKnown bool
 }
 
-func (s Following) mode() storeMode {
+func (s StoreStatus) mode() storeMode {
 	switch {
-	case s.Asks:
+	case s.Polling:
 		return polling
-	case s.Able:
+	case s.Reachable:
 		return notPolling
 	default:
 		return storeUnreachable
--- a/internal/gateway/peers/store_status_test.go
+++ b/internal/gateway/peers/store_status_test.go
@@ -7,32 +7,34 @@
 
 func TestUnreachableStoreExcludesGatewaysFromTheOrder(t *testing.T) {
 	a, b, _ := newMeshPair(t)
-	a.Config.Following = func() Following { return Following{} }
-	b.Config.Following = func() Following { return Following{} }
+	a.Config.StoreStatus = func() StoreStatus { return StoreStatus{} }
+	b.Config.StoreStatus = func() StoreStatus { return StoreStatus{} }
 	deliver(t, a, b)
 	deliver(t, b, a)
-	if a.Before()+b.Before() != 0 {
-		t.Errorf("%d peers precede a, %d precede b, although neither can reach the store", a.Before(), b.Before())
+	if a.PrecedingPeers()+b.PrecedingPeers() != 0 {
+		t.Errorf("%d peers precede a, %d precede b, although neither can reach the store", a.PrecedingPeers(), b.PrecedingPeers())
 	}
 }
 
 func TestStoreStatusReachesPeers(t *testing.T) {
 	a, b, _ := newMeshPair(t)
 	deliver(t, a, b)
-	if b.Followed() || b.Ahead(0) != "" {
+	if b.PeerPollsStore() || b.PeerWithNewerServers(0) != "" {
 		t.Error("a doesn't poll and knows no servers")
 	}
-	a.Config.Following = func() Following { return Following{Able: true, Asks: true, Servers: 8} }
+	a.Config.StoreStatus = func() StoreStatus { return StoreStatus{Reachable: true, Polling: true, ServersPosition: 8} }
 	deliver(t, a, b)
-	if !b.Followed() || b.Ahead(7) == "" || b.Ahead(8) != "" {
-		t.Errorf("peer polls store %v, peer with servers after 7 %q, after 8 %q", b.Followed(), b.Ahead(7), b.Ahead(8))
+	if !b.PeerPollsStore() || b.PeerWithNewerServers(7) == "" || b.PeerWithNewerServers(8) != "" {
+		t.Errorf("peer polls store %v, peer with servers after 7 %q, after 8 %q", b.PeerPollsStore(), b.PeerWithNewerServers(7), b.PeerWithNewerServers(8))
 	}
-	if b.Quarantined() {
+	if b.PeerKnowsQuarantine() {
 		t.Error("a doesn't know the quarantined requests")
 	}
-	a.Config.Following = func() Following { return Following{Able: true, Asks: true, Servers: 8, Quarantine: true} }
+	a.Config.StoreStatus = func() StoreStatus {
+		return StoreStatus{Reachable: true, Polling: true, ServersPosition: 8, QuarantineKnown: true}
+	}
 	deliver(t, a, b)
-	if !b.Quarantined() {
+	if !b.PeerKnowsQuarantine() {
 		t.Error("a knows the quarantined requests, but this isn't seen at b")
 	}
 	afterTimeout := time.Now().Add(2 * peerTimeout)
--- a/internal/gateway/peers/table.go
+++ b/internal/gateway/peers/table.go
@@ -51,14 +51,14 @@
 	peers    map[string]*peer
 	loadSums map[uint32]*backend.Counts
 	// shortageSums holds the sums of the shortages by service hash.
-	shortageSums map[uint32]policy.Shortage
+	shortageSums map[uint32]policy.OfferCounts
 	// limitedSendSums holds the sums of requests to servers that have announced a limit, by
 	// server start.
 	limitedSendSums map[uint32]float64
 }
 
 func newTable() *table {
-	return &table{peers: map[string]*peer{}, loadSums: map[uint32]*backend.Counts{}, shortageSums: map[uint32]policy.Shortage{}, limitedSendSums: map[uint32]float64{}}
+	return &table{peers: map[string]*peer{}, loadSums: map[uint32]*backend.Counts{}, shortageSums: map[uint32]policy.OfferCounts{}, limitedSendSums: map[uint32]float64{}}
 }
 
 // update applies a datagram. It returns false if the datagram is not newer than the last one of
@@ -209,7 +209,7 @@
 	return t.limitedSendSums[start]
 }
 
-func (t *table) shortage(service uint32) policy.Shortage {
+func (t *table) shortage(service uint32) policy.OfferCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.shortageSums[service]
--- a/internal/gateway/peers/updates_test.go
+++ b/internal/gateway/peers/updates_test.go
@@ -11,30 +11,30 @@
 
 func TestUpdatesReachPeers(t *testing.T) {
 	a, b, _ := newMeshPair(t)
-	sent := policy.News{
-		Uses:       []policy.Use{{Server: 0xfffffff0, Part: 1<<63 + 5, Read: true}, {Server: 2, Part: 3}},
-		Firsts:     []policy.FirstToken{{Service: 9, Server: 2, Urgency: 4, Ahead: 12_000, Took: 250 * time.Millisecond}},
-		Unanswered: []policy.Key{0xfffffff0, 0xfffffff0},
-		Pauses:     []policy.Pause{{Service: 9, Server: 0xfffffff0, Urgency: 3, Longest: 118 * time.Millisecond}},
+	sent := policy.PeerUpdate{
+		PrefixUses:  []policy.PrefixUse{{Server: 0xfffffff0, Segment: 1<<63 + 5, Prefilled: true}, {Server: 2, Segment: 3}},
+		FirstTokens: []policy.TTFTSample{{Service: 9, Server: 2, Urgency: 4, TokensAhead: 12_000, Latency: 250 * time.Millisecond}},
+		Unanswered:  []policy.Key{0xfffffff0, 0xfffffff0},
+		Pauses:      []policy.Pause{{Service: 9, Server: 0xfffffff0, Urgency: 3, Longest: 118 * time.Millisecond}},
 	}
-	a.News = func() policy.News { return sent }
-	var merged []policy.News
-	b.Merge = func(updates policy.News) { merged = append(merged, updates) }
+	a.TakeUpdates = func() policy.PeerUpdate { return sent }
+	var merged []policy.PeerUpdate
+	b.MergeUpdates = func(updates policy.PeerUpdate) { merged = append(merged, updates) }
 	deliver(t, a, b)
 	if len(merged) != 1 || !reflect.DeepEqual(merged[0], sent) {
 		t.Fatalf("merged %+v, sent %+v", merged, sent)
 	}
 	// Unknown urgency levels are mapped to the least urgent one.
-	sent.Firsts[0].Urgency, sent.Pauses[0].Urgency = 200, 201
+	sent.FirstTokens[0].Urgency, sent.Pauses[0].Urgency = 200, 201
 	deliver(t, a, b)
-	if got := merged[1].Firsts[0].Urgency; got != policy.UrgencyLevels-1 {
+	if got := merged[1].FirstTokens[0].Urgency; got != policy.UrgencyLevels-1 {
 		t.Errorf("level 200 decoded as %d", got)
 	}
 	if got := merged[1].Pauses[0].Urgency; got != policy.UrgencyLevels-1 {
 		t.Errorf("level 201 decoded as %d", got)
 	}
 	// Without updates, MergeUpdates is not called.
-	sent = policy.News{}
+	sent = policy.PeerUpdate{}
 	deliver(t, a, b)
 	if len(merged) != 2 {
 		t.Errorf("%d merges, want 2", len(merged))
@@ -47,12 +47,12 @@
 	a, b, _ := newMeshPair(t)
 	now := time.Now()
 	sent := []policy.Suspicion{
-		{Fingerprint: 1<<63 + 5, Seen: now.Add(-2 * time.Minute), Crashes: []policy.Crash{{Start: 0xfffffff0, At: now.Add(-time.Hour)}, {Start: 3, At: now}}},
+		{Fingerprint: 1<<63 + 5, Seen: now.Add(-2 * time.Minute), Crashes: []policy.Crash{{Instance: 0xfffffff0, At: now.Add(-time.Hour)}, {Instance: 3, At: now}}},
 		{Fingerprint: 7, Cleared: now.Add(-time.Minute)},
 	}
-	a.News = func() policy.News { return policy.News{Suspicions: sent} }
+	a.TakeUpdates = func() policy.PeerUpdate { return policy.PeerUpdate{Suspicions: sent} }
 	var merged []policy.Suspicion
-	b.Merge = func(updates policy.News) { merged = append(merged, updates.Suspicions...) }
+	b.MergeUpdates = func(updates policy.PeerUpdate) { merged = append(merged, updates.Suspicions...) }
 	deliver(t, a, b)
 	if len(merged) != 2 || merged[0].Fingerprint != sent[0].Fingerprint || len(merged[0].Crashes) != 2 || !merged[0].Cleared.IsZero() || merged[1].Crashes != nil {
 		t.Fatalf("merged %+v, sent %+v", merged, sent)
@@ -74,16 +74,16 @@
 func TestServerLimitsReachPeers(t *testing.T) {
 	a, b, _ := newMeshPair(t)
 	now := time.Now()
-	a.News = func() policy.News {
-		return policy.News{Limits: []policy.ServerLimit{
-			{Server: 0xfffffff0, Evidence: policy.Evidence{Rate: 1.8, At: now.Add(-time.Minute)}, Sent: 2.5},
-			{Server: 2, Evidence: policy.Evidence{Lifted: true, At: now}},
-			{Server: 3, Evidence: policy.Evidence{Rate: math.NaN(), At: now}, Sent: math.NaN()},
+	a.TakeUpdates = func() policy.PeerUpdate {
+		return policy.PeerUpdate{Limits: []policy.LimitReport{
+			{Server: 0xfffffff0, LimitEvidence: policy.LimitEvidence{Rate: 1.8, At: now.Add(-time.Minute)}, Sent: 2.5},
+			{Server: 2, LimitEvidence: policy.LimitEvidence{Lifted: true, At: now}},
+			{Server: 3, LimitEvidence: policy.LimitEvidence{Rate: math.NaN(), At: now}, Sent: math.NaN()},
 			{Server: 4, Sent: 1},
 		}}
 	}
-	var merged []policy.ServerLimit
-	b.Merge = func(updates policy.News) { merged = append(merged, updates.Limits...) }
+	var merged []policy.LimitReport
+	b.MergeUpdates = func(updates policy.PeerUpdate) { merged = append(merged, updates.Limits...) }
 	deliver(t, a, b)
 	if len(merged) != 2 || merged[0].Rate != 1.8 || merged[0].Lifted || !merged[1].Lifted {
 		t.Fatalf("merged %+v", merged)
--- a/internal/gateway/peers/usage.go
+++ b/internal/gateway/peers/usage.go
@@ -26,16 +26,16 @@
 )
 
 // UsageExchange connects a Mesh to usage reporting.
-type Usage struct {
+type UsageExchange struct {
 	// IsReporter reports whether this gateway currently reports usage to the platform.
-	Holds func() bool
+	IsReporter func() bool
 	// UpdateSince returns the counts that have changed after the change that a receiver has
 	// acknowledged.
-	Update func(acknowledged uint64) usage.Update
+	UpdateSince func(acknowledged uint64) usage.Update
 	// Merge merges another gateway's update. MergedSequence returns the last change merged from
 	// a gateway, which is then acknowledged to it.
-	Merge    func(now time.Time, from usage.Source, u usage.Update)
-	Sequence func(from usage.Source) uint64
+	Merge          func(now time.Time, from usage.Source, u usage.Update)
+	MergedSequence func(from usage.Source) uint64
 }
 
 // usageMessage is the usage part of a datagram, specific to its receiver.
@@ -86,15 +86,15 @@
 	if m.Usage == nil {
 		return nil
 	}
-	mergedSequence := m.Usage.Sequence(usage.Source{Gateway: dst.name, Start: dst.bootID})
+	mergedSequence := m.Usage.MergedSequence(usage.Source{Gateway: dst.name, Start: dst.bootID})
 	sendUpdate := dst.receivesUsage && m.sequence%usageEveryRounds == 0
-	if !sendUpdate && mergedSequence == dst.ackSent && m.sequence%uint64(max(clockEveryRounds, m.Listed()/clockMessagesPerRound)) != 0 {
+	if !sendUpdate && mergedSequence == dst.ackSent && m.sequence%uint64(max(clockEveryRounds, m.ListedGateways()/clockMessagesPerRound)) != 0 {
 		return nil
 	}
-	msg := &usageMessage{WallClock: time.Now().UnixMilli(), Reporter: m.Usage.Holds(), Acked: mergedSequence}
+	msg := &usageMessage{WallClock: time.Now().UnixMilli(), Reporter: m.Usage.IsReporter(), Acked: mergedSequence}
 	m.table.recordAckSent(dst.name, mergedSequence)
 	if sendUpdate {
-		update := m.Usage.Update(dst.ackReceived)
+		update := m.Usage.UpdateSince(dst.ackReceived)
 		msg.Update = &update
 	}
 	return msg
@@ -142,7 +142,7 @@
 }
 
 // PeerReportsUsage reports whether a live peer reports usage to the platform.
-func (m *Mesh) Reporting() bool {
+func (m *Mesh) HasUsageReporter() bool {
 	now := time.Now()
 	m.table.mu.Lock()
 	defer m.table.mu.Unlock()
@@ -156,7 +156,7 @@
 
 // MedianTime returns the best estimate of true time: the median of the live gateways' times of
 // day. Neither a wrong clock on one VM nor wrong clocks on a third of them move it.
-func (m *Mesh) Time() time.Time {
+func (m *Mesh) MedianTime() time.Time {
 	now, bootMillis := time.Now(), boottime.Now().Milliseconds()
 	offsets := append(m.table.clockOffsets(now), now.UnixMilli()-bootMillis)
 	slices.Sort(offsets)
--- a/internal/gateway/peers/usage_test.go
+++ b/internal/gateway/peers/usage_test.go
@@ -15,11 +15,11 @@
 func newUsageMesh(t *testing.T, peerCount int, reporter string) *Mesh {
 	t.Helper()
 	m, _, _ := newMeshPair(t)
-	m.Usage = &Usage{
-		Holds:    func() bool { return false },
-		Update:   func(acknowledged uint64) usage.Update { return usage.Update{Sequence: acknowledged + 1} },
-		Merge:    func(time.Time, usage.Source, usage.Update) {},
-		Sequence: func(usage.Source) uint64 { return 0 },
+	m.Usage = &UsageExchange{
+		IsReporter:     func() bool { return false },
+		UpdateSince:    func(acknowledged uint64) usage.Update { return usage.Update{Sequence: acknowledged + 1} },
+		Merge:          func(time.Time, usage.Source, usage.Update) {},
+		MergedSequence: func(usage.Source) uint64 { return 0 },
 	}
 	for i := range peerCount {
 		name := fmt.Sprintf("gateway-%d", i)
@@ -76,7 +76,7 @@
 	if got := nextSequence(); got != 1 {
 		t.Errorf("update starts at %d after a restart of the receiver, want 1", got)
 	}
-	if m.Reporting() {
+	if m.HasUsageReporter() {
 		t.Error("a restarted gateway is still taken for the reporter")
 	}
 }
@@ -92,7 +92,7 @@
 		}
 		m.deliverUsage(fmt.Sprint("gateway-", i), 1, usageMessage{WallClock: at.UnixMilli()})
 	}
-	if off := time.Until(m.Time()).Abs(); off > 50*time.Millisecond {
+	if off := time.Until(m.MedianTime()).Abs(); off > 50*time.Millisecond {
 		t.Errorf("median time is off by %v", off)
 	}
 	// The offsets of silent peers are ignored.
@@ -102,18 +102,18 @@
 		p.usage.clockOffset = boottime.Now().Milliseconds()
 	}
 	m.table.mu.Unlock()
-	if off := time.Until(m.Time()).Abs(); off > 50*time.Millisecond {
+	if off := time.Until(m.MedianTime()).Abs(); off > 50*time.Millisecond {
 		t.Errorf("median time is off by %v without live peers", off)
 	}
 }
 
 func TestCurrentReporterIsKnown(t *testing.T) {
 	m := newUsageMesh(t, 3, "gateway-1")
-	if !m.Reporting() {
+	if !m.HasUsageReporter() {
 		t.Error("no reporter is known")
 	}
 	m.deliverUsage("gateway-1", 2, usageMessage{})
-	if m.Reporting() {
+	if m.HasUsageReporter() {
 		t.Error("a gateway that stopped reporting is still taken for the reporter")
 	}
 }
@@ -122,7 +122,7 @@
 func TestNothingIsSentWhereNothingIsReported(t *testing.T) {
 	m, _, _ := newMeshPair(t)
 	m.handle("127.0.0.1:9", &decodedMessage{message: message{From: "x", BootID: 1, Sequence: 1, Usage: &usageMessage{Reporter: true}}})
-	if d := m.usageDestinations(); m.usageMessageFor(&d[0]) != nil || m.Reporting() {
+	if d := m.usageDestinations(); m.usageMessageFor(&d[0]) != nil || m.HasUsageReporter() {
 		t.Error("usage is exchanged although none is reported")
 	}
 }
@@ -149,17 +149,17 @@
 		m := newUsageMesh(t, c.gateways-1, "gateway-0")
 		now := time.Unix(1_700_000_000, 0)
 		counter := usage.NewCounter(usage.Windows{Length: 5 * time.Second}, func() time.Time { return now })
-		m.Usage.Update = counter.Update
+		m.Usage.UpdateSince = counter.UpdateSince
 		sentBytes, bytesToAll := 0, 0
 		for tick := range 10 * seconds {
 			m.sequence = uint64(tick)
 			for i := range c.perSecond / 10 * 10 {
 				if i%10 == tick%10 {
-					counter.Began(fmt.Sprintf("customer%d", (tick*7+i*13)%c.customers))
+					counter.Add(fmt.Sprintf("customer%d", (tick*7+i*13)%c.customers))
 				}
 			}
 			if tick%usageEveryRounds == 0 {
-				encoded, err := cbor.Marshal(counter.Update(0))
+				encoded, err := cbor.Marshal(counter.UpdateSince(0))
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -16,18 +16,18 @@
 // Platform holds the functions and services of the platform that a gateway depends on.
 type Platform struct {
 	// DesiredState is the source of the operators' desired state; its items may be nil.
-	Desired follow.Source[*routes.Set]
+	DesiredState follow.Source[*routes.Snapshot]
 	// Decode decodes a desired state document as the platform wrote it, which is the form that
 	// gateways hand over to each other.
-	Decode func(document []byte) (*routes.Set, error)
+	Decode func(document []byte) (*routes.Snapshot, error)
 	// Servers is the source of the list of backend servers.
 	Servers follow.Source[backend.Info]
 	// Gateways is the source of the list of gateways. Register adds a gateway to the list,
 	// Unregister removes one.
-	Entries    follow.Source[peers.Entry]
+	Gateways   follow.Source[peers.Entry]
 	Register   func(ctx context.Context, self peers.Entry) error
 	Unregister func(ctx context.Context, name string) error
-	Quarantine Quarantine
+	Quarantine QuarantineStore
 	// Duties is the table of duties, each held by one gateway at a time. Usage receives usage
 	// reports. Both are nil if usage reporting is disabled.
 	Duties storage.Table
--- a/internal/gateway/poll_delegation.go
+++ b/internal/gateway/poll_delegation.go
@@ -23,12 +23,12 @@
 // the position up to which they have read the whole server list, since no other running gateway may
 // know of changes made shortly before. If every gateway reported it, each start of a gateway would
 // make all others poll the store.
-func (g *gateway) pollStatus() peers.Following {
-	status := peers.Following{
-		Able: !g.storeHealth.Away(), Asks: g.servers.Live(), Servers: g.servers.Changed(), Quarantine: g.quarantineLoaded.Load(),
+func (g *gateway) pollStatus() peers.StoreStatus {
+	status := peers.StoreStatus{
+		Reachable: !g.storeHealth.Unavailable(), Polling: g.servers.Live(), ServersPosition: g.servers.LastChange(), QuarantineKnown: g.quarantineLoaded.Load(),
 	}
 	if g.isPoller() {
-		status.Servers = g.servers.Known()
+		status.ServersPosition = g.servers.LastKnown()
 	}
 	return status
 }
@@ -38,7 +38,7 @@
 // gateways or fewer: together with those it may be cut off from the store, and it has to find out
 // soon to send clients elsewhere.
 func (g *gateway) pollersAvailable() bool {
-	return !g.isPoller() && g.mesh.Followed() && 2*g.mesh.Gateways() > g.mesh.Listed()
+	return !g.isPoller() && g.mesh.PeerPollsStore() && 2*g.mesh.LiveGateways() > g.mesh.ListedGateways()
 }
 
 // serversFromPeers reports whether changes of the server list come from other gateways, so that
@@ -58,7 +58,7 @@
 // least twice, since gateways that started at the same time may have been missing from the first
 // read, and then periodically, since only the list tells of removals.
 func (g *gateway) gatewayListFresh() bool {
-	reads, age := g.mesh.Listings()
+	reads, age := g.mesh.ListUpdates()
 	return g.pollersAvailable() && reads > 1 && age < gatewayListRefresh
 }
 
@@ -81,7 +81,7 @@
 // there is one.
 func (g *gateway) fetchServerChanges(ctx context.Context, client *handover.Client) {
 	position := g.servers.Position()
-	addr := g.mesh.Ahead(position)
+	addr := g.mesh.PeerWithNewerServers(position)
 	if position == 0 || addr == "" {
 		g.serversBehind.set(false)
 		return
@@ -89,7 +89,7 @@
 	g.serversBehind.set(true)
 	changes, err := client.Changes(ctx, addr, position)
 	if err == nil {
-		err = g.servers.Take(boottime.Now(), changes)
+		err = g.servers.ApplyDeltas(boottime.Now(), changes)
 	}
 	switch {
 	case err == nil:
--- a/internal/gateway/protocol/headers.go
+++ b/internal/gateway/protocol/headers.go
@@ -14,7 +14,7 @@
 
 // EndToEndHeaders returns a copy of the headers without the hop-by-hop headers and those named by
 // Connection. The values aren't copied.
-func EndToEnd(h http.Header) http.Header {
+func EndToEndHeaders(h http.Header) http.Header {
 	kept := make(http.Header, len(h)+4)
 	for name, values := range h {
 		kept[name] = values
--- a/internal/gateway/protocol/protocol.go
+++ b/internal/gateway/protocol/protocol.go
@@ -11,10 +11,10 @@
 )
 
 // UrgencyLevels is the number of urgency levels that backend servers distinguish.
-const Levels = policy.UrgencyLevels
+const UrgencyLevels = policy.UrgencyLevels
 
 // PromptPart is one part of a request's prompt.
-type Part struct {
+type PromptPart struct {
 	// ID is the hash of the part.
 	ID uint64
 	// Tokens is the length of the part in tokens.
@@ -22,25 +22,25 @@
 }
 
 // RequestInfo is what a client's request says about itself.
-type Ask struct {
+type RequestInfo struct {
 	// ID identifies the request; empty if it has none.
 	ID string
 	// Key is the client's API key; empty if it sent none.
 	Key string
 	// Timeout is how long the client waits for the response; 0 if unspecified.
-	Patience time.Duration
+	Timeout time.Duration
 	// LastEventID is the ID of the last event that the client has received; empty if it asks for
 	// the whole stream.
-	After string
+	LastEventID string
 	// PromptTokens is the length of the prompt in tokens; 0 if unspecified.
 	PromptTokens int
 	// PromptParts are the parts of the prompt in order. The last one belongs to the request or its
 	// session; those before it are shared.
-	Parts []Part
+	PromptParts []PromptPart
 }
 
 // AttemptInfo is what a gateway tells a backend server about one attempt.
-type Send struct {
+type AttemptInfo struct {
 	// Instance is the start of the backend server that the attempt is meant for.
 	Instance string
 	// Customer is the owner of the client's API key; empty if none is required.
@@ -48,51 +48,51 @@
 	// Urgency ranges from 0, the most urgent, to UrgencyLevels-1.
 	Urgency int
 	// Timeout is how long the backend server may work on the attempt.
-	Left time.Duration
+	Timeout time.Duration
 	// LastEventID is the ID of the last event that the client has received.
-	After string
+	LastEventID string
 	// FetchFrom is the address of the backend server from which this one should fetch the prompt
 	// data that it has already processed; empty for none.
 	FetchFrom string
 }
 
 // ResponseInfo is what the header of a backend server's response says.
-type Reply struct {
+type ResponseInfo struct {
 	// ID identifies the request that the response belongs to.
 	ID string
 	// Signed is set if the response bears the signature that clients need.
 	Signed bool
 	// NotExecuted is set if the request didn't run and won't.
-	NotRun bool
+	NotExecuted bool
 	// OtherInstance is set if the response comes from another start of the server at the address
 	// than the attempt was meant for.
-	OtherServer bool
+	OtherInstance bool
 	// Limit is the backend server's request rate limit.
-	Limit Limit
+	Limit RateLimit
 	// ContentEncoded is set if the body has a content encoding, so that it isn't the backend
 	// server's own bytes.
-	Encoded bool
+	ContentEncoded bool
 }
 
 // RateLimit is the request rate that a backend server accepts from all gateways together.
-type Limit struct {
+type RateLimit struct {
 	// Rate is in requests per second; it is valid only if Present is set.
-	Rate  float64
-	Named bool
+	Rate    float64
+	Present bool
 	// Invalid is set if the header holds a limit that isn't such a number.
-	Unreadable bool
+	Invalid bool
 }
 
 // Dialect reads and writes the headers of clients and backend servers.
 type Dialect interface {
 	// ParseRequest reads the header of a client's request.
-	Ask(r *http.Request) Ask
+	ParseRequest(r *http.Request) RequestInfo
 	// AttemptHeaders returns the headers of an attempt: the client's headers without the hop-by-hop
 	// headers, the API key and those that only a gateway may set.
-	Request(client http.Header, attempt Send) http.Header
+	AttemptHeaders(client http.Header, attempt AttemptInfo) http.Header
 	// ParseResponse reads the header of a backend server's response.
-	Reply(status int, h http.Header) Reply
+	ParseResponse(status int, h http.Header) ResponseInfo
 	// ClientHeaders returns the headers of a response for the client: the backend server's headers
 	// without the hop-by-hop headers.
-	Answer(backend http.Header) http.Header
+	ClientHeaders(backend http.Header) http.Header
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -30,7 +30,7 @@
 )
 
 // QuarantineStore persists quarantined requests, so that they outlive the gateways.
-type Quarantine interface {
+type QuarantineStore interface {
 	Read(ctx context.Context) ([]policy.Suspicion, error)
 	Write(ctx context.Context, s policy.Suspicion) error
 	Drop(ctx context.Context, f policy.Fingerprint) error
@@ -55,13 +55,13 @@
 // loadQuarantine gets the quarantined requests from other gateways or, if none of them knows them,
 // from the store.
 func (g *gateway) loadQuarantine(ctx context.Context) {
-	pause.For(ctx, minPeerWait+rand.N(minPeerWait))
+	pause.Sleep(ctx, minPeerWait+rand.N(minPeerWait))
 	for waited := time.Duration(0); waited < maxPeerWait; waited += peerCheckInterval {
-		if !g.mesh.Quarantined() {
+		if !g.mesh.PeerKnowsQuarantine() {
 			g.retryUntilDone(ctx, logging.EventQuarantineFailed, g.readStoredQuarantine)
 			break
 		}
-		pause.For(ctx, peerCheckInterval)
+		pause.Sleep(ctx, peerCheckInterval)
 	}
 	g.quarantineLoaded.Store(true)
 }
@@ -86,7 +86,7 @@
 			g.log.Warn(logging.EventQuarantineFailed, zap.Stringer("fingerprint", s.Fingerprint), logging.Reason(err.Error()))
 		}
 	}
-	g.router.Suspect(current)
+	g.router.MergeSuspicions(current)
 	return nil
 }
 
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -18,7 +18,7 @@
 
 // ready reports whether the load balancer may send new connections to this gateway.
 func (g *gateway) ready() bool {
-	return !g.draining.Load() && g.holder.Current() != nil && g.registry.Known() && !g.isolated()
+	return !g.draining.Load() && g.holder.Current() != nil && g.registry.Loaded() && !g.isolated()
 }
 
 // sheddingClients reports whether clients should reconnect to another gateway.
@@ -30,12 +30,12 @@
 // requests with a key. If the store is unavailable to all gateways, no other gateway would serve
 // clients better, and public routes continue to be served.
 func (g *gateway) isolated() bool {
-	provenAt := g.holder.ProvenAt()
-	maxProofAge := maxFeedSilence + pollerWait(g.router.Bounds().Proof) + peerProofLead
+	provenAt := g.holder.ConfirmedAt()
+	maxProofAge := maxFeedSilence + pollerWait(g.router.Bounds().MaxStateAge) + peerProofLead
 	if storeAnswers := boottime.Now()-provenAt <= maxProofAge; storeAnswers {
 		ownProvenAt := time.Duration(g.desiredSink.storeProvenAt.Load())
 		ownProofLate := provenAt-ownProvenAt > g.desiredStateWait()+peerProofLead && !g.desiredStateFromPeers()
 		return ownProofLate || g.desiredSink.unavailableFor() > storeRejectionTimeout && provenAt > ownProvenAt
 	}
-	return !g.router.Fresh() && 2*g.mesh.Gateways() <= g.mesh.Listed()
+	return !g.router.StateFresh() && 2*g.mesh.LiveGateways() <= g.mesh.ListedGateways()
 }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -40,10 +40,10 @@
 		changed, err := reload()
 		switch {
 		case err != nil:
-			g.log.Warn(logging.EventSettingsRefused, logging.Reason(err.Error()))
+			g.log.Warn(logging.EventSettingsRejected, logging.Reason(err.Error()))
 		case changed != current:
 			current = changed
-			limitMemory(changed.MemoryMB)
+			limitMemory(changed.MemoryLimitMB)
 			g.router.SetBounds(routerBounds(changed))
 			g.log.Info(logging.EventSettingsChanged)
 		}
@@ -52,9 +52,9 @@
 
 // routerBounds returns the router's bounds for the settings.
 func routerBounds(s settings.Gateway) router.Bounds {
-	bounds := router.Bounds{RetryRatio: s.Retry.Ratio, RetryExtra: s.Retry.Extra, RetryWindow: s.Retry.Window, Held: int64(requestMemoryShare * s.MemoryMB * megabyte)}
-	if s.Revoke.Strict {
-		bounds.Proof = max(s.Revoke.Within-clockSkewMargin, time.Millisecond)
+	bounds := router.Bounds{RetryRatio: s.RetryBudget.Ratio, RetryExtra: s.RetryBudget.ExtraPerWindow, RetryWindow: s.RetryBudget.Window, MaxRequestMemory: int64(requestMemoryShare * s.MemoryLimitMB * megabyte)}
+	if s.Revocation.Strict {
+		bounds.MaxStateAge = max(s.Revocation.MaxDelay-clockSkewMargin, time.Millisecond)
 	}
 	return bounds
 }
--- a/internal/gateway/request_observer.go
+++ b/internal/gateway/request_observer.go
@@ -24,41 +24,41 @@
 }
 
 // Began implements router.Observer.
-func (o requestObserver) Began(customer string) {
+func (o requestObserver) ResponseStarted(customer string) {
 	if o.usage != nil && customer != "" {
-		o.usage.Began(customer)
+		o.usage.Add(customer)
 	}
 }
 
 // Ended implements router.Observer.
-func (o requestObserver) Ended(end router.End) {
-	class := o.metrics.Request(end.Route)
+func (o requestObserver) RequestEnded(end router.RequestResult) {
+	class := o.metrics.ForClass(end.Route)
 	class.Received()
-	class.ReceivedPrompt(end.PromptTokens)
+	class.ReceivedPromptTokens(end.PromptTokens)
 	for range end.Sends - 1 {
 		class.Retried()
 	}
-	if end.First > 0 {
-		class.FirstToken(end.First)
+	if end.FirstByteLatency > 0 {
+		class.ObserveFirstToken(end.FirstByteLatency)
 	}
-	if end.Pause > 0 {
-		class.Pause(end.Pause)
+	if end.LongestPause > 0 {
+		class.ObservePause(end.LongestPause)
 	}
 	o.count(class, end)
 	if end.Reason != router.ReasonServed {
 		o.log.Info(eventName(end), logging.Request(end.ID), logging.Class(end.Route), logging.Reason(string(end.Reason)),
 			zap.Int("status", end.Status), zap.String("service", end.Service), zap.String("customer", end.Customer),
-			zap.Int("urgency", end.Urgency), zap.Int("sends", end.Sends), zap.Int("unreached", end.Unreached), zap.String("last_server", end.Server),
+			zap.Int("urgency", end.Urgency), zap.Int("sends", end.Sends), zap.Int("unreached", end.FailedDials), zap.String("last_server", end.Server),
 			zap.Bool("server_ended", end.ServerEnded), zap.Stringer("fingerprint", end.Fingerprint),
-			zap.Uint64("version", end.Version), zap.Duration("proof_age", end.ProofAge),
-			zap.Duration("expected", end.Expected), zap.Duration("took", end.Took),
-			zap.Int("prompt_tokens", end.PromptTokens), zap.Int("mean_tokens", end.MeanTokens), zap.Int("prefill_tokens", end.Prefill), zap.Int("tokens_ahead", end.Ahead),
-			zap.String("connection", string(end.Caller.Cause)), zap.Duration("rested", end.Caller.Rested), zap.Int("requests", end.Caller.Requests))
+			zap.Uint64("version", end.StateVersion), zap.Duration("proof_age", end.StateAge),
+			zap.Duration("expected", end.ExpectedTTFT), zap.Duration("took", end.Duration),
+			zap.Int("prompt_tokens", end.PromptTokens), zap.Int("mean_tokens", end.MeanTokens), zap.Int("prefill_tokens", end.PrefillTokens), zap.Int("tokens_ahead", end.TokensAhead),
+			zap.String("connection", string(end.Connection.CloseReason)), zap.Duration("rested", end.Connection.IdleTime), zap.Int("requests", end.Connection.Requests))
 	}
 }
 
 // Replaced implements router.Observer.
-func (o requestObserver) Replaced(server string) {
+func (o requestObserver) ServerReplaced(server string) {
 	o.log.Info(logging.EventServerRemoved, logging.Peer(server), logging.Reason("replaced"))
 }
 
@@ -69,11 +69,11 @@
 }
 
 // ServerLimited implements router.Observer.
-func (o requestObserver) ServerLimited(server string, limit protocol.Limit) {
+func (o requestObserver) ServerLimitChanged(server string, limit protocol.RateLimit) {
 	switch {
-	case limit.Unreadable:
+	case limit.Invalid:
 		o.log.Warn(logging.EventServerLimited, logging.Peer(server), logging.Reason("unreadable"))
-	case limit.Named:
+	case limit.Present:
 		o.log.Info(logging.EventServerLimited, logging.Peer(server), zap.Float64("limit", limit.Rate))
 	default:
 		o.log.Info(logging.EventServerUnlimited, logging.Peer(server))
@@ -81,19 +81,19 @@
 }
 
 // Quarantined implements router.Observer.
-func (o requestObserver) Quarantined(suspicion policy.Suspicion) {
+func (o requestObserver) RequestQuarantined(suspicion policy.Suspicion) {
 	o.log.Warn(logging.EventRequestQuarantined, zap.Stringer("fingerprint", suspicion.Fingerprint), zap.Int("servers_ended", len(suspicion.Crashes)))
 	o.storeQuarantined(suspicion)
 }
 
 // count adds the end of a request to the counter of its outcome.
-func (o requestObserver) count(class *metrics.Class, end router.End) {
+func (o requestObserver) count(class *metrics.Class, end router.RequestResult) {
 	switch eventName(end) {
 	case logging.EventRequestRefused:
 		class.Refused(metrics.Reason(end.Reason))
-		class.RefusedPrompt(metrics.Reason(end.Reason), end.PromptTokens)
+		class.RefusedPromptTokens(metrics.Reason(end.Reason), end.PromptTokens)
 	case logging.EventRequestUnknown:
-		class.Unknown()
+		class.OutcomeUnknown()
 	case logging.EventRequestCancelled:
 		class.Cancelled()
 	default:
@@ -111,14 +111,14 @@
 
 // eventName returns the log event for the end of a request, which depends on whether the request
 // ran.
-func eventName(end router.End) string {
+func eventName(end router.RequestResult) string {
 	switch {
 	case end.Reason == router.ReasonCallerLeft:
 		return logging.EventRequestCancelled
-	case end.Status == http.StatusServiceUnavailable, end.Reason == router.ReasonNoRoute, end.Reason == router.ReasonNoKey,
-		end.Reason == router.ReasonNoID, end.Reason == router.ReasonTooLarge, end.Reason == router.ReasonHeaderTooLarge:
+	case end.Status == http.StatusServiceUnavailable, end.Reason == router.ReasonNoRoute, end.Reason == router.ReasonUnknownKey,
+		end.Reason == router.ReasonNoRequestID, end.Reason == router.ReasonBodyTooLarge, end.Reason == router.ReasonHeaderTooLarge:
 		return logging.EventRequestRefused
-	case end.Reason == router.ReasonUnknown, end.Reason == router.ReasonTimeUp:
+	case end.Reason == router.ReasonOutcomeUnknown, end.Reason == router.ReasonTimeout:
 		return logging.EventRequestUnknown
 	default:
 		return logging.EventRequestFinished
--- a/internal/gateway/request_observer_test.go
+++ b/internal/gateway/request_observer_test.go
@@ -19,11 +19,11 @@
 	core, entries := observer.New(zap.InfoLevel)
 	registry := metrics.New()
 	observed := requestObserver{metrics: registry, log: zap.New(core)}
-	observed.Ended(router.End{
-		Route: "summary", Status: http.StatusServiceUnavailable, Reason: router.ReasonCrowded,
-		PromptTokens: 17_000, MeanTokens: 9000, Prefill: 14_000, Ahead: 1800,
+	observed.RequestEnded(router.RequestResult{
+		Route: "summary", Status: http.StatusServiceUnavailable, Reason: router.ReasonNoCapacity,
+		PromptTokens: 17_000, MeanTokens: 9000, PrefillTokens: 14_000, TokensAhead: 1800,
 	})
-	observed.Ended(router.End{Route: "summary", Status: http.StatusOK, Reason: router.ReasonServed, PromptTokens: 8000})
+	observed.RequestEnded(router.RequestResult{Route: "summary", Status: http.StatusOK, Reason: router.ReasonServed, PromptTokens: 8000})
 	if entries.Len() != 1 {
 		t.Fatalf("%d log entries, want 1 for the rejection", entries.Len())
 	}
--- a/internal/gateway/retry.go
+++ b/internal/gateway/retry.go
@@ -28,6 +28,6 @@
 			return
 		}
 		g.log.Warn(event, logging.Reason(err.Error()))
-		pause.For(ctx, backOff.NextBackOff())
+		pause.Sleep(ctx, backOff.NextBackOff())
 	}
 }
--- a/internal/gateway/router/attempt.go
+++ b/internal/gateway/router/attempt.go
@@ -42,7 +42,7 @@
 	if remaining <= 0 {
 		return resultUnknown
 	}
-	tracked := &trackedRequest{InFlight: server.Load.Track(c.urgency, c.router.planPrefill(c, choice)), call: c, tokensAhead: choice.Ahead, sentAt: time.Now()}
+	tracked := &trackedRequest{InFlight: server.Load.Track(c.urgency, c.router.planPrefill(c, choice)), call: c, tokensAhead: choice.TokensAhead, sentAt: time.Now()}
 	defer tracked.Finish()
 	defer c.trackSuspectRun(info.ID)()
 	response, err := c.router.Pool.Do(ctx, server.Peer(), c.buildRequest(info, remaining))
@@ -55,15 +55,15 @@
 	}
 	c.sends++
 	if err != nil {
-		c.serverEnded = errors.Is(err, exchange.ErrBroken) && c.serverHasEnded(server)
+		c.serverEnded = errors.Is(err, exchange.ErrIncomplete) && c.serverHasEnded(server)
 		c.recordCrashEvidence(server)
 		return c.handleSendError(ctx, info.ID)
 	}
-	defer response.Abandon()
-	reply := c.router.Dialect.Reply(response.Status, response.Header)
+	defer response.Abort()
+	reply := c.router.Dialect.ParseResponse(response.Status, response.Header)
 	c.updateServerLimit(server, tracked.sentAt, reply)
 	result := c.handleResponse(ctx, response, reply, tracked)
-	c.serverEnded = response.Broken() && c.serverHasEnded(server)
+	c.serverEnded = response.Incomplete() && c.serverHasEnded(server)
 	c.recordCrashEvidence(server)
 	c.router.observeOutcome(info.ID, c.policyOutcome(ctx, result))
 	return result
@@ -83,16 +83,16 @@
 
 // handleResponse reads a response and forwards it to the caller, unless another server should be
 // tried.
-func (c *call) handleResponse(ctx context.Context, response *exchange.Answer, reply protocol.Reply, tracked *trackedRequest) attemptResult {
+func (c *call) handleResponse(ctx context.Context, response *exchange.Response, reply protocol.ResponseInfo, tracked *trackedRequest) attemptResult {
 	switch {
-	case reply.NotRun:
-		if reply.OtherServer && c.router.Registry.MarkReplaced(c.serverID) {
-			c.router.Observer.Replaced(c.serverID)
+	case reply.NotExecuted:
+		if reply.OtherInstance && c.router.Registry.MarkReplaced(c.serverID) {
+			c.router.Observer.ServerReplaced(c.serverID)
 		}
 		// Read the body so that the connection can be reused.
 		_, _ = readLimited(response, maxRejectionBody)
 		return resultNotRun
-	case reply.Encoded, isSuccess(response.Status) && !reply.Signed:
+	case reply.ContentEncoded, isSuccess(response.Status) && !reply.Signed:
 		c.mayHaveRun = true
 		return resultUnknown
 	case isSuccess(response.Status) && c.route.Kind == routes.KindStream:
@@ -107,22 +107,22 @@
 // buildRequest returns the request as it is sent to a server, which has the remaining time to
 // answer it.
 func (c *call) buildRequest(info *backend.Info, remaining time.Duration) *exchange.Request {
-	send := protocol.Send{Instance: info.ID, Customer: c.customer, Urgency: c.urgency, Left: remaining, After: c.params.After, FetchFrom: c.fetchFrom}
+	send := protocol.AttemptInfo{Instance: info.ID, Customer: c.customer, Urgency: c.urgency, Timeout: remaining, LastEventID: c.params.LastEventID, FetchFrom: c.fetchFrom}
 	if c.stream.hasLastID {
-		send.After = strconv.FormatInt(c.stream.lastID, 10)
+		send.LastEventID = strconv.FormatInt(c.stream.lastID, 10)
 	}
 	maxIdle := time.Hour
 	if !c.route.Idempotent() {
 		maxIdle = maxIdleForUnsafe
 	}
 	return &exchange.Request{
-		Method: c.req.Method,
-		Target: c.req.RequestURI,
-		Host:   c.req.Host,
-		Header: c.router.Dialect.Request(c.req.Header, send),
-		Body:   c.body,
-		Young:  maxIdle,
-		Mine:   func(h http.Header) bool { return c.router.Dialect.Reply(0, h).ID == c.params.ID },
+		Method:  c.req.Method,
+		Target:  c.req.RequestURI,
+		Host:    c.req.Host,
+		Header:  c.router.Dialect.AttemptHeaders(c.req.Header, send),
+		Body:    c.body,
+		MaxIdle: maxIdle,
+		Matches: func(h http.Header) bool { return c.router.Dialect.ParseResponse(0, h).ID == c.params.ID },
 	}
 }
 
--- a/internal/gateway/router/buffered_response.go
+++ b/internal/gateway/router/buffered_response.go
@@ -33,13 +33,13 @@
 
 // forwardBuffered forwards a response that is not an event stream. Up to maxBufferedResponse it
 // forwards either the whole response or nothing.
-func (c *call) forwardBuffered(ctx context.Context, response *exchange.Answer, tracked *trackedRequest) attemptResult {
+func (c *call) forwardBuffered(ctx context.Context, response *exchange.Response, tracked *trackedRequest) attemptResult {
 	tracked.responseStarted()
 	body, err := readLimited(response, maxBufferedResponse)
 	if err != nil {
 		return c.resultAfterReadError()
 	}
-	buffered := &bufferedResponse{status: response.Status, header: c.router.Dialect.Answer(response.Header), body: body, contentLength: response.Header.Get("Content-Length")}
+	buffered := &bufferedResponse{status: response.Status, header: c.router.Dialect.ClientHeaders(response.Header), body: body, contentLength: response.Header.Get("Content-Length")}
 	c.firstByteLatency = time.Since(c.arrivedAt)
 	switch {
 	case impliesNotRun(response.Status):
@@ -118,7 +118,7 @@
 
 // forwardLong forwards a response that is too long to be buffered. The argument buffered holds its
 // beginning.
-func (c *call) forwardLong(buffered *bufferedResponse, response *exchange.Answer) attemptResult {
+func (c *call) forwardLong(buffered *bufferedResponse, response *exchange.Response) attemptResult {
 	c.copyHeader(buffered.header)
 	if response.Length >= 0 {
 		c.w.Header().Set("Content-Length", strconv.FormatInt(response.Length, 10))
@@ -137,7 +137,7 @@
 }
 
 // readLimited reads the body up to its end, or up to limit+1 bytes.
-func readLimited(response *exchange.Answer, limit int) ([]byte, error) {
+func readLimited(response *exchange.Response, limit int) ([]byte, error) {
 	if response.Length >= 0 && response.Length <= int64(limit) {
 		body := make([]byte, response.Length)
 		if _, err := io.ReadFull(response, body); err != nil {
--- a/internal/gateway/router/call.go
+++ b/internal/gateway/router/call.go
@@ -35,7 +35,7 @@
 	arrivedAt time.Time
 	// deadline is when the response must be complete.
 	deadline time.Time
-	params   protocol.Ask
+	params   protocol.RequestInfo
 	route    *routes.Route
 	customer string
 	// urgency ranges from 0, the most urgent, to protocol.Levels-1.
@@ -64,7 +64,7 @@
 
 	// sharedParts are the parts of the prompt that other requests share. fetchFrom is the address
 	// from which the chosen server should fetch those that it has not cached; empty for none.
-	sharedParts []policy.Part
+	sharedParts []policy.PrefixSegment
 	fetchFrom   string
 	// triedServers lists the servers that the request was sent to, counted in sends, and those to
 	// which no connection could be opened, counted in failedDials.
@@ -103,7 +103,7 @@
 			server, choice = c.chooseServer()
 		}
 		switch {
-		case server == nil && choice.Limited && c.sends == 0:
+		case server == nil && choice.RateLimited && c.sends == 0:
 			c.refuseServerLimits(choice)
 			return
 		case server == nil:
@@ -164,19 +164,19 @@
 	if result != resultNotRun && !c.route.Idempotent() {
 		return false
 	}
-	return c.sends < max(c.route.Attempts, 1) && c.router.allowRetry(c.service)
+	return c.sends < max(c.route.MaxAttempts, 1) && c.router.allowRetry(c.service)
 }
 
 // clampSharedParts returns the parts of a prompt that other requests share, which are all but the
 // last. Parts that extend beyond the prompt end at its end.
-func clampSharedParts(parts []protocol.Part, promptTokens int) []policy.Part {
+func clampSharedParts(parts []protocol.PromptPart, promptTokens int) []policy.PrefixSegment {
 	if len(parts) < 2 {
 		return nil
 	}
-	shared, end := make([]policy.Part, len(parts)-1), 0
+	shared, end := make([]policy.PrefixSegment, len(parts)-1), 0
 	for i, p := range parts[:len(parts)-1] {
 		end += min(p.Tokens, promptTokens-end)
-		shared[i] = policy.Part{ID: p.ID, Upto: end}
+		shared[i] = policy.PrefixSegment{ID: p.ID, End: end}
 	}
 	return shared
 }
--- a/internal/gateway/router/call_test.go
+++ b/internal/gateway/router/call_test.go
@@ -12,8 +12,8 @@
 // Guards against callers that send wrong part lengths: a part that ended beyond the prompt would
 // make the number of remaining tokens negative.
 func TestSharedPartsClampedToPrompt(t *testing.T) {
-	parts := []protocol.Part{{ID: 1, Tokens: 500}, {ID: 2, Tokens: math.MaxInt - 600}, {ID: 3, Tokens: math.MaxInt}, {ID: 4, Tokens: 10}}
-	want := []policy.Part{{ID: 1, Upto: 500}, {ID: 2, Upto: 2000}, {ID: 3, Upto: 2000}}
+	parts := []protocol.PromptPart{{ID: 1, Tokens: 500}, {ID: 2, Tokens: math.MaxInt - 600}, {ID: 3, Tokens: math.MaxInt}, {ID: 4, Tokens: 10}}
+	want := []policy.PrefixSegment{{ID: 1, End: 500}, {ID: 2, End: 2000}, {ID: 3, End: 2000}}
 	if got := clampSharedParts(parts, 2000); !reflect.DeepEqual(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
--- a/internal/gateway/router/choose.go
+++ b/internal/gateway/router/choose.go
@@ -9,26 +9,26 @@
 // chooseServer has the policy choose a server. It returns nil if no server is usable.
 func (c *call) chooseServer() (*backend.Server, policy.Choice) {
 	servers, service := c.router.Registry.Servers(c.service), c.serviceConfig()
-	c.sharedParts = clampSharedParts(c.params.Parts, c.params.PromptTokens)
+	c.sharedParts = clampSharedParts(c.params.PromptParts, c.params.PromptTokens)
 	firstChoice := len(c.triedServers) == 0 && !c.retriedUnreachable
 	if firstChoice {
 		c.meanTokens = c.router.observePromptSize(c.service, c.route.Name, c.params.PromptTokens)
 	}
 	job := policy.Job{
-		Zone: c.router.Zone, Urgency: c.urgency, Target: c.route.Target,
-		Tokens: c.params.PromptTokens, MeanTokens: c.meanTokens, Shared: c.sharedParts, FetchRate: service.FetchRate, Tried: c.triedServers,
+		Zone: c.router.Zone, Urgency: c.urgency, Target: c.route.LatencyTarget,
+		Tokens: c.params.PromptTokens, MeanTokens: c.meanTokens, SharedSegments: c.sharedParts, FetchRate: service.FetchRate, Tried: c.triedServers,
 	}
 	choice := c.chooseWithAvoidance(job, c.router.serverLoads(servers, service.MaxConns), firstChoice)
 	if !choice.Found {
 		return nil, choice
 	}
-	c.serverID, c.expectedFirstToken = servers[choice.At].Info().ID, choice.Expected
-	c.prefillTokens, c.tokensAhead = choice.Prefill, int(choice.Ahead)-choice.Prefill
+	c.serverID, c.expectedFirstToken = servers[choice.Index].Info().ID, choice.ExpectedTTFT
+	c.prefillTokens, c.tokensAhead = choice.PrefillTokens, int(choice.TokensAhead)-choice.PrefillTokens
 	c.fetchFrom = ""
 	if choice.Fetches {
-		c.fetchFrom = servers[choice.From].Info().Addr
+		c.fetchFrom = servers[choice.FetchFrom].Info().Addr
 	}
-	return servers[choice.At], choice
+	return servers[choice.Index], choice
 }
 
 // chooseWithAvoidance chooses among the servers that the request does not have to avoid. If none of
@@ -37,13 +37,13 @@
 	if avoided := c.serversToAvoid(loads); len(avoided) > 0 {
 		avoiding := job
 		avoiding.Tried = append(avoided, job.Tried...)
-		if choice := c.router.runChooser(c.service, avoiding, c.route.Pause, loads, firstChoice); choice.Found && c.admitted(choice) {
+		if choice := c.router.runChooser(c.service, avoiding, c.route.PauseTarget, loads, firstChoice); choice.Found && c.admitted(choice) {
 			return choice
 		}
 		// The first call has already counted the request as offered.
 		firstChoice = false
 	}
-	return c.router.runChooser(c.service, job, c.route.Pause, loads, firstChoice)
+	return c.router.runChooser(c.service, job, c.route.PauseTarget, loads, firstChoice)
 }
 
 // serviceConfig returns the service's entry in the desired state, or a zero Service if there is
@@ -58,20 +58,20 @@
 // admitted reports whether the request is admitted at the chosen server. A request that was sent
 // before always is: rejecting it would waste the time and work already spent.
 func (c *call) admitted(choice policy.Choice) bool {
-	return choice.InTime || c.sends > 0 || c.params.PromptTokens == 0 && choice.Room
+	return choice.InTime || c.sends > 0 || c.params.PromptTokens == 0 && choice.HasCapacity
 }
 
 // refuseNoCapacity refuses a request that is not admitted. The reason says whether slots or time
 // are short.
 func (c *call) refuseNoCapacity(choice policy.Choice) {
-	reason := ReasonCrowded
-	if choice.OnlySlots {
+	reason := ReasonNoCapacity
+	if choice.SlotLimited {
 		reason = ReasonNoFreeSlot
 	}
-	c.refuse(reason, policy.ComeBack(c.route.Target))
+	c.refuse(reason, policy.RetryDelay(c.route.LatencyTarget))
 }
 
 // refuseServerLimits refuses a request because all servers have reached their rate limits.
 func (c *call) refuseServerLimits(choice policy.Choice) {
-	c.refuse(ReasonServerLimits, max(policy.ComeBack(c.route.Target), choice.FreeIn))
+	c.refuse(ReasonServerLimits, max(policy.RetryDelay(c.route.LatencyTarget), choice.AvailableIn))
 }
--- a/internal/gateway/router/config.go
+++ b/internal/gateway/router/config.go
@@ -16,14 +16,14 @@
 type Bounds struct {
 	// MaxStateAge is how long ago the desired state may have been confirmed to be the newest for
 	// requests with an API key to be served; 0 means no bound.
-	Proof time.Duration
+	MaxStateAge time.Duration
 	// RetryRatio and RetryExtra bound the retries of a service within RetryWindow, over all
 	// gateways: RetryRatio for each request, plus RetryExtra.
 	RetryRatio  float64
 	RetryExtra  float64
 	RetryWindow time.Duration
 	// MaxRequestMemory bounds the memory of the requests in progress, in bytes; 0 means no bound.
-	Held int64
+	MaxRequestMemory int64
 }
 
 // Config holds the dependencies of a Router.
@@ -34,54 +34,54 @@
 	Registry *backend.Registry
 	Pool     *exchange.Pool
 	// Peers reports the load and the limits that other gateways have seen.
-	Others Peers
+	Peers Peers
 	// ListedGateways returns the number of gateways that share the retry budget and the servers'
 	// rate limits.
-	Gateways func() int
-	Chooser  *policy.Chooser
+	ListedGateways func() int
+	Chooser        *policy.Chooser
 	// Random is the random source that the Chooser uses too. The Router's lock guards it.
-	Random   *rand.Rand
-	Ejector  *policy.Ejector
-	Index    *policy.PrefixIndex
-	Observer Observer
+	Random      *rand.Rand
+	Ejector     *policy.Ejector
+	PrefixIndex *policy.PrefixIndex
+	Observer    Observer
 }
 
 // Peers reports what other gateways have told this one.
 type Peers interface {
 	// At returns the requests that the other gateways have in progress at a backend server.
-	At(server string) backend.Counts
+	LoadAt(server string) backend.Counts
 	// Shortage returns the recent capacity shortage of the other gateways for a service.
-	Shortage(service string) policy.Shortage
+	Shortage(service string) policy.OfferCounts
 	// LimitedSends returns the recent number of requests that they sent to a server instance with a
 	// rate limit, as policy.ServerLimits counts them.
 	LimitedSends(instance policy.Key) float64
 	// Gateways returns the number of gateways from which updates arrive, including this one. Unseen
 	// returns the longest time until requests that they send are visible here.
-	Gateways() int
-	Unseen() time.Duration
+	LiveGateways() int
+	ReportInterval() time.Duration
 }
 
 // Observer receives events about requests and servers, for metrics and logs.
 type Observer interface {
 	// ResponseStarted is called when a backend server starts to answer a request. The customer is
 	// empty if the request has none.
-	Began(customer string)
+	ResponseStarted(customer string)
 	// RequestEnded is called once for each request when it has ended.
-	Ended(result End)
+	RequestEnded(result RequestResult)
 	// ServerReplaced is called when another instance answers at a server's address, once for each
 	// server.
-	Replaced(server string)
+	ServerReplaced(server string)
 	// ServerEnded is called when a server has ended while it had requests, once for each instance.
 	ServerEnded(server string)
 	// ServerLimitChanged is called when a response changes a server's rate limit, and for each
 	// response with an unreadable limit.
-	ServerLimited(server string, limit protocol.Limit)
+	ServerLimitChanged(server string, limit protocol.RateLimit)
 	// RequestQuarantined is called when a request is quarantined, with the evidence.
-	Quarantined(evidence policy.Suspicion)
+	RequestQuarantined(evidence policy.Suspicion)
 }
 
 // RequestResult describes how a request ended.
-type End struct {
+type RequestResult struct {
 	ID      string
 	Route   string
 	Service string
@@ -99,42 +99,42 @@
 	Reason Reason
 	// Sends is how often the request was sent to a backend server, and FailedDials how many
 	// connection attempts to servers failed.
-	Sends     int
-	Unreached int
+	Sends       int
+	FailedDials int
 	// Server is the backend server that was chosen last; empty for none.
 	Server string
 	// ServerEnded is set if that server ended while it had the request. It is not set for served
 	// requests.
 	ServerEnded bool
 	// ExpectedFirstToken is the time to the first token that was expected when Server was chosen.
-	Expected time.Duration
+	ExpectedTTFT time.Duration
 	// PromptTokens is the length of the prompt; 0 for services without prompts. The request was
 	// admitted by MeanTokens, the mean length of its route's prompts. Server was expected to
 	// compute PrefillTokens of the prompt, after TokensAhead tokens of other requests.
-	PromptTokens int
-	MeanTokens   int
-	Prefill      int
-	Ahead        int
+	PromptTokens  int
+	MeanTokens    int
+	PrefillTokens int
+	TokensAhead   int
 	// StateVersion is the version of the desired state that applied, and StateAge how long ago it
 	// was confirmed to be the newest.
-	Version  uint64
-	ProofAge time.Duration
+	StateVersion uint64
+	StateAge     time.Duration
 	// LatencyTarget is the route's target for FirstByteLatency, the time from the request's arrival
 	// until the gateway could start to forward a response: its first event, or a buffered body.
 	// Duration is the time to the end of the request.
-	LatencyTarget time.Duration
-	First         time.Duration
-	Took          time.Duration
+	LatencyTarget    time.Duration
+	FirstByteLatency time.Duration
+	Duration         time.Duration
 	// PauseTarget is the route's target for LongestPause, the longest pause between events.
-	PauseTarget time.Duration
-	Pause       time.Duration
+	PauseTarget  time.Duration
+	LongestPause time.Duration
 	// Connection is the state of the caller's connection.
-	Caller callers.End
+	Connection callers.ConnStatus
 }
 
 // Late reports whether the request missed one of its route's targets.
-func (e *End) Late() bool {
-	return e.LatencyTarget > 0 && e.First > e.LatencyTarget || e.PauseTarget > 0 && e.Pause > e.PauseTarget
+func (e *RequestResult) Late() bool {
+	return e.LatencyTarget > 0 && e.FirstByteLatency > e.LatencyTarget || e.PauseTarget > 0 && e.LongestPause > e.PauseTarget
 }
 
 // Reason is why a request ended as it did. It appears in error responses, logs and metrics.
@@ -149,9 +149,9 @@
 	ReasonNoState            Reason = "no_desired_state"
 	ReasonStateNotFresh      Reason = "state_not_proved_fresh"
 	ReasonNoRoute            Reason = "no_route"
-	ReasonNoKey              Reason = "unknown_key"
-	ReasonNoID               Reason = "no_request_id"
-	ReasonTooLarge           Reason = "body_too_large"
+	ReasonUnknownKey         Reason = "unknown_key"
+	ReasonNoRequestID        Reason = "no_request_id"
+	ReasonBodyTooLarge       Reason = "body_too_large"
 	ReasonHeaderTooLarge     Reason = "header_too_large"
 	ReasonMemoryLimit        Reason = "too_much_held"
 	ReasonBodyIncomplete     Reason = "body_not_read"
@@ -159,11 +159,11 @@
 	ReasonNoServer           Reason = "no_server"
 	ReasonServersUnreachable Reason = "servers_unreachable"
 	ReasonServersRefused     Reason = "servers_refused"
-	ReasonUnknown            Reason = "outcome_unknown"
-	ReasonTimeUp             Reason = "time_up"
+	ReasonOutcomeUnknown     Reason = "outcome_unknown"
+	ReasonTimeout            Reason = "time_up"
 	ReasonTimeoutNotSent     Reason = "time_up_not_sent"
 	ReasonStreamBroken       Reason = "stream_broken"
-	ReasonCrowded            Reason = "no_room_in_time"
+	ReasonNoCapacity         Reason = "no_room_in_time"
 	ReasonNoFreeSlot         Reason = "no_slot_free"
 	ReasonServerLimits       Reason = "server_limits"
 	ReasonQuarantined        Reason = "crashes_servers"
--- a/internal/gateway/router/config_test.go
+++ b/internal/gateway/router/config_test.go
@@ -8,13 +8,13 @@
 func TestLateForEitherTarget(t *testing.T) {
 	const target, pauseTarget = 500 * time.Millisecond, 200 * time.Millisecond
 	cases := map[string]struct {
-		end  End
+		end  RequestResult
 		late bool
 	}{
-		"in time":         {End{LatencyTarget: target, First: target, PauseTarget: pauseTarget, Pause: pauseTarget}, false},
-		"late first byte": {End{LatencyTarget: target, First: target + 1, PauseTarget: pauseTarget}, true},
-		"long pause":      {End{LatencyTarget: target, First: 1, PauseTarget: pauseTarget, Pause: pauseTarget + 1}, true},
-		"without targets": {End{First: time.Hour, Pause: time.Hour}, false},
+		"in time":         {RequestResult{LatencyTarget: target, FirstByteLatency: target, PauseTarget: pauseTarget, LongestPause: pauseTarget}, false},
+		"late first byte": {RequestResult{LatencyTarget: target, FirstByteLatency: target + 1, PauseTarget: pauseTarget}, true},
+		"long pause":      {RequestResult{LatencyTarget: target, FirstByteLatency: 1, PauseTarget: pauseTarget, LongestPause: pauseTarget + 1}, true},
+		"without targets": {RequestResult{FirstByteLatency: time.Hour, LongestPause: time.Hour}, false},
 	}
 	for name, c := range cases {
 		if c.end.Late() != c.late {
--- a/internal/gateway/router/policy_state.go
+++ b/internal/gateway/router/policy_state.go
@@ -14,12 +14,12 @@
 	now := time.Now()
 	for i, s := range servers {
 		info := s.Info()
-		counts := r.Others.At(info.ID)
+		counts := r.Peers.LoadAt(info.ID)
 		ownCounts := s.Load.Counts(now)
 		counts.Add(&ownCounts, 1)
 		loads[i] = policy.Server{
-			Name: info.ID, Start: info.InstanceKey(), Zone: info.Zone, Slots: info.Slots, Conns: maxConns,
-			Leaving: info.Leaving, Warming: info.WarmupLeft > 0,
+			Name: info.ID, Start: info.InstanceKey(), Zone: info.Zone, Slots: info.Slots, MaxConns: maxConns,
+			Draining: info.Draining, Warming: info.WarmupLeft > 0,
 			Running: counts.Running, Pending: counts.Pending,
 		}
 	}
@@ -47,52 +47,52 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s, now := r.serviceFor(c.service), time.Now()
-	s.sendRate.Sent(now, c.urgency, choice.Prefill)
-	r.Index.Sent(now, policy.KeyOf(c.serverID), c.sharedParts)
-	return s.prefillRates[c.urgency].Plan(now, choice.Prefill, choice.Ahead)
+	s.sendRate.CountSent(now, c.urgency, choice.PrefillTokens)
+	r.PrefixIndex.RecordSent(now, policy.KeyOf(c.serverID), c.sharedParts)
+	return s.prefillRates[c.urgency].Plan(now, choice.PrefillTokens, choice.TokensAhead)
 }
 
 // runChooser has the policy choose a server. Only the first choice for a request counts as an offer
 // and must be marked by firstChoice. pauseTarget is the route's target for pauses between events; 0
 // means none.
 func (r *Router) runChooser(service string, job policy.Job, pauseTarget time.Duration, loads []policy.Server, firstChoice bool) policy.Choice {
-	shortage := r.Others.Shortage(service)
-	now, otherGateways := time.Now(), float64(r.Others.Gateways()-1)
+	shortage := r.Peers.Shortage(service)
+	now, otherGateways := time.Now(), float64(r.Peers.LiveGateways()-1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	// Other gateways are assumed to receive as many requests as this one, which has no better
 	// estimate.
 	s := r.serviceFor(service)
-	requests, tokens := s.sendRate.Within(now, r.Others.Unseen(), job.Urgency)
+	requests, tokens := s.sendRate.Expected(now, r.Peers.ReportInterval(), job.Urgency)
 	// On average, updates from other gateways are half as old as they can be.
-	job.Unseen, job.UnseenTokens, job.NewsAge = otherGateways*requests, otherGateways*tokens/2, r.Others.Unseen()/2
-	job.UnseenOffers, job.OtherSenders = shortage.Within(r.Others.Unseen()), otherGateways
+	job.UnreportedRequests, job.UnreportedTokens, job.ReportAge = otherGateways*requests, otherGateways*tokens/2, r.Peers.ReportInterval()/2
+	job.UnreportedOffers, job.OtherSenders = shortage.Expected(r.Peers.ReportInterval()), otherGateways
 	ownShortage := s.shortage.Counts(now)
 	shortage.Add(&ownShortage, 1)
 	r.setAllowances(now, loads)
 	for i := range loads {
 		server := policy.KeyOf(loads[i].Name)
-		loads[i].LatePause = s.pauses.Worse(now, server, job.Urgency, pauseTarget)
-		loads[i].Unresponsive = r.unresponsive.LeftOut(now, server)
+		loads[i].PauseRisk = s.pauses.ExcessRisk(now, server, job.Urgency, pauseTarget)
+		loads[i].Unresponsive = r.unresponsive.Excluded(now, server)
 	}
-	job.Headroom = s.headroom.Share(now, &shortage, policy.SlotsInUse(loads), job.Urgency)
-	r.limits.Draw(now, r.Random, &job, loads)
+	job.Headroom = s.headroom.Share(now, &shortage, policy.SlotUtilization(loads), job.Urgency)
+	r.limits.MarkOverLimit(now, r.Random, &job, loads)
 	choice := r.Chooser.Choose(now, job, loads, &s.prefillRates[job.Urgency])
 	if firstChoice {
-		s.shortage.Offered(now, job.Urgency, choice.OnlySlots || choice.Limited)
+		s.shortage.Observe(now, job.Urgency, choice.SlotLimited || choice.RateLimited)
 	}
-	if choice.Found && (choice.InTime || !firstChoice || job.Tokens == 0 && choice.Room) {
-		r.countLimitedSend(now, &loads[choice.At])
+	if choice.Found && (choice.InTime || !firstChoice || job.Tokens == 0 && choice.HasCapacity) {
+		r.countLimitedSend(now, &loads[choice.Index])
 	}
 	return choice
 }
 
 // Shortages returns this gateway's recent capacity shortage by service.
-func (r *Router) Shortages() map[string]policy.Shortage {
+func (r *Router) Shortages() map[string]policy.OfferCounts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	shortages := make(map[string]policy.Shortage, len(r.services))
+	shortages := make(map[string]policy.OfferCounts, len(r.services))
 	for name, s := range r.services {
 		shortages[name] = s.shortage.Counts(now)
 	}
@@ -106,14 +106,14 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	r.serviceFor(c.service).prefillRates[c.urgency].Observe(now, tokensAhead, elapsed)
-	r.updates.addFirstToken(policy.FirstToken{Service: policy.KeyOf(c.service), Server: policy.KeyOf(c.serverID), Urgency: c.urgency, Ahead: tokensAhead, Took: elapsed})
-	r.Index.Read(now, policy.KeyOf(c.serverID), c.sharedParts)
-	r.unresponsive.Answered(policy.KeyOf(c.serverID))
+	r.updates.addFirstToken(policy.TTFTSample{Service: policy.KeyOf(c.service), Server: policy.KeyOf(c.serverID), Urgency: c.urgency, TokensAhead: tokensAhead, Latency: elapsed})
+	r.PrefixIndex.RecordPrefilled(now, policy.KeyOf(c.serverID), c.sharedParts)
+	r.unresponsive.RecordAnswered(policy.KeyOf(c.serverID))
 }
 
 // observePause records the longest pause of a stream that came completely from one server.
 func (r *Router) observePause(c *call) {
-	if c.route.Pause == 0 || c.sends > 1 || c.stream.pauseCount < minPauses {
+	if c.route.PauseTarget == 0 || c.sends > 1 || c.stream.pauseCount < minPauses {
 		return
 	}
 	r.mu.Lock()
@@ -126,21 +126,21 @@
 }
 
 // MergeUpdates applies the updates of another gateway.
-func (r *Router) Merge(updates policy.News) {
+func (r *Router) MergeUpdates(updates policy.PeerUpdate) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	r.Index.Merge(now, updates.Uses)
+	r.PrefixIndex.Merge(now, updates.PrefixUses)
 	r.quarantine.Merge(now, updates.Suspicions)
 	r.limits.Merge(updates.Limits)
-	for _, f := range updates.Firsts {
-		r.unresponsive.Answered(f.Server)
+	for _, f := range updates.FirstTokens {
+		r.unresponsive.RecordAnswered(f.Server)
 		if s := r.serviceByKey(f.Service); s != nil {
-			s.prefillRates[f.Urgency].Observe(now, f.Ahead, f.Took)
+			s.prefillRates[f.Urgency].Observe(now, f.TokensAhead, f.Latency)
 		}
 	}
 	for _, server := range updates.Unanswered {
-		r.unresponsive.Unanswered(now, server)
+		r.unresponsive.RecordUnanswered(now, server)
 	}
 	for _, p := range updates.Pauses {
 		if s := r.serviceByKey(p.Service); s != nil {
@@ -162,13 +162,13 @@
 
 // TakeUpdates returns the updates to send to other gateways. It removes the samples that it
 // returns.
-func (r *Router) News() policy.News {
+func (r *Router) TakeUpdates() policy.PeerUpdate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	samples, now := r.updates.takeAll(), time.Now()
-	return policy.News{
-		Uses: r.Index.News(now), Firsts: samples.firstTokens, Pauses: samples.pauses, Unanswered: samples.unanswered,
-		Suspicions: r.quarantine.News(now), Limits: r.limits.News(now),
+	return policy.PeerUpdate{
+		PrefixUses: r.PrefixIndex.Updates(now), FirstTokens: samples.firstTokens, Pauses: samples.pauses, Unanswered: samples.unanswered,
+		Suspicions: r.quarantine.Updates(now), Limits: r.limits.Reports(now),
 	}
 }
 
@@ -178,7 +178,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Ejector.Observe(time.Now(), server, policy.OutcomeFailed)
-	r.Index.Forget(policy.KeyOf(server))
+	r.PrefixIndex.RemoveServer(policy.KeyOf(server))
 	r.recordNoAnswer(server)
 }
 
@@ -194,7 +194,7 @@
 // answer. r.mu must be held.
 func (r *Router) recordNoAnswer(server string) {
 	key := policy.KeyOf(server)
-	r.unresponsive.Unanswered(time.Now(), key)
+	r.unresponsive.RecordUnanswered(time.Now(), key)
 	r.updates.addUnanswered(key)
 }
 
@@ -206,14 +206,14 @@
 }
 
 // ForgetServer discards what was learned about a server that is no longer listed.
-func (r *Router) Forget(server string) {
+func (r *Router) ForgetServer(server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Ejector.Forget(server)
-	r.unresponsive.Forget(policy.KeyOf(server))
-	r.Index.Forget(policy.KeyOf(server))
+	r.unresponsive.RemoveServer(policy.KeyOf(server))
+	r.PrefixIndex.RemoveServer(policy.KeyOf(server))
 	for _, s := range r.services {
-		s.pauses.Forget(policy.KeyOf(server))
+		s.pauses.RemoveServer(policy.KeyOf(server))
 	}
 }
 
@@ -221,7 +221,7 @@
 func (r *Router) countRequest(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.retryBudget(service).Request(time.Now())
+	r.retryBudget(service).CountRequest(time.Now())
 }
 
 // allowRetry takes one retry from the service's retry budget, and reports whether it could.
--- a/internal/gateway/router/policy_state_test.go
+++ b/internal/gateway/router/policy_state_test.go
@@ -13,16 +13,16 @@
 // noPeers is the Peers of a gateway that receives no updates.
 type noPeers struct{}
 
-func (noPeers) At(string) backend.Counts        { return backend.Counts{} }
-func (noPeers) Shortage(string) policy.Shortage { return policy.Shortage{} }
-func (noPeers) LimitedSends(policy.Key) float64 { return 0 }
-func (noPeers) Gateways() int                   { return 1 }
-func (noPeers) Unseen() time.Duration           { return 100 * time.Millisecond }
+func (noPeers) LoadAt(string) backend.Counts       { return backend.Counts{} }
+func (noPeers) Shortage(string) policy.OfferCounts { return policy.OfferCounts{} }
+func (noPeers) LimitedSends(policy.Key) float64    { return 0 }
+func (noPeers) LiveGateways() int                  { return 1 }
+func (noPeers) ReportInterval() time.Duration      { return 100 * time.Millisecond }
 
 func newTestRouter() *Router {
 	ejector, prefixIndex := policy.NewEjector(), policy.NewPrefixIndex()
 	return New(Config{
-		Holder: &routes.Holder{}, Others: noPeers{}, Gateways: func() int { return 1 }, Ejector: ejector, Index: prefixIndex,
+		Holder: &routes.Holder{}, Peers: noPeers{}, ListedGateways: func() int { return 1 }, Ejector: ejector, PrefixIndex: prefixIndex,
 		Chooser: policy.NewChooser(rand.New(rand.NewPCG(1, 2)), ejector, prefixIndex),
 	}, Bounds{}, func() bool { return false })
 }
@@ -34,7 +34,7 @@
 		loads := []policy.Server{{Name: "a", Slots: 8}, {Name: "b", Slots: 8}, {Name: "c", Slots: 8}}
 		job := policy.Job{Urgency: 3, Target: 250 * time.Millisecond, Tokens: 800}
 		if choice := r.runChooser("s", job, pauseTarget, loads, true); choice.InTime {
-			counts[loads[choice.At].Name]++
+			counts[loads[choice.Index].Name]++
 		}
 	}
 	return counts
@@ -46,21 +46,21 @@
 	r := newTestRouter()
 	unresponsive := policy.KeyOf("b")
 	for range 5 {
-		r.Merge(policy.News{Unanswered: []policy.Key{unresponsive, unresponsive}})
+		r.MergeUpdates(policy.PeerUpdate{Unanswered: []policy.Key{unresponsive, unresponsive}})
 	}
 	if counts := countChoices(r, 0); counts["b"] != 0 || counts["a"] == 0 || counts["c"] == 0 {
 		t.Errorf("chosen %v, but b is unresponsive", counts)
 	}
-	r.Merge(policy.News{Firsts: []policy.FirstToken{{Service: policy.KeyOf("s"), Server: unresponsive, Urgency: 3, Ahead: 800, Took: 100 * time.Millisecond}}})
+	r.MergeUpdates(policy.PeerUpdate{FirstTokens: []policy.TTFTSample{{Service: policy.KeyOf("s"), Server: unresponsive, Urgency: 3, TokensAhead: 800, Latency: 100 * time.Millisecond}}})
 	if counts := countChoices(r, 0); counts["b"] == 0 {
 		t.Errorf("chosen %v, but b has answered a request of another gateway", counts)
 	}
 	// Observations of this gateway are sent to the others.
 	r.recordUnanswered("c")
-	if news := r.News(); len(news.Unanswered) != 1 || news.Unanswered[0] != policy.KeyOf("c") {
+	if news := r.TakeUpdates(); len(news.Unanswered) != 1 || news.Unanswered[0] != policy.KeyOf("c") {
 		t.Errorf("updates name %v after c did not answer a request", news.Unanswered)
 	}
-	if news := r.News(); len(news.Unanswered) != 0 {
+	if news := r.TakeUpdates(); len(news.Unanswered) != 0 {
 		t.Errorf("updates name %v a second time", news.Unanswered)
 	}
 }
@@ -71,7 +71,7 @@
 	r := newTestRouter()
 	countChoices(r, 0)
 	reportPause := func(server string, longest time.Duration) {
-		r.Merge(policy.News{Pauses: []policy.Pause{{Service: policy.KeyOf("s"), Server: policy.KeyOf(server), Urgency: 3, Longest: longest}}})
+		r.MergeUpdates(policy.PeerUpdate{Pauses: []policy.Pause{{Service: policy.KeyOf("s"), Server: policy.KeyOf(server), Urgency: 3, Longest: longest}}})
 	}
 	for range 20 {
 		reportPause("a", 90*time.Millisecond)
@@ -87,7 +87,7 @@
 		t.Errorf("chosen %v without a pause target", counts)
 	}
 	// After a restart, the server has no history.
-	r.Forget("b")
+	r.ForgetServer("b")
 	if counts := countChoices(r, 120*time.Millisecond); counts["b"] == 0 {
 		t.Errorf("chosen %v, but b has restarted", counts)
 	}
--- a/internal/gateway/router/quarantine.go
+++ b/internal/gateway/router/quarantine.go
@@ -72,7 +72,7 @@
 	fingerprint := c.fingerprint()
 	c.router.mu.Lock()
 	defer c.router.mu.Unlock()
-	return c.router.quarantine.Avoided(fingerprint, servers)
+	return c.router.quarantine.ServersToAvoid(fingerprint, servers)
 }
 
 // trackSuspectRun records that the request runs at a server, until the returned function is called.
@@ -84,11 +84,11 @@
 	r, fingerprint := c.router, c.fingerprint()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.quarantine.Began(fingerprint, server)
+	r.quarantine.RunStarted(fingerprint, server)
 	return func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.quarantine.Ended(fingerprint, server)
+		r.quarantine.RunEnded(fingerprint, server)
 	}
 }
 
@@ -100,14 +100,14 @@
 }
 
 // QuarantinedCount returns the number of quarantined requests.
-func (r *Router) Quarantined() int {
+func (r *Router) QuarantinedCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.quarantine.Len()
 }
 
 // MergeSuspicions adds suspicions from another source, such as the store.
-func (r *Router) Suspect(suspicions []policy.Suspicion) {
+func (r *Router) MergeSuspicions(suspicions []policy.Suspicion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.quarantine.Merge(time.Now(), suspicions)
@@ -117,13 +117,13 @@
 func (r *Router) recordServed(f policy.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.quarantine.Answered(time.Now(), f)
+	r.quarantine.ObserveAnswer(time.Now(), f)
 }
 
 // recordCrash records that a server instance ended while it had the request.
 func (r *Router) recordCrash(f policy.Fingerprint, instance policy.Key) {
 	if quarantined, evidence := r.addCrash(f, instance); quarantined {
-		r.Observer.Quarantined(evidence)
+		r.Observer.RequestQuarantined(evidence)
 	}
 }
 
@@ -132,6 +132,6 @@
 func (r *Router) addCrash(f policy.Fingerprint, instance policy.Key) (bool, policy.Suspicion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	quarantined := r.quarantine.Crashed(time.Now(), f, instance)
+	quarantined := r.quarantine.ObserveCrash(time.Now(), f, instance)
 	return quarantined, r.quarantine.Suspicion(f)
 }
--- a/internal/gateway/router/refuse.go
+++ b/internal/gateway/router/refuse.go
@@ -22,9 +22,9 @@
 		c.writeBuffered(c.serverFailure)
 		c.reportEnd(c.serverFailure.status, ReasonServerFailure)
 	case c.mayHaveRun && !time.Now().Before(c.deadline):
-		c.respondError(http.StatusGatewayTimeout, ReasonTimeUp)
+		c.respondError(http.StatusGatewayTimeout, ReasonTimeout)
 	case c.mayHaveRun:
-		c.respondError(http.StatusBadGateway, ReasonUnknown)
+		c.respondError(http.StatusBadGateway, ReasonOutcomeUnknown)
 	case c.sends > 0:
 		c.refuse(ReasonServersRefused, refusedRetryAfter)
 	case !time.Now().Before(c.deadline):
@@ -62,7 +62,7 @@
 		writeResponse()
 		return
 	}
-	unread.Answer(c.w, c.req, c.bodyLate, writeResponse)
+	unread.Respond(c.w, c.req, c.bodyLate, writeResponse)
 }
 
 // abortStream closes the connection of a stream that cannot be completed, so that the caller does
@@ -72,26 +72,26 @@
 	if !c.req.ProtoAtLeast(1, 1) {
 		// In HTTP/1.0, a normal close of the connection is the end of a response without a length,
 		// so the connection must be reset.
-		callers.Reset(c.req.Context())
+		callers.ResetOnClose(c.req.Context())
 	}
 	panic(http.ErrAbortHandler)
 }
 
 // reportEnd tells the Observer how the request ended.
 func (c *call) reportEnd(status int, reason Reason) {
-	result := End{
+	result := RequestResult{
 		ID: c.params.ID, Service: c.service, Customer: c.customer, Urgency: c.urgency,
-		Status: status, Reason: reason, Sends: c.sends, Unreached: c.failedDials, Server: c.serverID, Expected: c.expectedFirstToken,
-		PromptTokens: c.params.PromptTokens, MeanTokens: int(c.meanTokens), Prefill: c.prefillTokens, Ahead: c.tokensAhead,
-		Version: c.stateVersion, ProofAge: boottime.Now() - c.router.Holder.ProvenAt(),
-		First: c.firstByteLatency, Pause: c.stream.longestPause, Took: time.Since(c.arrivedAt),
-		Caller: callers.EndOf(c.req.Context()),
+		Status: status, Reason: reason, Sends: c.sends, FailedDials: c.failedDials, Server: c.serverID, ExpectedTTFT: c.expectedFirstToken,
+		PromptTokens: c.params.PromptTokens, MeanTokens: int(c.meanTokens), PrefillTokens: c.prefillTokens, TokensAhead: c.tokensAhead,
+		StateVersion: c.stateVersion, StateAge: boottime.Now() - c.router.Holder.ConfirmedAt(),
+		FirstByteLatency: c.firstByteLatency, LongestPause: c.stream.longestPause, Duration: time.Since(c.arrivedAt),
+		Connection: callers.ConnStatusOf(c.req.Context()),
 	}
 	if reason != ReasonServed {
 		result.Fingerprint, result.ServerEnded = c.fingerprint(), c.serverEnded
 	}
 	if c.route != nil {
-		result.Route, result.LatencyTarget, result.PauseTarget = c.route.Name, c.route.Target, c.route.Pause
+		result.Route, result.LatencyTarget, result.PauseTarget = c.route.Name, c.route.LatencyTarget, c.route.PauseTarget
 	}
-	c.router.Observer.Ended(result)
+	c.router.Observer.RequestEnded(result)
 }
--- a/internal/gateway/router/router.go
+++ b/internal/gateway/router/router.go
@@ -38,7 +38,7 @@
 	// lock is acquired then.
 	mu               sync.Mutex
 	services         map[string]*serviceState
-	unresponsive     *policy.Unresponsive
+	unresponsive     *policy.UnresponsiveServers
 	quarantine       *policy.Quarantine
 	limits           *policy.ServerLimits
 	updates          updateBuffer
@@ -52,7 +52,7 @@
 // so, their connections are closed after the response.
 func New(c Config, bounds Bounds, closeConnections func() bool) *Router {
 	r := &Router{
-		Config: c, services: map[string]*serviceState{}, unresponsive: policy.NewUnresponsive(), quarantine: policy.NewQuarantine(),
+		Config: c, services: map[string]*serviceState{}, unresponsive: policy.NewUnresponsiveServers(), quarantine: policy.NewQuarantine(),
 		limits: policy.NewServerLimits(), closeConnections: closeConnections,
 	}
 	r.SetBounds(bounds)
@@ -67,14 +67,14 @@
 
 // ServeHTTP proxies one request.
 func (r *Router) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	c := &call{router: r, w: w, req: req, arrivedAt: time.Now(), params: r.Dialect.Ask(req)}
+	c := &call{router: r, w: w, req: req, arrivedAt: time.Now(), params: r.Dialect.ParseRequest(req)}
 	if r.closeConnections() {
 		w.Header().Set("Connection", "close")
 	}
 	if !c.admit() {
 		return
 	}
-	reserved, ok := r.memory.acquire(req.ContentLength, r.Bounds().Held)
+	reserved, ok := r.memory.acquire(req.ContentLength, r.Bounds().MaxRequestMemory)
 	if !ok {
 		c.refuse(ReasonMemoryLimit, refusedRetryAfter)
 		return
@@ -105,7 +105,7 @@
 		return false
 	}
 	c.stateVersion = snapshot.Version
-	fresh := r.Fresh()
+	fresh := r.StateFresh()
 	c.route = snapshot.Match(c.req.Host, c.req.URL.Path)
 	switch {
 	case c.route == nil && !fresh:
@@ -115,20 +115,20 @@
 		c.respondError(http.StatusNotFound, ReasonNoRoute)
 		return false
 	case c.params.ID == "":
-		c.respondError(http.StatusBadRequest, ReasonNoID)
+		c.respondError(http.StatusBadRequest, ReasonNoRequestID)
 		return false
 	}
-	if limit := snapshot.Limits.HeaderBytes; limit > 0 && requestHeaderSize(c.req) > limit {
+	if limit := snapshot.Limits.MaxHeaderBytes; limit > 0 && requestHeaderSize(c.req) > limit {
 		c.respondError(http.StatusRequestHeaderFieldsTooLarge, ReasonHeaderTooLarge)
 		return false
 	}
-	c.bodyLimit = snapshot.Limits.BodyBytes
+	c.bodyLimit = snapshot.Limits.MaxBodyBytes
 	c.setDeadline()
 	customer, known := snapshot.CustomerByKey(c.params.Key)
 	if known {
 		c.customer = customer.Name
 	}
-	c.urgency = snapshot.Urgency(c.route, customer, protocol.Levels)
+	c.urgency = snapshot.Urgency(c.route, customer, protocol.UrgencyLevels)
 	if !snapshot.RequiresKey(c.route) || known && fresh {
 		return true
 	}
@@ -137,7 +137,7 @@
 		c.refuse(ReasonStateNotFresh, stateRetryAfter)
 		return false
 	}
-	c.respondError(http.StatusUnauthorized, ReasonNoKey)
+	c.respondError(http.StatusUnauthorized, ReasonUnknownKey)
 	return false
 }
 
@@ -147,8 +147,8 @@
 	if c.route.Timeout > 0 {
 		timeout = c.route.Timeout
 	}
-	if c.params.Patience > 0 {
-		timeout = min(timeout, c.params.Patience)
+	if c.params.Timeout > 0 {
+		timeout = min(timeout, c.params.Timeout)
 	}
 	c.deadline = c.arrivedAt.Add(timeout)
 }
@@ -167,9 +167,9 @@
 
 // StateFresh reports whether the desired state was confirmed recently enough to serve requests
 // whose API keys may have been revoked.
-func (r *Router) Fresh() bool {
-	bound := r.Bounds().Proof
-	return bound == 0 || boottime.Now()-r.Holder.ProvenAt() <= bound
+func (r *Router) StateFresh() bool {
+	bound := r.Bounds().MaxStateAge
+	return bound == 0 || boottime.Now()-r.Holder.ConfirmedAt() <= bound
 }
 
 // readBody reads the whole body. If that fails, it responds and reports false.
@@ -191,7 +191,7 @@
 	case err == nil:
 		return true
 	case errors.As(err, &tooLarge):
-		c.respondError(http.StatusRequestEntityTooLarge, ReasonTooLarge)
+		c.respondError(http.StatusRequestEntityTooLarge, ReasonBodyTooLarge)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		c.bodyLate = true
 		c.respondError(http.StatusRequestTimeout, ReasonBodyTimeout)
--- a/internal/gateway/router/service_state.go
+++ b/internal/gateway/router/service_state.go
@@ -8,14 +8,14 @@
 
 // serviceState is what a Router has learned about one service.
 type serviceState struct {
-	retryBudget policy.WindowBudget
+	retryBudget policy.SlidingRetryBudget
 	// prefillRates holds the prefill rates by urgency. Less urgent requests also wait for more
 	// urgent ones that arrive later, and their rate includes that wait.
 	prefillRates [policy.UrgencyLevels]policy.PrefillRate
 	sendRate     policy.SendRate
-	pauses       policy.Pauses
-	shortage     policy.ShortageCount
-	headroom     policy.Yielding
+	pauses       policy.PauseEstimator
+	shortage     policy.OfferCounter
+	headroom     policy.AdaptiveHeadroom
 	// promptSizes holds the prompt lengths by route.
 	promptSizes policy.ClassSizes
 }
@@ -31,11 +31,11 @@
 }
 
 // retryBudget returns a service's retry budget, set to the current bounds. r.mu must be held.
-func (r *Router) retryBudget(name string) *policy.WindowBudget {
+func (r *Router) retryBudget(name string) *policy.SlidingRetryBudget {
 	bounds := r.Bounds()
 	budget := &r.serviceFor(name).retryBudget
 	budget.Window = bounds.RetryWindow
 	budget.Ratio = retryBudgetShare * bounds.RetryRatio
-	budget.Extra = retryBudgetShare * bounds.RetryExtra / float64(max(r.Gateways(), 1))
+	budget.Extra = retryBudgetShare * bounds.RetryExtra / float64(max(r.ListedGateways(), 1))
 	return budget
 }
--- a/internal/gateway/router/service_state_test.go
+++ b/internal/gateway/router/service_state_test.go
@@ -9,7 +9,7 @@
 // forgetting the retries counted before the change.
 func TestRetryWindowChange(t *testing.T) {
 	oneGateway := func() int { return 1 }
-	r := New(Config{Gateways: oneGateway}, Bounds{RetryExtra: 1 / retryBudgetShare, RetryWindow: time.Hour}, nil)
+	r := New(Config{ListedGateways: oneGateway}, Bounds{RetryExtra: 1 / retryBudgetShare, RetryWindow: time.Hour}, nil)
 	if !r.allowRetry("s") || r.allowRetry("s") {
 		t.Fatal("the budget must allow exactly one retry per hour")
 	}
--- a/internal/gateway/router/stream.go
+++ b/internal/gateway/router/stream.go
@@ -18,9 +18,9 @@
 const minPauses = 16
 
 // relayEvents forwards the events of a stream as they arrive, each as a whole.
-func (c *call) relayEvents(ctx context.Context, response *exchange.Answer, tracked *trackedRequest) attemptResult {
+func (c *call) relayEvents(ctx context.Context, response *exchange.Response, tracked *trackedRequest) attemptResult {
 	if !c.stream.headerSent {
-		c.stream.setResumePoint(c.params.After)
+		c.stream.setResumePoint(c.params.LastEventID)
 	}
 	var splitter eventSplitter
 	buffer := make([]byte, streamBufferSize)
@@ -52,7 +52,7 @@
 
 // sendEvents forwards those of the events that the caller does not have yet. It reports false if
 // the stream cannot continue, because events are missing or the caller cannot be written to.
-func (c *call) sendEvents(response *exchange.Answer, events []byte) bool {
+func (c *call) sendEvents(response *exchange.Response, events []byte) bool {
 	out, ok := c.stream.newEvents(events)
 	if len(out) == 0 {
 		return ok
@@ -66,18 +66,18 @@
 }
 
 // writeStreamHeader sends the status and headers of the response, unless they were sent before.
-func (c *call) writeStreamHeader(response *exchange.Answer) {
+func (c *call) writeStreamHeader(response *exchange.Response) {
 	if c.stream.headerSent {
 		return
 	}
 	c.stream.headerSent = true
 	c.firstByteLatency = time.Since(c.arrivedAt)
-	c.copyHeader(c.router.Dialect.Answer(response.Header))
+	c.copyHeader(c.router.Dialect.ClientHeaders(response.Header))
 	c.w.WriteHeader(response.Status)
 }
 
 // finishStream ends a complete stream.
-func (c *call) finishStream(response *exchange.Answer) attemptResult {
+func (c *call) finishStream(response *exchange.Response) attemptResult {
 	c.writeStreamHeader(response)
 	c.served = true
 	c.router.observePause(c)
--- a/internal/gateway/router/tracked_request.go
+++ b/internal/gateway/router/tracked_request.go
@@ -20,7 +20,7 @@
 // responseStarted records the first byte of the response. Further calls do nothing.
 func (t *trackedRequest) responseStarted() {
 	if t.MarkStarted() {
-		t.call.router.Observer.Began(t.call.customer)
+		t.call.router.Observer.ResponseStarted(t.call.customer)
 		t.call.router.observeFirstToken(t.call, t.tokensAhead, time.Since(t.sentAt))
 	}
 }
--- a/internal/gateway/router/update_buffer.go
+++ b/internal/gateway/router/update_buffer.go
@@ -12,13 +12,13 @@
 // token, pauses, and servers that did not answer. If a datagram is lost, its samples are lost,
 // which only makes the sample smaller.
 type updateBuffer struct {
-	firstTokens []policy.FirstToken
+	firstTokens []policy.TTFTSample
 	pauses      []policy.Pause
 	unanswered  []policy.Key
 }
 
 // addFirstToken adds a time to the first token.
-func (b *updateBuffer) addFirstToken(sample policy.FirstToken) {
+func (b *updateBuffer) addFirstToken(sample policy.TTFTSample) {
 	if len(b.firstTokens) < maxBufferedSamples {
 		b.firstTokens = append(b.firstTokens, sample)
 	}
--- a/internal/gateway/routes/holder.go
+++ b/internal/gateway/routes/holder.go
@@ -9,7 +9,7 @@
 // Holder holds the newest Snapshot that this process has seen. It never goes back to an older
 // version. All methods are safe for concurrent use.
 type Holder struct {
-	current atomic.Pointer[Set]
+	current atomic.Pointer[Snapshot]
 	// confirmedAt is the latest time at which the current Snapshot was known to be the newest, in
 	// nanoseconds of the clock that the callers use; 0 if there is none.
 	confirmedAt atomic.Int64
@@ -18,7 +18,7 @@
 }
 
 // Current returns the newest Snapshot, or nil if none is known.
-func (h *Holder) Current() *Set { return h.current.Load() }
+func (h *Holder) Current() *Snapshot { return h.current.Load() }
 
 // Version returns the version of the current Snapshot, or 0 if none is known.
 func (h *Holder) Version() uint64 {
@@ -31,7 +31,7 @@
 // Update makes s the current Snapshot if it is newer, and reports whether it did. No newer version
 // than s was in force at confirmedAt. For the current version it only records the confirmation, and
 // for an older one it does nothing.
-func (h *Holder) Offer(s *Set, confirmedAt time.Duration) bool {
+func (h *Holder) Update(s *Snapshot, confirmedAt time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	version := h.Version()
@@ -47,7 +47,7 @@
 
 // Confirm records that no newer version than the given one was in force at confirmedAt. It does
 // nothing if that version is not the current one.
-func (h *Holder) Prove(version uint64, confirmedAt time.Duration) {
+func (h *Holder) Confirm(version uint64, confirmedAt time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if version != 0 && version == h.Version() {
@@ -64,4 +64,4 @@
 
 // ConfirmedAt returns the latest time, on the clock of those who call Update and Confirm, at which
 // the current Snapshot was known to be the newest, or 0 if there is none.
-func (h *Holder) ProvenAt() time.Duration { return time.Duration(h.confirmedAt.Load()) }
+func (h *Holder) ConfirmedAt() time.Duration { return time.Duration(h.confirmedAt.Load()) }
--- a/internal/gateway/routes/route.go
+++ b/internal/gateway/routes/route.go
@@ -38,13 +38,13 @@
 	Timeout time.Duration
 	// LatencyTarget is the target for the time to the whole response or, for streams, to the first
 	// event.
-	Target time.Duration
+	LatencyTarget time.Duration
 	// PauseTarget is the longest pause between events with which a stream is still on time.
-	Pause time.Duration
+	PauseTarget time.Duration
 	// Tier is the route's priority; 0 is the most urgent.
 	Tier int
 	// MaxAttempts is the maximum number of backend servers to which one request is sent.
-	Attempts int
+	MaxAttempts int
 	// Public routes require no API key.
 	Public bool
 	// Shares lists the services that run the requests. It has at least one element.
--- a/internal/gateway/routes/snapshot.go
+++ b/internal/gateway/routes/snapshot.go
@@ -31,14 +31,14 @@
 // Limits bounds what a caller may send, and how long its connection may stay idle. Zero means no
 // limit. The time for sending headers is bounded by the gateway itself.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	IdleTime    time.Duration
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
+	IdleTimeout    time.Duration
 }
 
 // Snapshot is one version of the desired state. It is immutable after NewSnapshot, except that
 // Document is set before it is shared.
-type Set struct {
+type Snapshot struct {
 	Version  uint64
 	Limits   Limits
 	Services map[string]*Service
@@ -54,8 +54,8 @@
 
 // NewSnapshot returns a Snapshot with its indexes built. If customers is nil, no route requires an
 // API key.
-func NewSet(version uint64, limits Limits, allRoutes []*Route, services []*Service, customers []*Customer) *Set {
-	s := &Set{
+func NewSnapshot(version uint64, limits Limits, allRoutes []*Route, services []*Service, customers []*Customer) *Snapshot {
+	s := &Snapshot{
 		Version:        version,
 		Limits:         limits,
 		Services:       make(map[string]*Service, len(services)),
@@ -84,7 +84,7 @@
 
 // Match returns the route of the host with the longest prefix of the path, or nil if there is none.
 // Prefixes end with a slash, so it makes at most one look-up for each slash in the path.
-func (s *Set) Match(host, path string) *Route {
+func (s *Snapshot) Match(host, path string) *Route {
 	routesByPrefix := s.routesByHost[strings.ToLower(hostWithoutPort(host))]
 	if routesByPrefix == nil {
 		return nil
@@ -98,16 +98,16 @@
 }
 
 // RequiresKey reports whether requests of a route require an API key.
-func (s *Set) RequiresKey(r *Route) bool { return s.keysRequired && !r.Public }
+func (s *Snapshot) RequiresKey(r *Route) bool { return s.keysRequired && !r.Public }
 
 // CustomerByKey returns the customer that owns an API key.
-func (s *Set) CustomerByKey(key string) (*Customer, bool) {
+func (s *Snapshot) CustomerByKey(key string) (*Customer, bool) {
 	c, ok := s.customersByKey[key]
 	return c, ok
 }
 
 // RouteCount returns the number of routes.
-func (s *Set) Routes() int {
+func (s *Snapshot) RouteCount() int {
 	n := 0
 	for _, routesByPrefix := range s.routesByHost {
 		n += len(routesByPrefix)
--- a/internal/gateway/routes/snapshot_test.go
+++ b/internal/gateway/routes/snapshot_test.go
@@ -8,14 +8,14 @@
 
 func intPtr(n int) *int { return &n }
 
-func newTestSnapshot(version uint64) *Set {
+func newTestSnapshot(version uint64) *Snapshot {
 	allRoutes := []*Route{
 		{Name: "root", Host: "a.example", Prefix: "/", Tier: 2, Shares: []Share{{Service: "s", Weight: 1}}},
 		{Name: "x", Host: "A.example", Prefix: "/x/", Tier: 0, Shares: []Share{{Service: "s", Weight: 1}}},
 		{Name: "xy", Host: "a.example", Prefix: "/x/y/", Tier: 1, Public: true, Shares: []Share{{Service: "s", Weight: 90}, {Service: "t", Weight: 10}}},
 	}
 	customers := []*Customer{{Name: "first", Tier: intPtr(0), Keys: []string{"k0"}}, {Name: "second", Tier: intPtr(1), Keys: []string{"k1", "k2"}}, {Name: "plain", Keys: []string{"k3"}}}
-	return NewSet(version, Limits{}, allRoutes, nil, customers)
+	return NewSnapshot(version, Limits{}, allRoutes, nil, customers)
 }
 
 func TestMatchLongestPrefix(t *testing.T) {
@@ -62,7 +62,7 @@
 	if !s.RequiresKey(s.Match("a.example", "/")) || s.RequiresKey(s.Match("a.example", "/x/y/")) {
 		t.Error("RequiresKey is wrong for a public or a non-public route")
 	}
-	open := NewSet(1, Limits{}, []*Route{{Host: "h", Prefix: "/"}}, nil, nil)
+	open := NewSnapshot(1, Limits{}, []*Route{{Host: "h", Prefix: "/"}}, nil, nil)
 	if open.RequiresKey(open.Match("h", "/")) {
 		t.Error("a key is required though there are no customers")
 	}
@@ -99,7 +99,7 @@
 		allRoutes = append(allRoutes, &Route{Host: "h", Prefix: fmt.Sprintf("/%d/", i), Tier: i})
 		customers = append(customers, &Customer{Tier: intPtr(i)})
 	}
-	s := NewSet(1, Limits{}, allRoutes, nil, customers)
+	s := NewSnapshot(1, Limits{}, allRoutes, nil, customers)
 	last, lastOfTier := 0, -1
 	for _, r := range allRoutes {
 		for _, c := range customers {
@@ -125,7 +125,7 @@
 	for i := range 25 {
 		allRoutes = append(allRoutes, &Route{Host: "h", Prefix: fmt.Sprintf("/%d/", i), Tier: i})
 	}
-	s := NewSet(1, Limits{}, allRoutes, nil, nil)
+	s := NewSnapshot(1, Limits{}, allRoutes, nil, nil)
 	last := 0
 	for _, r := range allRoutes {
 		u := s.Urgency(r, nil, 10)
@@ -144,24 +144,24 @@
 	if h.Current() != nil || h.Version() != 0 {
 		t.Fatal("a new Holder has a snapshot")
 	}
-	h.Prove(0, time.Hour)
-	if h.ProvenAt() != 0 {
+	h.Confirm(0, time.Hour)
+	if h.ConfirmedAt() != 0 {
 		t.Error("confirmed without a snapshot")
 	}
-	if !h.Offer(newTestSnapshot(5), 10*time.Second) || h.Offer(newTestSnapshot(4), 20*time.Second) || h.Offer(newTestSnapshot(5), 15*time.Second) {
+	if !h.Update(newTestSnapshot(5), 10*time.Second) || h.Update(newTestSnapshot(4), 20*time.Second) || h.Update(newTestSnapshot(5), 15*time.Second) {
 		t.Error("Update accepted a version that is not newer, or rejected a newer one")
 	}
-	if h.Version() != 5 || h.ProvenAt() != 15*time.Second {
-		t.Errorf("version %d confirmed at %v", h.Version(), h.ProvenAt())
+	if h.Version() != 5 || h.ConfirmedAt() != 15*time.Second {
+		t.Errorf("version %d confirmed at %v", h.Version(), h.ConfirmedAt())
 	}
-	h.Prove(4, time.Hour)
-	h.Prove(6, time.Hour)
-	h.Prove(5, 12*time.Second)
-	if h.ProvenAt() != 15*time.Second {
-		t.Errorf("confirmed at %v by another version or an earlier time", h.ProvenAt())
+	h.Confirm(4, time.Hour)
+	h.Confirm(6, time.Hour)
+	h.Confirm(5, 12*time.Second)
+	if h.ConfirmedAt() != 15*time.Second {
+		t.Errorf("confirmed at %v by another version or an earlier time", h.ConfirmedAt())
 	}
-	h.Prove(5, 18*time.Second)
-	if h.ProvenAt() != 18*time.Second {
-		t.Errorf("confirmed at %v", h.ProvenAt())
+	h.Confirm(5, 18*time.Second)
+	if h.ConfirmedAt() != 18*time.Second {
+		t.Errorf("confirmed at %v", h.ConfirmedAt())
 	}
 }
--- a/internal/gateway/routes/urgency.go
+++ b/internal/gateway/routes/urgency.go
@@ -35,7 +35,7 @@
 // the most urgent, to levels-1. If there are more ranks than levels, neighbouring ranks share a
 // level: customers of the same route tier first, and route tiers only if there are more tiers than
 // levels. The customer is nil if the request has none.
-func (s *Set) Urgency(r *Route, c *Customer, levels int) int {
+func (s *Snapshot) Urgency(r *Route, c *Customer, levels int) int {
 	requestRank := rank{r.Tier, r.Tier}
 	if c != nil && c.Tier != nil {
 		requestRank.customer = *c.Tier
--- a/internal/gateway/server_list_sink.go
+++ b/internal/gateway/server_list_sink.go
@@ -23,27 +23,27 @@
 
 // Reset implements follow.Sink.
 func (s *serverListSink) Reset(_ time.Duration, all follow.Batch[backend.Info]) {
-	if era := all.At.Era(); era > s.era.Load() {
+	if era := all.Position.Era(); era > s.era.Load() {
 		s.era.Store(era)
-		s.registry.Restored(time.Now())
+		s.registry.MarkStoreRestored(time.Now())
 	}
-	s.registry.Reset(time.Now(), all.Items, all.Unreadable)
-	s.log.Info(logging.EventServersListed, zap.Int("servers", len(all.Items)), zap.Int("usable", s.registry.Usable()))
+	s.registry.ReplaceAll(time.Now(), all.Items, all.Unreadable)
+	s.log.Info(logging.EventServersListed, zap.Int("servers", len(all.Items)), zap.Int("usable", s.registry.CountUsable()))
 }
 
 // Change implements follow.Sink.
 func (s *serverListSink) Change(_ time.Duration, changes follow.Batch[backend.Info]) {
-	s.registry.Change(time.Now(), changes.Items, changes.Removed, changes.Unreadable)
+	s.registry.ApplyChanges(time.Now(), changes.Items, changes.Removed, changes.Unreadable)
 	for _, info := range changes.Items {
-		s.log.Info(logging.EventServerChanged, logging.Peer(info.ID), zap.String("service", info.Service), zap.Bool("leaving", info.Leaving), zap.Int("usable", s.registry.Usable()))
+		s.log.Info(logging.EventServerChanged, logging.Peer(info.ID), zap.String("service", info.Service), zap.Bool("leaving", info.Draining), zap.Int("usable", s.registry.CountUsable()))
 	}
 	for _, id := range changes.Removed {
-		s.log.Info(logging.EventServerRemoved, logging.Peer(id), zap.Int("usable", s.registry.Usable()))
+		s.log.Info(logging.EventServerRemoved, logging.Peer(id), zap.Int("usable", s.registry.CountUsable()))
 	}
 }
 
 // Available implements follow.Sink.
-func (s *serverListSink) Available() { s.registry.Available(time.Now()) }
+func (s *serverListSink) Available() { s.registry.MarkStoreAvailable(time.Now()) }
 
 // Unavailable implements follow.Sink.
-func (s *serverListSink) Unavailable(error) { s.registry.Unavailable() }
+func (s *serverListSink) Unavailable(error) { s.registry.MarkStoreUnavailable() }
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -10,29 +10,29 @@
 
 // peerUsage returns the functions for exchanging usage with other gateways; nil if usage reporting
 // is disabled.
-func (g *gateway) peerUsage() *peers.Usage {
-	if !g.settings.Usage.Reported() {
+func (g *gateway) peerUsage() *peers.UsageExchange {
+	if !g.settings.UsageReporting.Enabled() {
 		return nil
 	}
-	return &peers.Usage{
-		Holds:    func() bool { return g.usage.Holds() },
-		Update:   func(acknowledged uint64) usage.Update { return g.usage.Counter.Update(acknowledged) },
-		Merge:    func(now time.Time, from usage.Source, u usage.Update) { g.usage.Aggregate.Merge(now, from, u) },
-		Sequence: func(from usage.Source) uint64 { return g.usage.Aggregate.Sequence(from) },
+	return &peers.UsageExchange{
+		IsReporter:     func() bool { return g.usage.HoldsLease() },
+		UpdateSince:    func(acknowledged uint64) usage.Update { return g.usage.Counter.UpdateSince(acknowledged) },
+		Merge:          func(now time.Time, from usage.Source, u usage.Update) { g.usage.Aggregator.Merge(now, from, u) },
+		MergedSequence: func(from usage.Source) uint64 { return g.usage.Aggregator.LastSequence(from) },
 	}
 }
 
 // initUsage creates the usage reporter and returns its counter; nil if usage reporting is disabled.
 func (g *gateway) initUsage() *usage.Counter {
-	usageSettings := g.settings.Usage
-	if !usageSettings.Reported() {
+	usageSettings := g.settings.UsageReporting
+	if !usageSettings.Enabled() {
 		return nil
 	}
 	g.usage = usage.NewReporter(usage.Config{
-		Name: g.settings.Process, Start: g.mesh.Start(),
+		Name: g.settings.Process, Start: g.mesh.BootID(),
 		Windows: usage.Windows{Length: usageSettings.Window}, Delay: usageSettings.Delay, LeaseTime: usageSettings.Lease,
-		Table: g.platform.Duties, Platform: g.platform.Usage, Now: g.mesh.Time, Others: g.mesh,
-		Able: func() bool { return !g.storeHealth.Away() && !g.draining.Load() }, Observer: g.platform.Metrics.Usage(), Log: g.log,
+		Table: g.platform.Duties, Platform: g.platform.Usage, Now: g.mesh.MedianTime, Peers: g.mesh,
+		Eligible: func() bool { return !g.storeHealth.Unavailable() && !g.draining.Load() }, Observer: g.platform.Metrics.UsageReports(), Log: g.log,
 	})
 	return g.usage.Counter
 }
--- a/internal/gateway/usage/aggregator.go
+++ b/internal/gateway/usage/aggregator.go
@@ -77,7 +77,7 @@
 
 // LastSequence returns the sequence number of the last change received from a gateway process, to
 // be acknowledged to it; 0 if none was received.
-func (a *Aggregator) Sequence(source Source) uint64 {
+func (a *Aggregator) LastSequence(source Source) uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if counts := a.sources[source]; counts != nil {
--- a/internal/gateway/usage/checking_platform_test.go
+++ b/internal/gateway/usage/checking_platform_test.go
@@ -50,7 +50,7 @@
 	p.holders[h.Generation] = h.Name
 	if h.Generation < p.newestGeneration {
 		p.fenced[h.Generation]++
-		return ErrDeposed
+		return ErrFenced
 	}
 	p.newestGeneration = h.Generation
 	if len(p.holderOrder) == 0 || p.holderOrder[len(p.holderOrder)-1] != h.Name {
--- a/internal/gateway/usage/cluster_test.go
+++ b/internal/gateway/usage/cluster_test.go
@@ -51,7 +51,7 @@
 	n := &node{cluster: c}
 	n.Reporter = NewReporter(Config{
 		Name: name, Start: start, Windows: fiveSeconds, Delay: 10 * time.Second, LeaseTime: 3 * time.Second,
-		Table: nodeTable{n}, Platform: c.platform, Now: time.Now, Others: n, Able: func() bool { return !n.flag(&n.storeUnreachable) }, Observer: nopObserver{}, Log: zap.NewNop(),
+		Table: nodeTable{n}, Platform: c.platform, Now: time.Now, Peers: n, Eligible: func() bool { return !n.flag(&n.storeUnreachable) }, Observer: nopObserver{}, Log: zap.NewNop(),
 	})
 	ctx, stop := context.WithCancel(t.Context())
 	n.stop = stop
@@ -100,7 +100,7 @@
 			for _, from := range nodes {
 				if to != from && !to.flag(&to.partitioned) && !from.flag(&from.partitioned) {
 					source := Source{Gateway: from.Name, Start: from.Start}
-					to.Aggregate.Merge(time.Now(), source, from.Counter.Update(to.Aggregate.Sequence(source)))
+					to.Aggregator.Merge(time.Now(), source, from.Counter.UpdateSince(to.Aggregator.LastSequence(source)))
 				}
 			}
 		}
@@ -120,16 +120,16 @@
 	return peers
 }
 
-func (n *node) Reporting() bool {
+func (n *node) HasUsageReporter() bool {
 	for _, peer := range n.reachablePeers() {
-		if peer.Holds() {
+		if peer.HoldsLease() {
 			return true
 		}
 	}
 	return false
 }
 
-func (n *node) Before() int {
+func (n *node) PrecedingPeers() int {
 	count := 0
 	for _, peer := range n.reachablePeers() {
 		if peer.Name < n.Name && !peer.flag(&peer.storeUnreachable) {
@@ -167,8 +167,8 @@
 
 type nopObserver struct{}
 
-func (nopObserver) Reported(time.Duration, bool) {}
-func (nopObserver) Refused(error)                {}
+func (nopObserver) ReportAccepted(time.Duration, bool) {}
+func (nopObserver) ReportFailed(error)                 {}
 
 // waitForHolder waits until one node holds the lease, and returns it.
 func (c *cluster) waitForHolder(t *testing.T) *node {
@@ -178,7 +178,7 @@
 		nodes := append([]*node(nil), c.nodes...)
 		c.mu.Unlock()
 		for _, n := range nodes {
-			if n.Holds() {
+			if n.HoldsLease() {
 				return n
 			}
 		}
@@ -194,8 +194,8 @@
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		c.mu.Lock()
 		for _, n := range c.nodes {
-			n.Counter.Began("a")
-			n.Counter.Began("b")
+			n.Counter.Add("a")
+			n.Counter.Add("b")
 		}
 		c.mu.Unlock()
 	}
--- a/internal/gateway/usage/config.go
+++ b/internal/gateway/usage/config.go
@@ -39,10 +39,10 @@
 	// Now returns the gateways' common time of day, which doesn't depend on this VM's clock alone.
 	Now func() time.Time
 	// Peers reports what the other gateways have sent.
-	Others Peers
+	Peers Peers
 	// Eligible reports whether this gateway may hold the lease: the store answers it and it isn't
 	// shutting down.
-	Able func() bool
+	Eligible func() bool
 	// Observer is told the outcome of each attempt to send a report.
 	Observer Observer
 	Log      *zap.Logger
@@ -51,26 +51,26 @@
 // Peers is what a Reporter knows of the other gateways.
 type Peers interface {
 	// HasUsageReporter reports whether a live peer holds the lease.
-	Reporting() bool
+	HasUsageReporter() bool
 	// PrecedingPeers returns the number of peers that precede this gateway as candidates for the
 	// lease.
-	Before() int
+	PrecedingPeers() int
 }
 
 // Observer counts the outcomes of reports.
 type Observer interface {
 	// ReportAccepted counts a report that the platform accepted at the given time after the end of
 	// its window. It is late if that time exceeds Config.Delay.
-	Reported(after time.Duration, late bool)
+	ReportAccepted(after time.Duration, late bool)
 	// ReportFailed counts an attempt to send a report that was not accepted.
-	Refused(err error)
+	ReportFailed(err error)
 }
 
 // leaseTiming returns the timing of the lease.
 func (c *Config) leaseTiming() lease.Timing {
 	duration := time.Duration(leaseDurationFraction * float64(c.LeaseTime))
 	return lease.Timing{
-		Duration: duration, Margin: duration / marginDivisor, Renew: duration / renewDivisor, Campaign: duration / campaignDivisor,
-		Rest: time.Duration(backoffFactor * float64(c.LeaseTime)),
+		Duration: duration, SafetyMargin: duration / marginDivisor, RenewInterval: duration / renewDivisor, CampaignInterval: duration / campaignDivisor,
+		SupersededBackoff: time.Duration(backoffFactor * float64(c.LeaseTime)),
 	}
 }
--- a/internal/gateway/usage/counter.go
+++ b/internal/gateway/usage/counter.go
@@ -43,7 +43,7 @@
 }
 
 // Add counts a request that a backend server starts to run now.
-func (c *Counter) Began(customer string) {
+func (c *Counter) Add(customer string) {
 	window := c.windows.Number(c.now())
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,7 +70,7 @@
 
 // UpdateSince returns the counts that changed after a sequence number. If there are more than
 // maxUpdateCounts, the update is truncated to the oldest changes and its CompleteUntil is 0.
-func (c *Counter) Update(after uint64) Update {
+func (c *Counter) UpdateSince(after uint64) Update {
 	completeUntil := c.now().UnixMilli()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gateway/usage/counter_test.go
+++ b/internal/gateway/usage/counter_test.go
@@ -43,19 +43,19 @@
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
 				customer := fmt.Sprint("c-", rapid.IntRange(0, 5).Draw(t, "customer"))
-				counter.Began(customer)
+				counter.Add(customer)
 				want[countKey{fiveSeconds.Number(now), customer}]++
 			case 2:
 				now = now.Add(time.Duration(rapid.IntRange(0, 7000).Draw(t, "ms")) * time.Millisecond)
 			case 3:
-				sent = append(sent, counter.Update(aggregate.Sequence(source)))
+				sent = append(sent, counter.UpdateSince(aggregate.LastSequence(source)))
 			case 4:
 				if len(sent) > 0 {
 					aggregate.Merge(now, source, sent[rapid.IntRange(0, len(sent)-1).Draw(t, "which")])
 				}
 			}
 		}
-		aggregate.Merge(now, source, counter.Update(aggregate.Sequence(source)))
+		aggregate.Merge(now, source, counter.UpdateSince(aggregate.LastSequence(source)))
 		newest := fiveSeconds.Number(now)
 		maps.DeleteFunc(want, func(k countKey, _ int64) bool { return k.window+maxRetainedWindows < newest })
 		for key, requests := range want {
@@ -74,11 +74,11 @@
 func TestLargeUpdateIsSplit(t *testing.T) {
 	counter := NewCounter(fiveSeconds, func() time.Time { return noon })
 	for i := range 2*maxUpdateCounts + 7 {
-		counter.Began(fmt.Sprint("customer-", i))
+		counter.Add(fmt.Sprint("customer-", i))
 	}
 	aggregate, source := NewAggregator(fiveSeconds, func() time.Time { return noon }), Source{Gateway: "a", Start: 1}
 	for parts := 1; ; parts++ {
-		update := counter.Update(aggregate.Sequence(source))
+		update := counter.UpdateSince(aggregate.LastSequence(source))
 		aggregate.Merge(noon, source, update)
 		if update.CompleteUntil != 0 {
 			if parts != 3 {
--- a/internal/gateway/usage/finalize.go
+++ b/internal/gateway/usage/finalize.go
@@ -20,7 +20,7 @@
 	for ctx.Err() == nil {
 		window, due := r.nextDueWindow()
 		if !due {
-			pause.For(ctx, pollInterval)
+			pause.Sleep(ctx, pollInterval)
 			continue
 		}
 		if err := r.finalize(ctx, heldLease, window); err != nil {
@@ -35,7 +35,7 @@
 func (r *Reporter) nextDueWindow() (uint64, bool) {
 	now := r.Now()
 	r.mu.Lock()
-	window, due := r.ledger.Next(r.Windows.Number(now.Add(-settleDelay)) - 1)
+	window, due := r.ledger.NextWindow(r.Windows.Number(now.Add(-settleDelay)) - 1)
 	r.mu.Unlock()
 	if !due {
 		return 0, false
@@ -51,7 +51,7 @@
 // incompleteGateways returns the names of the gateways whose counts of a window aren't complete.
 func (r *Reporter) incompleteGateways(window uint64) []string {
 	end := r.Windows.End(window)
-	return r.Aggregate.IncompleteGateways(end.Add(-r.Windows.Length), end)
+	return r.Aggregator.IncompleteGateways(end.Add(-r.Windows.Length), end)
 }
 
 // finalize stores a window's report in a transaction under the lease, before the report is sent for
@@ -60,7 +60,7 @@
 func (r *Reporter) finalize(ctx context.Context, heldLease *lease.Lease, window uint64) error {
 	end := r.Windows.End(window)
 	incomplete := r.incompleteGateways(window)
-	report := Report{Window: window, Counts: r.Aggregate.Sum(window)}
+	report := Report{Window: window, Counts: r.Aggregator.Sum(window)}
 	for ctx.Err() == nil {
 		r.mu.Lock()
 		nextLedger := r.ledger.Finalize(report)
@@ -73,14 +73,14 @@
 		switch {
 		case err == nil:
 			r.recordFinalized(report)
-			r.Log.Info(logging.EventUsageFinalized, zap.Uint64("window", window), zap.Int64("requests", report.totalRequests()),
+			r.Log.Info(logging.EventUsageReportFinalized, zap.Uint64("window", window), zap.Int64("requests", report.totalRequests()),
 				zap.Int("customers", len(report.Counts)), zap.Duration("after", r.Now().Sub(end)), zap.Strings("missing", incomplete))
 			return nil
 		case errors.Is(err, lease.ErrLost):
 			return err
 		}
-		r.Log.Warn(logging.EventUsageFailed, zap.Uint64("window", window), zap.Error(err))
-		pause.For(ctx, pollInterval)
+		r.Log.Warn(logging.EventUsageReportFailed, zap.Uint64("window", window), zap.Error(err))
+		pause.Sleep(ctx, pollInterval)
 	}
 	return ctx.Err()
 }
@@ -92,7 +92,7 @@
 	r.ledger = r.ledger.Finalize(report)
 	r.ownReports = append(r.ownReports, report)
 	r.ownReports = r.ownReports[max(0, len(r.ownReports)-maxOwnReports):]
-	r.Aggregate.Expire(time.Now(), r.ledger.Finalized)
+	r.Aggregator.Expire(time.Now(), r.ledger.Finalized)
 }
 
 // totalRequests returns the number of requests of all customers.
--- a/internal/gateway/usage/ledger.go
+++ b/internal/gateway/usage/ledger.go
@@ -22,7 +22,7 @@
 
 // NextWindow returns the next window to finalize, and whether it has closed; lastClosed is the last
 // window that has.
-func (l Ledger) Next(lastClosed uint64) (uint64, bool) {
+func (l Ledger) NextWindow(lastClosed uint64) (uint64, bool) {
 	return l.Finalized + 1, l.Finalized < lastClosed
 }
 
@@ -39,36 +39,36 @@
 }
 
 // LocalState is what a process knows in addition to the stored ledger.
-type Memory struct {
+type LocalState struct {
 	// Era is the store's current era.
 	Era uint64
 	// OwnReports are the last reports that this process finalized.
-	Own []Report
+	OwnReports []Report
 	// StartWindow is the window in which the process started, and LastClosedWindow the last window
 	// that has ended.
-	Started, Over uint64
+	StartWindow, LastClosedWindow uint64
 }
 
 // RecoverLedger returns the Ledger with which a new holder continues. After the store was restored
 // from an older copy, the stored ledger may lack reports that were sent, or hold one that a
 // previous holder wrote late. Windows that have closed are therefore not counted again: reports
 // that this process finalized are sent unchanged, and the other windows are never reported.
-func Recover(stored Ledger, found bool, local Memory) Ledger {
+func RecoverLedger(stored Ledger, found bool, local LocalState) Ledger {
 	l := Ledger{Era: local.Era, Finalized: stored.Finalized}
 	if local.Era == stored.Era {
 		l.Pending = slices.Clone(stored.Pending)
 	}
-	for _, r := range local.Own {
+	for _, r := range local.OwnReports {
 		if r.Window > stored.Finalized {
 			l = l.Finalize(r)
 		}
 	}
 	switch {
 	case local.Era > stored.Era:
-		l.Finalized = max(l.Finalized, local.Over)
+		l.Finalized = max(l.Finalized, local.LastClosedWindow)
 	case !found:
 		// The first holder ever starts with the window in which its process started.
-		l.Finalized = max(l.Finalized, local.Started-min(local.Started, 1))
+		l.Finalized = max(l.Finalized, local.StartWindow-min(local.StartWindow, 1))
 	}
 	return l
 }
--- a/internal/gateway/usage/ledger_test.go
+++ b/internal/gateway/usage/ledger_test.go
@@ -25,21 +25,21 @@
 	cases := map[string]struct {
 		stored    Ledger
 		found     bool
-		memory    Memory
+		memory    LocalState
 		finalized uint64
 		pending   []uint64
 	}{
-		"first holder ever starts with its start window": {Ledger{}, false, Memory{Started: 50, Over: 60}, 49, nil},
-		"same era, stored ledger":                        {Ledger{Finalized: 60, Pending: reportsFor(59, 60)}, true, Memory{Started: 50, Over: 62}, 60, []uint64{59, 60}},
-		"restart of all gateways":                        {Ledger{Finalized: 57}, true, Memory{Started: 62, Over: 62}, 57, nil},
-		"restored, no own reports":                       {Ledger{Finalized: 57, Pending: reportsFor(57)}, true, Memory{Era: 1, Over: 60}, 60, nil},
-		"restored, some own reports":                     {Ledger{Finalized: 57}, true, Memory{Era: 1, Own: reportsFor(56, 57, 58, 59), Over: 59}, 59, []uint64{58, 59}},
-		"restored from a copy without a ledger":          {Ledger{}, false, Memory{Era: 2, Started: 50, Over: 60}, 60, nil},
-		"ledger stored after the restore":                {Ledger{Era: 1, Finalized: 58}, true, Memory{Era: 1, Own: reportsFor(57), Over: 60}, 58, nil},
-		"all zero":                                       {Ledger{}, false, Memory{}, 0, nil},
+		"first holder ever starts with its start window": {Ledger{}, false, LocalState{StartWindow: 50, LastClosedWindow: 60}, 49, nil},
+		"same era, stored ledger":                        {Ledger{Finalized: 60, Pending: reportsFor(59, 60)}, true, LocalState{StartWindow: 50, LastClosedWindow: 62}, 60, []uint64{59, 60}},
+		"restart of all gateways":                        {Ledger{Finalized: 57}, true, LocalState{StartWindow: 62, LastClosedWindow: 62}, 57, nil},
+		"restored, no own reports":                       {Ledger{Finalized: 57, Pending: reportsFor(57)}, true, LocalState{Era: 1, LastClosedWindow: 60}, 60, nil},
+		"restored, some own reports":                     {Ledger{Finalized: 57}, true, LocalState{Era: 1, OwnReports: reportsFor(56, 57, 58, 59), LastClosedWindow: 59}, 59, []uint64{58, 59}},
+		"restored from a copy without a ledger":          {Ledger{}, false, LocalState{Era: 2, StartWindow: 50, LastClosedWindow: 60}, 60, nil},
+		"ledger stored after the restore":                {Ledger{Era: 1, Finalized: 58}, true, LocalState{Era: 1, OwnReports: reportsFor(57), LastClosedWindow: 60}, 58, nil},
+		"all zero":                                       {Ledger{}, false, LocalState{}, 0, nil},
 	}
 	for name, c := range cases {
-		got := Recover(c.stored, c.found, c.memory)
+		got := RecoverLedger(c.stored, c.found, c.memory)
 		if got.Finalized != c.finalized || got.Era != c.memory.Era || !slices.Equal(pendingWindows(got), c.pending) {
 			t.Errorf("%s: finalized %d, pending %v, want %d, %v", name, got.Finalized, pendingWindows(got), c.finalized, c.pending)
 		}
@@ -58,7 +58,7 @@
 	if after := ledger.Accept(ledger.Finalized); len(after.Pending) != maxPendingReports-1 || !slices.Equal(pendingWindows(ledger), before) {
 		t.Errorf("pending %v after one was accepted, original ledger %v", pendingWindows(after), pendingWindows(ledger))
 	}
-	if w, due := ledger.Next(ledger.Finalized); due || w != ledger.Finalized+1 {
+	if w, due := ledger.NextWindow(ledger.Finalized); due || w != ledger.Finalized+1 {
 		t.Errorf("window %d, due %v", w, due)
 	}
 }
--- a/internal/gateway/usage/reporter.go
+++ b/internal/gateway/usage/reporter.go
@@ -39,10 +39,10 @@
 // Lock order: mu before the locks of Counter and Aggregator.
 type Reporter struct {
 	Config
-	Counter   *Counter
-	Aggregate *Aggregator
-	started   time.Time
-	lease     *lease.Lease
+	Counter    *Counter
+	Aggregator *Aggregator
+	started    time.Time
+	lease      *lease.Lease
 
 	// mu guards the fields below.
 	mu sync.Mutex
@@ -59,15 +59,15 @@
 
 // NewReporter returns a Reporter, which is started with Run.
 func NewReporter(c Config) *Reporter {
-	r := &Reporter{Config: c, Counter: NewCounter(c.Windows, c.Now), Aggregate: NewAggregator(c.Windows, c.Now), started: time.Now()}
-	r.lease = lease.NewTimed(c.Table, leaseName, c.Name, c.leaseTiming())
+	r := &Reporter{Config: c, Counter: NewCounter(c.Windows, c.Now), Aggregator: NewAggregator(c.Windows, c.Now), started: time.Now()}
+	r.lease = lease.NewWithTiming(c.Table, leaseName, c.Name, c.leaseTiming())
 	return r
 }
 
 // Run campaigns for the lease and sends reports while this gateway holds it, until ctx ends.
 func (r *Reporter) Run(ctx context.Context) {
-	keeper := lease.NewKeeper(r.lease, r.Log)
-	keeper.Standby, keeper.With = r.shouldCampaign, r.checkpointWrites
+	keeper := lease.NewElector(r.lease, r.Log)
+	keeper.ShouldCampaign, keeper.RenewalWrites = r.shouldCampaign, r.checkpointWrites
 	keeper.Run(ctx, r.runAsHolder)
 }
 
@@ -75,12 +75,12 @@
 // the lease, and fewer than maxCandidates peers precede it. A process that has just started waits,
 // since its VM may have held the lease before the restart.
 func (r *Reporter) shouldCampaign() bool {
-	return r.Able() && time.Since(r.started) > time.Duration(backoffFactor*float64(r.LeaseTime)) &&
-		!r.Others.Reporting() && r.Others.Before() < maxCandidates
+	return r.Eligible() && time.Since(r.started) > time.Duration(backoffFactor*float64(r.LeaseTime)) &&
+		!r.Peers.HasUsageReporter() && r.Peers.PrecedingPeers() < maxCandidates
 }
 
 // HoldsLease reports whether this gateway holds the lease and sends reports.
-func (r *Reporter) Holds() bool {
+func (r *Reporter) HoldsLease() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.holdsLease
@@ -88,10 +88,10 @@
 
 // Generation returns the lease's generation while this gateway holds it; 0 otherwise.
 func (r *Reporter) Generation() uint64 {
-	if !r.Holds() {
+	if !r.HoldsLease() {
 		return 0
 	}
-	return r.lease.Fence()
+	return r.lease.FencingToken()
 }
 
 // runAsHolder finalizes and sends reports until the lease is lost or ctx ends.
@@ -128,18 +128,18 @@
 	if err != nil {
 		return err
 	}
-	if err := r.Aggregate.restoreCheckpoint(counts); err != nil {
-		r.Log.Error(logging.EventUsageUnreadable, zap.Error(err))
+	if err := r.Aggregator.restoreCheckpoint(counts); err != nil {
+		r.Log.Error(logging.EventUsageCountsUnreadable, zap.Error(err))
 	}
 	var era uint64
-	if eras, ok := r.Table.(storage.Eras); ok {
+	if eras, ok := r.Table.(storage.EraReporter); ok {
 		era = eras.Era()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Now()
-	r.ledger = Recover(stored, found, Memory{
-		Era: era, Own: r.ownReports, Started: r.Windows.Number(now.Add(-time.Since(r.started))), Over: r.Windows.Number(now) - 1,
+	r.ledger = RecoverLedger(stored, found, LocalState{
+		Era: era, OwnReports: r.ownReports, StartWindow: r.Windows.Number(now.Add(-time.Since(r.started))), LastClosedWindow: r.Windows.Number(now) - 1,
 	})
 	for _, window := range accepted {
 		r.ledger = r.ledger.Accept(window)
@@ -147,7 +147,7 @@
 	r.acceptedWindows = accepted
 	r.holdsLease = true
 	r.checkpointRows = len(counts)
-	r.Log.Info(logging.EventUsageHeld, zap.Uint64("generation", r.lease.Fence()),
+	r.Log.Info(logging.EventUsageDutyAcquired, zap.Uint64("generation", r.lease.FencingToken()),
 		zap.Uint64("stored", stored.Finalized), zap.Uint64("finalized", r.ledger.Finalized), zap.Int("pending", len(r.ledger.Pending)))
 	return nil
 }
@@ -185,13 +185,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.holdsLease = false
-	r.Log.Info(logging.EventUsageLeft, zap.Uint64("finalized", r.ledger.Finalized), zap.Int("pending", len(r.ledger.Pending)))
+	r.Log.Info(logging.EventUsageDutyReleased, zap.Uint64("finalized", r.ledger.Finalized), zap.Int("pending", len(r.ledger.Pending)))
 }
 
 // mergeOwnCounts merges this gateway's own counts into the Aggregator.
 func (r *Reporter) mergeOwnCounts() {
 	source := Source{Gateway: r.Name, Start: r.Start}
-	r.Aggregate.Merge(time.Now(), source, r.Counter.Update(r.Aggregate.Sequence(source)))
+	r.Aggregator.Merge(time.Now(), source, r.Counter.UpdateSince(r.Aggregator.LastSequence(source)))
 }
 
 // checkpointWrites returns the writes from which the next holder restores the counts; nil if this
@@ -204,9 +204,9 @@
 		return nil
 	}
 	r.mergeOwnCounts()
-	rows, err := r.Aggregate.encodeCheckpoint(finalized)
+	rows, err := r.Aggregator.encodeCheckpoint(finalized)
 	if err != nil {
-		r.Log.Error(logging.EventUsageUnreadable, zap.Error(err))
+		r.Log.Error(logging.EventUsageCountsUnreadable, zap.Error(err))
 		return nil
 	}
 	r.mu.Lock()
@@ -214,7 +214,7 @@
 	r.mu.Unlock()
 	acceptedWrite, err := encodeAccepted(acceptedWindows)
 	if err != nil {
-		r.Log.Error(logging.EventUsageUnreadable, zap.Error(err))
+		r.Log.Error(logging.EventUsageCountsUnreadable, zap.Error(err))
 		return nil
 	}
 	return append(checkpointWrites(rows, previousRows), acceptedWrite)
--- a/internal/gateway/usage/reporter_test.go
+++ b/internal/gateway/usage/reporter_test.go
@@ -96,9 +96,9 @@
 func TestReportsResumeAfterStoreOutage(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster, _ *node) {
 		first := currentWindow()
-		c.table.SetDown(true)
+		c.table.SetUnavailable(true)
 		c.generateRequests(9 * time.Second)
-		c.table.SetDown(false)
+		c.table.SetUnavailable(false)
 		c.generateRequests(20 * time.Second)
 		c.platform.mu.Lock()
 		defer c.platform.mu.Unlock()
@@ -112,13 +112,13 @@
 
 // The store's answers get lost and writes take effect late.
 func TestLostAndLateWrites(t *testing.T) {
-	for _, fault := range []storagetest.Fault{storagetest.FaultLost, storagetest.FaultDropped, storagetest.FaultLate, storagetest.FaultDown, storagetest.FaultSlow} {
+	for _, fault := range []storagetest.Fault{storagetest.FaultResponseLost, storagetest.FaultRequestLost, storagetest.FaultDelayed, storagetest.FaultUnavailable, storagetest.FaultTimeout} {
 		runCluster(t, func(t *testing.T, c *cluster, _ *node) {
 			first := currentWindow()
 			for range 10 {
-				c.table.FailCommits(storagetest.FaultNone, fault, fault, storagetest.FaultNone)
+				c.table.InjectFaults(storagetest.FaultNone, fault, fault, storagetest.FaultNone)
 				c.generateRequests(2 * time.Second)
-				c.table.Land()
+				c.table.ApplyDelayed()
 			}
 			c.generateRequests(15 * time.Second)
 			c.platform.mu.Lock()
@@ -134,7 +134,7 @@
 
 // A report that the platform doesn't answer, rejects or is too busy to accept is sent again.
 func TestFailedReportsAreRetried(t *testing.T) {
-	for _, err := range []error{ErrBusy, ErrNoAnswer, ErrRefused} {
+	for _, err := range []error{ErrBusy, ErrNoResponse, ErrRejected} {
 		runCluster(t, func(t *testing.T, c *cluster, _ *node) {
 			first := currentWindow()
 			n := 0
@@ -177,11 +177,11 @@
 func TestNoDuplicateReportsAfterStoreRestore(t *testing.T) {
 	for _, kill := range []bool{false, true} {
 		runCluster(t, func(t *testing.T, c *cluster, holder *node) {
-			snapshot := c.table.Copy()
+			snapshot := c.table.Snapshot()
 			first := currentWindow()
 			c.generateRequests(12 * time.Second)
 			generation := holder.Generation()
-			c.table.Return(snapshot)
+			c.table.Restore(snapshot)
 			if kill {
 				c.kill(holder)
 			}
@@ -219,7 +219,7 @@
 		c.expectReported(t, first+1, currentWindow()-2, gateways/2*requestsPerWindow/3, 0.02)
 		holders := 0
 		for _, node := range append([]*node(nil), c.nodes...) {
-			if node.Holds() {
+			if node.HoldsLease() {
 				holders++
 			}
 			c.kill(node)
--- a/internal/gateway/usage/send.go
+++ b/internal/gateway/usage/send.go
@@ -32,29 +32,29 @@
 	for ctx.Err() == nil {
 		report, ok := r.nextReportToSend(time.Now(), retries)
 		if !ok {
-			pause.For(ctx, pollInterval)
+			pause.Sleep(ctx, pollInterval)
 			continue
 		}
 		if err := heldLease.Check(); err != nil {
 			return err
 		}
-		err := r.Platform.Report(ctx, Holder{Name: r.Name, Generation: heldLease.Fence()}, report)
+		err := r.Platform.Report(ctx, Holder{Name: r.Name, Generation: heldLease.FencingToken()}, report)
 		switch {
 		case err == nil:
 			delete(retries, report.Window)
 			r.recordAccepted(report)
-		case errors.Is(err, ErrDeposed):
-			heldLease.Deposed()
-			r.Observer.Refused(err)
+		case errors.Is(err, ErrFenced):
+			heldLease.StepDown()
+			r.Observer.ReportFailed(err)
 			return err
 		case errors.Is(err, ErrBusy):
 			// The platform's limit applies to all lease holders' calls together, so this pauses all
 			// reports.
-			r.Observer.Refused(err)
-			pause.For(ctx, minRetryDelay)
+			r.Observer.ReportFailed(err)
+			pause.Sleep(ctx, minRetryDelay)
 		case ctx.Err() == nil:
-			r.Observer.Refused(err)
-			r.Log.Warn(logging.EventUsageFailed, zap.Uint64("window", report.Window), zap.Error(err))
+			r.Observer.ReportFailed(err)
+			r.Log.Warn(logging.EventUsageReportFailed, zap.Uint64("window", report.Window), zap.Error(err))
 			retries[report.Window].nextAttempt = time.Now().Add(retries[report.Window].backOff.NextBackOff())
 		}
 	}
@@ -88,7 +88,7 @@
 	r.acceptedWindows = append(r.acceptedWindows, report.Window)
 	r.acceptedWindows = r.acceptedWindows[max(0, len(r.acceptedWindows)-maxPendingReports):]
 	r.mu.Unlock()
-	r.Observer.Reported(delay, delay > r.Delay)
+	r.Observer.ReportAccepted(delay, delay > r.Delay)
 	r.Log.Info(logging.EventUsageReported, zap.Uint64("window", report.Window), zap.Int64("requests", report.totalRequests()),
-		zap.Int("customers", len(report.Counts)), zap.Uint64("generation", r.lease.Fence()), zap.Duration("after", delay))
+		zap.Int("customers", len(report.Counts)), zap.Uint64("generation", r.lease.FencingToken()), zap.Duration("after", delay))
 }
--- a/internal/gateway/usage/usage.go
+++ b/internal/gateway/usage/usage.go
@@ -18,13 +18,13 @@
 // Errors returned by a Platform.
 var (
 	// ErrFenced means that the platform has seen a higher generation.
-	ErrDeposed = errors.New("platform has seen a higher generation")
+	ErrFenced = errors.New("platform has seen a higher generation")
 	// ErrBusy means that the platform did not accept the report because it receives too many calls.
 	ErrBusy = errors.New("platform is busy")
 	// ErrNoResponse means that the platform may have accepted the report or may still do so.
-	ErrNoAnswer = errors.New("no response to report")
+	ErrNoResponse = errors.New("no response to report")
 	// ErrRejected means that the platform does not accept this report.
-	ErrRefused = errors.New("platform rejected report")
+	ErrRejected = errors.New("platform rejected report")
 )
 
 // Holder identifies the lease holder that sends a report.
