--- a/internal/lease/elector.go
+++ b/internal/lease/elector.go
@@ -32,38 +32,38 @@
 type Work func(ctx context.Context, held *Lease) error
 
 // Elector campaigns for a lease and runs a function while it holds it.
-type Keeper struct {
+type Elector struct {
 	lease *Lease
 	log   *zap.Logger
 	// ShouldCampaign reports whether to try to acquire the lease; nil means
 	// always.
-	Standby func() bool
+	ShouldCampaign func() bool
 	// RenewalWrites returns writes to commit together with each renewal; nil
 	// means none.
-	With func() []storage.Write
+	RenewalWrites func() []storage.Write
 }
 
 // NewElector returns an Elector; Run starts it. A nil log discards all events.
-func NewKeeper(lease *Lease, log *zap.Logger) *Keeper {
+func NewElector(lease *Lease, log *zap.Logger) *Elector {
 	if log == nil {
 		log = zap.NewNop()
 	}
-	return &Keeper{lease: lease, log: log.With(zap.String("lease", lease.rowKey))}
+	return &Elector{lease: lease, log: log.With(zap.String("lease", lease.rowKey))}
 }
 
 // Run campaigns for the lease and runs work whenever it holds it, until ctx
 // ends. Two calls of work never overlap in this process. When work returns, the
 // lease is released and Run campaigns again.
-func (e *Keeper) Run(ctx context.Context, work Work) {
+func (e *Elector) Run(ctx context.Context, work Work) {
 	for ctx.Err() == nil {
-		if (e.Standby == nil || e.Standby()) && e.tryAcquire(ctx) {
+		if (e.ShouldCampaign == nil || e.ShouldCampaign()) && e.tryAcquire(ctx) {
 			e.runHeld(ctx, work)
 		}
-		pause.For(ctx, e.lease.timing.Campaign/2+rand.N(e.lease.timing.Campaign))
+		pause.Sleep(ctx, e.lease.timing.CampaignInterval/2+rand.N(e.lease.timing.CampaignInterval))
 	}
 }
 
-func (e *Keeper) tryAcquire(ctx context.Context) bool {
+func (e *Elector) tryAcquire(ctx context.Context) bool {
 	err := e.lease.Acquire(ctx)
 	var heldErr *HeldError
 	if err != nil && !errors.As(err, &heldErr) && ctx.Err() == nil {
@@ -74,8 +74,8 @@
 
 // runHeld runs work, renews the lease meanwhile, and releases it after work has
 // returned.
-func (e *Keeper) runHeld(ctx context.Context, work Work) {
-	e.log.Info(logging.EventLeaseAcquired, zap.Uint64("fence", e.lease.Fence()))
+func (e *Elector) runHeld(ctx context.Context, work Work) {
+	e.log.Info(logging.EventLeaseAcquired, zap.Uint64("fence", e.lease.FencingToken()))
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	expiry := time.AfterFunc(e.lease.Remaining(), cancel)
@@ -85,7 +85,7 @@
 	worker.Go(func() {
 		defer cancel()
 		if err := work(ctx, e.lease); err != nil && ctx.Err() == nil {
-			e.log.Warn(logging.EventLeaseActFailed, zap.Error(err))
+			e.log.Warn(logging.EventLeaseTaskFailed, zap.Error(err))
 		}
 	})
 	e.renew(ctx, expiry)
@@ -95,14 +95,14 @@
 }
 
 // renew renews the lease periodically until ctx ends or the lease is lost.
-func (e *Keeper) renew(ctx context.Context, expiry *time.Timer) {
+func (e *Elector) renew(ctx context.Context, expiry *time.Timer) {
 	for {
-		if !pause.For(ctx, e.lease.timing.Renew) {
+		if !pause.Sleep(ctx, e.lease.timing.RenewInterval) {
 			return
 		}
 		var writes []storage.Write
-		if e.With != nil {
-			writes = e.With()
+		if e.RenewalWrites != nil {
+			writes = e.RenewalWrites()
 		}
 		if err := e.lease.Commit(ctx, writes); err != nil {
 			e.log.Warn(logging.EventLeaseRenewFailed, zap.Error(err))
@@ -114,7 +114,7 @@
 	}
 }
 
-func (e *Keeper) release() {
+func (e *Elector) release() {
 	e.log.Info(logging.EventLeaseEnded)
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
--- a/internal/lease/elector_test.go
+++ b/internal/lease/elector_test.go
@@ -48,18 +48,18 @@
 		var recorder concurrencyRecorder
 		var wg sync.WaitGroup
 		for _, holder := range []string{"a", "b", "c"} {
-			wg.Go(func() { NewKeeper(New(table, leaseName, holder), nil).Run(ctx, recorder.work) })
+			wg.Go(func() { NewElector(New(table, leaseName, holder), nil).Run(ctx, recorder.work) })
 		}
 		time.Sleep(time.Minute)
 		if running, _, started := recorder.counts(); running != 1 || started != 1 {
 			t.Errorf("running: %d, started: %d, want 1 and 1", running, started)
 		}
-		table.SetDown(true)
+		table.SetUnavailable(true)
 		time.Sleep(DefaultDuration)
 		if running, _, _ := recorder.counts(); running != 0 {
 			t.Error("work still runs although the lease could not be renewed")
 		}
-		table.SetDown(false)
+		table.SetUnavailable(false)
 		time.Sleep(time.Minute)
 		if running, maxRunning, _ := recorder.counts(); running != 1 || maxRunning != 1 {
 			t.Errorf("after the outage: running %d, max concurrent %d, want 1 and 1", running, maxRunning)
@@ -75,7 +75,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
 		var recorder concurrencyRecorder
-		wg.Go(func() { NewKeeper(New(table, leaseName, "a"), nil).Run(ctx, recorder.work) })
+		wg.Go(func() { NewElector(New(table, leaseName, "a"), nil).Run(ctx, recorder.work) })
 		synctest.Wait()
 		cancel()
 		wg.Wait()
--- a/internal/lease/era.go
+++ b/internal/lease/era.go
@@ -17,13 +17,13 @@
 
 // NextFencingToken returns the fencing token that follows token, for a lease
 // acquired in the given era.
-func NextFence(token, era uint64) uint64 { return max(token, era<<eraShift) + 1 }
+func NextFencingToken(token, era uint64) uint64 { return max(token, era<<eraShift) + 1 }
 
 // currentEra returns the newest era of the table service that this process
 // knows of; zero if the table has no eras. A new era begins when the service is
 // restored from an older copy of its data.
 func currentEra(table storage.Table) uint64 {
-	if t, ok := table.(storage.Eras); ok {
+	if t, ok := table.(storage.EraReporter); ok {
 		return t.Era()
 	}
 	return 0
--- a/internal/lease/era_test.go
+++ b/internal/lease/era_test.go
@@ -12,20 +12,20 @@
 )
 
 // shortTiming is the timing of a lease that lasts two seconds.
-var shortTiming = Timing{Duration: 2 * time.Second, Margin: 400 * time.Millisecond, Renew: 600 * time.Millisecond, Campaign: 500 * time.Millisecond, Rest: 5 * time.Second}
+var shortTiming = Timing{Duration: 2 * time.Second, SafetyMargin: 400 * time.Millisecond, RenewInterval: 600 * time.Millisecond, CampaignInterval: 500 * time.Millisecond, SupersededBackoff: 5 * time.Second}
 
 // A fencing token must not be issued twice, even if the table service is restored
 // from a copy that doesn't have it.
 func TestFencingTokensIncreaseAfterRestoreFromOlderCopy(t *testing.T) {
 	table := storagetest.NewTable()
-	empty := table.Copy()
-	a, b := NewTimed(table, leaseName, "a", shortTiming), NewTimed(table, leaseName, "b", shortTiming)
+	empty := table.Snapshot()
+	a, b := NewWithTiming(table, leaseName, "a", shortTiming), NewWithTiming(table, leaseName, "b", shortTiming)
 	mustAcquire(t, a)
-	first := a.Fence()
-	table.Return(empty)
+	first := a.FencingToken()
+	table.Restore(empty)
 	mustAcquire(t, b)
-	if b.Fence() <= first {
-		t.Errorf("fencing token %d after %d", b.Fence(), first)
+	if b.FencingToken() <= first {
+		t.Errorf("fencing token %d after %d", b.FencingToken(), first)
 	}
 	if err := a.Commit(t.Context(), nil); !errors.Is(err, ErrLost) {
 		t.Errorf("renewal of a lease of an earlier era: %v, want ErrLost", err)
@@ -37,14 +37,14 @@
 // the row may have the expected version again.
 func TestLateWriteFromEarlierEraHasNoEffect(t *testing.T) {
 	table := storagetest.NewTable()
-	a, b := NewTimed(table, leaseName, "a", shortTiming), NewTimed(table, leaseName, "b", shortTiming)
+	a, b := NewWithTiming(table, leaseName, "a", shortTiming), NewWithTiming(table, leaseName, "b", shortTiming)
 	mustAcquire(t, a)
-	older := table.Copy()
-	table.FailCommits(storagetest.FaultLate, storagetest.FaultDown)
+	older := table.Snapshot()
+	table.InjectFaults(storagetest.FaultDelayed, storagetest.FaultUnavailable)
 	_ = a.Commit(t.Context(), []storage.Write{{Key: "what", Value: []byte("late"), Expect: storage.AnyVersion}})
-	table.Return(older)
+	table.Restore(older)
 	mustAcquire(t, b)
-	if applied := table.Land(); applied != 0 {
+	if applied := table.ApplyDelayed(); applied != 0 {
 		t.Errorf("%d late writes took effect", applied)
 	}
 	if _, err := table.Get(t.Context(), "what"); !errors.Is(err, storage.ErrNotFound) {
@@ -57,9 +57,9 @@
 func TestSupersededHolderBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
-		a := NewTimed(table, leaseName, "a", shortTiming)
+		a := NewWithTiming(table, leaseName, "a", shortTiming)
 		mustAcquire(t, a)
-		a.Deposed()
+		a.StepDown()
 		acquireWait := func() time.Duration {
 			var heldErr *HeldError
 			if err := a.Acquire(t.Context()); !errors.As(err, &heldErr) {
@@ -67,13 +67,13 @@
 			}
 			return heldErr.Wait
 		}
-		if got := acquireWait(); got != shortTiming.Rest {
+		if got := acquireWait(); got != shortTiming.SupersededBackoff {
 			t.Errorf("wait after StepDown: %v", got)
 		}
-		time.Sleep(shortTiming.Rest)
+		time.Sleep(shortTiming.SupersededBackoff)
 		mustAcquire(t, a)
 
-		b := NewTimed(table, leaseName, "b", shortTiming)
+		b := NewWithTiming(table, leaseName, "b", shortTiming)
 		var heldErr *HeldError
 		if err := b.Acquire(t.Context()); !errors.As(err, &heldErr) {
 			t.Fatal(err)
@@ -83,7 +83,7 @@
 		if err := b.Release(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if got := acquireWait(); got != shortTiming.Rest {
+		if got := acquireWait(); got != shortTiming.SupersededBackoff {
 			t.Errorf("wait after another holder acquired and released the lease: %v", got)
 		}
 	})
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -80,11 +80,11 @@
 // identifies the process to operators; each Lease is a separate holder, even under
 // the same name.
 func New(table storage.Table, name, holder string) *Lease {
-	return NewTimed(table, name, holder, defaultTiming())
+	return NewWithTiming(table, name, holder, defaultTiming())
 }
 
 // NewWithTiming is like New, with a timing other than the default.
-func NewTimed(table storage.Table, name, holder string, timing Timing) *Lease {
+func NewWithTiming(table storage.Table, name, holder string, timing Timing) *Lease {
 	return &Lease{table: table, rowKey: rowKey(name), holder: holder + "/" + uuid.NewString(), timing: timing, writeSem: make(chan struct{}, 1)}
 }
 
@@ -103,7 +103,7 @@
 	if wait := l.acquireWait(current); wait > 0 {
 		return &HeldError{Holder: current.record.Holder, Wait: wait}
 	}
-	next := record{WriteID: uuid.NewString(), Holder: l.holder, FencingToken: NextFence(current.record.FencingToken, current.era)}
+	next := record{WriteID: uuid.NewString(), Holder: l.holder, FencingToken: NextFencingToken(current.record.FencingToken, current.era)}
 	var closing []storage.Write
 	if current.version == 0 {
 		if closing, err = l.closeEarlierRows(current.era); err != nil {
@@ -136,7 +136,7 @@
 	if err := l.Check(); err != nil {
 		return err
 	}
-	token := l.Fence()
+	token := l.FencingToken()
 	sentAt := time.Now()
 	current, err := readRecord(ctx, l.table, l.rowKey)
 	if err != nil {
@@ -161,7 +161,7 @@
 		return err
 	}
 	defer l.endWrite()
-	token := l.Fence()
+	token := l.FencingToken()
 	l.markLost()
 	if token == 0 {
 		return nil
@@ -215,7 +215,7 @@
 		return err
 	}
 	writes := append([]storage.Write{write}, others...)
-	err = confirm.Commit(ctx, l.table, writes, func(ctx context.Context) (confirm.Verdict, error) {
+	err = confirm.Commit(ctx, l.table, writes, func(ctx context.Context) (confirm.Outcome, error) {
 		return readBack(ctx, l.table, l.rowKey, current, next.WriteID)
 	})
 	switch {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -46,8 +46,8 @@
 		if gap := time.Since(start) - (DefaultDuration - DefaultSafetyMargin); gap < DefaultSafetyMargin {
 			t.Fatalf("candidate acquired the lease %v after the holder stopped, want at least %v", gap, DefaultSafetyMargin)
 		}
-		if b.Fence() <= 1 {
-			t.Fatalf("fencing token after a change of holder: %d", b.Fence())
+		if b.FencingToken() <= 1 {
+			t.Fatalf("fencing token after a change of holder: %d", b.FencingToken())
 		}
 		if err := a.Renew(t.Context()); !errors.Is(err, ErrLost) {
 			t.Fatalf("renewal by the former holder: %v, want ErrLost", err)
@@ -80,24 +80,24 @@
 		t.Fatal(err)
 	}
 	mustAcquire(t, b)
-	if a.Check() == nil || b.Fence() != 2 {
-		t.Fatalf("fencing token of the new holder: %d, want 2", b.Fence())
+	if a.Check() == nil || b.FencingToken() != 2 {
+		t.Fatalf("fencing token of the new holder: %d, want 2", b.FencingToken())
 	}
 }
 
 func TestLostResponses(t *testing.T) {
-	for _, fault := range []storagetest.Fault{storagetest.FaultLost, storagetest.FaultDropped, storagetest.FaultLate, storagetest.FaultSlow} {
+	for _, fault := range []storagetest.Fault{storagetest.FaultResponseLost, storagetest.FaultRequestLost, storagetest.FaultDelayed, storagetest.FaultTimeout} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storagetest.NewTable()
 			l := New(table, leaseName, "a")
-			table.FailCommits(fault)
+			table.InjectFaults(fault)
 			mustAcquire(t, l)
-			table.FailCommits(fault)
+			table.InjectFaults(fault)
 			if err := l.Renew(t.Context()); err != nil {
 				t.Fatalf("fault %v: %v", fault, err)
 			}
-			if applied := table.Land(); applied != 0 || l.Fence() != 1 {
-				t.Fatalf("fault %v: %d late writes applied, fencing token %d", fault, applied, l.Fence())
+			if applied := table.ApplyDelayed(); applied != 0 || l.FencingToken() != 1 {
+				t.Fatalf("fault %v: %d late writes applied, fencing token %d", fault, applied, l.FencingToken())
 			}
 		})
 	}
@@ -137,7 +137,7 @@
 		table := storagetest.NewTable()
 		a, b := New(table, leaseName, "a"), New(table, leaseName, "b")
 		mustAcquire(t, a)
-		table.FailCommits(storagetest.FaultLate)
+		table.InjectFaults(storagetest.FaultDelayed)
 		ctx, cancel := context.WithCancel(t.Context())
 		table.BeforeCommit(func([]storage.Write) { cancel() })
 		order := []storage.Write{{Key: "orders/vm", Value: []byte("old"), Expect: storage.AnyVersion}}
@@ -146,7 +146,7 @@
 		}
 		table.BeforeCommit(nil)
 		waitAndAcquire(t, b)
-		if table.Land() != 0 {
+		if table.ApplyDelayed() != 0 {
 			t.Fatal("a late write of the former holder took effect")
 		}
 	})
@@ -159,14 +159,14 @@
 		table := storagetest.NewTable()
 		l := New(table, leaseName, "a")
 		mustAcquire(t, l)
-		table.FailCommits(storagetest.FaultLate)
+		table.InjectFaults(storagetest.FaultDelayed)
 		ctx, cancel := context.WithCancel(t.Context())
 		table.BeforeCommit(func([]storage.Write) { cancel() })
 		if err := l.Renew(ctx); !errors.Is(err, ErrUnavailable) {
 			t.Fatalf("renewal without a response: %v, want ErrUnavailable", err)
 		}
 		table.BeforeCommit(nil)
-		if table.Land() != 1 {
+		if table.ApplyDelayed() != 1 {
 			t.Fatal("the late renewal was not applied")
 		}
 		if err := l.Renew(t.Context()); err != nil {
--- a/internal/lease/orders/backoff_test.go
+++ b/internal/lease/orders/backoff_test.go
@@ -18,7 +18,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
 		var attempted []string
-		e := NewFollower(NewGuard(table, testLease, testVM), func(_ context.Context, o Order) error {
+		e := NewExecutor(NewGuard(table, testLease, testVM), func(_ context.Context, o Order) error {
 			attempted = append(attempted, o.Model)
 			return errors.New("no such model")
 		}, nil)
--- a/internal/lease/orders/executor.go
+++ b/internal/lease/orders/executor.go
@@ -28,8 +28,8 @@
 type Apply func(ctx context.Context, order Order) error
 
 // Executor polls for the orders to a VM's agent and executes them.
-type Follower struct {
-	store *Book
+type Executor struct {
+	store *Store
 	guard *Guard
 	apply Apply
 	log   *zap.Logger
@@ -41,29 +41,29 @@
 
 // NewExecutor returns an Executor of the orders that the guard admits; Run starts
 // it. A nil log discards all events.
-func NewFollower(guard *Guard, apply Apply, log *zap.Logger) *Follower {
+func NewExecutor(guard *Guard, apply Apply, log *zap.Logger) *Executor {
 	if log == nil {
 		log = zap.NewNop()
 	}
-	return &Follower{store: guard.store, guard: guard, apply: apply, log: log}
+	return &Executor{store: guard.store, guard: guard, apply: apply, log: log}
 }
 
 // Run polls for orders and executes them until ctx ends. A failed order is retried
 // with the backoff of minRetryDelay and maxRetryDelay; a different order is executed
 // at the next poll.
-func (e *Follower) Run(ctx context.Context) {
+func (e *Executor) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := e.poll(ctx); err != nil && ctx.Err() == nil {
 			e.log.Warn(logging.EventOrderFailed, zap.Error(err))
 		}
-		pause.For(ctx, pollInterval-pollJitter+rand.N(2*pollJitter))
+		pause.Sleep(ctx, pollInterval-pollJitter+rand.N(2*pollJitter))
 	}
 }
 
 // poll executes the newest order unless that was done already. While there is
 // nothing to execute, it reads only the order's row; before it executes an order, it
 // reads the newest fencing token again.
-func (e *Follower) poll(ctx context.Context) error {
+func (e *Executor) poll(ctx context.Context) error {
 	order, err := e.nextOrder(ctx)
 	if errors.Is(err, ErrNone) {
 		return nil
@@ -76,12 +76,12 @@
 		return errors.Wrap(err, "execute order")
 	}
 	e.appliedID = order.ID
-	e.log.Info(logging.EventOrderDone, zap.String("order", order.ID), zap.Uint64("fence", order.Fence), zap.String("model", order.Model))
+	e.log.Info(logging.EventOrderCompleted, zap.String("order", order.ID), zap.Uint64("fence", order.FencingToken), zap.String("model", order.Model))
 	return nil
 }
 
 // nextOrder reads the order to execute, or returns ErrNone.
-func (e *Follower) nextOrder(ctx context.Context) (Order, error) {
+func (e *Executor) nextOrder(ctx context.Context) (Order, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	order, err := e.store.Read(ctx, e.guard.vm)
@@ -94,5 +94,5 @@
 	if err := e.guard.Refresh(ctx); err != nil {
 		return Order{}, err
 	}
-	return order, e.guard.Admit(order.Fence)
+	return order, e.guard.Admit(order.FencingToken)
 }
--- a/internal/lease/orders/guard.go
+++ b/internal/lease/orders/guard.go
@@ -16,7 +16,7 @@
 type Guard struct {
 	table     storage.Table
 	leaseName string
-	store     *Book
+	store     *Store
 	vm        string
 
 	mu        sync.Mutex
@@ -27,7 +27,7 @@
 // NewGuard returns a guard for the agent on a VM, which checks orders issued under
 // the named lease. Refresh must be called before Admit.
 func NewGuard(table storage.Table, leaseName, vm string) *Guard {
-	return &Guard{table: table, leaseName: leaseName, store: NewBook(table), vm: vm}
+	return &Guard{table: table, leaseName: leaseName, store: NewStore(table), vm: vm}
 }
 
 // Refresh reads the newest fencing token from the rows of the lease and of the
@@ -44,7 +44,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.refreshed = true
-	g.newest = max(g.newest, token, last.Fence)
+	g.newest = max(g.newest, token, last.FencingToken)
 	return nil
 }
 
--- a/internal/lease/orders/order.go
+++ b/internal/lease/orders/order.go
@@ -22,7 +22,7 @@
 	// issues the same order again.
 	ID string `json:"id"`
 	// FencingToken is the fencing token of the lease under which the order was issued.
-	Fence uint64 `json:"fence"`
+	FencingToken uint64 `json:"fence"`
 	// Model is the name of the model to load.
 	Model string `json:"model"`
 }
--- a/internal/lease/orders/orders_test.go
+++ b/internal/lease/orders/orders_test.go
@@ -36,20 +36,20 @@
 
 func mustIssue(t *testing.T, table *storagetest.Table, held *lease.Lease, model string) {
 	t.Helper()
-	if err := NewBook(table).Give(t.Context(), held, testVM, model); err != nil {
+	if err := NewStore(table).Issue(t.Context(), held, testVM, model); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // newTestExecutor returns the Executor of an agent that has just started, and the
 // list of the models that it loads.
-func newTestExecutor(table *storagetest.Table) (*Follower, *[]string) {
+func newTestExecutor(table *storagetest.Table) (*Executor, *[]string) {
 	var loaded []string
 	apply := func(_ context.Context, o Order) error {
 		loaded = append(loaded, o.Model)
 		return nil
 	}
-	return NewFollower(NewGuard(table, testLease, testVM), apply, nil), &loaded
+	return NewExecutor(NewGuard(table, testLease, testVM), apply, nil), &loaded
 }
 
 func TestOrderIsExecutedOnce(t *testing.T) {
@@ -80,10 +80,10 @@
 		former := mustAcquire(t, table)
 		next := mustAcquire(t, table)
 		mustIssue(t, table, next, "b")
-		if err := NewBook(table).Give(t.Context(), former, testVM, "a"); !errors.Is(err, lease.ErrLost) {
+		if err := NewStore(table).Issue(t.Context(), former, testVM, "a"); !errors.Is(err, lease.ErrLost) {
 			t.Fatalf("order of the former holder: %v, want ErrLost", err)
 		}
-		order, err := NewBook(table).Read(t.Context(), testVM)
+		order, err := NewStore(table).Read(t.Context(), testVM)
 		if err != nil || order.Model != "b" {
 			t.Fatalf("order: %+v, %v", order, err)
 		}
@@ -100,21 +100,21 @@
 		next := mustAcquire(t, table)
 
 		g := NewGuard(table, testLease, testVM)
-		if err := g.Admit(former.Fence()); !errors.Is(err, ErrNotRefreshed) {
+		if err := g.Admit(former.FencingToken()); !errors.Is(err, ErrNotRefreshed) {
 			t.Fatalf("before Refresh: %v, want ErrNotRefreshed", err)
 		}
-		table.SetDown(true)
+		table.SetUnavailable(true)
 		if err := g.Refresh(t.Context()); !errors.Is(err, ErrUnavailable) {
 			t.Fatalf("while the table is unavailable: %v", err)
 		}
-		table.SetDown(false)
+		table.SetUnavailable(false)
 		if err := g.Refresh(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if _, ok := errors.Into[*FencedError](g.Admit(former.Fence())); !ok {
+		if _, ok := errors.Into[*FencedError](g.Admit(former.FencingToken())); !ok {
 			t.Fatal("an order with a stale fencing token was admitted")
 		}
-		if err := g.Admit(next.Fence()); err != nil {
+		if err := g.Admit(next.FencingToken()); err != nil {
 			t.Fatal(err)
 		}
 
@@ -131,7 +131,7 @@
 		mustIssue(t, table, mustAcquire(t, table), "a")
 		attempts := 0
 		ctx, cancel := context.WithCancel(t.Context())
-		NewFollower(NewGuard(table, testLease, testVM), func(context.Context, Order) error {
+		NewExecutor(NewGuard(table, testLease, testVM), func(context.Context, Order) error {
 			attempts++
 			if attempts < 3 {
 				return errors.New("engine is down")
--- a/internal/lease/orders/store.go
+++ b/internal/lease/orders/store.go
@@ -12,13 +12,13 @@
 )
 
 // Store reads and writes orders in the table service.
-type Book struct {
+type Store struct {
 	table storage.Table
 }
 
 // NewStore returns a Store backed by the table service.
-func NewBook(table storage.Table) *Book {
-	return &Book{table: table}
+func NewStore(table storage.Table) *Store {
+	return &Store{table: table}
 }
 
 // Issue orders a VM's agent to load a model, under the lease. After a change of
@@ -26,7 +26,7 @@
 // agents reject those with an old fencing token; the order keeps its ID and is not
 // executed twice. Issuing an unchanged order with the same token writes nothing.
 // Errors: those of lease.Lease.Commit, ErrUnavailable, ErrCorrupt, FencedError.
-func (s *Book) Give(ctx context.Context, held *lease.Lease, vm, model string) error {
+func (s *Store) Issue(ctx context.Context, held *lease.Lease, vm, model string) error {
 	if err := held.Check(); err != nil {
 		return err
 	}
@@ -34,9 +34,9 @@
 	if err != nil && !errors.Is(err, ErrNone) {
 		return err
 	}
-	next := Order{ID: last.ID, Fence: held.Fence(), Model: model}
-	if last.Fence > next.Fence {
-		return &FencedError{Token: next.Fence, Newest: last.Fence}
+	next := Order{ID: last.ID, FencingToken: held.FencingToken(), Model: model}
+	if last.FencingToken > next.FencingToken {
+		return &FencedError{Token: next.FencingToken, Newest: last.FencingToken}
 	}
 	if last == next {
 		return nil
@@ -53,12 +53,12 @@
 
 // Read returns the newest order to a VM's agent. Errors: ErrNone, ErrUnavailable,
 // ErrCorrupt.
-func (s *Book) Read(ctx context.Context, vm string) (Order, error) {
+func (s *Store) Read(ctx context.Context, vm string) (Order, error) {
 	order, _, err := s.read(ctx, vm)
 	return order, err
 }
 
-func (s *Book) read(ctx context.Context, vm string) (Order, uint64, error) {
+func (s *Store) read(ctx context.Context, vm string) (Order, uint64, error) {
 	row, err := s.table.Get(ctx, rowKey(vm))
 	if errors.Is(err, storage.ErrNotFound) {
 		return Order{}, 0, ErrNone
--- a/internal/lease/record.go
+++ b/internal/lease/record.go
@@ -68,18 +68,18 @@
 
 // readBack finds out whether a write of the row with an unknown outcome took
 // effect.
-func readBack(ctx context.Context, table storage.Table, baseKey string, expected storedRecord, writeID string) (confirm.Verdict, error) {
+func readBack(ctx context.Context, table storage.Table, baseKey string, expected storedRecord, writeID string) (confirm.Outcome, error) {
 	current, err := readRecord(ctx, table, baseKey)
 	switch {
 	case err != nil:
 		return 0, err
 	case current.era != expected.era:
 		// The write belongs to an earlier era, whose data is gone.
-		return confirm.Overtaken, nil
+		return confirm.Superseded, nil
 	case current.record.WriteID == writeID:
 		return confirm.Written, nil
 	case current.version != expected.version:
-		return confirm.Overtaken, nil
+		return confirm.Superseded, nil
 	}
 	return confirm.Pending, nil
 }
--- a/internal/lease/state.go
+++ b/internal/lease/state.go
@@ -19,12 +19,12 @@
 	if l.fencingToken == 0 {
 		return 0
 	}
-	return max(0, l.timing.Duration-l.timing.Margin-elapsed(l.renewedAt))
+	return max(0, l.timing.Duration-l.timing.SafetyMargin-elapsed(l.renewedAt))
 }
 
 // FencingToken returns the fencing token of the lease last held; zero after it
 // was lost or released.
-func (l *Lease) Fence() uint64 {
+func (l *Lease) FencingToken() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fencingToken
@@ -64,12 +64,12 @@
 	if l.supersededAt.IsZero() {
 		return 0
 	}
-	return max(0, l.timing.Rest-time.Since(l.supersededAt))
+	return max(0, l.timing.SupersededBackoff-time.Since(l.supersededAt))
 }
 
 // StepDown marks the lease as lost after a higher fencing token was seen, and keeps
 // this process from acquiring it for Timing.SupersededBackoff.
-func (l *Lease) Deposed() {
+func (l *Lease) StepDown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fencingToken = 0
--- a/internal/logging/async_writer.go
+++ b/internal/logging/async_writer.go
@@ -23,7 +23,7 @@
 
 // DroppedLines returns the number of lines that this process has dropped so far,
 // by sampling or because the queue was full.
-func Dropped() int64 { return droppedLines.Load() }
+func DroppedLines() int64 { return droppedLines.Load() }
 
 // asyncWriter is a writer that never blocks: lines are queued and written by
 // another goroutine, and dropped if the queue is full. It implements
--- a/internal/logging/async_writer_test.go
+++ b/internal/logging/async_writer_test.go
@@ -35,7 +35,7 @@
 func TestSlowReaderDoesNotBlock(t *testing.T) {
 	out := &blockedWriter{gate: make(chan struct{})}
 	log := zap.New(newCore(out, zap.InfoLevel))
-	before := Dropped()
+	before := DroppedLines()
 	start := time.Now()
 	for i := range 5000 {
 		log.Info("event_"+string(rune('a'+i%26))+string(rune('a'+i/26%26))+string(rune('a'+i/676)), Request("r"))
@@ -43,7 +43,7 @@
 	if elapsed := time.Since(start); elapsed > 2*time.Second {
 		t.Fatalf("logging 5,000 lines to a blocked writer took %v", elapsed)
 	}
-	droppedCount := Dropped() - before
+	droppedCount := DroppedLines() - before
 	if droppedCount < 5000-2*maxQueuedLines || droppedCount > 5000-maxQueuedLines {
 		t.Errorf("%d of 5,000 lines dropped, the queue holds %d", droppedCount, maxQueuedLines)
 	}
@@ -61,7 +61,7 @@
 	out := &blockedWriter{gate: make(chan struct{})}
 	close(out.gate)
 	log := zap.New(newCore(out, zap.InfoLevel))
-	before := Dropped()
+	before := DroppedLines()
 	for range 1000 {
 		log.Info(EventRequestRefused, Request("r"))
 	}
@@ -73,7 +73,7 @@
 	if lines < sampleInitial || lines > sampleInitial+1000/sampleThereafter+10 {
 		t.Errorf("%d of 1,000 equal lines written", lines)
 	}
-	if got := Dropped() - before; got != int64(1001-lines) {
+	if got := DroppedLines() - before; got != int64(1001-lines) {
 		t.Errorf("%d lines counted as dropped, want %d", got, 1001-lines)
 	}
 	if !strings.Contains(out.text(), "request=kept") {
--- a/internal/logging/event.go
+++ b/internal/logging/event.go
@@ -19,7 +19,7 @@
 	EventSettingsChanged = "settings_changed"
 	// EventSettingsRejected: a changed settings file is invalid; the previous
 	// settings stay in force.
-	EventSettingsRefused = "settings_refused"
+	EventSettingsRejected = "settings_refused"
 	// EventConnected: a connection to another process was opened.
 	EventConnected = "connected"
 	// EventDisconnected: a connection was closed, or timed out.
@@ -29,25 +29,25 @@
 	// EventPlatformUp: the platform service responds again.
 	EventPlatformUp = "platform_up"
 	// EventStorePollingStarted: a gateway began to poll a table of the store itself.
-	EventStoreAsked = "store_asked"
+	EventStorePollingStarted = "store_asked"
 	// EventUsageDutyAcquired: this gateway has become the usage reporter.
-	EventUsageHeld = "usage_duty_acquired"
+	EventUsageDutyAcquired = "usage_duty_acquired"
 	// EventUsageDutyReleased: this gateway is no longer the usage reporter.
-	EventUsageLeft = "usage_duty_left"
+	EventUsageDutyReleased = "usage_duty_left"
 	// EventUsageReportFinalized: the report of a window was stored.
-	EventUsageFinalized = "usage_report_finalized"
+	EventUsageReportFinalized = "usage_report_finalized"
 	// EventUsageReported: the platform accepted the report of a window.
 	EventUsageReported = "usage_reported"
 	// EventUsageReportFailed: a report couldn't be stored or sent; it will be retried.
-	EventUsageFailed = "usage_report_failed"
+	EventUsageReportFailed = "usage_report_failed"
 	// EventUsageCountsUnreadable: stored usage counts can't be read or written.
-	EventUsageUnreadable = "usage_counts_unreadable"
+	EventUsageCountsUnreadable = "usage_counts_unreadable"
 	// EventStoreRestored: the platform's store was restored from an older copy; the
 	// whole table was read again.
 	EventStoreRestored = "store_restored"
 	// EventStorePollingStopped: a gateway receives the changes of a table from other
 	// gateways and no longer polls the store for them.
-	EventStoreLeft = "store_left"
+	EventStorePollingStopped = "store_left"
 	// EventRowUnreadable: a row of the platform's store is invalid; its last valid
 	// value stays in use.
 	EventRowUnreadable = "row_unreadable"
@@ -61,7 +61,7 @@
 	// failed.
 	EventRegisterFailed = "register_failed"
 	// EventGatewayRemoved: the registration of a terminated gateway was removed.
-	EventGatewayGone = "gateway_gone"
+	EventGatewayRemoved = "gateway_gone"
 	// EventServersListed: a gateway read the whole list of backend servers.
 	EventServersListed = "servers_listed"
 	// EventServerChanged: a backend server was added to the list or its entry there
@@ -85,7 +85,7 @@
 	EventQuarantineFailed = "quarantine_failed"
 	// EventIdleConnClosed: a gateway closed a client's connection that was idle
 	// longer than the limit.
-	EventCallerClosed = "caller_closed"
+	EventIdleConnClosed = "caller_closed"
 	// EventServerError: the HTTP server reported an internal error, such as a
 	// panic in a request handler.
 	EventServerError = "server_error"
@@ -137,11 +137,11 @@
 	// EventLeaseReleaseFailed: a lease could not be released.
 	EventLeaseReleaseFailed = "lease_release_failed"
 	// EventLeaseTaskFailed: a task performed under a lease failed.
-	EventLeaseActFailed = "lease_act_failed"
+	EventLeaseTaskFailed = "lease_act_failed"
 	// EventOrderIssued: an order was issued to an engine's agent.
-	EventOrderGiven = "order_given"
+	EventOrderIssued = "order_given"
 	// EventOrderCompleted: an order to the engine was executed.
-	EventOrderDone = "order_done"
+	EventOrderCompleted = "order_done"
 	// EventOrderFailed: an order could not be read or executed.
 	EventOrderFailed = "order_failed"
 )
--- a/internal/metrics/bench_test.go
+++ b/internal/metrics/bench_test.go
@@ -16,9 +16,9 @@
 	m := New()
 	b.ReportAllocs()
 	for b.Loop() {
-		class := m.Request("hazard-flag")
+		class := m.ForClass("hazard-flag")
 		class.Received()
-		class.FirstToken(320 * time.Millisecond)
+		class.ObserveFirstToken(320 * time.Millisecond)
 		class.Finished(OnTime, 200)
 	}
 }
@@ -27,10 +27,10 @@
 func BenchmarkText(b *testing.B) {
 	m := New()
 	for i := range targetClasses {
-		class := m.Request(fmt.Sprintf("class-%d", i))
+		class := m.ForClass(fmt.Sprintf("class-%d", i))
 		class.Refused("overload")
 		for range sampleSize {
-			class.FirstToken(time.Second)
+			class.ObserveFirstToken(time.Second)
 		}
 	}
 	b.ReportAllocs()
--- a/internal/metrics/class.go
+++ b/internal/metrics/class.go
@@ -71,7 +71,7 @@
 func (c *Class) Received() { c.received.Inc(1) }
 
 // ReceivedPromptTokens counts the prompt tokens of a received request.
-func (c *Class) ReceivedPrompt(tokens int) { c.promptTokens.Inc(int64(tokens)) }
+func (c *Class) ReceivedPromptTokens(tokens int) { c.promptTokens.Inc(int64(tokens)) }
 
 // Finished counts a request whose response was sent completely, and adds its
 // tokens to the goodput if it was on time.
@@ -94,7 +94,7 @@
 // RefusedPromptTokens counts the prompt tokens of a refused request. Comparing the mean
 // prompt length of refused requests with that of received ones shows whether admission is
 // biased by prompt length.
-func (c *Class) RefusedPrompt(reason Reason, tokens int) {
+func (c *Class) RefusedPromptTokens(reason Reason, tokens int) {
 	if tokens == 0 {
 		return
 	}
@@ -103,7 +103,7 @@
 }
 
 // OutcomeUnknown counts a request whose client was told that it may have run.
-func (c *Class) Unknown() { c.outcomeUnknown.Inc(1) }
+func (c *Class) OutcomeUnknown() { c.outcomeUnknown.Inc(1) }
 
 // Failed counts a request that ended with any other error.
 func (c *Class) Failed() { c.failed.Inc(1) }
@@ -116,10 +116,10 @@
 
 // WastedTokens counts tokens that were generated but didn't reach a client as part
 // of a complete response.
-func (c *Class) Wasted(tokens int) { c.wastedTokens.Inc(int64(tokens)) }
+func (c *Class) WastedTokens(tokens int) { c.wastedTokens.Inc(int64(tokens)) }
 
 // ObservePause records the longest pause between two events of a stream.
-func (c *Class) Pause(longest time.Duration) { c.longestPause.Update(longest.Microseconds()) }
+func (c *Class) ObservePause(longest time.Duration) { c.longestPause.Update(longest.Microseconds()) }
 
 // ObserveFirstToken records the time from a request's arrival to its first token.
-func (c *Class) FirstToken(wait time.Duration) { c.firstToken.Update(wait.Microseconds()) }
+func (c *Class) ObserveFirstToken(wait time.Duration) { c.firstToken.Update(wait.Microseconds()) }
--- a/internal/metrics/gateway.go
+++ b/internal/metrics/gateway.go
@@ -3,35 +3,35 @@
 import "time"
 
 // GatewayStats is a snapshot of a gateway's state, taken for each scrape.
-type Gateway struct {
+type GatewayStats struct {
 	// StateVersion is the version of the desired state in force.
-	Version uint64
+	StateVersion uint64
 	// StateAge is the time since that version was last confirmed to be the newest.
-	ProofAge time.Duration
+	StateAge time.Duration
 	// LiveGateways is the number of gateways that this one hears from, itself included.
-	Gateways int
+	LiveGateways int
 	// PollsStore says whether this gateway polls the store for changes to the list of
 	// backend servers, instead of receiving them from other gateways.
-	Asking bool
+	PollsStore bool
 	// UsableServers is the number of backend servers that may receive requests.
-	Servers int
+	UsableServers int
 	// LimitedServers is the number of backend servers that have announced a limit.
-	Limited int
+	LimitedServers int
 	// LimitedSends is the total number of requests sent to servers while they had a limit.
 	LimitedSends int64
 	// QuarantinedRequests is the number of requests refused because backend servers
 	// terminated while processing them. Requests with the same content count once.
-	Quarantined int
-	// UsageFencingToken is the fencing token of the lease under which this gateway reports
+	QuarantinedRequests int
+	// UsageGeneration is the fencing token of the lease under which this gateway reports
 	// usage; 0 while it doesn't hold the lease. The metric calls it the generation.
 	UsageGeneration uint64
 	// DroppedLogLines is the total number of log lines that were dropped.
-	LinesDropped int64
+	DroppedLogLines int64
 }
 
 // CollectGateway registers the gateway metrics and calls read before each scrape to update
 // them.
-func (m *Metrics) ReadGateway(read func() Gateway) {
+func (m *Metrics) CollectGateway(read func() GatewayStats) {
 	stateAge := gauge(m.registry, familyStateAge)
 	gateways := gauge(m.registry, familyLiveGateways)
 	servers := gauge(m.registry, familyUsableServers)
@@ -40,22 +40,22 @@
 	limitedSends := counter(m.registry, familyLimitedSends)
 	quarantined := gauge(m.registry, familyQuarantinedRequests)
 	polling := gauge(m.registry, familyStorePolling)
-	fencingToken := gauge(m.registry, familyUsageFencingToken)
-	m.OnRead(func() {
+	fencingToken := gauge(m.registry, familyUsageGeneration)
+	m.OnScrape(func() {
 		stats := read()
-		m.TargetsVersion(stats.Version)
-		stateAge.Update(stats.ProofAge.Milliseconds())
-		gateways.Update(int64(stats.Gateways))
+		m.SetTargetsVersion(stats.StateVersion)
+		stateAge.Update(stats.StateAge.Milliseconds())
+		gateways.Update(int64(stats.LiveGateways))
 		polling.Update(0)
-		if stats.Asking {
+		if stats.PollsStore {
 			polling.Update(1)
 		}
-		servers.Update(int64(stats.Servers))
-		limited.Update(int64(stats.Limited))
+		servers.Update(int64(stats.UsableServers))
+		limited.Update(int64(stats.LimitedServers))
 		limitedSends.Inc(stats.LimitedSends - limitedSends.Count())
-		quarantined.Update(int64(stats.Quarantined))
+		quarantined.Update(int64(stats.QuarantinedRequests))
 		fencingToken.Update(int64(stats.UsageGeneration))
-		droppedLines.Inc(stats.LinesDropped - droppedLines.Count())
+		droppedLines.Inc(stats.DroppedLogLines - droppedLines.Count())
 	})
 }
 
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -88,7 +88,7 @@
 
 // ForClass returns the metrics of a class, or those of the class "other" if
 // MaxClasses other classes already have metrics.
-func (m *Metrics) Request(class string) *Class {
+func (m *Metrics) ForClass(class string) *Class {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if existing, ok := m.classes[class]; ok {
@@ -106,13 +106,13 @@
 }
 
 // SetTargetsVersion sets the version of the targets in force in this process.
-func (m *Metrics) TargetsVersion(version uint64) {
+func (m *Metrics) SetTargetsVersion(version uint64) {
 	gauge(m.registry, familyTargetsVersion).Update(int64(version))
 }
 
 // OnScrape registers update to be called before each scrape, for values that are
 // read from elsewhere instead of being counted here.
-func (m *Metrics) OnRead(update func()) {
+func (m *Metrics) OnScrape(update func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.scrapeHooks = append(m.scrapeHooks, update)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -26,21 +26,21 @@
 
 func TestTextFormat(t *testing.T) {
 	m := New()
-	flag := m.Request("hazard-flag")
+	flag := m.ForClass("hazard-flag")
 	for range 3 {
 		flag.Received()
 	}
-	flag.FirstToken(320 * time.Millisecond)
-	flag.Pause(150 * time.Millisecond)
+	flag.ObserveFirstToken(320 * time.Millisecond)
+	flag.ObservePause(150 * time.Millisecond)
 	flag.Finished(OnTime, 40)
 	flag.Finished(Late, 50)
 	flag.Refused("overload")
-	flag.ReceivedPrompt(900)
-	flag.RefusedPrompt("overload", 700)
-	flag.Wasted(7)
-	summary := m.Request("summary \"long\"\n")
+	flag.ReceivedPromptTokens(900)
+	flag.RefusedPromptTokens("overload", 700)
+	flag.WastedTokens(7)
+	summary := m.ForClass("summary \"long\"\n")
 	summary.Received()
-	summary.Unknown()
+	summary.OutcomeUnknown()
 	summary.Retried()
 	summary.Failed()
 	summary.Cancelled()
@@ -49,15 +49,15 @@
 	m.Control.Received(20)
 	m.Platform.Read(nil)
 	m.Platform.Write(errors.New("down"))
-	m.StoreAsked("targets")()
-	m.TargetsVersion(12)
+	m.StoreCallCounter("targets")()
+	m.SetTargetsVersion(12)
 	goldie.New(t).Assert(t, "text", []byte(formatText(t, m)))
 }
 
 func TestClassesAreBounded(t *testing.T) {
 	m := New()
 	for i := range 3 * MaxClasses {
-		m.Request(fmt.Sprintf("class-%d", i)).Received()
+		m.ForClass(fmt.Sprintf("class-%d", i)).Received()
 	}
 	got := formatText(t, m)
 	if n := strings.Count(got, string(familyReceived)+"{"); n != MaxClasses+1 {
@@ -72,7 +72,7 @@
 func TestReasonsAreBounded(t *testing.T) {
 	m := New()
 	for i := range 3 * MaxReasons {
-		m.Request("flag").Refused(Reason(fmt.Sprintf("reason-%d", i)))
+		m.ForClass("flag").Refused(Reason(fmt.Sprintf("reason-%d", i)))
 	}
 	want := fmt.Sprintf("%s{class=\"flag\",reason=\"other\"} %d\n", familyRefused, 2*MaxReasons)
 	if got := formatText(t, m); !strings.Contains(got, want) {
@@ -87,7 +87,7 @@
 	for range workers {
 		group.Go(func() {
 			for range rounds {
-				class := m.Request("flag")
+				class := m.ForClass("flag")
 				class.Received()
 				class.Refused("overload")
 				m.Control.Sent(1)
@@ -104,8 +104,8 @@
 
 func TestPaths(t *testing.T) {
 	m := New()
-	m.Request("flag").Received()
-	m.OnRead(func() { m.TargetsVersion(7) })
+	m.ForClass("flag").Received()
+	m.OnScrape(func() { m.SetTargetsVersion(7) })
 	state := errors.New("starting")
 	ready := Readiness(func() error { return state })
 	router := httprouter.New()
--- a/internal/metrics/platform.go
+++ b/internal/metrics/platform.go
@@ -42,14 +42,14 @@
 
 // StoreCallCounter returns a function that counts a call to the platform's store for the
 // table.
-func (m *Metrics) StoreAsked(table string) (count func()) {
+func (m *Metrics) StoreCallCounter(table string) (count func()) {
 	calls := counter(m.registry, familyStoreCalls, label{name: labelTable, value: table})
 	return func() { calls.Inc(1) }
 }
 
 // StoreRestoreCounter returns a function that counts a restore of the platform's store from
 // an older copy, as detected by the follower of the table.
-func (m *Metrics) StoreRestored(table string) (count func()) {
+func (m *Metrics) StoreRestoreCounter(table string) (count func()) {
 	restores := counter(m.registry, familyStoreRestores, label{name: labelTable, value: table})
 	return func() { restores.Inc(1) }
 }
--- a/internal/metrics/usage.go
+++ b/internal/metrics/usage.go
@@ -8,7 +8,7 @@
 
 // UsageReports counts the usage reports that this process sent. It implements
 // usage.Observer.
-type Usage struct {
+type UsageReports struct {
 	accepted gometrics.Counter
 	late     gometrics.Counter
 	failed   gometrics.Counter
@@ -16,15 +16,15 @@
 }
 
 // UsageReports returns the counters of usage reports.
-func (m *Metrics) Usage() *Usage {
-	return &Usage{
+func (m *Metrics) UsageReports() *UsageReports {
+	return &UsageReports{
 		accepted: counter(m.registry, familyUsageAccepted), late: counter(m.registry, familyUsageLate),
 		failed: counter(m.registry, familyUsageFailed), delay: gauge(m.registry, familyUsageDelay),
 	}
 }
 
 // ReportAccepted implements usage.Observer.
-func (u *Usage) Reported(after time.Duration, late bool) {
+func (u *UsageReports) ReportAccepted(after time.Duration, late bool) {
 	u.accepted.Inc(1)
 	u.delay.Update(after.Milliseconds())
 	if late {
@@ -33,4 +33,4 @@
 }
 
 // ReportFailed implements usage.Observer.
-func (u *Usage) Refused(error) { u.failed.Inc(1) }
+func (u *UsageReports) ReportFailed(error) { u.failed.Inc(1) }
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -9,7 +9,7 @@
 
 // Sleep waits for d or until ctx is done, and reports whether ctx is still active.
 // It returns immediately if d is zero or negative.
-func For(ctx context.Context, d time.Duration) bool {
+func Sleep(ctx context.Context, d time.Duration) bool {
 	if d > 0 {
 		select {
 		case <-ctx.Done():
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -40,7 +40,7 @@
 }
 
 // StateHandler serves the State of this process as JSON.
-func Handler(state func() State) http.HandlerFunc {
+func StateHandler(state func() State) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(state())
@@ -49,7 +49,7 @@
 
 // FetchState reads the State of the process at addr (host:port). Failures to get or
 // decode a response are ErrUnreachable.
-func Ask(ctx context.Context, addr, systemKey string) (State, error) {
+func FetchState(ctx context.Context, addr, systemKey string) (State, error) {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	var s State
@@ -60,14 +60,14 @@
 // FetchFromAny reads the State of all peers, one after the other, and offers their
 // targets to holder, which keeps the newest. It returns the first VM list that is
 // not empty, or ErrUnreachable if no peer has one.
-func AskAny(ctx context.Context, addrs []string, systemKey string, holder *targets.Holder) ([]storage.VM, error) {
+func FetchFromAny(ctx context.Context, addrs []string, systemKey string, holder *targets.Cache) ([]storage.VM, error) {
 	var vms []storage.VM
 	for _, addr := range addrs {
-		s, err := Ask(ctx, addr, systemKey)
+		s, err := FetchState(ctx, addr, systemKey)
 		if err != nil {
 			continue
 		}
-		holder.Offer(s.Targets)
+		holder.UpdateIfNewer(s.Targets)
 		if len(vms) == 0 {
 			vms = s.VMs
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -18,7 +18,7 @@
 // returns its address (host:port).
 func startPeer(t *testing.T, s State) string {
 	t.Helper()
-	server := httptest.NewServer(auth.System(testKey)(Handler(func() State { return s })))
+	server := httptest.NewServer(auth.RequireSystemKey(testKey)(StateHandler(func() State { return s })))
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
@@ -30,8 +30,8 @@
 		startPeer(t, State{Process: "new", Targets: &targets.Set{Version: 5}, VMs: []storage.VM{{Name: "vm-1"}}}),
 		startPeer(t, State{Process: "older", Targets: &targets.Set{Version: 4}, VMs: []storage.VM{{Name: "vm-2"}}}),
 	}
-	holder := targets.NewHolder()
-	vms, err := AskAny(t.Context(), addrs, testKey, holder)
+	holder := targets.NewCache()
+	vms, err := FetchFromAny(t.Context(), addrs, testKey, holder)
 	if err != nil || len(vms) != 1 || vms[0].Name != "vm-1" {
 		t.Fatalf("VMs: got %+v, %v", vms, err)
 	}
@@ -41,8 +41,8 @@
 }
 
 func TestPeersWithoutVMListStillProvideTargets(t *testing.T) {
-	holder := targets.NewHolder()
-	_, err := AskAny(t.Context(), []string{startPeer(t, State{Targets: &targets.Set{Version: 2}})}, testKey, holder)
+	holder := targets.NewCache()
+	_, err := FetchFromAny(t.Context(), []string{startPeer(t, State{Targets: &targets.Set{Version: 2}})}, testKey, holder)
 	if !errors.Is(err, ErrUnreachable) || holder.Current().Version != 2 {
 		t.Fatalf("got %v with version %d", err, holder.Current().Version)
 	}
@@ -50,7 +50,7 @@
 
 func TestStateRequiresSystemKey(t *testing.T) {
 	addr := startPeer(t, State{Targets: &targets.Set{Version: 2}})
-	if _, err := Ask(t.Context(), addr, "another-key"); !errors.Is(err, ErrUnreachable) {
+	if _, err := FetchState(t.Context(), addr, "another-key"); !errors.Is(err, ErrUnreachable) {
 		t.Fatalf("got %v, want a refusal", err)
 	}
 }
--- a/internal/peer/version.go
+++ b/internal/peer/version.go
@@ -34,7 +34,7 @@
 
 // FetchVersion reads the Version of the process at addr (host:port). Failures to get
 // or decode a response are ErrUnreachable.
-func AskVersion(ctx context.Context, addr, systemKey string) (Version, error) {
+func FetchVersion(ctx context.Context, addr, systemKey string) (Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, versionTimeout)
 	defer cancel()
 	var v Version
--- a/internal/program/error.go
+++ b/internal/program/error.go
@@ -16,15 +16,15 @@
 	// Code is the exit code of the program.
 	Code ExitCode
 	// Message describes the failure.
-	Problem string
+	Message string
 	// Hint tells the operator how to resolve the failure; it may be empty.
-	Advice string
+	Hint string
 	// Cause is the underlying error; it may be nil.
 	Cause error
 }
 
 // Error returns the message without the hint.
-func (e *Error) Error() string { return e.Problem }
+func (e *Error) Error() string { return e.Message }
 
 // Unwrap returns the underlying error, or nil.
 func (e *Error) Unwrap() error { return e.Cause }
@@ -37,36 +37,36 @@
 	}
 	var failure *Error
 	if !errors.As(err, &failure) {
-		failure = &Error{Code: ExitFailure, Problem: err.Error()}
+		failure = &Error{Code: ExitFailure, Message: err.Error()}
 	}
-	fmt.Fprintf(errOut, "%s: %s\n", name, failure.Problem)
-	if failure.Advice != "" {
-		fmt.Fprintf(errOut, "what to do: %s\n", failure.Advice)
+	fmt.Fprintf(errOut, "%s: %s\n", name, failure.Message)
+	if failure.Hint != "" {
+		fmt.Fprintf(errOut, "what to do: %s\n", failure.Hint)
 	}
 	return failure.Code
 }
 
 // UsageError returns an *Error with ExitUsage for an invalid command line; its
 // hint names the help text of the command.
-func Usage(command *cli.Command, problem string) error {
+func UsageError(command *cli.Command, problem string) error {
 	return &Error{
 		Code:    ExitUsage,
-		Problem: problem,
-		Advice:  "see " + command.FullName() + " --help",
+		Message: problem,
+		Hint:    "see " + command.FullName() + " --help",
 	}
 }
 
 // onUsageError converts a command-line parsing error to an *Error. Its first
 // letter is lowercased because the program name precedes it.
 func onUsageError(_ context.Context, command *cli.Command, err error, _ bool) error {
-	return Usage(command, strings.ToLower(err.Error()[:1])+err.Error()[1:])
+	return UsageError(command, strings.ToLower(err.Error()[:1])+err.Error()[1:])
 }
 
 // missingCommand is the action of a command that has only subcommands. It returns
 // a usage error for an unknown or missing subcommand.
 func missingCommand(_ context.Context, command *cli.Command) error {
 	if name := command.Args().First(); name != "" {
-		return Usage(command, fmt.Sprintf("there is no command %q", name))
+		return UsageError(command, fmt.Sprintf("there is no command %q", name))
 	}
-	return Usage(command, "a command is missing")
+	return UsageError(command, "a command is missing")
 }
--- a/internal/program/exit.go
+++ b/internal/program/exit.go
@@ -18,12 +18,12 @@
 	// not respond.
 	ExitUnreachable ExitCode = 4
 	// ExitUnauthorized means that the key was rejected.
-	ExitDenied ExitCode = 5
+	ExitUnauthorized ExitCode = 5
 	// ExitNotFound means that the requested object does not exist.
 	ExitNotFound ExitCode = 6
 	// ExitPartial means that the command succeeded, but not every process
 	// confirmed it or responded.
 	ExitPartial ExitCode = 7
 	// ExitOutcomeUnknown means that the change may or may not have been applied.
-	ExitUnknown ExitCode = 8
+	ExitOutcomeUnknown ExitCode = 8
 )
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -18,12 +18,12 @@
 	// Usage is a one-line description for the help text.
 	Usage string
 	// ExampleFile is the path of an example settings file for the help text.
-	Example string
+	ExampleFile string
 	// Load reads and validates a settings file. A *settings.InvalidError lists
 	// the invalid lines.
 	Load func(path string) (S, error)
 	// LoggerConfig returns the logger configuration from the settings.
-	Identify func(settings S) Identity
+	LoggerConfig func(settings S) LoggerConfig
 	// SettingsEnv names the environment variable with the path of the settings
 	// file, used if the command line has none. Empty means no such variable.
 	SettingsEnv string
@@ -32,13 +32,13 @@
 	Serve func(ctx context.Context, settings S, log *zap.Logger) error
 	// ServeWithReload replaces Serve, if set, for a program that applies changes
 	// of its settings file while it runs. reload reads the file again.
-	ServeReloading func(ctx context.Context, settings S, reload func() (S, error), log *zap.Logger) error
+	ServeWithReload func(ctx context.Context, settings S, reload func() (S, error), log *zap.Logger) error
 	// Commands are additional commands of this program.
 	Commands []*cli.Command
 }
 
 // LoggerConfig holds the settings of the logger.
-type Identity struct {
+type LoggerConfig struct {
 	// Process is the process name in each log line; it is the name of the VM.
 	Process string
 	// LogLevel is debug, info, warn or error. Empty means info.
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -15,12 +15,12 @@
 
 func testProgram(serve func(context.Context, settings.Agent, *zap.Logger) error) Program[settings.Agent] {
 	return Program[settings.Agent]{
-		Name:    "tool",
-		Usage:   "a program under test",
-		Example: "examples/agent.yaml",
-		Load:    settings.LoadAgent,
-		Identify: func(agent settings.Agent) Identity {
-			return Identity{Process: agent.Process, LogLevel: "error"}
+		Name:        "tool",
+		Usage:       "a program under test",
+		ExampleFile: "examples/agent.yaml",
+		Load:        settings.LoadAgent,
+		LoggerConfig: func(agent settings.Agent) LoggerConfig {
+			return LoggerConfig{Process: agent.Process, LogLevel: "error"}
 		},
 		Serve: serve,
 	}
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -21,7 +21,7 @@
 		Usage: "run the process until SIGTERM or SIGINT",
 		Description: "The first signal begins a graceful shutdown: no new work is taken and what runs is ended.\n" +
 			"A SIGINT after it ends the process at once.\n\n" +
-			"Example:\n   " + p.Name + " serve --settings " + p.Example,
+			"Example:\n   " + p.Name + " serve --settings " + p.ExampleFile,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: flagSettings, Usage: "read the settings from `FILE`", Required: true, Sources: p.settingsSources()},
 		},
@@ -38,7 +38,7 @@
 
 func (p Program[S]) runServe(ctx context.Context, command *cli.Command) error {
 	if command.Args().Present() {
-		return Usage(command, "serve takes no arguments")
+		return UsageError(command, "serve takes no arguments")
 	}
 	// An unhandled SIGHUP would terminate the process, so it is handled before the
 	// settings are loaded. A SIGHUP that arrives before ServeWithReload handles
@@ -51,14 +51,14 @@
 	if err != nil {
 		return err
 	}
-	identity := p.Identify(settings)
+	identity := p.LoggerConfig(settings)
 	log, err := logging.New(identity.LogLevel, identity.Process)
 	if err != nil {
 		return errors.Wrap(err, "logging")
 	}
 	return serveUntilSignal(ctx, log, func(ctx context.Context) error {
-		if p.ServeReloading != nil {
-			return p.ServeReloading(ctx, settings, func() (S, error) { return p.Load(path) }, log)
+		if p.ServeWithReload != nil {
+			return p.ServeWithReload(ctx, settings, func() (S, error) { return p.Load(path) }, log)
 		}
 		return p.Serve(ctx, settings, log)
 	})
--- a/internal/program/settings.go
+++ b/internal/program/settings.go
@@ -19,7 +19,7 @@
 			Usage:     "check a settings file and list every problem in it",
 			ArgsUsage: "FILE",
 			Description: "Secrets are not read, so a file can be checked away from its VM.\n\n" +
-				"Example:\n   " + p.Name + " settings check " + p.Example,
+				"Example:\n   " + p.Name + " settings check " + p.ExampleFile,
 			Action: p.runCheck,
 		}},
 	}
@@ -27,7 +27,7 @@
 
 func (p Program[S]) runCheck(_ context.Context, command *cli.Command) error {
 	if command.Args().Len() != 1 {
-		return Usage(command, "give one settings file")
+		return UsageError(command, "give one settings file")
 	}
 	path := command.Args().First()
 	if _, err := p.loadSettings(path); err != nil {
@@ -48,15 +48,15 @@
 	if errors.As(err, &invalid) {
 		return loaded, &Error{
 			Code:    ExitUsage,
-			Problem: "settings are not valid\n" + invalid.Error(),
-			Advice:  "correct each line above; docs/SETTINGS.md explains the keys",
+			Message: "settings are not valid\n" + invalid.Error(),
+			Hint:    "correct each line above; docs/SETTINGS.md explains the keys",
 			Cause:   err,
 		}
 	}
 	return loaded, &Error{
 		Code:    ExitUsage,
-		Problem: err.Error(),
-		Advice:  "give the path of a file that this user may read",
+		Message: err.Error(),
+		Hint:    "give the path of a file that this user may read",
 		Cause:   err,
 	}
 }
--- a/internal/settings/common.go
+++ b/internal/settings/common.go
@@ -10,20 +10,20 @@
 // variable.
 type Keys struct {
 	// Operator grants access to the administration API.
-	Operator Secret `yaml:"operator"`
+	Operator SecretSource `yaml:"operator"`
 	// System authenticates the system's own processes to each other.
-	System Secret `yaml:"system"`
+	System SecretSource `yaml:"system"`
 }
 
 // SecretSource names the file or environment variable that holds a secret.
 // Exactly one field is set.
-type Secret struct {
+type SecretSource struct {
 	File string `yaml:"file,omitempty"`
 	Env  string `yaml:"env,omitempty"`
 }
 
 // ClientAuth configures how the customer of a request is determined.
-type Callers struct {
+type ClientAuth struct {
 	// TrustCustomerHeader takes the customer from X-Applepier-Customer if the
 	// client sends no API key; for entry processes behind a proxy that sets it.
 	TrustCustomerHeader bool `yaml:"trust_customer_header"`
@@ -52,10 +52,10 @@
 	// Kind is engine or service.
 	Kind BackendKind `yaml:"kind" validate:"required,oneof=engine service"`
 	// ServedName is the name of the model or of the service.
-	Serves string `yaml:"serves" validate:"required"`
+	ServedName string `yaml:"serves" validate:"required"`
 	// URL is the base URL of the server, on the same VM.
 	URL string `yaml:"url" validate:"required,http_url"`
 	// ChecksFencingToken says whether the server refuses orders with an outdated
 	// fencing token.
-	ChecksFence bool `yaml:"checks_fence"`
+	ChecksFencingToken bool `yaml:"checks_fence"`
 }
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -24,17 +24,17 @@
 	// the handover of the desired state.
 	PeerListen string `yaml:"peer_listen" validate:"required,hostname_port"`
 	// StoreAddr is the host:port of the platform's store.
-	Store string `yaml:"store" validate:"required,hostname_port"`
+	StoreAddr string `yaml:"store" validate:"required,hostname_port"`
 	// MemoryLimitMB is the memory limit of the process in MB; 0 means no limit.
-	MemoryMB float64 `yaml:"memory_mb" validate:"gte=0"`
+	MemoryLimitMB float64 `yaml:"memory_mb" validate:"gte=0"`
 	// Revocation configures how soon a revoked API key must stop working.
-	Revoke Revoke `yaml:"revoke"`
+	Revocation Revocation `yaml:"revoke"`
 	// RetryBudget limits retries across all gateways.
-	Retry Retry `yaml:"retry"`
+	RetryBudget RetryBudget `yaml:"retry"`
 	// ShutdownTimeout is the maximum duration of a graceful shutdown.
-	Grace time.Duration `yaml:"grace" validate:"gt=0"`
+	ShutdownTimeout time.Duration `yaml:"grace" validate:"gt=0"`
 	// UsageReporting configures the usage reports for customers' requests.
-	Usage Usage `yaml:"usage"`
+	UsageReporting UsageReporting `yaml:"usage"`
 	// Log configures logging.
 	Log Log `yaml:"log"`
 }
@@ -44,7 +44,7 @@
 
 // UsageReporting configures how each customer's usage is reported to the platform. One
 // gateway at a time sends the reports.
-type Usage struct {
+type UsageReporting struct {
 	// Addr is the host:port that receives the reports; empty disables reporting.
 	Addr string `yaml:"addr" validate:"omitempty,hostname_port"`
 	// Duties is the comma-separated list of duties that the platform assigns to the
@@ -61,27 +61,27 @@
 
 // Enabled reports whether usage is to be reported: Addr is set and Duties
 // contains DutyMetering.
-func (u Usage) Reported() bool {
+func (u UsageReporting) Enabled() bool {
 	return u.Addr != "" && slices.Contains(strings.Split(u.Duties, ","), DutyMetering)
 }
 
 // Revocation configures how soon a revoked API key must stop working.
-type Revoke struct {
+type Revocation struct {
 	// Strict refuses requests with an API key while the gateway can't be certain
 	// that the key hasn't been revoked.
 	Strict bool `yaml:"strict"`
 	// MaxDelay is the longest time a revoked key may keep working.
-	Within time.Duration `yaml:"within" validate:"gte=0"`
+	MaxDelay time.Duration `yaml:"within" validate:"gte=0"`
 }
 
 // RetryBudget limits retries: in each window they may not exceed Ratio times the
 // number of requests plus ExtraPerWindow.
-type Retry struct {
+type RetryBudget struct {
 	// Ratio is the number of retries that each request adds to the budget.
 	Ratio float64 `yaml:"ratio" validate:"gte=0"`
 	// ExtraPerWindow is the number of retries allowed regardless of the number
 	// of requests.
-	Extra float64 `yaml:"extra" validate:"gte=0"`
+	ExtraPerWindow float64 `yaml:"extra" validate:"gte=0"`
 	// Window is the time span over which the budget is computed.
 	Window time.Duration `yaml:"window" validate:"gt=0"`
 }
--- a/internal/settings/secret.go
+++ b/internal/settings/secret.go
@@ -25,7 +25,7 @@
 
 // Read returns the secret without leading and trailing white space. The error
 // wraps ErrSecretSource, ErrSecretMissing or ErrSecretShort.
-func (s Secret) Read() (string, error) {
+func (s SecretSource) Read() (string, error) {
 	raw, err := s.readRaw()
 	if err != nil {
 		return "", err
@@ -37,7 +37,7 @@
 	return secret, nil
 }
 
-func (s Secret) readRaw() (string, error) {
+func (s SecretSource) readRaw() (string, error) {
 	if (s.File == "") == (s.Env == "") {
 		return "", ErrSecretSource
 	}
@@ -55,7 +55,7 @@
 	return string(content), nil
 }
 
-func (s Secret) sourceName() string {
+func (s SecretSource) sourceName() string {
 	if s.Env != "" {
 		return "environment variable " + s.Env
 	}
--- a/internal/settings/secret_test.go
+++ b/internal/settings/secret_test.go
@@ -15,7 +15,7 @@
 	if err := os.WriteFile(path, []byte(" "+validSecret+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	got, err := Secret{File: path}.Read()
+	got, err := SecretSource{File: path}.Read()
 	if err != nil || got != validSecret {
 		t.Fatalf("got %q, %v", got, err)
 	}
@@ -23,7 +23,7 @@
 
 func TestSecretFromEnvironment(t *testing.T) {
 	t.Setenv("APPLEPIER_TEST_KEY", validSecret)
-	got, err := Secret{Env: "APPLEPIER_TEST_KEY"}.Read()
+	got, err := SecretSource{Env: "APPLEPIER_TEST_KEY"}.Read()
 	if err != nil || got != validSecret {
 		t.Fatalf("got %q, %v", got, err)
 	}
@@ -33,14 +33,14 @@
 	t.Setenv("APPLEPIER_TEST_SHORT", "   0123456789abcde   ")
 	tests := []struct {
 		name   string
-		secret Secret
+		secret SecretSource
 		want   error
 	}{
-		{"no source", Secret{}, ErrSecretSource},
-		{"two sources", Secret{File: "a", Env: "b"}, ErrSecretSource},
-		{"no variable", Secret{Env: "APPLEPIER_TEST_NONE"}, ErrSecretMissing},
-		{"no file", Secret{File: filepath.Join(t.TempDir(), "none")}, ErrSecretMissing},
-		{"short", Secret{Env: "APPLEPIER_TEST_SHORT"}, ErrSecretShort},
+		{"no source", SecretSource{}, ErrSecretSource},
+		{"two sources", SecretSource{File: "a", Env: "b"}, ErrSecretSource},
+		{"no variable", SecretSource{Env: "APPLEPIER_TEST_NONE"}, ErrSecretMissing},
+		{"no file", SecretSource{File: filepath.Join(t.TempDir(), "none")}, ErrSecretMissing},
+		{"short", SecretSource{Env: "APPLEPIER_TEST_SHORT"}, ErrSecretShort},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -17,13 +17,13 @@
 func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(yamlKey)
-	v.RegisterStructValidation(validateSecret, Secret{})
-	v.RegisterStructValidation(validateUsage, Usage{})
+	v.RegisterStructValidation(validateSecret, SecretSource{})
+	v.RegisterStructValidation(validateUsage, UsageReporting{})
 	return v
 }
 
 func validateSecret(level validator.StructLevel) {
-	secret := level.Current().Interface().(Secret)
+	secret := level.Current().Interface().(SecretSource)
 	if (secret.File == "") == (secret.Env == "") {
 		level.ReportError(secret.File, "file", "File", tagOneSource, "")
 	}
@@ -31,8 +31,8 @@
 
 // validateUsage requires the three durations when usage reporting is enabled.
 func validateUsage(level validator.StructLevel) {
-	usage := level.Current().Interface().(Usage)
-	if !usage.Reported() {
+	usage := level.Current().Interface().(UsageReporting)
+	if !usage.Enabled() {
 		return
 	}
 	for name, duration := range map[string]time.Duration{"window": usage.Window, "delay": usage.Delay, "lease": usage.Lease} {
--- a/internal/stall/watchdog.go
+++ b/internal/stall/watchdog.go
@@ -18,7 +18,7 @@
 // WithWatchdog returns a context for a call and its Watchdog. The context is canceled
 // if no data arrives within firstByteTimeout, and after callTimeout in any case. The
 // caller must call Stop.
-func New(ctx context.Context, firstByteTimeout, callTimeout time.Duration) (context.Context, *Watchdog) {
+func WithWatchdog(ctx context.Context, firstByteTimeout, callTimeout time.Duration) (context.Context, *Watchdog) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	return callCtx, &Watchdog{timer: time.AfterFunc(firstByteTimeout, cancel), cancel: cancel}
 }
--- a/internal/stall/watchdog_test.go
+++ b/internal/stall/watchdog_test.go
@@ -48,7 +48,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				start := time.Now()
-				ctx, watchdog := New(t.Context(), firstByteTimeout, callTimeout)
+				ctx, watchdog := WithWatchdog(t.Context(), firstByteTimeout, callTimeout)
 				defer watchdog.Stop()
 				var err error
 				select {
--- a/internal/storage/confirm/confirm.go
+++ b/internal/storage/confirm/confirm.go
@@ -23,7 +23,7 @@
 	ErrConflict = errors.New("another writer changed the row first")
 	// ErrOutcomeUnknown means that the outcome could not be determined within
 	// Timeout: the writes may have taken effect or may still take effect.
-	ErrUnsettled = errors.New("outcome of the write could not be determined in time")
+	ErrOutcomeUnknown = errors.New("outcome of the write could not be determined in time")
 )
 
 // Timing of Commit.
@@ -31,7 +31,7 @@
 	// Timeout limits how long Commit tries to determine the outcome. An
 	// operator waits for it, and it must be well below the 14 seconds within
 	// which a change has to be in force.
-	Limit = 5 * time.Second
+	Timeout = 5 * time.Second
 	// callTimeout limits one call, so that time is left to read back after a
 	// call that never returns.
 	callTimeout = 2 * time.Second
@@ -41,23 +41,23 @@
 )
 
 // Outcome is the result of reading back.
-type Verdict int
+type Outcome int
 
 // Outcomes of reading back.
 const (
 	// Pending means that the rows are unchanged. They may still be written,
 	// because the request may be delayed on its way to the service.
-	Pending Verdict = iota + 1
+	Pending Outcome = iota + 1
 	// Written means that the writes took effect.
 	Written
 	// Superseded means that another writer changed the rows, so that these
 	// writes can no longer take effect.
-	Overtaken
+	Superseded
 )
 
 // ReadBack reads the rows and determines whether the writes took effect. It must
 // identify them by an ID that is unique to these writes.
-type ReadBack func(ctx context.Context) (Verdict, error)
+type ReadBack func(ctx context.Context) (Outcome, error)
 
 // Commit commits the writes, at least one of which must expect a version. It
 // returns nil, ErrUnavailable, ErrConflict or ErrOutcomeUnknown.
@@ -68,7 +68,7 @@
 // rows are found unchanged would be wrong, because a delayed request could still
 // be applied.
 func Commit(ctx context.Context, table storage.Table, writes []storage.Write, readBack ReadBack) error {
-	ctx, cancel := context.WithTimeout(ctx, Limit)
+	ctx, cancel := context.WithTimeout(ctx, Timeout)
 	defer cancel()
 	op := commitOperation{table: table, writes: writes, readBack: readBack}
 	policy := backoff.NewExponentialBackOff()
@@ -76,14 +76,14 @@
 	policy.MaxInterval = maxBackoff
 	_, err := backoff.Retry(ctx, func() (struct{}, error) {
 		return struct{}{}, op.try(ctx)
-	}, backoff.WithBackOff(policy), backoff.WithMaxElapsedTime(Limit))
+	}, backoff.WithBackOff(policy), backoff.WithMaxElapsedTime(Timeout))
 	switch {
 	case err == nil:
 		return nil
 	case errors.Is(err, ErrConflict), errors.Is(err, ErrUnavailable):
 		return err
 	}
-	return errors.Join(ErrUnsettled, err)
+	return errors.Join(ErrOutcomeUnknown, err)
 }
 
 // commitOperation is the state of one call of Commit.
@@ -138,7 +138,7 @@
 		return err
 	case outcome == Written:
 		return nil
-	case outcome == Overtaken:
+	case outcome == Superseded:
 		return backoff.Permanent(ErrConflict)
 	}
 	return storage.ErrOutcomeUnknown
--- a/internal/storage/confirm/confirm_test.go
+++ b/internal/storage/confirm/confirm_test.go
@@ -18,7 +18,7 @@
 // createRow writes the row with the given content. The row must not exist yet.
 func createRow(ctx context.Context, table *storagetest.Table, content string) error {
 	writes := []storage.Write{{Key: rowKey, Value: []byte(content)}}
-	return confirm.Commit(ctx, table, writes, func(ctx context.Context) (confirm.Verdict, error) {
+	return confirm.Commit(ctx, table, writes, func(ctx context.Context) (confirm.Outcome, error) {
 		row, err := table.Get(ctx, rowKey)
 		switch {
 		case errors.Is(err, storage.ErrNotFound):
@@ -28,16 +28,16 @@
 		case string(row.Value) == content:
 			return confirm.Written, nil
 		}
-		return confirm.Overtaken, nil
+		return confirm.Superseded, nil
 	})
 }
 
 func TestCommitWithFaults(t *testing.T) {
 	const (
-		responseLost = storagetest.FaultLost
-		requestLost  = storagetest.FaultDropped
-		delayed      = storagetest.FaultLate
-		unavailable  = storagetest.FaultDown
+		responseLost = storagetest.FaultResponseLost
+		requestLost  = storagetest.FaultRequestLost
+		delayed      = storagetest.FaultDelayed
+		unavailable  = storagetest.FaultUnavailable
 	)
 	tests := []struct {
 		name   string
@@ -56,12 +56,12 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				table := storagetest.NewTable()
-				table.FailCommits(tt.faults...)
+				table.InjectFaults(tt.faults...)
 				err := createRow(t.Context(), table, "ours")
 				if !errors.Is(err, tt.want) {
 					t.Fatalf("got %v, want %v", err, tt.want)
 				}
-				if applied := table.Land(); applied != 0 {
+				if applied := table.ApplyDelayed(); applied != 0 {
 					t.Fatalf("a delayed request took effect %d times after the outcome was returned", applied)
 				}
 			})
@@ -70,13 +70,13 @@
 }
 
 func TestCommitAfterAnotherWriter(t *testing.T) {
-	for _, fault := range []storagetest.Fault{storagetest.FaultNone, storagetest.FaultDropped} {
+	for _, fault := range []storagetest.Fault{storagetest.FaultNone, storagetest.FaultRequestLost} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storagetest.NewTable()
 			if err := createRow(t.Context(), table, "theirs"); err != nil {
 				t.Fatal(err)
 			}
-			table.FailCommits(fault)
+			table.InjectFaults(fault)
 			if err := createRow(t.Context(), table, "ours"); !errors.Is(err, confirm.ErrConflict) {
 				t.Fatalf("fault %v: got %v, want a conflict", fault, err)
 			}
@@ -87,13 +87,13 @@
 func TestCommitWithUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
-		table.FailCommits(storagetest.FaultLate)
+		table.InjectFaults(storagetest.FaultDelayed)
 		table.BeforeCommit(func([]storage.Write) {
 			if table.Commits() == 1 {
-				table.SetDown(true)
+				table.SetUnavailable(true)
 			}
 		})
-		if err := createRow(t.Context(), table, "ours"); !errors.Is(err, confirm.ErrUnsettled) {
+		if err := createRow(t.Context(), table, "ours"); !errors.Is(err, confirm.ErrOutcomeUnknown) {
 			t.Fatalf("got %v, want an unknown outcome", err)
 		}
 	})
@@ -102,10 +102,10 @@
 func TestCommitTimeoutWithUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
-		table.FailCommits(storagetest.FaultSlow)
+		table.InjectFaults(storagetest.FaultTimeout)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if err := createRow(ctx, table, "ours"); !errors.Is(err, confirm.ErrUnsettled) {
+		if err := createRow(ctx, table, "ours"); !errors.Is(err, confirm.ErrOutcomeUnknown) {
 			t.Fatalf("got %v, want an unknown outcome", err)
 		}
 	})
@@ -114,7 +114,7 @@
 func TestCommitAfterOneSlowCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
-		table.FailCommits(storagetest.FaultSlow)
+		table.InjectFaults(storagetest.FaultTimeout)
 		if err := createRow(t.Context(), table, "ours"); err != nil {
 			t.Fatalf("got %v, want a confirmed write after one slow call", err)
 		}
--- a/internal/storage/counted/counted.go
+++ b/internal/storage/counted/counted.go
@@ -14,7 +14,7 @@
 // Services combines all services of the platform.
 type Services interface {
 	storage.Table
-	storage.Objects
+	storage.ObjectStore
 	storage.VMList
 }
 
--- a/internal/storage/counted/counted_test.go
+++ b/internal/storage/counted/counted_test.go
@@ -14,7 +14,7 @@
 // fakeServices combines the in-memory fakes of the platform's services.
 type fakeServices struct {
 	*storagetest.Table
-	*storagetest.Objects
+	*storagetest.ObjectStore
 	*storagetest.VMList
 }
 
@@ -26,7 +26,7 @@
 	_, _ = platform.Get(t.Context(), "none")
 	_ = platform.Commit(t.Context(), []storage.Write{{Key: "a", Expect: 0}})
 	_ = platform.Commit(t.Context(), []storage.Write{{Key: "a", Expect: 0}})
-	table.SetDown(true)
+	table.SetUnavailable(true)
 	_, _ = platform.List(t.Context(), "a")
 
 	recorder := httptest.NewRecorder()
--- a/internal/storage/httpclient.go
+++ b/internal/storage/httpclient.go
@@ -34,7 +34,7 @@
 
 // HTTPClient is a client of the platform's HTTP API. It implements Table,
 // ObjectStore and VMList.
-type HTTP struct {
+type HTTPClient struct {
 	baseURL string
 	reads   *http.Client
 	// writes opens a new connection for each call. On a reused connection
@@ -46,16 +46,16 @@
 }
 
 var (
-	_ Table   = (*HTTP)(nil)
-	_ Objects = (*HTTP)(nil)
-	_ VMList  = (*HTTP)(nil)
+	_ Table       = (*HTTPClient)(nil)
+	_ ObjectStore = (*HTTPClient)(nil)
+	_ VMList      = (*HTTPClient)(nil)
 )
 
 // NewHTTPClient returns a client of the platform at baseURL, for example
 // "http://127.0.0.1:9100".
-func NewHTTP(baseURL string) *HTTP {
+func NewHTTPClient(baseURL string) *HTTPClient {
 	dialContext := (&net.Dialer{Timeout: callTimeout}).DialContext
-	return &HTTP{
+	return &HTTPClient{
 		baseURL: baseURL,
 		reads:   newClient(&http.Transport{DialContext: dialContext}),
 		writes:  newClient(&http.Transport{DialContext: dialContext, DisableKeepAlives: true}),
@@ -75,21 +75,21 @@
 }
 
 // Get implements Table.
-func (c *HTTP) Get(ctx context.Context, key string) (Row, error) {
+func (c *HTTPClient) Get(ctx context.Context, key string) (Row, error) {
 	var row Row
 	err := c.readJSON(ctx, pathRow+"?key="+url.QueryEscape(key), &row)
 	return row, err
 }
 
 // List implements Table.
-func (c *HTTP) List(ctx context.Context, prefix string) ([]Row, error) {
+func (c *HTTPClient) List(ctx context.Context, prefix string) ([]Row, error) {
 	var rows []Row
 	err := c.readJSON(ctx, pathRows+"?prefix="+url.QueryEscape(prefix), &rows)
 	return rows, err
 }
 
 // Commit implements Table.
-func (c *HTTP) Commit(ctx context.Context, writes []Write) error {
+func (c *HTTPClient) Commit(ctx context.Context, writes []Write) error {
 	body, err := json.Marshal(Transaction{Writes: writes})
 	if err != nil {
 		return errors.Wrap(ErrUnavailable, err.Error())
@@ -98,16 +98,16 @@
 }
 
 // PutObject implements ObjectStore.
-func (c *HTTP) PutObject(ctx context.Context, key string, value []byte) error {
+func (c *HTTPClient) PutObject(ctx context.Context, key string, value []byte) error {
 	return c.write(ctx, http.MethodPut, objectPath(key), value)
 }
 
 // GetObject implements ObjectStore.
-func (c *HTTP) GetObject(ctx context.Context, key string) ([]byte, error) {
+func (c *HTTPClient) GetObject(ctx context.Context, key string) ([]byte, error) {
 	return c.read(ctx, objectPath(key))
 }
 
-func (c *HTTP) readJSON(ctx context.Context, path string, result any) error {
+func (c *HTTPClient) readJSON(ctx context.Context, path string, result any) error {
 	body, err := c.read(ctx, path)
 	if err != nil {
 		return err
@@ -120,7 +120,7 @@
 
 // read sends a GET request and returns the response body. Its errors are
 // ErrNotFound and, for every other failure, ErrUnavailable.
-func (c *HTTP) read(ctx context.Context, path string) ([]byte, error) {
+func (c *HTTPClient) read(ctx context.Context, path string) ([]byte, error) {
 	resp, err := c.readIfChanged(ctx, path, "")
 	return resp.body, err
 }
@@ -135,7 +135,7 @@
 
 // readIfChanged is like read, but if the resource still has the given ETag, it
 // returns status 304 and no body. An empty etag makes the read unconditional.
-func (c *HTTP) readIfChanged(ctx context.Context, path, etag string) (readResponse, error) {
+func (c *HTTPClient) readIfChanged(ctx context.Context, path, etag string) (readResponse, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+path, nil)
 	if err != nil {
 		return readResponse{}, errors.Wrap(ErrUnavailable, err.Error())
@@ -166,7 +166,7 @@
 // returns ErrUnavailable if no connection could be established, and
 // ErrOutcomeUnknown if the call fails after that; the errors for response
 // statuses are those of writeStatus.
-func (c *HTTP) write(ctx context.Context, method, path string, body []byte) error {
+func (c *HTTPClient) write(ctx context.Context, method, path string, body []byte) error {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
--- a/internal/storage/platform.go
+++ b/internal/storage/platform.go
@@ -62,14 +62,14 @@
 // EraReporter is implemented by a Table whose service may be restored from an older
 // backup. Writes made after the backup are then lost, and their row versions are assigned
 // again. Each restore begins a new era.
-type Eras interface {
+type EraReporter interface {
 	// Era returns the number of restores detected so far. If the era changes during a
 	// call, Get returns ErrUnavailable and Commit returns ErrOutcomeUnknown.
 	Era() uint64
 }
 
 // ObjectStore is the object store service.
-type Objects interface {
+type ObjectStore interface {
 	// PutObject stores a value. Its errors are ErrUnavailable and
 	// ErrOutcomeUnknown.
 	PutObject(ctx context.Context, key string, value []byte) error
@@ -98,7 +98,7 @@
 	// Role distinguishes entry VMs from backend server VMs.
 	Role VMRole `json:"role"`
 	// Leaving means that the VM is being drained and accepts no new requests.
-	Leaving bool `json:"leaving,omitempty"`
+	Draining bool `json:"leaving,omitempty"`
 	// Serves names the model or plain service that a backend server VM runs.
 	Serves string `json:"serves,omitempty"`
 }
--- a/internal/storage/storagetest/fault.go
+++ b/internal/storage/storagetest/fault.go
@@ -8,16 +8,16 @@
 	// FaultNone injects no fault.
 	FaultNone Fault = iota
 	// FaultUnavailable rejects the commit; nothing is written.
-	FaultDown
+	FaultUnavailable
 	// FaultResponseLost applies the commit and loses the response.
-	FaultLost
+	FaultResponseLost
 	// FaultRequestLost loses the request: nothing is written, and the caller
 	// gets ErrOutcomeUnknown.
-	FaultDropped
+	FaultRequestLost
 	// FaultDelayed loses the response and delays the request until
 	// Table.ApplyDelayed is called.
-	FaultLate
+	FaultDelayed
 	// FaultTimeout blocks until the caller's context ends: nothing is
 	// written, and the caller gets ErrOutcomeUnknown.
-	FaultSlow
+	FaultTimeout
 )
--- a/internal/storage/storagetest/objectstore.go
+++ b/internal/storage/storagetest/objectstore.go
@@ -9,28 +9,28 @@
 )
 
 // ObjectStore is an in-memory storage.ObjectStore.
-type Objects struct {
+type ObjectStore struct {
 	mu          sync.Mutex
 	objects     map[string][]byte
 	unavailable bool
 }
 
-var _ storage.Objects = (*Objects)(nil)
+var _ storage.ObjectStore = (*ObjectStore)(nil)
 
 // NewObjectStore returns an empty ObjectStore.
-func NewObjects() *Objects {
-	return &Objects{objects: map[string][]byte{}}
+func NewObjectStore() *ObjectStore {
+	return &ObjectStore{objects: map[string][]byte{}}
 }
 
 // SetUnavailable sets whether all calls fail with storage.ErrUnavailable.
-func (o *Objects) SetDown(unavailable bool) {
+func (o *ObjectStore) SetUnavailable(unavailable bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.unavailable = unavailable
 }
 
 // PutObject implements storage.ObjectStore.
-func (o *Objects) PutObject(ctx context.Context, key string, value []byte) error {
+func (o *ObjectStore) PutObject(ctx context.Context, key string, value []byte) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.unavailable || ctx.Err() != nil {
@@ -41,7 +41,7 @@
 }
 
 // GetObject implements storage.ObjectStore.
-func (o *Objects) GetObject(ctx context.Context, key string) ([]byte, error) {
+func (o *ObjectStore) GetObject(ctx context.Context, key string) ([]byte, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.unavailable || ctx.Err() != nil {
--- a/internal/storage/storagetest/snapshot.go
+++ b/internal/storage/storagetest/snapshot.go
@@ -6,21 +6,21 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-var _ storage.Eras = (*Table)(nil)
+var _ storage.EraReporter = (*Table)(nil)
 
 // Snapshot is the content of a Table at one point in time.
-type Copy struct{ rows map[string]storage.Row }
+type Snapshot struct{ rows map[string]storage.Row }
 
 // Snapshot returns the current content of the table.
-func (t *Table) Copy() Copy {
+func (t *Table) Snapshot() Snapshot {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return Copy{maps.Clone(t.rows)}
+	return Snapshot{maps.Clone(t.rows)}
 }
 
 // Restore replaces the content of the table by that of the snapshot and begins
 // a new era.
-func (t *Table) Return(snapshot Copy) {
+func (t *Table) Restore(snapshot Snapshot) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rows = maps.Clone(snapshot.rows)
--- a/internal/storage/storagetest/table.go
+++ b/internal/storage/storagetest/table.go
@@ -34,14 +34,14 @@
 }
 
 // SetUnavailable sets whether all calls fail with storage.ErrUnavailable.
-func (t *Table) SetDown(unavailable bool) {
+func (t *Table) SetUnavailable(unavailable bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.unavailable = unavailable
 }
 
 // InjectFaults assigns one fault to each of the following commits, in order.
-func (t *Table) FailCommits(faults ...Fault) {
+func (t *Table) InjectFaults(faults ...Fault) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults = append(t.faults, faults...)
@@ -58,7 +58,7 @@
 
 // ApplyDelayed applies the commits delayed by FaultDelayed and returns how many
 // of them took effect.
-func (t *Table) Land() int {
+func (t *Table) ApplyDelayed() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	applied := 0
@@ -126,7 +126,7 @@
 		hook(writes)
 	}
 	fault := t.nextFault()
-	if fault == FaultSlow {
+	if fault == FaultTimeout {
 		<-ctx.Done()
 		return storage.ErrOutcomeUnknown
 	}
@@ -138,16 +138,16 @@
 // commit applies the writes, or simulates the fault. The caller holds t.mu.
 func (t *Table) commit(fault Fault, writes []storage.Write) error {
 	switch {
-	case t.unavailable || fault == FaultDown:
+	case t.unavailable || fault == FaultUnavailable:
 		return storage.ErrUnavailable
-	case fault == FaultDropped:
+	case fault == FaultRequestLost:
 		return storage.ErrOutcomeUnknown
-	case fault == FaultLate:
+	case fault == FaultDelayed:
 		t.delayed = append(t.delayed, slices.Clone(writes))
 		return storage.ErrOutcomeUnknown
 	}
 	err := t.apply(writes)
-	if fault == FaultLost {
+	if fault == FaultResponseLost {
 		return storage.ErrOutcomeUnknown
 	}
 	return err
--- a/internal/storage/storagetest/table_test.go
+++ b/internal/storage/storagetest/table_test.go
@@ -18,15 +18,15 @@
 		appliedLate int
 	}{
 		{"none", FaultNone, nil, true, 0},
-		{"unavailable", FaultDown, storage.ErrUnavailable, false, 0},
-		{"response lost", FaultLost, storage.ErrOutcomeUnknown, true, 0},
-		{"request lost", FaultDropped, storage.ErrOutcomeUnknown, false, 0},
-		{"delayed", FaultLate, storage.ErrOutcomeUnknown, false, 1},
+		{"unavailable", FaultUnavailable, storage.ErrUnavailable, false, 0},
+		{"response lost", FaultResponseLost, storage.ErrOutcomeUnknown, true, 0},
+		{"request lost", FaultRequestLost, storage.ErrOutcomeUnknown, false, 0},
+		{"delayed", FaultDelayed, storage.ErrOutcomeUnknown, false, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			table := NewTable()
-			table.FailCommits(tt.fault)
+			table.InjectFaults(tt.fault)
 			err := table.Commit(t.Context(), []storage.Write{{Key: "k", Value: []byte("v")}})
 			if !errors.Is(err, tt.err) {
 				t.Fatalf("error: got %v, want %v", err, tt.err)
@@ -35,7 +35,7 @@
 			if got := err == nil; got != tt.written {
 				t.Errorf("written: got %v, want %v", got, tt.written)
 			}
-			if got := table.Land(); got != tt.appliedLate {
+			if got := table.ApplyDelayed(); got != tt.appliedLate {
 				t.Errorf("applied late: got %d, want %d", got, tt.appliedLate)
 			}
 		})
@@ -56,7 +56,7 @@
 
 func TestTimedOutCommitEndsWithContext(t *testing.T) {
 	table := NewTable()
-	table.FailCommits(FaultSlow)
+	table.InjectFaults(FaultTimeout)
 	ctx, cancel := context.WithCancel(t.Context())
 	table.BeforeCommit(func([]storage.Write) { cancel() })
 	err := table.Commit(ctx, []storage.Write{{Key: "k"}})
--- a/internal/storage/storagetest/vmlist.go
+++ b/internal/storage/storagetest/vmlist.go
@@ -31,7 +31,7 @@
 }
 
 // SetUnavailable sets whether all calls fail with storage.ErrUnavailable.
-func (l *VMList) SetDown(unavailable bool) {
+func (l *VMList) SetUnavailable(unavailable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.unavailable = unavailable
--- a/internal/storage/vms.go
+++ b/internal/storage/vms.go
@@ -49,7 +49,7 @@
 // VMs implements VMList. It sends the last ETag in If-None-Match (RFC 9110,
 // section 13.1.2) and returns the cached list if the platform responds with 304.
 // If the platform sends no ETag, it reads the whole list each time.
-func (c *HTTP) VMs(ctx context.Context) ([]VM, error) {
+func (c *HTTPClient) VMs(ctx context.Context) ([]VM, error) {
 	etag := c.vmCache.currentETag()
 	resp, err := c.readIfChanged(ctx, pathVMs, etag)
 	if err != nil {
--- a/internal/storage/vms_test.go
+++ b/internal/storage/vms_test.go
@@ -32,7 +32,7 @@
 	server := &vmListServer{name: "a", etag: `"1"`}
 	httpServer := httptest.NewServer(server)
 	defer httpServer.Close()
-	client := NewHTTP(httpServer.URL)
+	client := NewHTTPClient(httpServer.URL)
 	read := func(name string, whole, notModified int) {
 		t.Helper()
 		vms, err := client.VMs(context.Background())
@@ -63,7 +63,7 @@
 		w.WriteHeader(http.StatusNotModified)
 	}))
 	defer httpServer.Close()
-	if vms, err := NewHTTP(httpServer.URL).VMs(context.Background()); err == nil {
+	if vms, err := NewHTTPClient(httpServer.URL).VMs(context.Background()); err == nil {
 		t.Fatalf("got %v, want an error", vms)
 	}
 }
--- a/internal/targets/cache.go
+++ b/internal/targets/cache.go
@@ -4,7 +4,7 @@
 
 // Cache holds the newest Set that this process has received. It is safe for
 // concurrent use.
-type Holder struct {
+type Cache struct {
 	mu      sync.Mutex
 	current *Set
 	changed chan struct{}
@@ -12,12 +12,12 @@
 }
 
 // NewCache returns a Cache that holds an empty Set of version zero.
-func NewHolder() *Holder {
-	return &Holder{current: &Set{}, changed: make(chan struct{})}
+func NewCache() *Cache {
+	return &Cache{current: &Set{}, changed: make(chan struct{})}
 }
 
 // Current returns the newest Set. Callers must not modify it.
-func (c *Holder) Current() *Set {
+func (c *Cache) Current() *Set {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.current
@@ -26,7 +26,7 @@
 // UpdateIfNewer replaces the current Set by s if s has a higher version, and
 // reports whether it did. A nil Set or one of the same or a lower version is
 // ignored, so the version never decreases.
-func (c *Holder) Offer(s *Set) bool {
+func (c *Cache) UpdateIfNewer(s *Set) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s == nil || s.Version <= c.current.Version {
@@ -39,7 +39,7 @@
 }
 
 // Changed returns a channel that is closed when the current Set is replaced.
-func (c *Holder) Changed() <-chan struct{} {
+func (c *Cache) Changed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.changed
--- a/internal/targets/fetch.go
+++ b/internal/targets/fetch.go
@@ -19,7 +19,7 @@
 // ShouldFetch records that a peer announced version and reports whether to
 // request the Set from that peer. It returns true if version is newer than the
 // current Set and no other peer was asked for it within fetchRetryInterval.
-func (c *Holder) Ask(version uint64) bool {
+func (c *Cache) ShouldFetch(version uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if version <= c.current.Version {
@@ -38,7 +38,7 @@
 // Behind reports whether a peer has announced a version newer than the current
 // one. A process that stays behind sends its own version to its peers, so that
 // one of them announces the newer version again.
-func (c *Holder) Behind() bool {
+func (c *Cache) Behind() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.fetch.newestAnnounced > c.current.Version
--- a/internal/targets/problem.go
+++ b/internal/targets/problem.go
@@ -24,7 +24,7 @@
 }
 
 // PrefixFields returns a copy of problems with prefix prepended to each Field.
-func Prefixed(prefix string, problems []Problem) []Problem {
+func PrefixFields(prefix string, problems []Problem) []Problem {
 	prefixed := make([]Problem, len(problems))
 	for i, p := range problems {
 		prefixed[i] = Problem{Field: prefix + p.Field, Reason: p.Reason}
--- a/internal/targets/store/errors.go
+++ b/internal/targets/store/errors.go
@@ -34,7 +34,7 @@
 // OutcomeUnknownError reports that a change may have taken effect or may still
 // take effect. The caller should read the targets again once the table service
 // responds.
-type UnsettledError struct {
+type OutcomeUnknownError struct {
 	// Change is the ID of the change.
 	Change string
 	// Version is the version of the targets if the change took effect.
@@ -43,9 +43,9 @@
 	Cause error
 }
 
-func (e *UnsettledError) Error() string {
+func (e *OutcomeUnknownError) Error() string {
 	return fmt.Sprintf("change %s to version %d may or may not have taken effect: %v", e.Change, e.Version, e.Cause)
 }
 
 // Unwrap returns Cause.
-func (e *UnsettledError) Unwrap() error { return e.Cause }
+func (e *OutcomeUnknownError) Unwrap() error { return e.Cause }
--- a/internal/targets/store/poller.go
+++ b/internal/targets/store/poller.go
@@ -31,13 +31,13 @@
 // Poller periodically reads the Store and updates a Cache with newer Sets.
 type Poller struct {
 	store *Store
-	cache *targets.Holder
+	cache *targets.Cache
 	log   *zap.Logger
 }
 
 // NewPoller returns a Poller that is started by Run. If log is nil, nothing is
 // logged.
-func NewPoller(store *Store, cache *targets.Holder, log *zap.Logger) *Poller {
+func NewPoller(store *Store, cache *targets.Cache, log *zap.Logger) *Poller {
 	if log == nil {
 		log = zap.NewNop()
 	}
@@ -52,7 +52,7 @@
 		if err := p.Poll(ctx); err != nil && ctx.Err() == nil {
 			p.log.Warn(logging.EventTargetsPollFailed, zap.Error(err))
 		}
-		pause.For(ctx, PollInterval-pollJitter+rand.N(2*pollJitter))
+		pause.Sleep(ctx, PollInterval-pollJitter+rand.N(2*pollJitter))
 	}
 }
 
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	if p.cache.Offer(set) {
+	if p.cache.UpdateIfNewer(set) {
 		p.log.Info(logging.EventTargetsAdopted, zap.Uint64("version", set.Version), zap.String("source", "table"))
 	}
 	return nil
--- a/internal/targets/store/store.go
+++ b/internal/targets/store/store.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		return nil, err
 	}
-	err = confirm.Commit(ctx, s.table, writes, func(ctx context.Context) (confirm.Verdict, error) {
+	err = confirm.Commit(ctx, s.table, writes, func(ctx context.Context) (confirm.Outcome, error) {
 		return s.checkOutcome(ctx, stored.rowVersion, changeID)
 	})
 	switch {
@@ -117,12 +117,12 @@
 	case errors.Is(err, confirm.ErrUnavailable):
 		return nil, errors.Join(ErrUnavailable, err)
 	}
-	return nil, &UnsettledError{Change: changeID, Version: next.Version, Cause: err}
+	return nil, &OutcomeUnknownError{Change: changeID, Version: next.Version, Cause: err}
 }
 
 // checkOutcome determines whether a change took effect, even if later changes
 // were based on it.
-func (s *Store) checkOutcome(ctx context.Context, rowVersion uint64, changeID string) (confirm.Verdict, error) {
+func (s *Store) checkOutcome(ctx context.Context, rowVersion uint64, changeID string) (confirm.Outcome, error) {
 	stored, err := s.read(ctx)
 	switch {
 	case err != nil:
@@ -130,7 +130,7 @@
 	case stored.containsChange(changeID):
 		return confirm.Written, nil
 	case stored.rowVersion != rowVersion:
-		return confirm.Overtaken, nil
+		return confirm.Superseded, nil
 	}
 	return confirm.Pending, nil
 }
--- a/internal/targets/store/store_test.go
+++ b/internal/targets/store/store_test.go
@@ -54,23 +54,23 @@
 		want   error
 		next   uint64
 	}{
-		{"response lost after the write", []storagetest.Fault{storagetest.FaultLost}, nil, 1},
-		{"request lost before the write", []storagetest.Fault{storagetest.FaultDropped}, nil, 1},
-		{"request delayed past the response", []storagetest.Fault{storagetest.FaultLate}, nil, 1},
-		{"no response in time", []storagetest.Fault{storagetest.FaultSlow}, nil, 1},
-		{"service down", []storagetest.Fault{storagetest.FaultDown}, ErrUnavailable, 0},
+		{"response lost after the write", []storagetest.Fault{storagetest.FaultResponseLost}, nil, 1},
+		{"request lost before the write", []storagetest.Fault{storagetest.FaultRequestLost}, nil, 1},
+		{"request delayed past the response", []storagetest.Fault{storagetest.FaultDelayed}, nil, 1},
+		{"no response in time", []storagetest.Fault{storagetest.FaultTimeout}, nil, 1},
+		{"service down", []storagetest.Fault{storagetest.FaultUnavailable}, ErrUnavailable, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				table := storagetest.NewTable()
 				s := New(table)
-				table.FailCommits(tt.faults...)
+				table.InjectFaults(tt.faults...)
 				_, err := s.Change(t.Context(), 0, addClass("hazard-flag"))
 				if !errors.Is(err, tt.want) {
 					t.Fatalf("got %v, want %v", err, tt.want)
 				}
-				table.Land()
+				table.ApplyDelayed()
 				version, err := s.Version(t.Context())
 				if err != nil || version != tt.next {
 					t.Fatalf("version: got %d, %v, want %d", version, err, tt.next)
@@ -112,7 +112,7 @@
 			mustChange(t, New(table), 1, "gate-check")
 			mustChange(t, New(table), 2, "tank-alert")
 		}})
-		table.FailCommits(storagetest.FaultLost)
+		table.InjectFaults(storagetest.FaultResponseLost)
 		set, err := s.Change(t.Context(), 0, addClass("hazard-flag"))
 		if err != nil || set.Version != 1 {
 			t.Fatalf("got %+v, %v, want version 1 accepted", set, err)
@@ -136,10 +136,10 @@
 func TestChangeWithUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
-		s := New(tableWithCommitHook{table, func() { table.SetDown(true) }})
-		table.FailCommits(storagetest.FaultLost)
+		s := New(tableWithCommitHook{table, func() { table.SetUnavailable(true) }})
+		table.InjectFaults(storagetest.FaultResponseLost)
 		_, err := s.Change(t.Context(), 0, addClass("hazard-flag"))
-		var unknown *UnsettledError
+		var unknown *OutcomeUnknownError
 		if !errors.As(err, &unknown) || unknown.Version != 1 {
 			t.Fatalf("got %v, want an unknown outcome of the change to version 1", err)
 		}
@@ -167,7 +167,7 @@
 		table := storagetest.NewTable()
 		s := New(table)
 		mustChange(t, s, 0, "hazard-flag")
-		cache := targets.NewHolder()
+		cache := targets.NewCache()
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
@@ -178,9 +178,9 @@
 		if got := cache.Current().Version; got != 1 {
 			t.Fatalf("version after the first poll: %d", got)
 		}
-		table.SetDown(true)
+		table.SetUnavailable(true)
 		time.Sleep(10 * PollInterval)
-		table.SetDown(false)
+		table.SetUnavailable(false)
 		mustChange(t, s, 1, "gate-check")
 		time.Sleep(PollInterval + pollJitter)
 		synctest.Wait()
@@ -196,7 +196,7 @@
 	table := storagetest.NewTable()
 	s := New(table)
 	mustChange(t, s, 0, "hazard-flag")
-	cache := targets.NewHolder()
+	cache := targets.NewCache()
 	p := NewPoller(s, cache, nil)
 	if err := p.Poll(t.Context()); err != nil {
 		t.Fatal(err)
--- a/internal/targets/validate.go
+++ b/internal/targets/validate.go
@@ -40,7 +40,7 @@
 	seen := make(map[string]bool, len(s.Classes))
 	for _, c := range s.Classes {
 		prefix := "classes." + c.Name + "."
-		problems = append(problems, Prefixed(prefix, c.Problems())...)
+		problems = append(problems, PrefixFields(prefix, c.Problems())...)
 		if seen[c.Name] {
 			problems = append(problems, Problem{Field: prefix + "name", Reason: "is used by another class"})
 		}
@@ -58,7 +58,7 @@
 	hashes := make(map[string]bool, len(s.Customers))
 	for _, c := range s.Customers {
 		prefix := "customers." + c.Name + "."
-		problems = append(problems, Prefixed(prefix, c.Problems())...)
+		problems = append(problems, PrefixFields(prefix, c.Problems())...)
 		if names[c.Name] {
 			problems = append(problems, Problem{Field: prefix + "name", Reason: "is used by another customer"})
 		}
--- a/internal/timeline/clock.go
+++ b/internal/timeline/clock.go
@@ -12,7 +12,7 @@
 	wall func() time.Time
 
 	mu   sync.Mutex
-	last Stamp
+	last Timestamp
 }
 
 // NewClock returns a Clock that takes the physical time from wall.
@@ -22,7 +22,7 @@
 
 // Now returns a timestamp greater than all timestamps that this clock has returned
 // or observed.
-func (c *Clock) Now() Stamp {
+func (c *Clock) Now() Timestamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.advance(c.physical())
@@ -32,10 +32,10 @@
 // ago returns the timestamp that lies span before the clock's reading. Like Now, it
 // reads the later of the physical clock and the last timestamp, so that the result
 // is comparable with the timestamps of this process's own events.
-func (c *Clock) ago(span time.Duration) Stamp {
+func (c *Clock) ago(span time.Duration) Timestamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return Stamp{Wall: max(c.physical(), c.last.Wall) - int64(span)}
+	return Timestamp{Wall: max(c.physical(), c.last.Wall) - int64(span)}
 }
 
 func (c *Clock) physical() int64 {
@@ -47,7 +47,7 @@
 
 // Observe advances the clock to the timestamp of a received message, so that all
 // later timestamps of this clock are greater.
-func (c *Clock) Observe(s Stamp) {
+func (c *Clock) Observe(s Timestamp) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.last.Before(s) {
@@ -57,7 +57,7 @@
 
 func (c *Clock) advance(wall int64) {
 	if wall > c.last.Wall {
-		c.last = Stamp{Wall: wall}
+		c.last = Timestamp{Wall: wall}
 		return
 	}
 	c.last.Logical++
--- a/internal/timeline/event.go
+++ b/internal/timeline/event.go
@@ -29,7 +29,7 @@
 )
 
 // Timestamp is a reading of a hybrid logical clock.
-type Stamp struct {
+type Timestamp struct {
 	// Wall is the physical part, in nanoseconds since the Unix epoch.
 	Wall int64 `json:"wall" cbor:"1,keyasint"`
 	// Logical is the counter that orders timestamps with equal Wall.
@@ -37,7 +37,7 @@
 }
 
 // Before reports whether s is ordered before t.
-func (s Stamp) Before(t Stamp) bool {
+func (s Timestamp) Before(t Timestamp) bool {
 	if s.Wall != t.Wall {
 		return s.Wall < t.Wall
 	}
@@ -46,9 +46,9 @@
 
 // Event is an action or observation of a process.
 type Event struct {
-	Stamp   Stamp  `json:"stamp"`
-	Process string `json:"process"`
-	Kind    Kind   `json:"kind"`
+	Timestamp Timestamp `json:"stamp"`
+	Process   string    `json:"process"`
+	Kind      Kind      `json:"kind"`
 	// Request and Class are empty for events that concern no request.
 	Request string `json:"request,omitempty"`
 	Class   string `json:"class,omitempty"`
--- a/internal/timeline/filter.go
+++ b/internal/timeline/filter.go
@@ -79,8 +79,8 @@
 
 // matches reports whether an event matches the filter. If Since is set, events
 // before oldest don't match.
-func (f Filter) matches(event Event, oldest Stamp) bool {
-	if f.Since > 0 && event.Stamp.Before(oldest) {
+func (f Filter) matches(event Event, oldest Timestamp) bool {
+	if f.Since > 0 && event.Timestamp.Before(oldest) {
 		return false
 	}
 	return f.Request == "" || event.Request == f.Request
--- a/internal/timeline/gather.go
+++ b/internal/timeline/gather.go
@@ -86,7 +86,7 @@
 	mu        sync.Mutex
 	events    []Event
 	responded int
-	missing   []Missing
+	missing   []MissingPeer
 	truncated bool
 }
 
@@ -104,7 +104,7 @@
 func (c *collector) addMissing(peer Peer, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.missing = append(c.missing, Missing{Peer: peer, Reason: describeError(err)})
+	c.missing = append(c.missing, MissingPeer{Peer: peer, Reason: describeError(err)})
 }
 
 // trim sorts the events and drops the oldest beyond MaxGathered.
@@ -120,12 +120,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.trim()
-	slices.SortFunc(c.missing, func(a, b Missing) int { return cmp.Compare(a.Process, b.Process) })
+	slices.SortFunc(c.missing, func(a, b MissingPeer) int { return cmp.Compare(a.Process, b.Process) })
 	return View{
-		Events:      append([]Event{}, c.events...),
-		Answered:    c.responded,
-		NotAnswered: append([]Missing{}, c.missing...),
-		Truncated:   c.truncated,
+		Events:    append([]Event{}, c.events...),
+		Responded: c.responded,
+		Missing:   append([]MissingPeer{}, c.missing...),
+		Truncated: c.truncated,
 	}
 }
 
--- a/internal/timeline/gather_test.go
+++ b/internal/timeline/gather_test.go
@@ -65,15 +65,15 @@
 	if got := strings.Join(kinds, " "); got != "ticket grant sent" {
 		t.Errorf("got events %q", got)
 	}
-	if view.Answered != 2 || len(view.NotAnswered) != 1 || view.NotAnswered[0].Process != "gone" || view.NotAnswered[0].Reason != "connection refused" {
-		t.Errorf("got %d responses, missing %v", view.Answered, view.NotAnswered)
+	if view.Responded != 2 || len(view.Missing) != 1 || view.Missing[0].Process != "gone" || view.Missing[0].Reason != "connection refused" {
+		t.Errorf("got %d responses, missing %v", view.Responded, view.Missing)
 	}
 }
 
 func TestGatherListsRefusingPeers(t *testing.T) {
 	ring := NewRing("engine-1", &Clock{}, 10)
 	view := Gather(t.Context(), []Peer{serveRing(t, ring)}, "another key here", Filter{})
-	if len(view.NotAnswered) != 1 || view.NotAnswered[0].Reason != "answered 403" {
+	if len(view.Missing) != 1 || view.Missing[0].Reason != "answered 403" {
 		t.Fatalf("got %+v", view)
 	}
 }
--- a/internal/timeline/handler.go
+++ b/internal/timeline/handler.go
@@ -40,7 +40,7 @@
 		own := local.Select(filter)
 		view.Events = Merge(view.Events, own.Events)
 		view.Truncated = view.Truncated || own.Truncated
-		view.Answered++
+		view.Responded++
 		writeJSON(w, http.StatusOK, view)
 	})
 }
--- a/internal/timeline/merge.go
+++ b/internal/timeline/merge.go
@@ -19,8 +19,8 @@
 
 func compareEvents(a, b Event) int {
 	return cmp.Or(
-		cmp.Compare(a.Stamp.Wall, b.Stamp.Wall),
-		cmp.Compare(a.Stamp.Logical, b.Stamp.Logical),
+		cmp.Compare(a.Timestamp.Wall, b.Timestamp.Wall),
+		cmp.Compare(a.Timestamp.Logical, b.Timestamp.Logical),
 		cmp.Compare(a.Process, b.Process),
 	)
 }
--- a/internal/timeline/ring.go
+++ b/internal/timeline/ring.go
@@ -23,7 +23,7 @@
 func (r *Ring) Record(kind Kind, request, class, detail string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := Event{Stamp: r.clock.Now(), Process: r.process, Kind: kind, Request: request, Class: class, Detail: detail}
+	e := Event{Timestamp: r.clock.Now(), Process: r.process, Kind: kind, Request: request, Class: class, Detail: detail}
 	if len(r.events) < cap(r.events) {
 		r.events = append(r.events, e)
 		return
@@ -49,7 +49,7 @@
 	return Page{Process: r.process, Events: kept, Truncated: len(kept) < len(matching)}
 }
 
-func (r *Ring) selectMatching(filter Filter, oldest Stamp) []Event {
+func (r *Ring) selectMatching(filter Filter, oldest Timestamp) []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	matching := make([]Event, 0)
--- a/internal/timeline/view.go
+++ b/internal/timeline/view.go
@@ -21,16 +21,16 @@
 	// Events are in the order of Merge.
 	Events []Event `json:"events"`
 	// Responded is the number of processes that responded.
-	Answered int `json:"answered"`
+	Responded int `json:"answered"`
 	// Missing lists the processes whose events couldn't be fetched.
-	NotAnswered []Missing `json:"not_answered"`
+	Missing []MissingPeer `json:"not_answered"`
 	// Truncated says that older events were dropped because of Filter.Limit or
 	// MaxGathered.
 	Truncated bool `json:"truncated"`
 }
 
 // MissingPeer is a process whose events couldn't be fetched.
-type Missing struct {
+type MissingPeer struct {
 	Peer
 	// Reason is a short description of the error.
 	Reason string `json:"reason"`
--- a/internal/unread/unread.go
+++ b/internal/unread/unread.go
@@ -32,7 +32,7 @@
 // the body in vain; the connection is then closed without another wait before the
 // response. Respond may set the read deadline; one remains set only on a connection
 // that is closed.
-func Answer(w http.ResponseWriter, r *http.Request, bodyTimedOut bool, writeResponse func()) {
+func Respond(w http.ResponseWriter, r *http.Request, bodyTimedOut bool, writeResponse func()) {
 	if !bodyTimedOut && drainBody(w, r.Body) {
 		writeResponse()
 		return
--- a/internal/unread/unread_test.go
+++ b/internal/unread/unread_test.go
@@ -60,7 +60,7 @@
 	conn, reader := dialServer(t, func(w http.ResponseWriter, r *http.Request) {
 		// net/http clears the deadline only when it first reaches the end of the body.
 		_, _ = io.Copy(io.Discard, r.Body)
-		Answer(w, r, false, func() {
+		Respond(w, r, false, func() {
 			// Exceed the read deadline that Respond sets.
 			time.Sleep(drainTimeout + 100*time.Millisecond)
 			writeUnavailable(w)
@@ -81,7 +81,7 @@
 func TestIncompleteBodyClosesConnection(t *testing.T) {
 	for _, bodyTimedOut := range []bool{false, true} {
 		conn, reader := dialServer(t, func(w http.ResponseWriter, r *http.Request) {
-			Answer(w, r, bodyTimedOut, func() { writeUnavailable(w) })
+			Respond(w, r, bodyTimedOut, func() { writeUnavailable(w) })
 		})
 		writeRequest(t, conn, 1000, 10)
 		if !readResponse(t, reader).Close {
--- a/internal/wire/bench_test.go
+++ b/internal/wire/bench_test.go
@@ -30,25 +30,25 @@
 // benchMessages returns the messages of one request's life cycle, with values of usual
 // length.
 func benchMessages() map[string]Message {
-	stamp := timeline.Stamp{Wall: 1_764_000_000_000_000_000, Logical: 3}
+	stamp := timeline.Timestamp{Wall: 1_764_000_000_000_000_000, Logical: 3}
 	status := &Status{Waiting: 12, Running: 8, Limit: 16}
 	messages := map[string]Message{
 		"ticket": {Ticket: &Ticket{
-			Request: benchRequestID, Attempt: 1, Class: "hazard-flag", Tier: 0, Customer: "customer-042",
-			SlackMS: 850, Size: 1200, Prefix: 0x9e3779b97f4a7c15, Copies: 2, Serves: "model-07",
+			RequestID: benchRequestID, Attempt: 1, Class: "hazard-flag", Tier: 0, Customer: "customer-042",
+			SlackMS: 850, Size: 1200, PrefixHash: 0x9e3779b97f4a7c15, Copies: 2, Serves: "model-07",
 		}},
-		"withdraw": {Withdraw: &Withdraw{Request: benchRequestID, Attempt: 1}},
-		"grant":    {Grant: &Grant{Request: benchRequestID, Attempt: 1, ID: benchGrantID}, Status: status},
-		"refuse":   {Refuse: &Refuse{Request: benchRequestID, Attempt: 1, Reason: ReasonOverload, RetryAfterMS: 2500}, Status: status},
+		"withdraw": {Withdraw: &Withdraw{RequestID: benchRequestID, Attempt: 1}},
+		"grant":    {Grant: &Grant{RequestID: benchRequestID, Attempt: 1, ID: benchGrantID}, Status: status},
+		"refuse":   {Refuse: &Refuse{RequestID: benchRequestID, Attempt: 1, Reason: ReasonOverload, RetryAfterMS: 2500}, Status: status},
 		"ping":     {Ping: &Ping{Seq: 100_000}},
 		"status":   {Status: &Status{Seq: 100_000, Waiting: 12, Running: 8, Limit: 16}},
 		"version":  {},
-		"want_set": {WantSet: &WantSet{}},
-		"set":      {NewSet: benchTargetSet()},
+		"want_set": {GetTargets: &GetTargets{}},
+		"set":      {TargetSet: benchTargetSet()},
 	}
 	for name, m := range messages {
 		m.Stamp = stamp
-		m.Targets = 1000
+		m.TargetsVersion = 1000
 		messages[name] = m
 	}
 	return messages
@@ -95,7 +95,7 @@
 // includes the wait for the other end.
 func BenchmarkConn(b *testing.B) {
 	clock := &timeline.Clock{}
-	config := Local{Clock: clock, TargetsVersion: func() uint64 { return 1000 }, Traffic: metrics.New().Control}
+	config := Config{Clock: clock, TargetsVersion: func() uint64 { return 1000 }, Traffic: metrics.New().Control}
 	messages := benchMessages()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		conn, err := Accept(w, r, config)
@@ -134,7 +134,7 @@
 // BenchmarkConnMemory opens one connection per iteration and reports the memory held by
 // both of its ends. Run it with a fixed count, such as -benchtime 300x.
 func BenchmarkConnMemory(b *testing.B) {
-	config := Local{Clock: &timeline.Clock{}, TargetsVersion: func() uint64 { return 1000 }, Traffic: metrics.New().Control}
+	config := Config{Clock: &timeline.Clock{}, TargetsVersion: func() uint64 { return 1000 }, Traffic: metrics.New().Control}
 	done := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		conn, err := Accept(w, r, config)
--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -37,7 +37,7 @@
 )
 
 // TrafficCounter counts a process's control messages and their bytes.
-type Traffic interface {
+type TrafficCounter interface {
 	// Sent and Received count one message of the given encoded size.
 	Sent(bytes int)
 	Received(bytes int)
@@ -45,21 +45,21 @@
 
 // Config holds what all control connections of a process share. All fields are
 // required.
-type Local struct {
+type Config struct {
 	// Clock stamps outgoing messages and observes the stamps of incoming ones.
 	Clock *timeline.Clock
 	// TargetsVersion returns the version of the targets in force, which is sent with
 	// each message.
 	TargetsVersion func() uint64
 	// Traffic counts the messages.
-	Traffic Traffic
+	Traffic TrafficCounter
 }
 
 // Conn is a control connection: typed messages over a WebSocket. Send never blocks.
 // Receive must not be called concurrently.
 type Conn struct {
 	ws     *websocket.Conn
-	config Local
+	config Config
 
 	sendQueue chan Message
 	done      chan struct{}
@@ -69,7 +69,7 @@
 
 // Dial opens a connection to an agent at addr (host:port), authenticated with the
 // system key. It times out after dialTimeout.
-func Dial(ctx context.Context, addr, key string, config Local) (*Conn, error) {
+func Dial(ctx context.Context, addr, key string, config Config) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	header := http.Header{"Authorization": {"Bearer " + key}}
@@ -81,7 +81,7 @@
 }
 
 // Accept upgrades an entry's HTTP request to a control connection.
-func Accept(w http.ResponseWriter, r *http.Request, config Local) (*Conn, error) {
+func Accept(w http.ResponseWriter, r *http.Request, config Config) (*Conn, error) {
 	ws, err := websocket.Accept(w, r, nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "accept entry")
@@ -89,7 +89,7 @@
 	return newConn(ws, config), nil
 }
 
-func newConn(ws *websocket.Conn, config Local) *Conn {
+func newConn(ws *websocket.Conn, config Config) *Conn {
 	ws.SetReadLimit(maxMessageBytes)
 	c := &Conn{ws: ws, config: config, sendQueue: make(chan Message, sendQueueSize), done: make(chan struct{})}
 	c.writer.Go(c.writeLoop)
@@ -108,7 +108,7 @@
 	case c.sendQueue <- m:
 		return nil
 	default:
-		c.End()
+		c.CloseNow()
 		return ErrSendQueueFull
 	}
 }
@@ -118,12 +118,12 @@
 func (c *Conn) Receive(ctx context.Context) (Message, error) {
 	_, data, err := c.ws.Read(ctx)
 	if err != nil {
-		c.End()
+		c.CloseNow()
 		return Message{}, errors.Wrap(ErrClosed, err.Error())
 	}
 	var m Message
 	if err := cbor.Unmarshal(data, &m); err != nil {
-		c.End()
+		c.CloseNow()
 		return Message{}, errors.Wrap(ErrMalformed, err.Error())
 	}
 	c.config.Traffic.Received(len(data))
@@ -136,13 +136,13 @@
 
 // Close closes the connection and waits for its writer goroutine.
 func (c *Conn) Close() {
-	c.End()
+	c.CloseNow()
 	c.writer.Wait()
 }
 
 // CloseNow closes the connection without a closing handshake, which a peer that doesn't
 // respond would delay.
-func (c *Conn) End() {
+func (c *Conn) CloseNow() {
 	c.closeOnce.Do(func() {
 		close(c.done)
 		_ = c.ws.CloseNow()
@@ -156,7 +156,7 @@
 			return
 		case m := <-c.sendQueue:
 			if err := c.writeMessage(m); err != nil {
-				c.End()
+				c.CloseNow()
 				return
 			}
 		}
@@ -165,7 +165,7 @@
 
 func (c *Conn) writeMessage(m Message) error {
 	m.Stamp = c.config.Clock.Now()
-	m.Targets = c.config.TargetsVersion()
+	m.TargetsVersion = c.config.TargetsVersion()
 	data, err := cbor.Marshal(m)
 	if err != nil {
 		return errors.Wrap(err, "encode message")
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -14,7 +14,7 @@
 	// FrameFail ends a failed stream; Fail holds the kind of failure.
 	FrameFail
 	// FrameHeaders carries the status and headers of a plain service's response.
-	FrameHead
+	FrameHeaders
 )
 
 // FailKind tells whether a failed run was executed.
@@ -27,7 +27,7 @@
 	// FailRejected: the backend server rejected the run; it was not executed.
 	FailRejected FailKind = "rejected"
 	// FailInterrupted: the run started and was interrupted.
-	FailCut FailKind = "cut"
+	FailInterrupted FailKind = "cut"
 	// FailPreempted: the run started and was stopped in favour of urgent work.
 	// It doesn't indicate a fault of the backend server.
 	FailPreempted FailKind = "preempted"
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -13,21 +13,21 @@
 // Refuse. With none set, the message only announces the version of the targets.
 type Message struct {
 	// Stamp is the sender's hybrid logical clock.
-	Stamp timeline.Stamp `cbor:"1,keyasint"`
+	Stamp timeline.Timestamp `cbor:"1,keyasint"`
 	// TargetsVersion is the version of the targets in force at the sender.
-	Targets uint64 `cbor:"2,keyasint"`
-
-	Hello    *Hello       `cbor:"10,keyasint,omitempty"`
-	Ticket   *Ticket      `cbor:"11,keyasint,omitempty"`
-	Withdraw *Withdraw    `cbor:"12,keyasint,omitempty"`
-	Grant    *Grant       `cbor:"13,keyasint,omitempty"`
-	Refuse   *Refuse      `cbor:"14,keyasint,omitempty"`
-	Void     *Void        `cbor:"15,keyasint,omitempty"`
-	Voided   *Voided      `cbor:"16,keyasint,omitempty"`
-	Ping     *Ping        `cbor:"17,keyasint,omitempty"`
-	Status   *Status      `cbor:"18,keyasint,omitempty"`
-	NewSet   *targets.Set `cbor:"19,keyasint,omitempty"`
-	WantSet  *WantSet     `cbor:"20,keyasint,omitempty"`
+	TargetsVersion uint64 `cbor:"2,keyasint"`
+
+	Hello      *Hello       `cbor:"10,keyasint,omitempty"`
+	Ticket     *Ticket      `cbor:"11,keyasint,omitempty"`
+	Withdraw   *Withdraw    `cbor:"12,keyasint,omitempty"`
+	Grant      *Grant       `cbor:"13,keyasint,omitempty"`
+	Refuse     *Refuse      `cbor:"14,keyasint,omitempty"`
+	Void       *Void        `cbor:"15,keyasint,omitempty"`
+	Voided     *Voided      `cbor:"16,keyasint,omitempty"`
+	Ping       *Ping        `cbor:"17,keyasint,omitempty"`
+	Status     *Status      `cbor:"18,keyasint,omitempty"`
+	TargetSet  *targets.Set `cbor:"19,keyasint,omitempty"`
+	GetTargets *GetTargets  `cbor:"20,keyasint,omitempty"`
 }
 
 // Hello is the first message on a connection, in both directions.
@@ -41,15 +41,15 @@
 	// Serves is the model or plain service behind an agent.
 	Serves string `cbor:"4,keyasint,omitempty"`
 	// LoadsModels is set when the backend server can be ordered to load a model.
-	Loads bool `cbor:"5,keyasint,omitempty"`
+	LoadsModels bool `cbor:"5,keyasint,omitempty"`
 }
 
 // Ticket is an entry's request for a grant from an agent.
 type Ticket struct {
 	// RequestID identifies the client's request; Attempt numbers the entry's attempts
 	// to run it.
-	Request string `cbor:"1,keyasint"`
-	Attempt int    `cbor:"2,keyasint"`
+	RequestID string `cbor:"1,keyasint"`
+	Attempt   int    `cbor:"2,keyasint"`
 
 	Class    string `cbor:"3,keyasint"`
 	Tier     int    `cbor:"4,keyasint"`
@@ -58,17 +58,17 @@
 	// meet the latency target. It is relative because the VMs' clocks differ.
 	SlackMS int64 `cbor:"6,keyasint"`
 	// DeadlineMilestone is the milestone that the latency target applies to.
-	Due policy.Milestone `cbor:"13,keyasint,omitempty"`
+	DeadlineMilestone policy.Milestone `cbor:"13,keyasint,omitempty"`
 	// Size is the estimated work in tokens, prompt and answer together.
 	Size int `cbor:"7,keyasint"`
 	// PrefixHash is a hash of the prompt's beginning, for the prefix cache.
-	Prefix uint64 `cbor:"8,keyasint"`
+	PrefixHash uint64 `cbor:"8,keyasint"`
 	// Copies is the number of agents at which the request holds a ticket at the same
 	// time.
 	Copies int `cbor:"9,keyasint"`
 	// MaxEngines is the number of agents, each with one engine, that are asked before
 	// the request is refused for good.
-	Asks int `cbor:"14,keyasint,omitempty"`
+	MaxEngines int `cbor:"14,keyasint,omitempty"`
 	// Retry marks a request that was executed in part before. It is never refused for
 	// its estimated wait, because its client already has a part of the answer.
 	Retry bool `cbor:"10,keyasint,omitempty"`
@@ -82,15 +82,15 @@
 
 // Withdraw cancels a ticket or declines its grant.
 type Withdraw struct {
-	Request string `cbor:"1,keyasint"`
-	Attempt int    `cbor:"2,keyasint"`
+	RequestID string `cbor:"1,keyasint"`
+	Attempt   int    `cbor:"2,keyasint"`
 }
 
 // Grant offers a slot of the agent's engine to a ticket. It can be used once and
 // expires.
 type Grant struct {
-	Request string `cbor:"1,keyasint"`
-	Attempt int    `cbor:"2,keyasint"`
+	RequestID string `cbor:"1,keyasint"`
+	Attempt   int    `cbor:"2,keyasint"`
 	// ID identifies the grant and contains the agent's incarnation.
 	ID string `cbor:"3,keyasint"`
 }
@@ -103,7 +103,7 @@
 	// ReasonOverload: the request can't meet its latency target at this agent.
 	ReasonOverload Reason = "overload"
 	// ReasonDraining: the agent accepts no new work.
-	ReasonLeaving Reason = "leaving"
+	ReasonDraining Reason = "leaving"
 	// ReasonQueueFull: the agent's bounded queue is full.
 	ReasonQueueFull Reason = "queue_full"
 	// ReasonSwitching: the engine is loading another model or has done so.
@@ -114,9 +114,9 @@
 
 // Refuse rejects a ticket.
 type Refuse struct {
-	Request string `cbor:"1,keyasint"`
-	Attempt int    `cbor:"2,keyasint"`
-	Reason  Reason `cbor:"3,keyasint"`
+	RequestID string `cbor:"1,keyasint"`
+	Attempt   int    `cbor:"2,keyasint"`
+	Reason    Reason `cbor:"3,keyasint"`
 	// RetryAfterMS is the time in milliseconds after which a retry is expected to
 	// succeed.
 	RetryAfterMS int64 `cbor:"4,keyasint"`
@@ -124,7 +124,7 @@
 
 // Void asks an agent to invalidate a grant.
 type Void struct {
-	Grant string `cbor:"1,keyasint"`
+	GrantID string `cbor:"1,keyasint"`
 }
 
 // VoidResult is an agent's response to Void. The check and the invalidation are one
@@ -144,8 +144,8 @@
 
 // Voided is the response to Void.
 type Voided struct {
-	Grant  string     `cbor:"1,keyasint"`
-	Result VoidResult `cbor:"2,keyasint"`
+	GrantID string     `cbor:"1,keyasint"`
+	Result  VoidResult `cbor:"2,keyasint"`
 }
 
 // Ping requests an immediate Status. A missing response shows that the connection is
@@ -164,10 +164,10 @@
 	Running int `cbor:"3,keyasint"`
 	Limit   int `cbor:"4,keyasint"`
 	// Draining is set when the agent accepts no new work.
-	Leaving bool `cbor:"5,keyasint,omitempty"`
+	Draining bool `cbor:"5,keyasint,omitempty"`
 	// EngineDown is set when the engine can't be reached or is loading a model.
 	EngineDown bool `cbor:"6,keyasint,omitempty"`
 }
 
 // GetTargets requests the peer's target set.
-type WantSet struct{}
+type GetTargets struct{}
--- a/internal/wire/run.go
+++ b/internal/wire/run.go
@@ -9,9 +9,9 @@
 // RunRequest is the HTTP body with which an entry uses a grant.
 type RunRequest struct {
 	// GrantID is the ID of the grant.
-	Grant   string `cbor:"1,keyasint"`
-	Request string `cbor:"2,keyasint"`
-	Attempt int    `cbor:"3,keyasint"`
+	GrantID   string `cbor:"1,keyasint"`
+	RequestID string `cbor:"2,keyasint"`
+	Attempt   int    `cbor:"3,keyasint"`
 	// ResumeFrom is the number of tokens that the client has already received.
 	ResumeFrom int `cbor:"4,keyasint,omitempty"`
 	// Body is the client's request body.
--- a/internal/wire/stream.go
+++ b/internal/wire/stream.go
@@ -15,16 +15,16 @@
 
 // ErrHeartbeatTimeout: a stream sent nothing, not even a heartbeat, for
 // HeartbeatTimeout.
-var ErrSilent = errors.New("no data or heartbeat on the stream within the timeout")
+var ErrHeartbeatTimeout = errors.New("no data or heartbeat on the stream within the timeout")
 
 const (
 	// HeartbeatInterval is how often an agent sends a heartbeat on a stream without
 	// data.
-	HeartbeatEvery = 500 * time.Millisecond
+	HeartbeatInterval = 500 * time.Millisecond
 	// HeartbeatTimeout is how long a reader waits for data or a heartbeat before it
 	// treats the stream as dead, whatever TCP reports: four heartbeat intervals and a
 	// margin for a busy machine.
-	SilenceBound = 3 * time.Second
+	HeartbeatTimeout = 3 * time.Second
 	// frameWriteTimeout bounds the write of one frame to a peer that stops reading.
 	frameWriteTimeout = 10 * time.Second
 )
@@ -59,13 +59,13 @@
 type FrameReader struct {
 	src      io.Reader
 	dec      *cbor.Decoder
-	watchdog *Silence
+	watchdog *Watchdog
 }
 
 // NewFrameReader returns a FrameReader on r. onTimeout is called when a read of r has
 // waited for HeartbeatTimeout, and must make that read return.
 func NewFrameReader(r io.Reader, onTimeout func()) *FrameReader {
-	fr := &FrameReader{src: r, watchdog: NewSilence(onTimeout)}
+	fr := &FrameReader{src: r, watchdog: NewWatchdog(onTimeout)}
 	fr.dec = cbor.NewDecoder(readerFunc(fr.read))
 	return fr
 }
@@ -75,8 +75,8 @@
 func (r *FrameReader) Next() (Frame, error) {
 	var f Frame
 	if err := r.dec.Decode(&f); err != nil {
-		if r.watchdog.Over() {
-			return Frame{}, ErrSilent
+		if r.watchdog.Expired() {
+			return Frame{}, ErrHeartbeatTimeout
 		}
 		return Frame{}, errors.Wrap(ErrTruncated, err.Error())
 	}
@@ -84,13 +84,13 @@
 }
 
 func (r *FrameReader) read(p []byte) (int, error) {
-	r.watchdog.Begin()
-	defer r.watchdog.End()
+	r.watchdog.Start()
+	defer r.watchdog.Stop()
 	return r.src.Read(p)
 }
 
 // Close stops the watchdog. It doesn't close the underlying reader.
-func (r *FrameReader) Close() { r.watchdog.End() }
+func (r *FrameReader) Close() { r.watchdog.Stop() }
 
 // readerFunc adapts a function to io.Reader.
 type readerFunc func(p []byte) (int, error)
--- a/internal/wire/suspended_test.go
+++ b/internal/wire/suspended_test.go
@@ -85,7 +85,7 @@
 		return errors.Wrap(err, "send frames")
 	}
 	// The test needs real time: the timeout must expire while the process is suspended.
-	time.Sleep(SilenceBound + HeartbeatEvery)
+	time.Sleep(HeartbeatTimeout + HeartbeatInterval)
 	if err := cmd.Process.Signal(syscall.SIGCONT); err != nil {
 		return errors.Wrap(err, "resume reader")
 	}
--- a/internal/wire/watchdog.go
+++ b/internal/wire/watchdog.go
@@ -7,7 +7,7 @@
 
 // timeoutTicks is the number of ticks of HeartbeatInterval that make up
 // HeartbeatTimeout.
-const timeoutTicks = int(SilenceBound / HeartbeatEvery)
+const timeoutTicks = int(HeartbeatTimeout / HeartbeatInterval)
 
 // Watchdog ends a wait for a peer that has sent nothing for HeartbeatTimeout. It runs
 // only between Start and Stop.
@@ -16,7 +16,7 @@
 // fired. A process that was suspended finds both its timer expired and received data
 // ready when it resumes; however long the suspension lasted, it counts as one tick, so
 // the data is read before the watchdog expires.
-type Silence struct {
+type Watchdog struct {
 	onTimeout func()
 
 	mu      sync.Mutex
@@ -31,15 +31,15 @@
 
 // NewWatchdog returns a stopped watchdog that calls onTimeout once on expiry. onTimeout
 // must make the pending wait return.
-func NewSilence(onTimeout func()) *Silence {
-	w := &Silence{onTimeout: onTimeout}
-	w.timer = time.AfterFunc(HeartbeatEvery, w.endTick)
+func NewWatchdog(onTimeout func()) *Watchdog {
+	w := &Watchdog{onTimeout: onTimeout}
+	w.timer = time.AfterFunc(HeartbeatInterval, w.endTick)
 	w.timer.Stop()
 	return w
 }
 
 // Start begins a wait. It does nothing after expiry.
-func (w *Silence) Begin() {
+func (w *Watchdog) Start() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.expired {
@@ -52,7 +52,7 @@
 
 // Stop ends a wait and reports whether the watchdog hasn't expired; if so, it can't
 // expire before the next Start.
-func (w *Silence) End() bool {
+func (w *Watchdog) Stop() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.waiting = false
@@ -62,30 +62,30 @@
 }
 
 // Expired reports whether the watchdog has expired.
-func (w *Silence) Over() bool {
+func (w *Watchdog) Expired() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.expired
 }
 
 // startTick schedules the end of a tick. The caller holds mu.
-func (w *Silence) startTick() {
+func (w *Watchdog) startTick() {
 	w.tickStart = time.Now()
-	w.timer.Reset(HeartbeatEvery)
+	w.timer.Reset(HeartbeatInterval)
 }
 
 // endTick runs when a tick fires.
-func (w *Silence) endTick() {
+func (w *Watchdog) endTick() {
 	if w.countTick() {
 		w.onTimeout()
 	}
 }
 
 // countTick counts a tick and reports whether the watchdog has expired with it.
-func (w *Silence) countTick() bool {
+func (w *Watchdog) countTick() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.waiting || time.Since(w.tickStart) < HeartbeatEvery {
+	if !w.waiting || time.Since(w.tickStart) < HeartbeatInterval {
 		// The tick belongs to an earlier wait.
 		return false
 	}
--- a/internal/wire/watchdog_test.go
+++ b/internal/wire/watchdog_test.go
@@ -35,7 +35,7 @@
 			if _, err := r.Next(); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(SilenceBound + time.Millisecond)
+			time.Sleep(HeartbeatTimeout + time.Millisecond)
 			synctest.Wait()
 		}
 		if timeouts != 0 {
@@ -53,7 +53,7 @@
 		// Frames that arrive later than one tick, but within the timeout.
 		go func() {
 			for range 3 {
-				time.Sleep(SilenceBound - time.Millisecond)
+				time.Sleep(HeartbeatTimeout - time.Millisecond)
 				_, _ = pipeWriter.Write(heartbeatFrames(t, 1).Bytes())
 			}
 		}()
@@ -63,11 +63,11 @@
 			}
 		}
 		began := time.Now()
-		if _, err := r.Next(); !errors.Is(err, ErrSilent) {
+		if _, err := r.Next(); !errors.Is(err, ErrHeartbeatTimeout) {
 			t.Fatalf("got %v, want ErrHeartbeatTimeout", err)
 		}
-		if took := time.Since(began); took != SilenceBound || timeouts != 1 {
-			t.Fatalf("timed out %d times, after %v; want once after %v", timeouts, took, SilenceBound)
+		if took := time.Since(began); took != HeartbeatTimeout || timeouts != 1 {
+			t.Fatalf("timed out %d times, after %v; want once after %v", timeouts, took, HeartbeatTimeout)
 		}
 	})
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -16,8 +16,8 @@
 	"github.com/applepier/applepier/internal/timeline"
 )
 
-func testConfig(version uint64) Local {
-	return Local{Clock: &timeline.Clock{}, TargetsVersion: func() uint64 { return version }, Traffic: metrics.New().Control}
+func testConfig(version uint64) Config {
+	return Config{Clock: &timeline.Clock{}, TargetsVersion: func() uint64 { return version }, Traffic: metrics.New().Control}
 }
 
 // connectPair returns the two ends of one connection.
@@ -50,7 +50,7 @@
 
 func TestConnCarriesMessagesWithStampAndVersion(t *testing.T) {
 	entry, agent := connectPair(t)
-	sent := Ticket{Request: "r", Attempt: 2, Class: "hazard-flag", SlackMS: -5, Copies: 3}
+	sent := Ticket{RequestID: "r", Attempt: 2, Class: "hazard-flag", SlackMS: -5, Copies: 3}
 	if err := entry.Send(Message{Ticket: &sent}); err != nil {
 		t.Fatal(err)
 	}
@@ -61,14 +61,14 @@
 	if got.Ticket == nil || *got.Ticket != sent {
 		t.Fatalf("ticket: got %+v, want %+v", got.Ticket, sent)
 	}
-	if got.Targets != 3 || got.Stamp.Wall == 0 {
-		t.Fatalf("envelope: got version %d and stamp %+v", got.Targets, got.Stamp)
+	if got.TargetsVersion != 3 || got.Stamp.Wall == 0 {
+		t.Fatalf("envelope: got version %d and stamp %+v", got.TargetsVersion, got.Stamp)
 	}
 }
 
 func TestConnEndsForBothSides(t *testing.T) {
 	entry, agent := connectPair(t)
-	agent.End()
+	agent.CloseNow()
 	if _, err := entry.Receive(context.Background()); !errors.Is(err, ErrClosed) {
 		t.Fatalf("receive: got %v, want ErrClosed", err)
 	}
--- a/policy/active_runs.go
+++ b/policy/active_runs.go
@@ -9,9 +9,9 @@
 	// yet, in order of their start.
 	awaitingFirstToken []*run
 	// nonUrgent is the number of runs below the urgent tiers.
-	lower int
+	nonUrgent int
 	// topTier is the number of runs of the top tier.
-	top int
+	topTier int
 	// preemptedCount is the number of preempted runs that haven't ended yet.
 	preemptedCount int
 }
@@ -52,15 +52,15 @@
 func (r *activeRuns) adjustCounts(t Tier, delta int) {
 	switch {
 	case t == TopTier:
-		r.top += delta
-	case t > urgentTier:
-		r.lower += delta
+		r.topTier += delta
+	case t > lastUrgentTier:
+		r.nonUrgent += delta
 	}
 }
 
 // urgentCount returns the number of runs of the urgent tiers.
 func (r *activeRuns) urgentCount() int {
-	return len(r.byID) - r.lower
+	return len(r.byID) - r.nonUrgent
 }
 
 // markStarted records that the run has started and waits for its first token.
--- a/policy/adaptive_headroom.go
+++ b/policy/adaptive_headroom.go
@@ -55,7 +55,7 @@
 // refused because of this.
 //
 // Not safe for concurrent use.
-type Yielding struct {
+type AdaptiveHeadroom struct {
 	headroom [UrgencyLevels]float64
 	// baseline is the usual number of offered requests at each level, not yet divided by
 	// baselineWeight. surge is the number offered above each level beyond that baseline, as a
@@ -69,14 +69,14 @@
 // Share returns the share of each server's slots, from 0 to 1, that a level leaves free now.
 // offers counts the requests offered and refused at all senders; busy is the share of all
 // slots in use.
-func (h *Yielding) Share(now time.Time, offers *Shortage, busy float64, urgency int) float64 {
+func (h *AdaptiveHeadroom) Share(now time.Time, offers *OfferCounts, busy float64, urgency int) float64 {
 	h.advance(now, offers, busy)
 	return max(h.headroom[urgency], min(busy*h.surge[urgency], maxHeadroom))
 }
 
 // advance accounts for the time since the last call. For growth, a longer gap counts as a
 // single gossip interval, since refusals were not observed during the whole gap.
-func (h *Yielding) advance(now time.Time, offers *Shortage, busy float64) {
+func (h *AdaptiveHeadroom) advance(now time.Time, offers *OfferCounts, busy float64) {
 	const maxGrowthStep = 100 * time.Millisecond
 	elapsed := now.Sub(h.updated)
 	if h.updated.IsZero() {
@@ -103,7 +103,7 @@
 }
 
 // updateBaseline adds the currently offered requests to the baseline.
-func (h *Yielding) updateBaseline(elapsed time.Duration, offers *Shortage) {
+func (h *AdaptiveHeadroom) updateBaseline(elapsed time.Duration, offers *OfferCounts) {
 	decay := math.Exp(-float64(elapsed) / float64(offerBaselineDecay))
 	h.baselineWeight = decay*h.baselineWeight + 1 - decay
 	for urgency := range h.baseline {
@@ -113,7 +113,7 @@
 
 // detectSurge computes how far the offered requests exceed the baseline beyond random
 // variation.
-func (h *Yielding) detectSurge(offers *Shortage) {
+func (h *AdaptiveHeadroom) detectSurge(offers *OfferCounts) {
 	total := 0.0
 	for _, baseline := range h.baseline {
 		total += baseline / h.baselineWeight
--- a/policy/adaptive_headroom_test.go
+++ b/policy/adaptive_headroom_test.go
@@ -11,7 +11,7 @@
 // are left, spread over the servers.
 func TestScarceSlotsAreSharedEvenly(t *testing.T) {
 	const senders, freeServers, freePerServer = 90, 7, 2
-	servers := serversOf(50)
+	servers := idleServers(50)
 	maxRunning := int(maxSlotShare * float64(servers[0].Slots))
 	for i := range servers {
 		servers[i].Running = maxRunning
@@ -19,7 +19,7 @@
 	for i := range freeServers {
 		servers[5*i].Running = maxRunning - freePerServer
 	}
-	job := Job{Zone: "z", Target: 250 * time.Millisecond, Tokens: 800, Unseen: senders - 1}
+	job := Job{Zone: "z", Target: 250 * time.Millisecond, Tokens: 800, UnreportedRequests: senders - 1}
 	const rounds = 50
 	sent, sentTo := 0, map[int]int{}
 	for round := range rounds {
@@ -27,7 +27,7 @@
 			c := NewChooser(rand.New(rand.NewPCG(uint64(i), uint64(round))), NewEjector(), NewPrefixIndex())
 			if choice := c.Choose(testStart, job, servers, nil); choice.InTime {
 				sent++
-				sentTo[choice.At]++
+				sentTo[choice.Index]++
 			}
 		}
 	}
@@ -51,8 +51,8 @@
 // When more than usual is offered above a level, the level leaves slots free before any
 // refusal, in proportion to the surge, and none a few seconds later.
 func TestHeadroomFollowsSurge(t *testing.T) {
-	var headroom Yielding
-	var offers Shortage
+	var headroom AdaptiveHeadroom
+	var offers OfferCounts
 	now, busy := testStart, 0.6
 	advance := func(d time.Duration, urgent float64) float64 {
 		offers[3].Offered, offers[4].Offered = urgent, 100
@@ -83,8 +83,8 @@
 
 // A sender that has just started must not mistake the existing traffic for a surge.
 func TestNoHeadroomAtStart(t *testing.T) {
-	var headroom Yielding
-	var offers Shortage
+	var headroom AdaptiveHeadroom
+	var offers OfferCounts
 	offers[3].Offered, offers[4].Offered = 300, 100
 	for step := range 20 {
 		now := testStart.Add(time.Duration(step) * 100 * time.Millisecond)
@@ -95,14 +95,14 @@
 }
 
 func TestSlotsInUse(t *testing.T) {
-	if got := SlotsInUse(nil); got != 0 {
+	if got := SlotUtilization(nil); got != 0 {
 		t.Errorf("got %v without servers, want 0", got)
 	}
-	servers := serversOf(2)
+	servers := idleServers(2)
 	servers[0].Running, servers[1].Running = 16, 8
 	servers[1].Pending[3].Requests = 8
 	servers = append(servers, Server{Name: "plain", Running: 50})
-	if got := SlotsInUse(servers); got != 0.5 {
+	if got := SlotUtilization(servers); got != 0.5 {
 		t.Errorf("got %v of the slots in use, want 0.5: servers with unknown slots don't count", got)
 	}
 }
@@ -110,8 +110,8 @@
 // A handful of more urgent requests that find no slot must not take the slots from hundreds of
 // less urgent ones: a level's headroom is at most the share of requests offered above it.
 func TestHeadroomIsBoundedByOffersAbove(t *testing.T) {
-	var headroom Yielding
-	var offers Shortage
+	var headroom AdaptiveHeadroom
+	var offers OfferCounts
 	offers[0].Offered, offers[0].Lacked = 8, 4
 	offers[3].Offered, offers[3].Lacked = 392, 150
 	offers[4].Offered, offers[4].Lacked = 130, 130
@@ -129,8 +129,8 @@
 // A few refusals above a level make it leave only a few slots free, however much is offered
 // there: the requests admitted above have their slots already.
 func TestHeadroomIsBoundedByRefusalsAbove(t *testing.T) {
-	var headroom Yielding
-	var offers Shortage
+	var headroom AdaptiveHeadroom
+	var offers OfferCounts
 	offers[0].Offered, offers[0].Lacked = 182, 3
 	offers[1].Offered, offers[1].Lacked = 44, 3
 	offers[3].Offered, offers[3].Lacked = 470, 200
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -31,7 +31,7 @@
 			return s.refuse(t, lateBy)
 		}
 	}
-	return s.enqueue(now, newWaiting(t, s.copyShare.work(t), latestStart, false), wait, guaranteed)
+	return s.enqueue(now, newQueuedTicket(t, s.copyShare.expectedWork(t), latestStart, false), wait, guaranteed)
 }
 
 // lateness returns how far past its latest start a ticket would start after the
@@ -46,7 +46,7 @@
 // guaranteedAdmission reports whether t is admitted whatever its wait, because
 // its class has nothing waiting and no recent grant.
 func (s *Scheduler) guaranteedAdmission(now time.Time, t Ticket) bool {
-	return s.queue.tiers[t.Tier].onTimeClass(t.Class) == nil && !s.recentGrants.has(now, t.Class)
+	return s.queue.tiers[t.Tier].onTimeClass(t.Class) == nil && !s.recentGrants.contains(now, t.Class)
 }
 
 const (
@@ -66,9 +66,9 @@
 		return time.Time{}
 	}
 	remaining := float64(t.Deadline.Sub(now))
-	switch t.Due {
+	switch t.DeadlineMilestone {
 	case MilestoneFirstToken:
-		needed := float64(s.first.of(size))
+		needed := float64(s.ttft.upperBound(size))
 		return t.Deadline.Add(-time.Duration(min(needed, maxFirstTokenFraction*remaining)))
 	case MilestoneCompletion:
 		needed := float64(s.serviceRate.runTime(size))
@@ -82,7 +82,7 @@
 // A ticket with guaranteed admission may exceed the limit of the queue, which
 // adds at most one ticket per class. A top-tier ticket may exceed it until the
 // top tier alone fills the queue.
-func (s *Scheduler) enqueue(now time.Time, w *waiting, wait time.Duration, guaranteed bool) Decision {
+func (s *Scheduler) enqueue(now time.Time, w *queuedTicket, wait time.Duration, guaranteed bool) Decision {
 	decision, t := Decision{Admitted: true}, w.ticket
 	if s.queue.Len() >= maxQueuedTickets {
 		id, ok := s.queue.displace(t, w.work)
@@ -93,26 +93,26 @@
 		case t.Tier == TopTier && s.queue.tiers[TopTier].count < maxQueuedTickets:
 		default:
 			decision = s.refuse(t, wait)
-			decision.Full = true
+			decision.QueueFull = true
 			return decision
 		}
 	}
-	s.promises.refused[t.Tier].observe(now, false)
+	s.retryBacklog.refusals[t.Tier].observe(now, false)
 	s.queue.push(now, w)
 	return decision
 }
 
 // refuse rejects t; lateBy is how much too late it would have started.
 func (s *Scheduler) refuse(t Ticket, lateBy time.Duration) Decision {
-	s.promises.refused[t.Tier].observe(s.lastCall, true)
-	work := float64(ticketSize(t)) / float64(t.asks())
-	retryAfter := s.promises.next(s.lastCall, t.Tier, work, lateBy, s.tierRate(t.Tier))
+	s.retryBacklog.refusals[t.Tier].observe(s.lastCall, true)
+	work := float64(ticketSize(t)) / float64(t.engineCount())
+	retryAfter := s.retryBacklog.retryAfter(s.lastCall, t.Tier, work, lateBy, s.tierRate(t.Tier))
 	return Decision{RetryAfter: retryAfter}
 }
 
 // estimateWait returns the expected wait of t, with its size multiplied by scale.
 func (s *Scheduler) estimateWait(now time.Time, t Ticket, scale float64) time.Duration {
-	work := scale * s.copyShare.work(t)
+	work := scale * s.copyShare.expectedWork(t)
 	ahead := s.queuedWorkAbove(t.Tier) + s.queue.tiers[t.Tier].workAhead(t, work)
 	return s.waitForSlot(now, t.Tier, ahead)
 }
@@ -130,18 +130,18 @@
 // waitForSlot returns the expected time until the engine has a free slot for a
 // ticket of tier t with the given work ahead of it, in tokens.
 func (s *Scheduler) waitForSlot(now time.Time, t Tier, ahead float64) time.Duration {
-	free := s.slots(t) - len(s.running.byID)
+	free := s.slotsFor(t) - len(s.running.byID)
 	if free > s.queue.Len() {
 		return 0
 	}
 	if !s.serviceRate.known() {
 		return s.coldWaitEstimate()
 	}
-	rate := s.serviceRate.stalled(now, s.tierRate(t))
+	rate := s.serviceRate.discountStall(now, s.tierRate(t))
 	if free <= 0 {
 		ahead += s.serviceRate.meanSize
 	}
-	return seconds(ahead / rate)
+	return secondsToDuration(ahead / rate)
 }
 
 // coldWaitEstimate returns the expected wait on an engine with unknown service
@@ -151,7 +151,7 @@
 	if s.queue.Len() < coldQueuePerSlot*s.limiter.limit {
 		return 0
 	}
-	return longest
+	return maxDuration
 }
 
 // tierRate returns the rate, in tokens per second, at which the engine serves
@@ -159,7 +159,7 @@
 // tiers, but at least an equal part of the guaranteed share, which is divided
 // among all starved classes.
 func (s *Scheduler) tierRate(t Tier) float64 {
-	rate := s.serviceRate.at(s.slots(t))
+	rate := s.serviceRate.throughput(s.slotsFor(t))
 	guaranteed := guaranteedShare * rate / float64(s.queue.starvedClasses(s.lastCall))
-	return max(guaranteed, rate-s.demand.above(s.lastCall, t))
+	return max(guaranteed, rate-s.demand.rateAbove(s.lastCall, t))
 }
--- a/policy/affinity.go
+++ b/policy/affinity.go
@@ -19,7 +19,7 @@
 
 // choose returns the position in kept of the prefix's engine, and whether that engine
 // has capacity.
-func (affinity) choose(now time.Time, request Placement, candidates []Candidate, kept []int, mean float64) (int, bool) {
+func (affinity) choose(now time.Time, request PlacementRequest, candidates []Candidate, kept []int, mean float64) (int, bool) {
 	if request.Prefix == 0 || len(kept) == 0 {
 		return 0, false
 	}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -23,7 +23,7 @@
 	q := NewQueue()
 	for i := range n {
 		t := benchTicket(i, customers)
-		q.push(testStart, newWaiting(t, float64(t.Size), testStart.Add(time.Duration(i)*time.Second), false))
+		q.push(testStart, newQueuedTicket(t, float64(t.Size), testStart.Add(time.Duration(i)*time.Second), false))
 	}
 	return q
 }
@@ -40,7 +40,7 @@
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					t := q.grant(testStart, q.next())
-					q.push(testStart, newWaiting(t, float64(t.Size), testStart.Add(time.Duration(i)*time.Second), false))
+					q.push(testStart, newQueuedTicket(t, float64(t.Size), testStart.Add(time.Duration(i)*time.Second), false))
 				}
 				b.ReportMetric(float64(heapGrowth)/float64(waiting), "B/waiting")
 			})
@@ -83,7 +83,7 @@
 // admitted.
 func BenchmarkOffer(b *testing.B) {
 	s := NewScheduler()
-	warm(s)
+	warmUp(s)
 	for i := range 1_000 {
 		s.Offer(testStart, benchTicket(i, 400))
 	}
@@ -103,7 +103,7 @@
 			b.Run(fmt.Sprintf("engines=%d/prefix=%t", engines, prefix > 0), func(b *testing.B) {
 				p := NewPlacer(rand.New(rand.NewPCG(1, 2)), NewEjector())
 				known := candidates(engines)
-				placement := Placement{Tier: 2, Zone: "zone-1", Prefix: prefix}
+				placement := PlacementRequest{Tier: 2, Zone: "zone-1", Prefix: prefix}
 				b.ReportAllocs()
 				for b.Loop() {
 					p.Pick(testStart, placement, known, 2)
--- a/policy/burst_test.go
+++ b/policy/burst_test.go
@@ -29,22 +29,22 @@
 	offeredFlags, lateFlags := 0, 0
 	goodput, capacity := 0.0, 0.0
 	for seed := range uint64(3) {
-		sim := newPlay(seed, fleet(4, 8)...)
+		sim := newSimulation(seed, newFakeEngines(4, 8)...)
 		e := newFakeEngine(8)
-		fleetCapacity := 4 * e.capacity(questions(nil))
+		fleetCapacity := 4 * e.capacity(questionWorkload(nil))
 		capacity += fleetCapacity
-		q := questions(burst(0.2*fleetCapacity, factor*fleetCapacity, 30*time.Second, time.Minute))
-		f, s := flags(steady(2)), summaryWorkload(steady(0.3))
+		q := questionWorkload(burstRate(0.2*fleetCapacity, factor*fleetCapacity, 30*time.Second, time.Minute))
+		f, s := flagWorkload(constantRate(2)), summaryWorkload(constantRate(0.3))
 		sim.run(2*time.Minute, 10*time.Minute, f, q, s)
 		t.Logf("%v x %.1f/s, seed %d:%s", factor, fleetCapacity, seed, sim.report(f, q, s))
 
-		offeredFlags += sim.tally("flag").offered
-		lateFlags += sim.tally("flag").offered - sim.tally("flag").onTime
+		offeredFlags += sim.stats("flag").offered
+		lateFlags += sim.stats("flag").offered - sim.stats("flag").onTime
 		questionSlotSeconds := slotSeconds(e, q)
-		goodput += sim.tally("question").goodput()
-		goodput += sim.tally("flag").goodput() * slotSeconds(e, f) / questionSlotSeconds
-		goodput += sim.tally("summary").goodput() * slotSeconds(e, s) / questionSlotSeconds
-		if share := sim.tally("question").honest(); share < 0.8 {
+		goodput += sim.stats("question").goodput()
+		goodput += sim.stats("flag").goodput() * slotSeconds(e, f) / questionSlotSeconds
+		goodput += sim.stats("summary").goodput() * slotSeconds(e, s) / questionSlotSeconds
+		if share := sim.stats("question").retrySuccess(); share < 0.8 {
 			t.Errorf("%.2f of the retries were on time", share)
 		}
 		if sim.wastedShare() > 0.02 {
@@ -76,13 +76,13 @@
 
 // simulateBurstOfTopTier simulates a burst of hazard flags at a multiple of capacity.
 func simulateBurstOfTopTier(t *testing.T, factor float64) {
-	capacity := 4 * newFakeEngine(8).capacity(flags(nil))
-	sim := newPlay(1, fleet(4, 8)...)
-	f := flags(burst(1, factor*capacity, 30*time.Second, time.Minute))
-	s := summaryWorkload(steady(4))
+	capacity := 4 * newFakeEngine(8).capacity(flagWorkload(nil))
+	sim := newSimulation(1, newFakeEngines(4, 8)...)
+	f := flagWorkload(burstRate(1, factor*capacity, 30*time.Second, time.Minute))
+	s := summaryWorkload(constantRate(4))
 	sim.run(2*time.Minute, 10*time.Minute, f, s)
 	t.Logf("flags %v x %.1f/s:%s", factor, capacity, sim.report(f, s))
-	if minGoodput := min(0.95*factor, 0.8) * capacity; sim.tally("flag").goodput() < minGoodput {
-		t.Errorf("goodput at %v x capacity: %.1f/s, want %.1f/s", factor, sim.tally("flag").goodput(), minGoodput)
+	if minGoodput := min(0.95*factor, 0.8) * capacity; sim.stats("flag").goodput() < minGoodput {
+		t.Errorf("goodput at %v x capacity: %.1f/s, want %.1f/s", factor, sim.stats("flag").goodput(), minGoodput)
 	}
 }
--- a/policy/cache_miss.go
+++ b/policy/cache_miss.go
@@ -25,31 +25,31 @@
 
 // cacheMiss is the part of a prompt's shared prefix that a server doesn't have cached,
 // in tokens.
-type need struct {
+type cacheMiss struct {
 	// uncached is the part that no server has.
-	first float64
+	uncached float64
 	// recomputed is the part that another server has cached and that is prefilled
 	// nevertheless.
-	again float64
+	recomputed float64
 	// fetched is the part fetched from the server at index source, and transferTokens
 	// the number of tokens that could be prefilled during the transfer.
-	fetched  float64
-	transfer float64
-	source   int
+	fetched        float64
+	transferTokens float64
+	source         int
 	// home reports whether the server is the prefix's first home, and secondHome
 	// whether it is the second one.
-	home, second bool
+	home, secondHome bool
 }
 
 // prefillTokens returns the number of tokens that the server prefills, or could prefill
 // while it fetches.
-func (n *need) prefillTokens() int { return int(n.first + n.again + n.transfer) }
+func (n *cacheMiss) prefillTokens() int { return int(n.uncached + n.recomputed + n.transferTokens) }
 
 // penalty returns the cost in addition to the prefill itself, in tokens.
-func (n *need) penalty() float64 {
-	cost := (recomputeWeight-1)*n.again + fetchWeight*n.fetched
+func (n *cacheMiss) penalty() float64 {
+	cost := (recomputeWeight-1)*n.recomputed + fetchWeight*n.fetched
 	if !n.home {
-		cost += nonHomeWeight * n.first
+		cost += nonHomeWeight * n.uncached
 	}
 	return cost
 }
@@ -70,20 +70,20 @@
 
 // lookUpPrefix looks up which of the usable servers have the job's shared prefix cached.
 func (c *Chooser) lookUpPrefix(now time.Time, job *Job, servers []Server, usable func(*Server) bool) prefixLookup {
-	prefix := job.prefix()
-	lookup := prefixLookup{length: prefix.Upto, homes: homeServers(prefix.ID, servers, usable), source: -1}
+	prefix := job.sharedPrefix()
+	lookup := prefixLookup{length: prefix.End, homes: homeServers(prefix.ID, servers, usable), source: -1}
 	if prefix.ID == 0 {
 		return lookup
 	}
 	lookup.cached = make([]cachedPrefix, len(servers))
-	if !c.index.hasAny(job.Shared) {
+	if !c.index.hasAny(job.SharedSegments) {
 		return lookup
 	}
 	for i := range servers {
 		if !usable(&servers[i]) {
 			continue
 		}
-		cached := c.index.cachedAt(now, KeyOf(servers[i].Name), job.Shared)
+		cached := c.index.cachedAt(now, KeyOf(servers[i].Name), job.SharedSegments)
 		lookup.cached[i] = cached
 		lookup.longestCached = max(lookup.longestCached, cached.expected)
 		if cached.prefilled > 0 && (lookup.source < 0 || cached.prefilled > lookup.cached[lookup.source].prefilled || cached.prefilled == lookup.cached[lookup.source].prefilled && servers[i].inFlight() < servers[lookup.source].inFlight()) {
@@ -95,19 +95,19 @@
 
 // missAt returns the part of the shared prefix that the server at index i doesn't have
 // cached.
-func (p *prefixLookup) missAt(i int, job *Job, rate *PrefillRate) need {
+func (p *prefixLookup) missAt(i int, job *Job, rate *PrefillRate) cacheMiss {
 	if p.cached == nil {
-		return need{}
+		return cacheMiss{}
 	}
-	miss := need{home: i == p.homes[0], second: i == p.homes[1], first: float64(p.length - p.longestCached), again: float64(p.longestCached - p.cached[i].expected)}
+	miss := cacheMiss{home: i == p.homes[0], secondHome: i == p.homes[1], uncached: float64(p.length - p.longestCached), recomputed: float64(p.longestCached - p.cached[i].expected)}
 	if p.source < 0 || p.source == i || job.FetchRate == 0 {
 		return miss
 	}
 	fetched := float64(p.cached[p.source].prefilled - p.cached[i].expected)
-	transfer := rate.during(fetchSetup) + fetched*rate.rate()/job.FetchRate
+	transfer := rate.tokensIn(fetchSetup) + fetched*rate.rate()/job.FetchRate
 	if fetched >= minFetchTokens && transfer < fetched {
-		miss.fetched, miss.transfer, miss.source = fetched, transfer, p.source
-		miss.again -= fetched
+		miss.fetched, miss.transferTokens, miss.source = fetched, transfer, p.source
+		miss.recomputed -= fetched
 	}
 	return miss
 }
--- a/policy/cache_miss_test.go
+++ b/policy/cache_miss_test.go
@@ -10,18 +10,18 @@
 // can't fetch.
 func TestSegmentOfBusyServerIsFetched(t *testing.T) {
 	for _, fetchRate := range []float64{0, 600} {
-		c, servers := newTestChooser(), serversOf(8)
+		c, servers := newTestChooser(), idleServers(8)
 		job := summaryJob(77)
 		job.FetchRate = fetchRate
-		holder := c.Choose(testStart, job, servers, nil).At
-		c.index.Read(testStart, KeyOf(servers[holder].Name), job.Shared)
+		holder := c.Choose(testStart, job, servers, nil).Index
+		c.index.RecordPrefilled(testStart, KeyOf(servers[holder].Name), job.SharedSegments)
 		servers[holder].Pending[4].Requests, servers[holder].Pending[4].Tokens = 8, 40_000
 		choice := c.Choose(testStart, job, servers, nil)
-		if !choice.InTime || choice.At == holder || choice.Fetches != (fetchRate > 0) {
+		if !choice.InTime || choice.Index == holder || choice.Fetches != (fetchRate > 0) {
 			t.Fatalf("at a fetch rate of %v: %+v, holder %d", fetchRate, choice, holder)
 		}
-		if fetchRate > 0 && (choice.From != holder || choice.Prefill > 5000) {
-			t.Errorf("fetches from %d and prefills %d tokens, the holder is %d", choice.From, choice.Prefill, holder)
+		if fetchRate > 0 && (choice.FetchFrom != holder || choice.PrefillTokens > 5000) {
+			t.Errorf("fetches from %d and prefills %d tokens, the holder is %d", choice.FetchFrom, choice.PrefillTokens, holder)
 		}
 	}
 }
@@ -29,20 +29,20 @@
 // Servers that are leaving, ejected or restarted aren't fetched from.
 func TestNothingIsFetchedFromUnusableServers(t *testing.T) {
 	faults := map[string]func(c *Chooser, s *Server){
-		"leaving": func(_ *Chooser, s *Server) { s.Leaving = true },
+		"leaving": func(_ *Chooser, s *Server) { s.Draining = true },
 		"ejected": func(c *Chooser, s *Server) {
-			for range ejectAfter {
+			for range ejectAfterFailures {
 				c.ejector.Observe(testStart, s.Name, OutcomeFailed)
 			}
 		},
-		"restarted": func(c *Chooser, s *Server) { c.index.Forget(KeyOf(s.Name)) },
+		"restarted": func(c *Chooser, s *Server) { c.index.RemoveServer(KeyOf(s.Name)) },
 	}
 	for name, inject := range faults {
-		c, servers := newTestChooser(), serversOf(8)
+		c, servers := newTestChooser(), idleServers(8)
 		job := summaryJob(77)
 		job.FetchRate = 600
-		holder := c.Choose(testStart, job, servers, nil).At
-		c.index.Read(testStart, KeyOf(servers[holder].Name), job.Shared)
+		holder := c.Choose(testStart, job, servers, nil).Index
+		c.index.RecordPrefilled(testStart, KeyOf(servers[holder].Name), job.SharedSegments)
 		inject(c, &servers[holder])
 		if choice := c.Choose(testStart, job, servers, nil); choice.Fetches {
 			t.Errorf("%s: %+v", name, choice)
@@ -52,12 +52,12 @@
 
 // Short segments are prefilled faster than they are fetched.
 func TestShortSegmentsArePrefilled(t *testing.T) {
-	c, servers := newTestChooser(), serversOf(8)
-	job := Job{Zone: "z", Urgency: 4, Target: time.Second, Tokens: 1500, Shared: []Part{{ID: 5, Upto: minFetchTokens - 1}}, FetchRate: 600}
-	holder := c.Choose(testStart, job, servers, nil).At
-	c.index.Read(testStart, KeyOf(servers[holder].Name), job.Shared)
+	c, servers := newTestChooser(), idleServers(8)
+	job := Job{Zone: "z", Urgency: 4, Target: time.Second, Tokens: 1500, SharedSegments: []PrefixSegment{{ID: 5, End: minFetchTokens - 1}}, FetchRate: 600}
+	holder := c.Choose(testStart, job, servers, nil).Index
+	c.index.RecordPrefilled(testStart, KeyOf(servers[holder].Name), job.SharedSegments)
 	servers[holder].Pending[4].Tokens = 60_000
-	if choice := c.Choose(testStart, job, servers, nil); choice.Fetches || choice.At == holder {
+	if choice := c.Choose(testStart, job, servers, nil); choice.Fetches || choice.Index == holder {
 		t.Errorf("%+v, holder %d", choice, holder)
 	}
 }
@@ -66,15 +66,15 @@
 func TestGatewaysShareTheLastServerInTime(t *testing.T) {
 	const gateways = 30
 	sent := 0
-	servers := serversOf(20)
+	servers := idleServers(20)
 	for i := range servers {
 		servers[i].Pending[4].Requests, servers[i].Pending[4].Tokens = 8, 60_000
 	}
-	servers[7].Pending = Ahead{}
+	servers[7].Pending = PendingWork{}
 	for i := range gateways {
 		c := NewChooser(rand.New(rand.NewPCG(uint64(i), 9)), NewEjector(), NewPrefixIndex())
 		job := Job{Zone: "z", Urgency: 4, Target: 500 * time.Millisecond, Tokens: 3000}
-		job.UnseenTokens, job.NewsAge = 3000*(gateways-1), 50*time.Millisecond
+		job.UnreportedTokens, job.ReportAge = 3000*(gateways-1), 50*time.Millisecond
 		if choice := c.Choose(testStart, job, servers, nil); choice.InTime {
 			sent++
 		}
@@ -88,7 +88,7 @@
 // the other servers have time, and the prompts that other gateways send aren't prefilled
 // at these few.
 func TestSlotShortageIsNoTimeShortage(t *testing.T) {
-	servers := serversOf(20)
+	servers := idleServers(20)
 	for i := range servers {
 		servers[i].Running = 32
 	}
@@ -96,8 +96,8 @@
 	for i := range 30 {
 		c := NewChooser(rand.New(rand.NewPCG(uint64(i), 9)), NewEjector(), NewPrefixIndex())
 		job := Job{Zone: "z", Urgency: 0, Target: 300 * time.Millisecond, Tokens: 800}
-		job.UnseenTokens, job.NewsAge = 20_000, 50*time.Millisecond
-		if choice := c.Choose(testStart, job, servers, nil); !choice.InTime || choice.At != 7 {
+		job.UnreportedTokens, job.ReportAge = 20_000, 50*time.Millisecond
+		if choice := c.Choose(testStart, job, servers, nil); !choice.InTime || choice.Index != 7 {
 			t.Fatalf("gateway %d: %+v, 7 has slots and time", i, choice)
 		}
 	}
--- a/policy/candidate.go
+++ b/policy/candidate.go
@@ -19,10 +19,10 @@
 	Running int
 	Limit   int
 	// ReportedAt is when the numbers were received; zero if they never were.
-	Seen time.Time
+	ReportedAt time.Time
 	// Leaving engines accept no new work; Down engines can't be reached.
-	Leaving bool
-	Down    bool
+	Draining bool
+	Down     bool
 }
 
 // load returns the number of waiting and running requests per slot.
@@ -33,9 +33,9 @@
 // expectedLoad estimates the current load per slot. With the age of the report the
 // estimate moves from the reported load to mean, the mean load of all candidates.
 func (c *Candidate) expectedLoad(now time.Time, mean float64) float64 {
-	if c.Seen.IsZero() {
+	if c.ReportedAt.IsZero() {
 		return mean
 	}
-	weight := math.Exp(-now.Sub(c.Seen).Seconds() / loadReportTimeConstant.Seconds())
+	weight := math.Exp(-now.Sub(c.ReportedAt).Seconds() / loadReportTimeConstant.Seconds())
 	return mean + weight*(c.load()-mean)
 }
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -17,8 +17,8 @@
 // connsExhausted reports whether the server might reset one more connection. A model server
 // has slots. A plain service queues briefly and answers that it is full, but it resets
 // connections beyond those that it accepts, and then the outcome of their requests is unknown.
-func (s *Server) outOfConns() bool {
-	return s.Conns > 0 && float64(s.inFlight()) >= maxConnShare*float64(s.Conns)
+func (s *Server) connsExhausted() bool {
+	return s.MaxConns > 0 && float64(s.inFlight()) >= maxConnShare*float64(s.MaxConns)
 }
 
 // admitBySlots decides at random which servers with a free slot stay eligible for the request.
@@ -32,16 +32,16 @@
 // Independent draws per server would add up: with 13 requests for seven servers that have two
 // free slots each, two of three requests would win at least one draw, and the cheapest server
 // would get most of them.
-func (c *Chooser) shareSlots(unseen float64, all []weighed) {
+func (c *Chooser) admitBySlots(unseen float64, all []scoredServer) {
 	withSlots, freeSlots, onTime := 0, 0.0, 0
 	for i := range all {
-		if !all[i].choice.Room {
+		if !all[i].choice.HasCapacity {
 			continue
 		}
 		withSlots++
-		if all[i].choice.soon {
+		if all[i].choice.meetsTarget {
 			onTime++
-			freeSlots += all[i].left
+			freeSlots += all[i].slotsLeft
 		}
 	}
 	perServer := unseen / float64(max(withSlots, 1))
@@ -52,12 +52,12 @@
 	for i := range all {
 		w := &all[i]
 		switch {
-		case !w.choice.Room:
-		case scarce && w.choice.soon:
-			w.choice.Room = draw >= 0 && draw < w.left
-			draw -= w.left
-		case w.left < perServer:
-			w.choice.Room = c.random.Float64() < w.left/perServer
+		case !w.choice.HasCapacity:
+		case scarce && w.choice.meetsTarget:
+			w.choice.HasCapacity = draw >= 0 && draw < w.slotsLeft
+			draw -= w.slotsLeft
+		case w.slotsLeft < perServer:
+			w.choice.HasCapacity = c.random.Float64() < w.slotsLeft/perServer
 		}
 	}
 }
@@ -80,12 +80,12 @@
 //
 // eligible counts the servers that meet the target whether or not they have a free slot:
 // servers without one are short of slots, not of time.
-func (c *Chooser) sharesTime(job *Job, best *Choice, rate *PrefillRate, eligible int) bool {
-	if job.Target == 0 || job.UnseenTokens == 0 {
+func (c *Chooser) admitByTime(job *Job, best *Choice, rate *PrefillRate, eligible int) bool {
+	if job.Target == 0 || job.UnreportedTokens == 0 {
 		return true
 	}
-	unseenTokens := job.UnseenTokens/float64(eligible) - rate.during(job.NewsAge)
-	prefill := float64(best.Prefill)
-	spare := rate.within(job.Target, job.atMeanLength(prefill)) - (best.Ahead - prefill)
+	unseenTokens := job.UnreportedTokens/float64(eligible) - rate.tokensIn(job.ReportAge)
+	prefill := float64(best.PrefillTokens)
+	spare := rate.maxTokensAhead(job.Target, job.scaleToMeanLength(prefill)) - (best.TokensAhead - prefill)
 	return spare >= unseenTokens || c.random.Float64() < spare/unseenTokens
 }
--- a/policy/choice.go
+++ b/policy/choice.go
@@ -5,34 +5,34 @@
 // Choice is the result of choosing a backend server for a request.
 type Choice struct {
 	// Index is the chosen server's index; valid only if Found.
-	At    int
+	Index int
 	Found bool
 	// PrefillTokens is the number of the prompt's tokens that the server is expected to
 	// prefill, and TokensAhead the number that it prefills before the request's first
 	// token, the request's own included. A transfer from another server counts as the
 	// tokens that could be prefilled during it.
-	Prefill int
-	Ahead   float64
+	PrefillTokens int
+	TokensAhead   float64
 	// FetchFrom is the index of the server from which cached prefix segments are to be
 	// fetched; valid only if Fetches.
-	From    int
-	Fetches bool
+	FetchFrom int
+	Fetches   bool
 	// ExpectedTTFT is the expected time to first token.
-	Expected time.Duration
+	ExpectedTTFT time.Duration
 	// HasCapacity reports whether the server has a slot and a connection for another
 	// request.
-	Room bool
+	HasCapacity bool
 	// InTime reports whether the first token is likely within the target and the server
 	// has capacity.
 	InTime bool
 	// RateLimited reports that only servers without remaining allowance are available,
 	// and AvailableIn is the time until the first of them has some.
-	Limited bool
-	FreeIn  time.Duration
+	RateLimited bool
+	AvailableIn time.Duration
 	// SlotLimited reports that no server is in time, but some would be if they had a
 	// free slot.
-	OnlySlots bool
+	SlotLimited bool
 	// meetsTarget reports whether the first token is likely within the target,
 	// regardless of capacity.
-	soon bool
+	meetsTarget bool
 }
--- a/policy/chooser.go
+++ b/policy/chooser.go
@@ -27,8 +27,8 @@
 	// prefix: with stale load information two or three choices work best (Mitzenmacher,
 	// How useful is old information, 2000). unsampledCost is the cost of the other
 	// servers, in tokens: more than that of any sampled server that is in time.
-	drawn         = 3
-	unsampledCost = 1e6
+	sampledServers = 3
+	unsampledCost  = 1e6
 )
 
 // Chooser selects the backend server to which a request is sent at once.
@@ -55,7 +55,7 @@
 	ejector *Ejector
 	index   *PrefixIndex
 	// scored is a buffer that is reused by each choice.
-	scored []weighed
+	scored []scoredServer
 }
 
 // NewChooser returns a Chooser that avoids the servers ejected by ejector and looks up
@@ -71,7 +71,7 @@
 	if len(servers) == 0 {
 		return Choice{}
 	}
-	usable := func(s *Server) bool { return !s.Leaving && !job.tried(s.Name) }
+	usable := func(s *Server) bool { return !s.Draining && !job.tried(s.Name) }
 	failing := func(s *Server) bool { return s.Unresponsive || c.ejector.Ejected(now, s.Name) }
 	usableCount, failingCount := 0, 0
 	for i := range servers {
@@ -86,9 +86,9 @@
 	if float64(failingCount) <= panicThreshold*float64(usableCount) {
 		candidate = func(s *Server) bool { return usable(s) && !failing(s) }
 	}
-	choice := c.chooseFrom(now, job, servers, rate, func(s *Server) bool { return candidate(s) && !s.Beyond })
+	choice := c.chooseFrom(now, job, servers, rate, func(s *Server) bool { return candidate(s) && !s.OverLimit })
 	if !choice.Found {
-		choice.FreeIn, choice.Limited = soonestFree(servers, candidate)
+		choice.AvailableIn, choice.RateLimited = soonestAvailable(servers, candidate)
 	}
 	return choice
 }
@@ -96,7 +96,7 @@
 // chooseFrom returns the best of the usable servers.
 func (c *Chooser) chooseFrom(now time.Time, job Job, servers []Server, rate *PrefillRate, usable func(*Server) bool) Choice {
 	lookup := c.lookUpPrefix(now, &job, servers, usable)
-	recomputePrice := job.priceOfRereading(servers, usable, rate)
+	recomputePrice := job.rereadCost(servers, usable, rate)
 	preferred := c.preferred(servers, usable, &lookup)
 	c.scored = c.scored[:0]
 	meetTarget := 0
@@ -105,8 +105,8 @@
 			continue
 		}
 		w := c.scoreServer(job, &servers[i], lookup.missAt(i, &job, rate), recomputePrice, rate)
-		w.choice.At = i
-		if w.choice.soon {
+		w.choice.Index = i
+		if w.choice.meetsTarget {
 			meetTarget++
 		}
 		if !preferred[i] {
@@ -114,18 +114,18 @@
 		}
 		c.scored = append(c.scored, w)
 	}
-	c.shareSlots(job.Unseen, c.scored)
+	c.admitBySlots(job.UnreportedRequests, c.scored)
 	var best Choice
 	// A late request is worth no more than one that has waited for its whole target.
-	lowestCost, latePenalty := 0.0, rate.during(job.Target)
+	lowestCost, latePenalty := 0.0, rate.tokensIn(job.Target)
 	for i := range c.scored {
 		choice, cost := c.scored[i].finalScore(latePenalty)
 		if !best.Found || choice.InTime && !best.InTime || choice.InTime == best.InTime && cost < lowestCost {
 			best, lowestCost = choice, cost
 		}
 	}
-	best.OnlySlots = meetTarget > 0 && !best.InTime
-	best.InTime = best.InTime && c.sharesTime(&job, &best, rate, meetTarget)
+	best.SlotLimited = meetTarget > 0 && !best.InTime
+	best.InTime = best.InTime && c.admitByTime(&job, &best, rate, meetTarget)
 	return best
 }
 
@@ -139,7 +139,7 @@
 func (c *Chooser) preferred(servers []Server, usable func(*Server) bool, lookup *prefixLookup) []bool {
 	preferred := make([]bool, len(servers))
 	if lookup.cached == nil {
-		for range drawn {
+		for range sampledServers {
 			preferred[c.random.IntN(len(servers))] = true
 		}
 		return preferred
@@ -159,23 +159,23 @@
 
 // scoreServer returns the expected result and cost of sending the job to a server. The
 // prefill penalty is kept apart since it counts only if the first token is in time.
-func (c *Chooser) scoreServer(job Job, s *Server, miss need, recomputePrice float64, rate *PrefillRate) weighed {
-	own := job.Tokens - job.prefix().Upto
-	choice := Choice{Found: true, Prefill: own + miss.prefillTokens(), From: miss.source, Fetches: miss.fetched > 0}
-	others := s.ahead(job.Urgency)
-	choice.Ahead = others + float64(choice.Prefill)
+func (c *Chooser) scoreServer(job Job, s *Server, miss cacheMiss, recomputePrice float64, rate *PrefillRate) scoredServer {
+	own := job.Tokens - job.sharedPrefix().End
+	choice := Choice{Found: true, PrefillTokens: own + miss.prefillTokens(), FetchFrom: miss.source, Fetches: miss.fetched > 0}
+	others := s.tokensAhead(job.Urgency)
+	choice.TokensAhead = others + float64(choice.PrefillTokens)
 	slotsLeft := s.slotsLeft(job)
-	choice.Room = slotsLeft > 0 && !s.outOfConns()
-	choice.soon = job.inTime(rate, others, miss, recomputePrice)
-	choice.Expected = rate.expectedTTFT(choice.Ahead)
-	cost := choice.Ahead + float64(s.Running*runningRequestTokens)
+	choice.HasCapacity = slotsLeft > 0 && !s.connsExhausted()
+	choice.meetsTarget = job.meetsTarget(rate, others, miss, recomputePrice)
+	choice.ExpectedTTFT = rate.expectedTTFT(choice.TokensAhead)
+	cost := choice.TokensAhead + float64(s.Running*runningRequestTokens)
 	if s.Zone != job.Zone {
 		cost += crossZoneTokens
 	}
 	// A stream that is late because of a pause is worth no more than one that has
 	// waited for its whole target.
-	cost += s.LatePause * rate.during(job.Target)
+	cost += s.PauseRisk * rate.tokensIn(job.Target)
 	// Random tie-breaking keeps gateways from all choosing the same server.
 	cost += c.random.Float64() * minPendingTokens / 2
-	return weighed{choice: choice, cost: cost, prefillPenalty: miss.penalty(), left: slotsLeft, pauseRisk: s.LatePause}
+	return scoredServer{choice: choice, cost: cost, prefillPenalty: miss.penalty(), slotsLeft: slotsLeft, pauseRisk: s.PauseRisk}
 }
--- a/policy/chooser_test.go
+++ b/policy/chooser_test.go
@@ -13,7 +13,7 @@
 }
 
 // idleServers returns n idle servers with 32 slots each.
-func serversOf(n int) []Server {
+func idleServers(n int) []Server {
 	servers := make([]Server, n)
 	for i := range servers {
 		servers[i] = Server{Name: fmt.Sprintf("e-%d", i), Zone: "z", Slots: 32}
@@ -23,48 +23,48 @@
 
 // summaryJob returns a job with a long prompt and a shared prefix.
 func summaryJob(prefix uint64) Job {
-	return Job{Zone: "z", Urgency: 4, Target: 500 * time.Millisecond, Tokens: 9000, Shared: []Part{{ID: prefix, Upto: 6000}}}
+	return Job{Zone: "z", Urgency: 4, Target: 500 * time.Millisecond, Tokens: 9000, SharedSegments: []PrefixSegment{{ID: prefix, End: 6000}}}
 }
 
 func TestPrefixStaysAtHomeWhileInTime(t *testing.T) {
-	c, servers := newTestChooser(), serversOf(8)
-	home := c.Choose(testStart, summaryJob(77), servers, nil).At
-	c.index.Read(testStart, KeyOf(servers[home].Name), summaryJob(77).Shared)
+	c, servers := newTestChooser(), idleServers(8)
+	home := c.Choose(testStart, summaryJob(77), servers, nil).Index
+	c.index.RecordPrefilled(testStart, KeyOf(servers[home].Name), summaryJob(77).SharedSegments)
 	for range 50 {
-		if at := c.Choose(testStart, summaryJob(77), servers, nil).At; at != home {
+		if at := c.Choose(testStart, summaryJob(77), servers, nil).Index; at != home {
 			t.Fatalf("chose %d on idle servers, then %d", home, at)
 		}
 	}
 	// A wait within the target is accepted.
 	servers[home].Pending[4].Requests, servers[home].Pending[4].Tokens = 2, 5000
-	if at := c.Choose(testStart, summaryJob(77), servers, nil).At; at != home {
+	if at := c.Choose(testStart, summaryJob(77), servers, nil).Index; at != home {
 		t.Errorf("left home for a wait of 5,000 tokens")
 	}
 	// A wait beyond the target is not.
 	servers[home].Pending[4].Requests, servers[home].Pending[4].Tokens = 8, 40_000
 	choice := c.Choose(testStart, summaryJob(77), servers, nil)
-	if choice.At == home || !choice.InTime {
+	if choice.Index == home || !choice.InTime {
 		t.Errorf("with 40,000 tokens ahead the choice is %+v, home %d", choice, home)
 	}
 }
 
 func TestRemovedServerMovesOnlyItsPrefixes(t *testing.T) {
-	c, servers := newTestChooser(), serversOf(10)
+	c, servers := newTestChooser(), idleServers(10)
 	before := map[uint64]string{}
 	for p := uint64(1); p <= 200; p++ {
-		before[p] = servers[c.Choose(testStart, summaryJob(p*0x9e3779b97f4a7c15), servers, nil).At].Name
+		before[p] = servers[c.Choose(testStart, summaryJob(p*0x9e3779b97f4a7c15), servers, nil).Index].Name
 	}
 	removed := servers[3].Name
 	servers = append(servers[:3:3], servers[4:]...)
 	for p, was := range before {
-		if is := servers[c.Choose(testStart, summaryJob(p*0x9e3779b97f4a7c15), servers, nil).At].Name; is != was && was != removed {
+		if is := servers[c.Choose(testStart, summaryJob(p*0x9e3779b97f4a7c15), servers, nil).Index].Name; is != was && was != removed {
 			t.Errorf("prefix %d moved from %s to %s when %s was removed", p, was, is, removed)
 		}
 	}
 }
 
 func TestUrgentRequestsOvertakePendingOnes(t *testing.T) {
-	c, servers := newTestChooser(), serversOf(4)
+	c, servers := newTestChooser(), idleServers(4)
 	for i := range servers {
 		servers[i].Pending[4].Requests, servers[i].Pending[4].Tokens = 10, 100_000
 	}
@@ -78,7 +78,7 @@
 }
 
 func TestFullBatchesTakeNoMoreRequests(t *testing.T) {
-	c, servers := newTestChooser(), serversOf(4)
+	c, servers := newTestChooser(), idleServers(4)
 	for i := range servers {
 		servers[i].Running = 31
 	}
@@ -86,29 +86,29 @@
 		t.Errorf("a request is admitted that would preempt another: %+v", choice)
 	}
 	servers[2].Running = 3
-	if choice := c.Choose(testStart, summaryJob(5), servers, nil); choice.At != 2 {
-		t.Errorf("chose %d, the only one with a free slot is 2", choice.At)
+	if choice := c.Choose(testStart, summaryJob(5), servers, nil); choice.Index != 2 {
+		t.Errorf("chose %d, the only one with a free slot is 2", choice.Index)
 	}
 }
 
 // A plain service resets connections beyond the number that it accepts.
 func TestPlainServicesKeepSpareConnections(t *testing.T) {
-	c, servers := newTestChooser(), serversOf(3)
+	c, servers := newTestChooser(), idleServers(3)
 	for i := range servers {
-		servers[i].Conns, servers[i].Slots, servers[i].Running = 100, 6, 80
+		servers[i].MaxConns, servers[i].Slots, servers[i].Running = 100, 6, 80
 	}
 	call := Job{Zone: "z", Target: 100 * time.Millisecond}
-	if choice := c.Choose(testStart, call, servers, nil); choice.Room {
+	if choice := c.Choose(testStart, call, servers, nil); choice.HasCapacity {
 		t.Errorf("a call is admitted beyond the usable connections: %+v", choice)
 	}
 	servers[1].Running = 20
-	if choice := c.Choose(testStart, call, servers, nil); choice.At != 1 || !choice.Room {
+	if choice := c.Choose(testStart, call, servers, nil); choice.Index != 1 || !choice.HasCapacity {
 		t.Errorf("choice %+v, 1 has connections left and queues beyond its slots", choice)
 	}
 }
 
 func TestLongestPromptIsAdmittedAtIdleServers(t *testing.T) {
-	c, servers := newTestChooser(), serversOf(4)
+	c, servers := newTestChooser(), idleServers(4)
 	long := summaryJob(5)
 	long.Tokens = 46_000
 	if choice := c.Choose(testStart, long, servers, nil); !choice.InTime {
@@ -117,32 +117,32 @@
 }
 
 func TestUnusableServers(t *testing.T) {
-	c, servers := newTestChooser(), serversOf(3)
-	servers[0].Leaving = true
+	c, servers := newTestChooser(), idleServers(3)
+	servers[0].Draining = true
 	job := summaryJob(5)
 	job.Tried = []string{servers[1].Name}
 	for range 20 {
-		if choice := c.Choose(testStart, job, servers, nil); choice.At != 2 || !choice.Found {
+		if choice := c.Choose(testStart, job, servers, nil); choice.Index != 2 || !choice.Found {
 			t.Fatalf("choice %+v, only 2 may be used", choice)
 		}
 	}
-	for range ejectAfter {
+	for range ejectAfterFailures {
 		c.ejector.Observe(testStart, servers[2].Name, OutcomeFailed)
 	}
-	if choice := c.Choose(testStart, job, servers, nil); choice.At != 2 || !choice.Found {
+	if choice := c.Choose(testStart, job, servers, nil); choice.Index != 2 || !choice.Found {
 		t.Errorf("choice %+v, the ejected server is the last resort", choice)
 	}
 	// If most servers fail, the cause isn't theirs alone, and the others can't carry
 	// the load.
-	many := serversOf(9)
+	many := idleServers(9)
 	for i := range 6 {
-		for range ejectAfter {
+		for range ejectAfterFailures {
 			c.ejector.Observe(testStart, many[i].Name, OutcomeFailed)
 		}
 	}
 	used := map[int]bool{}
 	for range 200 {
-		used[c.Choose(testStart, Job{Zone: "z"}, many, nil).At] = true
+		used[c.Choose(testStart, Job{Zone: "z"}, many, nil).Index] = true
 	}
 	if len(used) != 9 {
 		t.Errorf("%d of 9 are used while six are ejected", len(used))
@@ -157,14 +157,14 @@
 func TestGatewaysShareTheLastSlots(t *testing.T) {
 	const gateways = 30
 	sent := 0
-	servers := serversOf(20)
+	servers := idleServers(20)
 	for i := range servers {
 		servers[i].Running = 32
 	}
 	servers[7].Running = 24
 	for i := range gateways {
 		c := NewChooser(rand.New(rand.NewPCG(uint64(i), 9)), NewEjector(), NewPrefixIndex())
-		question := Job{Zone: "z", Urgency: 0, Target: 250 * time.Millisecond, Tokens: 800, Unseen: gateways - 1}
+		question := Job{Zone: "z", Urgency: 0, Target: 250 * time.Millisecond, Tokens: 800, UnreportedRequests: gateways - 1}
 		if choice := c.Choose(testStart, question, servers, nil); choice.InTime {
 			sent++
 		}
@@ -174,7 +174,7 @@
 	}
 	// A single gateway uses them.
 	question := Job{Zone: "z", Urgency: 0, Target: 250 * time.Millisecond, Tokens: 800}
-	if choice := newTestChooser().Choose(testStart, question, servers, nil); choice.At != 7 || !choice.InTime {
+	if choice := newTestChooser().Choose(testStart, question, servers, nil); choice.Index != 7 || !choice.InTime {
 		t.Errorf("choice %+v, 7 has slots left", choice)
 	}
 }
@@ -182,12 +182,12 @@
 func TestSendRateDecays(t *testing.T) {
 	var r SendRate
 	for i := range 100 {
-		r.Sent(testStart.Add(time.Duration(i)*10*time.Millisecond), 3, 50)
+		r.CountSent(testStart.Add(time.Duration(i)*10*time.Millisecond), 3, 50)
 	}
-	if got, tokens := r.Within(testStart.Add(time.Second), 100*time.Millisecond, 3); got < 8 || got > 11 || math.Abs(tokens-50*got) > 1 {
+	if got, tokens := r.Expected(testStart.Add(time.Second), 100*time.Millisecond, 3); got < 8 || got > 11 || math.Abs(tokens-50*got) > 1 {
 		t.Errorf("%v requests with %v tokens expected in 100 ms at 100 requests a second with 50 tokens each", got, tokens)
 	}
-	if got, tokens := r.Within(testStart.Add(4*time.Second), 100*time.Millisecond, 2); got > 0.1 || tokens != 0 {
+	if got, tokens := r.Expected(testStart.Add(4*time.Second), 100*time.Millisecond, 2); got > 0.1 || tokens != 0 {
 		t.Errorf("%v requests expected three seconds after the last", got)
 	}
 }
--- a/policy/class_queue.go
+++ b/policy/class_queue.go
@@ -38,7 +38,7 @@
 	waitingSince time.Time
 	// retained is the ticket that stays past its deadline because the class has
 	// had no recent grant; see Queue.expire.
-	retained *waiting
+	retained *queuedTicket
 }
 
 // newClassQueue returns an empty queue whose start tag is the virtual time of its
@@ -54,12 +54,12 @@
 }
 
 // head returns the ticket that is served next; the queue must not be empty.
-func (q *classQueue) head() *waiting {
+func (q *classQueue) head() *queuedTicket {
 	return q.customerHeap[0].head
 }
 
 // push adds a ticket to the queue of its customer.
-func (q *classQueue) push(w *waiting) {
+func (q *classQueue) push(w *queuedTicket) {
 	key := w.customerKey()
 	customer := q.customers[key]
 	if customer == nil {
@@ -89,7 +89,7 @@
 }
 
 // remove deletes a ticket, and its customer if that was the last one.
-func (q *classQueue) remove(w *waiting) {
+func (q *classQueue) remove(w *queuedTicket) {
 	customer := w.customer
 	customer.remove(w)
 	q.count--
@@ -105,7 +105,7 @@
 
 // charge charges the grant of w to its customer and its class. Resumed runs are
 // free, because they were charged when they first ran.
-func (q *classQueue) charge(now time.Time, w *waiting) {
+func (q *classQueue) charge(now time.Time, w *queuedTicket) {
 	q.waitingSince = now
 	if w.resumed {
 		return
@@ -119,7 +119,7 @@
 
 // mayRetain reports whether w may stay past its deadline: it is next in the
 // class, and no other ticket is retained.
-func (q *classQueue) mayRetain(w *waiting) bool {
+func (q *classQueue) mayRetain(w *queuedTicket) bool {
 	return q.retained == nil && q.head() == w
 }
 
--- a/policy/class_sizes_test.go
+++ b/policy/class_sizes_test.go
@@ -14,7 +14,7 @@
 	}
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 1000 {
-		sizes.Observe("summary", logNormal(random, 9000, 0.5))
+		sizes.Observe("summary", logNormalLength(random, 9000, 0.5))
 		sizes.Observe("question", 800)
 	}
 	for _, size := range []int{3000, 40_000} {
--- a/policy/concurrency_limiter.go
+++ b/policy/concurrency_limiter.go
@@ -6,7 +6,7 @@
 	// initialLimit is the limit of an engine without measurements. Small engines
 	// take a batch of eight; if it is too many, the excess waits inside the
 	// engine for at most the length of one run.
-	coldLimit = 8
+	initialLimit = 8
 	// minLimit leaves one slot for the urgent tiers and one for the others.
 	minLimit = 2
 	// maxLimit bounds the state kept for one engine.
@@ -70,7 +70,7 @@
 	// baseline is the usual time to the first token, and window the samples since
 	// the limit last changed.
 	baseline baseline
-	window   limitWindow
+	window   limiterWindow
 	// streaming is the number of runs that have produced a first token and
 	// haven't ended.
 	streaming int
@@ -81,7 +81,7 @@
 
 // newConcurrencyLimiter returns a limiter for an engine without measurements.
 func newConcurrencyLimiter() concurrencyLimiter {
-	return concurrencyLimiter{limit: coldLimit, ramping: true, probePause: minProbePause, probeStep: 1}
+	return concurrencyLimiter{limit: initialLimit, ramping: true, probePause: minProbePause, probeStep: 1}
 }
 
 // delayed reports whether a first token that took d, or is still missing after d,
@@ -109,7 +109,7 @@
 
 // probeSlots returns the number of runs beyond the limit that the current probe
 // allows.
-func (l *concurrencyLimiter) trial() int {
+func (l *concurrencyLimiter) probeSlots() int {
 	if l.probing {
 		return l.probeStep
 	}
@@ -167,9 +167,9 @@
 // raises the limit during ramp-up if all slots are in use.
 func (l *concurrencyLimiter) addTimelySample(depth int) {
 	if l.probing && depth >= l.limit+l.probeStep {
-		l.window.good++
+		l.window.trialGood++
 	}
-	inUse := l.window.full && depth >= l.limit-reserveOf(l.limit)
+	inUse := l.window.full && depth >= l.limit-reservedSlots(l.limit)
 	if l.ramping && inUse && l.window.worstRatio() < maxGrowthRatio {
 		l.limit = min(l.limit+1, maxLimit)
 		l.window.full = false
@@ -209,15 +209,15 @@
 // engineQueues reports whether runs persistently queue inside the engine.
 func (l *concurrencyLimiter) engineQueues() bool {
 	if l.ramping || l.probing {
-		return l.firstTokensSinceDrained >= exploreRuns && l.window.queued(exploreSamples)
+		return l.firstTokensSinceDrained >= trialQueuedRuns && l.window.queued(trialDelayedSamples)
 	}
-	return l.firstTokensSinceDrained >= standingRuns && l.window.queued(judgeSamples)
+	return l.firstTokensSinceDrained >= settledQueuedRuns && l.window.queued(settledDelayedSamples)
 }
 
 // evaluateProbe ends a successful probe, keeps its slots and starts the next one
 // at once. It ends a probe without a result after maxProbeDuration.
 func (l *concurrencyLimiter) evaluateProbe(now time.Time) {
-	if l.window.good >= goodSamples && l.window.worstRatio() < maxGrowthRatio {
+	if l.window.trialGood >= trialGoodSamples && l.window.worstRatio() < maxGrowthRatio {
 		l.limit = min(l.limit+l.probeStep, maxLimit)
 		l.probeStep = min(2*l.probeStep, max(1, l.limit/4))
 		l.probePause = minProbePause
@@ -257,5 +257,5 @@
 
 // resetWindow starts a new window of samples.
 func (l *concurrencyLimiter) resetWindow(now time.Time) {
-	l.window = limitWindow{start: now}
+	l.window = limiterWindow{start: now}
 }
--- a/policy/copy_share.go
+++ b/policy/copy_share.go
@@ -32,7 +32,7 @@
 
 // expectedWork returns the work that a ticket is expected to bring to this engine, in
 // tokens.
-func (c *copyShare) work(t Ticket) float64 {
+func (c *copyShare) expectedWork(t Ticket) float64 {
 	share := 1 / float64(max(t.Copies, 1))
 	return float64(ticketSize(t)) * max(share, c.share)
 }
--- a/policy/customer_queue.go
+++ b/policy/customer_queue.go
@@ -6,8 +6,8 @@
 	customerKey
 	class *classQueue
 	// head and tail are the ends of a doubly linked list.
-	head  *waiting
-	tail  *waiting
+	head  *queuedTicket
+	tail  *queuedTicket
 	count int
 	// work is the sum of the expected work of the waiting tickets, in tokens.
 	work float64
@@ -32,7 +32,7 @@
 func (q *customerQueue) position() *int { return &q.heapIndex }
 
 // push appends w to the list.
-func (q *customerQueue) push(w *waiting) {
+func (q *customerQueue) push(w *queuedTicket) {
 	w.customer = q
 	w.prev = q.tail
 	if q.tail == nil {
@@ -46,7 +46,7 @@
 }
 
 // remove unlinks w from the list.
-func (q *customerQueue) remove(w *waiting) {
+func (q *customerQueue) remove(w *queuedTicket) {
 	if w.prev == nil {
 		q.head = w.next
 	} else {
--- a/policy/decision.go
+++ b/policy/decision.go
@@ -8,7 +8,7 @@
 	Admitted bool
 	// QueueFull reports that the ticket was rejected because the bounded queue is full,
 	// not because of its target.
-	Full bool
+	QueueFull bool
 	// RetryAfter is the time after which a retry is expected to succeed; set if the ticket
 	// is rejected.
 	RetryAfter time.Duration
--- a/policy/deferral.go
+++ b/policy/deferral.go
@@ -6,11 +6,11 @@
 	// atRiskDeferral is how long an engine that might miss the deadline leaves a ticket to the
 	// other engines that hold it. This is several round trips between availability zones, in
 	// which an engine with a free slot answers.
-	holdRisky = overflowAfter
+	atRiskDeferral = overflowDelay
 	// likelyLateDeferral is the same for an engine that usually misses the deadline. Another
 	// engine without a free slot exceeds its limit after overflowDelay, or has a run that ends
 	// or is cancelled soon after.
-	holdHopeless = 5 * overflowAfter
+	likelyLateDeferral = 5 * overflowDelay
 )
 
 // deferredUntil returns until when w is left to the other engines that hold a copy of it; zero
@@ -22,13 +22,13 @@
 // recovery is noticed. As long as its usual time to first token still meets the deadline, the
 // deferral ends early enough for that. Requests that are queued only at this engine, are
 // already late, or have run in part before aren't deferred.
-func (s *Scheduler) heldUntil(now time.Time, w *waiting) time.Time {
+func (s *Scheduler) deferredUntil(now time.Time, w *queuedTicket) time.Time {
 	t := w.ticket
-	if w.resumed || t.asks() < 2 || t.Due != MilestoneFirstToken || t.Deadline.IsZero() {
+	if w.resumed || t.engineCount() < 2 || t.DeadlineMilestone != MilestoneFirstToken || t.Deadline.IsZero() {
 		return time.Time{}
 	}
 	late := !now.Before(t.Deadline)
-	safe := !now.Add(s.first.of(ticketSize(t))).After(t.Deadline)
+	safe := !now.Add(s.ttft.upperBound(ticketSize(t))).After(t.Deadline)
 	if late || safe {
 		return time.Time{}
 	}
@@ -41,23 +41,23 @@
 
 // deferralEnd returns when the deferral of t, which might be late here, ends.
 func (s *Scheduler) deferralEnd(t Ticket) time.Time {
-	latestStart := t.Deadline.Add(-s.first.usual(ticketSize(t)))
+	latestStart := t.Deadline.Add(-s.ttft.expected(ticketSize(t)))
 	if !t.Arrived.Before(latestStart) {
-		return t.Arrived.Add(holdHopeless)
+		return t.Arrived.Add(likelyLateDeferral)
 	}
 	var end earliest
 	end.add(latestStart)
-	end.add(t.Arrived.Add(holdRisky))
+	end.add(t.Arrived.Add(atRiskDeferral))
 	return end.at
 }
 
 // nextDeferralEnd returns when the next ticket in the queue may be granted although other
 // engines are likely to be faster; false if it isn't deferred.
-func (s *Scheduler) holdDue(now time.Time) (time.Time, bool) {
+func (s *Scheduler) nextDeferralEnd(now time.Time) (time.Time, bool) {
 	class := s.queue.next()
 	if class == nil {
 		return time.Time{}, false
 	}
-	until := s.heldUntil(now, class.head())
+	until := s.deferredUntil(now, class.head())
 	return until, !until.IsZero()
 }
--- a/policy/direct_engine_test.go
+++ b/policy/direct_engine_test.go
@@ -7,7 +7,7 @@
 
 // directEngine is an engine of a directSimulation.
 type directEngine struct {
-	simulation *directPlay
+	simulation *directSimulation
 	queue      []*directRequest
 	prefilling *directRequest
 	running    int
@@ -15,7 +15,7 @@
 	prefillTime    time.Duration
 	cachedSegments []uint64
 	// slowdown is the factor by which all steps take longer; 0 means 1.
-	slower float64
+	slowdown float64
 }
 
 func (e *directEngine) enqueue(r *directRequest) {
@@ -25,7 +25,7 @@
 	}
 	e.queue = append(e.queue[:at], append([]*directRequest{r}, e.queue[at:]...)...)
 	if e.running >= 48 {
-		e.simulation.longest = max(e.simulation.longest, len(e.queue))
+		e.simulation.longestQueue = max(e.simulation.longestQueue, len(e.queue))
 	}
 	e.next()
 }
@@ -49,15 +49,15 @@
 // uncachedTokens returns the number of tokens of a prompt that have to be prefilled. The
 // prompt's shared prefix is cached from now on.
 func (e *directEngine) uncachedTokens(r *directRequest) int {
-	prefix := r.job.prefix()
-	tokens := r.job.Tokens - prefix.Upto
+	prefix := r.job.sharedPrefix()
+	tokens := r.job.Tokens - prefix.End
 	switch {
-	case prefix.Upto == 0 || e.touchCache(prefix.ID):
+	case prefix.End == 0 || e.touchCache(prefix.ID):
 	case r.fetchFrom != nil && r.fetchFrom.hasCached(prefix.ID):
-		tokens += prefix.Upto / fetchSpeed
+		tokens += prefix.End / simFetchSpeedup
 	default:
-		tokens += prefix.Upto
-		e.simulation.readMore += prefix.Upto
+		tokens += prefix.End
+		e.simulation.recomputedTokens += prefix.End
 	}
 	return tokens
 }
@@ -66,16 +66,16 @@
 // chunks more urgent requests are served first.
 func (e *directEngine) prefill(r *directRequest) {
 	tokens := r.remainingTokens
-	if e.simulation.chunk > 0 {
-		tokens = min(tokens, e.simulation.chunk)
+	if e.simulation.chunkTokens > 0 {
+		tokens = min(tokens, e.simulation.chunkTokens)
 	}
 	r.remainingTokens -= tokens
-	duration := time.Duration(float64(tokens) / directRate * float64(time.Millisecond))
+	duration := time.Duration(float64(tokens) / simPrefillRate * float64(time.Millisecond))
 	if r.remainingTokens == 0 {
 		duration += initialFixedTime / 4
 	}
-	if e.slower > 0 {
-		duration = time.Duration(e.slower * float64(duration))
+	if e.slowdown > 0 {
+		duration = time.Duration(e.slowdown * float64(duration))
 	}
 	e.prefillTime += duration
 	e.simulation.after(duration, func() {
@@ -117,7 +117,7 @@
 func (e *directEngine) holdSlot(d time.Duration, end func()) {
 	before := e.prefillTime
 	e.simulation.after(d, func() {
-		if delay := e.prefillTime - before; e.simulation.readingDelays && delay > 0 {
+		if delay := e.prefillTime - before; e.simulation.prefillDelaysDecode && delay > 0 {
 			e.holdSlot(delay, end)
 			return
 		}
--- a/policy/displacement.go
+++ b/policy/displacement.go
@@ -9,8 +9,8 @@
 // have. Without this rule a large customer that filled the queue first would lock
 // the others out; with a factor below two the two customers would displace each
 // other in turn.
-func (q *tierQueue) displacementVictim(t Ticket, work float64) *waiting {
-	var victim *waiting
+func (q *tierQueue) displacementVictim(t Ticket, work float64) *queuedTicket {
+	var victim *queuedTicket
 	for _, class := range q.classes {
 		if class.count == 1 {
 			// The starvation guarantee needs a ticket of the class to serve.
@@ -37,7 +37,7 @@
 
 // newestDisplaceable returns the newest ticket that isn't resumed, because the
 // caller of a resumed one already has a part of the answer; nil if there is none.
-func (q *customerQueue) newestDisplaceable() *waiting {
+func (q *customerQueue) newestDisplaceable() *queuedTicket {
 	for w := q.tail; w != nil; w = w.prev {
 		if !w.resumed {
 			return w
--- a/policy/duration.go
+++ b/policy/duration.go
@@ -3,12 +3,12 @@
 import "time"
 
 // maxDuration represents an unbounded time.
-const longest = 24 * time.Hour
+const maxDuration = 24 * time.Hour
 
 // secondsToDuration converts seconds to a duration of at most maxDuration.
-func seconds(s float64) time.Duration {
-	if s > longest.Seconds() {
-		return longest
+func secondsToDuration(s float64) time.Duration {
+	if s > maxDuration.Seconds() {
+		return maxDuration
 	}
 	return time.Duration(s * float64(time.Second))
 }
--- a/policy/ejection_record.go
+++ b/policy/ejection_record.go
@@ -30,7 +30,7 @@
 	if r.ejections > 0 {
 		return 1
 	}
-	return ejectAfter
+	return ejectAfterFailures
 }
 
 func (r *ejectionRecord) succeeded() {
--- a/policy/ejector.go
+++ b/policy/ejector.go
@@ -6,7 +6,7 @@
 	// ejectAfterFailures is how many consecutive failures eject an engine. One is noise, and
 	// two coincide when a rack restarts; with three, a dead engine has cost three callers a
 	// retry.
-	ejectAfter = 3
+	ejectAfterFailures = 3
 	// ejectFailureShare is the share of failures, over about the last eight runs, that ejects
 	// an engine that fails only some of its runs. Such an engine costs more retries than the
 	// retry budget allows.
--- a/policy/ejector_test.go
+++ b/policy/ejector_test.go
@@ -8,11 +8,11 @@
 func TestEjectionDoublesAndRecovers(t *testing.T) {
 	e := NewEjector()
 	now := testStart
-	for range ejectAfter - 1 {
+	for range ejectAfterFailures - 1 {
 		e.Observe(now, "a", OutcomeFailed)
 	}
 	if e.Ejected(now, "a") {
-		t.Fatalf("ejected after %d failures", ejectAfter-1)
+		t.Fatalf("ejected after %d failures", ejectAfterFailures-1)
 	}
 	for duration := minEjection; duration <= maxEjection; duration *= 2 {
 		e.Observe(now, "a", OutcomeFailed)
@@ -53,7 +53,7 @@
 	b := NewRetryBudget()
 	allowed := 0
 	for range 1000 {
-		b.Fresh(testStart)
+		b.CountRequest(testStart)
 		if b.Allow(testStart) {
 			allowed++
 		}
@@ -69,14 +69,14 @@
 func TestCombineRetryAfter(t *testing.T) {
 	refusals := []Decision{{RetryAfter: 9 * time.Second}, {RetryAfter: 4 * time.Second}, {RetryAfter: 30 * time.Second}}
 	for n, want := range map[int]time.Duration{1: 9 * time.Second, 2: 9 * time.Second, 3: 9 * time.Second} {
-		if got := Hint(refusals[:n]); got != want {
+		if got := CombineRetryAfter(refusals[:n]); got != want {
 			t.Errorf("%d refusals: got %v, want %v", n, got, want)
 		}
 	}
-	if got := Hint(refusals[1:]); got != 30*time.Second {
+	if got := CombineRetryAfter(refusals[1:]); got != 30*time.Second {
 		t.Errorf("got %v, want the later of two", got)
 	}
-	if Hint(nil) != minRetryAfter {
-		t.Errorf("got %v without refusals", Hint(nil))
+	if CombineRetryAfter(nil) != minRetryAfter {
+		t.Errorf("got %v without refusals", CombineRetryAfter(nil))
 	}
 }
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -12,8 +12,8 @@
 	t.Parallel()
 	for _, batch := range []int{4, 8, 32, 64} {
 		e := newFakeEngine(batch)
-		sim := newPlay(1, e)
-		rate := 2 * e.capacity(questions(nil))
+		sim := newSimulation(1, e)
+		rate := 2 * e.capacity(questionWorkload(nil))
 		lowest, highest := maxLimit, 0
 		var reachedAfter time.Duration
 		sim.every(100*time.Millisecond, time.Minute, func(since time.Duration) {
@@ -25,7 +25,7 @@
 				lowest, highest = min(lowest, limit), max(highest, limit)
 			}
 		})
-		sim.run(time.Minute, time.Minute, questions(steady(rate)))
+		sim.run(time.Minute, time.Minute, questionWorkload(constantRate(rate)))
 		t.Logf("batch %d: limit %d reached after %v, then %d to %d", batch, batch-1, reachedAfter, lowest, highest)
 		if reachedAfter == 0 || reachedAfter > 10*time.Second {
 			t.Errorf("batch %d: limit reached the batch size after %v", batch, reachedAfter)
@@ -38,20 +38,20 @@
 
 // TestLimitFollowsExternalLoad simulates an engine whose batch is mostly taken by
 // other clients for two minutes: the limit must fall and rise with what is left.
-func TestForeignLoad(t *testing.T) {
+func TestLimitFollowsExternalLoad(t *testing.T) {
 	t.Parallel()
 	e := newFakeEngine(16)
-	sim := newPlay(1, e)
+	sim := newSimulation(1, e)
 	sim.clock.afterFunc(time.Minute, func() { e.externalStreams = 12 })
 	sim.clock.afterFunc(3*time.Minute, func() { e.externalStreams = 0; e.startQueued() })
 	limits := map[time.Duration]int{}
 	sim.every(10*time.Second, 6*time.Minute, func(since time.Duration) {
 		limits[since] = sim.engines[0].scheduler.limiter.limit
 	})
-	f := flags(steady(1))
-	sim.run(6*time.Minute, time.Minute, f, questions(steady(2*e.capacity(questions(nil)))))
+	f := flagWorkload(constantRate(1))
+	sim.run(6*time.Minute, time.Minute, f, questionWorkload(constantRate(2*e.capacity(questionWorkload(nil)))))
 	t.Logf("limit at 60 s %d, 80 s %d, 180 s %d, 240 s %d, 350 s %d%s", limits[60*time.Second],
-		limits[80*time.Second], limits[180*time.Second], limits[240*time.Second], limits[350*time.Second], sim.report(f, questions(nil)))
+		limits[80*time.Second], limits[180*time.Second], limits[240*time.Second], limits[350*time.Second], sim.report(f, questionWorkload(nil)))
 	if limit := limits[80*time.Second]; limit > 6 {
 		t.Errorf("limit %d while 4 places are free", limit)
 	}
@@ -64,17 +64,17 @@
 // nearly all requests must still be on time.
 func TestSlowEngine(t *testing.T) {
 	t.Parallel()
-	engines := fleet(4, 8)
-	sim := newPlay(1, engines...)
+	engines := newFakeEngines(4, 8)
+	sim := newSimulation(1, engines...)
 	sim.clock.afterFunc(30*time.Second, func() { engines[0].slowdown = 4 })
-	capacity := 3.25 * engines[1].capacity(questions(nil))
-	f, q := flags(steady(2)), questions(steady(0.8*capacity))
+	capacity := 3.25 * engines[1].capacity(questionWorkload(nil))
+	f, q := flagWorkload(constantRate(2)), questionWorkload(constantRate(0.8*capacity))
 	sim.run(3*time.Minute, time.Minute, f, q)
 	t.Logf("%s", sim.report(f, q))
-	if share := sim.tally("question").attainment(); share < 0.97 {
+	if share := sim.stats("question").attainment(); share < 0.97 {
 		t.Errorf("questions on time: %.3f", share)
 	}
-	if late := sim.tally("flag").offered - sim.tally("flag").onTime; late > 1 {
+	if late := sim.stats("flag").offered - sim.stats("flag").onTime; late > 1 {
 		t.Errorf("%d hazard flags late", late)
 	}
 }
@@ -83,19 +83,19 @@
 // of them with external load and one at a quarter of the speed.
 func TestUnequalEngines(t *testing.T) {
 	t.Parallel()
-	engines := fleet(8, 8)
+	engines := newFakeEngines(8, 8)
 	for i := range 4 {
 		engines[i].externalStreams = i + 2
 	}
 	engines[7].slowdown = 4
-	sim := newPlay(3, engines...)
-	f, q, s := flags(steady(4)), questions(steady(18)), summaryWorkload(steady(0.3))
+	sim := newSimulation(3, engines...)
+	f, q, s := flagWorkload(constantRate(4)), questionWorkload(constantRate(18)), summaryWorkload(constantRate(0.3))
 	sim.run(2*time.Minute, time.Minute, f, q, s)
 	t.Logf("%s", sim.report(f, q, s))
-	if share := sim.tally("question").attainment(); share < 0.98 {
+	if share := sim.stats("question").attainment(); share < 0.98 {
 		t.Errorf("questions on time: %.3f", share)
 	}
-	if late := sim.tally("flag").offered - sim.tally("flag").onTime; late > 1 {
+	if late := sim.stats("flag").offered - sim.stats("flag").onTime; late > 1 {
 		t.Errorf("%d hazard flags late", late)
 	}
 }
@@ -105,12 +105,12 @@
 func TestLimitKeepsInterTokenLatency(t *testing.T) {
 	t.Parallel()
 	e := newFakeEngine(16)
-	sim := newPlay(1, e)
-	q := questions(steady(2 * e.capacity(questions(nil))))
+	sim := newSimulation(1, e)
+	q := questionWorkload(constantRate(2 * e.capacity(questionWorkload(nil))))
 	q.betweenTokens = 26500 * time.Microsecond
 	sim.run(3*time.Minute, time.Minute, q)
 	t.Logf("%s", sim.report(q))
-	stats := sim.tally("question")
+	stats := sim.stats("question")
 	if onTimeShare := float64(stats.onTime) / float64(stats.completed); onTimeShare < 0.9 {
 		t.Errorf("%.3f of the completed requests were on time", onTimeShare)
 	}
