--- a/policy/fairness_test.go
+++ b/policy/fairness_test.go
@@ -10,17 +10,17 @@
 // must be on time.
 func TestHotCustomer(t *testing.T) {
 	t.Parallel()
-	sim := newPlay(1, fleet(4, 8)...)
-	capacity := 4 * newFakeEngine(8).capacity(questions(nil))
-	q := questions(burst(0.2*capacity, 4*capacity, 30*time.Second, time.Minute))
+	sim := newSimulation(1, newFakeEngines(4, 8)...)
+	capacity := 4 * newFakeEngine(8).capacity(questionWorkload(nil))
+	q := questionWorkload(burstRate(0.2*capacity, 4*capacity, 30*time.Second, time.Minute))
 	q.hotShare = 0.85
 	sim.run(2*time.Minute, time.Minute, q)
 	offered, onTime := 0, 0
 	for _, customer := range []string{"c1", "c2", "c3", "c4", "c5", "c6", "c7", "c8", "c9"} {
-		offered += sim.tally("question/" + customer).offered
-		onTime += sim.tally("question/" + customer).onTime
+		offered += sim.stats("question/" + customer).offered
+		onTime += sim.stats("question/" + customer).onTime
 	}
-	hotStats := sim.tally("question/c0")
+	hotStats := sim.stats("question/c0")
 	t.Logf("other customers: %d of %d on time; hot customer: %d of %d", onTime, offered, hotStats.onTime, hotStats.offered)
 	if share := float64(onTime) / float64(offered); share < 0.95 {
 		t.Errorf("other customers on time: %.3f", share)
@@ -31,14 +31,14 @@
 // of the same tier with a longer target that needs a fifth of the capacity.
 func TestClassesOfOneTier(t *testing.T) {
 	t.Parallel()
-	sim := newPlay(1, fleet(4, 8)...)
-	capacity := 4 * newFakeEngine(8).capacity(questions(nil))
-	q := questions(burst(0.2*capacity, 8*capacity, 30*time.Second, time.Minute))
-	other := questions(steady(0.2 * capacity))
+	sim := newSimulation(1, newFakeEngines(4, 8)...)
+	capacity := 4 * newFakeEngine(8).capacity(questionWorkload(nil))
+	q := questionWorkload(burstRate(0.2*capacity, 8*capacity, 30*time.Second, time.Minute))
+	other := questionWorkload(constantRate(0.2 * capacity))
 	other.class, other.firstToken = "query", 5*time.Second
 	sim.run(2*time.Minute, time.Minute, q, other)
 	t.Logf("%s", sim.report(q, other))
-	if share := sim.tally("query").attainment(); share < 0.97 {
+	if share := sim.stats("query").attainment(); share < 0.97 {
 		t.Errorf("the other class on time: %.3f", share)
 	}
 }
@@ -47,14 +47,14 @@
 // nine tenths of the capacity.
 func TestLongAmongShort(t *testing.T) {
 	t.Parallel()
-	sim := newPlay(1, fleet(4, 8)...)
+	sim := newSimulation(1, newFakeEngines(4, 8)...)
 	e := newFakeEngine(8)
-	q := questions(steady(0.6 * 4 * e.capacity(questions(nil))))
-	s := summaryWorkload(steady(0.3 * 4 * e.capacity(summaryWorkload(nil))))
+	q := questionWorkload(constantRate(0.6 * 4 * e.capacity(questionWorkload(nil))))
+	s := summaryWorkload(constantRate(0.3 * 4 * e.capacity(summaryWorkload(nil))))
 	sim.run(5*time.Minute, 2*time.Minute, q, s)
 	t.Logf("%s", sim.report(q, s))
 	for _, w := range []workload{q, s} {
-		if share := sim.tally(w.class).attainment(); share < 0.95 {
+		if share := sim.stats(w.class).attainment(); share < 0.95 {
 			t.Errorf("%s on time: %.3f", w.class, share)
 		}
 	}
@@ -69,13 +69,13 @@
 // all the time.
 func TestSaturation(t *testing.T) {
 	t.Parallel()
-	sim := newPlay(1, fleet(2, 8)...)
-	capacity := 2 * newFakeEngine(8).capacity(questions(nil))
+	sim := newSimulation(1, newFakeEngines(2, 8)...)
+	capacity := 2 * newFakeEngine(8).capacity(questionWorkload(nil))
 	var classes []workload
 	for tier := Tier(0); tier <= BottomTier; tier++ {
-		w := questions(steady(1.2 * capacity))
+		w := questionWorkload(constantRate(1.2 * capacity))
 		if tier >= 3 {
-			w = summaryWorkload(steady(0.5))
+			w = summaryWorkload(constantRate(0.5))
 		}
 		w.class, w.tier = string(rune('a'+tier)), tier
 		classes = append(classes, w)
@@ -84,7 +84,7 @@
 	const interval = saturationBound
 	sim.every(interval, 12*time.Minute, func(since time.Duration) {
 		for _, w := range classes {
-			completed := sim.tally(w.class).completed + sim.tally(w.class).retriesOnTime
+			completed := sim.stats(w.class).completed + sim.stats(w.class).retriesOnTime
 			if since > interval && completed == lastCompleted[w.class] {
 				t.Errorf("class %s: no request completed from %v to %v", w.class, since-interval, since)
 			}
@@ -94,7 +94,7 @@
 	sim.run(12*time.Minute, 5*time.Minute, classes...)
 	t.Logf("%s", sim.report(classes...))
 	for _, w := range classes[1:] {
-		stats := sim.tally(w.class)
+		stats := sim.stats(w.class)
 		if stats.longestWait > saturationBound {
 			t.Errorf("class %s waited %v", w.class, stats.longestWait)
 		}
--- a/policy/filter.go
+++ b/policy/filter.go
@@ -5,13 +5,13 @@
 // filter is the first stage of placement. It returns those of the kept indices whose
 // candidates may be used.
 type filter interface {
-	keep(now time.Time, request Placement, candidates []Candidate, kept []int) []int
+	keep(now time.Time, request PlacementRequest, candidates []Candidate, kept []int) []int
 }
 
 // usableFilter removes engines that are leaving, down or have been tried before.
 type usableFilter struct{}
 
-func (usableFilter) keep(now time.Time, request Placement, candidates []Candidate, kept []int) []int {
+func (usableFilter) keep(now time.Time, request PlacementRequest, candidates []Candidate, kept []int) []int {
 	usable := kept[:0]
 	for _, i := range kept {
 		if !request.excludes(candidates[i]) {
@@ -32,7 +32,7 @@
 	ejector *Ejector
 }
 
-func (f ejectionFilter) keep(now time.Time, request Placement, candidates []Candidate, kept []int) []int {
+func (f ejectionFilter) keep(now time.Time, request PlacementRequest, candidates []Candidate, kept []int) []int {
 	if len(f.ejector.records) == 0 {
 		return kept
 	}
--- a/policy/index_bench_test.go
+++ b/policy/index_bench_test.go
@@ -13,10 +13,10 @@
 // benchFleet returns servers, and an index in which all of them have the hot segments
 // cached.
 func benchFleet(n int) ([]Server, *PrefixIndex) {
-	servers, index := serversOf(n), NewPrefixIndex()
+	servers, index := idleServers(n), NewPrefixIndex()
 	for i := range servers {
 		for segment := range uint64(hotSegments) {
-			index.Read(testStart, KeyOf(servers[i].Name), []Part{{ID: segment + 1, Upto: 2500}})
+			index.RecordPrefilled(testStart, KeyOf(servers[i].Name), []PrefixSegment{{ID: segment + 1, End: 2500}})
 		}
 	}
 	return servers, index
@@ -27,9 +27,9 @@
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			servers, index := benchFleet(n)
 			random := rand.New(rand.NewPCG(1, 2))
-			uses := make([]Use, 100)
+			uses := make([]PrefixUse, 100)
 			for i := range uses {
-				uses[i] = Use{Server: KeyOf(servers[random.IntN(n)].Name), Part: 1 + random.Uint64N(hotSegments), Read: true}
+				uses[i] = PrefixUse{Server: KeyOf(servers[random.IntN(n)].Name), Segment: 1 + random.Uint64N(hotSegments), Prefilled: true}
 			}
 			for b.Loop() {
 				index.Merge(testStart.Add(time.Millisecond), uses)
@@ -43,7 +43,7 @@
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			servers, index := benchFleet(n)
 			c := NewChooser(rand.New(rand.NewPCG(1, 2)), NewEjector(), index)
-			job := Job{Zone: "z", Urgency: 4, Target: 400 * time.Millisecond, Tokens: 9000, Shared: []Part{{ID: 1, Upto: 2500}, {ID: 77, Upto: 6300}}}
+			job := Job{Zone: "z", Urgency: 4, Target: 400 * time.Millisecond, Tokens: 9000, SharedSegments: []PrefixSegment{{ID: 1, End: 2500}, {ID: 77, End: 6300}}}
 			for b.Loop() {
 				c.Choose(testStart.Add(time.Millisecond), job, servers, nil)
 			}
--- a/policy/job.go
+++ b/policy/job.go
@@ -34,23 +34,23 @@
 	// SharedParts are the parts at the beginning of the prompt that other prompts
 	// share, in order. They don't include the remainder that is specific to this
 	// prompt.
-	Shared []Part
+	SharedSegments []PrefixSegment
 	// FetchRate is the rate, in tokens per millisecond, at which a server fetches
 	// what another one has prefilled; 0 if it can't.
 	FetchRate float64
 	// UnreportedRequests is the expected number of requests that other senders
 	// have sent to the servers since their last update.
-	Unseen float64
+	UnreportedRequests float64
 	// UnreportedTokens is the expected number of tokens to prefill for those of
 	// them that are at least as urgent and were sent within ReportAge, the mean
 	// age of the updates.
-	UnseenTokens float64
-	NewsAge      time.Duration
+	UnreportedTokens float64
+	ReportAge        time.Duration
 	// UnreportedOffers is the expected number of requests, sent or not, that
 	// other senders have received for the service since their last update, and
 	// OtherSenders the number of these senders.
-	UnseenOffers float64
-	OtherSenders float64
+	UnreportedOffers float64
+	OtherSenders     float64
 	// Headroom is the fraction of each server's slots that is reserved for more
 	// urgent requests, in addition to the fixed reservation.
 	Headroom float64
@@ -60,16 +60,16 @@
 
 // sharedPrefix returns the last shared part, which identifies the complete shared
 // prefix; its ID is 0 if there is none.
-func (j *Job) prefix() Part {
-	if len(j.Shared) == 0 {
-		return Part{}
+func (j *Job) sharedPrefix() PrefixSegment {
+	if len(j.SharedSegments) == 0 {
+		return PrefixSegment{}
 	}
-	return j.Shared[len(j.Shared)-1]
+	return j.SharedSegments[len(j.SharedSegments)-1]
 }
 
 // scaleToMeanLength scales a number of the prompt's tokens to a prompt of the
 // mean length of the class.
-func (j *Job) atMeanLength(tokens float64) float64 {
+func (j *Job) scaleToMeanLength(tokens float64) float64 {
 	if j.MeanTokens == 0 || j.Tokens == 0 {
 		return tokens
 	}
@@ -85,14 +85,14 @@
 // again. It is 1 while most servers are idle and grows with the fraction of the
 // target that the queue of the median server takes. The median keeps a single
 // overloaded server among idle ones from raising the cost for all.
-func (j *Job) priceOfRereading(servers []Server, usable func(*Server) bool, rate *PrefillRate) float64 {
-	if j.Target == 0 || len(j.Shared) == 0 {
+func (j *Job) rereadCost(servers []Server, usable func(*Server) bool, rate *PrefillRate) float64 {
+	if j.Target == 0 || len(j.SharedSegments) == 0 {
 		return 1
 	}
 	waits := make([]float64, 0, len(servers))
 	for i := range servers {
 		if usable(&servers[i]) {
-			waits = append(waits, servers[i].ahead(UrgencyLevels-1))
+			waits = append(waits, servers[i].tokensAhead(UrgencyLevels-1))
 		}
 	}
 	if len(waits) == 0 {
@@ -109,22 +109,22 @@
 // all lengths find a server equally often; see ClassSizes. Where almost nothing
 // is queued it is admitted anyway, so that classes are served whose prompts take
 // the whole target.
-func (j *Job) inTime(rate *PrefillRate, queuedTokens float64, need need, rereadCost float64) bool {
+func (j *Job) meetsTarget(rate *PrefillRate, queuedTokens float64, need cacheMiss, rereadCost float64) bool {
 	if j.Target == 0 {
 		return true
 	}
-	ownTokens := float64(j.Tokens - j.prefix().Upto)
-	ownTokens += need.transfer
-	rereadTokens := need.again
-	if need.home || need.second {
-		ownTokens += need.first
+	ownTokens := float64(j.Tokens - j.sharedPrefix().End)
+	ownTokens += need.transferTokens
+	rereadTokens := need.recomputed
+	if need.home || need.secondHome {
+		ownTokens += need.uncached
 	} else {
 		// Other requests may prefill it on one of its home servers in the meantime.
-		rereadTokens += need.first
+		rereadTokens += need.uncached
 	}
-	ownTokens, rereadTokens = j.atMeanLength(ownTokens), j.atMeanLength(rereadTokens)
-	return rate.likely(queuedTokens+rereadCost*rereadTokens, ownTokens) <= j.Target ||
-		rate.takes(queuedTokens+rereadTokens) <= scaleDuration(minWaitFraction, j.Target)
+	ownTokens, rereadTokens = j.scaleToMeanLength(ownTokens), j.scaleToMeanLength(rereadTokens)
+	return rate.likelyTTFT(queuedTokens+rereadCost*rereadTokens, ownTokens) <= j.Target ||
+		rate.prefillTime(queuedTokens+rereadTokens) <= scaleDuration(minWaitFraction, j.Target)
 }
 
 // scaleDuration returns the given fraction of a duration.
--- a/policy/limit_probe_test.go
+++ b/policy/limit_probe_test.go
@@ -24,16 +24,16 @@
 	}
 	for round := range 400 {
 		offerAndGrant(round)
-		now = now.Add(time.Duration(len(streams)) * target / coldLimit)
+		now = now.Add(time.Duration(len(streams)) * target / initialLimit)
 		for _, id := range streams {
 			s.Tokens(now, id, 1)
 		}
-		if round > 2*coldLimit {
+		if round > 2*initialLimit {
 			s.Finished(now, streams[0], OutcomeWhole)
 			streams = streams[1:]
 		}
-		if s.limiter.limit > coldLimit {
-			t.Fatalf("limit %d after %v, want %d at most", s.limiter.limit, now.Sub(testStart), coldLimit)
+		if s.limiter.limit > initialLimit {
+			t.Fatalf("limit %d after %v, want %d at most", s.limiter.limit, now.Sub(testStart), initialLimit)
 		}
 	}
 }
--- a/policy/limiter_window.go
+++ b/policy/limiter_window.go
@@ -14,14 +14,14 @@
 	// token. Times to first token differ by a factor of ten between a prompt that is in the
 	// engine's cache and one that isn't, so late ones alone prove little; but without a queue
 	// there are moments in which every run has its first token.
-	judgeSamples = 4
-	standingRuns = 12
+	settledDelayedSamples = 4
+	settledQueuedRuns     = 12
 	// trialDelayedSamples and trialQueuedRuns are the same for a trial of a higher limit.
 	// Stopping a trial by mistake costs little; continuing a bad one delays urgent runs.
-	exploreSamples = 2
-	exploreRuns    = 6
+	trialDelayedSamples = 2
+	trialQueuedRuns     = 6
 	// trialGoodSamples is how many timely first tokens at the trial's depth make it succeed.
-	goodSamples = 8
+	trialGoodSamples = 8
 	// intervalSamples is over how many times between tokens the average is taken: a few tokens
 	// of each stream, since single ones jitter.
 	intervalSamples = 32
@@ -36,13 +36,13 @@
 }
 
 // limiterWindow collects the observations since the limit last changed.
-type limitWindow struct {
+type limiterWindow struct {
 	start time.Time
 	// recent holds the last windowSamples first tokens.
 	recent  [windowSamples]firstTokenSample
 	samples int
 	// trialGood counts timely first tokens beyond the limit during a trial.
-	good int
+	trialGood int
 	// ratio is the recent mean of time between tokens divided by its target, by tier, and
 	// ratioSamples the number of samples in it.
 	ratio        [tierCount]float64
@@ -55,7 +55,7 @@
 }
 
 // firstToken adds a sample; streaming is how many streams produce tokens now.
-func (w *limitWindow) firstToken(sample firstTokenSample, streaming int) {
+func (w *limiterWindow) firstToken(sample firstTokenSample, streaming int) {
 	if sample.delayed {
 		w.streams = max(w.streams, streaming)
 	}
@@ -64,7 +64,7 @@
 }
 
 // interval adds a tier's time between tokens, divided by its target.
-func (w *limitWindow) interval(tier Tier, ratio float64) {
+func (w *limiterWindow) interval(tier Tier, ratio float64) {
 	w.ratioSamples[tier]++
 	weight := max(1.0/intervalSamples, 1/float64(w.ratioSamples[tier]))
 	w.ratio[tier] += weight * (ratio - w.ratio[tier])
@@ -73,7 +73,7 @@
 // queued reports whether runs wait inside the engine. That is so if at least minDelayed first
 // tokens were delayed and, at their median depth and beyond, more were delayed than not.
 // Timely ones at a smaller depth say nothing, and a few delays at any depth are noise.
-func (w *limitWindow) queued(minDelayed int) bool {
+func (w *limiterWindow) queued(minDelayed int) bool {
 	recent := w.recent[:min(w.samples, windowSamples)]
 	var depths []int
 	for _, s := range recent {
@@ -101,7 +101,7 @@
 
 // worstRatio returns the highest ratio of time between tokens to its target among the tiers;
 // zero if there are too few samples.
-func (w *limitWindow) worstRatio() float64 {
+func (w *limiterWindow) worstRatio() float64 {
 	worst := 0.0
 	for tier, n := range w.ratioSamples {
 		if n >= intervalSamples {
--- a/policy/model_move.go
+++ b/policy/model_move.go
@@ -7,7 +7,7 @@
 	Name  string
 	Model string
 	// ActiveRequests is the number of waiting and running requests.
-	Busy int
+	ActiveRequests int
 }
 
 // ModelMove orders an engine to load another model.
@@ -119,8 +119,8 @@
 	if counts[a.Model] != counts[b.Model] {
 		return counts[a.Model] > counts[b.Model]
 	}
-	if a.Busy != b.Busy {
-		return a.Busy < b.Busy
+	if a.ActiveRequests != b.ActiveRequests {
+		return a.ActiveRequests < b.ActiveRequests
 	}
 	return a.Name < b.Name
 }
--- a/policy/offer_counts.go
+++ b/policy/offer_counts.go
@@ -12,13 +12,13 @@
 // OfferCounts holds, for each urgency level, how many requests were offered to a service's
 // servers recently and how many of them were refused only for lack of a slot. The counts decay
 // exponentially and aren't integers.
-type Shortage [UrgencyLevels]struct {
+type OfferCounts [UrgencyLevels]struct {
 	Offered float64
 	Lacked  float64
 }
 
 // Add adds other counts to c, or subtracts them if sign is -1.
-func (c *Shortage) Add(other *Shortage, sign float64) {
+func (c *OfferCounts) Add(other *OfferCounts, sign float64) {
 	for i := range c {
 		c[i].Offered += sign * other[i].Offered
 		c[i].Lacked += sign * other[i].Lacked
@@ -27,7 +27,7 @@
 
 // Expected returns how many requests of all urgency levels are expected to be offered within
 // d.
-func (c *Shortage) Within(d time.Duration) float64 {
+func (c *OfferCounts) Expected(d time.Duration) float64 {
 	offered := 0.0
 	for _, level := range c {
 		offered += level.Offered
@@ -37,14 +37,14 @@
 
 // OfferCounter maintains one sender's OfferCounts with exponential decay. Not safe for
 // concurrent use.
-type ShortageCount struct {
-	counts  Shortage
+type OfferCounter struct {
+	counts  OfferCounts
 	updated time.Time
 }
 
 // Observe counts a request of an urgency level; noSlot says that it was refused only for lack
 // of a slot.
-func (c *ShortageCount) Offered(now time.Time, urgency int, noSlot bool) {
+func (c *OfferCounter) Observe(now time.Time, urgency int, noSlot bool) {
 	c.decay(now)
 	c.counts[urgency].Offered++
 	if noSlot {
@@ -53,12 +53,12 @@
 }
 
 // Counts returns the counts, decayed to now.
-func (c *ShortageCount) Counts(now time.Time) Shortage {
+func (c *OfferCounter) Counts(now time.Time) OfferCounts {
 	c.decay(now)
 	return c.counts
 }
 
-func (c *ShortageCount) decay(now time.Time) {
+func (c *OfferCounter) decay(now time.Time) {
 	if !c.updated.IsZero() {
 		factor := math.Exp(-float64(now.Sub(c.updated)) / float64(offerDecay))
 		for i := range c.counts {
--- a/policy/over_limit.go
+++ b/policy/over_limit.go
@@ -15,7 +15,7 @@
 // that a burst causes one draw per sender.
 //
 // A less urgent request leaves the same share of each limit free as of servers' slots.
-func (l *ServerLimits) Draw(now time.Time, random *rand.Rand, job *Job, servers []Server) {
+func (l *ServerLimits) MarkOverLimit(now time.Time, random *rand.Rand, job *Job, servers []Server) {
 	if l.Empty() {
 		return
 	}
@@ -26,11 +26,11 @@
 		}
 	}
 	// A request considers a few of the servers and takes the one with the most capacity.
-	others := min(job.UnseenOffers, job.OtherSenders) * min(1, drawn/float64(max(available, 1)))
+	others := min(job.UnreportedOffers, job.OtherSenders) * min(1, sampledServers/float64(max(available, 1)))
 	for i := range servers {
-		if s := &servers[i]; s.Limited {
+		if s := &servers[i]; s.RateLimited {
 			remaining, limit := s.limitRemaining(job), l.servers[s.Start]
-			s.Beyond = remaining <= 0 || !limit.draw(now, random, (limit.sendsPerRedraw()+remaining)/(limit.sendsPerRedraw()+others))
+			s.OverLimit = remaining <= 0 || !limit.draw(now, random, (limit.sendsPerRedraw()+remaining)/(limit.sendsPerRedraw()+others))
 		}
 	}
 }
@@ -50,18 +50,18 @@
 // limitRemaining returns how many requests of the job's urgency the server's limit still
 // allows; 1 if it has none.
 func (s *Server) limitRemaining(job *Job) float64 {
-	if !s.Limited {
+	if !s.RateLimited {
 		return 1
 	}
-	return s.Allowance.Left - job.Headroom*s.Allowance.Size
+	return s.Allowance.Remaining - job.Headroom*s.Allowance.Burst
 }
 
 // soonestAvailable returns after what time the first of the candidates that are over their
 // limit has capacity; false if none is over its limit.
-func soonestFree(servers []Server, candidate func(*Server) bool) (soonest time.Duration, found bool) {
+func soonestAvailable(servers []Server, candidate func(*Server) bool) (soonest time.Duration, found bool) {
 	for i := range servers {
 		s := &servers[i]
-		if s.Beyond && candidate(s) && (!found || s.Allowance.AvailableIn < soonest) {
+		if s.OverLimit && candidate(s) && (!found || s.Allowance.AvailableIn < soonest) {
 			soonest, found = s.Allowance.AvailableIn, true
 		}
 	}
--- a/policy/pause_estimator.go
+++ b/policy/pause_estimator.go
@@ -36,7 +36,7 @@
 // together; the mean and the deviation of pauses are estimated by urgency.
 //
 // Not safe for concurrent use.
-type Pauses struct {
+type PauseEstimator struct {
 	levels    [UrgencyLevels]pauseStats
 	slowdowns slowdowns
 }
@@ -51,7 +51,7 @@
 }
 
 // Observe records the longest pause of one stream.
-func (p *Pauses) Observe(now time.Time, pause Pause) {
+func (p *PauseEstimator) Observe(now time.Time, pause Pause) {
 	level := &p.levels[pause.Urgency]
 	millis := toMillis(pause.Longest)
 	if level.samples == 0 {
@@ -72,7 +72,7 @@
 //
 // If all servers are about equal, none may be preferred: all gateways would prefer the
 // same few by chance and overload them.
-func (p *Pauses) Worse(now time.Time, server Key, urgency int, target time.Duration) float64 {
+func (p *PauseEstimator) ExcessRisk(now time.Time, server Key, urgency int, target time.Duration) float64 {
 	const meanSlowdown = 1
 	here, mean := p.lateProbability(p.slowdowns.factor(now, server), urgency, target), p.lateProbability(meanSlowdown, urgency, target)
 	return max(here-mean-noiseMargin, 0)
@@ -81,7 +81,7 @@
 // lateProbability returns the probability that a stream has a longer pause than its
 // target at a server with the given slowdown. It is 0 without a target or with too few
 // samples.
-func (p *Pauses) lateProbability(slowdown float64, urgency int, target time.Duration) float64 {
+func (p *PauseEstimator) lateProbability(slowdown float64, urgency int, target time.Duration) float64 {
 	level := &p.levels[urgency]
 	if target == 0 || level.samples < minPauseSamples {
 		return 0
@@ -96,4 +96,4 @@
 }
 
 // RemoveServer removes a server's estimate.
-func (p *Pauses) Forget(server Key) { p.slowdowns.remove(server) }
+func (p *PauseEstimator) RemoveServer(server Key) { p.slowdowns.remove(server) }
--- a/policy/pause_estimator_test.go
+++ b/policy/pause_estimator_test.go
@@ -8,15 +8,15 @@
 
 // observePauses records the longest pauses of a number of streams of an urgency at a
 // server.
-func observePauses(p *Pauses, now time.Time, server string, urgency, streams int, longest ...time.Duration) {
+func observePauses(p *PauseEstimator, now time.Time, server string, urgency, streams int, longest ...time.Duration) {
 	for i := range streams {
 		p.Observe(now, Pause{Server: KeyOf(server), Urgency: urgency, Longest: longest[i%len(longest)]})
 	}
 }
 
 // trainedPauses returns the estimates for a service whose server b is slower than a and c.
-func trainedPauses() *Pauses {
-	p := &Pauses{}
+func trainedPauses() *PauseEstimator {
+	p := &PauseEstimator{}
 	for i := range 20 {
 		now := testStart.Add(time.Duration(i) * 100 * time.Millisecond)
 		observePauses(p, now, "a", 3, 2, 90*time.Millisecond, 100*time.Millisecond)
@@ -67,14 +67,14 @@
 	if later >= soon || later > 0.3 {
 		t.Errorf("late with probability %.2f, a minute later %.2f", soon, later)
 	}
-	p.Forget(KeyOf("b"))
+	p.RemoveServer(KeyOf("b"))
 	if got := late(2 * time.Second); got >= soon {
 		t.Errorf("after removal of the server the probability is %.2f", got)
 	}
 }
 
 func TestTooFewPausesHaveNoEffect(t *testing.T) {
-	p := &Pauses{}
+	p := &PauseEstimator{}
 	if got := p.lateProbability(p.slowdowns.factor(testStart, KeyOf("a")), 3, tightPauseTarget); got != 0 {
 		t.Errorf("the probability is %.2f without samples", got)
 	}
@@ -84,7 +84,7 @@
 	}
 	// Pauses that are all zero, as of unstreamed answers, must not cause a division by
 	// zero.
-	q := &Pauses{}
+	q := &PauseEstimator{}
 	observePauses(q, testStart, "a", 3, 2*minPauseSamples, 0)
 	if got := q.lateProbability(q.slowdowns.factor(testStart, KeyOf("a")), 3, tightPauseTarget); got != 0 {
 		t.Errorf("the probability is %.2f without any pause", got)
@@ -103,7 +103,7 @@
 
 // Servers that differ only by chance have no excess risk.
 func TestIdenticalServersHaveNoExcessRisk(t *testing.T) {
-	p := &Pauses{}
+	p := &PauseEstimator{}
 	random := rand.New(rand.NewPCG(1, 2))
 	names := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	excess, checked := 0, 0
@@ -115,7 +115,7 @@
 			}
 			if i > 100 {
 				checked++
-				if p.Worse(now, KeyOf(name), 3, tightPauseTarget) > 0 {
+				if p.ExcessRisk(now, KeyOf(name), 3, tightPauseTarget) > 0 {
 					excess++
 				}
 			}
@@ -124,7 +124,7 @@
 	if 20*excess > checked {
 		t.Errorf("identical servers have an excess risk in %d of %d checks", excess, checked)
 	}
-	if slow := trainedPauses().Worse(testStart.Add(2*time.Second), KeyOf("b"), 3, tightPauseTarget); slow == 0 {
+	if slow := trainedPauses().ExcessRisk(testStart.Add(2*time.Second), KeyOf("b"), 3, tightPauseTarget); slow == 0 {
 		t.Error("a slow server has no excess risk")
 	}
 }
--- a/policy/pause_simulation_test.go
+++ b/policy/pause_simulation_test.go
@@ -27,28 +27,28 @@
 		step += simPrefillStall
 	}
 	variation := 0.9 + 0.2*e.simulation.random.Float64()
-	return time.Duration(variation * max(e.slower, 1) * simTokensPerEvent * float64(step))
+	return time.Duration(variation * max(e.slowdown, 1) * simTokensPerEvent * float64(step))
 }
 
 // simulateUnequalEngines runs questions with a tight pause target and summaries on engines
 // of which every third takes 1.3 times as long. At the others a question's pauses are
 // within the target whatever is prefilled there.
-func simulateUnequalEngines(questions, summaries float64, targets map[string]time.Duration) *directPlay {
-	p := newDirectPlay(12, 24, true)
-	p.expectUnseen = true
-	p.countFrom = 2 * time.Second
+func simulateUnequalEngines(questions, summaries float64, targets map[string]time.Duration) *directSimulation {
+	p := newDirectSimulation(12, 24, true)
+	p.estimateUnseen = true
+	p.measureFrom = 2 * time.Second
 	p.pauseTargets = targets
 	for i := range p.engines {
 		if i%3 == 2 {
-			p.engines[i].slower = 1.3
+			p.engines[i].slowdown = 1.3
 		}
 	}
-	p.stream("question", questions, 0, 10*time.Second, func() Job {
+	p.addArrivals("question", questions, 0, 10*time.Second, func() Job {
 		return Job{Zone: "z", Urgency: 3, Target: 250 * time.Millisecond, Tokens: 800}
 	}, 1500*time.Millisecond)
-	p.stream("summary", max(summaries, 0.1), 0, 10*time.Second, func() Job {
+	p.addArrivals("summary", max(summaries, 0.1), 0, 10*time.Second, func() Job {
 		segment := uint64(p.random.IntN(40)+1) * 0x9e3779b97f4a7c15
-		return Job{Zone: "z", Urgency: 4, Target: 400 * time.Millisecond, Tokens: 9000, Shared: []Part{{ID: segment, Upto: 6000}}}
+		return Job{Zone: "z", Urgency: 4, Target: 400 * time.Millisecond, Tokens: 9000, SharedSegments: []PrefixSegment{{ID: segment, End: 6000}}}
 	}, 500*time.Millisecond)
 	p.run(14 * time.Second)
 	return p
@@ -59,16 +59,16 @@
 // late.
 func TestTightStreamsAvoidSlowEngines(t *testing.T) {
 	p, without := simulateUnequalEngines(120, 80, simPauseTargets), simulateUnequalEngines(120, 80, nil)
-	started, late := p.begun["question"], p.latePauses["question"]
+	started, late := p.started["question"], p.latePauses["question"]
 	t.Logf("of %d questions %d started, %d were late by a pause; summaries in time %d of %d",
-		p.arrived["question"], started, late, p.onTime["summary"], p.arrived["summary"])
+		p.arrived["question"], started, late, p.inTime["summary"], p.arrived["summary"])
 	if 20*late > started {
 		t.Errorf("%d of %d questions were late by a pause", late, started)
 	}
-	if missed := p.arrived["question"] - p.onTime["question"]; 50*missed > p.arrived["question"] {
+	if missed := p.arrived["question"] - p.inTime["question"]; 50*missed > p.arrived["question"] {
 		t.Errorf("%d of %d questions had no first token in time", missed, p.arrived["question"])
 	}
-	if lost := without.onTime["summary"] - p.onTime["summary"]; 50*lost > p.arrived["summary"] {
+	if lost := without.inTime["summary"] - p.inTime["summary"]; 50*lost > p.arrived["summary"] {
 		t.Errorf("%d of %d summaries fewer are in time because of it", lost, p.arrived["summary"])
 	}
 }
@@ -78,7 +78,7 @@
 func TestTightStreamsUseSlowEnginesForTheirSlots(t *testing.T) {
 	// 12 engines of 48 slots can run 384 streams of 1.5 s per second, the faster ones 256.
 	p := simulateUnequalEngines(330, 0, simPauseTargets)
-	if rejected := p.arrived["question"] - p.begun["question"]; 50*rejected > p.arrived["question"] {
+	if rejected := p.arrived["question"] - p.started["question"]; 50*rejected > p.arrived["question"] {
 		t.Errorf("%d of %d questions got no first token, though all fit in the slots", rejected, p.arrived["question"])
 	}
 }
--- a/policy/peer_update.go
+++ b/policy/peer_update.go
@@ -10,25 +10,25 @@
 
 // PeerUpdate holds the observations that a gateway sends to other gateways, so that all
 // of them decide from the same observations.
-type News struct {
+type PeerUpdate struct {
 	// PrefixUses are new uses of prefix segments, FirstTokens times to first token, and
 	// Pauses the longest pauses of streams.
-	Uses   []Use
-	Firsts []FirstToken
-	Pauses []Pause
+	PrefixUses  []PrefixUse
+	FirstTokens []TTFTSample
+	Pauses      []Pause
 	// Unanswered has the server of each request that got no answer.
 	Unanswered []Key
 	Suspicions []Suspicion
-	Limits     []ServerLimit
+	Limits     []LimitReport
 }
 
 // TTFTSample is an observed time to first token.
-type FirstToken struct {
+type TTFTSample struct {
 	Service Key
 	Server  Key
 	Urgency int
 	// TokensAhead is the number of tokens that had to be prefilled before the first
 	// token, the request's own included. Latency is the time to first token.
-	Ahead float64
-	Took  time.Duration
+	TokensAhead float64
+	Latency     time.Duration
 }
--- a/policy/placement_request.go
+++ b/policy/placement_request.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // PlacementRequest describes the request for which a Placer selects engines.
-type Placement struct {
+type PlacementRequest struct {
 	Tier Tier
 	// Zone is the availability zone of the entry.
 	Zone string
@@ -15,6 +15,6 @@
 
 // excludes reports whether the candidate can't be used: it is leaving,
 // unreachable or already tried.
-func (p Placement) excludes(c Candidate) bool {
-	return c.Leaving || c.Down || slices.Contains(p.Exclude, c.Name)
+func (p PlacementRequest) excludes(c Candidate) bool {
+	return c.Draining || c.Down || slices.Contains(p.Exclude, c.Name)
 }
--- a/policy/placer.go
+++ b/policy/placer.go
@@ -41,7 +41,7 @@
 }
 
 // Pick returns the names of up to n candidates; fewer if fewer are usable.
-func (p *Placer) Pick(now time.Time, request Placement, candidates []Candidate, n int) []string {
+func (p *Placer) Pick(now time.Time, request PlacementRequest, candidates []Candidate, n int) []string {
 	eligible := make([]int, len(candidates))
 	for i := range eligible {
 		eligible[i] = i
@@ -65,7 +65,7 @@
 
 // cheapestOfSample draws up to sampleSize elements of eligible and returns the
 // index in eligible of the cheapest. It reorders eligible.
-func (p *Placer) cheapestOfSample(now time.Time, request Placement, candidates []Candidate, eligible []int, mean float64) int {
+func (p *Placer) cheapestOfSample(now time.Time, request PlacementRequest, candidates []Candidate, eligible []int, mean float64) int {
 	best, lowestCost := 0, 0.0
 	for draw := range min(sampleSize, len(eligible)) {
 		// Drawn candidates move to the front, so that none is drawn twice.
@@ -80,7 +80,7 @@
 }
 
 // cost returns the sum of all scores of a candidate.
-func (p *Placer) cost(now time.Time, request Placement, c *Candidate, mean float64) float64 {
+func (p *Placer) cost(now time.Time, request PlacementRequest, c *Candidate, mean float64) float64 {
 	sum := 0.0
 	for _, s := range p.scorers {
 		sum += s.cost(now, request, c, mean)
@@ -93,7 +93,7 @@
 func meanLoad(candidates []Candidate, eligible []int) float64 {
 	sum, n := 0.0, 0
 	for _, i := range eligible {
-		if !candidates[i].Seen.IsZero() {
+		if !candidates[i].ReportedAt.IsZero() {
 			sum += candidates[i].load()
 			n++
 		}
--- a/policy/placer_test.go
+++ b/policy/placer_test.go
@@ -13,7 +13,7 @@
 	for i := range list {
 		list[i] = Candidate{
 			Name: fmt.Sprintf("engine-%04d", i), Zone: fmt.Sprintf("zone-%d", i%4),
-			Running: i % 8, Limit: 8, Seen: testStart,
+			Running: i % 8, Limit: 8, ReportedAt: testStart,
 		}
 	}
 	return list
@@ -27,18 +27,18 @@
 func TestPickSkipsUnusableEngines(t *testing.T) {
 	p, ejector := newTestPlacer()
 	list := candidates(6)
-	list[0].Leaving = true
+	list[0].Draining = true
 	list[1].Down = true
-	for range ejectAfter {
+	for range ejectAfterFailures {
 		ejector.Observe(testStart, list[2].Name, OutcomeFailed)
 	}
-	want := Placement{Exclude: []string{list[3].Name}}
+	want := PlacementRequest{Exclude: []string{list[3].Name}}
 	got := p.Pick(testStart, want, list, 6)
 	slices.Sort(got)
 	if !slices.Equal(got, []string{list[4].Name, list[5].Name}) {
 		t.Errorf("picked %v", got)
 	}
-	if got := p.Pick(testStart, Placement{}, nil, 2); len(got) != 0 {
+	if got := p.Pick(testStart, PlacementRequest{}, nil, 2); len(got) != 0 {
 		t.Errorf("picked %v without candidates", got)
 	}
 }
@@ -47,11 +47,11 @@
 	p, ejector := newTestPlacer()
 	list := candidates(4)
 	for _, c := range list[:3] {
-		for range ejectAfter {
+		for range ejectAfterFailures {
 			ejector.Observe(testStart, c.Name, OutcomeFailed)
 		}
 	}
-	if got := p.Pick(testStart, Placement{}, list, 4); len(got) != 4 {
+	if got := p.Pick(testStart, PlacementRequest{}, list, 4); len(got) != 4 {
 		t.Errorf("picked %v", got)
 	}
 }
@@ -62,7 +62,7 @@
 	for i := range list {
 		list[i].Running = 4
 	}
-	want := Placement{Prefix: 42}
+	want := PlacementRequest{Prefix: 42}
 	home := p.Pick(testStart, want, list, 2)[0]
 	for range 20 {
 		if got := p.Pick(testStart, want, list, 2)[0]; got != home {
@@ -85,12 +85,12 @@
 	list[0].Zone, list[0].Running = "own", 4
 	list[1].Zone, list[1].Running = "other", 4
 	list[2].Zone, list[2].Running, list[2].Waiting = "own", 8, 20
-	if got := p.Pick(testStart, Placement{Zone: "own"}, list, 1)[0]; got != list[0].Name {
+	if got := p.Pick(testStart, PlacementRequest{Zone: "own"}, list, 1)[0]; got != list[0].Name {
 		t.Errorf("picked %s", got)
 	}
-	list[0].Seen = testStart.Add(-time.Hour)
-	list[2].Seen = time.Time{}
-	if got := p.Pick(testStart, Placement{Zone: "other"}, list, 1)[0]; got != list[1].Name {
+	list[0].ReportedAt = testStart.Add(-time.Hour)
+	list[2].ReportedAt = time.Time{}
+	if got := p.Pick(testStart, PlacementRequest{Zone: "other"}, list, 1)[0]; got != list[1].Name {
 		t.Errorf("picked %s", got)
 	}
 }
--- a/policy/preemption.go
+++ b/policy/preemption.go
@@ -49,7 +49,7 @@
 // engine. It marks the run, so that each run is reported once.
 func (s *Scheduler) claimDelayedUrgentRun() bool {
 	for _, r := range s.running.awaitingFirstToken {
-		if r.ticket.Tier <= urgentTier && r.overdue && !r.preemptionAttempted {
+		if r.ticket.Tier <= lastUrgentTier && r.overdue && !r.preemptionAttempted {
 			r.preemptionAttempted = true
 			return true
 		}
@@ -63,23 +63,23 @@
 	if s.running.notPreempted()+s.queue.urgentCount() <= s.limiter.limit {
 		return false
 	}
-	for _, tier := range s.queue.tiers[:urgentTier+1] {
+	for _, tier := range s.queue.tiers[:lastUrgentTier+1] {
 		class := tier.next()
 		if class == nil {
 			continue
 		}
 		w := class.head()
-		return now.Sub(w.ticket.Arrived) >= overflowAfter && s.likelyLate(now, w)
+		return now.Sub(w.ticket.Arrived) >= overflowDelay && s.likelyLate(now, w)
 	}
 	return false
 }
 
 // likelyLate reports whether w is likely to be late if it waits for a run to end.
-func (s *Scheduler) likelyLate(now time.Time, w *waiting) bool {
+func (s *Scheduler) likelyLate(now time.Time, w *queuedTicket) bool {
 	if w.latestStart.IsZero() {
 		return false
 	}
-	rate := s.serviceRate.at(s.limiter.limit)
+	rate := s.serviceRate.throughput(s.limiter.limit)
 	if rate <= 0 {
 		return true
 	}
@@ -108,7 +108,7 @@
 
 // preemptible reports whether the run may be cancelled for an urgent one.
 func (r *run) preemptible(now time.Time) bool {
-	if !r.ticket.Preemptible || r.ticket.Tier <= urgentTier || r.guaranteed || r.preempted {
+	if !r.ticket.Preemptible || r.ticket.Tier <= lastUrgentTier || r.guaranteed || r.preempted {
 		return false
 	}
 	return !r.resumed || now.Sub(r.granted) >= minResumedRunTime
--- a/policy/prefill_plan.go
+++ b/policy/prefill_plan.go
@@ -25,12 +25,12 @@
 // first token only the network delay matters: while a model computes its first decoding
 // step it already prefills the next prompt.
 func (r *PrefillRate) Plan(now time.Time, tokens int, tokensAhead float64) PrefillPlan {
-	end := now.Add(initialFixedTime + r.takes(tokensAhead))
-	return PrefillPlan{tokens: tokens, start: end.Add(-r.takes(float64(tokens))), end: end}
+	end := now.Add(initialFixedTime + r.prefillTime(tokensAhead))
+	return PrefillPlan{tokens: tokens, start: end.Add(-r.prefillTime(float64(tokens))), end: end}
 }
 
 // Remaining returns the expected number of tokens that are still to be prefilled.
-func (p PrefillPlan) Left(now time.Time) int {
+func (p PrefillPlan) Remaining(now time.Time) int {
 	switch duration := p.end.Sub(p.start); {
 	case !now.After(p.start) || duration <= 0:
 		return p.tokens
--- a/policy/prefill_plan_test.go
+++ b/policy/prefill_plan_test.go
@@ -17,22 +17,22 @@
 		{0, 2000}, {120 * time.Millisecond, 2000}, {145 * time.Millisecond, 1000}, {160 * time.Millisecond, 500},
 		{170 * time.Millisecond, 500}, {time.Second, 500},
 	} {
-		if got := plan.Left(testStart.Add(c.after)); got != c.remaining {
+		if got := plan.Remaining(testStart.Add(c.after)); got != c.remaining {
 			t.Errorf("%v after sending %d tokens remain, want %d", c.after, got, c.remaining)
 		}
 	}
-	if got := r.Plan(testStart, 0, 0).Left(testStart.Add(time.Second)); got != 0 {
+	if got := r.Plan(testStart, 0, 0).Remaining(testStart.Add(time.Second)); got != 0 {
 		t.Errorf("%d tokens remain of a call without a prompt", got)
 	}
 }
 
 // Two half-prefilled prompts leave time for a third one that two whole prompts would not.
 func TestPrefilledTokensMakeRoom(t *testing.T) {
-	c, servers := newTestChooser(), serversOf(1)
+	c, servers := newTestChooser(), idleServers(1)
 	job := Job{Zone: "z", Urgency: 4, Target: 500 * time.Millisecond, Tokens: 4000}
 	var r *PrefillRate
 	pending := func(now time.Time) int {
-		return r.Plan(testStart, 5000, 5000).Left(now) + r.Plan(testStart, 6000, 11_000).Left(now)
+		return r.Plan(testStart, 5000, 5000).Remaining(now) + r.Plan(testStart, 6000, 11_000).Remaining(now)
 	}
 	level := &servers[0].Pending[4]
 	level.Requests, level.Tokens = 2, pending(testStart)
--- a/policy/prefill_rate.go
+++ b/policy/prefill_rate.go
@@ -153,7 +153,7 @@
 // expectedTTFT returns the expected time to first token with a number of tokens ahead, the
 // request's own included.
 func (r *PrefillRate) expectedTTFT(tokensAhead float64) time.Duration {
-	return r.fixedTime() + r.takes(tokensAhead)
+	return r.fixedTime() + r.prefillTime(tokensAhead)
 }
 
 // likelyTTFT returns the time within which a first token arrives in most cases, with
@@ -161,15 +161,15 @@
 // time and the mean deviation, applied to the wait for others only. The first step and the
 // request's own prefill take their time at an idle server too. A deviation on these would
 // reject every request of a class with a tight target, and nothing more would be learned.
-func (r *PrefillRate) likely(others, own float64) time.Duration {
-	return r.expectedTTFT(own) + time.Duration(float64(r.takes(others))*(1+r.deviation()))
+func (r *PrefillRate) likelyTTFT(others, own float64) time.Duration {
+	return r.expectedTTFT(own) + time.Duration(float64(r.prefillTime(others))*(1+r.deviation()))
 }
 
 // maxTokensAhead returns how many tokens of other requests may be ahead for a first token
 // that is likely within a time, with own tokens of the request itself.
-func (r *PrefillRate) within(d time.Duration, own float64) float64 {
+func (r *PrefillRate) maxTokensAhead(d time.Duration, own float64) float64 {
 	slack := d - r.expectedTTFT(own)
-	return max(r.during(slack)/(1+r.deviation()), 0)
+	return max(r.tokensIn(slack)/(1+r.deviation()), 0)
 }
 
 // deviation returns the mean deviation from the expected time, as a fraction of it.
@@ -181,11 +181,11 @@
 }
 
 // prefillTime returns how long the prefill of a number of tokens takes.
-func (r *PrefillRate) takes(tokens float64) time.Duration {
+func (r *PrefillRate) prefillTime(tokens float64) time.Duration {
 	return time.Duration(tokens / r.rate() * float64(time.Millisecond))
 }
 
 // tokensIn returns how many tokens are prefilled in a time.
-func (r *PrefillRate) during(d time.Duration) float64 { return r.rate() * toMillis(d) }
+func (r *PrefillRate) tokensIn(d time.Duration) float64 { return r.rate() * toMillis(d) }
 
 func toMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/policy/prefill_rate_test.go
+++ b/policy/prefill_rate_test.go
@@ -85,15 +85,15 @@
 		return r
 	}
 	steady, scattered := trained(0.1), trained(0.9)
-	servers := serversOf(1)
+	servers := idleServers(1)
 	servers[0].Pending[4].Requests, servers[0].Pending[4].Tokens = 4, 14_000
 	job := Job{Zone: "z", Urgency: 4, Target: 500 * time.Millisecond, Tokens: 3000}
 	c := newTestChooser()
 	if choice := c.Choose(testStart, job, servers, steady); !choice.InTime {
-		t.Errorf("rejected with an expected %v of 500 ms and low variance", choice.Expected)
+		t.Errorf("rejected with an expected %v of 500 ms and low variance", choice.ExpectedTTFT)
 	}
 	if choice := c.Choose(testStart, job, servers, scattered); choice.InTime {
-		t.Errorf("admitted with an expected %v of 500 ms and times that vary by nine tenths", choice.Expected)
+		t.Errorf("admitted with an expected %v of 500 ms and times that vary by nine tenths", choice.ExpectedTTFT)
 	}
 }
 
@@ -102,7 +102,7 @@
 func TestLongestPromptIsAdmittedDespiteSlowFirstStep(t *testing.T) {
 	r := &PrefillRate{}
 	observePrefillSamples(r, 1000, 120*time.Millisecond, 60)
-	c, servers := newTestChooser(), serversOf(3)
+	c, servers := newTestChooser(), idleServers(3)
 	long := summaryJob(5)
 	long.Tokens = 46_000
 	if choice := c.Choose(testStart, long, servers, r); !choice.InTime {
--- a/policy/prefix_index.go
+++ b/policy/prefix_index.go
@@ -25,19 +25,19 @@
 )
 
 // PrefixSegment is one of the segments of a prompt's shared prefix.
-type Part struct {
+type PrefixSegment struct {
 	// ID identifies the segment.
 	ID uint64
 	// End is the length in tokens of the prompt up to the segment's end.
-	Upto int
+	End int
 }
 
 // PrefixUse records that a segment was sent to a server, or that the server has
 // prefilled it.
-type Use struct {
-	Server Key
-	Part   uint64
-	Read   bool
+type PrefixUse struct {
+	Server    Key
+	Segment   uint64
+	Prefilled bool
 }
 
 // cacheEntry is a segment at a server.
@@ -57,7 +57,7 @@
 
 // pendingUpdate is a use that is to be sent to other gateways.
 type pendingUpdate struct {
-	Use
+	PrefixUse
 	recorded time.Time
 }
 
@@ -84,64 +84,64 @@
 func NewPrefixIndex() *PrefixIndex { return &PrefixIndex{segments: map[uint64]map[Key]*cacheEntry{}} }
 
 // RecordSent records that a prompt with these segments was sent to a server.
-func (x *PrefixIndex) Sent(now time.Time, server Key, segments []Part) {
+func (x *PrefixIndex) RecordSent(now time.Time, server Key, segments []PrefixSegment) {
 	x.record(now, server, segments, false)
 }
 
 // RecordPrefilled records that a server has prefilled a prompt with these segments.
-func (x *PrefixIndex) Read(now time.Time, server Key, segments []Part) {
+func (x *PrefixIndex) RecordPrefilled(now time.Time, server Key, segments []PrefixSegment) {
 	x.record(now, server, segments, true)
 }
 
 // record applies the uses and queues updates for those that other gateways don't know.
-func (x *PrefixIndex) record(now time.Time, server Key, segments []Part, prefilled bool) {
+func (x *PrefixIndex) record(now time.Time, server Key, segments []PrefixSegment, prefilled bool) {
 	for _, s := range segments {
-		if x.apply(now, Use{server, s.ID, prefilled}) {
-			x.pending = append(x.pending, pendingUpdate{Use{server, s.ID, prefilled}, now})
+		if x.apply(now, PrefixUse{server, s.ID, prefilled}) {
+			x.pending = append(x.pending, pendingUpdate{PrefixUse{server, s.ID, prefilled}, now})
 		}
 	}
 }
 
 // Merge merges the uses of another gateway.
-func (x *PrefixIndex) Merge(now time.Time, uses []Use) {
+func (x *PrefixIndex) Merge(now time.Time, uses []PrefixUse) {
 	for _, u := range uses {
 		x.apply(now, u)
 	}
 }
 
 // Updates returns the uses that are to be sent to other gateways now.
-func (x *PrefixIndex) News(now time.Time) []Use {
+func (x *PrefixIndex) Updates(now time.Time) []PrefixUse {
 	x.pending = slices.DeleteFunc(x.pending, func(u pendingUpdate) bool { return now.Sub(u.recorded) > updateRepeatTime })
-	uses := make([]Use, len(x.pending))
+	uses := make([]PrefixUse, len(x.pending))
 	for i, u := range x.pending {
-		uses[i] = u.Use
+		uses[i] = u.PrefixUse
 	}
 	return uses
 }
 
 // apply records a use and reports whether other gateways don't know of it yet.
-func (x *PrefixIndex) apply(now time.Time, u Use) bool {
+func (x *PrefixIndex) apply(now time.Time, u PrefixUse) bool {
 	x.sweep(now)
-	servers := x.segments[u.Part]
+	servers := x.segments[u.Segment]
 	if servers == nil {
 		servers = map[Key]*cacheEntry{}
-		x.segments[u.Part] = servers
+		x.segments[u.Segment] = servers
 	}
 	entry := servers[u.Server]
 	if entry == nil {
-		servers[u.Server] = &cacheEntry{lastUsed: now, prefilled: u.Read}
+		servers[u.Server] = &cacheEntry{lastUsed: now, prefilled: u.Prefilled}
 		return true
 	}
-	unknown := now.Sub(entry.lastUsed) > minUpdateInterval || u.Read && !entry.prefilled || !entry.valid(now)
+	unknown := now.Sub(entry.lastUsed) > minUpdateInterval || u.Prefilled && !entry.prefilled || !entry.valid(now)
 	if !entry.valid(now) {
 		entry.prefilled = false
 	}
-	entry.lastUsed, entry.prefilled = now, entry.prefilled || u.Read
+	entry.lastUsed, entry.prefilled = now, entry.prefilled || u.Prefilled
 	return unknown
 }
 
 // RemoveServer removes a server's entries after the server has stopped or restarted.
-func (x *PrefixIndex) Forget(server Key) {
+func (x *PrefixIndex) RemoveServer(server Key) {
 	x.retain(func(s Key, _ *cacheEntry) bool { return s != server })
 }
 
@@ -178,23 +178,23 @@
 }
 
 // hasAny reports whether any server is known to have one of the segments.
-func (x *PrefixIndex) hasAny(segments []Part) bool {
-	return slices.ContainsFunc(segments, func(s Part) bool { return len(x.segments[s.ID]) > 0 })
+func (x *PrefixIndex) hasAny(segments []PrefixSegment) bool {
+	return slices.ContainsFunc(segments, func(s PrefixSegment) bool { return len(x.segments[s.ID]) > 0 })
 }
 
 // cachedAt returns how much of a prompt's shared prefix a server has cached. A segment is
 // cached only if all segments before it are. Since other gateways don't repeat updates
 // about segments that are known, the last known segment implies those before it.
-func (x *PrefixIndex) cachedAt(now time.Time, server Key, segments []Part) cachedPrefix {
+func (x *PrefixIndex) cachedAt(now time.Time, server Key, segments []PrefixSegment) cachedPrefix {
 	var cached cachedPrefix
 	for _, s := range segments {
 		entry := x.segments[s.ID][server]
 		if entry == nil || !entry.valid(now) {
 			continue
 		}
-		cached.expected = max(cached.expected, s.Upto)
+		cached.expected = max(cached.expected, s.End)
 		if entry.prefilled {
-			cached.prefilled = max(cached.prefilled, s.Upto)
+			cached.prefilled = max(cached.prefilled, s.End)
 		}
 	}
 	return cached
--- a/policy/prefix_index_test.go
+++ b/policy/prefix_index_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-var essaySegments = []Part{{ID: 1, Upto: 500}, {ID: 2, Upto: 6000}}
+var essaySegments = []PrefixSegment{{ID: 1, End: 500}, {ID: 2, End: 6000}}
 
 func TestSegmentsAreCachedAfterSending(t *testing.T) {
 	x, now := NewPrefixIndex(), testStart
-	x.Sent(now, 7, essaySegments)
+	x.RecordSent(now, 7, essaySegments)
 	if got := x.cachedAt(now, 7, essaySegments); got != (cachedPrefix{expected: 6000}) {
 		t.Errorf("sent, not prefilled: %+v", got)
 	}
-	x.Read(now.Add(time.Second), 7, essaySegments)
+	x.RecordPrefilled(now.Add(time.Second), 7, essaySegments)
 	if got := x.cachedAt(now.Add(time.Second), 7, essaySegments); got != (cachedPrefix{expected: 6000, prefilled: 6000}) {
 		t.Errorf("prefilled: %+v", got)
 	}
 	// Another prompt shares the first segment only.
-	other := []Part{{ID: 1, Upto: 500}, {ID: 3, Upto: 4000}}
+	other := []PrefixSegment{{ID: 1, End: 500}, {ID: 3, End: 4000}}
 	if got := x.cachedAt(now.Add(time.Second), 7, other); got != (cachedPrefix{expected: 500, prefilled: 500}) {
 		t.Errorf("a prompt with one segment in common: %+v", got)
 	}
@@ -27,8 +27,8 @@
 // Segments that were sent and never prefilled, or were last used long ago, expire.
 func TestCacheEntriesExpire(t *testing.T) {
 	x, now := NewPrefixIndex(), testStart
-	x.Sent(now, 7, essaySegments)
-	x.Read(now, 8, essaySegments)
+	x.RecordSent(now, 7, essaySegments)
+	x.RecordPrefilled(now, 8, essaySegments)
 	late := now.Add(pendingTTL)
 	if got := [2]cachedPrefix{x.cachedAt(late, 7, essaySegments), x.cachedAt(late, 8, essaySegments)}; got[0].expected != 0 || got[1].prefilled != 6000 {
 		t.Errorf("after %v: %+v", pendingTTL, got)
@@ -37,7 +37,7 @@
 		t.Errorf("after %v: %+v", cacheTTL, got)
 	}
 	// A segment that is used again stays; the others are removed.
-	x.Read(now.Add(cacheTTL), 8, essaySegments[:1])
+	x.RecordPrefilled(now.Add(cacheTTL), 8, essaySegments[:1])
 	if len(x.segments) != 1 || len(x.segments[1]) != 1 {
 		t.Errorf("remaining entries: %+v", x.segments)
 	}
@@ -45,9 +45,9 @@
 
 func TestRestartedServerHasEmptyCache(t *testing.T) {
 	x, now := NewPrefixIndex(), testStart
-	x.Read(now, 7, essaySegments)
-	x.Read(now, 8, essaySegments)
-	x.Forget(7)
+	x.RecordPrefilled(now, 7, essaySegments)
+	x.RecordPrefilled(now, 8, essaySegments)
+	x.RemoveServer(7)
 	if got := [2]cachedPrefix{x.cachedAt(now, 7, essaySegments), x.cachedAt(now, 8, essaySegments)}; got[0].expected != 0 || got[1].prefilled != 6000 {
 		t.Errorf("after 7 has restarted: %+v", got)
 	}
@@ -55,25 +55,25 @@
 
 func TestUpdatesAreSentOnce(t *testing.T) {
 	a, b, now := NewPrefixIndex(), NewPrefixIndex(), testStart
-	a.Sent(now, 7, essaySegments)
-	b.Merge(now, a.News(now))
+	a.RecordSent(now, 7, essaySegments)
+	b.Merge(now, a.Updates(now))
 	if got := b.cachedAt(now, 7, essaySegments); got != (cachedPrefix{expected: 6000}) {
 		t.Errorf("after the update: %+v", got)
 	}
-	a.Read(now, 7, essaySegments)
-	b.Merge(now, a.News(now))
+	a.RecordPrefilled(now, 7, essaySegments)
+	b.Merge(now, a.Updates(now))
 	if got := b.cachedAt(now, 7, essaySegments); got.prefilled != 6000 {
 		t.Errorf("after the update about the prefill: %+v", got)
 	}
 	// Uses that other gateways know aren't sent again at once.
 	soon := now.Add(updateRepeatTime + time.Millisecond)
-	a.Read(soon, 7, essaySegments)
-	b.Read(soon, 7, essaySegments)
-	if x, y := a.News(soon), b.News(soon); len(x)+len(y) != 0 {
+	a.RecordPrefilled(soon, 7, essaySegments)
+	b.RecordPrefilled(soon, 7, essaySegments)
+	if x, y := a.Updates(soon), b.Updates(soon); len(x)+len(y) != 0 {
 		t.Errorf("sent again: %v %v", x, y)
 	}
 	later := soon.Add(minUpdateInterval + time.Millisecond)
-	if b.Read(later, 7, essaySegments); len(b.News(later)) != 2 {
+	if b.RecordPrefilled(later, 7, essaySegments); len(b.Updates(later)) != 2 {
 		t.Errorf("a use after %v isn't sent", minUpdateInterval)
 	}
 }
--- a/policy/quarantine.go
+++ b/policy/quarantine.go
@@ -35,7 +35,7 @@
 // Crash is the end of a server instance while it ran a request.
 type Crash struct {
 	// Instance identifies the server instance.
-	Start Key
+	Instance Key
 	// At is when the instance ended.
 	At time.Time
 }
@@ -85,7 +85,7 @@
 	// roundRobin holds the suspects that are sent in turn even without changes.
 	roundRobin []Fingerprint
 	// answered holds the recent complete answers at this sender.
-	answered recentAnswers
+	answered recentCompletions
 	runs     suspectRuns
 }
 
@@ -99,9 +99,9 @@
 
 // ObserveCrash records that a server instance ended while it ran a request. It reports whether
 // the request is newly quarantined as a result.
-func (q *Quarantine) Crashed(now time.Time, f Fingerprint, start Key) bool {
+func (q *Quarantine) ObserveCrash(now time.Time, f Fingerprint, start Key) bool {
 	before := q.quarantinedSet()[f]
-	if q.record(f, q.answered.last(f), Crash{Start: start, At: now}) {
+	if q.record(f, q.answered.lastCompletion(f), Crash{Instance: start, At: now}) {
 		q.announce(f, q.suspects[f])
 	}
 	q.suspects[f].seen = now
@@ -109,7 +109,7 @@
 }
 
 // ObserveAnswer records a server's complete answer to a request.
-func (q *Quarantine) Answered(now time.Time, f Fingerprint) {
+func (q *Quarantine) ObserveAnswer(now time.Time, f Fingerprint) {
 	q.answered.add(now, f)
 	if s := q.suspects[f]; s != nil && len(s.crashes) > 0 && q.record(f, now) {
 		q.announce(f, s)
@@ -150,7 +150,7 @@
 		if update.Seen.Sub(s.seen) > minSeenAdvance {
 			s.seen = update.Seen
 		}
-		if last := q.answered.last(update.Fingerprint); !last.IsZero() && q.record(update.Fingerprint, last) {
+		if last := q.answered.lastCompletion(update.Fingerprint); !last.IsZero() && q.record(update.Fingerprint, last) {
 			q.announce(update.Fingerprint, s)
 		}
 	}
@@ -173,7 +173,7 @@
 // Updates returns the suspicions to send to other senders now: those that changed here, and
 // one of the others in turn, for senders that missed it because they started later or were
 // disconnected.
-func (q *Quarantine) News(now time.Time) []Suspicion {
+func (q *Quarantine) Updates(now time.Time) []Suspicion {
 	q.sweep(now)
 	var updates []Suspicion
 	remaining := q.pending[:0]
@@ -286,7 +286,7 @@
 		}
 		q.quarantined[best] = true
 		for _, c := range q.suspects[best].crashes {
-			explained[c.Start] = true
+			explained[c.Instance] = true
 		}
 	}
 }
--- a/policy/quarantine_test.go
+++ b/policy/quarantine_test.go
@@ -24,8 +24,8 @@
 		if q.Quarantined(testStart, 7) {
 			t.Fatalf("quarantined after %d crashes", i)
 		}
-		q.Crashed(testStart, 7, instance)
-		q.Crashed(testStart, 7, instance)
+		q.ObserveCrash(testStart, 7, instance)
+		q.ObserveCrash(testStart, 7, instance)
 	}
 	if !q.Quarantined(testStart, 7) || q.Quarantined(testStart, 8) || q.Len() != 1 {
 		t.Error("want only the request under which three servers ended")
@@ -37,11 +37,11 @@
 func TestCompleteAnswerClearsEarlierCrashes(t *testing.T) {
 	q := NewQuarantine()
 	for _, instance := range instances("a", "b") {
-		q.Crashed(testStart, 7, instance)
+		q.ObserveCrash(testStart, 7, instance)
 	}
-	q.Answered(testStart.Add(time.Second), 7)
-	later := testStart.Add(2*time.Second + clearedFor)
-	q.Crashed(later, 7, KeyOf("c"))
+	q.ObserveAnswer(testStart.Add(time.Second), 7)
+	later := testStart.Add(2*time.Second + crashGracePeriod)
+	q.ObserveCrash(later, 7, KeyOf("c"))
 	// A report of earlier crashes arrives late.
 	q.Merge(later, []Suspicion{{Fingerprint: 7, Seen: later, Crashes: []Crash{{KeyOf("d"), testStart}, {KeyOf("e"), testStart}}}})
 	if q.Quarantined(testStart, 7) {
@@ -56,9 +56,9 @@
 	const innocent = 1
 	for culprit := Fingerprint(10); culprit < 13; culprit++ {
 		for i := range 4 {
-			q.Crashed(testStart, culprit, KeyOf(fmt.Sprint(culprit, i)))
+			q.ObserveCrash(testStart, culprit, KeyOf(fmt.Sprint(culprit, i)))
 		}
-		q.Crashed(testStart, innocent, KeyOf(fmt.Sprint(culprit, 3)))
+		q.ObserveCrash(testStart, innocent, KeyOf(fmt.Sprint(culprit, 3)))
 	}
 	if q.Quarantined(testStart, innocent) || q.Len() != 3 {
 		t.Errorf("%d quarantined, the innocent one: %v", q.Len(), q.Quarantined(testStart, innocent))
@@ -70,13 +70,13 @@
 func TestWronglyQuarantinedRequestIsReleasedByNextCrash(t *testing.T) {
 	q := NewQuarantine()
 	for _, instance := range instances("a", "b", "c") {
-		q.Crashed(testStart, 1, instance)
-		q.Crashed(testStart, 2, instance)
+		q.ObserveCrash(testStart, 1, instance)
+		q.ObserveCrash(testStart, 2, instance)
 	}
 	if q.Len() != 1 || !q.Quarantined(testStart, 1) {
 		t.Fatalf("%d quarantined, want one of the two", q.Len())
 	}
-	q.Crashed(testStart, 2, KeyOf("d"))
+	q.ObserveCrash(testStart, 2, KeyOf("d"))
 	if q.Quarantined(testStart, 1) || !q.Quarantined(testStart, 2) {
 		t.Error("want the request that explains the last crash")
 	}
@@ -85,10 +85,10 @@
 func TestSuspectsAreBoundedAndExpire(t *testing.T) {
 	q := NewQuarantine()
 	for _, instance := range instances("a", "b", "c") {
-		q.Crashed(testStart, 1, instance)
+		q.ObserveCrash(testStart, 1, instance)
 	}
 	for f := range Fingerprint(2 * maxSuspects) {
-		q.Crashed(testStart.Add(time.Second), 100+f, KeyOf("d"))
+		q.ObserveCrash(testStart.Add(time.Second), 100+f, KeyOf("d"))
 	}
 	if len(q.suspects) > maxSuspects || !q.Quarantined(testStart.Add(time.Second), 1) {
 		t.Errorf("%d suspects, the culprit quarantined: %v", len(q.suspects), q.Quarantined(testStart, 1))
@@ -98,12 +98,12 @@
 	for range 4 {
 		now = now.Add(suspectTTL / 2)
 		q.Quarantined(now, 1)
-		q.News(now)
+		q.Updates(now)
 	}
 	if len(q.suspects) != 1 || !q.Quarantined(now, 1) {
 		t.Errorf("%d suspects after two hours, want the one that keeps arriving", len(q.suspects))
 	}
-	q.News(now.Add(2 * suspectTTL))
+	q.Updates(now.Add(2 * suspectTTL))
 	if !q.Empty() {
 		t.Error("a request that stopped arriving is still remembered")
 	}
@@ -139,7 +139,7 @@
 // that are lost.
 func (sim *crashSimulation) broadcast(lossRate float64) {
 	for i, from := range sim.senders {
-		updates := from.News(sim.now)
+		updates := from.Updates(sim.now)
 		for j, to := range sim.senders {
 			if i != j && !sim.disconnected[i] && !sim.disconnected[j] && sim.random.Float64() >= lossRate {
 				to.Merge(sim.now, updates)
@@ -158,19 +158,19 @@
 		}
 		sim.sent++
 		instance := KeyOf(fmt.Sprint("server", sim.sent))
-		sim.senders[sender].Crashed(sim.now, culprit, instance)
+		sim.senders[sender].ObserveCrash(sim.now, culprit, instance)
 		for range 5 {
 			other := sim.senders[sim.random.IntN(len(sim.senders))]
 			innocent := Fingerprint(100 + sim.random.IntN(40))
 			if other.Quarantined(sim.now, innocent) {
 				sim.refused++
 			} else {
-				other.Crashed(sim.now, innocent, instance)
+				other.ObserveCrash(sim.now, innocent, instance)
 			}
 		}
 	}
 	for range 10 {
-		sim.senders[sim.random.IntN(len(sim.senders))].Answered(sim.now, Fingerprint(100+sim.random.IntN(40)))
+		sim.senders[sim.random.IntN(len(sim.senders))].ObserveAnswer(sim.now, Fingerprint(100+sim.random.IntN(40)))
 	}
 	sim.broadcast(lossRate)
 	sim.now = sim.now.Add(gossipInterval)
@@ -242,7 +242,7 @@
 	q, now := NewQuarantine(), testStart
 	const popular, crashes, perCrash = 60, 300, 20
 	for f := range Fingerprint(popular) {
-		q.Answered(now, f)
+		q.ObserveAnswer(now, f)
 	}
 	for n := range crashes {
 		now = now.Add(200 * time.Millisecond)
@@ -254,13 +254,13 @@
 			if i%2 == 0 {
 				f = Fingerprint(1000 + n*perCrash + i)
 			}
-			q.Crashed(now, f, instance)
+			q.ObserveCrash(now, f, instance)
 			if i%4 == 0 && n > 0 {
-				q.Crashed(now, Fingerprint(1000+(n-1)*perCrash+i), instance)
+				q.ObserveCrash(now, Fingerprint(1000+(n-1)*perCrash+i), instance)
 			}
 		}
 		for range 20 {
-			q.Answered(now.Add(50*time.Millisecond), Fingerprint(random.IntN(popular)))
+			q.ObserveAnswer(now.Add(50*time.Millisecond), Fingerprint(random.IntN(popular)))
 		}
 		if count := q.Len(); count > 0 {
 			t.Fatalf("%d requests quarantined after %d crashes", count, n+1)
@@ -271,16 +271,16 @@
 // One gateway received a complete answer to the request, another lost it with a server.
 func TestCompleteAnswerAtOneSenderClearsForAll(t *testing.T) {
 	a, b := NewQuarantine(), NewQuarantine()
-	a.Answered(testStart, 7)
+	a.ObserveAnswer(testStart, 7)
 	for _, instance := range instances("a", "b", "c") {
-		b.Crashed(testStart.Add(time.Second), 7, instance)
+		b.ObserveCrash(testStart.Add(time.Second), 7, instance)
 	}
 	now := testStart.Add(2 * time.Second)
-	a.Merge(now, b.News(now))
+	a.Merge(now, b.Updates(now))
 	if a.Quarantined(now, 7) {
 		t.Error("quarantined by the sender that answered it")
 	}
-	if b.Merge(now, a.News(now)); b.Quarantined(now, 7) {
+	if b.Merge(now, a.Updates(now)); b.Quarantined(now, 7) {
 		t.Error("quarantined by a sender that was told of the answer")
 	}
 }
@@ -288,9 +288,9 @@
 // A request that was harmless crashes servers of the next release.
 func TestRequestAnsweredLongAgoIsQuarantined(t *testing.T) {
 	q := NewQuarantine()
-	q.Answered(testStart, 7)
+	q.ObserveAnswer(testStart, 7)
 	for i, instance := range instances("a", "b", "c", "d") {
-		q.Crashed(testStart.Add(clearedFor/2+time.Duration(i)*clearedFor), 7, instance)
+		q.ObserveCrash(testStart.Add(crashGracePeriod/2+time.Duration(i)*crashGracePeriod), 7, instance)
 	}
 	if !q.Quarantined(testStart, 7) {
 		t.Error("not quarantined after three crashes since the last complete answer")
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -26,14 +26,14 @@
 // in arrival order they would wait behind the whole burst.
 type Queue struct {
 	tiers [tierCount]*tierQueue
-	byID  map[string]*waiting
+	byID  map[string]*queuedTicket
 	// deadlines holds the tickets that may expire, the earliest first.
-	deadlines orderedHeap[*waiting]
+	deadlines orderedHeap[*queuedTicket]
 }
 
 // NewQueue returns an empty Queue.
 func NewQueue() *Queue {
-	q := &Queue{byID: map[string]*waiting{}}
+	q := &Queue{byID: map[string]*queuedTicket{}}
 	for i := range q.tiers {
 		q.tiers[i] = newTierQueue()
 	}
@@ -48,7 +48,7 @@
 // urgentCount returns the number of waiting tickets of the urgent tiers.
 func (q *Queue) urgentCount() int {
 	n := 0
-	for _, tier := range q.tiers[:urgentTier+1] {
+	for _, tier := range q.tiers[:lastUrgentTier+1] {
 		n += tier.count
 	}
 	return n
@@ -69,7 +69,7 @@
 }
 
 // push adds a ticket; it replaces a ticket with the same ID.
-func (q *Queue) push(now time.Time, w *waiting) {
+func (q *Queue) push(now time.Time, w *queuedTicket) {
 	if old := q.byID[w.ticket.ID]; old != nil {
 		q.remove(old)
 	}
@@ -81,7 +81,7 @@
 }
 
 // remove deletes a waiting ticket from all indexes of the queue.
-func (q *Queue) remove(w *waiting) {
+func (q *Queue) remove(w *queuedTicket) {
 	delete(q.byID, w.ticket.ID)
 	q.tiers[w.ticket.Tier].remove(w)
 	if w.deadlineIndex != notInHeap {
@@ -151,7 +151,7 @@
 }
 
 // markLate moves a ticket to the queue of late tickets.
-func (q *Queue) markLate(now time.Time, w *waiting) {
+func (q *Queue) markLate(now time.Time, w *queuedTicket) {
 	q.remove(w)
 	w.late = true
 	w.expiresAt = w.ticket.Arrived.Add(maxLateWait)
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -21,7 +21,7 @@
 
 // warmUp completes a few runs, so that the Scheduler knows the service rate of
 // its engine.
-func warm(s *Scheduler) {
+func warmUp(s *Scheduler) {
 	for i := range 20 {
 		id := fmt.Sprintf("warm-%d", i)
 		s.Offer(testStart, Ticket{ID: id, Class: "warm", Size: 100})
@@ -33,7 +33,7 @@
 
 func TestFullQueueDisplacesForUrgentTicket(t *testing.T) {
 	s := NewScheduler()
-	warm(s)
+	warmUp(s)
 	fillQueue(t, s, "summary", 4)
 	d := s.Offer(testStart, Ticket{ID: "flag", Class: "flag", Tier: TopTier})
 	if !d.Admitted || len(d.Displaced) != 1 || d.Displaced[0] != fmt.Sprintf("summary-%d", maxQueuedTickets-1) {
@@ -43,9 +43,9 @@
 
 func TestFullQueueOfTopTier(t *testing.T) {
 	s := NewScheduler()
-	warm(s)
+	warmUp(s)
 	fillQueue(t, s, "flag", TopTier)
-	if d := s.Offer(testStart, Ticket{ID: "f", Class: "flag", Customer: "large", Tier: TopTier}); d.Admitted || !d.Full {
+	if d := s.Offer(testStart, Ticket{ID: "f", Class: "flag", Customer: "large", Tier: TopTier}); d.Admitted || !d.QueueFull {
 		t.Errorf("ticket of the customer that fills the queue: decision %+v, want refused as full", d)
 	}
 	if d := s.Offer(testStart, Ticket{ID: "g", Class: "flag", Customer: "small", Tier: TopTier}); !d.Admitted {
@@ -62,7 +62,7 @@
 
 func TestRetryAfterGrowsWithRefusals(t *testing.T) {
 	s := NewScheduler()
-	warm(s)
+	warmUp(s)
 	previous := time.Duration(0)
 	for i := range 400 {
 		d := s.Offer(testStart.Add(time.Second), Ticket{
@@ -114,7 +114,7 @@
 		for i := range 5 {
 			d := s.Offer(now, Ticket{
 				ID: fmt.Sprint("new", i), Class: "question", Tier: 2, Size: 100,
-				Deadline: now.Add(10 * time.Second), Due: milestone,
+				Deadline: now.Add(10 * time.Second), DeadlineMilestone: milestone,
 			})
 			if !d.Admitted {
 				t.Errorf("milestone %d: ticket %d refused on an idle engine: %+v", milestone, i, d)
--- a/policy/queued_ticket.go
+++ b/policy/queued_ticket.go
@@ -6,7 +6,7 @@
 const notInHeap = -1
 
 // queuedTicket is a waiting ticket with its position in the queue.
-type waiting struct {
+type queuedTicket struct {
 	ticket Ticket
 	// work is the work that the ticket is expected to bring to this engine, in
 	// tokens; see copyShare.
@@ -26,16 +26,16 @@
 	// customer is the queue that holds the ticket; prev and next are its
 	// neighbours there.
 	customer *customerQueue
-	prev     *waiting
-	next     *waiting
+	prev     *queuedTicket
+	next     *queuedTicket
 	// deadlineIndex is the position in Queue.deadlines.
 	deadlineIndex int
 }
 
 // newQueuedTicket returns a ticket that isn't in a queue yet and expires at its
 // latest start.
-func newWaiting(t Ticket, work float64, latestStart time.Time, resumed bool) *waiting {
-	return &waiting{
+func newQueuedTicket(t Ticket, work float64, latestStart time.Time, resumed bool) *queuedTicket {
+	return &queuedTicket{
 		ticket:        t,
 		latestStart:   latestStart,
 		expiresAt:     latestStart,
@@ -46,29 +46,29 @@
 }
 
 // less orders tickets by the time at which they expire.
-func (w *waiting) less(other *waiting) bool { return w.expiresAt.Before(other.expiresAt) }
+func (w *queuedTicket) less(other *queuedTicket) bool { return w.expiresAt.Before(other.expiresAt) }
 
 // position implements heapItem.
-func (w *waiting) position() *int { return &w.deadlineIndex }
+func (w *queuedTicket) position() *int { return &w.deadlineIndex }
 
 // mayExpire reports whether the ticket expires or becomes late as time passes.
-func (w *waiting) mayExpire() bool {
+func (w *queuedTicket) mayExpire() bool {
 	return !w.resumed && !w.expiresAt.IsZero()
 }
 
 // hasNoLatestStart reports whether the ticket has no latest start that can still
 // be met.
-func (w *waiting) hasNoLatestStart() bool {
+func (w *queuedTicket) hasNoLatestStart() bool {
 	return w.late || w.latestStart.IsZero()
 }
 
 // classKey identifies the class queue of the ticket.
-func (w *waiting) classKey() classKey {
+func (w *queuedTicket) classKey() classKey {
 	return classKey{name: w.ticket.Class, late: w.late}
 }
 
 // customerKey identifies the queue of the ticket within its class.
-func (w *waiting) customerKey() customerKey {
+func (w *queuedTicket) customerKey() customerKey {
 	if w.resumed {
 		return customerKey{resumed: true}
 	}
--- a/policy/recent_completions.go
+++ b/policy/recent_completions.go
@@ -8,21 +8,21 @@
 
 // recentCompletions holds the time of the last complete answer by request fingerprint, for
 // answers within clearedFor and some older ones.
-type recentAnswers struct {
+type recentCompletions struct {
 	// current has the answers since rotated, and previous those of the generation before.
 	current, previous map[Fingerprint]time.Time
 	rotated           time.Time
 }
 
-func (r *recentAnswers) add(now time.Time, f Fingerprint) {
-	if r.current == nil || len(r.current) >= maxGenerationSize || now.Sub(r.rotated) > clearedFor {
+func (r *recentCompletions) add(now time.Time, f Fingerprint) {
+	if r.current == nil || len(r.current) >= maxGenerationSize || now.Sub(r.rotated) > crashGracePeriod {
 		r.current, r.previous, r.rotated = map[Fingerprint]time.Time{}, r.current, now
 	}
 	r.current[f] = now
 }
 
 // lastCompletion returns when a request was last answered completely; zero if unknown.
-func (r *recentAnswers) last(f Fingerprint) time.Time {
+func (r *recentCompletions) lastCompletion(f Fingerprint) time.Time {
 	if t, ok := r.current[f]; ok {
 		return t
 	}
--- a/policy/recent_grants.go
+++ b/policy/recent_grants.go
@@ -4,7 +4,7 @@
 
 // recentGrants tracks which classes were granted a ticket within the last starvedAfter. Its
 // size is bounded by the number of grants in that time.
-type grantedLately struct {
+type recentGrants struct {
 	latest map[string]time.Time
 	order  []classGrant
 }
@@ -15,12 +15,12 @@
 	at    time.Time
 }
 
-func newGrantedLately() grantedLately {
-	return grantedLately{latest: map[string]time.Time{}}
+func newRecentGrants() recentGrants {
+	return recentGrants{latest: map[string]time.Time{}}
 }
 
 // add records a grant to a class.
-func (g *grantedLately) add(now time.Time, class string) {
+func (g *recentGrants) add(now time.Time, class string) {
 	g.expire(now)
 	if _, known := g.latest[class]; !known {
 		g.order = append(g.order, classGrant{class: class, at: now})
@@ -29,7 +29,7 @@
 }
 
 // contains reports whether a class was granted a ticket within the last starvedAfter.
-func (g *grantedLately) has(now time.Time, class string) bool {
+func (g *recentGrants) contains(now time.Time, class string) bool {
 	g.expire(now)
 	_, known := g.latest[class]
 	return known
@@ -37,7 +37,7 @@
 
 // expire drops grants older than starvedAfter. Each class is in order once: if it was granted
 // again since it was queued, it moves to the end with its latest time.
-func (g *grantedLately) expire(now time.Time) {
+func (g *recentGrants) expire(now time.Time) {
 	for len(g.order) > 0 && now.Sub(g.order[0].at) >= starvedAfter {
 		oldest := g.order[0]
 		g.order = g.order[1:]
--- a/policy/refusal_ratio.go
+++ b/policy/refusal_ratio.go
@@ -4,7 +4,7 @@
 
 // priorAdmitted is how many admitted tickets the ratio starts with, so that the first refusal
 // after a quiet period doesn't look like a burst. It is the limit of a cold engine.
-const priorAdmitted = coldLimit
+const priorAdmitted = initialLimit
 
 // refusalRatio tracks the share of recently offered tickets that were refused. It
 // distinguishes momentary congestion, after which a caller may retry at once, from a burst.
--- a/policy/request_stats_test.go
+++ b/policy/request_stats_test.go
@@ -20,12 +20,12 @@
 	refused        int
 	// retries counts requests sent again after the Retry-After time, and
 	// retriesOnTime those of them that were then answered on time.
-	comeback, retriesOnTime int
+	retries, retriesOnTime int
 	// retriesInBurst and retriesInBurstOnTime count the same for retries that came
 	// before the burst ended; totalRetryAfter is the sum of all Retry-After times.
-	soon, soonIn int
-	hinted       time.Duration
-	preemptions  int
+	retriesInBurst, retriesInBurstOnTime int
+	totalRetryAfter                      time.Duration
+	preemptions                          int
 	// longestWait is the longest time from arrival to the first grant, and
 	// longestResumeWait the longest from a preemption to the next grant.
 	longestWait       time.Duration
@@ -42,8 +42,8 @@
 }
 
 // retrySuccess returns the share of retries that was answered on time.
-func (s *requestStats) honest() float64 {
-	return float64(s.retriesOnTime) / float64(max(s.comeback, 1))
+func (s *requestStats) retrySuccess() float64 {
+	return float64(s.retriesOnTime) / float64(max(s.retries, 1))
 }
 
 // goodput returns the answers on time per second between measureStart and
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -44,8 +44,8 @@
 	due, target := r.workload.due()
 	return Ticket{
 		ID: r.id, Class: r.workload.class, Customer: r.customer, Tier: r.workload.tier,
-		Deadline: r.arrived.Add(target), Due: due,
-		Size: r.promptTokens + r.workload.answerTokens, Copies: copies, Asks: asks, Preemptible: true,
+		Deadline: r.arrived.Add(target), DeadlineMilestone: due,
+		Size: r.promptTokens + r.workload.answerTokens, Copies: copies, MaxEngines: asks, Preemptible: true,
 		FirstToken: r.workload.firstToken, BetweenTokens: r.workload.betweenTokens,
 	}
 }
--- a/policy/reserve.go
+++ b/policy/reserve.go
@@ -4,23 +4,23 @@
 
 const (
 	// lastUrgentTier is the least urgent tier that slots are reserved for.
-	urgentTier Tier = 1
+	lastUrgentTier Tier = 1
 	// reservedShare is the share of the slots that is reserved; at least one slot is.
 	reservedShare = 1.0 / 8
 	// overflowDelay is how long a top-tier ticket waits for a free slot before it exceeds the
 	// limit or has a run cancelled. Another engine that holds a copy of the ticket and has a
 	// free slot answers within that time, which is several round trips between availability
 	// zones.
-	overflowAfter = 20 * time.Millisecond
+	overflowDelay = 20 * time.Millisecond
 )
 
 // Urgent reports whether slots are reserved for the tier. Connections that carry its tickets
 // are monitored most closely, and its request bodies have a memory budget of their own at the
 // entry.
-func (t Tier) Urgent() bool { return t <= urgentTier }
+func (t Tier) Urgent() bool { return t <= lastUrgentTier }
 
 // reservedSlots returns how many slots of a limit are reserved for the urgent tiers.
-func reserveOf(limit int) int {
+func reservedSlots(limit int) int {
 	return max(1, int(float64(limit)*reservedShare))
 }
 
@@ -36,40 +36,40 @@
 // The top tier may exceed the limit by the number of reserved slots, so that runs of other
 // tiers that can't be cancelled don't delay it. Engines honour priority, and one run too many
 // slows the others only a little.
-func (s *Scheduler) hasRoom(now time.Time, w *waiting) bool {
+func (s *Scheduler) canStart(now time.Time, w *queuedTicket) bool {
 	limit := s.limiter.limit
 	running := len(s.running.byID)
 	switch {
 	case w.ticket.Tier == TopTier:
 		return running < limit+s.overflowSlots(now, w)
-	case w.ticket.Tier <= urgentTier:
+	case w.ticket.Tier <= lastUrgentTier:
 		return running < limit
 	case w.ticket.Preemptible:
-		return running < limit+s.limiter.trial() && s.running.lower < s.lowerTierSlots()
+		return running < limit+s.limiter.probeSlots() && s.running.nonUrgent < s.lowerTierSlots()
 	default:
-		return running < limit-reserveOf(limit) && s.running.lower < s.lowerTierSlots()
+		return running < limit-reservedSlots(limit) && s.running.nonUrgent < s.lowerTierSlots()
 	}
 }
 
 // overflowSlots returns by how many slots a top-tier ticket may exceed the limit.
-func (s *Scheduler) overflowSlots(now time.Time, w *waiting) int {
-	if now.Sub(w.ticket.Arrived) < overflowAfter {
+func (s *Scheduler) overflowSlots(now time.Time, w *queuedTicket) int {
+	if now.Sub(w.ticket.Arrived) < overflowDelay {
 		return 0
 	}
-	return min(reserveOf(s.limiter.limit), len(s.running.byID)-s.running.top)
+	return min(reservedSlots(s.limiter.limit), len(s.running.byID)-s.running.topTier)
 }
 
 // lowerTierSlots returns how many slots the tiers below the urgent ones may use.
 func (s *Scheduler) lowerTierSlots() int {
 	if s.limiter.probing {
-		return s.limiter.limit + s.limiter.trial()
+		return s.limiter.limit + s.limiter.probeSlots()
 	}
-	return max(1, s.limiter.limit-s.urgent.slots())
+	return max(1, s.limiter.limit-s.urgentUsage.reserved())
 }
 
 // slotsFor returns the maximum number of concurrent runs of a tier.
-func (s *Scheduler) slots(t Tier) int {
-	if t <= urgentTier {
+func (s *Scheduler) slotsFor(t Tier) int {
+	if t <= lastUrgentTier {
 		return s.limiter.limit
 	}
 	return s.lowerTierSlots()
--- a/policy/retry_after.go
+++ b/policy/retry_after.go
@@ -10,7 +10,7 @@
 // would come from the engine whose estimate of its load is furthest off, and callers may
 // return to any of the engines. The result is at least one second, the least that HTTP can
 // state.
-func Hint(refusals []Decision) time.Duration {
+func CombineRetryAfter(refusals []Decision) time.Duration {
 	if len(refusals) == 0 {
 		return minRetryAfter
 	}
--- a/policy/retry_after_test.go
+++ b/policy/retry_after_test.go
@@ -12,20 +12,20 @@
 	t.Parallel()
 	for _, engines := range []int{1, 4} {
 		for _, factor := range []float64{2, 4, 8} {
-			sim := newPlay(1, fleet(engines, 4)...)
+			sim := newSimulation(1, newFakeEngines(engines, 4)...)
 			sim.burstEnd = 38 * time.Second
-			capacity := float64(engines) * newFakeEngine(4).capacity(questions(nil))
-			traffic := questions(burst(0.2*capacity, factor*capacity, 30*time.Second, sim.burstEnd))
-			sim.run(time.Minute, 15*time.Minute, flags(steady(2)), traffic)
-			got := sim.tally("question")
-			mean := got.hinted / time.Duration(max(got.comeback, 1))
+			capacity := float64(engines) * newFakeEngine(4).capacity(questionWorkload(nil))
+			traffic := questionWorkload(burstRate(0.2*capacity, factor*capacity, 30*time.Second, sim.burstEnd))
+			sim.run(time.Minute, 15*time.Minute, flagWorkload(constantRate(2)), traffic)
+			got := sim.stats("question")
+			mean := got.totalRetryAfter / time.Duration(max(got.retries, 1))
 			t.Logf("%d engines, x%v: of %d refused %.2f succeeded on retry; during the burst %d of %d; Retry-After %v on average",
-				engines, factor, got.comeback, got.honest(), got.soonIn, got.soon, mean)
-			if got.honest() < 0.75 {
-				t.Errorf("%d engines, x%v: %.2f succeeded on retry", engines, factor, got.honest())
+				engines, factor, got.retries, got.retrySuccess(), got.retriesInBurstOnTime, got.retriesInBurst, mean)
+			if got.retrySuccess() < 0.75 {
+				t.Errorf("%d engines, x%v: %.2f succeeded on retry", engines, factor, got.retrySuccess())
 			}
-			if got.soon*8 > got.comeback {
-				t.Errorf("%d engines, x%v: %d of %d told to retry during the burst", engines, factor, got.soon, got.comeback)
+			if got.retriesInBurst*8 > got.retries {
+				t.Errorf("%d engines, x%v: %d of %d told to retry during the burst", engines, factor, got.retriesInBurst, got.retries)
 			}
 		}
 	}
--- a/policy/retry_backlog.go
+++ b/policy/retry_backlog.go
@@ -23,18 +23,18 @@
 // It guards against synchronized retries: with the same Retry-After, all callers that a burst
 // turned away would return in the same second and be refused again. Each refusal names the
 // time when the engine will have finished the work refused before it.
-type promises struct {
-	work    [tierCount]float64
-	updated [tierCount]time.Time
-	refused [tierCount]refusalRatio
+type retryBacklog struct {
+	work     [tierCount]float64
+	updated  [tierCount]time.Time
+	refusals [tierCount]refusalRatio
 }
 
 // retryAfter returns the Retry-After for refused work of a tier and adds the work to the
 // backlog. late is by how much the work would have missed its deadline, and rate is the tier's
 // current service rate in work per second. Each engine that refuses a request counts its own
 // part, so work is only this engine's part.
-func (b *promises) next(now time.Time, t Tier, work float64, late time.Duration, rate float64) time.Duration {
-	late += seconds(b.refused[t].at(now) * burstDelay.Seconds())
+func (b *retryBacklog) retryAfter(now time.Time, t Tier, work float64, late time.Duration, rate float64) time.Duration {
+	late += secondsToDuration(b.refusals[t].at(now) * burstDelay.Seconds())
 	if rate <= 0 {
 		return clampRetryAfter(late)
 	}
@@ -44,7 +44,7 @@
 		b.work[t] = max(0, b.work[t]-done)
 	}
 	b.updated[t] = now
-	delay := late + seconds(b.work[t]/rate)
+	delay := late + secondsToDuration(b.work[t]/rate)
 	if delay < maxRetryAfter {
 		b.work[t] += work
 	}
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -31,7 +31,7 @@
 }
 
 // CountRequest counts a request that is not a retry.
-func (b *RetryBudget) Fresh(now time.Time) {
+func (b *RetryBudget) CountRequest(now time.Time) {
 	b.advance(now)
 	b.credit(retryRatio)
 }
--- a/policy/retry_delay.go
+++ b/policy/retry_delay.go
@@ -12,6 +12,6 @@
 // still be answered in time, by a server that has prefilled its earlier work. After a longer
 // delay the answer is late in any case, and the request competes with new requests that can
 // still be in time. Callers retry once, so spreading retries over longer times gains nothing.
-func ComeBack(target time.Duration) time.Duration {
+func RetryDelay(target time.Duration) time.Duration {
 	return time.Duration(retryDelayShare * float64(target))
 }
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -10,12 +10,12 @@
 	running      activeRuns
 	limiter      concurrencyLimiter
 	serviceRate  serviceRate
-	demand       demand
-	promises     promises
+	demand       tierDemand
+	retryBacklog retryBacklog
 	guarantee    guarantee
-	recentGrants grantedLately
-	urgent       urgentUse
-	first        firstTokenTime
+	recentGrants recentGrants
+	urgentUsage  urgentUsage
+	ttft         ttftEstimator
 	copyShare    copyShare
 	classSizes   ClassSizes
 	// lastCall is the latest time passed to advance.
@@ -28,7 +28,7 @@
 		queue:        NewQueue(),
 		running:      newActiveRuns(),
 		limiter:      newConcurrencyLimiter(),
-		recentGrants: newGrantedLately(),
+		recentGrants: newRecentGrants(),
 	}
 }
 
@@ -39,7 +39,7 @@
 	}
 	s.lastCall = now
 	s.guarantee.advance(now, s.limiter.limit)
-	s.urgent.advance(now, s.running.urgentCount()+s.queue.urgentCount())
+	s.urgentUsage.advance(now, s.running.urgentCount()+s.queue.urgentCount())
 	s.reportOverdueRuns(now)
 }
 
@@ -67,7 +67,7 @@
 func (s *Scheduler) Resume(now time.Time, t Ticket) {
 	s.advance(now)
 	t.Arrived = now
-	s.queue.push(now, newWaiting(t, s.copyShare.work(t), s.latestStart(now, t, ticketSize(t)), true))
+	s.queue.push(now, newQueuedTicket(t, s.copyShare.expectedWork(t), s.latestStart(now, t, ticketSize(t)), true))
 }
 
 // Withdraw removes a waiting ticket and reports whether it was present.
@@ -89,14 +89,14 @@
 	if class == nil {
 		return Ticket{}, false
 	}
-	full := !s.hasRoom(now, class.head())
+	full := !s.canStart(now, class.head())
 	if full {
 		s.limiter.slotsExhausted(now)
 	}
 	if starved := s.starvedClass(now); starved != nil && (full || starved != class) {
 		return s.grant(now, starved, true), true
 	}
-	if full || !s.heldUntil(now, class.head()).IsZero() {
+	if full || !s.deferredUntil(now, class.head()).IsZero() {
 		return Ticket{}, false
 	}
 	return s.grant(now, class, false), true
@@ -107,7 +107,7 @@
 // free.
 func (s *Scheduler) guaranteeHasRoom() bool {
 	limit := s.limiter.limit
-	return len(s.running.byID) < limit && s.running.lower < limit-reserveOf(limit)
+	return len(s.running.byID) < limit && s.running.nonUrgent < limit-reservedSlots(limit)
 }
 
 // starvedClass returns the class that the starvation guarantee serves now; nil if
@@ -160,12 +160,12 @@
 	if r.lastToken.IsZero() {
 		r.lastToken = now
 		s.running.removeAwaiting(r)
-		s.first.observe(ticketSize(r.ticket), now.Sub(r.started))
+		s.ttft.observe(ticketSize(r.ticket), now.Sub(r.started))
 		s.limiter.observeFirstToken(now, r, len(s.running.awaitingFirstToken))
 		return
 	}
 	interval := r.observeTokens(now, n)
-	if len(s.running.byID) <= s.limiter.limit+s.limiter.trial() {
+	if len(s.running.byID) <= s.limiter.limit+s.limiter.probeSlots() {
 		s.limiter.observeInterval(now, r.ticket, interval)
 	}
 }
@@ -194,7 +194,7 @@
 // not run. NextWake returns when to call it.
 func (s *Scheduler) Expire(now time.Time) []string {
 	s.advance(now)
-	return s.queue.expire(now, func(class string) bool { return s.recentGrants.has(now, class) })
+	return s.queue.expire(now, func(class string) bool { return s.recentGrants.contains(now, class) })
 }
 
 // RetryAfter returns when a caller whose ticket was displaced or has expired
@@ -202,7 +202,7 @@
 func (s *Scheduler) RetryAfter(now time.Time, tier Tier) time.Duration {
 	s.advance(now)
 	wait := s.waitForSlot(now, tier, s.queuedWorkAbove(tier+1))
-	return s.promises.next(now, tier, s.serviceRate.meanSize, wait, s.tierRate(tier))
+	return s.retryBacklog.retryAfter(now, tier, s.serviceRate.meanSize, wait, s.tierRate(tier))
 }
 
 // Load returns the state of the queue as of the last call.
--- a/policy/scheduler_property_test.go
+++ b/policy/scheduler_property_test.go
@@ -37,7 +37,7 @@
 	}
 	if slack := rapid.IntRange(0, 20).Draw(t, "slack"); slack > 0 {
 		ticket.Deadline = m.now.Add(time.Duration(slack) * time.Second)
-		ticket.Due = Milestone(rapid.IntRange(0, 2).Draw(t, "due"))
+		ticket.DeadlineMilestone = Milestone(rapid.IntRange(0, 2).Draw(t, "due"))
 	}
 	return ticket
 }
@@ -123,7 +123,7 @@
 		if !ok {
 			break
 		}
-		if victim := m.running[id]; victim.Tier <= urgentTier || !victim.Preemptible {
+		if victim := m.running[id]; victim.Tier <= lastUrgentTier || !victim.Preemptible {
 			t.Fatalf("preempted a run that may not be preempted: %+v", victim)
 		}
 		m.Finished(m.now, id, OutcomeCancelled)
@@ -166,7 +166,7 @@
 	if load.Waiting != len(m.waiting) || load.Running != len(m.running) {
 		t.Fatalf("load %+v, want %d waiting and %d running", load, len(m.waiting), len(m.running))
 	}
-	reserved := max(reserveOf(load.Limit), m.urgent.slots())
+	reserved := max(reservedSlots(load.Limit), m.urgentUsage.reserved())
 	if load.Waiting > 0 && load.Running < load.Limit-reserved && !m.heldBack() {
 		t.Fatalf("%d tickets wait while %d runs use a limit of %d", load.Waiting, load.Running, load.Limit)
 	}
@@ -181,9 +181,9 @@
 // heldBack reports whether the next ticket is held back for other engines that have
 // a copy of it, which is allowed for less than holdHopeless.
 func (m *schedulerModel) heldBack() bool {
-	_, held := m.holdDue(m.now)
+	_, held := m.nextDeferralEnd(m.now)
 	w := m.queue.next().head()
-	return held && w.ticket.Copies > 1 && m.now.Sub(w.ticket.Arrived) < holdHopeless
+	return held && w.ticket.Copies > 1 && m.now.Sub(w.ticket.Arrived) < likelyLateDeferral
 }
 
 // TestSchedulerProperties checks, for random calls, that no ticket is both granted and
--- a/policy/scored_server.go
+++ b/policy/scored_server.go
@@ -1,7 +1,7 @@
 package policy
 
 // scoredServer is a candidate server with the cost of sending the request there.
-type weighed struct {
+type scoredServer struct {
 	choice Choice
 	// cost is in tokens of prefill. prefillPenalty is the additional cost of prefilling
 	// or fetching shared segments that the server doesn't have; it counts only if the
@@ -9,16 +9,16 @@
 	cost           float64
 	prefillPenalty float64
 	// slotsLeft is the number of slots that the request may use there.
-	left float64
+	slotsLeft float64
 	// pauseRisk is the excess probability that the stream is late because of a pause.
 	pauseRisk float64
 }
 
 // finalScore returns the choice and its cost in tokens once it is known whether a slot
 // is left. latePenalty is the cost of a late request, in tokens.
-func (w *weighed) finalScore(latePenalty float64) (Choice, float64) {
+func (w *scoredServer) finalScore(latePenalty float64) (Choice, float64) {
 	choice, cost := w.choice, w.cost
-	choice.InTime = choice.Room && choice.soon
+	choice.InTime = choice.HasCapacity && choice.meetsTarget
 	if choice.InTime {
 		cost += w.prefillPenalty + latePenalty*w.pauseRisk
 	}
--- a/policy/scorer.go
+++ b/policy/scorer.go
@@ -5,13 +5,13 @@
 // scorer is the second stage of placement. It returns the cost of a candidate, in units
 // of load per slot.
 type scorer interface {
-	cost(now time.Time, request Placement, c *Candidate, mean float64) float64
+	cost(now time.Time, request PlacementRequest, c *Candidate, mean float64) float64
 }
 
 // loadScorer prefers engines with fewer waiting and running requests per slot.
 type loadScorer struct{}
 
-func (loadScorer) cost(now time.Time, request Placement, c *Candidate, mean float64) float64 {
+func (loadScorer) cost(now time.Time, request PlacementRequest, c *Candidate, mean float64) float64 {
 	return c.expectedLoad(now, mean)
 }
 
@@ -22,7 +22,7 @@
 // zoneScorer prefers the entry's own availability zone.
 type zoneScorer struct{}
 
-func (zoneScorer) cost(now time.Time, request Placement, c *Candidate, mean float64) float64 {
+func (zoneScorer) cost(now time.Time, request PlacementRequest, c *Candidate, mean float64) float64 {
 	if c.Zone == request.Zone {
 		return 0
 	}
--- a/policy/send_rate.go
+++ b/policy/send_rate.go
@@ -18,7 +18,7 @@
 }
 
 // CountSent counts one request and the tokens that are prefilled for it.
-func (r *SendRate) Sent(now time.Time, urgency, prefillTokens int) {
+func (r *SendRate) CountSent(now time.Time, urgency, prefillTokens int) {
 	r.decay(now)
 	r.sends++
 	r.tokens[urgency] += float64(prefillTokens)
@@ -26,7 +26,7 @@
 
 // Expected returns how many requests are expected to be sent within d, and how many tokens are
 // prefilled for those at least as urgent as the given level.
-func (r *SendRate) Within(now time.Time, d time.Duration, urgency int) (requests, tokens float64) {
+func (r *SendRate) Expected(now time.Time, d time.Duration, urgency int) (requests, tokens float64) {
 	r.decay(now)
 	share := float64(d) / float64(sendDecay)
 	for _, t := range r.tokens[:urgency+1] {
--- a/policy/server.go
+++ b/policy/server.go
@@ -5,7 +5,7 @@
 const UrgencyLevels = 10
 
 // PendingWork is the work at a server that waits for its first token, by urgency.
-type Ahead [UrgencyLevels]struct {
+type PendingWork [UrgencyLevels]struct {
 	// Requests is the number of requests, and Tokens the number of prompt tokens that
 	// have to be prefilled for them.
 	Requests int
@@ -25,25 +25,25 @@
 	Slots int
 	// MaxConns is the number of connections that the server accepts from all gateways
 	// together; 0 if unknown.
-	Conns int
+	MaxConns int
 	// Running is the number of requests that have received a first token.
 	Running int
 	// Pending is the work that waits for its first token.
-	Pending Ahead
+	Pending PendingWork
 	// Leaving servers accept no new work.
-	Leaving bool
+	Draining bool
 	// Warming servers have started recently and are slow for a while.
 	Warming bool
 	// Unresponsive servers answer no gateway.
 	Unresponsive bool
 	// RateLimited servers have announced a rate limit, of which Allowance is left to
 	// this gateway. No request is sent to a server that is OverLimit.
-	Limited   bool
-	Allowance Allowance
-	Beyond    bool
+	RateLimited bool
+	Allowance   Allowance
+	OverLimit   bool
 	// PauseRisk is the excess probability, compared with the service's average server,
 	// that the job's stream has a longer pause between events than its target.
-	LatePause float64
+	PauseRisk float64
 }
 
 // inFlight returns the number of running and pending requests.
@@ -57,7 +57,7 @@
 
 // SlotUtilization returns the used fraction of all servers' slots; 0 if no server has a
 // known number of slots. Slots that a rate limit keeps idle count as used.
-func SlotsInUse(servers []Server) float64 {
+func SlotUtilization(servers []Server) float64 {
 	used, slots := 0.0, 0
 	for i := range servers {
 		s := &servers[i]
@@ -66,8 +66,8 @@
 		}
 		slots += s.Slots
 		busy := float64(s.inFlight())
-		if s.Limited {
-			busy = max(busy, float64(s.Slots)*(1-max(s.Allowance.Left, 0)/s.Allowance.Size))
+		if s.RateLimited {
+			busy = max(busy, float64(s.Slots)*(1-max(s.Allowance.Remaining, 0)/s.Allowance.Burst))
 		}
 		used += busy
 	}
@@ -77,7 +77,7 @@
 // tokensAhead returns the number of tokens that the server prefills before a new
 // request of an urgency: servers process more urgent requests first, and requests of
 // equal urgency in order of arrival.
-func (s *Server) ahead(urgency int) float64 {
+func (s *Server) tokensAhead(urgency int) float64 {
 	tokens := 0
 	for _, level := range s.Pending[:urgency+1] {
 		tokens += level.Tokens + level.Requests*minPendingTokens
--- a/policy/server_limit.go
+++ b/policy/server_limit.go
@@ -23,7 +23,7 @@
 )
 
 // LimitEvidence is what a server's answer says about its limit.
-type Evidence struct {
+type LimitEvidence struct {
 	// Rate is in requests per second. Lifted says that there is no limit any more.
 	Rate   float64
 	Lifted bool
@@ -34,10 +34,10 @@
 
 // LimitReport is what a sender reports to other senders about a server that has stated a
 // limit.
-type ServerLimit struct {
+type LimitReport struct {
 	// Server identifies the server instance.
 	Server Key
-	Evidence
+	LimitEvidence
 	// Sent is how many requests the sender sent to the server recently, with exponential
 	// decay.
 	Sent float64
@@ -48,8 +48,8 @@
 	// Remaining is how many requests the sender may send at once, given what all senders sent
 	// recently; it may send none if Remaining isn't above 0. Burst is how many it may send
 	// after an idle period.
-	Left float64
-	Size float64
+	Remaining float64
+	Burst     float64
 	// AvailableIn is after what time Remaining is above 0 if nobody sends meanwhile.
 	AvailableIn time.Duration
 }
@@ -58,8 +58,8 @@
 type serverLimit struct {
 	// LimitEvidence is the latest of all senders, and own this sender's latest. Only own is
 	// reported to others, since evidence seems newer each time that it is relayed.
-	Evidence
-	own Evidence
+	LimitEvidence
+	own LimitEvidence
 	// sent is how many requests this sender sent recently, decayed to sentAt.
 	sent   float64
 	sentAt time.Time
@@ -77,8 +77,8 @@
 	// Reports of other senders are half a gossip interval old on average.
 	sent := s.sent + others*math.Exp(-float64(redrawInterval/2)/float64(timeConstant))
 	budget := burst - sendMargin
-	allowance := Allowance{Left: budget - sent, Size: burst}
-	if allowance.Left <= 0 && budget > 0 {
+	allowance := Allowance{Remaining: budget - sent, Burst: burst}
+	if allowance.Remaining <= 0 && budget > 0 {
 		allowance.AvailableIn = time.Duration(float64(timeConstant) * math.Log(sent/budget))
 	}
 	return allowance
--- a/policy/server_limits.go
+++ b/policy/server_limits.go
@@ -39,30 +39,30 @@
 
 // ObserveLimit records that a server's answer stated a limit of rate requests per second. It
 // reports whether the limit changed.
-func (l *ServerLimits) Named(now time.Time, server Key, rate float64) bool {
+func (l *ServerLimits) ObserveLimit(now time.Time, server Key, rate float64) bool {
 	l.sweep(now)
 	s := l.server(server)
 	changed := s.Lifted || s.Rate != rate
-	s.own = Evidence{Rate: rate, At: now}
-	s.Evidence = s.own
+	s.own = LimitEvidence{Rate: rate, At: now}
+	s.LimitEvidence = s.own
 	return changed
 }
 
 // ObserveNoLimit records that a server's answer to a request sent at a given time stated no
 // limit. It reports whether that lifts a limit.
-func (l *ServerLimits) Unnamed(sent time.Time, server Key) bool {
+func (l *ServerLimits) ObserveNoLimit(sent time.Time, server Key) bool {
 	s := l.servers[server]
 	if s == nil || s.Lifted || !sent.After(s.At) {
 		return false
 	}
-	s.own = Evidence{Lifted: true, At: sent}
-	s.Evidence = s.own
+	s.own = LimitEvidence{Lifted: true, At: sent}
+	s.LimitEvidence = s.own
 	s.sent = 0
 	return true
 }
 
 // CountSent counts a request that is sent to a server.
-func (l *ServerLimits) Sent(now time.Time, server Key) {
+func (l *ServerLimits) CountSent(now time.Time, server Key) {
 	if s := l.servers[server]; s != nil && !s.Lifted {
 		s.decay(now)
 		s.sent++
@@ -70,27 +70,27 @@
 }
 
 // Merge merges another sender's reports. The latest evidence wins.
-func (l *ServerLimits) Merge(reports []ServerLimit) {
+func (l *ServerLimits) Merge(reports []LimitReport) {
 	for _, report := range reports {
 		if report.At.IsZero() {
 			continue
 		}
 		if s := l.server(report.Server); report.At.After(s.At) {
-			s.Evidence = report.Evidence
+			s.LimitEvidence = report.LimitEvidence
 		}
 	}
 }
 
 // Reports returns what to report to other senders now.
-func (l *ServerLimits) News(now time.Time) []ServerLimit {
+func (l *ServerLimits) Reports(now time.Time) []LimitReport {
 	l.sweep(now)
-	var reports []ServerLimit
+	var reports []LimitReport
 	for key, s := range l.servers {
 		if s.Lifted && now.Sub(s.At) > liftGossipTime || s.own.At.IsZero() && s.sent == 0 {
 			continue
 		}
 		s.decay(now)
-		reports = append(reports, ServerLimit{Server: key, Evidence: s.own, Sent: s.sent})
+		reports = append(reports, LimitReport{Server: key, LimitEvidence: s.own, Sent: s.sent})
 	}
 	return reports
 }
@@ -112,7 +112,7 @@
 func (l *ServerLimits) Empty() bool { return len(l.servers) == 0 }
 
 // LimitedServers returns how many servers have a limit.
-func (l *ServerLimits) Limited() int {
+func (l *ServerLimits) LimitedServers() int {
 	n := 0
 	for _, s := range l.servers {
 		if !s.Lifted {
@@ -126,7 +126,7 @@
 func (l *ServerLimits) server(key Key) *serverLimit {
 	s := l.servers[key]
 	if s == nil {
-		s = &serverLimit{Evidence: Evidence{Lifted: true}, liveShare: 1}
+		s = &serverLimit{LimitEvidence: LimitEvidence{Lifted: true}, liveShare: 1}
 		l.servers[key] = s
 	}
 	return s
--- a/policy/server_limits_test.go
+++ b/policy/server_limits_test.go
@@ -10,7 +10,7 @@
 // limitSender is a sender in a limitSimulation.
 type limitSender struct {
 	limits  *ServerLimits
-	offers  ShortageCount
+	offers  OfferCounter
 	chooser *Chooser
 	// reports holds the latest report of each other sender.
 	reports map[int]limitReportSet
@@ -22,8 +22,8 @@
 // limitReportSet is one sender's report of limits and offered requests; at is when it was
 // received.
 type limitReportSet struct {
-	limits []ServerLimit
-	offers Shortage
+	limits []LimitReport
+	offers OfferCounts
 	at     time.Time
 }
 
@@ -106,7 +106,7 @@
 // report sends a sender's report to all others.
 func (sim *limitSimulation) report(from int) {
 	s := sim.senders[from]
-	report := limitReportSet{limits: s.limits.News(sim.now), offers: s.offers.Counts(sim.now)}
+	report := limitReportSet{limits: s.limits.Reports(sim.now), offers: s.offers.Counts(sim.now)}
 	for to, other := range sim.senders {
 		if to != from && !s.disconnected && !other.disconnected && sim.random.Float64() >= sim.lossRate {
 			sim.inFlight = append(sim.inFlight, limitDatagram{from: from, to: to, at: sim.now.Add(sim.delay), report: report})
@@ -132,7 +132,7 @@
 func (sim *limitSimulation) request(sender int) {
 	s := sim.senders[sender]
 	sim.offered++
-	live, sent, offers := 1, map[Key]float64{}, Shortage{}
+	live, sent, offers := 1, map[Key]float64{}, OfferCounts{}
 	for _, report := range s.reports {
 		if sim.now.Sub(report.at) > simReportTTL {
 			continue
@@ -143,22 +143,22 @@
 			sent[limit.Server] += limit.Sent
 		}
 	}
-	job := Job{Zone: "z", UnseenOffers: offers.Within(gossipInterval), OtherSenders: float64(live - 1)}
+	job := Job{Zone: "z", UnreportedOffers: offers.Expected(gossipInterval), OtherSenders: float64(live - 1)}
 	servers := append([]Server(nil), sim.servers...)
 	for i := range servers {
-		servers[i].Allowance, servers[i].Limited = s.limits.Allowance(sim.now, servers[i].Start, sent[servers[i].Start], float64(live)/float64(len(sim.senders)))
+		servers[i].Allowance, servers[i].RateLimited = s.limits.Allowance(sim.now, servers[i].Start, sent[servers[i].Start], float64(live)/float64(len(sim.senders)))
 	}
-	s.limits.Draw(sim.now, sim.random, &job, servers)
+	s.limits.MarkOverLimit(sim.now, sim.random, &job, servers)
 	choice := s.chooser.Choose(sim.now, job, servers, nil)
-	s.offers.Offered(sim.now, 0, choice.Limited)
+	s.offers.Observe(sim.now, 0, choice.RateLimited)
 	if !choice.Found {
 		sim.refused++
 		return
 	}
-	key := servers[choice.At].Start
-	s.limits.Sent(sim.now, key)
-	sim.arrivals[choice.At] = append(sim.arrivals[choice.At], sim.now)
-	s.limits.Named(sim.now, key, sim.rate)
+	key := servers[choice.Index].Start
+	s.limits.CountSent(sim.now, key)
+	sim.arrivals[choice.Index] = append(sim.arrivals[choice.Index], sim.now)
+	s.limits.ObserveLimit(sim.now, key, sim.rate)
 }
 
 // anySender returns a random sender's index, uniformly distributed.
@@ -323,14 +323,14 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	overLimit := func(headroom float64) bool {
 		limits := NewServerLimits()
-		limits.Named(testStart, 1, 4)
-		limits.Sent(testStart, 1)
-		limits.Sent(testStart, 1)
+		limits.ObserveLimit(testStart, 1, 4)
+		limits.CountSent(testStart, 1)
+		limits.CountSent(testStart, 1)
 		servers := []Server{{Name: "a", Start: 1}}
-		servers[0].Allowance, servers[0].Limited = limits.Allowance(testStart, 1, 0, 1)
-		limits.Draw(testStart, random, &Job{Headroom: headroom}, servers)
+		servers[0].Allowance, servers[0].RateLimited = limits.Allowance(testStart, 1, 0, 1)
+		limits.MarkOverLimit(testStart, random, &Job{Headroom: headroom}, servers)
 		choice := NewChooser(random, NewEjector(), NewPrefixIndex()).Choose(testStart, Job{Headroom: headroom}, servers, nil)
-		return !choice.Found && choice.Limited
+		return !choice.Found && choice.RateLimited
 	}
 	if overLimit(0) || !overLimit(0.4) {
 		t.Errorf("over the limit: %v without headroom, %v with a headroom of 0.4", overLimit(0), overLimit(0.4))
@@ -339,18 +339,18 @@
 
 func TestAllowanceStatesAvailability(t *testing.T) {
 	limits, now := NewServerLimits(), testStart
-	limits.Named(now, 1, 1)
+	limits.ObserveLimit(now, 1, 1)
 	for range 4 {
-		limits.Sent(now, 1)
+		limits.CountSent(now, 1)
 	}
 	allowance, limited := limits.Allowance(now, 1, 0, 1)
-	if !limited || allowance.Left > 0 || allowance.AvailableIn <= 0 {
+	if !limited || allowance.Remaining > 0 || allowance.AvailableIn <= 0 {
 		t.Fatalf("got %+v, %v after four requests at a limit of one a second", allowance, limited)
 	}
-	if allowance, _ := limits.Allowance(now.Add(allowance.AvailableIn-50*time.Millisecond), 1, 0, 1); allowance.Left > 0 {
+	if allowance, _ := limits.Allowance(now.Add(allowance.AvailableIn-50*time.Millisecond), 1, 0, 1); allowance.Remaining > 0 {
 		t.Errorf("allowance remains before AvailableIn: %+v", allowance)
 	}
-	if allowance, _ := limits.Allowance(now.Add(allowance.AvailableIn+50*time.Millisecond), 1, 0, 1); allowance.Left <= 0 {
+	if allowance, _ := limits.Allowance(now.Add(allowance.AvailableIn+50*time.Millisecond), 1, 0, 1); allowance.Remaining <= 0 {
 		t.Errorf("no allowance remains after AvailableIn: %+v", allowance)
 	}
 }
@@ -358,27 +358,27 @@
 // Answers on different connections overtake each other.
 func TestAnswerToEarlierRequestLiftsNoLimit(t *testing.T) {
 	limits := NewServerLimits()
-	limits.Named(testStart, 1, 2)
-	if limits.Unnamed(testStart.Add(-time.Millisecond), 1) || limits.Limited() != 1 {
+	limits.ObserveLimit(testStart, 1, 2)
+	if limits.ObserveNoLimit(testStart.Add(-time.Millisecond), 1) || limits.LimitedServers() != 1 {
 		t.Error("lifted by an answer that may have been made before the limit was stated")
 	}
 	others := NewServerLimits()
-	others.Merge(limits.News(testStart))
-	if !limits.Unnamed(testStart.Add(time.Millisecond), 1) || limits.Limited() != 0 {
+	others.Merge(limits.Reports(testStart))
+	if !limits.ObserveNoLimit(testStart.Add(time.Millisecond), 1) || limits.LimitedServers() != 0 {
 		t.Error("not lifted by an answer that states no limit")
 	}
-	if others.Merge(limits.News(testStart)); others.Limited() != 0 {
+	if others.Merge(limits.Reports(testStart)); others.LimitedServers() != 0 {
 		t.Error("another sender didn't learn that the limit was lifted")
 	}
 	// Outdated evidence arrives late.
-	others.Merge([]ServerLimit{{Server: 1, Evidence: Evidence{Rate: 2, At: testStart}}})
-	if others.Limited() != 0 {
+	others.Merge([]LimitReport{{Server: 1, LimitEvidence: LimitEvidence{Rate: 2, At: testStart}}})
+	if others.LimitedServers() != 0 {
 		t.Error("outdated evidence restores a limit that was lifted")
 	}
-	if limits.News(testStart.Add(2 * liftGossipTime)); limits.Empty() {
+	if limits.Reports(testStart.Add(2 * liftGossipTime)); limits.Empty() {
 		t.Error("dropped before all senders know that the limit was lifted")
 	}
-	if limits.News(testStart.Add(2 * limitTTL)); !limits.Empty() {
+	if limits.Reports(testStart.Add(2 * limitTTL)); !limits.Empty() {
 		t.Error("never dropped")
 	}
 }
--- a/policy/service_rate.go
+++ b/policy/service_rate.go
@@ -52,12 +52,12 @@
 	if !r.known() {
 		return 0
 	}
-	return seconds(float64(size) * r.busySeconds / r.work)
+	return secondsToDuration(float64(size) * r.busySeconds / r.work)
 }
 
 // throughput returns the engine's work per second with a number of concurrent runs; zero
 // if the rate is unknown.
-func (r *serviceRate) at(slots int) float64 {
+func (r *serviceRate) throughput(slots int) float64 {
 	if !r.known() {
 		return 0
 	}
@@ -66,7 +66,7 @@
 
 // discountStall reduces the rate of a fully loaded engine that has completed no run for
 // longer than stallGapFactor mean intervals.
-func (r *serviceRate) stalled(now time.Time, rate float64) float64 {
+func (r *serviceRate) discountStall(now time.Time, rate float64) float64 {
 	if rate <= 0 || r.lastCompletion.IsZero() {
 		return rate
 	}
--- a/policy/simulated_engine_test.go
+++ b/policy/simulated_engine_test.go
@@ -131,7 +131,7 @@
 	}
 	r := e.running[id]
 	delete(e.running, id)
-	stats := e.sim.tally(r.workload.class)
+	stats := e.sim.stats(r.workload.class)
 	stats.preemptions++
 	stats.wastedTime += e.engine.prefillTime(r.promptTokens)
 	r.run++
@@ -151,9 +151,9 @@
 // loadReport returns the load as entries know it, half a second old at most.
 func (e *simulatedEngine) loadReport() Candidate {
 	now := e.sim.clock.now
-	if now.Sub(e.lastReport.Seen) > 500*time.Millisecond {
+	if now.Sub(e.lastReport.ReportedAt) > 500*time.Millisecond {
 		load := e.scheduler.Load()
-		e.lastReport = Candidate{Name: e.name, Waiting: load.Waiting, Running: load.Running, Limit: load.Limit, Seen: now}
+		e.lastReport = Candidate{Name: e.name, Waiting: load.Waiting, Running: load.Running, Limit: load.Limit, ReportedAt: now}
 	}
 	return e.lastReport
 }
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -33,7 +33,7 @@
 
 // newSimulation returns a simulation of the engines, each with a scheduler that
 // knows nothing of its engine.
-func newPlay(seed uint64, engines ...*fakeEngine) *simulation {
+func newSimulation(seed uint64, engines ...*fakeEngine) *simulation {
 	random := rand.New(rand.NewPCG(seed, 1))
 	s := &simulation{
 		clock:      newVirtualClock(),
@@ -53,7 +53,7 @@
 }
 
 // newFakeEngines returns n idle engines with the same batch size.
-func fleet(n, batch int) []*fakeEngine {
+func newFakeEngines(n, batch int) []*fakeEngine {
 	var engines []*fakeEngine
 	for range n {
 		engines = append(engines, newFakeEngine(batch))
@@ -62,7 +62,7 @@
 }
 
 // stats returns the counts of a class, or of a customer for "class/customer".
-func (s *simulation) tally(key string) *requestStats {
+func (s *simulation) stats(key string) *requestStats {
 	if s.statsByKey[key] == nil {
 		s.statsByKey[key] = &requestStats{}
 	}
@@ -71,8 +71,8 @@
 
 // updateStats calls update for each of the stats in which a request is counted.
 func (s *simulation) updateStats(r *request, update func(*requestStats)) {
-	update(s.tally(r.workload.class))
-	update(s.tally(r.workload.class + "/" + r.customer))
+	update(s.stats(r.workload.class))
+	update(s.stats(r.workload.class + "/" + r.customer))
 }
 
 // run simulates arrivals of the workloads for d, and then drain without arrivals.
@@ -105,7 +105,7 @@
 	if since >= end {
 		return
 	}
-	gap := seconds(s.random.ExpFloat64() / max(w.rate(since), 1e-9))
+	gap := secondsToDuration(s.random.ExpFloat64() / max(w.rate(since), 1e-9))
 	s.clock.afterFunc(min(gap, maxArrivalStep), func() {
 		if gap < maxArrivalStep {
 			s.submit(s.newRequest(w))
@@ -130,7 +130,7 @@
 	}
 	r.promptTokens = w.promptTokens
 	if w.promptSigma > 0 {
-		r.promptTokens = logNormal(s.random, float64(w.promptTokens), w.promptSigma)
+		r.promptTokens = logNormalLength(s.random, float64(w.promptTokens), w.promptSigma)
 	}
 	s.requests = append(s.requests, r)
 	s.updateStats(r, func(stats *requestStats) { stats.offered++ })
@@ -152,7 +152,7 @@
 	for _, e := range s.engines {
 		candidates = append(candidates, e.loadReport())
 	}
-	picked := s.placer.Pick(s.clock.now, Placement{Tier: r.workload.tier, Exclude: r.tried}, candidates, n)
+	picked := s.placer.Pick(s.clock.now, PlacementRequest{Tier: r.workload.tier, Exclude: r.tried}, candidates, n)
 	r.tried = append(r.tried, picked...)
 	var chosen []*simulatedEngine
 	for _, e := range s.engines {
@@ -197,17 +197,17 @@
 	if r.granted || len(r.ticketsAt) > 0 || r.retried {
 		return
 	}
-	hint := Hint(r.refusals)
+	hint := CombineRetryAfter(r.refusals)
 	s.updateStats(r, func(stats *requestStats) {
 		stats.refused++
-		stats.comeback++
-		stats.hinted += hint
+		stats.retries++
+		stats.totalRetryAfter += hint
 	})
 	s.clock.afterFunc(hint, func() {
 		r.retried = true
 		r.retriedInBurst = s.clock.now.Sub(s.start) < s.burstEnd
 		if r.retriedInBurst {
-			s.updateStats(r, func(stats *requestStats) { stats.soon++ })
+			s.updateStats(r, func(stats *requestStats) { stats.retriesInBurst++ })
 		}
 		r.arrived = s.clock.now
 		r.id += "b"
@@ -230,7 +230,7 @@
 		case r.retried && onTime:
 			stats.retriesOnTime++
 			if r.retriedInBurst {
-				stats.soonIn++
+				stats.retriesInBurstOnTime++
 			}
 		case r.retried:
 		default:
@@ -257,9 +257,9 @@
 func (s *simulation) report(classes ...workload) string {
 	var b strings.Builder
 	for _, w := range classes {
-		stats := s.tally(w.class)
+		stats := s.stats(w.class)
 		fmt.Fprintf(&b, "\n%-9s offered %d, completed %d, on time %d (%.4f), goodput %.2f/s, refused %d (%.3f of retries on time), preempted %d, longest wait %.2f s, longest wait to resume %.2f s",
-			w.class, stats.offered, stats.completed, stats.onTime, stats.attainment(), stats.goodput(), stats.refused, stats.honest(), stats.preemptions, stats.longestWait.Seconds(), stats.longestResumeWait.Seconds())
+			w.class, stats.offered, stats.completed, stats.onTime, stats.attainment(), stats.goodput(), stats.refused, stats.retrySuccess(), stats.preemptions, stats.longestWait.Seconds(), stats.longestResumeWait.Seconds())
 	}
 	fmt.Fprintf(&b, "\n%.4f of slot time wasted; concurrency limits", s.wastedShare())
 	for _, e := range s.engines {
--- a/policy/sizes_test.go
+++ b/policy/sizes_test.go
@@ -8,21 +8,21 @@
 
 // logNormalLength draws a log-normally distributed length with a mean, and sigma as the
 // standard deviation of its logarithm.
-func logNormal(random *rand.Rand, mean, sigma float64) int {
+func logNormalLength(random *rand.Rand, mean, sigma float64) int {
 	return 1 + int(mean*math.Exp(sigma*random.NormFloat64()-sigma*sigma/2))
 }
 
 // servedRequest is a request's prompt length and whether it was served.
-type sized struct {
+type servedRequest struct {
 	tokens int
 	served bool
 }
 
 // servedShareBySize returns the served fraction of the longest tenth of requests, and of
 // all requests.
-func servedBySize(all []sized) (longest, overall float64) {
-	slices.SortStableFunc(all, func(a, b sized) int { return a.tokens - b.tokens })
-	share := func(requests []sized) float64 {
+func servedShareBySize(all []servedRequest) (longest, overall float64) {
+	slices.SortStableFunc(all, func(a, b servedRequest) int { return a.tokens - b.tokens })
+	share := func(requests []servedRequest) float64 {
 		served := 0
 		for _, r := range requests {
 			if r.served {
--- a/policy/sliding_retry_budget.go
+++ b/policy/sliding_retry_budget.go
@@ -15,7 +15,7 @@
 //
 // It guards against retry storms: while a service fails under load, each failure would cause
 // another send, until retries are most of the load. Not safe for concurrent use.
-type WindowBudget struct {
+type SlidingRetryBudget struct {
 	// Ratio is how many retries a request earns.
 	Ratio float64
 	// Extra is how many retries are allowed in each window regardless of requests.
@@ -35,13 +35,13 @@
 }
 
 // CountRequest counts a request, whether it is sent or not.
-func (b *WindowBudget) Request(now time.Time) {
+func (b *SlidingRetryBudget) CountRequest(now time.Time) {
 	b.advance(now)
 	b.requests[b.interval%budgetBuckets]++
 }
 
 // Allow reports whether one more retry may be sent now, and if so counts it.
-func (b *WindowBudget) Allow(now time.Time) bool {
+func (b *SlidingRetryBudget) Allow(now time.Time) bool {
 	b.advance(now)
 	requests, retries := 0, 0
 	for i := range budgetBuckets {
@@ -58,7 +58,7 @@
 	return true
 }
 
-func (b *WindowBudget) advance(now time.Time) {
+func (b *SlidingRetryBudget) advance(now time.Time) {
 	if b.start.IsZero() || b.countedWindow != b.Window {
 		b.restart(now)
 	}
@@ -76,7 +76,7 @@
 }
 
 // restart moves all counts into one bucket and starts counting with the new Window.
-func (b *WindowBudget) restart(now time.Time) {
+func (b *SlidingRetryBudget) restart(now time.Time) {
 	var requests, retries [budgetBuckets]int
 	for i := range budgetBuckets {
 		requests[0] += b.requests[i]
--- a/policy/sliding_retry_budget_test.go
+++ b/policy/sliding_retry_budget_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestSlidingRetryBudget(t *testing.T) {
-	b := WindowBudget{Ratio: 0.2, Extra: 3, Window: 10 * time.Second}
+	b := SlidingRetryBudget{Ratio: 0.2, Extra: 3, Window: 10 * time.Second}
 	allowed := func(now time.Time, attempts int) int {
 		n := 0
 		for range attempts {
@@ -20,7 +20,7 @@
 		t.Errorf("%d retries without requests, Extra allows 3", n)
 	}
 	for range 100 {
-		b.Request(testStart)
+		b.CountRequest(testStart)
 	}
 	if n := allowed(testStart.Add(time.Second), 100); n != 20 {
 		t.Errorf("%d retries for 100 requests beside the 3 of Extra, want 20", n)
@@ -36,11 +36,11 @@
 // In any span of the window's length, no more retries are spent than the budget earned by the
 // requests in that span and in the window before it.
 func TestSlidingRetryBudgetHoldsInAnySpan(t *testing.T) {
-	b := WindowBudget{Ratio: 0.2, Extra: 2, Window: 10 * time.Second}
+	b := SlidingRetryBudget{Ratio: 0.2, Extra: 2, Window: 10 * time.Second}
 	var retries []time.Duration
 	for at := time.Duration(0); at < time.Minute; at += 20 * time.Millisecond {
 		if at < 20*time.Second {
-			b.Request(testStart.Add(at))
+			b.CountRequest(testStart.Add(at))
 		}
 		if b.Allow(testStart.Add(at)) {
 			retries = append(retries, at)
@@ -63,8 +63,8 @@
 func TestSlidingRetryBudgetCountsRetriesForWholeWindow(t *testing.T) {
 	const window = 10 * time.Second
 	for at := time.Duration(0); at < window/4; at += window / 100 {
-		b := WindowBudget{Extra: 1, Window: window}
-		b.Request(testStart)
+		b := SlidingRetryBudget{Extra: 1, Window: window}
+		b.CountRequest(testStart)
 		if !b.Allow(testStart.Add(at)) {
 			t.Fatalf("at %v: the retry that Extra allows was refused", at)
 		}
@@ -78,9 +78,9 @@
 func TestSlidingRetryBudgetDropsRequestsAfterWindow(t *testing.T) {
 	const window = 10 * time.Second
 	for at := time.Duration(0); at < window/4; at += window / 100 {
-		b := WindowBudget{Ratio: 1, Window: window}
+		b := SlidingRetryBudget{Ratio: 1, Window: window}
 		b.advance(testStart)
-		b.Request(testStart.Add(at))
+		b.CountRequest(testStart.Add(at))
 		if b.Allow(testStart.Add(at + window)) {
 			t.Errorf("a retry at %v for a request at %v", at+window, at)
 		}
--- a/policy/straggler_test.go
+++ b/policy/straggler_test.go
@@ -26,13 +26,13 @@
 func simulateStraggler(t *testing.T, slowdown float64, slowAfter time.Duration) {
 	offered, late := 0, 0
 	for seed := range uint64(2) {
-		engines := fleet(8, 4)
-		sim := newPlay(seed, engines...)
+		engines := newFakeEngines(8, 4)
+		sim := newSimulation(seed, engines...)
 		sim.clock.afterFunc(slowAfter, func() { engines[0].slowdown = slowdown })
-		f, q := flags(steady(12)), questions(steady(0.5*7*engines[1].capacity(questions(nil))))
+		f, q := flagWorkload(constantRate(12)), questionWorkload(constantRate(0.5*7*engines[1].capacity(questionWorkload(nil))))
 		f.promptTokens, f.firstToken = 300, 300*time.Millisecond
 		sim.run(3*time.Minute, time.Second*10, f, q)
-		stats := sim.tally("flag")
+		stats := sim.stats("flag")
 		offered, late = offered+stats.offered, late+stats.offered-stats.onTime
 	}
 	t.Logf("slowdown %v after %v: %d of %d hazard flags late", slowdown, slowAfter, late, offered)
@@ -65,13 +65,13 @@
 		want       time.Duration
 	}{
 		"fast":          {50 * time.Millisecond, 3, 0},
-		"may be late":   {250 * time.Millisecond, 3, holdRisky},
+		"may be late":   {250 * time.Millisecond, 3, atRiskDeferral},
 		"just in time":  {290 * time.Millisecond, 3, 10 * time.Millisecond},
-		"usually late":  {400 * time.Millisecond, 3, holdHopeless},
+		"usually late":  {400 * time.Millisecond, 3, likelyLateDeferral},
 		"the only copy": {400 * time.Millisecond, 1, 0},
 	} {
 		s, now := schedulerWithFirstToken(c.firstToken)
-		flag := Ticket{ID: "f", Class: "flag", Deadline: now.Add(300 * time.Millisecond), Due: MilestoneFirstToken, Copies: c.copies}
+		flag := Ticket{ID: "f", Class: "flag", Deadline: now.Add(300 * time.Millisecond), DeadlineMilestone: MilestoneFirstToken, Copies: c.copies}
 		s.Offer(now, flag)
 		_, ok := s.Next(now)
 		if ok != (c.want == 0) {
--- a/policy/suspect.go
+++ b/policy/suspect.go
@@ -8,7 +8,7 @@
 // crashGracePeriod is for how long after a complete answer crashes don't count. It is longer
 // than a frequent request often takes to be answered again, and short enough that a request
 // which crashes a server's next release is detected soon.
-const clearedFor = 10 * time.Second
+const crashGracePeriod = 10 * time.Second
 
 // minClearAdvance is by how much a complete answer must be later than the known one to replace
 // it: answers seem newer each time that they are relayed.
@@ -32,7 +32,7 @@
 
 // addCrash records a crash. It reports whether the crash counts and wasn't known.
 func (s *suspect) addCrash(c Crash) bool {
-	known := slices.ContainsFunc(s.crashes, func(other Crash) bool { return other.Start == c.Start })
+	known := slices.ContainsFunc(s.crashes, func(other Crash) bool { return other.Instance == c.Instance })
 	if known || len(s.crashes) >= maxCrashes || s.excused(c) {
 		return false
 	}
@@ -54,14 +54,14 @@
 
 // excused reports whether a crash doesn't count because the request was answered completely.
 func (s *suspect) excused(c Crash) bool {
-	return !s.cleared.IsZero() && !c.At.After(s.cleared.Add(clearedFor))
+	return !s.cleared.IsZero() && !c.At.After(s.cleared.Add(crashGracePeriod))
 }
 
 // unexplained returns the number of crashes whose instances aren't in explained.
 func (s *suspect) unexplained(explained map[Key]bool) int {
 	n := 0
 	for _, c := range s.crashes {
-		if !explained[c.Start] {
+		if !explained[c.Instance] {
 			n++
 		}
 	}
--- a/policy/suspect_runs.go
+++ b/policy/suspect_runs.go
@@ -30,10 +30,10 @@
 
 // RunStarted records that a request was sent to a server. Callers record runs only while there
 // are suspects.
-func (q *Quarantine) Began(f Fingerprint, server string) { q.runs.add(server, f) }
+func (q *Quarantine) RunStarted(f Fingerprint, server string) { q.runs.add(server, f) }
 
 // RunEnded records the end of a run that RunStarted recorded.
-func (q *Quarantine) Ended(f Fingerprint, server string) { q.runs.remove(server, f) }
+func (q *Quarantine) RunEnded(f Fingerprint, server string) { q.runs.remove(server, f) }
 
 // ServersToAvoid returns the names of the servers at which a request shouldn't run, so that
 // the next crash distinguishes it from other suspects.
@@ -44,7 +44,7 @@
 // run at the same server through one sender. Senders can't know each other's runs, so the
 // servers are also divided among these suspects. Requests with one crash aren't restricted: a
 // server that crashes for reasons of its own makes suspects of all its requests.
-func (q *Quarantine) Avoided(f Fingerprint, servers []Server) []string {
+func (q *Quarantine) ServersToAvoid(f Fingerprint, servers []Server) []string {
 	indistinguishable := q.indistinguishable(f)
 	if len(indistinguishable) == 0 {
 		return nil
@@ -92,6 +92,6 @@
 // sharesCrashes reports whether s was running at all crashes of another suspect.
 func (s *suspect) sharesCrashes(other *suspect) bool {
 	return !slices.ContainsFunc(other.crashes, func(c Crash) bool {
-		return !slices.ContainsFunc(s.crashes, func(own Crash) bool { return own.Start == c.Start })
+		return !slices.ContainsFunc(s.crashes, func(own Crash) bool { return own.Instance == c.Instance })
 	})
 }
--- a/policy/suspect_runs_test.go
+++ b/policy/suspect_runs_test.go
@@ -50,7 +50,7 @@
 
 // pick draws a server for a request, without the ones to avoid if there are others.
 func (sim *isolationSimulation) pick(sender *Quarantine, f Fingerprint) string {
-	avoided := sender.Avoided(f, named(sim.servers...))
+	avoided := sender.ServersToAvoid(f, named(sim.servers...))
 	candidates := slices.DeleteFunc(slices.Clone(sim.servers), func(s string) bool { return slices.Contains(avoided, s) })
 	if len(candidates) == 0 {
 		candidates = sim.servers
@@ -71,7 +71,7 @@
 func (sim *isolationSimulation) run(i int) {
 	sender := sim.senders[i%len(sim.senders)]
 	sim.runsAt[i] = sim.pick(sender, innocentFingerprint(i))
-	sender.Began(innocentFingerprint(i), sim.runsAt[i])
+	sender.RunStarted(innocentFingerprint(i), sim.runsAt[i])
 }
 
 // runCulprit sends the culprit once. It reports whether the culprit is quarantined instead.
@@ -83,12 +83,12 @@
 	server := sim.pick(culpritSender, isolatedCulprit)
 	sim.crashes++
 	sim.servers = slices.DeleteFunc(sim.servers, func(s string) bool { return s == server })
-	culpritSender.Crashed(testStart, isolatedCulprit, KeyOf(server))
+	culpritSender.ObserveCrash(testStart, isolatedCulprit, KeyOf(server))
 	for i, at := range sim.runsAt {
 		if at == server {
 			sender := sim.senders[i%len(sim.senders)]
-			sender.Crashed(testStart, innocentFingerprint(i), KeyOf(server))
-			sender.Ended(innocentFingerprint(i), server)
+			sender.ObserveCrash(testStart, innocentFingerprint(i), KeyOf(server))
+			sender.RunEnded(innocentFingerprint(i), server)
 			sim.runsAt[i] = ""
 		}
 	}
@@ -105,7 +105,7 @@
 // broadcast sends every sender's updates to all others.
 func (sim *isolationSimulation) broadcast() {
 	for _, from := range sim.senders {
-		updates := from.News(testStart)
+		updates := from.Updates(testStart)
 		for _, to := range sim.senders {
 			if to != from {
 				to.Merge(testStart, updates)
@@ -148,27 +148,27 @@
 func TestOnlyIndistinguishableSuspectsAvoidServers(t *testing.T) {
 	q := NewQuarantine()
 	servers := named("a", "b", "c", "d")
-	q.Crashed(testStart, 1, KeyOf("x"))
-	q.Crashed(testStart, 2, KeyOf("x"))
-	if avoided := q.Avoided(1, servers); avoided != nil {
+	q.ObserveCrash(testStart, 1, KeyOf("x"))
+	q.ObserveCrash(testStart, 2, KeyOf("x"))
+	if avoided := q.ServersToAvoid(1, servers); avoided != nil {
 		t.Errorf("a request with one crash avoids %v", avoided)
 	}
-	q.Crashed(testStart, 1, KeyOf("y"))
-	q.Crashed(testStart, 2, KeyOf("y"))
-	q.Crashed(testStart, 2, KeyOf("z"))
-	if avoided := q.Avoided(3, servers); avoided != nil {
+	q.ObserveCrash(testStart, 1, KeyOf("y"))
+	q.ObserveCrash(testStart, 2, KeyOf("y"))
+	q.ObserveCrash(testStart, 2, KeyOf("z"))
+	if avoided := q.ServersToAvoid(3, servers); avoided != nil {
 		t.Errorf("a request that isn't a suspect avoids %v", avoided)
 	}
-	if avoided := q.Avoided(2, servers); avoided != nil {
+	if avoided := q.ServersToAvoid(2, servers); avoided != nil {
 		t.Errorf("a suspect with a crash of its own avoids %v", avoided)
 	}
-	q.Began(2, "a")
-	q.Began(2, "a")
-	q.Ended(2, "a")
-	if avoided := q.Avoided(1, servers); !slices.Contains(avoided, "a") || len(avoided) == len(servers) {
+	q.RunStarted(2, "a")
+	q.RunStarted(2, "a")
+	q.RunEnded(2, "a")
+	if avoided := q.ServersToAvoid(1, servers); !slices.Contains(avoided, "a") || len(avoided) == len(servers) {
 		t.Errorf("avoids %v, want the server where the other suspect runs and not all", avoided)
 	}
-	q.Ended(2, "a")
+	q.RunEnded(2, "a")
 	if len(q.runs) != 0 {
 		t.Errorf("ended runs remain: %v", q.runs)
 	}
--- a/policy/ticket.go
+++ b/policy/ticket.go
@@ -21,7 +21,7 @@
 	Deadline time.Time
 	// DeadlineMilestone is the milestone that Deadline applies to; the zero value
 	// is MilestoneStart.
-	Due Milestone
+	DeadlineMilestone Milestone
 	// Size is the estimated work in tokens, prompt and answer together.
 	Size int
 	// Copies is the number of engines that hold a ticket for the request at the
@@ -31,7 +31,7 @@
 	// or one after the other, before the request is finally refused; zero means
 	// Copies. Each of them accounts for its share of the work when it computes
 	// RetryAfter.
-	Asks int
+	MaxEngines int
 	// Preemptible allows the run to be cancelled for an urgent request and
 	// resumed later. It is never set for work that must not be repeated.
 	Preemptible bool
@@ -43,9 +43,9 @@
 
 // engineCount returns the number of engines that are offered a ticket for the
 // request, at least 1.
-func (t *Ticket) asks() int {
-	if t.Asks > 0 {
-		return t.Asks
+func (t *Ticket) engineCount() int {
+	if t.MaxEngines > 0 {
+		return t.MaxEngines
 	}
 	return max(t.Copies, 1)
 }
--- a/policy/tier_demand.go
+++ b/policy/tier_demand.go
@@ -7,19 +7,19 @@
 const demandWindow = 10 * time.Second
 
 // tierDemand tracks how much work each tier was granted recently.
-type demand struct {
+type tierDemand struct {
 	work    [tierCount]float64
 	updated time.Time
 }
 
 // add counts the grant of a ticket.
-func (d *demand) add(now time.Time, t Ticket) {
+func (d *tierDemand) add(now time.Time, t Ticket) {
 	d.decay(now)
 	d.work[t.Tier] += float64(ticketSize(t))
 }
 
 // rateAbove returns the work per second granted to tiers more urgent than t.
-func (d *demand) above(now time.Time, t Tier) float64 {
+func (d *tierDemand) rateAbove(now time.Time, t Tier) float64 {
 	d.decay(now)
 	sum := 0.0
 	for _, work := range d.work[:t] {
@@ -28,7 +28,7 @@
 	return sum / demandWindow.Seconds()
 }
 
-func (d *demand) decay(now time.Time) {
+func (d *tierDemand) decay(now time.Time) {
 	if !d.updated.IsZero() {
 		weight := windowWeight(now.Sub(d.updated))
 		for i := range d.work {
--- a/policy/tier_queue.go
+++ b/policy/tier_queue.go
@@ -44,7 +44,7 @@
 }
 
 // push adds a ticket to the queue of its class.
-func (q *tierQueue) push(now time.Time, w *waiting) {
+func (q *tierQueue) push(now time.Time, w *queuedTicket) {
 	key := w.classKey()
 	class := q.byKey[key]
 	if class == nil {
@@ -58,7 +58,7 @@
 }
 
 // remove deletes a ticket, and its class if that was the last one.
-func (q *tierQueue) remove(w *waiting) {
+func (q *tierQueue) remove(w *queuedTicket) {
 	class := w.customer.class
 	class.remove(w)
 	q.count--
@@ -104,7 +104,7 @@
 
 // charge advances the start tag of a class by the cost of granting w and updates
 // the mean size.
-func (q *tierQueue) charge(class *classQueue, w *waiting) {
+func (q *tierQueue) charge(class *classQueue, w *queuedTicket) {
 	size := float64(ticketSize(w.ticket))
 	q.virtualTime = max(q.virtualTime, q.minStartTag())
 	class.startTag += size * class.costFactor()
@@ -134,7 +134,7 @@
 
 // lessSlack reports whether a has less slack than b. A ticket without a latest
 // start has infinite slack.
-func lessSlack(a, b *waiting) bool {
+func lessSlack(a, b *queuedTicket) bool {
 	if a.hasNoLatestStart() || b.hasNoLatestStart() {
 		return !a.hasNoLatestStart()
 	}
--- a/policy/ttft_estimator.go
+++ b/policy/ttft_estimator.go
@@ -14,12 +14,12 @@
 // ttftEstimator estimates the time from a run's start to its first token, by ticket
 // size. Under overload, least-slack-first scheduling starts tickets at the last moment;
 // if it allowed for the mean only, half of them would be just late.
-type firstTokenTime struct {
+type ttftEstimator struct {
 	mean      [sizeBuckets]time.Duration
 	deviation [sizeBuckets]time.Duration
 }
 
-func (e *firstTokenTime) observe(size int, d time.Duration) {
+func (e *ttftEstimator) observe(size int, d time.Duration) {
 	i := sizeBucket(size)
 	if e.mean[i] == 0 {
 		e.mean[i] = d
@@ -33,12 +33,12 @@
 
 // upperBound returns the time to allow for: the mean and several mean deviations. It is
 // zero without samples.
-func (e *firstTokenTime) of(size int) time.Duration {
+func (e *ttftEstimator) upperBound(size int) time.Duration {
 	i := sizeBucket(size)
 	return e.mean[i] + ttftDeviations*e.deviation[i]
 }
 
 // expected returns the mean time; zero without samples.
-func (e *firstTokenTime) usual(size int) time.Duration {
+func (e *ttftEstimator) expected(size int) time.Duration {
 	return e.mean[sizeBucket(size)]
 }
--- a/policy/unresponsive_servers.go
+++ b/policy/unresponsive_servers.go
@@ -27,7 +27,7 @@
 // gateway that is itself cut off doesn't exclude servers that answer the others.
 //
 // Servers that answer have no entry. Not safe for concurrent use.
-type Unresponsive struct {
+type UnresponsiveServers struct {
 	servers   map[Key]*missRecord
 	lastSweep time.Time
 }
@@ -42,10 +42,12 @@
 }
 
 // NewUnresponsiveServers returns an empty tracker.
-func NewUnresponsive() *Unresponsive { return &Unresponsive{servers: map[Key]*missRecord{}} }
+func NewUnresponsiveServers() *UnresponsiveServers {
+	return &UnresponsiveServers{servers: map[Key]*missRecord{}}
+}
 
 // RecordUnanswered records a request that got no answer.
-func (u *Unresponsive) Unanswered(now time.Time, server Key) {
+func (u *UnresponsiveServers) RecordUnanswered(now time.Time, server Key) {
 	u.sweep(now)
 	record := u.servers[server]
 	if record == nil {
@@ -64,7 +66,7 @@
 }
 
 // sweep removes servers to which no requests are sent any more.
-func (u *Unresponsive) sweep(now time.Time) {
+func (u *UnresponsiveServers) sweep(now time.Time) {
 	if now.Sub(u.lastSweep) < missRecordTTL {
 		return
 	}
@@ -73,14 +75,14 @@
 }
 
 // RecordAnswered records that a server has answered a request.
-func (u *Unresponsive) Answered(server Key) { delete(u.servers, server) }
+func (u *UnresponsiveServers) RecordAnswered(server Key) { delete(u.servers, server) }
 
 // Excluded reports whether a server is excluded now. Once the exclusion has ended, a single
 // unanswered request excludes the server again.
-func (u *Unresponsive) LeftOut(now time.Time, server Key) bool {
+func (u *UnresponsiveServers) Excluded(now time.Time, server Key) bool {
 	record := u.servers[server]
 	return record != nil && now.Before(record.excludedUntil)
 }
 
 // RemoveServer removes a server's record.
-func (u *Unresponsive) Forget(server Key) { delete(u.servers, server) }
+func (u *UnresponsiveServers) RemoveServer(server Key) { delete(u.servers, server) }
--- a/policy/unresponsive_servers_test.go
+++ b/policy/unresponsive_servers_test.go
@@ -6,56 +6,56 @@
 )
 
 func TestUnresponsiveServerIsExcluded(t *testing.T) {
-	s, now := NewUnresponsive(), testStart
+	s, now := NewUnresponsiveServers(), testStart
 	for i := range unresponsiveThreshold {
-		if s.LeftOut(now, 7) {
+		if s.Excluded(now, 7) {
 			t.Fatalf("excluded after %d requests", i)
 		}
-		s.Unanswered(now, 7)
+		s.RecordUnanswered(now, 7)
 	}
-	if !s.LeftOut(now, 7) || s.LeftOut(now, 8) {
+	if !s.Excluded(now, 7) || s.Excluded(now, 8) {
 		t.Error("the unresponsive server is used, or another one is excluded")
 	}
 	// Requests that were sent before the exclusion don't extend it.
-	s.Unanswered(now.Add(exclusionTime/2), 7)
+	s.RecordUnanswered(now.Add(exclusionTime/2), 7)
 	now = now.Add(exclusionTime)
-	if s.LeftOut(now, 7) {
+	if s.Excluded(now, 7) {
 		t.Error("the server isn't tried again")
 	}
-	s.Unanswered(now, 7)
-	if !s.LeftOut(now, 7) {
+	s.RecordUnanswered(now, 7)
+	if !s.Excluded(now, 7) {
 		t.Error("another unanswered request doesn't exclude the server again")
 	}
-	s.Answered(7)
-	if s.LeftOut(now, 7) {
+	s.RecordAnswered(7)
+	if s.Excluded(now, 7) {
 		t.Error("the server is excluded although it answers")
 	}
 }
 
 // A server that loses some answers, or is cut off from one of many gateways, stays in use.
 func TestServerWithSomeAnswersIsUsed(t *testing.T) {
-	s := NewUnresponsive()
+	s := NewUnresponsiveServers()
 	for i := range 200 {
 		now := testStart.Add(time.Duration(i) * 50 * time.Millisecond)
 		if i%3 == 0 {
-			s.Answered(7)
+			s.RecordAnswered(7)
 		} else {
-			s.Unanswered(now, 7)
+			s.RecordUnanswered(now, 7)
 		}
-		if s.LeftOut(now, 7) {
+		if s.Excluded(now, 7) {
 			t.Fatalf("excluded after %d requests, of which a third is answered", i)
 		}
 	}
-	s.Forget(7)
+	s.RemoveServer(7)
 	if len(s.servers) != 0 {
 		t.Errorf("%d servers remain", len(s.servers))
 	}
 }
 
 func TestMissRecordsExpire(t *testing.T) {
-	s := NewUnresponsive()
+	s := NewUnresponsiveServers()
 	for i := range 10_000 {
-		s.Unanswered(testStart.Add(time.Duration(i)*time.Second), Key(i))
+		s.RecordUnanswered(testStart.Add(time.Duration(i)*time.Second), Key(i))
 	}
 	if most := 2 * int(missRecordTTL/time.Second); len(s.servers) > most+1 {
 		t.Errorf("%d records remain, one of each second", len(s.servers))
@@ -65,17 +65,17 @@
 // Unresponsive servers are used if most servers are unresponsive: then the cause is more
 // likely in the gateway, or the other servers can't carry the load.
 func TestUnresponsiveServersAreChosenLast(t *testing.T) {
-	c, servers := newTestChooser(), serversOf(4)
+	c, servers := newTestChooser(), idleServers(4)
 	servers[1].Unresponsive = true
 	for range 50 {
-		if at := c.Choose(testStart, summaryJob(5), servers, nil).At; at == 1 {
+		if at := c.Choose(testStart, summaryJob(5), servers, nil).Index; at == 1 {
 			t.Fatal("an unresponsive server is chosen")
 		}
 	}
 	servers[0].Unresponsive, servers[2].Unresponsive = true, true
 	chosen := map[int]bool{}
 	for prefix := range uint64(50) {
-		chosen[c.Choose(testStart, summaryJob(prefix+1), servers, nil).At] = true
+		chosen[c.Choose(testStart, summaryJob(prefix+1), servers, nil).Index] = true
 	}
 	if len(chosen) < 2 {
 		t.Errorf("of four servers, three of them unresponsive, %v are chosen", chosen)
--- a/policy/urgent_usage.go
+++ b/policy/urgent_usage.go
@@ -11,7 +11,7 @@
 
 // urgentUsage tracks the mean and the mean absolute deviation of the number of slots that the
 // urgent tiers use, over the last demandWindow.
-type urgentUse struct {
+type urgentUsage struct {
 	mean      float64
 	deviation float64
 	current   int
@@ -19,7 +19,7 @@
 }
 
 // advance accounts for the time since the last call, then sets the current usage.
-func (u *urgentUse) advance(now time.Time, slots int) {
+func (u *urgentUsage) advance(now time.Time, slots int) {
 	if !u.updated.IsZero() && now.After(u.updated) {
 		weight := windowWeight(now.Sub(u.updated))
 		diff := float64(u.current) - u.mean
@@ -31,6 +31,6 @@
 }
 
 // reserved returns how many runs of the urgent tiers to keep capacity free for.
-func (u *urgentUse) slots() int {
+func (u *urgentUsage) reserved() int {
 	return int(u.mean + urgentDeviations*u.deviation)
 }
--- a/policy/wake.go
+++ b/policy/wake.go
@@ -16,7 +16,7 @@
 	if due, ok := s.nextOverflow(now); ok {
 		wake.add(due)
 	}
-	if due, ok := s.holdDue(now); ok {
+	if due, ok := s.nextDeferralEnd(now); ok {
 		wake.add(due)
 	}
 	if due, ok := s.nextOverdue(); ok {
@@ -31,7 +31,7 @@
 	var first earliest
 	for _, r := range s.running.awaitingFirstToken {
 		bound := s.limiter.delayBound(r.ticket)
-		if r.ticket.Tier <= urgentTier && !r.overdue && bound > 0 {
+		if r.ticket.Tier <= lastUrgentTier && !r.overdue && bound > 0 {
 			first.add(r.started.Add(bound + time.Nanosecond))
 		}
 	}
@@ -57,12 +57,12 @@
 // concurrency limit or preempt a run.
 func (s *Scheduler) nextOverflow(now time.Time) (time.Time, bool) {
 	var first earliest
-	for _, tier := range s.queue.tiers[:urgentTier+1] {
+	for _, tier := range s.queue.tiers[:lastUrgentTier+1] {
 		class := tier.next()
 		if class == nil {
 			continue
 		}
-		due := class.head().ticket.Arrived.Add(overflowAfter)
+		due := class.head().ticket.Arrived.Add(overflowDelay)
 		if due.After(now) {
 			first.add(due)
 		}
--- a/policy/workload_test.go
+++ b/policy/workload_test.go
@@ -26,12 +26,12 @@
 }
 
 // flagWorkload returns the hazard-flag class: top tier, short prompts and answers.
-func flags(rate func(time.Duration) float64) workload {
+func flagWorkload(rate func(time.Duration) float64) workload {
 	return workload{class: "flag", tier: 0, promptTokens: 100, answerTokens: 10, firstToken: 500 * time.Millisecond, rate: rate}
 }
 
 // questionWorkload returns the planner-question class: ten customers with equal shares.
-func questions(rate func(time.Duration) float64) workload {
+func questionWorkload(rate func(time.Duration) float64) workload {
 	return workload{class: "question", tier: 2, promptTokens: 200, answerTokens: 60, firstToken: 2 * time.Second, rate: rate, customers: 10, hotShare: 0.1}
 }
 
@@ -41,13 +41,13 @@
 }
 
 // constantRate returns an arrival rate that doesn't change.
-func steady(rate float64) func(time.Duration) float64 {
+func constantRate(rate float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return rate }
 }
 
 // burstRate returns an arrival rate that is high between two times and base
 // otherwise.
-func burst(base, high float64, from, to time.Duration) func(time.Duration) float64 {
+func burstRate(base, high float64, from, to time.Duration) func(time.Duration) float64 {
 	return func(t time.Duration) float64 {
 		if t >= from && t < to {
 			return high
--- a/testbed/baseline/router_test.go
+++ b/testbed/baseline/router_test.go
@@ -19,7 +19,7 @@
 
 func startEngine(t *testing.T) (*engine.Server, string) {
 	t.Helper()
-	server, err := engine.New(engine.Config{Model: "m", Interval: 100 * time.Microsecond, LoadLag: time.Millisecond})
+	server, err := engine.New(engine.Config{Model: "m", TokenInterval: 100 * time.Microsecond, LoadReportInterval: time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 	for i := range 6 {
 		prompt := fmt.Sprint("prompt ", i)
 		text := sendChat(t, router.URL, prompt)
-		for _, token := range engine.Answer([]byte(chatBody(prompt))) {
+		for _, token := range engine.ResponseTokens([]byte(chatBody(prompt))) {
 			if !strings.Contains(text, token) {
 				t.Fatalf("token %q is missing", token)
 			}
@@ -77,7 +77,7 @@
 			t.Fatal("end mark is missing")
 		}
 	}
-	if a, b := len(first.Record()), len(second.Record()); a != 3 || b != 3 {
+	if a, b := len(first.Records()), len(second.Records()); a != 3 || b != 3 {
 		t.Errorf("runs: %d and %d, want 3 each", a, b)
 	}
 }
@@ -85,7 +85,7 @@
 func TestLeastLoadAvoidsTheLoadedEngine(t *testing.T) {
 	busy, busyURL := startEngine(t)
 	idle, idleURL := startEngine(t)
-	busy.SetKnobs(func(k *engine.Knobs) { k.Foreign = 3 })
+	busy.SetKnobs(func(k *engine.Knobs) { k.ExternalStreams = 3 })
 	router, err := baseline.Start(baseline.LeastLoad, []string{busyURL, idleURL}, 2)
 	if err != nil {
 		t.Fatal(err)
@@ -97,10 +97,10 @@
 		if time.Now().After(deadline) {
 			t.Fatal("requests still go to the loaded engine")
 		}
-		before := len(idle.Record())
+		before := len(idle.Records())
 		sendChat(t, router.URL, "x")
 		seen++
-		if len(idle.Record()) == before {
+		if len(idle.Records()) == before {
 			seen = 0
 		}
 	}
--- a/testbed/cloud/cloud.go
+++ b/testbed/cloud/cloud.go
@@ -21,24 +21,24 @@
 // Faults.
 const (
 	// NoFault executes calls and responds.
-	Well Fault = iota
+	NoFault Fault = iota
 	// Throttled responds with status 429 and doesn't execute calls.
-	Busy
+	Throttled
 	// RequestLost closes the connection without executing the call.
-	Silent
+	RequestLost
 	// ResponseLost executes calls but closes the connection without a response.
-	Lost
+	ResponseLost
 	// Delayed closes the connection without a response; RunDelayed executes the calls.
-	Late
+	Delayed
 )
 
 // Report is an accepted usage report.
 type Report struct {
-	Window uint64
-	Counts map[string]int64
-	At     time.Time
-	Owner  string
-	Fence  uint64
+	Window       uint64
+	Counts       map[string]int64
+	At           time.Time
+	Owner        string
+	FencingToken uint64
 }
 
 // Cloud is the stand-in; it implements http.Handler.
@@ -86,7 +86,7 @@
 }
 
 // RunDelayed executes the calls that Delayed has queued.
-func (c *Cloud) Land() {
+func (c *Cloud) RunDelayed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, execute := range c.delayed {
@@ -96,7 +96,7 @@
 }
 
 // CallCount returns the number of valid calls received.
-func (c *Cloud) Calls() int {
+func (c *Cloud) CallCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.callCount
@@ -111,7 +111,7 @@
 
 // Violations describes the violations seen: different counts for one window, one fencing
 // token used by two machines, and holders that alternate within leaseDuration.
-func (c *Cloud) Broken() []string {
+func (c *Cloud) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.violations...)
@@ -140,7 +140,7 @@
 		http.Error(w, "window-id, counts, X-Owner and X-Fence-Token are required", http.StatusBadRequest)
 		return
 	}
-	report := Report{Window: *body.Window, Counts: body.Counts, Owner: r.Header.Get("X-Owner"), Fence: token}
+	report := Report{Window: *body.Window, Counts: body.Counts, Owner: r.Header.Get("X-Owner"), FencingToken: token}
 	c.handleCall(w, func() int {
 		if !c.checkToken("usage", token, machine) {
 			return http.StatusConflict
@@ -189,16 +189,16 @@
 	c.callCount++
 	fault, status := c.fault, 0
 	switch fault {
-	case Well, Lost:
+	case NoFault, ResponseLost:
 		status = execute()
-	case Late:
+	case Delayed:
 		c.delayed = append(c.delayed, func() { execute() })
-	case Busy:
+	case Throttled:
 		status = http.StatusTooManyRequests
-	case Silent:
+	case RequestLost:
 	}
 	c.mu.Unlock()
-	if fault == Well || fault == Busy {
+	if fault == NoFault || fault == Throttled {
 		w.WriteHeader(status)
 		return
 	}
--- a/testbed/cloud/cloud_test.go
+++ b/testbed/cloud/cloud_test.go
@@ -47,30 +47,30 @@
 		}, 1},
 		"token of another task": {func(c *Cloud) { post(c, "m", "/usage", 1, reportOf4); post(c, "n", "/scale", 1, scaleRequest) }, 0},
 		"delayed call of a former holder": {func(c *Cloud) {
-			c.SetFault(Late)
+			c.SetFault(Delayed)
 			post(c, "m", "/usage", 1, reportOf5)
-			c.SetFault(Well)
+			c.SetFault(NoFault)
 			post(c, "n", "/usage", 2, reportOf4)
-			c.Land()
+			c.RunDelayed()
 		}, 0},
 		"delayed call executed first": {func(c *Cloud) {
-			c.SetFault(Late)
+			c.SetFault(Delayed)
 			post(c, "m", "/usage", 1, reportOf5)
-			c.SetFault(Well)
-			c.Land()
+			c.SetFault(NoFault)
+			c.RunDelayed()
 			post(c, "n", "/usage", 2, reportOf4)
 		}, 1},
 		"lost response": {func(c *Cloud) {
-			c.SetFault(Lost)
+			c.SetFault(ResponseLost)
 			post(c, "m", "/usage", 1, reportOf5)
-			c.SetFault(Well)
+			c.SetFault(NoFault)
 			post(c, "m", "/usage", 1, reportOf4)
 		}, 1},
 	}
 	for name, tc := range cases {
 		c := New(time.Minute)
 		tc.do(c)
-		if got := c.Broken(); len(got) != tc.violations {
+		if got := c.Violations(); len(got) != tc.violations {
 			t.Errorf("%s: %q", name, got)
 		}
 	}
@@ -87,7 +87,7 @@
 	if got := post(c, "n", "/usage", 4, `{"window-id":8}`); got != http.StatusBadRequest {
 		t.Errorf("status %d without counts", got)
 	}
-	for fault, want := range map[Fault]int{Busy: http.StatusTooManyRequests, Silent: 0, Lost: 0, Late: 0} {
+	for fault, want := range map[Fault]int{Throttled: http.StatusTooManyRequests, RequestLost: 0, ResponseLost: 0, Delayed: 0} {
 		c.SetFault(fault)
 		if got := post(c, "m", "/scale", 1, scaleRequest); got != want {
 			t.Errorf("fault %d: status %d, want %d", fault, got, want)
--- a/testbed/cmd/load/command.go
+++ b/testbed/cmd/load/command.go
@@ -60,14 +60,14 @@
 		return err
 	}
 	options := load.Options{
-		Scenario:        scenario.Scaled(cmd.Float("scale")),
-		Seed:            cmd.Uint64("seed"),
-		Target:          cmd.String("target"),
-		Entries:         cmd.StringSlice("entry"),
-		Engines:         cmd.StringSlice("engine"),
-		Patience:        cmd.Duration("patience"),
-		CheckRetryAfter: cmd.Bool("retry-after-check"),
-		Progress:        func(p load.Progress) { writeProgress(progress, p) },
+		Scenario:       scenario.Scaled(cmd.Float("scale")),
+		Seed:           cmd.Uint64("seed"),
+		Target:         cmd.String("target"),
+		Entries:        cmd.StringSlice("entry"),
+		Engines:        cmd.StringSlice("engine"),
+		RequestTimeout: cmd.Duration("patience"),
+		RetryRefused:   cmd.Bool("retry-after-check"),
+		Progress:       func(p load.Progress) { writeProgress(progress, p) },
 	}
 	switch options.Target {
 	case targetApplepier:
--- a/testbed/cmd/load/command_test.go
+++ b/testbed/cmd/load/command_test.go
@@ -26,7 +26,7 @@
 
 func testTarget(t *testing.T, target string) {
 	t.Helper()
-	server, err := engine.New(engine.Config{Interval: 100 * time.Microsecond, Capacity: 64})
+	server, err := engine.New(engine.Config{TokenInterval: 100 * time.Microsecond, Capacity: 64})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/testbed/cmd/load/measure.go
+++ b/testbed/cmd/load/measure.go
@@ -45,16 +45,16 @@
 // writes the tables of the completed rounds.
 func runMeasure(ctx context.Context, cmd *cli.Command, out, progress io.Writer) error {
 	options := measure.Options{
-		Mixes:    cmd.StringSlice("mix"),
-		Shapes:   cmd.StringSlice("shape"),
-		Targets:  cmd.StringSlice("target"),
-		Seeds:    cmd.Int("seeds"),
-		Scale:    cmd.Float("scale"),
-		Parallel: cmd.Int("parallel"),
-		Patience: cmd.Duration("patience"),
+		Mixes:         cmd.StringSlice("mix"),
+		Shapes:        cmd.StringSlice("shape"),
+		Targets:       cmd.StringSlice("target"),
+		Seeds:         cmd.Int("seeds"),
+		Scale:         cmd.Float("scale"),
+		Parallel:      cmd.Int("parallel"),
+		ClientTimeout: cmd.Duration("patience"),
 
-		ReturnWithin: cmd.Duration("return-within"),
-		Progress:     progress,
+		MaxRetryAfter: cmd.Duration("return-within"),
+		Progress:      progress,
 	}
 	results, err := measure.Run(ctx, options)
 	measure.WriteTables(out, options, results)
@@ -64,7 +64,7 @@
 	return err
 }
 
-func writeRounds(path string, rounds []measure.Round) error {
+func writeRounds(path string, rounds []measure.Result) error {
 	text, err := json.Marshal(rounds)
 	if err != nil {
 		return errors.Wrap(err, "encode rounds")
--- a/testbed/doc_test.go
+++ b/testbed/doc_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestStampOrder(t *testing.T) {
-	if !(timeline.Stamp{Wall: 1}).Before(timeline.Stamp{Wall: 1, Logical: 1}) {
+	if !(timeline.Timestamp{Wall: 1}).Before(timeline.Timestamp{Wall: 1, Logical: 1}) {
 		t.Fatal("a stamp with a higher logical part must come later")
 	}
 }
--- a/testbed/dutymodel/product.go
+++ b/testbed/dutymodel/product.go
@@ -38,14 +38,14 @@
 	if !guards.AdoptLedger {
 		stored = ledger{}
 	}
-	m := usage.Memory{Era: s.store.era, Started: 1, Over: uint64(s.endedWindows)}
+	m := usage.LocalState{Era: s.store.era, StartWindow: 1, LastClosedWindow: uint64(s.endedWindows)}
 	if !guards.EraInLedger {
 		m.Era = stored.era
 	}
 	for i, content := range g.ownReports {
 		if content != 0 {
-			m.Own = append(m.Own, newReport(uint64(i+1), content))
+			m.OwnReports = append(m.OwnReports, newReport(uint64(i+1), content))
 		}
 	}
-	return fromProduct(usage.Recover(stored.toProduct(), stored.found, m))
+	return fromProduct(usage.RecoverLedger(stored.toProduct(), stored.found, m))
 }
--- a/testbed/dutymodel/steps.go
+++ b/testbed/dutymodel/steps.go
@@ -107,14 +107,14 @@
 	if !e.guards.EraInToken {
 		tokenEra = 0
 	}
-	e.write(s, transaction{gateway: id, row: e.rowOf(era), expectedVersion: row.version, era: era, token: lease.NextFence(row.token, tokenEra)}, "campaigns")
+	e.write(s, transaction{gateway: id, row: e.rowOf(era), expectedVersion: row.version, era: era, token: lease.NextFencingToken(row.token, tokenEra)}, "campaigns")
 }
 
 // holderSteps adds the steps in which the holder finalizes the next report or sends a
 // finalized one.
 func (e *explorer) holderSteps(s *state, id uint8) {
 	g := &s.gateways[id]
-	if window, due := g.ledger.toProduct().Next(uint64(s.endedWindows)); due && window <= windows {
+	if window, due := g.ledger.toProduct().NextWindow(uint64(s.endedWindows)); due && window <= windows {
 		to := *s
 		to.reportCount++
 		next := fromProduct(g.ledger.toProduct().Finalize(newReport(window, to.reportCount)))
--- a/testbed/e2e/client_test.go
+++ b/testbed/e2e/client_test.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return strings.Join(engine.Answer(body), "")
+	return strings.Join(engine.ResponseTokens(body), "")
 }
 
 func TestEveryEntryReturnsCompleteResponse(t *testing.T) {
--- a/testbed/engine/completion.go
+++ b/testbed/engine/completion.go
@@ -45,8 +45,8 @@
 
 	ctx, cancel := context.WithCancelCause(r.Context())
 	defer cancel(nil)
-	record := s.runs.accept(Record{
-		Run:         r.Header.Get(engine.HeaderRequestID),
+	record := s.runs.accept(RunRecord{
+		RunID:       r.Header.Get(engine.HeaderRequestID),
 		Marker:      req.Metadata.Marker,
 		Fingerprint: req.fingerprint(),
 		Priority:    priority,
@@ -57,11 +57,11 @@
 		record:     record,
 		promptText: req.promptText(),
 		tokens:     tokens,
-		writer:     newChunkWriter(w, req.Model, record.Run),
+		writer:     newChunkWriter(w, req.Model, record.RunID),
 	}
 	outcome := outcomeOf(ctx, run.serve(ctx))
 	s.runs.end(record, outcome)
-	if outcome != OutcomeWhole {
+	if outcome != OutcomeCompleted {
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -87,7 +87,7 @@
 	cause := context.Cause(ctx)
 	switch {
 	case runErr == nil:
-		return OutcomeWhole
+		return OutcomeCompleted
 	case errors.Is(runErr, errStreamCut):
 		return OutcomeCut
 	case errors.Is(cause, errCancelled):
--- a/testbed/engine/config.go
+++ b/testbed/engine/config.go
@@ -15,17 +15,17 @@
 	// are queued. The default is a multiple of Capacity.
 	MaxStreams int
 	// TokenInterval is the time between tokens of a stream at full speed.
-	Interval time.Duration
+	TokenInterval time.Duration
 	// PrefillPerToken is the prefill time of one prompt token that is not in
 	// the prefix cache.
 	PrefillPerToken time.Duration
 	// CacheBlocks is the capacity of the prefix cache, in blocks of 16 tokens.
 	CacheBlocks int
 	// LoadReportInterval is the time between updates of the load report.
-	LoadLag time.Duration
+	LoadReportInterval time.Duration
 	// IgnoreFencingTokens makes the engine execute orders with a stale
 	// fencing token.
-	IgnoreFences bool
+	IgnoreFencingTokens bool
 	// RecordFile, when set, is the file to which the records of runs are
 	// written as JSON lines, for tests that kill the process.
 	RecordFile string
@@ -36,12 +36,12 @@
 
 // Defaults for zero values of Config.
 const (
-	DefaultModel           = "apple-avustaja"
-	DefaultCapacity        = 8
-	DefaultInterval        = 10 * time.Millisecond
-	DefaultPrefillPerToken = 20 * time.Microsecond
-	DefaultCacheBlocks     = 4096
-	DefaultLoadLag         = 500 * time.Millisecond
+	DefaultModel              = "apple-avustaja"
+	DefaultCapacity           = 8
+	DefaultTokenInterval      = 10 * time.Millisecond
+	DefaultPrefillPerToken    = 20 * time.Microsecond
+	DefaultCacheBlocks        = 4096
+	DefaultLoadReportInterval = 500 * time.Millisecond
 	// streamsPerCapacity is the default ratio of MaxStreams to Capacity.
 	streamsPerCapacity = 4
 )
@@ -57,8 +57,8 @@
 	if c.MaxStreams <= 0 {
 		c.MaxStreams = streamsPerCapacity * c.Capacity
 	}
-	if c.Interval <= 0 {
-		c.Interval = DefaultInterval
+	if c.TokenInterval <= 0 {
+		c.TokenInterval = DefaultTokenInterval
 	}
 	if c.PrefillPerToken <= 0 {
 		c.PrefillPerToken = DefaultPrefillPerToken
@@ -66,8 +66,8 @@
 	if c.CacheBlocks <= 0 {
 		c.CacheBlocks = DefaultCacheBlocks
 	}
-	if c.LoadLag <= 0 {
-		c.LoadLag = DefaultLoadLag
+	if c.LoadReportInterval <= 0 {
+		c.LoadReportInterval = DefaultLoadReportInterval
 	}
 	return c
 }
--- a/testbed/engine/faults.go
+++ b/testbed/engine/faults.go
@@ -73,13 +73,13 @@
 func (s *Server) scaleDelay(delay time.Duration) time.Duration {
 	k := s.knobs.Get()
 	running, _ := s.slots.counts()
-	streamsPerSlot := float64(running+k.Foreign) / float64(s.config.Capacity)
+	streamsPerSlot := float64(running+k.ExternalStreams) / float64(s.config.Capacity)
 	return time.Duration(float64(delay) * k.delayFactor() * max(1, streamsPerSlot))
 }
 
 // sleep waits for a duration and then for as long as the engine is frozen.
 func (s *Server) sleep(ctx context.Context, d time.Duration) error {
-	if !pause.For(ctx, d) {
+	if !pause.Sleep(ctx, d) {
 		return ctx.Err()
 	}
 	return s.waitWhileFrozen(ctx)
@@ -88,7 +88,7 @@
 // waitWhileFrozen blocks until the engine is not frozen or ctx ends.
 func (s *Server) waitWhileFrozen(ctx context.Context) error {
 	for s.knobs.Get().Frozen {
-		if !pause.For(ctx, frozenPollInterval) {
+		if !pause.Sleep(ctx, frozenPollInterval) {
 			return ctx.Err()
 		}
 	}
--- a/testbed/engine/knobs.go
+++ b/testbed/engine/knobs.go
@@ -4,7 +4,7 @@
 // injects none.
 type Knobs struct {
 	// Slowdown multiplies all delays; 0 and 1 are full speed.
-	Slow float64 `json:"slow"`
+	Slowdown float64 `json:"slow"`
 	// Frozen blocks all streams and calls, as if the process were stopped.
 	Frozen bool `json:"frozen"`
 	// CrashAfterTokens crashes the engine after this many further tokens of
@@ -25,7 +25,7 @@
 	CutAfter   int `json:"cut_after"`
 	// ExternalStreams is the number of simulated streams of other routers
 	// that use capacity.
-	Foreign int `json:"foreign"`
+	ExternalStreams int `json:"foreign"`
 	// IgnoreFencingTokens makes the engine execute orders with a stale
 	// fencing token.
 	IgnoreFencingTokens bool `json:"ignore_fences"`
@@ -36,8 +36,8 @@
 
 // delayFactor returns the factor by which delays are multiplied.
 func (k Knobs) delayFactor() float64 {
-	if k.Slow <= 0 {
+	if k.Slowdown <= 0 {
 		return 1
 	}
-	return k.Slow
+	return k.Slowdown
 }
--- a/testbed/engine/orders.go
+++ b/testbed/engine/orders.go
@@ -21,10 +21,10 @@
 func (o *orderLog) execute(order engine.Order, ignoreFencingToken bool) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if order.Fence < o.fencingToken && !ignoreFencingToken {
-		return engine.ErrFenced
+	if order.FencingToken < o.fencingToken && !ignoreFencingToken {
+		return engine.ErrStaleFencingToken
 	}
-	o.fencingToken = max(o.fencingToken, order.Fence)
+	o.fencingToken = max(o.fencingToken, order.FencingToken)
 	o.executed = append(o.executed, order)
 	if order.LoadModel != "" && !slices.Contains(o.models, order.LoadModel) {
 		o.models = append(o.models, order.LoadModel)
--- a/testbed/engine/response.go
+++ b/testbed/engine/response.go
@@ -25,7 +25,7 @@
 // completion request. They depend only on the request's messages and on the
 // response length it asks for, so that a test can verify that a client received
 // exactly its own response. It returns nil for a body that can't be decoded.
-func Answer(body []byte) []string {
+func ResponseTokens(body []byte) []string {
 	req, err := decodeRequest(body)
 	if err != nil {
 		return nil
@@ -34,8 +34,8 @@
 }
 
 // ResponseText returns the tokens of ResponseTokens as one string.
-func AnswerText(body []byte) string {
-	return strings.Join(Answer(body), "")
+func ResponseText(body []byte) string {
+	return strings.Join(ResponseTokens(body), "")
 }
 
 // Fingerprint returns a hash of a request's messages, which identifies the
--- a/testbed/engine/run.go
+++ b/testbed/engine/run.go
@@ -18,7 +18,7 @@
 // run is the execution of one chat completion request.
 type run struct {
 	server     *Server
-	record     *Record
+	record     *RunRecord
 	promptText string
 	tokens     []string
 	writer     *chunkWriter
@@ -68,7 +68,7 @@
 		if err := faults.apply(ctx, i, len(r.tokens)); err != nil {
 			return err
 		}
-		interval := r.server.scaleDelay(r.server.config.Interval)
+		interval := r.server.scaleDelay(r.server.config.TokenInterval)
 		nextTokenAt = nextTokenAt.Add(interval)
 		if time.Since(nextTokenAt) > maxCatchUpTokens*interval {
 			nextTokenAt = time.Now()
--- a/testbed/engine/run_log.go
+++ b/testbed/engine/run_log.go
@@ -18,15 +18,15 @@
 type runLog struct {
 	mu      sync.Mutex
 	seq     int
-	records []*Record
-	active  map[*Record]context.CancelCauseFunc
+	records []*RunRecord
+	active  map[*RunRecord]context.CancelCauseFunc
 	file    *recordfile.File
 }
 
 // newRunLog returns an empty log that also writes to the file at path, unless
 // path is empty.
 func newRunLog(path string) (*runLog, error) {
-	l := &runLog{active: map[*Record]context.CancelCauseFunc{}}
+	l := &runLog{active: map[*RunRecord]context.CancelCauseFunc{}}
 	if path == "" {
 		return l, nil
 	}
@@ -37,13 +37,13 @@
 
 // accept adds a run that was received. The caller fills in the fields that come
 // from the request; cancel cancels the run.
-func (l *runLog) accept(received Record, cancel context.CancelCauseFunc) *Record {
+func (l *runLog) accept(received RunRecord, cancel context.CancelCauseFunc) *RunRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.seq++
 	r := &received
 	r.Seq = l.seq
-	r.Request, _, _ = strings.Cut(received.Run, "#")
+	r.RequestID, _, _ = strings.Cut(received.RunID, "#")
 	r.Accepted = time.Now()
 	r.Outcome = OutcomeWaiting
 	l.records = append(l.records, r)
@@ -56,7 +56,7 @@
 }
 
 // start records that a run has got a slot and its prefill begins.
-func (l *runLog) start(r *Record, promptTokens, cachedTokens int) {
+func (l *runLog) start(r *RunRecord, promptTokens, cachedTokens int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -68,14 +68,14 @@
 }
 
 // addToken records that a run has produced one more token.
-func (l *runLog) addToken(r *Record) {
+func (l *runLog) addToken(r *RunRecord) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r.Tokens++
 }
 
 // end records a run's end and its outcome.
-func (l *runLog) end(r *Record, outcome Outcome) {
+func (l *runLog) end(r *RunRecord, outcome Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -91,7 +91,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for r, cancel := range l.active {
-		if runID == "" || r.Run == runID {
+		if runID == "" || r.RunID == runID {
 			cancel(cause)
 		}
 	}
@@ -104,17 +104,17 @@
 	ids := []string{}
 	for _, r := range l.records {
 		if _, ok := l.active[r]; ok {
-			ids = append(ids, r.Run)
+			ids = append(ids, r.RunID)
 		}
 	}
 	return ids
 }
 
 // snapshot returns a copy of all records.
-func (l *runLog) snapshot() []Record {
+func (l *runLog) snapshot() []RunRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	records := make([]Record, len(l.records))
+	records := make([]RunRecord, len(l.records))
 	for i, r := range l.records {
 		records[i] = *r
 	}
@@ -128,4 +128,4 @@
 	l.file = nil
 }
 
-func (l *runLog) write(r *Record) { _ = l.file.Write(r) }
+func (l *runLog) write(r *RunRecord) { _ = l.file.Write(r) }
--- a/testbed/engine/run_record.go
+++ b/testbed/engine/run_record.go
@@ -16,7 +16,7 @@
 	// OutcomeRunning: the run has started and not ended.
 	OutcomeRunning Outcome = "running"
 	// OutcomeCompleted: the complete response and [DONE] were written.
-	OutcomeWhole Outcome = "whole"
+	OutcomeCompleted Outcome = "whole"
 	// OutcomeCancelled: the run was cancelled by its id.
 	OutcomeCancelled Outcome = "cancelled"
 	// OutcomeDisconnected: the client closed the connection.
@@ -29,13 +29,13 @@
 
 // RunRecord is what the engine did for one run. Tests compare clients'
 // observations with it.
-type Record struct {
+type RunRecord struct {
 	// Seq is the run's sequence number on this engine, starting at 1.
 	Seq int `json:"seq"`
 	// RunID is the run's id; RequestID is its part before "#", without the
 	// number of the attempt.
-	Run     string `json:"run"`
-	Request string `json:"request"`
+	RunID     string `json:"run"`
+	RequestID string `json:"request"`
 	// Fingerprint identifies the messages; see the function Fingerprint.
 	Fingerprint string `json:"fingerprint"`
 	// Marker is metadata.marker of the request, if set.
@@ -64,12 +64,12 @@
 // ReadRecordFile reads a file written as Config.RecordFile and returns the last
 // written record of each run, ordered by Seq. The token count of a run that has
 // not ended is not up to date in the file.
-func ReadRecordFile(path string) ([]Record, error) {
-	written, err := recordfile.Read[Record](path)
+func ReadRecordFile(path string) ([]RunRecord, error) {
+	written, err := recordfile.Read[RunRecord](path)
 	if err != nil {
 		return nil, err
 	}
-	var records []Record
+	var records []RunRecord
 	for _, record := range written {
 		records = putBySeq(records, record)
 	}
@@ -77,9 +77,9 @@
 }
 
 // putBySeq stores a record at index Seq-1, extending the slice as needed.
-func putBySeq(records []Record, record Record) []Record {
+func putBySeq(records []RunRecord, record RunRecord) []RunRecord {
 	for len(records) < record.Seq {
-		records = append(records, Record{})
+		records = append(records, RunRecord{})
 	}
 	if record.Seq > 0 {
 		records[record.Seq-1] = record
--- a/testbed/engine/server.go
+++ b/testbed/engine/server.go
@@ -31,7 +31,7 @@
 type Server struct {
 	config       Config
 	mux          *http.ServeMux
-	knobs        knobs.Box[Knobs]
+	knobs        knobs.Value[Knobs]
 	slots        slots
 	cache        *prefixCache
 	runs         *runLog
@@ -54,9 +54,9 @@
 		runs:   runs,
 	}
 	s.orders.models = []string{config.Model}
-	s.knobs.Update(func(k *Knobs) { k.IgnoreFencingTokens = config.IgnoreFences })
+	s.knobs.Update(func(k *Knobs) { k.IgnoreFencingTokens = config.IgnoreFencingTokens })
 	s.slots.setLimit(config.MaxStreams)
-	s.loadReporter = newLoadReporter(config.LoadLag, s.measureLoad)
+	s.loadReporter = newLoadReporter(config.LoadReportInterval, s.measureLoad)
 	s.registerRoutes()
 	return s, nil
 }
@@ -80,7 +80,7 @@
 }
 
 // Records returns a copy of the records of all runs.
-func (s *Server) Record() []Record {
+func (s *Server) Records() []RunRecord {
 	return s.runs.snapshot()
 }
 
@@ -152,7 +152,7 @@
 }
 
 func (s *Server) getRecord(w http.ResponseWriter, _ *http.Request) {
-	knobs.WriteJSON(w, s.Record())
+	knobs.WriteJSON(w, s.Records())
 }
 
 func (s *Server) putKnobs(w http.ResponseWriter, r *http.Request) {
@@ -164,7 +164,7 @@
 // streams and Crashed.
 func (s *Server) applyKnobs() {
 	k := s.knobs.Get()
-	s.slots.setLimit(max(s.config.MaxStreams-k.Foreign, 0))
+	s.slots.setLimit(max(s.config.MaxStreams-k.ExternalStreams, 0))
 	if k.Crashed {
 		s.crash()
 	}
@@ -182,5 +182,5 @@
 
 func (s *Server) measureLoad() engine.Load {
 	running, waiting := s.slots.counts()
-	return engine.Load{Running: running + s.knobs.Get().Foreign, Waiting: waiting, At: time.Now()}
+	return engine.Load{Running: running + s.knobs.Get().ExternalStreams, Waiting: waiting, ReportedAt: time.Now()}
 }
--- a/testbed/engine/server_test.go
+++ b/testbed/engine/server_test.go
@@ -30,8 +30,8 @@
 func newFixture(t *testing.T, config fakeengine.Config) *fixture {
 	t.Helper()
 	config.Model = "m"
-	if config.Interval == 0 {
-		config.Interval = 100 * time.Microsecond
+	if config.TokenInterval == 0 {
+		config.TokenInterval = 100 * time.Microsecond
 	}
 	server, err := fakeengine.New(config)
 	if err != nil {
@@ -85,29 +85,29 @@
 }
 
 // awaitRecord polls until the record of a run satisfies the condition.
-func (f *fixture) awaitRecord(runID string, condition func(fakeengine.Record) bool) fakeengine.Record {
+func (f *fixture) awaitRecord(runID string, condition func(fakeengine.RunRecord) bool) fakeengine.RunRecord {
 	f.t.Helper()
 	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
-		for _, r := range f.server.Record() {
-			if r.Run == runID && condition(r) {
+		for _, r := range f.server.Records() {
+			if r.RunID == runID && condition(r) {
 				return r
 			}
 		}
 		time.Sleep(time.Millisecond)
 	}
-	f.t.Fatalf("run %s: no record met the condition within the timeout; records: %+v", runID, f.server.Record())
-	return fakeengine.Record{}
+	f.t.Fatalf("run %s: no record met the condition within the timeout; records: %+v", runID, f.server.Records())
+	return fakeengine.RunRecord{}
 }
 
-func hasOutcome(outcome fakeengine.Outcome) func(fakeengine.Record) bool {
-	return func(r fakeengine.Record) bool { return r.Outcome == outcome }
+func hasOutcome(outcome fakeengine.Outcome) func(fakeengine.RunRecord) bool {
+	return func(r fakeengine.RunRecord) bool { return r.Outcome == outcome }
 }
 
 func TestResponseIsCompleteAndResumes(t *testing.T) {
 	f := newFixture(t, fakeengine.Config{})
 	body := chatBody("well 7", 20)
-	want := fakeengine.Answer(body)
+	want := fakeengine.ResponseTokens(body)
 	got, err := readTokens(f.startRun(engine.Run{ID: "a#1", Body: body}), 100)
 	if err != io.EOF || !slices.Equal(got, want) || len(want) != 20 {
 		t.Fatalf("response: got %v, %v; want %v", got, err, want)
@@ -116,17 +116,17 @@
 	if err != io.EOF || !slices.Equal(got, want[13:]) {
 		t.Fatalf("resumed response: got %v, %v; want %v", got, err, want[13:])
 	}
-	r := f.awaitRecord("a#2", hasOutcome(fakeengine.OutcomeWhole))
-	if r.Request != "a" || r.Tokens != 7 || r.ResumedFrom != 13 || r.Started == nil {
+	r := f.awaitRecord("a#2", hasOutcome(fakeengine.OutcomeCompleted))
+	if r.RequestID != "a" || r.Tokens != 7 || r.ResumedFrom != 13 || r.Started == nil {
 		t.Errorf("record: %+v", r)
 	}
-	if other := fakeengine.Answer(chatBody("well 8", 20)); slices.Equal(other, want) {
+	if other := fakeengine.ResponseTokens(chatBody("well 8", 20)); slices.Equal(other, want) {
 		t.Error("a different request has the same response")
 	}
 }
 
 func TestHigherPriorityStartsFirst(t *testing.T) {
-	f := newFixture(t, fakeengine.Config{Capacity: 1, MaxStreams: 1, LoadLag: time.Millisecond})
+	f := newFixture(t, fakeengine.Config{Capacity: 1, MaxStreams: 1, LoadReportInterval: time.Millisecond})
 	f.server.SetKnobs(func(k *fakeengine.Knobs) { k.StallStreams = 1 })
 	first := f.startRun(engine.Run{ID: "first#1", Body: chatBody("x", 3)})
 	f.awaitRecord("first#1", hasOutcome(fakeengine.OutcomeRunning))
@@ -141,8 +141,8 @@
 			t.Fatal(err)
 		}
 	}
-	lowRun := f.awaitRecord("low#1", hasOutcome(fakeengine.OutcomeWhole))
-	highRun := f.awaitRecord("high#1", hasOutcome(fakeengine.OutcomeWhole))
+	lowRun := f.awaitRecord("low#1", hasOutcome(fakeengine.OutcomeCompleted))
+	highRun := f.awaitRecord("high#1", hasOutcome(fakeengine.OutcomeCompleted))
 	if !highRun.Started.Before(*lowRun.Started) {
 		t.Errorf("started: high at %v, low at %v", highRun.Started, lowRun.Started)
 	}
@@ -174,14 +174,14 @@
 	if _, err := readTokens(stream, 2); err != nil {
 		t.Fatal(err)
 	}
-	runs, err := f.client.Running(context.Background())
+	runs, err := f.client.RunIDs(context.Background())
 	if err != nil || !slices.Equal(runs, []string{"r/1#1"}) {
 		t.Fatalf("running: %v, %v", runs, err)
 	}
 	if err := f.client.Cancel(context.Background(), "r/1#1"); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := stream.Next(); !errors.Is(err, engine.ErrCut) {
+	if _, err := stream.Next(); !errors.Is(err, engine.ErrTruncated) {
 		t.Errorf("cancelled stream: got %v, want ErrTruncated", err)
 	}
 	if r := f.awaitRecord("r/1#1", hasOutcome(fakeengine.OutcomeCancelled)); r.Tokens != 2 {
@@ -196,7 +196,7 @@
 	f := newFixture(t, fakeengine.Config{})
 	f.server.SetKnobs(func(k *fakeengine.Knobs) { k.CutStreams, k.CutAfter = 1, 99 })
 	got, err := readTokens(f.startRun(engine.Run{ID: "c#1", Body: chatBody("x", 5)}), 100)
-	if len(got) != 5 || !errors.Is(err, engine.ErrCut) {
+	if len(got) != 5 || !errors.Is(err, engine.ErrTruncated) {
 		t.Fatalf("got %d tokens and %v, want 5 and ErrTruncated", len(got), err)
 	}
 	f.awaitRecord("c#1", hasOutcome(fakeengine.OutcomeCut))
@@ -207,7 +207,7 @@
 	f := newFixture(t, fakeengine.Config{RecordFile: file})
 	f.server.SetKnobs(func(k *fakeengine.Knobs) { k.CrashAfterTokens = 4 })
 	_, err := readTokens(f.startRun(engine.Run{ID: "x#1", Body: chatBody("x", 50)}), 100)
-	if !errors.Is(err, engine.ErrCut) {
+	if !errors.Is(err, engine.ErrTruncated) {
 		t.Fatalf("stream: got %v, want ErrTruncated", err)
 	}
 	f.awaitRecord("x#1", hasOutcome(fakeengine.OutcomeCrashed))
@@ -218,7 +218,7 @@
 	if _, err := readTokens(f.startRun(engine.Run{ID: "x#3", Body: chatBody("x", 5)}), 100); err != io.EOF {
 		t.Fatalf("after the crash: %v", err)
 	}
-	f.awaitRecord("x#3", hasOutcome(fakeengine.OutcomeWhole))
+	f.awaitRecord("x#3", hasOutcome(fakeengine.OutcomeCompleted))
 	records, err := fakeengine.ReadRecordFile(file)
 	if err != nil || len(records) != 2 || records[0].Outcome != fakeengine.OutcomeCrashed || records[0].Tokens != 4 {
 		t.Errorf("record file: %+v, %v", records, err)
@@ -227,10 +227,10 @@
 
 func TestFrozenEngineBlocksRunsAndExternalStreamsUseSlots(t *testing.T) {
 	f := newFixture(t, fakeengine.Config{Capacity: 1, MaxStreams: 2})
-	f.server.SetKnobs(func(k *fakeengine.Knobs) { k.Foreign = 2 })
+	f.server.SetKnobs(func(k *fakeengine.Knobs) { k.ExternalStreams = 2 })
 	stream := f.startRun(engine.Run{ID: "w#1", Body: chatBody("x", 5)})
 	f.awaitRecord("w#1", hasOutcome(fakeengine.OutcomeWaiting))
-	f.server.SetKnobs(func(k *fakeengine.Knobs) { k.Foreign, k.Frozen = 0, true })
+	f.server.SetKnobs(func(k *fakeengine.Knobs) { k.ExternalStreams, k.Frozen = 0, true })
 	r := f.awaitRecord("w#1", hasOutcome(fakeengine.OutcomeRunning))
 	if r.Tokens != 0 {
 		t.Errorf("a frozen engine produced %d tokens", r.Tokens)
@@ -246,11 +246,11 @@
 	longPrompt := func(suffix string) string {
 		return fmt.Sprintf("%0*d%s", 2000-len(suffix), 0, suffix)
 	}
-	run := func(id, prompt string) fakeengine.Record {
+	run := func(id, prompt string) fakeengine.RunRecord {
 		if _, err := readTokens(f.startRun(engine.Run{ID: id, Body: chatBody(prompt, 1)}), 100); err != io.EOF {
 			t.Fatal(err)
 		}
-		return f.awaitRecord(id, hasOutcome(fakeengine.OutcomeWhole))
+		return f.awaitRecord(id, hasOutcome(fakeengine.OutcomeCompleted))
 	}
 	if r := run("p#1", longPrompt("a")); r.CachedTokens != 0 {
 		t.Errorf("first prompt: %d tokens cached", r.CachedTokens)
@@ -267,15 +267,15 @@
 func TestOrderWithStaleFencingTokenIsRejected(t *testing.T) {
 	f := newFixture(t, fakeengine.Config{})
 	ctx := context.Background()
-	if err := f.client.Order(ctx, engine.Order{Fence: 5, LoadModel: "n"}); err != nil {
+	if err := f.client.SendOrder(ctx, engine.Order{FencingToken: 5, LoadModel: "n"}); err != nil {
 		t.Fatal(err)
 	}
-	stale := engine.Order{Fence: 4, LoadModel: "o"}
-	if err := f.client.Order(ctx, stale); !errors.Is(err, engine.ErrFenced) {
+	stale := engine.Order{FencingToken: 4, LoadModel: "o"}
+	if err := f.client.SendOrder(ctx, stale); !errors.Is(err, engine.ErrStaleFencingToken) {
 		t.Fatalf("order with stale fencing token: got %v, want ErrStaleFencingToken", err)
 	}
 	f.server.SetKnobs(func(k *fakeengine.Knobs) { k.IgnoreFencingTokens = true })
-	if err := f.client.Order(ctx, stale); err != nil {
+	if err := f.client.SendOrder(ctx, stale); err != nil {
 		t.Fatalf("order with stale fencing token to an engine that ignores them: %v", err)
 	}
 }
@@ -286,7 +286,7 @@
 	if rejected, ok := errors.Into[*engine.RejectedError](err); !ok || rejected.Status != 404 {
 		t.Fatalf("got %v, want a rejection with status 404", err)
 	}
-	if len(f.server.Record()) != 0 {
+	if len(f.server.Records()) != 0 {
 		t.Error("a rejected request was recorded as a run")
 	}
 }
--- a/testbed/faultproxy/event.go
+++ b/testbed/faultproxy/event.go
@@ -21,20 +21,20 @@
 	// EventMessage is a message of the control connection.
 	EventMessage EventKind = iota + 1
 	// EventBody is a chunk of a granted request, headers or body.
-	SightBody
+	EventBody
 	// EventData is a data frame of a response, EventEnd its end frame and
 	// EventFail its failure frame.
-	SightData
-	SightEnd
+	EventData
+	EventEnd
 	EventFail
 )
 
 // Event describes data that passes the proxy.
-type Sight struct {
+type Event struct {
 	Direction Direction
 	Kind      EventKind
 	// Connection is the number of the connection; each direction is numbered separately.
-	Link int64
+	Connection int64
 	// Data is the chunk of an EventBody or EventData. It is valid only during
 	// the call of the Matcher.
 	Data []byte
@@ -43,10 +43,10 @@
 }
 
 // IsTicket matches messages with a ticket.
-func Ticket(s Sight) bool { return s.Message != nil && s.Message.Ticket != nil }
+func IsTicket(s Event) bool { return s.Message != nil && s.Message.Ticket != nil }
 
 // IsGrant matches messages with a grant.
-func Grant(s Sight) bool { return s.Message != nil && s.Message.Grant != nil }
+func IsGrant(s Event) bool { return s.Message != nil && s.Message.Grant != nil }
 
 // IsTargetSet matches messages that carry a new set of targets.
-func NewSet(s Sight) bool { return s.Message != nil && s.Message.NewSet != nil }
+func IsTargetSet(s Event) bool { return s.Message != nil && s.Message.TargetSet != nil }
--- a/testbed/faultproxy/eventparser.go
+++ b/testbed/faultproxy/eventparser.go
@@ -40,7 +40,7 @@
 	frames     frameParser
 }
 
-func (p *eventParser) parse(data []byte) []Sight {
+func (p *eventParser) parse(data []byte) []Event {
 	switch {
 	case bytes.HasPrefix(data, connectPrefix) || bytes.HasPrefix(data, upgradePrefix):
 		p.protocol = protocolWebSocket
@@ -57,32 +57,32 @@
 		return p.parseResponse(data)
 	}
 	if p.protocol == protocolRun {
-		return []Sight{{Direction: p.direction, Kind: SightBody, Link: p.connection, Data: data}}
+		return []Event{{Direction: p.direction, Kind: EventBody, Connection: p.connection, Data: data}}
 	}
 	return nil
 }
 
-func (p *eventParser) parseMessages(data []byte) []Sight {
-	var events []Sight
+func (p *eventParser) parseMessages(data []byte) []Event {
+	var events []Event
 	for _, payload := range p.frames.parse(data) {
 		message := new(wire.Message)
 		if err := cbor.Unmarshal(payload, message); err == nil {
-			events = append(events, Sight{Direction: p.direction, Kind: EventMessage, Link: p.connection, Message: message})
+			events = append(events, Event{Direction: p.direction, Kind: EventMessage, Connection: p.connection, Message: message})
 		}
 	}
 	return events
 }
 
-func (p *eventParser) parseResponse(data []byte) []Sight {
-	var events []Sight
+func (p *eventParser) parseResponse(data []byte) []Event {
+	var events []Event
 	for range bytes.Count(data, dataFramePattern) {
-		events = append(events, Sight{Direction: p.direction, Kind: SightData, Link: p.connection, Data: data})
+		events = append(events, Event{Direction: p.direction, Kind: EventData, Connection: p.connection, Data: data})
 	}
 	if bytes.Contains(data, endFramePattern) {
-		events = append(events, Sight{Direction: p.direction, Kind: SightEnd, Link: p.connection})
+		events = append(events, Event{Direction: p.direction, Kind: EventEnd, Connection: p.connection})
 	}
 	if bytes.Contains(data, failFramePattern) {
-		events = append(events, Sight{Direction: p.direction, Kind: EventFail, Link: p.connection})
+		events = append(events, Event{Direction: p.direction, Kind: EventFail, Connection: p.connection})
 	}
 	return events
 }
--- a/testbed/faultproxy/hold.go
+++ b/testbed/faultproxy/hold.go
@@ -8,12 +8,12 @@
 )
 
 // Matcher reports whether an event is the one that a test waits for.
-type Match func(Sight) bool
+type Matcher func(Event) bool
 
 // Nth returns a Matcher for the n-th event, counted from 1, that match accepts.
-func Nth(n int, match Match) Match {
+func Nth(n int, match Matcher) Matcher {
 	count := 0
-	return func(s Sight) bool {
+	return func(s Event) bool {
 		if !match(s) {
 			return false
 		}
@@ -24,15 +24,15 @@
 
 // Hold blocks a connection in one direction, from the matching event until Release.
 type Hold struct {
-	match    Match
+	match    Matcher
 	reached  chan struct{}
 	released chan struct{}
 	release  func()
 
-	event Sight // set before reached is closed
+	event Event // set before reached is closed
 }
 
-func newHold(match Match) *Hold {
+func newHold(match Matcher) *Hold {
 	released := make(chan struct{})
 	return &Hold{
 		match:    match,
@@ -42,19 +42,19 @@
 	}
 }
 
-func (h *Hold) block(event Sight) {
+func (h *Hold) block(event Event) {
 	h.event = event
 	close(h.reached)
 	<-h.released
 }
 
 // Wait waits for the matching event and returns it. It returns an error if ctx is done first.
-func (h *Hold) Wait(ctx context.Context) (Sight, error) {
+func (h *Hold) Wait(ctx context.Context) (Event, error) {
 	select {
 	case <-h.reached:
 		return h.event, nil
 	case <-ctx.Done():
-		return Sight{}, errors.Wrap(ctx.Err(), "no matching event on the connection")
+		return Event{}, errors.Wrap(ctx.Err(), "no matching event on the connection")
 	}
 }
 
--- a/testbed/faultproxy/proxy.go
+++ b/testbed/faultproxy/proxy.go
@@ -67,7 +67,7 @@
 }
 
 // CloseConnections closes all connections. New ones are accepted.
-func (p *Proxy) Cut() error {
+func (p *Proxy) CloseConnections() error {
 	p.Refuse()
 	return p.Accept()
 }
@@ -90,7 +90,7 @@
 // Blackhole permanently discards all data on the existing connections, in the
 // given directions. Neither end is notified, not even when the other end closes.
 // New connections work.
-func (p *Proxy) Silence(directions ...Direction) {
+func (p *Proxy) Blackhole(directions ...Direction) {
 	for _, direction := range directions {
 		p.tap(direction).blackhole()
 	}
@@ -106,14 +106,14 @@
 
 // Hold blocks the first connection on which match accepts an event, before the
 // event's data is forwarded.
-func (p *Proxy) Hold(direction Direction, match Match) *Hold {
+func (p *Proxy) Hold(direction Direction, match Matcher) *Hold {
 	return p.tap(direction).hold(match)
 }
 
 // Observe calls observe with every event in a direction, before its data is
 // forwarded. observe must not block.
-func (p *Proxy) Observe(direction Direction, observe func(Sight)) {
-	p.tap(direction).hold(func(s Sight) bool {
+func (p *Proxy) Observe(direction Direction, observe func(Event)) {
+	p.tap(direction).hold(func(s Event) bool {
 		observe(s)
 		return false
 	})
--- a/testbed/faultproxy/proxy_test.go
+++ b/testbed/faultproxy/proxy_test.go
@@ -88,7 +88,7 @@
 	proxy := startEcho(t)
 	old := dial(t, proxy)
 	checkEcho(t, old)
-	proxy.Silence(Upstream, Downstream)
+	proxy.Blackhole(Upstream, Downstream)
 	checkBlackholed(t, old)
 	checkEcho(t, dial(t, proxy))
 	checkBlackholed(t, old)
@@ -98,10 +98,10 @@
 	proxy := startEcho(t)
 	blackholed := dial(t, proxy)
 	checkEcho(t, blackholed)
-	proxy.Silence(Upstream, Downstream)
+	proxy.Blackhole(Upstream, Downstream)
 	old := dial(t, proxy)
 	checkEcho(t, old)
-	if err := proxy.Cut(); err != nil {
+	if err := proxy.CloseConnections(); err != nil {
 		t.Fatal(err)
 	}
 	for _, conn := range []net.Conn{blackholed, old} {
@@ -169,9 +169,9 @@
 	}
 	defer conn.CloseNow()
 
-	hold := proxy.Hold(Upstream, Nth(2, Ticket))
+	hold := proxy.Hold(Upstream, Nth(2, IsTicket))
 	for _, request := range []string{"a", "b"} {
-		data, err := cbor.Marshal(wire.Message{Ticket: &wire.Ticket{Request: request}})
+		data, err := cbor.Marshal(wire.Message{Ticket: &wire.Ticket{RequestID: request}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -183,7 +183,7 @@
 		}
 	}
 	event, err := hold.Wait(ctx)
-	if err != nil || event.Message.Ticket.Request != "b" {
+	if err != nil || event.Message.Ticket.RequestID != "b" {
 		t.Fatalf("held %+v, %v", event, err)
 	}
 	select {
@@ -192,7 +192,7 @@
 	default:
 	}
 	hold.Release()
-	if message := <-got; message.Ticket.Request != "b" {
+	if message := <-got; message.Ticket.RequestID != "b" {
 		t.Fatalf("after release: %+v", message)
 	}
 }
@@ -203,9 +203,9 @@
 		{Kind: wire.FrameData, Data: []byte("{}"), Tokens: 1},
 		{Kind: wire.FrameHeartbeat},
 		{Kind: wire.FrameEnd},
-		{Kind: wire.FrameFail, Fail: wire.FailCut},
+		{Kind: wire.FrameFail, Fail: wire.FailInterrupted},
 	}
-	kinds := []EventKind{SightData, 0, SightEnd, EventFail}
+	kinds := []EventKind{EventData, 0, EventEnd, EventFail}
 	r.parse([]byte("HTTP/1.1 200 OK\r\n\r\n"))
 	for i, frame := range frames {
 		data, err := cbor.Marshal(frame)
--- a/testbed/faultproxy/tap.go
+++ b/testbed/faultproxy/tap.go
@@ -163,7 +163,7 @@
 	t.closeAll()
 }
 
-func (t *tap) hold(match Match) *Hold {
+func (t *tap) hold(match Matcher) *Hold {
 	h := newHold(match)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -172,7 +172,7 @@
 }
 
 // dispatch blocks on the first hold that matches the event, until its release.
-func (t *tap) dispatch(event Sight) {
+func (t *tap) dispatch(event Event) {
 	t.mu.Lock()
 	var matched *Hold
 	for i, h := range t.holds {
--- a/testbed/fleet/backend.go
+++ b/testbed/fleet/backend.go
@@ -61,10 +61,10 @@
 		Seeds:    f.seeds(),
 		Keys:     f.keys.settings(),
 		Backend: settings.Backend{
-			Kind:        spec.Kind,
-			Serves:      spec.Serves,
-			URL:         "http://" + serverAddr,
-			ChecksFence: !spec.IgnoresFence,
+			Kind:               spec.Kind,
+			ServedName:         spec.Serves,
+			URL:                "http://" + serverAddr,
+			ChecksFencingToken: !spec.IgnoresFencingToken,
 		},
 		Log: settings.Log{Level: f.options.LogLevel},
 	})
--- a/testbed/fleet/client.go
+++ b/testbed/fleet/client.go
@@ -23,14 +23,14 @@
 
 // StatusError reports an HTTP response with an unexpected status.
 type StatusError struct {
-	Method string
-	URL    string
-	Status int
-	Body   string
+	Method     string
+	URL        string
+	StatusCode int
+	Body       string
 }
 
 func (e *StatusError) Error() string {
-	return e.Method + " " + e.URL + ": " + http.StatusText(e.Status) + ": " + e.Body
+	return e.Method + " " + e.URL + ": " + http.StatusText(e.StatusCode) + ": " + e.Body
 }
 
 // call describes one JSON request.
@@ -60,7 +60,7 @@
 		return nil, errors.Wrapf(err, "response of %s", c.url)
 	}
 	if httpResponse.StatusCode >= http.StatusMultipleChoices {
-		return httpResponse.Header, &StatusError{Method: c.method, URL: c.url, Status: httpResponse.StatusCode, Body: string(body)}
+		return httpResponse.Header, &StatusError{Method: c.method, URL: c.url, StatusCode: httpResponse.StatusCode, Body: string(body)}
 	}
 	if c.response == nil {
 		return httpResponse.Header, nil
--- a/testbed/fleet/entry.go
+++ b/testbed/fleet/entry.go
@@ -59,7 +59,7 @@
 		Platform:    settings.Platform{URL: "http://" + platformAddr},
 		Seeds:       f.seeds(),
 		Keys:        f.keys.settings(),
-		Callers:     settings.Callers{TrustCustomerHeader: true},
+		ClientAuth:  settings.ClientAuth{TrustCustomerHeader: true},
 		Log:         settings.Log{Level: f.options.LogLevel},
 	})
 }
@@ -92,7 +92,7 @@
 }
 
 func (f *Fleet) readTargets(ctx context.Context, addr string) (*targets.Set, error) {
-	state, err := peer.Ask(ctx, addr, f.systemKey)
+	state, err := peer.FetchState(ctx, addr, f.systemKey)
 	return state.Targets, err
 }
 
@@ -108,7 +108,7 @@
 
 // SetCompletionTarget sets a class's completion latency target, conditional on the
 // current targets version being baseVersion, and returns the new version.
-func (e *Entry) SetCompletion(ctx context.Context, class string, baseVersion uint64, completion time.Duration) (uint64, error) {
+func (e *Entry) SetCompletionTarget(ctx context.Context, class string, baseVersion uint64, completion time.Duration) (uint64, error) {
 	header := http.Header{"If-Match": {strconv.Quote(strconv.FormatUint(baseVersion, 10))}}
 	var response changeResponse
 	change := completionChange{Completion: completion.String()}
--- a/testbed/fleet/fleet_test.go
+++ b/testbed/fleet/fleet_test.go
@@ -55,7 +55,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return &StatusError{Method: request.Method, URL: e.URL, Status: response.StatusCode}
+		return &StatusError{Method: request.Method, URL: e.URL, StatusCode: response.StatusCode}
 	}
 	return nil
 }
@@ -81,10 +81,10 @@
 		t.Fatalf("runs after the restart: %d, want 1", count)
 	}
 	agent := f.Backends[0].Agent
-	if err := agent.Stop(); err != nil {
+	if err := agent.Pause(); err != nil {
 		t.Fatal(err)
 	}
-	if err := agent.Continue(); err != nil {
+	if err := agent.Resume(); err != nil {
 		t.Fatal(err)
 	}
 	if err := agent.Terminate(ctx); err != nil {
@@ -103,7 +103,7 @@
 
 func TestCloseKillsEveryProcess(t *testing.T) {
 	_, f := startFleet(t, testOptions())
-	if err := f.Entries[0].Stop(); err != nil {
+	if err := f.Entries[0].Pause(); err != nil {
 		t.Fatal(err)
 	}
 	var pids []int
--- a/testbed/fleet/logs.go
+++ b/testbed/fleet/logs.go
@@ -21,7 +21,7 @@
 	var text strings.Builder
 	for _, p := range f.Processes() {
 		exit := ""
-		if reason := p.Ended(); reason != "" {
+		if reason := p.ExitReason(); reason != "" {
 			exit = " (ended: " + reason + ")"
 		}
 		fmt.Fprintf(&text, "\n--- log of %s%s\n%s", p.Name, exit, p.logTail(lines))
--- a/testbed/fleet/options.go
+++ b/testbed/fleet/options.go
@@ -60,7 +60,7 @@
 	// milliseconds; zero selects the engine's default.
 	LoadLag time.Duration
 	// IgnoresFencingToken makes an engine accept orders with outdated fencing tokens.
-	IgnoresFence bool
+	IgnoresFencingToken bool
 }
 
 // Engines returns specs of count identical engines of one model. The interval
--- a/testbed/fleet/platform.go
+++ b/testbed/fleet/platform.go
@@ -53,13 +53,13 @@
 
 // Targets returns the latest targets stored in the table.
 func (p *Platform) Targets(ctx context.Context) (*targets.Set, error) {
-	return store.New(storage.NewHTTP(p.URL)).Load(ctx)
+	return store.New(storage.NewHTTPClient(p.URL)).Load(ctx)
 }
 
 // writeTargets writes the initial targets. It runs before any entry starts,
 // since an entry doesn't become ready without targets.
 func (p *Platform) writeTargets(ctx context.Context, classes []targets.Class, customers []string) error {
-	_, err := store.New(storage.NewHTTP(p.URL)).Change(ctx, 0, func(set *targets.Set) error {
+	_, err := store.New(storage.NewHTTPClient(p.URL)).Change(ctx, 0, func(set *targets.Set) error {
 		set.Classes = append(set.Classes, classes...)
 		for _, name := range customers {
 			set.Customers = append(set.Customers, targets.Customer{Name: name, KeyHash: auth.HashKey(CustomerKey(name))})
--- a/testbed/fleet/process.go
+++ b/testbed/fleet/process.go
@@ -135,7 +135,7 @@
 }
 
 // ExitReason returns how the last run exited; empty while it runs or if it was never started.
-func (p *Process) Ended() string {
+func (p *Process) ExitReason() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
@@ -161,25 +161,25 @@
 }
 
 // Pause pauses the process with SIGSTOP.
-func (p *Process) Stop() error { return p.signal(syscall.SIGSTOP) }
+func (p *Process) Pause() error { return p.signal(syscall.SIGSTOP) }
 
 // Resume resumes a paused process with SIGCONT.
-func (p *Process) Continue() error { return p.signal(syscall.SIGCONT) }
+func (p *Process) Resume() error { return p.signal(syscall.SIGCONT) }
 
 // SendTerminate sends SIGTERM without waiting for the process to exit.
-func (p *Process) BeginTerminate() error { return p.signal(syscall.SIGTERM) }
+func (p *Process) SendTerminate() error { return p.signal(syscall.SIGTERM) }
 
 // Terminate sends SIGTERM and waits like WaitExit.
 func (p *Process) Terminate(ctx context.Context) error {
-	if err := p.BeginTerminate(); err != nil {
+	if err := p.SendTerminate(); err != nil {
 		return err
 	}
-	return p.AwaitEnd(ctx)
+	return p.WaitExit(ctx)
 }
 
 // WaitExit waits for the process to exit. It returns an error if the exit code
 // isn't 0 or ctx is done first.
-func (p *Process) AwaitEnd(ctx context.Context) error {
+func (p *Process) WaitExit(ctx context.Context) error {
 	p.mu.Lock()
 	i := p.last
 	p.mu.Unlock()
--- a/testbed/fleet/server.go
+++ b/testbed/fleet/server.go
@@ -63,18 +63,18 @@
 	if s.Spec.LoadLag > 0 {
 		args = append(args, "--load-lag-ms", strconv.FormatInt(s.Spec.LoadLag.Milliseconds(), 10))
 	}
-	if s.Spec.IgnoresFence {
+	if s.Spec.IgnoresFencingToken {
 		args = append(args, "--ignore-fences")
 	}
 	return args
 }
 
 // Runs returns an engine's records of all runs, including those before a restart.
-func (s *Server) Runs() ([]standin.Record, error) {
+func (s *Server) Runs() ([]standin.RunRecord, error) {
 	s.mu.Lock()
 	files := append([]string(nil), s.recordFiles...)
 	s.mu.Unlock()
-	var all []standin.Record
+	var all []standin.RunRecord
 	for _, file := range files {
 		records, err := standin.ReadRecordFile(file)
 		if err != nil {
--- a/testbed/fleet/settings.go
+++ b/testbed/fleet/settings.go
@@ -32,8 +32,8 @@
 
 func (k keyFiles) settings() settings.Keys {
 	return settings.Keys{
-		Operator: settings.Secret{File: k.operator},
-		System:   settings.Secret{File: k.system},
+		Operator: settings.SecretSource{File: k.operator},
+		System:   settings.SecretSource{File: k.system},
 	}
 }
 
--- a/testbed/gateway/admission_test.go
+++ b/testbed/gateway/admission_test.go
@@ -17,7 +17,7 @@
 // and hop-by-hop headers, and sets the customer, the instance and the remaining deadline.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	f := gateway.NewFixture(t, gateway.Options{})
-	f.StartServer("i-1", gateway.Answer("whole"))
+	f.StartServer("i-1", gateway.Respond("whole"))
 	f.WaitFor("the gateway to serve", func() bool { return f.Post("/safe/x", "warm").Status == 200 })
 	req := f.Request(t.Context(), http.MethodPost, "/unsafe/a%2Fb//c/../d?q=%20&r", "id-1", strings.NewReader("body"))
 	for name, value := range map[string]string{
@@ -52,7 +52,7 @@
 // Requests without a valid key, route or ID are rejected and reach no backend server.
 func TestAuthorization(t *testing.T) {
 	f := gateway.NewFixture(t, gateway.Options{})
-	f.StartServer("i-1", gateway.Answer("whole"))
+	f.StartServer("i-1", gateway.Respond("whole"))
 	f.WaitFor("the gateway to serve", func() bool { return f.Post("/open/x", "warm").Status == 200 })
 	cases := []struct {
 		name, path, key, id string
@@ -125,7 +125,7 @@
 // A request header over the size limit is rejected with 431.
 func TestHeaderLimit(t *testing.T) {
 	f := gateway.NewFixture(t, gateway.Options{})
-	f.StartServer("i-1", gateway.Answer("whole"))
+	f.StartServer("i-1", gateway.Respond("whole"))
 	f.WaitFor("the gateway to serve", func() bool { return f.Post("/safe/x", "warm").Status == 200 })
 	req := f.Request(t.Context(), http.MethodPost, "/safe/x", "1", nil)
 	req.Header.Set("X-Long", strings.Repeat("x", 17000))
--- a/testbed/gateway/config_changes_test.go
+++ b/testbed/gateway/config_changes_test.go
@@ -18,7 +18,7 @@
 // Changes of the settings and of the desired state don't interrupt requests in flight.
 func TestConfigChangesDoNotInterruptRequests(t *testing.T) {
 	f, server := newServingFixture(t, gateway.Options{MemoryMB: 100})
-	server.Do(respondSlowly)
+	server.SetScript(respondSlowly)
 	stop := make(chan struct{})
 	load := &clientLoad{t: t, f: f}
 	var clients sync.WaitGroup
@@ -36,7 +36,11 @@
 		f.PutState(version+1, "", "")
 		f.WaitFor("the routes to be removed", func() bool { return f.Post("/r7/x", "r").Status == http.StatusNotFound })
 	}
-	f.ChangeSettings(func(s *settings.Gateway) { s.MemoryMB = 50; s.Retry.Extra = 1; s.Grace = time.Second })
+	f.ChangeSettings(func(s *settings.Gateway) {
+		s.MemoryLimitMB = 50
+		s.RetryBudget.ExtraPerWindow = 1
+		s.ShutdownTimeout = time.Second
+	})
 	close(stop)
 	clients.Wait()
 	load.report()
--- a/testbed/gateway/crashable_servers_test.go
+++ b/testbed/gateway/crashable_servers_test.go
@@ -46,7 +46,7 @@
 	instance := fmt.Sprintf("m-%d", cs.started)
 	cs.mu.Unlock()
 	self := make(chan *gateway.Server, 1)
-	self <- cs.fixture.StartServer(instance, func(c net.Conn, a *gateway.Arrival) bool {
+	self <- cs.fixture.StartServer(instance, func(c net.Conn, a *gateway.ReceivedRequest) bool {
 		if a.Body != crashBody {
 			return cs.script(c, a)
 		}
@@ -67,7 +67,7 @@
 	cs.crashed++
 	cs.mu.Unlock()
 	time.AfterFunc(restartDelay, func() {
-		cs.fixture.Store.Remove("servers", s.Instance)
+		cs.fixture.Store.Delete("servers", s.Instance)
 		cs.start()
 	})
 }
--- a/testbed/gateway/dial_timeout_test.go
+++ b/testbed/gateway/dial_timeout_test.go
@@ -133,7 +133,7 @@
 func TestLogEntryCountsFailedConnectionAttempts(t *testing.T) {
 	core, logs := observer.New(zap.DebugLevel)
 	f := gateway.NewFixture(t, gateway.Options{Log: zap.New(core)})
-	server := f.StartServer("i-1", gateway.Answer("whole"))
+	server := f.StartServer("i-1", gateway.Respond("whole"))
 	f.WaitFor("the gateway to serve", func() bool { return f.Post("/unsafe/x", "warm").Status == http.StatusOK })
 	server.Stop()
 	f.Post("/unsafe/x", "gone")
--- a/testbed/gateway/disconnect_test.go
+++ b/testbed/gateway/disconnect_test.go
@@ -22,7 +22,7 @@
 			t.Run(name+suffix, func(t *testing.T) {
 				t.Parallel()
 				f, server := newServingFixture(t, gateway.Options{})
-				server.Do(gateway.Hang)
+				server.SetScript(gateway.Hang)
 				c := dialRaw(t, f)
 				c.send(postHead("/stream/x", "left", 4) + "body")
 				f.WaitFor("the request to reach the server", func() bool { return len(f.ReceivedRequests("left")) > 0 })
@@ -31,7 +31,7 @@
 				}
 				disconnect(c)
 				select {
-				case <-f.ReceivedRequests("left")[0].Left:
+				case <-f.ReceivedRequests("left")[0].Closed:
 				case <-time.After(closeDetectionTime):
 					t.Error("the request is still running 500 ms after its client disconnected")
 				}
--- a/testbed/gateway/extra_bytes_test.go
+++ b/testbed/gateway/extra_bytes_test.go
@@ -27,7 +27,7 @@
 		t.Run(name, func(t *testing.T) {
 			f, server := newServingFixture(t, gateway.Options{})
 			script, release := respondOnRelease("whole")
-			server.Do(script)
+			server.SetScript(script)
 			client := dialRaw(t, f)
 			client.send(c.before)
 			if strings.Contains(c.before, "100-continue") {
--- a/testbed/gateway/fixture.go
+++ b/testbed/gateway/fixture.go
@@ -55,7 +55,7 @@
 	Stopped chan struct{}
 	// mu guards the fields below; no other lock is taken while it is held.
 	mu       sync.Mutex
-	requests []*Arrival
+	requests []*ReceivedRequest
 	settings settings.Gateway
 	// storeHandler serves the store to the gateway.
 	storeHandler *blockableHandler
@@ -94,7 +94,7 @@
 	// StoreBytesPerSecond limits the rate of the store's responses; 0 means no limit.
 	StoreBytesPerSecond int
 	// Usage configures the usage reports.
-	Usage settings.Usage
+	Usage settings.UsageReporting
 	// WithoutState starts the gateway with an empty store and doesn't wait until it is ready.
 	WithoutState bool
 }
@@ -117,7 +117,11 @@
 	}
 	f.storeHandler = &blockableHandler{Handler: throttledHandler{f.Store, o.StoreBytesPerSecond}}
 	storeServer := httptest.NewServer(f.storeHandler)
-	t.Cleanup(func() { f.Store.SetFault(rowstore.Busy); storeServer.CloseClientConnections(); storeServer.Close() })
+	t.Cleanup(func() {
+		f.Store.SetFault(rowstore.Unavailable)
+		storeServer.CloseClientConnections()
+		storeServer.Close()
+	})
 	f.GatewayAddr, f.AdminAddr = ports.For(t), ports.For(t)
 	if o.Name == "" {
 		o.Name = "gateway-1"
@@ -127,10 +131,10 @@
 	}
 	f.settings = settings.Gateway{
 		Process: o.Name, Zone: "z", Listen: f.GatewayAddr, AdminListen: f.AdminAddr, ReadyPath: "/ready",
-		PeerListen: o.PeerListen, Store: strings.TrimPrefix(storeServer.URL, "http://"), Grace: max(o.Grace, minGrace), MemoryMB: o.MemoryMB,
-		Usage:  o.Usage,
-		Revoke: settings.Revoke{Strict: o.Revoke > 0, Within: o.Revoke},
-		Retry:  settings.Retry{Ratio: 0.2, Extra: 50, Window: 10 * time.Second},
+		PeerListen: o.PeerListen, StoreAddr: strings.TrimPrefix(storeServer.URL, "http://"), ShutdownTimeout: max(o.Grace, minGrace), MemoryLimitMB: o.MemoryMB,
+		UsageReporting: o.Usage,
+		Revocation:     settings.Revocation{Strict: o.Revoke > 0, MaxDelay: o.Revoke},
+		RetryBudget:    settings.RetryBudget{Ratio: 0.2, ExtraPerWindow: 50, Window: 10 * time.Second},
 	}
 	log := o.Log
 	if log == nil {
@@ -249,10 +253,10 @@
 }
 
 // ReceivedRequests returns the requests with an ID that backend servers received.
-func (f *Fixture) ReceivedRequests(id string) []*Arrival {
+func (f *Fixture) ReceivedRequests(id string) []*ReceivedRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var matching []*Arrival
+	var matching []*ReceivedRequest
 	for _, a := range f.requests {
 		if a.ID == id {
 			matching = append(matching, a)
@@ -262,7 +266,7 @@
 }
 
 // recordRequest records a request that a backend server received.
-func (f *Fixture) recordRequest(a *Arrival) {
+func (f *Fixture) recordRequest(a *ReceivedRequest) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.requests = append(f.requests, a)
--- a/testbed/gateway/half_close_test.go
+++ b/testbed/gateway/half_close_test.go
@@ -19,7 +19,7 @@
 			t.Run(path+" "+when, func(t *testing.T) {
 				f, server := newServingFixture(t, gateway.Options{})
 				script, release := respondOnRelease("id: 1\ndata: whole\n\n")
-				server.Do(script)
+				server.SetScript(script)
 				client := dialRaw(t, f)
 				client.send(postHead(path, "half", 4) + "body")
 				if !immediately {
@@ -32,7 +32,7 @@
 					// A gateway that treats the client as gone closes its connection to the
 					// server.
 					select {
-					case <-f.ReceivedRequests("half")[0].Left:
+					case <-f.ReceivedRequests("half")[0].Closed:
 					case <-time.After(closeDetectionTime):
 					}
 				}
--- a/testbed/gateway/head_test.go
+++ b/testbed/gateway/head_test.go
@@ -9,7 +9,7 @@
 // A response to HEAD has a Content-Length and no body; it is forwarded unchanged.
 func TestHeadResponseIsForwarded(t *testing.T) {
 	f, server := newServingFixture(t, gateway.Options{})
-	server.Do(rawResponse(true, []string{"Content-Length: 5"}, 200, ""))
+	server.SetScript(rawResponse(true, []string{"Content-Length: 5"}, 200, ""))
 	client := dialRaw(t, f)
 	client.send(requestHead("HEAD", "/unsafe/x", "head"))
 	if got := client.receive("HEAD"); got.Status != 200 || unsignedSuccess(got) || got.Header.Get("Content-Length") != "5" {
--- a/testbed/gateway/http10_client_test.go
+++ b/testbed/gateway/http10_client_test.go
@@ -24,7 +24,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f, server := newServingFixture(t, gateway.Options{})
-			server.Do(c.script)
+			server.SetScript(c.script)
 			client := dialRaw(t, f)
 			client.send(strings.Replace(requestHead("POST", c.path, "old"), "HTTP/1.1", "HTTP/1.0", 1))
 			resp, err := http.ReadResponse(bufio.NewReader(client), nil)
--- a/testbed/gateway/idle_close_race_test.go
+++ b/testbed/gateway/idle_close_race_test.go
@@ -19,13 +19,13 @@
 
 // respondSlowly responds after 20 ms, so that a connection closed while the request is in
 // flight is closed before the response.
-func respondSlowly(c net.Conn, a *gateway.Arrival) bool {
+func respondSlowly(c net.Conn, a *gateway.ReceivedRequest) bool {
 	select {
 	case <-time.After(20 * time.Millisecond):
-	case <-a.Left:
+	case <-a.Closed:
 		return false
 	}
-	return gateway.Answer("whole")(c, a)
+	return gateway.Respond("whole")(c, a)
 }
 
 const (
@@ -61,7 +61,7 @@
 	f, server := newServingFixture(t, gateway.Options{Log: zap.New(core)})
 	applyIdleTimeout(f, 2, time.Millisecond)
 	idleTime := measureIdleTime(t, f)
-	server.Do(respondSlowly)
+	server.SetScript(respondSlowly)
 	var succeeded, closed, interrupted atomic.Int64
 	sendAtClose := func(c *rawConn, id string) {
 		_, _ = c.Write([]byte(requestHead("POST", "/unsafe/x", "before-"+id)))
--- a/testbed/gateway/idle_timeout_test.go
+++ b/testbed/gateway/idle_timeout_test.go
@@ -20,7 +20,7 @@
 func TestRaisedIdleTimeoutServesNextRequest(t *testing.T) {
 	t.Parallel()
 	f := gateway.NewFixture(t, gateway.Options{})
-	f.StartServer("i-1", gateway.Answer("whole"))
+	f.StartServer("i-1", gateway.Respond("whole"))
 	const lower, higher = 100 * time.Millisecond, 15 * time.Second
 	f.SetIdleTimeout(2, lower)
 	conn := dialKeepAlive(t, f)
@@ -39,7 +39,7 @@
 func TestRequestStartedBeforeIdleTimeoutIsServed(t *testing.T) {
 	t.Parallel()
 	f := gateway.NewFixture(t, gateway.Options{})
-	f.StartServer("i-1", gateway.Answer("whole"))
+	f.StartServer("i-1", gateway.Respond("whole"))
 	const timeout = 500 * time.Millisecond
 	f.SetIdleTimeout(2, timeout)
 	conn := dialKeepAlive(t, f)
@@ -62,7 +62,7 @@
 	const rounds = 3
 	child := newChildGateway()
 	f := gateway.NewFixture(t, gateway.Options{Run: child.run})
-	f.StartServer("i-1", gateway.Answer("whole"))
+	f.StartServer("i-1", gateway.Respond("whole"))
 	f.SetIdleTimeout(2, suspendedIdleTimeout)
 	process := <-child.started
 	t.Cleanup(func() { _ = process.Signal(syscall.SIGCONT) })
