--- a/policy/adaptive_headroom_test.go
+++ b/policy/adaptive_headroom_test.go
@@ -10,7 +10,7 @@
 // chances at each server would add up: together they must send about as many requests as slots
 // are left, spread over the servers.
 func TestScarceSlotsAreSharedEvenly(t *testing.T) {
-	const senders, freeServers, freePerServer = 90, 7, 2
+	const gateways, freeServers, freePerServer = 90, 7, 2
 	servers := idleServers(50)
 	maxRunning := int(maxSlotShare * float64(servers[0].Slots))
 	for i := range servers {
@@ -19,11 +19,11 @@
 	for i := range freeServers {
 		servers[5*i].Running = maxRunning - freePerServer
 	}
-	job := Job{Zone: "z", Target: 250 * time.Millisecond, Tokens: 800, UnreportedRequests: senders - 1}
+	job := Job{Zone: "z", Target: 250 * time.Millisecond, Tokens: 800, UnreportedRequests: gateways - 1}
 	const rounds = 50
 	sent, sentTo := 0, map[int]int{}
 	for round := range rounds {
-		for i := range senders {
+		for i := range gateways {
 			c := NewChooser(rand.New(rand.NewPCG(uint64(i), uint64(round))), NewEjector(), NewPrefixIndex())
 			if choice := c.Choose(testStart, job, servers, nil); choice.InTime {
 				sent++
--- a/policy/chooser.go
+++ b/policy/chooser.go
@@ -96,7 +96,7 @@
 // chooseFrom returns the best of the usable servers.
 func (c *Chooser) chooseFrom(now time.Time, job Job, servers []Server, rate *PrefillRate, usable func(*Server) bool) Choice {
 	lookup := c.lookUpPrefix(now, &job, servers, usable)
-	recomputePrice := job.rereadCost(servers, usable, rate)
+	recomputePrice := job.recomputeCost(servers, usable, rate)
 	preferred := c.preferred(servers, usable, &lookup)
 	c.scored = c.scored[:0]
 	meetTarget := 0
--- a/policy/concurrency_limiter.go
+++ b/policy/concurrency_limiter.go
@@ -76,7 +76,7 @@
 	streaming int
 	// firstTokensSinceDrained is the number of first tokens since no run was
 	// waiting for its first token.
-	firstTokensSinceDrained int
+	firstTokensSinceNonePending int
 }
 
 // newConcurrencyLimiter returns a limiter for an engine without measurements.
@@ -131,9 +131,9 @@
 // other runs still without one.
 func (l *concurrencyLimiter) observeFirstToken(now time.Time, r *run, pending int) {
 	l.streaming++
-	l.firstTokensSinceDrained++
+	l.firstTokensSinceNonePending++
 	if pending == 0 {
-		l.firstTokensSinceDrained = 0
+		l.firstTokensSinceNonePending = 0
 	}
 	d := now.Sub(r.started)
 	delayed := l.delayed(r.ticket, d)
@@ -209,9 +209,9 @@
 // engineQueues reports whether runs persistently queue inside the engine.
 func (l *concurrencyLimiter) engineQueues() bool {
 	if l.ramping || l.probing {
-		return l.firstTokensSinceDrained >= trialQueuedRuns && l.window.queued(trialDelayedSamples)
+		return l.firstTokensSinceNonePending >= trialQueuedRuns && l.window.queued(trialDelayedSamples)
 	}
-	return l.firstTokensSinceDrained >= settledQueuedRuns && l.window.queued(settledDelayedSamples)
+	return l.firstTokensSinceNonePending >= settledQueuedRuns && l.window.queued(settledDelayedSamples)
 }
 
 // evaluateProbe ends a successful probe, keeps its slots and starts the next one
--- a/policy/direct_simulation_test.go
+++ b/policy/direct_simulation_test.go
@@ -61,13 +61,13 @@
 	own, others []Server
 	// shortageCount counts this gateway's shortage, and otherShortage is that of the
 	// other gateways as of their last update.
-	shortageCount OfferCounter
-	otherShortage OfferCounts
-	yielding      AdaptiveHeadroom
-	sends         SendRate
-	index         *PrefixIndex
-	pauses        PauseEstimator
-	sizes         ClassSizes
+	offerCounter OfferCounter
+	otherOffers  OfferCounts
+	headroom     AdaptiveHeadroom
+	sends        SendRate
+	index        *PrefixIndex
+	pauses       PauseEstimator
+	sizes        ClassSizes
 }
 
 type directRequest struct {
@@ -147,10 +147,10 @@
 			s.others[i].Running, s.others[i].Pending = others.Running, others.Pending
 		}
 	}
-	var shortage OfferCounts
+	var offers OfferCounts
 	for _, s := range p.gateways {
-		own := s.shortageCount.Counts(p.time())
-		shortage.Add(&own, 1)
+		own := s.offerCounter.Counts(p.time())
+		offers.Add(&own, 1)
 	}
 	for _, s := range p.gateways {
 		for _, other := range p.gateways {
@@ -158,9 +158,9 @@
 				s.index.Merge(p.time(), other.index.Updates(p.time()))
 			}
 		}
-		own := s.shortageCount.Counts(p.time())
-		s.otherShortage = shortage
-		s.otherShortage.Add(&own, -1)
+		own := s.offerCounter.Counts(p.time())
+		s.otherOffers = offers
+		s.otherOffers.Add(&own, -1)
 	}
 	p.after(broadcastInterval, p.broadcast)
 }
@@ -168,9 +168,9 @@
 func (p *directSimulation) time() time.Time { return testStart.Add(p.now) }
 
 // shortage returns the shortage of all gateways as known to this one.
-func (s *directGateway) shortage(now time.Time) *OfferCounts {
-	all := s.shortageCount.Counts(now)
-	all.Add(&s.otherShortage, 1)
+func (s *directGateway) offers(now time.Time) *OfferCounts {
+	all := s.offerCounter.Counts(now)
+	all.Add(&s.otherOffers, 1)
 	return &all
 }
 
@@ -204,7 +204,7 @@
 		servers[i] = s.others[i]
 		servers[i].add(&s.own[i], 1)
 	}
-	r.job.Headroom = s.yielding.Share(p.time(), s.shortage(p.time()), SlotUtilization(servers), r.job.Urgency)
+	r.job.Headroom = s.headroom.Share(p.time(), s.offers(p.time()), SlotUtilization(servers), r.job.Urgency)
 	if p.estimateUnseen {
 		others := float64(len(p.gateways) - 1)
 		requests, tokens := s.sends.Expected(p.time(), broadcastInterval, r.job.Urgency)
@@ -216,7 +216,7 @@
 	r.job.MeanTokens = s.sizes.Mean(r.class, r.job.Tokens)
 	s.sizes.Observe(r.class, r.job.Tokens)
 	choice := s.chooser.Choose(p.time(), r.job, servers, &s.rate)
-	s.shortageCount.Observe(p.time(), r.job.Urgency, choice.SlotLimited)
+	s.offerCounter.Observe(p.time(), r.job.Urgency, choice.SlotLimited)
 	if p.admit && !choice.InTime {
 		if !r.retried {
 			r.retried = true
--- a/policy/fake_engine_test.go
+++ b/policy/fake_engine_test.go
@@ -98,6 +98,6 @@
 func (e *fakeEngine) capacity(w workload) float64 {
 	full := *e
 	full.streams = e.batch - e.externalStreams
-	runTime := full.prefillTime(w.promptTokens) + time.Duration(w.answerTokens)*full.tokenInterval()
+	runTime := full.prefillTime(w.promptTokens) + time.Duration(w.responseTokens)*full.tokenInterval()
 	return float64(full.streams) / runTime.Seconds()
 }
--- a/policy/job.go
+++ b/policy/job.go
@@ -10,7 +10,7 @@
 	// when the wait takes the whole target. Under load, prefilling a part on a
 	// server other than the one that caches it delays the requests whose parts
 	// that server caches; these then move elsewhere in turn.
-	maxRereadPenalty = 15.0
+	maxRecomputePenalty = 15.0
 	// minWaitFraction is the fraction of the target that any request may wait for
 	// others, not counting the model's first step. It lets classes of very long
 	// prompts in where almost nothing is queued. A larger value delays all other
@@ -85,7 +85,7 @@
 // again. It is 1 while most servers are idle and grows with the fraction of the
 // target that the queue of the median server takes. The median keeps a single
 // overloaded server among idle ones from raising the cost for all.
-func (j *Job) rereadCost(servers []Server, usable func(*Server) bool, rate *PrefillRate) float64 {
+func (j *Job) recomputeCost(servers []Server, usable func(*Server) bool, rate *PrefillRate) float64 {
 	if j.Target == 0 || len(j.SharedSegments) == 0 {
 		return 1
 	}
@@ -100,7 +100,7 @@
 	}
 	slices.Sort(waits)
 	medianWait := waits[len(waits)/2] / rate.rate() * float64(time.Millisecond)
-	return 1 + maxRereadPenalty*min(medianWait/float64(j.Target), 1)
+	return 1 + maxRecomputePenalty*min(medianWait/float64(j.Target), 1)
 }
 
 // meetsTarget reports whether a request is admitted behind queuedTokens of other
@@ -109,7 +109,7 @@
 // all lengths find a server equally often; see ClassSizes. Where almost nothing
 // is queued it is admitted anyway, so that classes are served whose prompts take
 // the whole target.
-func (j *Job) meetsTarget(rate *PrefillRate, queuedTokens float64, need cacheMiss, rereadCost float64) bool {
+func (j *Job) meetsTarget(rate *PrefillRate, queuedTokens float64, need cacheMiss, recomputeCost float64) bool {
 	if j.Target == 0 {
 		return true
 	}
@@ -123,7 +123,7 @@
 		rereadTokens += need.uncached
 	}
 	ownTokens, rereadTokens = j.scaleToMeanLength(ownTokens), j.scaleToMeanLength(rereadTokens)
-	return rate.likelyTTFT(queuedTokens+rereadCost*rereadTokens, ownTokens) <= j.Target ||
+	return rate.likelyTTFT(queuedTokens+recomputeCost*rereadTokens, ownTokens) <= j.Target ||
 		rate.prefillTime(queuedTokens+rereadTokens) <= scaleDuration(minWaitFraction, j.Target)
 }
 
--- a/policy/quarantine.go
+++ b/policy/quarantine.go
@@ -85,8 +85,8 @@
 	// roundRobin holds the suspects that are sent in turn even without changes.
 	roundRobin []Fingerprint
 	// answered holds the recent complete answers at this sender.
-	answered recentCompletions
-	runs     suspectRuns
+	completions recentCompletions
+	runs        suspectRuns
 }
 
 // NewQuarantine returns a Quarantine without suspects.
@@ -99,9 +99,9 @@
 
 // ObserveCrash records that a server instance ended while it ran a request. It reports whether
 // the request is newly quarantined as a result.
-func (q *Quarantine) ObserveCrash(now time.Time, f Fingerprint, start Key) bool {
+func (q *Quarantine) ObserveCrash(now time.Time, f Fingerprint, instance Key) bool {
 	before := q.quarantinedSet()[f]
-	if q.record(f, q.answered.lastCompletion(f), Crash{Instance: start, At: now}) {
+	if q.record(f, q.completions.lastCompletion(f), Crash{Instance: instance, At: now}) {
 		q.announce(f, q.suspects[f])
 	}
 	q.suspects[f].seen = now
@@ -110,7 +110,7 @@
 
 // ObserveAnswer records a server's complete answer to a request.
 func (q *Quarantine) ObserveAnswer(now time.Time, f Fingerprint) {
-	q.answered.add(now, f)
+	q.completions.add(now, f)
 	if s := q.suspects[f]; s != nil && len(s.crashes) > 0 && q.record(f, now) {
 		q.announce(f, s)
 	}
@@ -150,7 +150,7 @@
 		if update.Seen.Sub(s.seen) > minSeenAdvance {
 			s.seen = update.Seen
 		}
-		if last := q.answered.lastCompletion(update.Fingerprint); !last.IsZero() && q.record(update.Fingerprint, last) {
+		if last := q.completions.lastCompletion(update.Fingerprint); !last.IsZero() && q.record(update.Fingerprint, last) {
 			q.announce(update.Fingerprint, s)
 		}
 	}
--- a/policy/quarantine_test.go
+++ b/policy/quarantine_test.go
@@ -112,8 +112,8 @@
 // crashSimulation simulates a request that crashes servers and is retried at random senders,
 // beside innocent requests. Senders inform each other by datagrams, some of which are lost.
 type crashSimulation struct {
-	senders []*Quarantine
-	random  *rand.Rand
+	gateways []*Quarantine
+	random   *rand.Rand
 	// disconnected holds the senders whose datagrams are lost in both directions.
 	disconnected map[int]bool
 	now          time.Time
@@ -127,10 +127,10 @@
 	gossipInterval = 100 * time.Millisecond
 )
 
-func newCrashSimulation(senders int, seed uint64) *crashSimulation {
+func newCrashSimulation(gateways int, seed uint64) *crashSimulation {
 	sim := &crashSimulation{random: rand.New(rand.NewPCG(seed, 1)), disconnected: map[int]bool{}, now: testStart}
-	for range senders {
-		sim.senders = append(sim.senders, NewQuarantine())
+	for range gateways {
+		sim.gateways = append(sim.gateways, NewQuarantine())
 	}
 	return sim
 }
@@ -138,9 +138,9 @@
 // broadcast sends every sender's updates to all others; lossRate is the share of datagrams
 // that are lost.
 func (sim *crashSimulation) broadcast(lossRate float64) {
-	for i, from := range sim.senders {
+	for i, from := range sim.gateways {
 		updates := from.Updates(sim.now)
-		for j, to := range sim.senders {
+		for j, to := range sim.gateways {
 			if i != j && !sim.disconnected[i] && !sim.disconnected[j] && sim.random.Float64() >= lossRate {
 				to.Merge(sim.now, updates)
 			}
@@ -152,15 +152,15 @@
 // senders, and innocent requests, each arriving once, run on the servers that it ends.
 func (sim *crashSimulation) step(lossRate float64, arrivals int) {
 	for range arrivals {
-		sender := sim.random.IntN(len(sim.senders))
-		if sim.senders[sender].Quarantined(sim.now, culprit) {
+		gateway := sim.random.IntN(len(sim.gateways))
+		if sim.gateways[gateway].Quarantined(sim.now, culprit) {
 			continue
 		}
 		sim.sent++
 		instance := KeyOf(fmt.Sprint("server", sim.sent))
-		sim.senders[sender].ObserveCrash(sim.now, culprit, instance)
+		sim.gateways[gateway].ObserveCrash(sim.now, culprit, instance)
 		for range 5 {
-			other := sim.senders[sim.random.IntN(len(sim.senders))]
+			other := sim.gateways[sim.random.IntN(len(sim.gateways))]
 			innocent := Fingerprint(100 + sim.random.IntN(40))
 			if other.Quarantined(sim.now, innocent) {
 				sim.refused++
@@ -170,7 +170,7 @@
 		}
 	}
 	for range 10 {
-		sim.senders[sim.random.IntN(len(sim.senders))].ObserveAnswer(sim.now, Fingerprint(100+sim.random.IntN(40)))
+		sim.gateways[sim.random.IntN(len(sim.gateways))].ObserveAnswer(sim.now, Fingerprint(100+sim.random.IntN(40)))
 	}
 	sim.broadcast(lossRate)
 	sim.now = sim.now.Add(gossipInterval)
@@ -179,10 +179,10 @@
 // Guards against each sender counting only its own crashes, so that retries accumulate over
 // all senders.
 func TestSendersShareSuspicions(t *testing.T) {
-	for _, senders := range []int{2, 6, 68} {
+	for _, gateways := range []int{2, 6, 68} {
 		for _, lossRate := range []float64{0, 0.3} {
-			t.Run(fmt.Sprintf("senders=%d loss=%v", senders, lossRate), func(t *testing.T) {
-				sim := newCrashSimulation(senders, 1)
+			t.Run(fmt.Sprintf("senders=%d loss=%v", gateways, lossRate), func(t *testing.T) {
+				sim := newCrashSimulation(gateways, 1)
 				for range 100 {
 					sim.step(lossRate, 1)
 				}
@@ -207,7 +207,7 @@
 	}
 	sent := sim.sent
 	for at := range 20 {
-		sim.senders[at%6] = NewQuarantine()
+		sim.gateways[at%6] = NewQuarantine()
 		sim.broadcast(0.3)
 		sim.now = sim.now.Add(gossipInterval)
 		sim.broadcast(0.3)
@@ -230,7 +230,7 @@
 		sim.broadcast(0.3)
 		sim.now = sim.now.Add(gossipInterval)
 	}
-	if !sim.senders[0].Quarantined(sim.now, culprit) {
+	if !sim.gateways[0].Quarantined(sim.now, culprit) {
 		t.Error("a sender that was disconnected admits the culprit a second after it reconnected")
 	}
 }
@@ -306,17 +306,17 @@
 	}
 	quarantined := func() int {
 		n := 0
-		for _, s := range sim.senders {
+		for _, s := range sim.gateways {
 			n += s.Len()
 		}
 		return n
 	}
-	if quarantined() != len(sim.senders) {
-		t.Fatalf("quarantined by %d senders of %d", quarantined(), len(sim.senders))
+	if quarantined() != len(sim.gateways) {
+		t.Fatalf("quarantined by %d senders of %d", quarantined(), len(sim.gateways))
 	}
 	// The culprit arrives again at one sender, so all of them remember it.
 	sim.now = sim.now.Add(suspectTTL / 2)
-	sim.senders[0].Quarantined(sim.now, culprit)
+	sim.gateways[0].Quarantined(sim.now, culprit)
 	for range 20 {
 		sim.broadcast(0.3)
 		sim.now = sim.now.Add(gossipInterval)
@@ -326,8 +326,8 @@
 		sim.broadcast(0.3)
 		sim.now = sim.now.Add(gossipInterval)
 	}
-	if quarantined() != len(sim.senders) {
-		t.Errorf("quarantined by %d senders of %d, though it arrived three quarters of an hour ago", quarantined(), len(sim.senders))
+	if quarantined() != len(sim.gateways) {
+		t.Errorf("quarantined by %d senders of %d, though it arrived three quarters of an hour ago", quarantined(), len(sim.gateways))
 	}
 	for range 60 {
 		sim.now = sim.now.Add(time.Minute)
--- a/policy/recent_completions.go
+++ b/policy/recent_completions.go
@@ -4,7 +4,7 @@
 
 // maxGenerationSize bounds each of the two generations of recentCompletions, which holds
 // up to twice as many requests.
-const maxGenerationSize = 4096
+const maxMapSize = 4096
 
 // recentCompletions holds the time of the last complete answer by request fingerprint, for
 // answers within clearedFor and some older ones.
@@ -15,7 +15,7 @@
 }
 
 func (r *recentCompletions) add(now time.Time, f Fingerprint) {
-	if r.current == nil || len(r.current) >= maxGenerationSize || now.Sub(r.rotated) > crashGracePeriod {
+	if r.current == nil || len(r.current) >= maxMapSize || now.Sub(r.rotated) > crashGracePeriod {
 		r.current, r.previous, r.rotated = map[Fingerprint]time.Time{}, r.current, now
 	}
 	r.current[f] = now
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -11,8 +11,8 @@
 	promptTokens int
 	// answerTokens is the length of the answer; generated is how many of its
 	// tokens have been generated.
-	answerTokens int
-	generated    int
+	responseTokens int
+	generated      int
 
 	// arrived is when the request was sent, or sent again after a refusal. runStart
 	// is the start of the last run and preempted its last preemption.
@@ -45,14 +45,14 @@
 	return Ticket{
 		ID: r.id, Class: r.workload.class, Customer: r.customer, Tier: r.workload.tier,
 		Deadline: r.arrived.Add(target), DeadlineMilestone: due,
-		Size: r.promptTokens + r.workload.answerTokens, Copies: copies, MaxEngines: asks, Preemptible: true,
+		Size: r.promptTokens + r.workload.responseTokens, Copies: copies, MaxEngines: asks, Preemptible: true,
 		FirstToken: r.workload.firstToken, BetweenTokens: r.workload.betweenTokens,
 	}
 }
 
 // late reports whether an answer that ends now misses one of its targets.
 func (r *request) late(now time.Time) bool {
-	meanInterval := now.Sub(r.firstTokenAt) / time.Duration(max(r.answerTokens-1, 1))
+	meanInterval := now.Sub(r.firstTokenAt) / time.Duration(max(r.responseTokens-1, 1))
 	exceeds := func(latency, target time.Duration) bool { return target > 0 && latency > target }
 	return exceeds(r.firstTokenAt.Sub(r.arrived), r.workload.firstToken) ||
 		exceeds(now.Sub(r.arrived), r.workload.completion) ||
--- a/policy/server_limits_test.go
+++ b/policy/server_limits_test.go
@@ -8,7 +8,7 @@
 )
 
 // limitSender is a sender in a limitSimulation.
-type limitSender struct {
+type limitGateway struct {
 	limits  *ServerLimits
 	offers  OfferCounter
 	chooser *Chooser
@@ -30,11 +30,11 @@
 // limitSimulation simulates senders and servers that state a limit. Each request is sent to
 // the server that its sender's chooser selects, or refused.
 type limitSimulation struct {
-	t       *testing.T
-	random  *rand.Rand
-	senders []*limitSender
-	servers []Server
-	rate    float64
+	t        *testing.T
+	random   *rand.Rand
+	gateways []*limitGateway
+	servers  []Server
+	rate     float64
 	// delay is how long a datagram takes, and lossRate the share of datagrams that are lost.
 	delay    time.Duration
 	lossRate float64
@@ -63,10 +63,10 @@
 	simStep      = time.Millisecond
 )
 
-func newLimitSimulation(t *testing.T, senders, servers int, rate float64) *limitSimulation {
-	sim := &limitSimulation{t: t, random: rand.New(rand.NewPCG(uint64(senders), 7)), rate: rate, now: testStart, delay: 2 * time.Millisecond}
-	for range senders {
-		sim.senders = append(sim.senders, sim.newSender())
+func newLimitSimulation(t *testing.T, gateways, servers int, rate float64) *limitSimulation {
+	sim := &limitSimulation{t: t, random: rand.New(rand.NewPCG(uint64(gateways), 7)), rate: rate, now: testStart, delay: 2 * time.Millisecond}
+	for range gateways {
+		sim.gateways = append(sim.gateways, sim.newGateway())
 	}
 	for i := range servers {
 		sim.servers = append(sim.servers, Server{Name: fmt.Sprint("server", i), Start: KeyOf(fmt.Sprint("server", i)), Zone: "z", Slots: 64})
@@ -75,8 +75,8 @@
 	return sim
 }
 
-func (sim *limitSimulation) newSender() *limitSender {
-	s := &limitSender{
+func (sim *limitSimulation) newGateway() *limitGateway {
+	s := &limitGateway{
 		limits: NewServerLimits(), reports: map[int]limitReportSet{},
 		chooser:    NewChooser(rand.New(rand.NewPCG(sim.random.Uint64(), 1)), NewEjector(), NewPrefixIndex()),
 		nextReport: sim.now.Add(time.Duration(sim.random.Int64N(int64(gossipInterval)))),
@@ -89,7 +89,7 @@
 func (sim *limitSimulation) run(d time.Duration, perSecond float64, draw func() int) {
 	for until := sim.now.Add(d); sim.now.Before(until); sim.now = sim.now.Add(simStep) {
 		sim.deliver()
-		for i, s := range sim.senders {
+		for i, s := range sim.gateways {
 			if !sim.now.Before(s.nextReport) {
 				s.nextReport = s.nextReport.Add(gossipInterval)
 				sim.report(i)
@@ -105,9 +105,9 @@
 
 // report sends a sender's report to all others.
 func (sim *limitSimulation) report(from int) {
-	s := sim.senders[from]
+	s := sim.gateways[from]
 	report := limitReportSet{limits: s.limits.Reports(sim.now), offers: s.offers.Counts(sim.now)}
-	for to, other := range sim.senders {
+	for to, other := range sim.gateways {
 		if to != from && !s.disconnected && !other.disconnected && sim.random.Float64() >= sim.lossRate {
 			sim.inFlight = append(sim.inFlight, limitDatagram{from: from, to: to, at: sim.now.Add(sim.delay), report: report})
 		}
@@ -121,7 +121,7 @@
 		d := sim.inFlight[0]
 		sim.inFlight = sim.inFlight[1:]
 		d.report.at = sim.now
-		to := sim.senders[d.to]
+		to := sim.gateways[d.to]
 		to.reports[d.from] = d.report
 		to.limits.Merge(d.report.limits)
 	}
@@ -129,8 +129,8 @@
 
 // request has a sender choose a server for one request, which answers with its limit if the
 // request is sent.
-func (sim *limitSimulation) request(sender int) {
-	s := sim.senders[sender]
+func (sim *limitSimulation) request(gateway int) {
+	s := sim.gateways[gateway]
 	sim.offered++
 	live, sent, offers := 1, map[Key]float64{}, OfferCounts{}
 	for _, report := range s.reports {
@@ -146,7 +146,7 @@
 	job := Job{Zone: "z", UnreportedOffers: offers.Expected(gossipInterval), OtherSenders: float64(live - 1)}
 	servers := append([]Server(nil), sim.servers...)
 	for i := range servers {
-		servers[i].Allowance, servers[i].RateLimited = s.limits.Allowance(sim.now, servers[i].Start, sent[servers[i].Start], float64(live)/float64(len(sim.senders)))
+		servers[i].Allowance, servers[i].RateLimited = s.limits.Allowance(sim.now, servers[i].Start, sent[servers[i].Start], float64(live)/float64(len(sim.gateways)))
 	}
 	s.limits.MarkOverLimit(sim.now, sim.random, &job, servers)
 	choice := s.chooser.Choose(sim.now, job, servers, nil)
@@ -162,7 +162,7 @@
 }
 
 // anySender returns a random sender's index, uniformly distributed.
-func (sim *limitSimulation) anySender() int { return sim.random.IntN(len(sim.senders)) }
+func (sim *limitSimulation) anyGateway() int { return sim.random.IntN(len(sim.gateways)) }
 
 // expectWithinLimit checks the number of requests in every span of four seconds at each server
 // since from: at most one and a half times the limit, plus five for requests in transit.
@@ -210,29 +210,29 @@
 // send dozens of times what the server accepts.
 func TestSendersShareALimit(t *testing.T) {
 	for _, c := range []struct {
-		senders   int
+		gateways  int
 		rate      float64
 		perSecond float64
 		delay     time.Duration
 		lossRate  float64
 	}{
-		{senders: 6, rate: 1.8, perSecond: 100, delay: 2 * time.Millisecond},
-		{senders: 68, rate: 1.6, perSecond: 600, delay: 2 * time.Millisecond},
-		{senders: 68, rate: 1.6, perSecond: 600, delay: 100 * time.Millisecond, lossRate: 0.3},
-		{senders: 68, rate: 1.6, perSecond: 20, delay: 2 * time.Millisecond},
-		{senders: 68, rate: 40, perSecond: 600, delay: 2 * time.Millisecond},
-		{senders: 24, rate: 0.2, perSecond: 600, delay: 2 * time.Millisecond},
-		{senders: 6, rate: 40, perSecond: 100, delay: 300 * time.Millisecond, lossRate: 0.1},
+		{gateways: 6, rate: 1.8, perSecond: 100, delay: 2 * time.Millisecond},
+		{gateways: 68, rate: 1.6, perSecond: 600, delay: 2 * time.Millisecond},
+		{gateways: 68, rate: 1.6, perSecond: 600, delay: 100 * time.Millisecond, lossRate: 0.3},
+		{gateways: 68, rate: 1.6, perSecond: 20, delay: 2 * time.Millisecond},
+		{gateways: 68, rate: 40, perSecond: 600, delay: 2 * time.Millisecond},
+		{gateways: 24, rate: 0.2, perSecond: 600, delay: 2 * time.Millisecond},
+		{gateways: 6, rate: 40, perSecond: 100, delay: 300 * time.Millisecond, lossRate: 0.1},
 	} {
-		t.Run(fmt.Sprintf("senders=%d rate=%v of %v delay=%v loss=%v", c.senders, c.rate, c.perSecond, c.delay, c.lossRate), func(t *testing.T) {
+		t.Run(fmt.Sprintf("senders=%d rate=%v of %v delay=%v loss=%v", c.gateways, c.rate, c.perSecond, c.delay, c.lossRate), func(t *testing.T) {
 			t.Parallel()
-			sim := newLimitSimulation(t, c.senders, 1, c.rate)
+			sim := newLimitSimulation(t, c.gateways, 1, c.rate)
 			sim.delay, sim.lossRate = c.delay, c.lossRate
 			// requests returns how long n requests take at the limit.
 			requests := func(n float64) time.Duration { return time.Duration(n / c.rate * float64(time.Second)) }
-			sim.run(max(3*time.Second, requests(8)), c.perSecond, sim.anySender)
+			sim.run(max(3*time.Second, requests(8)), c.perSecond, sim.anyGateway)
 			settled := sim.now
-			sim.run(max(20*time.Second, min(requests(100), 200*time.Second)), c.perSecond, sim.anySender)
+			sim.run(max(20*time.Second, min(requests(100), 200*time.Second)), c.perSecond, sim.anyGateway)
 			sim.expectWithinLimit(testStart.Add(500 * time.Millisecond))
 			sim.expectUsed(settled, 0.9, 1.2)
 		})
@@ -244,8 +244,8 @@
 	sim := newLimitSimulation(t, 68, 2, 1.6)
 	sim.random = rand.New(rand.NewPCG(seed, 7))
 	for range 6 {
-		sim.run(3*time.Second, 60, sim.anySender)
-		sim.run(2*time.Second, factor*60, sim.anySender)
+		sim.run(3*time.Second, 60, sim.anyGateway)
+		sim.run(2*time.Second, factor*60, sim.anyGateway)
 	}
 	sim.expectWithinLimit(testStart.Add(500 * time.Millisecond))
 }
@@ -283,9 +283,9 @@
 func TestLimitsOfManyServersAreUsed(t *testing.T) {
 	t.Parallel()
 	sim := newLimitSimulation(t, 12, 24, 2)
-	sim.run(4*time.Second, 200, sim.anySender)
+	sim.run(4*time.Second, 200, sim.anyGateway)
 	settled := sim.now
-	sim.run(20*time.Second, 200, sim.anySender)
+	sim.run(20*time.Second, 200, sim.anyGateway)
 	sim.expectWithinLimit(testStart.Add(500 * time.Millisecond))
 	sim.expectUsed(settled, 0.85, 1.2)
 }
@@ -295,10 +295,10 @@
 func TestLimitHoldsWhileSendersStart(t *testing.T) {
 	t.Parallel()
 	sim := newLimitSimulation(t, 12, 1, 2)
-	sim.run(2*time.Second, 100, sim.anySender)
+	sim.run(2*time.Second, 100, sim.anyGateway)
 	for i := range 24 {
-		sim.senders[i%12] = sim.newSender()
-		sim.run(500*time.Millisecond, 100, sim.anySender)
+		sim.gateways[i%12] = sim.newGateway()
+		sim.run(500*time.Millisecond, 100, sim.anyGateway)
 	}
 	sim.expectWithinLimit(testStart.Add(500 * time.Millisecond))
 }
@@ -307,13 +307,13 @@
 func TestLimitHoldsWithDisconnectedSenders(t *testing.T) {
 	t.Parallel()
 	sim := newLimitSimulation(t, 12, 1, 6)
-	sim.run(2*time.Second, 200, sim.anySender)
+	sim.run(2*time.Second, 200, sim.anyGateway)
 	for i := range 6 {
-		sim.senders[i].disconnected = true
+		sim.gateways[i].disconnected = true
 	}
-	sim.run(2*time.Second, 200, sim.anySender)
+	sim.run(2*time.Second, 200, sim.anyGateway)
 	settled := sim.now
-	sim.run(20*time.Second, 200, sim.anySender)
+	sim.run(20*time.Second, 200, sim.anyGateway)
 	sim.expectWithinLimit(testStart.Add(500 * time.Millisecond))
 	sim.expectUsed(settled, 0.5, 1.2)
 }
--- a/policy/simulated_engine_test.go
+++ b/policy/simulated_engine_test.go
@@ -108,7 +108,7 @@
 	}
 	r.generated++
 	e.scheduler.Tokens(e.sim.clock.now, r.id, 1)
-	if r.generated < r.answerTokens {
+	if r.generated < r.responseTokens {
 		e.sim.clock.afterFunc(e.engine.tokenInterval(), func() { e.generateToken(r, run) })
 		if r.generated == 1 {
 			e.runScheduler()
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -122,11 +122,11 @@
 		customer = 1 + s.random.IntN(w.customers-1)
 	}
 	r := &request{
-		workload:     w,
-		id:           fmt.Sprintf("r%d", s.requestCount),
-		customer:     fmt.Sprintf("c%d", customer),
-		answerTokens: 1 + int(float64(w.answerTokens)*(0.25+1.5*s.random.Float64())),
-		arrived:      s.clock.now,
+		workload:       w,
+		id:             fmt.Sprintf("r%d", s.requestCount),
+		customer:       fmt.Sprintf("c%d", customer),
+		responseTokens: 1 + int(float64(w.responseTokens)*(0.25+1.5*s.random.Float64())),
+		arrived:        s.clock.now,
 	}
 	r.promptTokens = w.promptTokens
 	if w.promptSigma > 0 {
--- a/policy/suspect_runs_test.go
+++ b/policy/suspect_runs_test.go
@@ -11,20 +11,20 @@
 // requests that are never answered completely and are restarted at another server when theirs
 // ends.
 type isolationSimulation struct {
-	random  *rand.Rand
-	senders []*Quarantine
-	servers []string
-	started int
+	random   *rand.Rand
+	gateways []*Quarantine
+	servers  []string
+	started  int
 	// runsAt is the server at which each innocent request runs, through the sender of its
 	// index.
 	runsAt  []string
 	crashes int
 }
 
-func newIsolationSimulation(seed uint64, senders, servers, innocents int) *isolationSimulation {
+func newIsolationSimulation(seed uint64, gateways, servers, innocents int) *isolationSimulation {
 	sim := &isolationSimulation{random: rand.New(rand.NewPCG(seed, 1))}
-	for range senders {
-		sim.senders = append(sim.senders, NewQuarantine())
+	for range gateways {
+		sim.gateways = append(sim.gateways, NewQuarantine())
 	}
 	for range servers {
 		sim.startServer()
@@ -49,8 +49,8 @@
 const isolatedCulprit = 1000
 
 // pick draws a server for a request, without the ones to avoid if there are others.
-func (sim *isolationSimulation) pick(sender *Quarantine, f Fingerprint) string {
-	avoided := sender.ServersToAvoid(f, named(sim.servers...))
+func (sim *isolationSimulation) pick(gateway *Quarantine, f Fingerprint) string {
+	avoided := gateway.ServersToAvoid(f, named(sim.servers...))
 	candidates := slices.DeleteFunc(slices.Clone(sim.servers), func(s string) bool { return slices.Contains(avoided, s) })
 	if len(candidates) == 0 {
 		candidates = sim.servers
@@ -69,26 +69,26 @@
 
 // run starts an innocent request at a server.
 func (sim *isolationSimulation) run(i int) {
-	sender := sim.senders[i%len(sim.senders)]
-	sim.runsAt[i] = sim.pick(sender, innocentFingerprint(i))
-	sender.RunStarted(innocentFingerprint(i), sim.runsAt[i])
+	gateway := sim.gateways[i%len(sim.gateways)]
+	sim.runsAt[i] = sim.pick(gateway, innocentFingerprint(i))
+	gateway.RunStarted(innocentFingerprint(i), sim.runsAt[i])
 }
 
 // runCulprit sends the culprit once. It reports whether the culprit is quarantined instead.
 func (sim *isolationSimulation) runCulprit() bool {
-	culpritSender := sim.senders[sim.random.IntN(len(sim.senders))]
-	if culpritSender.Quarantined(testStart, isolatedCulprit) {
+	culpritGateway := sim.gateways[sim.random.IntN(len(sim.gateways))]
+	if culpritGateway.Quarantined(testStart, isolatedCulprit) {
 		return true
 	}
-	server := sim.pick(culpritSender, isolatedCulprit)
+	server := sim.pick(culpritGateway, isolatedCulprit)
 	sim.crashes++
 	sim.servers = slices.DeleteFunc(sim.servers, func(s string) bool { return s == server })
-	culpritSender.ObserveCrash(testStart, isolatedCulprit, KeyOf(server))
+	culpritGateway.ObserveCrash(testStart, isolatedCulprit, KeyOf(server))
 	for i, at := range sim.runsAt {
 		if at == server {
-			sender := sim.senders[i%len(sim.senders)]
-			sender.ObserveCrash(testStart, innocentFingerprint(i), KeyOf(server))
-			sender.RunEnded(innocentFingerprint(i), server)
+			gateway := sim.gateways[i%len(sim.gateways)]
+			gateway.ObserveCrash(testStart, innocentFingerprint(i), KeyOf(server))
+			gateway.RunEnded(innocentFingerprint(i), server)
 			sim.runsAt[i] = ""
 		}
 	}
@@ -104,9 +104,9 @@
 
 // broadcast sends every sender's updates to all others.
 func (sim *isolationSimulation) broadcast() {
-	for _, from := range sim.senders {
+	for _, from := range sim.gateways {
 		updates := from.Updates(testStart)
-		for _, to := range sim.senders {
+		for _, to := range sim.gateways {
 			if to != from {
 				to.Merge(testStart, updates)
 			}
@@ -117,11 +117,11 @@
 // Guards against an innocent request that runs beside the culprit at each crash: it would be
 // quarantined in the culprit's place, and a fourth server would end.
 func TestSuspectsThatShareAllCrashesAreKeptApart(t *testing.T) {
-	for _, senders := range []int{1, 2, 6} {
-		t.Run(fmt.Sprint("senders=", senders), func(t *testing.T) {
+	for _, gateways := range []int{1, 2, 6} {
+		t.Run(fmt.Sprint("senders=", gateways), func(t *testing.T) {
 			excessive, refused := 0, 0
 			for seed := range uint64(500) {
-				sim := newIsolationSimulation(seed, senders, 6, 12)
+				sim := newIsolationSimulation(seed, gateways, 6, 12)
 				for range 10 {
 					if sim.runCulprit() {
 						break
@@ -131,7 +131,7 @@
 					excessive++
 				}
 				for i := range sim.runsAt {
-					if sim.senders[0].Quarantined(testStart, innocentFingerprint(i)) {
+					if sim.gateways[0].Quarantined(testStart, innocentFingerprint(i)) {
 						refused++
 					}
 				}
--- a/policy/workload_test.go
+++ b/policy/workload_test.go
@@ -12,7 +12,7 @@
 	promptSigma  float64
 	// answerTokens is the mean length of answers; lengths are uniform between a quarter of
 	// it and 1.75 times as much.
-	answerTokens int
+	responseTokens int
 	// firstToken, betweenTokens and completion are the latency targets; 0 means none.
 	firstToken    time.Duration
 	betweenTokens time.Duration
@@ -27,17 +27,17 @@
 
 // flagWorkload returns the hazard-flag class: top tier, short prompts and answers.
 func flagWorkload(rate func(time.Duration) float64) workload {
-	return workload{class: "flag", tier: 0, promptTokens: 100, answerTokens: 10, firstToken: 500 * time.Millisecond, rate: rate}
+	return workload{class: "flag", tier: 0, promptTokens: 100, responseTokens: 10, firstToken: 500 * time.Millisecond, rate: rate}
 }
 
 // questionWorkload returns the planner-question class: ten customers with equal shares.
 func questionWorkload(rate func(time.Duration) float64) workload {
-	return workload{class: "question", tier: 2, promptTokens: 200, answerTokens: 60, firstToken: 2 * time.Second, rate: rate, customers: 10, hotShare: 0.1}
+	return workload{class: "question", tier: 2, promptTokens: 200, responseTokens: 60, firstToken: 2 * time.Second, rate: rate, customers: 10, hotShare: 0.1}
 }
 
 // summaryWorkload returns the summary class: low tier, long prompts and answers.
 func summaryWorkload(rate func(time.Duration) float64) workload {
-	return workload{class: "summary", tier: 4, promptTokens: 3000, answerTokens: 300, completion: time.Minute, rate: rate}
+	return workload{class: "summary", tier: 4, promptTokens: 3000, responseTokens: 300, completion: time.Minute, rate: rate}
 }
 
 // constantRate returns an arrival rate that doesn't change.
