--- a/policy/chooser.go
+++ b/policy/chooser.go
@@ -96,7 +96,7 @@
 // chooseFrom returns the best of the usable servers.
 func (c *Chooser) chooseFrom(now time.Time, job Job, servers []Server, rate *PrefillRate, usable func(*Server) bool) Choice {
 	lookup := c.lookUpPrefix(now, &job, servers, usable)
-	recomputePrice := job.recomputeCost(servers, usable, rate)
+	recomputeCost := job.recomputeCost(servers, usable, rate)
 	preferred := c.preferred(servers, usable, &lookup)
 	c.scored = c.scored[:0]
 	meetTarget := 0
@@ -104,7 +104,7 @@
 		if !usable(&servers[i]) {
 			continue
 		}
-		w := c.scoreServer(job, &servers[i], lookup.missAt(i, &job, rate), recomputePrice, rate)
+		w := c.scoreServer(job, &servers[i], lookup.missAt(i, &job, rate), recomputeCost, rate)
 		w.choice.Index = i
 		if w.choice.meetsTarget {
 			meetTarget++
@@ -159,14 +159,14 @@
 
 // scoreServer returns the expected result and cost of sending the job to a server. The
 // prefill penalty is kept apart since it counts only if the first token is in time.
-func (c *Chooser) scoreServer(job Job, s *Server, miss cacheMiss, recomputePrice float64, rate *PrefillRate) scoredServer {
+func (c *Chooser) scoreServer(job Job, s *Server, miss cacheMiss, recomputeCost float64, rate *PrefillRate) scoredServer {
 	own := job.Tokens - job.sharedPrefix().End
 	choice := Choice{Found: true, PrefillTokens: own + miss.prefillTokens(), FetchFrom: miss.source, Fetches: miss.fetched > 0}
 	others := s.tokensAhead(job.Urgency)
 	choice.TokensAhead = others + float64(choice.PrefillTokens)
 	slotsLeft := s.slotsLeft(job)
 	choice.HasCapacity = slotsLeft > 0 && !s.connsExhausted()
-	choice.meetsTarget = job.meetsTarget(rate, others, miss, recomputePrice)
+	choice.meetsTarget = job.meetsTarget(rate, others, miss, recomputeCost)
 	choice.ExpectedTTFT = rate.expectedTTFT(choice.TokensAhead)
 	cost := choice.TokensAhead + float64(s.Running*runningRequestTokens)
 	if s.Zone != job.Zone {
--- a/policy/job.go
+++ b/policy/job.go
@@ -115,16 +115,16 @@
 	}
 	ownTokens := float64(j.Tokens - j.sharedPrefix().End)
 	ownTokens += need.transferTokens
-	rereadTokens := need.recomputed
+	recomputedTokens := need.recomputed
 	if need.home || need.secondHome {
 		ownTokens += need.uncached
 	} else {
 		// Other requests may prefill it on one of its home servers in the meantime.
-		rereadTokens += need.uncached
+		recomputedTokens += need.uncached
 	}
-	ownTokens, rereadTokens = j.scaleToMeanLength(ownTokens), j.scaleToMeanLength(rereadTokens)
-	return rate.likelyTTFT(queuedTokens+recomputeCost*rereadTokens, ownTokens) <= j.Target ||
-		rate.prefillTime(queuedTokens+rereadTokens) <= scaleDuration(minWaitFraction, j.Target)
+	ownTokens, recomputedTokens = j.scaleToMeanLength(ownTokens), j.scaleToMeanLength(recomputedTokens)
+	return rate.likelyTTFT(queuedTokens+recomputeCost*recomputedTokens, ownTokens) <= j.Target ||
+		rate.prefillTime(queuedTokens+recomputedTokens) <= scaleDuration(minWaitFraction, j.Target)
 }
 
 // scaleDuration returns the given fraction of a duration.
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -76,11 +76,11 @@
 }
 
 // run simulates arrivals of the workloads for d, and then drain without arrivals.
-func (s *simulation) run(d, drain time.Duration, workloads ...workload) {
+func (s *simulation) run(d, tail time.Duration, workloads ...workload) {
 	for _, w := range workloads {
 		s.scheduleArrivals(w, d)
 	}
-	s.clock.runUntil(s.start.Add(d + drain))
+	s.clock.runUntil(s.start.Add(d + tail))
 }
 
 // every calls check at each interval until a time since the start.
