--- a/policy/adaptive_headroom.go
+++ b/policy/adaptive_headroom.go
@@ -7,9 +7,9 @@
 
 const (
 	// headroomMinRefusalRatio is the share of more urgent requests that may be refused for
-	// lack of a slot before a level raises its headroom. Two senders that take the same last
+	// lack of a slot before a level raises its headroom. Two gateways that take the same last
 	// slot cost one refusal in fifty. headroomMinRefusals is how many such refusals, over all
-	// senders, are needed as well.
+	// gateways, are needed as well.
 	headroomMinRefusalRatio = 0.02
 	headroomMinRefusals     = 2.0
 	// headroomGrowth is how much the headroom grows per second of such refusals, as a share of
@@ -39,7 +39,7 @@
 )
 
 // AdaptiveHeadroom computes the share of the servers' slots that each urgency level leaves
-// free for more urgent levels, from what was refused recently at all senders.
+// free for more urgent levels, from what was refused recently at all gateways.
 //
 // It guards against two neighbouring levels whose bursts coincide: whichever request arrives
 // first takes a freed slot, and the more urgent level is refused as often as the other. With
@@ -51,8 +51,8 @@
 // the servers only two or three seconds after it began, and the less urgent requests admitted
 // until then take slots and server time from it. A level therefore also leaves free what the
 // levels above will occupy while they hold their slots, if more than usual is offered there at
-// all senders: slots in use grow in proportion to offered requests. Where both fit, nothing is
-// refused because of this.
+// all gateways: slots in use grow in proportion to offered requests. Where both fit, nothing
+// is refused because of this.
 //
 // Not safe for concurrent use.
 type AdaptiveHeadroom struct {
@@ -67,7 +67,7 @@
 }
 
 // Share returns the share of each server's slots, from 0 to 1, that a level leaves free now.
-// offers counts the requests offered and refused at all senders; busy is the share of all
+// offers counts the requests offered and refused at all gateways; busy is the share of all
 // slots in use.
 func (h *AdaptiveHeadroom) Share(now time.Time, offers *OfferCounts, busy float64, urgency int) float64 {
 	h.advance(now, offers, busy)
--- a/policy/adaptive_headroom_test.go
+++ b/policy/adaptive_headroom_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Several senders compete for a few free slots on a few servers. Without a joint draw the
+// Several gateways compete for a few free slots on a few servers. Without a joint draw the
 // chances at each server would add up: together they must send about as many requests as slots
 // are left, spread over the servers.
 func TestScarceSlotsAreSharedEvenly(t *testing.T) {
@@ -81,7 +81,7 @@
 	}
 }
 
-// A sender that has just started must not mistake the existing traffic for a surge.
+// A gateway that has just started must not mistake the existing traffic for a surge.
 func TestNoHeadroomAtStart(t *testing.T) {
 	var headroom AdaptiveHeadroom
 	var offers OfferCounts
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -102,7 +102,7 @@
 	return decision
 }
 
-// refuse rejects t; lateBy is how much too late it would have started.
+// refuse returns the Decision that refuses t; lateBy is how much too late it would have started.
 func (s *Scheduler) refuse(t Ticket, lateBy time.Duration) Decision {
 	s.retryBacklog.refusals[t.Tier].observe(s.lastCall, true)
 	work := float64(ticketSize(t)) / float64(t.engineCount())
--- a/policy/cache_miss_test.go
+++ b/policy/cache_miss_test.go
@@ -26,10 +26,10 @@
 	}
 }
 
-// Servers that are leaving, ejected or restarted aren't fetched from.
+// Servers that are draining, ejected or restarted aren't fetched from.
 func TestNothingIsFetchedFromUnusableServers(t *testing.T) {
 	faults := map[string]func(c *Chooser, s *Server){
-		"leaving": func(_ *Chooser, s *Server) { s.Draining = true },
+		"draining": func(_ *Chooser, s *Server) { s.Draining = true },
 		"ejected": func(c *Chooser, s *Server) {
 			for range ejectAfterFailures {
 				c.ejector.Observe(testStart, s.Name, OutcomeFailed)
--- a/policy/candidate.go
+++ b/policy/candidate.go
@@ -20,7 +20,7 @@
 	Limit   int
 	// ReportedAt is when the numbers were received; zero if they never were.
 	ReportedAt time.Time
-	// Leaving engines accept no new work; Down engines can't be reached.
+	// Draining engines accept no new work; Down engines can't be reached.
 	Draining bool
 	Down     bool
 }
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -6,11 +6,11 @@
 	// maxSlotShare is the share of a server's slots that the most urgent requests may fill,
 	// and slotSharePerLevel the share that each less urgent level leaves free for those above.
 	// A full server preempts running work for more urgent requests. Requests that other
-	// senders haven't reported yet need no reservation: admitBySlots accounts for them.
+	// gateways haven't reported yet need no reservation: admitBySlots accounts for them.
 	maxSlotShare      = 1.0
 	slotSharePerLevel = 0.02
 	// maxConnShare is the share of a server's connections that requests may take. Idle
-	// connections and those of senders that haven't reported yet take the rest.
+	// connections and those of gateways that haven't reported yet take the rest.
 	maxConnShare = 0.7
 )
 
@@ -22,12 +22,12 @@
 }
 
 // admitBySlots decides at random which servers with a free slot stay eligible for the request.
-// unseen is how many requests other senders are expected to have sent since their last report.
-// A server stays eligible with the probability that a slot is left for this request. Without
-// this, all senders see the same few servers with a free slot when nearly all are full, and
-// all of them send there.
+// unseen is how many requests other gateways are expected to have sent since their last
+// report. A server stays eligible with the probability that a slot is left for this request.
+// Without this, all gateways see the same few servers with a free slot when nearly all are
+// full, and all of them send there.
 //
-// If fewer slots are left in total than other senders have sent requests, the request draws
+// If fewer slots are left in total than other gateways have sent requests, the request draws
 // once for all slots and gets at most one server, chosen in proportion to its free slots.
 // Independent draws per server would add up: with 13 requests for seven servers that have two
 // free slots each, two of three requests would win at least one draw, and the cheapest server
@@ -73,10 +73,10 @@
 }
 
 // admitByTime decides at random whether a request may use the time that the servers which meet
-// the target have left together. Near saturation all senders see the same last server that
+// the target have left together. Near saturation all gateways see the same last server that
 // meets the target; each would send there until it hears of the others' requests, which then
-// wait for seconds. Of the tokens that other senders are expected to send meanwhile, less what
-// the servers prefill in that time, the share that fits into the spare time is admitted.
+// wait for seconds. Of the tokens that other gateways are expected to send meanwhile, less
+// what the servers prefill in that time, the share that fits into the spare time is admitted.
 //
 // eligible counts the servers that meet the target whether or not they have a free slot:
 // servers without one are short of slots, not of time.
--- a/policy/chooser_test.go
+++ b/policy/chooser_test.go
@@ -70,7 +70,7 @@
 	}
 	question := Job{Zone: "z", Urgency: 3, Target: 250 * time.Millisecond, Tokens: 800}
 	if choice := c.Choose(testStart, question, servers, nil); !choice.InTime {
-		t.Errorf("an urgent question is rejected because of pending summaries: %+v", choice)
+		t.Errorf("an urgent question is refused because of pending summaries: %+v", choice)
 	}
 	if choice := c.Choose(testStart, summaryJob(5), servers, nil); choice.InTime {
 		t.Errorf("a summary is admitted with 100,000 tokens ahead: %+v", choice)
@@ -112,7 +112,7 @@
 	long := summaryJob(5)
 	long.Tokens = 46_000
 	if choice := c.Choose(testStart, long, servers, nil); !choice.InTime {
-		t.Errorf("a prompt of 40,000 tokens is rejected by idle servers: %+v", choice)
+		t.Errorf("a prompt of 40,000 tokens is refused by idle servers: %+v", choice)
 	}
 }
 
--- a/policy/cold_start_test.go
+++ b/policy/cold_start_test.go
@@ -33,13 +33,14 @@
 	if learnedRate < simPrefillRate/2 {
 		t.Errorf("learned rate %.0f tokens/ms, true rate %.0f", learnedRate, simPrefillRate)
 	}
-	// Each prefix is prefilled once, and some twice before all senders know of the first.
+	// Each prefix is prefilled once, and some twice before all gateways know of the
+	// first.
 	if minTokens := 200 * 13_300; p.recomputedTokens > 2*minTokens {
 		t.Errorf("%d tokens of prefixes prefilled, %d would suffice", p.recomputedTokens, minTokens)
 	}
 }
 
-// meanRate returns the mean of the senders' learned prefill rates, in tokens a
+// meanRate returns the mean of the gateways' learned prefill rates, in tokens a
 // millisecond.
 func (p *directSimulation) meanRate() float64 {
 	learnedRate := 0.0
--- a/policy/concurrency_limiter.go
+++ b/policy/concurrency_limiter.go
@@ -74,7 +74,7 @@
 	// streaming is the number of runs that have produced a first token and
 	// haven't ended.
 	streaming int
-	// firstTokensSinceDrained is the number of first tokens since no run was
+	// firstTokensSinceNonePending is the number of first tokens since no run was
 	// waiting for its first token.
 	firstTokensSinceNonePending int
 }
--- a/policy/copy_share.go
+++ b/policy/copy_share.go
@@ -5,7 +5,7 @@
 
 // copyShare estimates the fraction of tickets with several copies that run on this
 // engine. While all engines admit them, it is 1 divided by the number of copies. In a
-// burst most engines reject theirs and nearly all admitted tickets run where they wait;
+// burst most engines refuse theirs and nearly all admitted tickets run where they wait;
 // an estimate by the number of copies would then admit up to twice of what can start in
 // time.
 type copyShare struct {
--- a/policy/direct_simulation_test.go
+++ b/policy/direct_simulation_test.go
@@ -12,7 +12,7 @@
 // engine prefills one prompt at a time, more urgent ones first, at a fixed rate, and caches
 // the shared prefixes that it used last. A stream then holds a slot for a while. Gateways
 // learn of each other's requests a tenth of a second later. Callers give up after two
-// seconds without a first token, and retry once after a rejection.
+// seconds without a first token, and retry once after a refusal.
 type directSimulation struct {
 	random  *rand.Rand
 	now     time.Duration
@@ -37,7 +37,7 @@
 	longestQueue        int
 	// shareFirstTokens makes gateways learn from each other's first tokens.
 	shareFirstTokens bool
-	// chunkTokens is the chunk size of chunked prefill; 0 for whole prompts.
+	// chunkTokens is the chunk size of chunked prefill; 0 for complete prompts.
 	chunkTokens int
 	// pauseTargets are the longest allowed pauses of streams, by class; latePauses counts
 	// the streams that had longer ones.
@@ -59,7 +59,7 @@
 	// own has this gateway's requests at each engine, and others those of the other
 	// gateways as of their last update.
 	own, others []Server
-	// shortageCount counts this gateway's shortage, and otherShortage is that of the
+	// offerCounter counts this gateway's offers, and otherOffers holds those of the
 	// other gateways as of their last update.
 	offerCounter OfferCounter
 	otherOffers  OfferCounts
@@ -167,7 +167,7 @@
 
 func (p *directSimulation) time() time.Time { return testStart.Add(p.now) }
 
-// shortage returns the shortage of all gateways as known to this one.
+// offers returns the offer counts of all gateways as known to this one.
 func (s *directGateway) offers(now time.Time) *OfferCounts {
 	all := s.offerCounter.Counts(now)
 	all.Add(&s.otherOffers, 1)
@@ -347,7 +347,7 @@
 }
 
 // A prefix that most requests share needs several engines. While engines have capacity,
-// none of these requests may be rejected.
+// none of these requests may be refused.
 func TestHotPrefixIsServedInTime(t *testing.T) {
 	p := newDirectSimulation(12, 6, true)
 	p.measureFrom = 3 * time.Second
--- a/policy/displacement.go
+++ b/policy/displacement.go
@@ -36,7 +36,8 @@
 }
 
 // newestDisplaceable returns the newest ticket that isn't resumed, because the
-// caller of a resumed one already has a part of the answer; nil if there is none.
+// caller of a resumed one already has a part of the response; nil if there is
+// none.
 func (q *customerQueue) newestDisplaceable() *queuedTicket {
 	for w := q.tail; w != nil; w = w.prev {
 		if !w.resumed {
--- a/policy/ejection_record.go
+++ b/policy/ejection_record.go
@@ -4,11 +4,11 @@
 
 // ejectionRecord is the state of an engine that failed recently.
 type ejectionRecord struct {
-	// consecutive counts the failures since the last complete answer or ejection.
+	// consecutive counts the failures since the last complete response or ejection.
 	consecutive int
 	// failureShare is the moving average of failures among recent outcomes.
 	failureShare float64
-	// successes counts the complete answers since the last failure.
+	// successes counts the complete responses since the last failure.
 	successes int
 	// until is when the last ejection ends; ejections counts all ejections.
 	until     time.Time
--- a/policy/ejector.go
+++ b/policy/ejector.go
@@ -18,8 +18,8 @@
 	// restarted is back within seconds.
 	minEjection = 2 * time.Second
 	maxEjection = 2 * time.Minute
-	// healthyAfter is how many consecutive complete answers after its return make an engine as
-	// good as any other.
+	// healthyAfter is how many consecutive complete responses after its return make an engine
+	// as good as any other.
 	healthyAfter = 8
 )
 
@@ -42,8 +42,8 @@
 	return &Ejector{records: map[string]*ejectionRecord{}}
 }
 
-// Observe records the outcome of a run on an engine. Only failures and complete answers count;
-// a cancelled run or an expired grant says nothing about the engine.
+// Observe records the outcome of a run on an engine. Only failures and complete responses
+// count; a cancelled run or an expired grant says nothing about the engine.
 func (e *Ejector) Observe(now time.Time, engine string, o Outcome) {
 	switch o {
 	case OutcomeFailed:
--- a/policy/filter.go
+++ b/policy/filter.go
@@ -8,7 +8,7 @@
 	keep(now time.Time, request PlacementRequest, candidates []Candidate, kept []int) []int
 }
 
-// usableFilter removes engines that are leaving, down or have been tried before.
+// usableFilter removes engines that are draining, down or have been tried before.
 type usableFilter struct{}
 
 func (usableFilter) keep(now time.Time, request PlacementRequest, candidates []Candidate, kept []int) []int {
--- a/policy/guarantee.go
+++ b/policy/guarantee.go
@@ -26,16 +26,16 @@
 //
 // It matters while urgent classes saturate the engine, because strict priority
 // would then never run the lowest tier. The share is one of slot time rather than
-// of grants: a long answer may hold its slot a hundred times as long as a short
-// one, and with one grant in eight, long answers would soon fill the engine.
+// of grants: a long response may hold its slot a hundred times as long as a short
+// one, and with one grant in eight, long responses would soon fill the engine.
 //
 // The bound: with C slots, k starved classes and no run longer than L, a class
 // with a waiting ticket is granted a slot within
 //
 //	starvedAfter + k * L * max(1, 8/C) + L
 //
-// On an engine with at least eight slots, five starved classes and answers of at
-// most 20 s, this is 130 s. If several runs of one class were preempted for
+// On an engine with at least eight slots, five starved classes and responses of
+// at most 20 s, this is 130 s. If several runs of one class were preempted for
 // urgent ones, each of them is resumed in a turn of its own.
 type guarantee struct {
 	// credit is the slot time, in seconds, that starved classes may still use. It
--- a/policy/job.go
+++ b/policy/job.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// maxRereadPenalty is the additional weight of prefilling a shared part again
-	// when the wait takes the whole target. Under load, prefilling a part on a
-	// server other than the one that caches it delays the requests whose parts
-	// that server caches; these then move elsewhere in turn.
+	// maxRecomputePenalty is the additional weight of prefilling a shared segment
+	// again when the wait takes the whole target. Under load, prefilling a segment
+	// on a server other than the one that caches it delays the requests whose
+	// segments that server caches; these then move elsewhere in turn.
 	maxRecomputePenalty = 15.0
 	// minWaitFraction is the fraction of the target that any request may wait for
 	// others, not counting the model's first step. It lets classes of very long
@@ -20,7 +20,7 @@
 
 // Job describes a request that is to be sent to a backend server.
 type Job struct {
-	// Zone is the availability zone of the sender.
+	// Zone is the availability zone of the gateway that sends the request.
 	Zone string
 	// Urgency ranges from 0, the most urgent, to UrgencyLevels-1.
 	Urgency int
@@ -31,14 +31,14 @@
 	// MeanTokens is the mean prompt length of the class, by which the request is
 	// admitted; 0 if unknown.
 	MeanTokens float64
-	// SharedParts are the parts at the beginning of the prompt that other prompts
-	// share, in order. They don't include the remainder that is specific to this
-	// prompt.
+	// SharedSegments are the segments of the prefix that the prompt shares with
+	// others, in order. They don't include the remainder that is specific to
+	// this prompt.
 	SharedSegments []PrefixSegment
 	// FetchRate is the rate, in tokens per millisecond, at which a server fetches
 	// what another one has prefilled; 0 if it can't.
 	FetchRate float64
-	// UnreportedRequests is the expected number of requests that other senders
+	// UnreportedRequests is the expected number of requests that other gateways
 	// have sent to the servers since their last update.
 	UnreportedRequests float64
 	// UnreportedTokens is the expected number of tokens to prefill for those of
@@ -47,8 +47,8 @@
 	UnreportedTokens float64
 	ReportAge        time.Duration
 	// UnreportedOffers is the expected number of requests, sent or not, that
-	// other senders have received for the service since their last update, and
-	// OtherSenders the number of these senders.
+	// other gateways have received for the service since their last update, and
+	// OtherGateways the number of these gateways.
 	UnreportedOffers float64
 	OtherSenders     float64
 	// Headroom is the fraction of each server's slots that is reserved for more
@@ -58,7 +58,7 @@
 	Tried []string
 }
 
-// sharedPrefix returns the last shared part, which identifies the complete shared
+// sharedPrefix returns the last shared segment, which identifies the complete shared
 // prefix; its ID is 0 if there is none.
 func (j *Job) sharedPrefix() PrefixSegment {
 	if len(j.SharedSegments) == 0 {
@@ -81,7 +81,7 @@
 	return slices.Contains(j.Tried, name)
 }
 
-// rereadCost returns the weight of a token of a shared part that is prefilled
+// recomputeCost returns the weight of a token of a shared segment that is prefilled
 // again. It is 1 while most servers are idle and grows with the fraction of the
 // target that the queue of the median server takes. The median keeps a single
 // overloaded server among idle ones from raising the cost for all.
@@ -104,7 +104,7 @@
 }
 
 // meetsTarget reports whether a request is admitted behind queuedTokens of other
-// prompts, with shared parts to be prefilled again. It is judged as a prompt of
+// prompts, with shared segments to be prefilled again. It is judged as a prompt of
 // the mean length of its class with the same fraction cached, so that prompts of
 // all lengths find a server equally often; see ClassSizes. Where almost nothing
 // is queued it is admitted anyway, so that classes are served whose prompts take
--- a/policy/long_prompts_test.go
+++ b/policy/long_prompts_test.go
@@ -10,9 +10,9 @@
 // longest tenth is at least this part of the share served of the whole class.
 const minLongestShare = 0.5
 
-// variedSummaries simulates ten seconds of summaries whose own and shared parts vary widely
-// in length, at a multiple of the engines' capacity, beside urgent questions at a constant
-// rate.
+// variedSummaries simulates ten seconds of summaries whose shared segments and remainders
+// vary widely in length, at a multiple of the engines' capacity, beside urgent questions at a
+// constant rate.
 func variedSummaries(seed uint64, multiple float64) *directSimulation {
 	p := newSeededSimulation(seed, 24, 12, true)
 	p.estimateUnseen, p.chunkTokens = true, 1024
@@ -26,7 +26,7 @@
 }
 
 // addSummaries adds summary requests of widely varying lengths, at a multiple of the engines'
-// capacity if half of the shared parts are cached.
+// capacity if half of the shared segments are cached.
 func (p *directSimulation) addSummaries(multiple float64, until time.Duration) {
 	const ownTokens, subjectTokens, systemTokens, subjectCount = 2900, 3800, 2500, 600
 	subjectLengths := make([]int, subjectCount)
--- a/policy/milestone.go
+++ b/policy/milestone.go
@@ -10,6 +10,6 @@
 	MilestoneStart Milestone = iota
 	// MilestoneFirstToken is the arrival of the first token.
 	MilestoneFirstToken
-	// MilestoneCompletion is the arrival of the complete answer.
+	// MilestoneCompletion is the arrival of the complete response.
 	MilestoneCompletion
 )
--- a/policy/offer_counts.go
+++ b/policy/offer_counts.go
@@ -35,7 +35,7 @@
 	return offered * float64(d) / float64(offerDecay)
 }
 
-// OfferCounter maintains one sender's OfferCounts with exponential decay. Not safe for
+// OfferCounter maintains one gateway's OfferCounts with exponential decay. Not safe for
 // concurrent use.
 type OfferCounter struct {
 	counts  OfferCounts
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -7,7 +7,7 @@
 
 // Outcomes of a run.
 const (
-	// OutcomeWhole means that the answer was complete.
+	// OutcomeComplete means that the response was complete.
 	OutcomeWhole Outcome = iota + 1
 	// OutcomeFailed means that the engine failed the run.
 	OutcomeFailed
--- a/policy/over_limit.go
+++ b/policy/over_limit.go
@@ -7,12 +7,12 @@
 
 // MarkOverLimit marks the servers whose limit leaves no capacity for a request.
 //
-// It decides at random, to account for what other senders may have sent to a server since
-// their last report. Of the senders that are expected to have a request for the server
+// It decides at random, to account for what other gateways may have sent to a server since
+// their last report. Of the gateways that are expected to have a request for the server
 // meanwhile, as many are admitted as the limit allows in that time, plus what remains of it.
-// Otherwise every sender that sees capacity would send, and dozens do whenever there is
-// capacity for one. A sender that loses a draw waits until it has heard from the others, so
-// that a burst causes one draw per sender.
+// Otherwise every gateway that sees capacity would send, and dozens do whenever there is
+// capacity for one. A gateway that loses a draw waits until it has heard from the others, so
+// that a burst causes one draw per gateway.
 //
 // A less urgent request leaves the same share of each limit free as of servers' slots.
 func (l *ServerLimits) MarkOverLimit(now time.Time, random *rand.Rand, job *Job, servers []Server) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// draw reports whether the sender wins a draw of the given probability.
+// draw reports whether the gateway wins a draw of the given probability.
 func (s *serverLimit) draw(now time.Time, random *rand.Rand, probability float64) bool {
 	if now.Sub(s.drawLost) < redrawInterval {
 		return false
--- a/policy/pause_estimator_test.go
+++ b/policy/pause_estimator_test.go
@@ -82,7 +82,7 @@
 	if got := p.lateProbability(p.slowdowns.factor(testStart, KeyOf("a")), 3, tightPauseTarget); got != 0 {
 		t.Errorf("the probability is %.2f after a few streams", got)
 	}
-	// Pauses that are all zero, as of unstreamed answers, must not cause a division by
+	// Pauses that are all zero, as of unstreamed responses, must not cause a division by
 	// zero.
 	q := &PauseEstimator{}
 	observePauses(q, testStart, "a", 3, 2*minPauseSamples, 0)
--- a/policy/pause_simulation_test.go
+++ b/policy/pause_simulation_test.go
@@ -74,7 +74,7 @@
 }
 
 // If the faster engines have no free slot, the others are used: requests that fit are never
-// rejected because of their pause targets.
+// refused because of their pause targets.
 func TestTightStreamsUseSlowEnginesForTheirSlots(t *testing.T) {
 	// 12 engines of 48 slots can run 384 streams of 1.5 s per second, the faster ones 256.
 	p := simulateUnequalEngines(330, 0, simPauseTargets)
--- a/policy/peer_update.go
+++ b/policy/peer_update.go
@@ -16,7 +16,7 @@
 	PrefixUses  []PrefixUse
 	FirstTokens []TTFTSample
 	Pauses      []Pause
-	// Unanswered has the server of each request that got no answer.
+	// Unanswered has the server of each request that got no response.
 	Unanswered []Key
 	Suspicions []Suspicion
 	Limits     []LimitReport
--- a/policy/placement_request.go
+++ b/policy/placement_request.go
@@ -13,7 +13,7 @@
 	Exclude []string
 }
 
-// excludes reports whether the candidate can't be used: it is leaving,
+// excludes reports whether the candidate can't be used: it is draining,
 // unreachable or already tried.
 func (p PlacementRequest) excludes(c Candidate) bool {
 	return c.Draining || c.Down || slices.Contains(p.Exclude, c.Name)
--- a/policy/preemption.go
+++ b/policy/preemption.go
@@ -20,7 +20,7 @@
 // Resume.
 //
 // Preemption handles a burst of urgent requests on engines that are full of long
-// answers: once the reserved slots are used up, waiting for an answer to end
+// responses: once the reserved slots are used up, waiting for a response to end
 // takes longer than the whole target. A run is cancelled if the probability that
 // another one ends in time is below 999 in 1,000, with run ends modelled as a
 // Poisson process at the measured service rate. One is also cancelled when an
@@ -29,8 +29,8 @@
 // starvation guarantee.
 //
 // With preemption the reserved slots can be lent to other runs in the meantime.
-// Its cost is the slot time for prefilling the prompt again; the answer continues
-// where it was interrupted.
+// Its cost is the slot time for prefilling the prompt again; the response
+// continues where it was interrupted.
 func (s *Scheduler) Preempt(now time.Time) (id string, ok bool) {
 	s.advance(now)
 	delayed := s.claimDelayedUrgentRun()
--- a/policy/prefill_plan.go
+++ b/policy/prefill_plan.go
@@ -12,8 +12,8 @@
 // been prefilled.
 //
 // This matters for long prompts that arrive close together. If prompts counted in full
-// until their first token, two half-completed prompts would look like two whole ones, and
-// the next request would be rejected although it would have been in time.
+// until their first token, two half-completed prompts would look like two complete ones, and
+// the next request would be refused although it would have been in time.
 type PrefillPlan struct {
 	tokens int
 	start  time.Time
--- a/policy/prefill_plan_test.go
+++ b/policy/prefill_plan_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// Two half-prefilled prompts leave time for a third one that two whole prompts would not.
+// Two half-prefilled prompts leave time for a third one that two complete prompts would not.
 func TestPrefilledTokensMakeRoom(t *testing.T) {
 	c, servers := newTestChooser(), idleServers(1)
 	job := Job{Zone: "z", Urgency: 4, Target: 500 * time.Millisecond, Tokens: 4000}
@@ -42,6 +42,6 @@
 	later := testStart.Add(200 * time.Millisecond)
 	level.Tokens = pending(later)
 	if choice := c.Choose(later, job, servers, r); !choice.InTime {
-		t.Errorf("rejected with %d of 11,000 tokens remaining", level.Tokens)
+		t.Errorf("refused with %d of 11,000 tokens remaining", level.Tokens)
 	}
 }
--- a/policy/prefill_rate.go
+++ b/policy/prefill_rate.go
@@ -44,10 +44,10 @@
 //
 // Fixed time and rate are estimated by linear regression with exponentially decaying
 // weights. A single rate without a fixed time would mistake a slow first step for slow
-// prefill, and reject requests that half-idle servers could answer in time.
+// prefill, and refuse requests that half-idle servers could answer in time.
 //
 // The regression alone can't follow servers that become faster. Long prompts that took
-// long have made the line steep; because of it long prompts are rejected, and the short
+// long have made the line steep; because of it long prompts are refused, and the short
 // ones that are admitted and are fast make it steeper. So if recent first tokens, at any
 // prompt length, arrive earlier than the line predicts, all predictions are reduced by the
 // same ratio.
@@ -160,7 +160,7 @@
 // others tokens of other requests ahead and own tokens of the request itself: the expected
 // time and the mean deviation, applied to the wait for others only. The first step and the
 // request's own prefill take their time at an idle server too. A deviation on these would
-// reject every request of a class with a tight target, and nothing more would be learned.
+// refuse every request of a class with a tight target, and nothing more would be learned.
 func (r *PrefillRate) likelyTTFT(others, own float64) time.Duration {
 	return r.expectedTTFT(own) + time.Duration(float64(r.prefillTime(others))*(1+r.deviation()))
 }
--- a/policy/prefill_rate_test.go
+++ b/policy/prefill_rate_test.go
@@ -90,7 +90,7 @@
 	job := Job{Zone: "z", Urgency: 4, Target: 500 * time.Millisecond, Tokens: 3000}
 	c := newTestChooser()
 	if choice := c.Choose(testStart, job, servers, steady); !choice.InTime {
-		t.Errorf("rejected with an expected %v of 500 ms and low variance", choice.ExpectedTTFT)
+		t.Errorf("refused with an expected %v of 500 ms and low variance", choice.ExpectedTTFT)
 	}
 	if choice := c.Choose(testStart, job, servers, scattered); choice.InTime {
 		t.Errorf("admitted with an expected %v of 500 ms and times that vary by nine tenths", choice.ExpectedTTFT)
@@ -106,7 +106,7 @@
 	long := summaryJob(5)
 	long.Tokens = 46_000
 	if choice := c.Choose(testStart, long, servers, r); !choice.InTime {
-		t.Errorf("a prompt of 40,000 tokens is rejected by idle servers: %+v", choice)
+		t.Errorf("a prompt of 40,000 tokens is refused by idle servers: %+v", choice)
 	}
 	for i := range servers {
 		servers[i].Pending[4].Requests, servers[i].Pending[4].Tokens = 1, 3000
--- a/policy/prefix_index.go
+++ b/policy/prefix_index.go
@@ -12,7 +12,7 @@
 	// burst adds 20,000 to 40,000 tokens a second, so a segment lasts 5 to 20 seconds.
 	cacheTTL = 8 * time.Second
 	// pendingTTL is how long a segment that was sent counts as about to be cached. After
-	// that its request was rejected, cancelled, or is stuck.
+	// that its request was refused, cancelled, or is stuck.
 	pendingTTL = 4 * time.Second
 	// minUpdateInterval is the minimum time between two updates about the same segment
 	// at the same server.
@@ -62,14 +62,14 @@
 }
 
 // PrefixIndex tracks which server has which prefix segments cached, as far as a gateway
-// can know: from its own requests and their answers, and from the updates of others.
+// can know: from its own requests and their responses, and from the updates of others.
 //
 // It matters most after servers have started, together or one by one: their caches are
 // empty and every segment has to be prefilled. Without the index a segment counts as
 // cached at its home server from the start. Servers then prefill many times the expected
 // number of tokens, requests wait for seconds, the estimated prefill rate falls from 40
 // to 8 tokens a millisecond, and for another ten seconds more than half of the requests
-// are rejected although idle servers could have answered them. With the index, a segment
+// are refused although idle servers could have answered them. With the index, a segment
 // that is too popular for its home server is fetched from there instead of being
 // prefilled again.
 //
--- a/policy/quarantine.go
+++ b/policy/quarantine.go
@@ -13,7 +13,7 @@
 	quarantineAfter = 3
 	// suspectTTL is for how long a suspect is remembered after its last arrival.
 	suspectTTL = time.Hour
-	// minSeenAdvance is by how much an arrival reported by another sender must be later than
+	// minSeenAdvance is by how much an arrival reported by another gateway must be later than
 	// the known one to replace it: arrivals seem newer each time that they are relayed.
 	minSeenAdvance = time.Minute
 	// maxSuspects bounds the suspects. The one with the fewest crashes is evicted first, and
@@ -45,7 +45,7 @@
 	Fingerprint Fingerprint
 	// Cleared is when a server last answered the request completely; zero for never.
 	Cleared time.Time
-	// Seen is when the request last arrived at any sender.
+	// Seen is when the request last arrived at any gateway.
 	Seen time.Time
 	// Crashes are the crashes that count since the request was cleared.
 	Crashes []Crash
@@ -64,11 +64,11 @@
 
 // Quarantine identifies requests that crash the servers that run them.
 //
-// It guards against a request that is retried after each crash, through any sender: each run
+// It guards against a request that is retried after each crash, through any gateway: each run
 // takes a server away from all other requests. Such a request is quarantined once
-// quarantineAfter server instances have ended while running it, as reported by all senders.
+// quarantineAfter server instances have ended while running it, as reported by all gateways.
 //
-// All other requests that ran on a crashed server are suspects as well. A complete answer
+// All other requests that ran on a crashed server are suspects as well. A complete response
 // clears a request, also of crashes in the next crashGracePeriod: a frequent request is
 // occasionally cut off by a server's end, and its crashes would add up. Of the remaining
 // suspects, as few are quarantined as explain all crashes: a request that ran beside a
@@ -80,11 +80,11 @@
 	// quarantined holds the quarantined requests; nil if it must be recomputed.
 	quarantined map[Fingerprint]bool
 	swept       time.Time
-	// pending holds the suspects with changes to send to other senders, oldest first.
+	// pending holds the suspects with changes to send to other gateways, oldest first.
 	pending []Fingerprint
 	// roundRobin holds the suspects that are sent in turn even without changes.
 	roundRobin []Fingerprint
-	// answered holds the recent complete answers at this sender.
+	// completions holds the recent complete responses at this gateway.
 	completions recentCompletions
 	runs        suspectRuns
 }
@@ -108,7 +108,7 @@
 	return !before && q.quarantinedSet()[f]
 }
 
-// ObserveAnswer records a server's complete answer to a request.
+// ObserveResponse records a server's complete response to a request.
 func (q *Quarantine) ObserveAnswer(now time.Time, f Fingerprint) {
 	q.completions.add(now, f)
 	if s := q.suspects[f]; s != nil && len(s.crashes) > 0 && q.record(f, now) {
@@ -138,8 +138,8 @@
 	return Suspicion{Fingerprint: f}
 }
 
-// Merge merges another sender's suspicions. If this sender had a complete answer that clears
-// one of them, the clearance is sent to the others.
+// Merge merges another gateway's suspicions. If this gateway had a complete response that
+// clears one of them, the clearance is sent to the others.
 func (q *Quarantine) Merge(now time.Time, suspicions []Suspicion) {
 	for _, update := range suspicions {
 		if now.Sub(update.Seen) > suspectTTL {
@@ -156,8 +156,8 @@
 	}
 }
 
-// record merges a complete answer, if there was one, and crashes into the state of a request.
-// It reports whether that changed the state.
+// record merges a complete response, if there was one, and crashes into the state of a
+// request. It reports whether that changed the state.
 func (q *Quarantine) record(f Fingerprint, cleared time.Time, crashes ...Crash) bool {
 	s := q.suspect(f)
 	changed := s.clear(cleared)
@@ -170,8 +170,8 @@
 	return changed
 }
 
-// Updates returns the suspicions to send to other senders now: those that changed here, and
-// one of the others in turn, for senders that missed it because they started later or were
+// Updates returns the suspicions to send to other gateways now: those that changed here, and
+// one of the others in turn, for gateways that missed it because they started later or were
 // disconnected.
 func (q *Quarantine) Updates(now time.Time) []Suspicion {
 	q.sweep(now)
@@ -216,7 +216,7 @@
 	return 0, false
 }
 
-// announce queues a suspect to be sent to other senders suspicionRepeats times.
+// announce queues a suspect to be sent to other gateways suspicionRepeats times.
 func (q *Quarantine) announce(f Fingerprint, s *suspect) {
 	if s.sendsLeft <= 0 {
 		q.pending = append(q.pending, f)
@@ -264,7 +264,7 @@
 }
 
 // quarantinedSet returns the fewest suspects that explain the crashes, by a greedy choice:
-// each round takes the suspect with the most crashes that no other explains yet. All senders
+// each round takes the suspect with the most crashes that no other explains yet. All gateways
 // with the same information get the same result. A request that was quarantined for another
 // one's crashes is released by the next crash that it wasn't running at.
 func (q *Quarantine) quarantinedSet() map[Fingerprint]bool {
--- a/policy/quarantine_test.go
+++ b/policy/quarantine_test.go
@@ -109,12 +109,12 @@
 	}
 }
 
-// crashSimulation simulates a request that crashes servers and is retried at random senders,
-// beside innocent requests. Senders inform each other by datagrams, some of which are lost.
+// crashSimulation simulates a request that crashes servers and is retried at random gateways,
+// beside innocent requests. Gateways inform each other by datagrams, some of which are lost.
 type crashSimulation struct {
 	gateways []*Quarantine
 	random   *rand.Rand
-	// disconnected holds the senders whose datagrams are lost in both directions.
+	// disconnected holds the gateways whose datagrams are lost in both directions.
 	disconnected map[int]bool
 	now          time.Time
 	// sent counts the culprit's runs, each of which ends a server; refused counts the innocent
@@ -135,7 +135,7 @@
 	return sim
 }
 
-// broadcast sends every sender's updates to all others; lossRate is the share of datagrams
+// broadcast sends every gateway's updates to all others; lossRate is the share of datagrams
 // that are lost.
 func (sim *crashSimulation) broadcast(lossRate float64) {
 	for i, from := range sim.gateways {
@@ -149,7 +149,7 @@
 }
 
 // step simulates one gossip interval. The culprit arrives the given number of times at random
-// senders, and innocent requests, each arriving once, run on the servers that it ends.
+// gateways, and innocent requests, each arriving once, run on the servers that it ends.
 func (sim *crashSimulation) step(lossRate float64, arrivals int) {
 	for range arrivals {
 		gateway := sim.random.IntN(len(sim.gateways))
@@ -176,8 +176,8 @@
 	sim.now = sim.now.Add(gossipInterval)
 }
 
-// Guards against each sender counting only its own crashes, so that retries accumulate over
-// all senders.
+// Guards against each gateway counting only its own crashes, so that retries accumulate over
+// all gateways.
 func TestSendersShareSuspicions(t *testing.T) {
 	for _, gateways := range []int{2, 6, 68} {
 		for _, lossRate := range []float64{0, 0.3} {
@@ -186,7 +186,7 @@
 				for range 100 {
 					sim.step(lossRate, 1)
 				}
-				// The third crash, and a few runs that start before all senders know of it.
+				// The third crash, and a few runs that start before all gateways know of it.
 				if sim.sent > quarantineAfter+3 {
 					t.Errorf("the culprit ran %d times in ten seconds", sim.sent)
 				}
@@ -198,8 +198,8 @@
 	}
 }
 
-// A sender that starts or restarts knows of no crashes. If it had to observe three of its own,
-// each start would cost three more servers.
+// A gateway that starts or restarts knows of no crashes. If it had to observe three of its
+// own, each start would cost three more servers.
 func TestStartingSenderLearnsQuarantine(t *testing.T) {
 	sim := newCrashSimulation(6, 2)
 	for range 30 {
@@ -215,7 +215,7 @@
 		sim.step(0.3, 1)
 	}
 	if sim.sent != sent {
-		t.Errorf("the culprit ran %d more times at senders that had just started", sim.sent-sent)
+		t.Errorf("the culprit ran %d more times at gateways that had just started", sim.sent-sent)
 	}
 }
 
@@ -231,7 +231,7 @@
 		sim.now = sim.now.Add(gossipInterval)
 	}
 	if !sim.gateways[0].Quarantined(sim.now, culprit) {
-		t.Error("a sender that was disconnected admits the culprit a second after it reconnected")
+		t.Error("a gateway that was disconnected admits the culprit a second after it reconnected")
 	}
 }
 
@@ -268,7 +268,7 @@
 	}
 }
 
-// One gateway received a complete answer to the request, another lost it with a server.
+// One gateway received a complete response to the request, another lost it with a server.
 func TestCompleteAnswerAtOneSenderClearsForAll(t *testing.T) {
 	a, b := NewQuarantine(), NewQuarantine()
 	a.ObserveAnswer(testStart, 7)
@@ -278,10 +278,10 @@
 	now := testStart.Add(2 * time.Second)
 	a.Merge(now, b.Updates(now))
 	if a.Quarantined(now, 7) {
-		t.Error("quarantined by the sender that answered it")
+		t.Error("quarantined by the gateway that answered it")
 	}
 	if b.Merge(now, a.Updates(now)); b.Quarantined(now, 7) {
-		t.Error("quarantined by a sender that was told of the answer")
+		t.Error("quarantined by a gateway that was told of the response")
 	}
 }
 
@@ -293,11 +293,11 @@
 		q.ObserveCrash(testStart.Add(crashGracePeriod/2+time.Duration(i)*crashGracePeriod), 7, instance)
 	}
 	if !q.Quarantined(testStart, 7) {
-		t.Error("not quarantined after three crashes since the last complete answer")
+		t.Error("not quarantined after three crashes since the last complete response")
 	}
 }
 
-// Guards against senders that report a request to each other in turn and so never forget it
+// Guards against gateways that report a request to each other in turn and so never forget it
 // after it has stopped arriving.
 func TestSuspectExpiresAtAllSenders(t *testing.T) {
 	sim := newCrashSimulation(6, 5)
@@ -312,9 +312,9 @@
 		return n
 	}
 	if quarantined() != len(sim.gateways) {
-		t.Fatalf("quarantined by %d senders of %d", quarantined(), len(sim.gateways))
+		t.Fatalf("quarantined by %d gateways of %d", quarantined(), len(sim.gateways))
 	}
-	// The culprit arrives again at one sender, so all of them remember it.
+	// The culprit arrives again at one gateway, so all of them remember it.
 	sim.now = sim.now.Add(suspectTTL / 2)
 	sim.gateways[0].Quarantined(sim.now, culprit)
 	for range 20 {
@@ -327,13 +327,13 @@
 		sim.now = sim.now.Add(gossipInterval)
 	}
 	if quarantined() != len(sim.gateways) {
-		t.Errorf("quarantined by %d senders of %d, though it arrived three quarters of an hour ago", quarantined(), len(sim.gateways))
+		t.Errorf("quarantined by %d gateways of %d, though it arrived three quarters of an hour ago", quarantined(), len(sim.gateways))
 	}
 	for range 60 {
 		sim.now = sim.now.Add(time.Minute)
 		sim.broadcast(0.3)
 	}
 	if quarantined() != 0 {
-		t.Errorf("quarantined by %d senders after it stopped arriving", quarantined())
+		t.Errorf("quarantined by %d gateways after it stopped arriving", quarantined())
 	}
 }
--- a/policy/queued_ticket.go
+++ b/policy/queued_ticket.go
@@ -18,7 +18,7 @@
 	// late ticket when it is given up.
 	expiresAt time.Time
 	// resumed tickets neither expire nor are displaced, because their caller
-	// already has a part of the answer.
+	// already has a part of the response.
 	resumed bool
 	// late marks top-tier tickets that can no longer start in time and continue
 	// to wait.
--- a/policy/recent_completions.go
+++ b/policy/recent_completions.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// maxGenerationSize bounds each of the two generations of recentCompletions, which holds
+// maxMapSize bounds each of the two maps of recentCompletions, which holds
 // up to twice as many requests.
 const maxMapSize = 4096
 
-// recentCompletions holds the time of the last complete answer by request fingerprint, for
-// answers within clearedFor and some older ones.
+// recentCompletions holds the time of the last complete response by request fingerprint,
+// for responses within crashGracePeriod and some older ones.
 type recentCompletions struct {
-	// current has the answers since rotated, and previous those of the generation before.
+	// current has the responses since rotated, and previous those of the interval before.
 	current, previous map[Fingerprint]time.Time
 	rotated           time.Time
 }
--- a/policy/request_stats_test.go
+++ b/policy/request_stats_test.go
@@ -14,7 +14,7 @@
 	// offered counts requests without their retries; completed and onTime count
 	// those of them that were answered without a retry.
 	offered, completed, onTime int
-	// onTimeMeasured counts answers on time between measureStart and measureEnd,
+	// onTimeMeasured counts responses on time between measureStart and measureEnd,
 	// those to retries too.
 	onTimeMeasured int
 	refused        int
@@ -46,7 +46,7 @@
 	return float64(s.retriesOnTime) / float64(max(s.retries, 1))
 }
 
-// goodput returns the answers on time per second between measureStart and
+// goodput returns the responses on time per second between measureStart and
 // measureEnd.
 func (s *requestStats) goodput() float64 {
 	return float64(s.onTimeMeasured) / (measureEnd - measureStart).Seconds()
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -9,7 +9,7 @@
 	customer string
 	// promptTokens is the length of the prompt.
 	promptTokens int
-	// answerTokens is the length of the answer; generated is how many of its
+	// responseTokens is the length of the response; generated is how many of its
 	// tokens have been generated.
 	responseTokens int
 	generated      int
@@ -29,7 +29,7 @@
 	// retriedInBurst says that the retry came before the end of the burst.
 	retriedInBurst bool
 	granted        bool
-	// completed says that the whole answer was generated, on time or late.
+	// completed says that the complete response was generated, on time or late.
 	completed bool
 	// retried says that the request was refused and sent again.
 	retried bool
@@ -50,7 +50,7 @@
 	}
 }
 
-// late reports whether an answer that ends now misses one of its targets.
+// late reports whether a response that ends now misses one of its targets.
 func (r *request) late(now time.Time) bool {
 	meanInterval := now.Sub(r.firstTokenAt) / time.Duration(max(r.responseTokens-1, 1))
 	exceeds := func(latency, target time.Duration) bool { return target > 0 && latency > target }
--- a/policy/reserve.go
+++ b/policy/reserve.go
@@ -26,8 +26,8 @@
 
 // canStart reports whether a waiting ticket may start now.
 //
-// It guards against an urgent request that arrives when an engine is full of long answers: the
-// next slot may become free only after seconds, later than the request's whole target. One
+// It guards against an urgent request that arrives when an engine is full of long responses:
+// the next slot may become free only after seconds, later than the request's whole target. One
 // slot in eight, and at least one, is reserved for the two top tiers. Preemptible runs may use
 // these slots until Preempt takes them back: left idle, they cost a tenth of the goodput in a
 // burst of a lower class. Slots that the urgent tiers have used recently aren't lent, since one
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -63,7 +63,7 @@
 
 // Resume queues a retry of a request that was partially executed. It is never
 // refused, whatever the estimated wait and the length of the queue, because its
-// caller already has a part of the answer. It is ordered by its tier.
+// caller already has a part of the response. It is ordered by its tier.
 func (s *Scheduler) Resume(now time.Time, t Ticket) {
 	s.advance(now)
 	t.Arrived = now
--- a/policy/scheduler_property_test.go
+++ b/policy/scheduler_property_test.go
@@ -179,7 +179,7 @@
 }
 
 // heldBack reports whether the next ticket is held back for other engines that have
-// a copy of it, which is allowed for less than holdHopeless.
+// a copy of it, which is allowed for less than likelyLateDeferral.
 func (m *schedulerModel) heldBack() bool {
 	_, held := m.nextDeferralEnd(m.now)
 	w := m.queue.next().head()
--- a/policy/send_rate.go
+++ b/policy/send_rate.go
@@ -9,7 +9,7 @@
 // the start of a burst counts at once and single requests don't.
 const sendDecay = 300 * time.Millisecond
 
-// SendRate tracks how many requests a sender sent recently, and how many tokens are prefilled
+// SendRate tracks how many requests a gateway sent recently, and how many tokens are prefilled
 // for those of each urgency level, with exponential decay. Not safe for concurrent use.
 type SendRate struct {
 	sends   float64
--- a/policy/server.go
+++ b/policy/server.go
@@ -16,7 +16,7 @@
 // requests of all gateways: this gateway's own are exact, those of others are as old
 // as their last update.
 type Server struct {
-	// Name identifies the server, and Start one start of its process. Zone is its
+	// Name identifies the server, and Instance one run of its process. Zone is its
 	// availability zone.
 	Name  string
 	Start Key
@@ -30,7 +30,7 @@
 	Running int
 	// Pending is the work that waits for its first token.
 	Pending PendingWork
-	// Leaving servers accept no new work.
+	// Draining servers accept no new work.
 	Draining bool
 	// Warming servers have started recently and are slow for a while.
 	Warming bool
--- a/policy/server_limit.go
+++ b/policy/server_limit.go
@@ -14,40 +14,40 @@
 	// sendMargin is subtracted from the allowed average: each send raises the sum by one, and
 	// the sum should meet the limit in the mean.
 	sendMargin = 0.3
-	// redrawInterval is after what time a sender that lost a draw draws again: by then it has
-	// received what the others sent.
+	// redrawInterval is after what time a gateway that lost a draw draws again: by then it
+	// has received what the others sent.
 	redrawInterval = 100 * time.Millisecond
 	// minLimitRate is the lowest rate, in requests per second, that is sent to a limited
-	// server: without any answer its limit would never be lifted.
+	// server: without any response its limit would never be lifted.
 	minLimitRate = 0.1
 )
 
-// LimitEvidence is what a server's answer says about its limit.
+// LimitEvidence is what a server's response says about its limit.
 type LimitEvidence struct {
 	// Rate is in requests per second. Lifted says that there is no limit any more.
 	Rate   float64
 	Lifted bool
 	// At is when the limit was last stated. For a lifted limit, it is when the request was
-	// sent whose answer lifted it. Zero means no evidence.
+	// sent whose response lifted it. Zero means no evidence.
 	At time.Time
 }
 
-// LimitReport is what a sender reports to other senders about a server that has stated a
+// LimitReport is what a gateway reports to other gateways about a server that has stated a
 // limit.
 type LimitReport struct {
 	// Server identifies the server instance.
 	Server Key
 	LimitEvidence
-	// Sent is how many requests the sender sent to the server recently, with exponential
+	// Sent is how many requests the gateway sent to the server recently, with exponential
 	// decay.
 	Sent float64
 }
 
-// Allowance is the part of a server's limit that a sender may still use.
+// Allowance is the part of a server's limit that a gateway may still use.
 type Allowance struct {
-	// Remaining is how many requests the sender may send at once, given what all senders sent
-	// recently; it may send none if Remaining isn't above 0. Burst is how many it may send
-	// after an idle period.
+	// Remaining is how many requests the gateway may send at once, given what all gateways
+	// sent recently; it may send none if Remaining isn't above 0. Burst is how many it may
+	// send after an idle period.
 	Remaining float64
 	Burst     float64
 	// AvailableIn is after what time Remaining is above 0 if nobody sends meanwhile.
@@ -56,25 +56,25 @@
 
 // serverLimit is the state of one server's limit.
 type serverLimit struct {
-	// LimitEvidence is the latest of all senders, and own this sender's latest. Only own is
+	// LimitEvidence is the latest of all gateways, and own this gateway's latest. Only own is
 	// reported to others, since evidence seems newer each time that it is relayed.
 	LimitEvidence
 	own LimitEvidence
-	// sent is how many requests this sender sent recently, decayed to sentAt.
+	// sent is how many requests this gateway sent recently, decayed to sentAt.
 	sent   float64
 	sentAt time.Time
-	// liveShare is the share of all senders that were live at the last call of Allowance.
+	// liveShare is the share of all gateways that were live at the last call of Allowance.
 	liveShare float64
-	// drawLost is when this sender last lost a draw for the server.
+	// drawLost is when this gateway last lost a draw for the server.
 	drawLost time.Time
 }
 
-// allowance returns what is left of the limit; others is how many requests other senders sent
-// recently.
+// allowance returns what is left of the limit; others is how many requests other gateways
+// sent recently.
 func (s *serverLimit) allowance(others float64) Allowance {
 	timeConstant := s.decayTime()
 	burst := s.sendRate() * timeConstant.Seconds() * s.liveShare
-	// Reports of other senders are half a gossip interval old on average.
+	// Reports of other gateways are half a gossip interval old on average.
 	sent := s.sent + others*math.Exp(-float64(redrawInterval/2)/float64(timeConstant))
 	budget := burst - sendMargin
 	allowance := Allowance{Remaining: budget - sent, Burst: burst}
@@ -87,14 +87,14 @@
 // sendRate returns how many requests per second the server is sent.
 func (s *serverLimit) sendRate() float64 { return max(s.Rate, minLimitRate) }
 
-// sendsPerRedraw returns how many requests the server is sent until a sender draws again. It
+// sendsPerRedraw returns how many requests the server is sent until a gateway draws again. It
 // is at least a half, so that low limits are used while few requests of a burst are admitted.
 func (s *serverLimit) sendsPerRedraw() float64 {
 	return max(s.sendRate()*redrawInterval.Seconds(), 0.5)
 }
 
 // decayTime returns the time constant for averaging sends. It is about the same for all
-// senders that hear of each other.
+// gateways that hear of each other.
 func (s *serverLimit) decayTime() time.Duration {
 	return max(minLimitDecay, time.Duration(limitBurst/(s.sendRate()*s.liveShare)*float64(time.Second)))
 }
--- a/policy/server_limits.go
+++ b/policy/server_limits.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	// limitTTL is for how long a limit stays in force without another answer that states it: a
-	// server that gets no requests can't lift its limit.
+	// limitTTL is for how long a limit stays in force without another response that states it:
+	// a server that gets no requests can't lift its limit.
 	limitTTL = 10 * time.Minute
-	// liftGossipTime is for how long other senders are told that a limit was lifted.
+	// liftGossipTime is for how long other gateways are told that a limit was lifted.
 	liftGossipTime = 5 * time.Second
 )
 
 // ServerLimits tracks the limits that servers have stated: how many requests per second each
-// accepts from all senders together. Each server instance has its own limit.
+// accepts from all gateways together. Each server instance has its own limit.
 //
-// An overloaded server accepts only part of its usual load until it lifts its limit. A sender
-// knows only its own sends: if each kept to the limit by itself, dozens of senders would send
+// An overloaded server accepts only part of its usual load until it lifts its limit. A gateway
+// knows only its own sends: if each kept to the limit by itself, dozens of gateways would send
 // dozens of times the limit, and an equal share for each would starve those that have most of
-// the load. So each sender reports its recent sends to the others, and sends as long as all
+// the load. So each gateway reports its recent sends to the others, and sends as long as all
 // together have sent less than the limit. MarkOverLimit accounts for what others may have sent
-// since their last report. Senders that aren't live may use their equal share, which is
+// since their last report. Gateways that aren't live may use their equal share, which is
 // reserved for them.
 //
-// A server states its limit in its answers, and lifts it with an answer that states none. An
-// answer to a request that was sent before the limit was stated is no evidence that it was
-// lifted: the answer may have been made earlier.
+// A server states its limit in its responses, and lifts it with a response that states none. A
+// response to a request that was sent before the limit was stated is no evidence that it was
+// lifted: the response may have been made earlier.
 //
 // Not safe for concurrent use.
 type ServerLimits struct {
@@ -37,7 +37,7 @@
 // NewServerLimits returns ServerLimits without any limit.
 func NewServerLimits() *ServerLimits { return &ServerLimits{servers: map[Key]*serverLimit{}} }
 
-// ObserveLimit records that a server's answer stated a limit of rate requests per second. It
+// ObserveLimit records that a server's response stated a limit of rate requests per second. It
 // reports whether the limit changed.
 func (l *ServerLimits) ObserveLimit(now time.Time, server Key, rate float64) bool {
 	l.sweep(now)
@@ -48,7 +48,7 @@
 	return changed
 }
 
-// ObserveNoLimit records that a server's answer to a request sent at a given time stated no
+// ObserveNoLimit records that a server's response to a request sent at a given time stated no
 // limit. It reports whether that lifts a limit.
 func (l *ServerLimits) ObserveNoLimit(sent time.Time, server Key) bool {
 	s := l.servers[server]
@@ -69,7 +69,7 @@
 	}
 }
 
-// Merge merges another sender's reports. The latest evidence wins.
+// Merge merges another gateway's reports. The latest evidence wins.
 func (l *ServerLimits) Merge(reports []LimitReport) {
 	for _, report := range reports {
 		if report.At.IsZero() {
@@ -81,7 +81,7 @@
 	}
 }
 
-// Reports returns what to report to other senders now.
+// Reports returns what to report to other gateways now.
 func (l *ServerLimits) Reports(now time.Time) []LimitReport {
 	l.sweep(now)
 	var reports []LimitReport
@@ -96,8 +96,8 @@
 }
 
 // Allowance returns what remains of a server's limit, or false if it has none. others is how
-// many requests other senders sent to it recently, and liveShare the share of all senders that
-// are live, this one included.
+// many requests other gateways sent to it recently, and liveShare the share of all gateways
+// that are live, this one included.
 func (l *ServerLimits) Allowance(now time.Time, server Key, others, liveShare float64) (Allowance, bool) {
 	s := l.servers[server]
 	if s == nil || s.Lifted {
--- a/policy/server_limits_test.go
+++ b/policy/server_limits_test.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// limitSender is a sender in a limitSimulation.
+// limitGateway is a gateway in a limitSimulation.
 type limitGateway struct {
 	limits  *ServerLimits
 	offers  OfferCounter
 	chooser *Chooser
-	// reports holds the latest report of each other sender.
+	// reports holds the latest report of each other gateway.
 	reports map[int]limitReportSet
-	// nextReport is when the sender sends its next report.
+	// nextReport is when the gateway sends its next report.
 	nextReport   time.Time
 	disconnected bool
 }
 
-// limitReportSet is one sender's report of limits and offered requests; at is when it was
+// limitReportSet is one gateway's report of limits and offered requests; at is when it was
 // received.
 type limitReportSet struct {
 	limits []LimitReport
@@ -27,8 +27,8 @@
 	at     time.Time
 }
 
-// limitSimulation simulates senders and servers that state a limit. Each request is sent to
-// the server that its sender's chooser selects, or refused.
+// limitSimulation simulates gateways and servers that state a limit. Each request is sent to
+// the server that its gateway's chooser selects, or refused.
 type limitSimulation struct {
 	t        *testing.T
 	random   *rand.Rand
@@ -48,7 +48,7 @@
 	refused  int
 }
 
-// limitDatagram is a report in transit between two senders; at is when it arrives.
+// limitDatagram is a report in transit between two gateways; at is when it arrives.
 type limitDatagram struct {
 	from, to int
 	at       time.Time
@@ -84,7 +84,7 @@
 	return s
 }
 
-// run simulates d, with perSecond requests a second, each at the sender whose index draw
+// run simulates d, with perSecond requests a second, each at the gateway whose index draw
 // returns.
 func (sim *limitSimulation) run(d time.Duration, perSecond float64, draw func() int) {
 	for until := sim.now.Add(d); sim.now.Before(until); sim.now = sim.now.Add(simStep) {
@@ -103,7 +103,7 @@
 	}
 }
 
-// report sends a sender's report to all others.
+// report sends a gateway's report to all others.
 func (sim *limitSimulation) report(from int) {
 	s := sim.gateways[from]
 	report := limitReportSet{limits: s.limits.Reports(sim.now), offers: s.offers.Counts(sim.now)}
@@ -127,7 +127,7 @@
 	}
 }
 
-// request has a sender choose a server for one request, which answers with its limit if the
+// request has a gateway choose a server for one request, which answers with its limit if the
 // request is sent.
 func (sim *limitSimulation) request(gateway int) {
 	s := sim.gateways[gateway]
@@ -161,7 +161,7 @@
 	s.limits.ObserveLimit(sim.now, key, sim.rate)
 }
 
-// anySender returns a random sender's index, uniformly distributed.
+// anyGateway returns a random gateway's index, uniformly distributed.
 func (sim *limitSimulation) anyGateway() int { return sim.random.IntN(len(sim.gateways)) }
 
 // expectWithinLimit checks the number of requests in every span of four seconds at each server
@@ -206,7 +206,7 @@
 	}
 }
 
-// Guards against each sender keeping to a server's limit by itself: dozens of senders would
+// Guards against each gateway keeping to a server's limit by itself: dozens of gateways would
 // send dozens of times what the server accepts.
 func TestSendersShareALimit(t *testing.T) {
 	for _, c := range []struct {
@@ -239,7 +239,7 @@
 	}
 }
 
-// simulateBursts simulates callers that arrive in bursts at all senders at once.
+// simulateBursts simulates callers that arrive in bursts at all gateways at once.
 func simulateBursts(t *testing.T, seed uint64, factor float64) {
 	sim := newLimitSimulation(t, 68, 2, 1.6)
 	sim.random = rand.New(rand.NewPCG(seed, 7))
@@ -250,7 +250,7 @@
 	sim.expectWithinLimit(testStart.Add(500 * time.Millisecond))
 }
 
-// Senders estimate from recently offered requests how many others have a request for the
+// Gateways estimate from recently offered requests how many others have a request for the
 // remaining allowance.
 func TestLimitHoldsInBursts(t *testing.T) {
 	t.Parallel()
@@ -259,7 +259,7 @@
 	}
 }
 
-// In a sudden surge every sender may have seen remaining allowance.
+// In a sudden surge every gateway may have seen remaining allowance.
 func TestLimitHoldsInSuddenBursts(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(burstSeeds) {
@@ -267,7 +267,7 @@
 	}
 }
 
-// Guards against giving each sender an equal share of the limit, which would starve a sender
+// Guards against giving each gateway an equal share of the limit, which would starve a gateway
 // that has all of the load.
 func TestSingleLoadedSenderUsesWholeLimit(t *testing.T) {
 	t.Parallel()
@@ -290,8 +290,8 @@
 	sim.expectUsed(settled, 0.85, 1.2)
 }
 
-// Senders that have just started don't know the limit until another sender reports it or an
-// answer states it.
+// Gateways that have just started don't know the limit until another gateway reports it or an
+// response states it.
 func TestLimitHoldsWhileSendersStart(t *testing.T) {
 	t.Parallel()
 	sim := newLimitSimulation(t, 12, 1, 2)
@@ -303,7 +303,7 @@
 	sim.expectWithinLimit(testStart.Add(500 * time.Millisecond))
 }
 
-// Senders that receive no reports from each other keep to their equal shares.
+// Gateways that receive no reports from each other keep to their equal shares.
 func TestLimitHoldsWithDisconnectedSenders(t *testing.T) {
 	t.Parallel()
 	sim := newLimitSimulation(t, 12, 1, 6)
@@ -355,20 +355,20 @@
 	}
 }
 
-// Answers on different connections overtake each other.
+// Responses on different connections overtake each other.
 func TestAnswerToEarlierRequestLiftsNoLimit(t *testing.T) {
 	limits := NewServerLimits()
 	limits.ObserveLimit(testStart, 1, 2)
 	if limits.ObserveNoLimit(testStart.Add(-time.Millisecond), 1) || limits.LimitedServers() != 1 {
-		t.Error("lifted by an answer that may have been made before the limit was stated")
+		t.Error("lifted by a response that may have been made before the limit was stated")
 	}
 	others := NewServerLimits()
 	others.Merge(limits.Reports(testStart))
 	if !limits.ObserveNoLimit(testStart.Add(time.Millisecond), 1) || limits.LimitedServers() != 0 {
-		t.Error("not lifted by an answer that states no limit")
+		t.Error("not lifted by a response that states no limit")
 	}
 	if others.Merge(limits.Reports(testStart)); others.LimitedServers() != 0 {
-		t.Error("another sender didn't learn that the limit was lifted")
+		t.Error("another gateway didn't learn that the limit was lifted")
 	}
 	// Outdated evidence arrives late.
 	others.Merge([]LimitReport{{Server: 1, LimitEvidence: LimitEvidence{Rate: 2, At: testStart}}})
@@ -376,7 +376,7 @@
 		t.Error("outdated evidence restores a limit that was lifted")
 	}
 	if limits.Reports(testStart.Add(2 * liftGossipTime)); limits.Empty() {
-		t.Error("dropped before all senders know that the limit was lifted")
+		t.Error("dropped before all gateways know that the limit was lifted")
 	}
 	if limits.Reports(testStart.Add(2 * limitTTL)); !limits.Empty() {
 		t.Error("never dropped")
--- a/policy/service_rate.go
+++ b/policy/service_rate.go
@@ -5,11 +5,11 @@
 const (
 	// rateDecay is the factor by which each new run reduces the weight of older runs, so
 	// that the rate reflects about the last 16 runs. Fewer runs make the rate depend on
-	// single answers; more delay the detection of a straggler.
+	// single responses; more delay the detection of a straggler.
 	rateDecay = 15.0 / 16
 	// stallGapFactor is the number of mean intervals without a completion that indicate
-	// an engine that has become slower. With irregular answers an interval of four means
-	// occurs by chance two times in a hundred.
+	// an engine that has become slower. With irregular responses an interval of four
+	// means occurs by chance two times in a hundred.
 	stallGapFactor = 4
 )
 
@@ -17,7 +17,7 @@
 // slot, not per second of elapsed time.
 //
 // The throughput over elapsed time is low at an idle engine only because of low demand;
-// an estimate from it would reject the start of a burst. The approach follows the true
+// an estimate from it would refuse the start of a burst. The approach follows the true
 // processing rate of Zhang et al., AuTraScale+ (IEEE TPDS 2024). Work is measured in the
 // tickets' own size estimates, so that a constant error factor in them cancels out.
 type serviceRate struct {
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -75,7 +75,7 @@
 	update(s.stats(r.workload.class + "/" + r.customer))
 }
 
-// run simulates arrivals of the workloads for d, and then drain without arrivals.
+// run simulates arrivals of the workloads for d, and then tail without arrivals.
 func (s *simulation) run(d, tail time.Duration, workloads ...workload) {
 	for _, w := range workloads {
 		s.scheduleArrivals(w, d)
@@ -215,7 +215,7 @@
 	})
 }
 
-// completed counts a request whose whole answer was generated.
+// completed counts a request whose complete response was generated.
 func (s *simulation) completed(r *request) {
 	now := s.clock.now
 	onTime := !r.late(now)
--- a/policy/sliding_retry_budget.go
+++ b/policy/sliding_retry_budget.go
@@ -10,7 +10,7 @@
 )
 
 // SlidingRetryBudget allows retries as a share of the requests in a sliding window, plus a
-// fixed number. It is one sender's part of a budget that all senders share: each spends the
+// fixed number. It is one gateway's part of a budget that all gateways share: each spends the
 // share that its own requests earn, and an equal part of the fixed number.
 //
 // It guards against retry storms: while a service fails under load, each failure would cause
--- a/policy/slot_contention_test.go
+++ b/policy/slot_contention_test.go
@@ -55,9 +55,10 @@
 	return sim
 }
 
-// Slots are kept free for more urgent requests and for requests that senders don't see of each
-// other. Without more urgent traffic, and with other senders' requests accounted for, all that
-// fits in the slots must be admitted, and no engine may get more than it can start in time.
+// Slots are kept free for more urgent requests and for requests that gateways don't see of
+// each other. Without more urgent traffic, and with other gateways' requests accounted for,
+// all that fits in the slots must be admitted, and no engine may get more than it can start in
+// time.
 func TestUrgentTrafficAloneUsesAllSlots(t *testing.T) {
 	sim := simulateQuestionsOnly()
 	arrived, started, inTime := sim.arrived["question"], sim.started["question"], sim.inTime["question"]
--- a/policy/suspect.go
+++ b/policy/suspect.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// crashGracePeriod is for how long after a complete answer crashes don't count. It is longer
+// crashGracePeriod is for how long after a complete response crashes don't count. It is longer
 // than a frequent request often takes to be answered again, and short enough that a request
 // which crashes a server's next release is detected soon.
 const crashGracePeriod = 10 * time.Second
 
-// minClearAdvance is by how much a complete answer must be later than the known one to replace
-// it: answers seem newer each time that they are relayed.
+// minClearAdvance is by how much a complete response must be later than the known one to
+// replace it: responses seem newer each time that they are relayed.
 const minClearAdvance = time.Second
 
 // maxCrashes bounds the crashes remembered for a request. It is above quarantineAfter, so that
@@ -22,9 +22,9 @@
 type suspect struct {
 	cleared time.Time
 	crashes []Crash
-	// seen is when the request last arrived at any sender.
+	// seen is when the request last arrived at any gateway.
 	seen time.Time
-	// sendsLeft is how many more times the suspect is to be sent to other senders.
+	// sendsLeft is how many more times the suspect is to be sent to other gateways.
 	sendsLeft int
 	// repeated says that more than one server instance has ended while running the request.
 	repeated bool
@@ -41,7 +41,7 @@
 	return true
 }
 
-// clear records a complete answer. It reports whether crashes were dropped as a result.
+// clear records a complete response. It reports whether crashes were dropped as a result.
 func (s *suspect) clear(at time.Time) bool {
 	if at.Sub(s.cleared) < minClearAdvance {
 		return false
@@ -76,7 +76,7 @@
 	return s.seen.Before(other.seen)
 }
 
-// suspicion returns the state to send to other senders.
+// suspicion returns the state to send to other gateways.
 func (s *suspect) suspicion(f Fingerprint) Suspicion {
 	return Suspicion{Fingerprint: f, Cleared: s.cleared, Seen: s.seen, Crashes: slices.Clone(s.crashes)}
 }
--- a/policy/suspect_runs.go
+++ b/policy/suspect_runs.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// suspectRuns counts the suspects' current runs through this sender, by server.
+// suspectRuns counts the suspects' current runs through this gateway, by server.
 type suspectRuns map[string]map[Fingerprint]int
 
 // add counts the start of a run.
@@ -41,7 +41,7 @@
 // It guards against an innocent request that ran beside the culprit at each crash so far: at
 // the third crash one of the two is quarantined by chance, and if that is the wrong one, a
 // fourth server ends. From the second crash on, suspects that share all their crashes don't
-// run at the same server through one sender. Senders can't know each other's runs, so the
+// run at the same server through one gateway. Gateways can't know each other's runs, so the
 // servers are also divided among these suspects. Requests with one crash aren't restricted: a
 // server that crashes for reasons of its own makes suspects of all its requests.
 func (q *Quarantine) ServersToAvoid(f Fingerprint, servers []Server) []string {
--- a/policy/suspect_runs_test.go
+++ b/policy/suspect_runs_test.go
@@ -15,7 +15,7 @@
 	gateways []*Quarantine
 	servers  []string
 	started  int
-	// runsAt is the server at which each innocent request runs, through the sender of its
+	// runsAt is the server at which each innocent request runs, through the gateway of its
 	// index.
 	runsAt  []string
 	crashes int
@@ -102,7 +102,7 @@
 	return false
 }
 
-// broadcast sends every sender's updates to all others.
+// broadcast sends every gateway's updates to all others.
 func (sim *isolationSimulation) broadcast() {
 	for _, from := range sim.gateways {
 		updates := from.Updates(testStart)
--- a/policy/ticket.go
+++ b/policy/ticket.go
@@ -22,7 +22,7 @@
 	// DeadlineMilestone is the milestone that Deadline applies to; the zero value
 	// is MilestoneStart.
 	DeadlineMilestone Milestone
-	// Size is the estimated work in tokens, prompt and answer together.
+	// Size is the estimated work in tokens, prompt and response together.
 	Size int
 	// Copies is the number of engines that hold a ticket for the request at the
 	// same time; the request runs on one of them.
--- a/policy/unresponsive_servers.go
+++ b/policy/unresponsive_servers.go
@@ -8,7 +8,7 @@
 const (
 	// unresponsiveThreshold is the number of consecutive unanswered requests, from all
 	// gateways together, after which a server is excluded: more than occur in a row at a
-	// server that loses two answers in five.
+	// server that loses two responses in five.
 	unresponsiveThreshold = 5
 	// exclusionTime is how long it is then excluded: about the time in which a crashed
 	// server restarts or its registration expires.
@@ -34,7 +34,7 @@
 
 // missRecord describes the requests that a server has left unanswered.
 type missRecord struct {
-	// consecutive is the number of them since the server's last answer.
+	// consecutive is the number of them since the server's last response.
 	consecutive   int
 	excludedUntil time.Time
 	// lastMiss is when the newest of them was reported.
@@ -46,7 +46,7 @@
 	return &UnresponsiveServers{servers: map[Key]*missRecord{}}
 }
 
-// RecordUnanswered records a request that got no answer.
+// RecordUnanswered records a request that got no response.
 func (u *UnresponsiveServers) RecordUnanswered(now time.Time, server Key) {
 	u.sweep(now)
 	record := u.servers[server]
--- a/policy/unresponsive_servers_test.go
+++ b/policy/unresponsive_servers_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// A server that loses some answers, or is cut off from one of many gateways, stays in use.
+// A server that loses some responses, or is cut off from one of many gateways, is used.
 func TestServerWithSomeAnswersIsUsed(t *testing.T) {
 	s := NewUnresponsiveServers()
 	for i := range 200 {
--- a/policy/workload_test.go
+++ b/policy/workload_test.go
@@ -10,8 +10,8 @@
 	// of the logarithm of their lengths; 0 if all have the same length.
 	promptTokens int
 	promptSigma  float64
-	// answerTokens is the mean length of answers; lengths are uniform between a quarter of
-	// it and 1.75 times as much.
+	// responseTokens is the mean length of responses; lengths are uniform between a
+	// quarter of it and 1.75 times as much.
 	responseTokens int
 	// firstToken, betweenTokens and completion are the latency targets; 0 means none.
 	firstToken    time.Duration
@@ -25,7 +25,7 @@
 	hotShare  float64
 }
 
-// flagWorkload returns the hazard-flag class: top tier, short prompts and answers.
+// flagWorkload returns the hazard-flag class: top tier, short prompts and responses.
 func flagWorkload(rate func(time.Duration) float64) workload {
 	return workload{class: "flag", tier: 0, promptTokens: 100, responseTokens: 10, firstToken: 500 * time.Millisecond, rate: rate}
 }
@@ -35,7 +35,7 @@
 	return workload{class: "question", tier: 2, promptTokens: 200, responseTokens: 60, firstToken: 2 * time.Second, rate: rate, customers: 10, hotShare: 0.1}
 }
 
-// summaryWorkload returns the summary class: low tier, long prompts and answers.
+// summaryWorkload returns the summary class: low tier, long prompts and responses.
 func summaryWorkload(rate func(time.Duration) float64) workload {
 	return workload{class: "summary", tier: 4, promptTokens: 3000, responseTokens: 300, completion: time.Minute, rate: rate}
 }
