--- a/policy/pause_simulation_test.go
+++ b/policy/pause_simulation_test.go
@@ -78,7 +78,7 @@
 func TestTightStreamsUseSlowEnginesForTheirSlots(t *testing.T) {
 	// 12 engines of 48 slots can run 384 streams of 1.5 s per second, the faster ones 256.
 	p := simulateUnequalEngines(330, 0, simPauseTargets)
-	if rejected := p.arrived["question"] - p.started["question"]; 50*rejected > p.arrived["question"] {
-		t.Errorf("%d of %d questions got no first token, though all fit in the slots", rejected, p.arrived["question"])
+	if refused := p.arrived["question"] - p.started["question"]; 50*refused > p.arrived["question"] {
+		t.Errorf("%d of %d questions got no first token, though all fit in the slots", refused, p.arrived["question"])
 	}
 }
