--- a/policy/burst_end_test.go
+++ b/policy/burst_end_test.go
@@ -12,7 +12,7 @@
 func simulateSlowPeriod(seed uint64) *directSimulation {
 	const slowFrom, slowTo, countFrom, end = 3 * time.Second, 7 * time.Second, 8 * time.Second, 12 * time.Second
 	sim := newSeededSimulation(seed, 24, 12, true)
-	sim.estimateUnseen, sim.shareFirstTokens, sim.chunkTokens = true, true, 1024
+	sim.estimateUnreported, sim.shareFirstTokens, sim.chunkTokens = true, true, 1024
 	sim.measureFrom = countFrom
 	slowdown := func(factor float64) func() {
 		return func() {
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -32,7 +32,7 @@
 // Independent draws per server would add up: with 13 requests for seven servers that have two
 // free slots each, two of three requests would win at least one draw, and the cheapest server
 // would get most of them.
-func (c *Chooser) admitBySlots(unseen float64, all []scoredServer) {
+func (c *Chooser) admitBySlots(unreported float64, all []scoredServer) {
 	withSlots, freeSlots, onTime := 0, 0.0, 0
 	for i := range all {
 		if !all[i].choice.HasCapacity {
@@ -44,7 +44,7 @@
 			freeSlots += all[i].slotsLeft
 		}
 	}
-	perServer := unseen / float64(max(withSlots, 1))
+	perServer := unreported / float64(max(withSlots, 1))
 	draw, scarce := 0.0, freeSlots < perServer*float64(onTime)
 	if scarce {
 		draw = c.random.Float64() * perServer * float64(onTime)
@@ -84,8 +84,8 @@
 	if job.Target == 0 || job.UnreportedTokens == 0 {
 		return true
 	}
-	unseenTokens := job.UnreportedTokens/float64(eligible) - rate.tokensIn(job.ReportAge)
+	unreportedTokens := job.UnreportedTokens/float64(eligible) - rate.tokensIn(job.ReportAge)
 	prefill := float64(best.PrefillTokens)
 	spare := rate.maxTokensAhead(job.Target, job.scaleToMeanLength(prefill)) - (best.TokensAhead - prefill)
-	return spare >= unseenTokens || c.random.Float64() < spare/unseenTokens
+	return spare >= unreportedTokens || c.random.Float64() < spare/unreportedTokens
 }
--- a/policy/direct_simulation_test.go
+++ b/policy/direct_simulation_test.go
@@ -30,7 +30,7 @@
 	// estimateUnseen makes gateways allow for the requests that others have sent since
 	// their last update. started counts requests that got a first token, late or not,
 	// and longestQueue is the longest queue of an engine without a free slot.
-	estimateUnseen bool
+	estimateUnreported bool
 	// prefillDelaysDecode makes streams pause while a prompt is prefilled.
 	prefillDelaysDecode bool
 	started             map[string]int
@@ -205,7 +205,7 @@
 		servers[i].add(&s.own[i], 1)
 	}
 	r.job.Headroom = s.headroom.Share(p.time(), s.offers(p.time()), SlotUtilization(servers), r.job.Urgency)
-	if p.estimateUnseen {
+	if p.estimateUnreported {
 		others := float64(len(p.gateways) - 1)
 		requests, tokens := s.sends.Expected(p.time(), broadcastInterval, r.job.Urgency)
 		r.job.UnreportedRequests, r.job.UnreportedTokens, r.job.ReportAge = others*requests, others*tokens/2, broadcastInterval/2
--- a/policy/identical_engines_test.go
+++ b/policy/identical_engines_test.go
@@ -9,7 +9,7 @@
 // that prefill prompts all the time, so that pauses differ only by chance.
 func simulateIdenticalEngines(targets map[string]time.Duration) *directSimulation {
 	p := newDirectSimulation(24, 48, true)
-	p.estimateUnseen = true
+	p.estimateUnreported = true
 	p.measureFrom = 2 * time.Second
 	p.pauseTargets = targets
 	p.addArrivals("question", 480, 0, 10*time.Second, func() Job {
--- a/policy/long_prompts_test.go
+++ b/policy/long_prompts_test.go
@@ -15,7 +15,7 @@
 // constant rate.
 func variedSummaries(seed uint64, multiple float64) *directSimulation {
 	p := newSeededSimulation(seed, 24, 12, true)
-	p.estimateUnseen, p.chunkTokens = true, 1024
+	p.estimateUnreported, p.chunkTokens = true, 1024
 	p.measureFrom = 2 * time.Second
 	p.addSummaries(multiple, 10*time.Second)
 	p.addArrivals("question", 120, 0, 10*time.Second, func() Job {
--- a/policy/pause_simulation_test.go
+++ b/policy/pause_simulation_test.go
@@ -35,7 +35,7 @@
 // within the target whatever is prefilled there.
 func simulateUnequalEngines(questions, summaries float64, targets map[string]time.Duration) *directSimulation {
 	p := newDirectSimulation(12, 24, true)
-	p.estimateUnseen = true
+	p.estimateUnreported = true
 	p.measureFrom = 2 * time.Second
 	p.pauseTargets = targets
 	for i := range p.engines {
--- a/policy/placer.go
+++ b/policy/placer.go
@@ -24,7 +24,7 @@
 // good only on average. A Placer keeps no state between requests, apart from its
 // random number generator, and isn't safe for concurrent use.
 type Placer struct {
-	rng      *rand.Rand
+	random   *rand.Rand
 	filters  []filter
 	scorers  []scorer
 	affinity affinity
@@ -32,9 +32,9 @@
 
 // NewPlacer returns a Placer that excludes the engines ejected by ejector. The
 // caller passes in the random number generator, so that runs are reproducible.
-func NewPlacer(rng *rand.Rand, ejector *Ejector) *Placer {
+func NewPlacer(random *rand.Rand, ejector *Ejector) *Placer {
 	return &Placer{
-		rng:     rng,
+		random:  random,
 		filters: []filter{usableFilter{}, ejectionFilter{ejector: ejector}},
 		scorers: []scorer{loadScorer{}, zoneScorer{}},
 	}
@@ -69,7 +69,7 @@
 	best, lowestCost := 0, 0.0
 	for draw := range min(sampleSize, len(eligible)) {
 		// Drawn candidates move to the front, so that none is drawn twice.
-		at := draw + p.rng.IntN(len(eligible)-draw)
+		at := draw + p.random.IntN(len(eligible)-draw)
 		eligible[draw], eligible[at] = eligible[at], eligible[draw]
 		cost := p.cost(now, request, &candidates[eligible[draw]], mean)
 		if draw == 0 || cost < lowestCost {
--- a/policy/slot_contention_test.go
+++ b/policy/slot_contention_test.go
@@ -44,7 +44,7 @@
 // prefill all of them, and there is no other traffic.
 func simulateQuestionsOnly() *directSimulation {
 	sim := newDirectSimulation(24, 28, true)
-	sim.estimateUnseen = true
+	sim.estimateUnreported = true
 	sim.measureFrom = 3 * time.Second
 	question := func() Job { return Job{Zone: "z", Urgency: 3, Target: 300 * time.Millisecond, Tokens: 800} }
 	const streamTime = 3 * time.Second
@@ -76,7 +76,7 @@
 // The questions alone fit, with their prefill.
 func simulateQuestionSurge() *directSimulation {
 	sim := newDirectSimulation(24, 28, true)
-	sim.estimateUnseen, sim.prefillDelaysDecode = true, true
+	sim.estimateUnreported, sim.prefillDelaysDecode = true, true
 	sim.measureFrom = 4 * time.Second
 	question := func() Job { return Job{Zone: "z", Urgency: 3, Target: 300 * time.Millisecond, Tokens: 800} }
 	const questionTime, summaryTime = 2 * time.Second, 500 * time.Millisecond
