--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -22,7 +22,7 @@
 }
 
 // admitBySlots decides at random which servers with a free slot stay eligible for the request.
-// unseen is how many requests other gateways are expected to have sent since their last
+// unreported is how many requests other gateways are expected to have sent since their last
 // report. A server stays eligible with the probability that a slot is left for this request.
 // Without this, all gateways see the same few servers with a free slot when nearly all are
 // full, and all of them send there.
--- a/policy/direct_simulation_test.go
+++ b/policy/direct_simulation_test.go
@@ -27,7 +27,7 @@
 	recomputedTokens int
 	// measureFrom is when measuring begins; before it the engines' caches fill.
 	measureFrom time.Duration
-	// estimateUnseen makes gateways allow for the requests that others have sent since
+	// estimateUnreported makes gateways allow for the requests that others have sent since
 	// their last update. started counts requests that got a first token, late or not,
 	// and longestQueue is the longest queue of an engine without a free slot.
 	estimateUnreported bool
--- a/policy/ejector.go
+++ b/policy/ejector.go
@@ -83,7 +83,7 @@
 	return r != nil && now.Before(r.until)
 }
 
-// Forget drops the record of an engine that left.
+// RemoveEngine drops the record of an engine that left.
 func (e *Ejector) Forget(engine string) {
 	delete(e.records, engine)
 }
--- a/policy/placer.go
+++ b/policy/placer.go
@@ -22,7 +22,7 @@
 // prefixes that attract most of the load. A ticket isn't a binding choice,
 // because the first engine with a free slot runs the request; picks need to be
 // good only on average. A Placer keeps no state between requests, apart from its
-// random number generator, and isn't safe for concurrent use.
+// random source, and isn't safe for concurrent use.
 type Placer struct {
 	random   *rand.Rand
 	filters  []filter
@@ -31,7 +31,7 @@
 }
 
 // NewPlacer returns a Placer that excludes the engines ejected by ejector. The
-// caller passes in the random number generator, so that runs are reproducible.
+// caller passes in the random source, so that runs are reproducible.
 func NewPlacer(random *rand.Rand, ejector *Ejector) *Placer {
 	return &Placer{
 		random:  random,
--- a/policy/tier.go
+++ b/policy/tier.go
@@ -3,8 +3,8 @@
 // each of them adapts. It uses only the standard library, performs no I/O and
 // reads no clock; callers pass in the current time.
 //
-// Start reading at Scheduler, which decides for one engine, and at Placer, which
-// decides for one entry.
+// Start reading at Scheduler, which decides for one engine, at Placer, which decides
+// for one entry, and at Chooser, which decides for one gateway.
 package policy
 
 // Tier is the priority of a class; 0 is the most urgent.
