--- a/check.sh
+++ b/check.sh
@@ -12,7 +12,7 @@
   exit 1
 fi
 
-# Tests named in KNOWN-RED.txt (one line each: package.Test, cause, issue) are passed over and printed.
+# Tests named in KNOWN-RED.txt (one line each: test, cause, issue) are skipped and their lines printed.
 skip=""
 if [ -f KNOWN-RED.txt ]; then
   while read -r name rest; do
@@ -33,8 +33,8 @@
   )
 done
 
-# What other writers may have written or sent: random bytes beside the kept ones. A number and
-# not a time of them: the end of a time is told as a failure when it finds a worker busy.
+# Fuzz the decoders of data that other programs write or send. The number of inputs is bounded, not
+# the time: go test reports a failure if the time ends while a worker is busy.
 for decoder in platform:FuzzServerEntry platform:FuzzDesiredState internal/gateway/peers:FuzzDatagram; do
   go test -run '^$' -fuzz "^${decoder#*:}\$" -fuzztime 60000x "./${decoder%:*}"
 done
