--- a/internal/gateway/backend/restored_test.go
+++ b/internal/gateway/backend/restored_test.go
@@ -6,9 +6,9 @@
 )
 
 // entryWithSequence returns a server's entry with a sequence number.
-func entryWithSequence(id string, sequence int64, leaving bool) Info {
+func entryWithSequence(id string, sequence int64, draining bool) Info {
 	i := testEntries(id)[0]
-	i.Sequence, i.Draining = sequence, leaving
+	i.Sequence, i.Draining = sequence, draining
 	return i
 }
 
--- a/internal/gateway/backend/server.go
+++ b/internal/gateway/backend/server.go
@@ -72,7 +72,7 @@
 // Peer returns the identity of the server for the connection pool.
 func (s *Server) Peer() exchange.Peer {
 	info := s.Info()
-	return exchange.Peer{Addr: info.Addr, Instance: info.ID, StartTime: info.StartUnixMilli}
+	return exchange.Peer{Addr: info.Addr, ServerID: info.ID, StartTime: info.StartUnixMilli}
 }
 
 // MarkEnded records that the instance has ended. It reports whether this was the first call.
--- a/internal/gateway/client_server.go
+++ b/internal/gateway/client_server.go
@@ -12,6 +12,6 @@
 
 // newClientServer returns the HTTP server for client requests. idleLimit returns how long a client
 // connection may stay idle.
-func newClientServer(listener net.Listener, handler http.Handler, idleLimit func() time.Duration, log *zap.Logger) *callers.Server {
+func newCallerServer(listener net.Listener, handler http.Handler, idleLimit func() time.Duration, log *zap.Logger) *callers.Server {
 	return callers.New(listener, callers.Config{Handler: handler, HeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleLimit, Log: log})
 }
--- a/internal/gateway/client_server_test.go
+++ b/internal/gateway/client_server_test.go
@@ -84,7 +84,7 @@
 		requestRead := make(chan struct{})
 		serverConn, clientConn := net.Pipe()
 		var started atomic.Int32
-		server := newClientServer(newSingleConnListener(&slowConn{Conn: serverConn, requestRead: requestRead}), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		server := newCallerServer(newSingleConnListener(&slowConn{Conn: serverConn, requestRead: requestRead}), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if started.Add(1) == 2 {
 				close(requestRead)
 			}
@@ -122,7 +122,7 @@
 func TestRequestStartedBeforeDrainIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		serverConn, clientConn := net.Pipe()
-		server := newClientServer(newSingleConnListener(serverConn), http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		server := newCallerServer(newSingleConnListener(serverConn), http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(w, "done")
 		}), func() time.Duration { return testIdleLimit }, zap.NewNop())
 		served, drained := make(chan struct{}), make(chan struct{})
--- a/internal/gateway/desired_state_sink.go
+++ b/internal/gateway/desired_state_sink.go
@@ -28,7 +28,7 @@
 	log      *zap.Logger
 	// storeProvenAt is the latest time, in nanoseconds of the boottime clock, at which the store
 	// itself proved the state in force to be the newest; 0 for none.
-	storeProvenAt atomic.Int64
+	storeConfirmedAt atomic.Int64
 	// unavailableSince is when calls to the store began to fail, in nanoseconds of the boottime
 	// clock; 0 while the store responds.
 	unavailableSince atomic.Int64
@@ -76,7 +76,7 @@
 
 // apply offers the states of a batch to the holder. If the batch is readable and up to date, it
 // proves that the state in force was the newest at provenAt.
-func (s *desiredStateSink) apply(provenAt time.Duration, batch follow.Batch[*routes.Snapshot]) {
+func (s *desiredStateSink) apply(confirmedAt time.Duration, batch follow.Batch[*routes.Snapshot]) {
 	s.Available()
 	if len(batch.Unreadable) > 0 {
 		s.unreadable.Store(true)
@@ -87,14 +87,14 @@
 		}
 		s.unreadable.Store(false)
 		s.outdated.Store(set.Version < s.holder.Version())
-		if s.holder.Update(set, provenAt) {
+		if s.holder.Update(set, confirmedAt) {
 			s.log.Info(logging.EventTargetsAdopted, zap.Uint64("version", set.Version), zap.Int("routes", set.RouteCount()), zap.Duration("idle_limit", set.Limits.IdleTimeout))
 		}
 	}
 	if !s.unreadable.Load() && !s.outdated.Load() {
 		// Only the follower's goroutine writes storeProvenAt, so load and store needn't be atomic
 		// together.
-		s.storeProvenAt.Store(max(s.storeProvenAt.Load(), int64(provenAt)))
-		s.holder.Confirm(s.holder.Version(), provenAt)
+		s.storeConfirmedAt.Store(max(s.storeConfirmedAt.Load(), int64(confirmedAt)))
+		s.holder.Confirm(s.holder.Version(), confirmedAt)
 	}
 }
--- a/internal/gateway/desired_state_sink_test.go
+++ b/internal/gateway/desired_state_sink_test.go
@@ -20,11 +20,11 @@
 	const readAt = 10 * time.Second
 	sink.Reset(readAt, follow.Batch[*routes.Snapshot]{Items: []*routes.Snapshot{routes.NewSnapshot(1, routes.Limits{}, nil, nil, nil)}})
 	sink.Change(readAt+maxFeedSilence/2, follow.Batch[*routes.Snapshot]{})
-	if got := time.Duration(sink.storeProvenAt.Load()); got != readAt {
+	if got := time.Duration(sink.storeConfirmedAt.Load()); got != readAt {
 		t.Errorf("proof time %v, want %v", got, readAt)
 	}
 	sink.Change(readAt+2*maxFeedSilence, follow.Batch[*routes.Snapshot]{})
-	if got := time.Duration(sink.storeProvenAt.Load()); got != readAt+maxFeedSilence {
+	if got := time.Duration(sink.storeConfirmedAt.Load()); got != readAt+maxFeedSilence {
 		t.Errorf("proof time %v, want %v", got, readAt+maxFeedSilence)
 	}
 }
@@ -40,7 +40,7 @@
 		sink.Reset(10*time.Second, set(5))
 		sink.Reset(20*time.Second, older)
 		sink.Change(30*time.Second, follow.Batch[*routes.Snapshot]{})
-		if sink.holder.Version() != 5 || sink.holder.ConfirmedAt() != 10*time.Second || sink.storeProvenAt.Load() != int64(10*time.Second) {
+		if sink.holder.Version() != 5 || sink.holder.ConfirmedAt() != 10*time.Second || sink.storeConfirmedAt.Load() != int64(10*time.Second) {
 			t.Errorf("%s: version %d, proof time %v", name, sink.holder.Version(), sink.holder.ConfirmedAt())
 		}
 		sink.Change(40*time.Second, set(5))
--- a/internal/gateway/exchange/exchange_test.go
+++ b/internal/gateway/exchange/exchange_test.go
@@ -70,7 +70,7 @@
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 100 {
-		_, err := pool.Do(cancelled, Peer{Addr: addr, Instance: "i"}, &Request{Method: http.MethodPost, Target: "/", Header: http.Header{"Id": {"2"}}, MaxIdle: time.Hour, Matches: func(http.Header) bool { return true }})
+		_, err := pool.Do(cancelled, Peer{Addr: addr, ServerID: "i"}, &Request{Method: http.MethodPost, Target: "/", Header: http.Header{"Id": {"2"}}, MaxIdle: time.Hour, Matches: func(http.Header) bool { return true }})
 		if !errors.Is(err, ErrNotSent) {
 			t.Fatalf("got %v", err)
 		}
@@ -93,7 +93,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	response, err := p.Do(ctx, Peer{Addr: addr, Instance: "i"}, &Request{
+	response, err := p.Do(ctx, Peer{Addr: addr, ServerID: "i"}, &Request{
 		Method: "POST", Target: "/a%2Fb?x=1", Host: "h", Header: http.Header{"Id": {id}}, Body: body, MaxIdle: time.Hour,
 		Matches: func(h http.Header) bool { return h.Get("Id") == id },
 	})
--- a/internal/gateway/exchange/pool.go
+++ b/internal/gateway/exchange/pool.go
@@ -49,7 +49,7 @@
 // never used for a later one.
 type Peer struct {
 	Addr     string
-	Instance string
+	ServerID string
 	// StartTime distinguishes starts where one instance may start again; larger is later, and 0
 	// means that the backend server reports none.
 	StartTime int64
--- a/internal/gateway/exchange/pool_test.go
+++ b/internal/gateway/exchange/pool_test.go
@@ -38,7 +38,7 @@
 		_ = c.(*net.TCPConn).SetLinger(0)
 		_ = c.Close()
 	}()
-	return Peer{Addr: listener.Addr().String(), Instance: "i"}, closed
+	return Peer{Addr: listener.Addr().String(), ServerID: "i"}, closed
 }
 
 // Guards against mistaking an exiting server for a running one when the probe crosses its exit: the
@@ -84,7 +84,7 @@
 				}
 			}()
 			start := time.Now()
-			if NewPool().RefusesConnections(t.Context(), Peer{Addr: listener.Addr().String(), Instance: "i"}) {
+			if NewPool().RefusesConnections(t.Context(), Peer{Addr: listener.Addr().String(), ServerID: "i"}) {
 				t.Error("a running server counts as exited")
 			}
 			if took := time.Since(start); took > 5*refusalCheckTimeout {
@@ -114,7 +114,7 @@
 		t.Fatal(err)
 	}
 	port := sockaddr.(*syscall.SockaddrInet4).Port
-	peer, pool := Peer{Addr: fmt.Sprintf("127.0.0.1:%d", port), Instance: "i"}, NewPool()
+	peer, pool := Peer{Addr: fmt.Sprintf("127.0.0.1:%d", port), ServerID: "i"}, NewPool()
 	if pool.RefusesConnections(t.Context(), peer) {
 		t.Error("counts as exited, though no connection was refused")
 	}
--- a/internal/gateway/followers.go
+++ b/internal/gateway/followers.go
@@ -15,21 +15,21 @@
 	// proofWaitShare of what the bound leaves after maxFeedSilence, since each response proves only
 	// that the state in force was the newest one second before. The remainder is how long requests
 	// with a key can still be served while the store is unavailable. Only pollers make these calls.
-	desiredStateMaxWait = 2500 * time.Millisecond
-	proofWaitShare      = 0.25
+	desiredStateMaxWait   = 2500 * time.Millisecond
+	confirmationWaitShare = 0.25
 	// pollerCount is the number of gateways that poll the store frequently to prove that the
 	// desired state is the newest. The others receive the proof by datagram and ask the store only
 	// every nonPollerWait, or at once when the proof is older than proofRenewalShare of the bound.
 	// With three pollers, two may be cut off or dying while the third still provides the proof. The
 	// number is small because calls to the store are paid for.
-	pollerCount       = 3
-	nonPollerWait     = 15 * time.Second
-	proofRenewalShare = 0.7
+	pollerCount              = 3
+	nonPollerWait            = 15 * time.Second
+	confirmationRenewalShare = 0.7
 	// proofDeliverySlack is how much later than a poller's longest wait a proof may arrive, to
 	// allow for a few lost datagrams.
-	proofDeliverySlack = 400 * time.Millisecond
+	confirmationDeliverySlack = 400 * time.Millisecond
 	// minProofWait is the shortest wait, used where the bound leaves hardly any time.
-	minProofWait = 200 * time.Millisecond
+	minPollerWait = 200 * time.Millisecond
 	// serverListMaxWait is how long the store may hold a request for the list of backend servers.
 	// It is long because the list proves nothing, each call is paid for, and keep-alive probes
 	// detect a silent connection to the store within three seconds.
@@ -50,7 +50,7 @@
 func (g *gateway) newDesiredStateFollower() *follow.Follower[*routes.Snapshot] {
 	return &follow.Follower[*routes.Snapshot]{
 		Name: "desired state", Source: g.platform.DesiredState, Sink: g.desiredSink,
-		MaxWait: g.desiredStateWait, ConfirmChanges: g.isPoller, ShouldCancelPoll: g.proofNeedsRenewal, Receiving: &g.receivingState, Idle: func() bool { return g.desiredStateFromPeers() && !g.proofOverdue() }, DefersFullRead: g.defersToPollers,
+		MaxWait: g.desiredStateWait, ConfirmChanges: g.isPoller, ShouldCancelPoll: g.confirmationNeedsRenewal, Receiving: &g.receivingState, Idle: func() bool { return g.desiredStateFromPeers() && !g.confirmationOverdue() }, DefersFullRead: g.defersToPollers,
 		StoreHealth: &g.storeHealth, ProbesStore: true, OnCall: g.platform.Metrics.StoreCallCounter("targets"), OnRestore: g.platform.Metrics.StoreRestoreCounter("targets"), Log: g.log,
 	}
 }
@@ -71,9 +71,9 @@
 // proofOverdue reports whether the proof is older than it can get while the pollers receive
 // responses from the store. A poller notices a silent store only by its timeout, which is too late
 // for changes that other gateways must learn within two seconds.
-func (g *gateway) proofOverdue() bool {
-	provenAt := g.holder.ConfirmedAt()
-	return provenAt != 0 && boottime.Now()-provenAt > maxFeedSilence+pollerWait(g.router.Bounds().MaxStateAge)+proofDeliverySlack
+func (g *gateway) confirmationOverdue() bool {
+	confirmedAt := g.holder.ConfirmedAt()
+	return confirmedAt != 0 && boottime.Now()-confirmedAt > maxFeedSilence+pollerWait(g.router.Bounds().MaxStateAge)+confirmationDeliverySlack
 }
 
 // defersToPollers reports whether this gateway leaves polling the store to other gateways.
@@ -81,30 +81,30 @@
 
 // proofNeedsRenewal reports whether this gateway must renew the proof of the desired state itself,
 // whether or not it is a poller.
-func (g *gateway) proofNeedsRenewal() bool {
+func (g *gateway) confirmationNeedsRenewal() bool {
 	maxAge := g.router.Bounds().MaxStateAge
 	if maxAge == 0 || g.holder.Version() == 0 {
 		// Without a bound no renewal is needed. Without a state there is nothing to prove, and the
 		// first state ends the pending call.
 		return false
 	}
-	return boottime.Now()-g.holder.ConfirmedAt() > time.Duration(proofRenewalShare*float64(maxAge))
+	return boottime.Now()-g.holder.ConfirmedAt() > time.Duration(confirmationRenewalShare*float64(maxAge))
 }
 
 // pollerWait returns how long the store may hold a poller's request for the desired state, given
 // the maximum age of a proof. A maximum of 0 means no bound.
-func pollerWait(maxProofAge time.Duration) time.Duration {
-	if maxProofAge == 0 {
+func pollerWait(maxStateAge time.Duration) time.Duration {
+	if maxStateAge == 0 {
 		return desiredStateMaxWait
 	}
-	return min(desiredStateMaxWait, max(time.Duration(proofWaitShare*float64(maxProofAge-maxFeedSilence)), minProofWait))
+	return min(desiredStateMaxWait, max(time.Duration(confirmationWaitShare*float64(maxStateAge-maxFeedSilence)), minPollerWait))
 }
 
 // newServersFollower returns the follower of the list of backend servers.
 func (g *gateway) newServersFollower() *follow.Follower[backend.Info] {
 	return &follow.Follower[backend.Info]{
 		Name: "backend servers", Source: g.platform.Servers, Sink: &serverListSink{registry: g.registry, log: g.log},
-		MaxWait: follow.FixedWait(serverListMaxWait), CoalesceDelay: serverListBatchDelay, Idle: func() bool { return g.serversFromPeers() && !g.proofOverdue() }, DefersFullRead: g.defersToPollers,
+		MaxWait: follow.FixedWait(serverListMaxWait), CoalesceDelay: serverListBatchDelay, Idle: func() bool { return g.serversFromPeers() && !g.confirmationOverdue() }, DefersFullRead: g.defersToPollers,
 		StoreHealth: &g.storeHealth, OnCall: g.platform.Metrics.StoreCallCounter("backend_servers"), OnRestore: g.platform.Metrics.StoreRestoreCounter("backend_servers"), Log: g.log,
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -120,7 +120,7 @@
 	var err error
 	g.mesh, err = peers.Listen(peers.Config{
 		Self:  peers.Entry{Name: s.Process, Addr: s.PeerListen},
-		Loads: g.loads, Shortages: func() map[string]policy.OfferCounts { return g.router.Shortages() },
+		Loads: g.loads, OwnOfferCounts: func() map[string]policy.OfferCounts { return g.router.OfferCounts() },
 		TakeUpdates: func() policy.PeerUpdate { return g.router.TakeUpdates() }, MergeUpdates: func(n policy.PeerUpdate) { g.router.MergeUpdates(n) },
 		Confirmation: func() peers.Confirmation {
 			return peers.Confirmation{Version: g.holder.Version(), At: g.holder.ConfirmedAt()}
@@ -139,7 +139,7 @@
 		Peers: g.mesh, ListedGateways: g.mesh.ListedGateways,
 		Chooser: policy.NewChooser(random, ejector, index), Random: random, Ejector: ejector, PrefixIndex: index,
 		Observer: requestObserver{p.Metrics, log, g.enqueueQuarantined, counter},
-	}, routerBounds(s), g.sheddingClients)
+	}, routerBounds(s), g.sheddingCallers)
 	g.registry.OnRemove = g.router.ForgetServer
 	g.servers, g.targets = g.newServersFollower(), g.newDesiredStateFollower()
 	p.Metrics.CollectGateway(g.metricsSnapshot)
@@ -192,7 +192,7 @@
 	wg.Go(func() { g.syncServersFromPeers(workCtx) })
 	wg.Go(func() { g.watchSettings(workCtx, reload) })
 
-	clientServer := newClientServer(clientListener, g.router, g.idleLimit, g.log)
+	clientServer := newCallerServer(clientListener, g.router, g.idleLimit, g.log)
 	wg.Go(func() { g.sweep(workCtx, clientServer) })
 	adminServer := &http.Server{Handler: g.adminRoutes(), ReadHeaderTimeout: headerTimeout, IdleTimeout: defaultIdleTimeout}
 	handoverServer := &http.Server{Handler: handover.NewHandler(g.handoverState, g.servers.DeltasSince), ReadTimeout: handoverTimeout, WriteTimeout: handoverTimeout + handover.MaxDuration, ErrorLog: zap.NewStdLog(zap.NewNop())}
@@ -225,7 +225,7 @@
 			}
 			g.registry.Sweep(now)
 			g.pool.Sweep(now, func(p exchange.Peer) bool {
-				s := g.registry.Server(p.Instance)
+				s := g.registry.Server(p.ServerID)
 				return s != nil && !s.Info().Draining && s.Info().StartUnixMilli == p.StartTime
 			})
 		}
--- a/internal/gateway/handover/client.go
+++ b/internal/gateway/handover/client.go
@@ -28,13 +28,13 @@
 
 // Client fetches state from other gateways.
 type Client struct {
-	http http.Client
+	httpClient http.Client
 }
 
 // NewClient returns a Client. It keeps no idle connections, because requests are rare.
 func NewClient() *Client {
 	dialer := dial.NewDialer(progressTimeout, progressTimeout)
-	return &Client{http: http.Client{
+	return &Client{httpClient: http.Client{
 		Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true},
 	}}
 }
@@ -73,7 +73,7 @@
 	if err != nil {
 		return errors.Wrap(ErrUnreachable, err.Error())
 	}
-	resp, err := c.http.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return errors.Wrap(ErrUnreachable, err.Error())
 	}
--- a/internal/gateway/peers/bench_test.go
+++ b/internal/gateway/peers/bench_test.go
@@ -25,15 +25,15 @@
 		updates.PrefixUses[i] = policy.PrefixUse{Server: policy.Key(i) << 20, Segment: uint64(i) << 50, Prefilled: true}
 	}
 	m, err := Listen(Config{
-		Self:         Entry{Name: "a", Addr: "127.0.0.1:0"},
-		Loads:        func() []Load { return loads },
-		TakeUpdates:  func() policy.PeerUpdate { return updates },
-		MergeUpdates: func(policy.PeerUpdate) {},
-		Shortages:    func() map[string]policy.OfferCounts { return nil },
-		Confirmation: func() Confirmation { return Confirmation{} },
-		Confirm:      func(Confirmation) {},
-		StoreStatus:  func() StoreStatus { return StoreStatus{Reachable: true, Polling: true, ServersPosition: 1 << 20} },
-		Log:          zap.NewNop(),
+		Self:           Entry{Name: "a", Addr: "127.0.0.1:0"},
+		Loads:          func() []Load { return loads },
+		TakeUpdates:    func() policy.PeerUpdate { return updates },
+		MergeUpdates:   func(policy.PeerUpdate) {},
+		OwnOfferCounts: func() map[string]policy.OfferCounts { return nil },
+		Confirmation:   func() Confirmation { return Confirmation{} },
+		Confirm:        func(Confirmation) {},
+		StoreStatus:    func() StoreStatus { return StoreStatus{Reachable: true, Polling: true, ServersPosition: 1 << 20} },
+		Log:            zap.NewNop(),
 	})
 	if err != nil {
 		b.Fatal(err)
--- a/internal/gateway/peers/broadcast.go
+++ b/internal/gateway/peers/broadcast.go
@@ -48,9 +48,9 @@
 			shared.Loads = append(shared.Loads, packLoad(l.Server, &l.Counts))
 		}
 	}
-	for service, counts := range m.Shortages() {
-		if packed := packShortage(service, &counts); len(packed.Levels) > 0 {
-			shared.Shortages = append(shared.Shortages, packed)
+	for service, counts := range m.OwnOfferCounts() {
+		if packed := packOfferCounts(service, &counts); len(packed.Levels) > 0 {
+			shared.OfferCounts = append(shared.OfferCounts, packed)
 		}
 	}
 	updates := m.TakeUpdates()
--- a/internal/gateway/peers/config.go
+++ b/internal/gateway/peers/config.go
@@ -49,7 +49,7 @@
 	// Loads returns this gateway's load by backend server; servers without load may be omitted.
 	Loads func() []Load
 	// Shortages returns this gateway's shortages, by service.
-	Shortages func() map[string]policy.OfferCounts
+	OwnOfferCounts func() map[string]policy.OfferCounts
 	// TakeUpdates returns the updates to send to other gateways; MergeUpdates merges the
 	// updates of another gateway.
 	TakeUpdates  func() policy.PeerUpdate
--- a/internal/gateway/peers/mesh.go
+++ b/internal/gateway/peers/mesh.go
@@ -83,13 +83,15 @@
 func (m *Mesh) LoadAt(server string) backend.Counts { return m.table.loadAt(hashName(server)) }
 
 // Shortage returns the sum of all other gateways' shortages of a service.
-func (m *Mesh) Shortage(service string) policy.OfferCounts {
-	return m.table.shortage(hashName(service))
+func (m *Mesh) OfferCounts(service string) policy.OfferCounts {
+	return m.table.offerCounts(hashName(service))
 }
 
 // LimitedSends returns how many requests all other gateways have recently sent to one start of
 // a backend server that has announced a limit.
-func (m *Mesh) LimitedSends(start policy.Key) float64 { return m.table.limitedSends(uint32(start)) }
+func (m *Mesh) LimitedSends(instance policy.Key) float64 {
+	return m.table.limitedSends(uint32(instance))
+}
 
 // LiveGateways returns the number of live gateways, including this one.
 func (m *Mesh) LiveGateways() int { return 1 + m.table.livePeers(time.Now()) }
--- a/internal/gateway/peers/mesh_test.go
+++ b/internal/gateway/peers/mesh_test.go
@@ -18,14 +18,14 @@
 	confirmations = &[]Confirmation{}
 	listen := func(name string, confirm func(Confirmation)) *Mesh {
 		m, err := Listen(Config{
-			Self:         Entry{Name: name, Addr: "127.0.0.1:0"},
-			Loads:        func() []Load { return nil },
-			TakeUpdates:  func() policy.PeerUpdate { return policy.PeerUpdate{} },
-			Shortages:    func() map[string]policy.OfferCounts { return nil },
-			Confirmation: func() Confirmation { return Confirmation{Version: 7, At: boottime.Now() - time.Second} },
-			Confirm:      confirm,
-			StoreStatus:  func() StoreStatus { return StoreStatus{Reachable: true} },
-			Log:          zap.NewNop(),
+			Self:           Entry{Name: name, Addr: "127.0.0.1:0"},
+			Loads:          func() []Load { return nil },
+			TakeUpdates:    func() policy.PeerUpdate { return policy.PeerUpdate{} },
+			OwnOfferCounts: func() map[string]policy.OfferCounts { return nil },
+			Confirmation:   func() Confirmation { return Confirmation{Version: 7, At: boottime.Now() - time.Second} },
+			Confirm:        confirm,
+			StoreStatus:    func() StoreStatus { return StoreStatus{Reachable: true} },
+			Log:            zap.NewNop(),
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/gateway/peers/message.go
+++ b/internal/gateway/peers/message.go
@@ -45,7 +45,7 @@
 	// Loads is the sender's load by backend server; servers without load are omitted.
 	Loads []serverLoad `cbor:"5,keyasint,omitempty"`
 	// Shortages covers the services for which the sender recently had requests.
-	Shortages []shortage `cbor:"6,keyasint,omitempty"`
+	OfferCounts []offerCounts `cbor:"6,keyasint,omitempty"`
 	// PrefixUses lists the prompt parts that servers were recently sent or have processed.
 	PrefixUses []prefixUse `cbor:"7,keyasint,omitempty"`
 	// FirstTokens lists the first tokens received since the sender's last datagram.
--- a/internal/gateway/peers/prefix_use.go
+++ b/internal/gateway/peers/prefix_use.go
@@ -7,15 +7,15 @@
 type prefixUse struct {
 	_         struct{} `cbor:",toarray"`
 	Server    uint32
-	Part      uint64
-	Processed bool
+	Segment   uint64
+	Prefilled bool
 }
 
 // packPrefixUses encodes prefix uses.
 func packPrefixUses(uses []policy.PrefixUse) []prefixUse {
 	packed := make([]prefixUse, len(uses))
 	for i, u := range uses {
-		packed[i] = prefixUse{Server: uint32(u.Server), Part: u.Segment, Processed: u.Prefilled}
+		packed[i] = prefixUse{Server: uint32(u.Server), Segment: u.Segment, Prefilled: u.Prefilled}
 	}
 	return packed
 }
@@ -24,7 +24,7 @@
 func unpackPrefixUses(packed []prefixUse) []policy.PrefixUse {
 	uses := make([]policy.PrefixUse, len(packed))
 	for i, u := range packed {
-		uses[i] = policy.PrefixUse{Server: policy.Key(u.Server), Segment: u.Part, Prefilled: u.Processed}
+		uses[i] = policy.PrefixUse{Server: policy.Key(u.Server), Segment: u.Segment, Prefilled: u.Prefilled}
 	}
 	return uses
 }
--- a/internal/gateway/peers/server_limit.go
+++ b/internal/gateway/peers/server_limit.go
@@ -12,7 +12,7 @@
 type serverLimit struct {
 	_ struct{} `cbor:",toarray"`
 	// ServerStart is the key of the server's start.
-	ServerStart uint32
+	Instance uint32
 	// Rate is in requests per second. Lifted means that the limit no longer applies. Age is the
 	// age of the evidence in milliseconds; 0 if the sender has it from other gateways.
 	Rate   float64
@@ -26,7 +26,7 @@
 func packLimits(now time.Time, limits []policy.LimitReport) []serverLimit {
 	packed := make([]serverLimit, len(limits))
 	for i, l := range limits {
-		packed[i] = serverLimit{ServerStart: uint32(l.Server), Rate: l.Rate, Lifted: l.Lifted, SentRequests: float32(l.Sent)}
+		packed[i] = serverLimit{Instance: uint32(l.Server), Rate: l.Rate, Lifted: l.Lifted, SentRequests: float32(l.Sent)}
 		if !l.At.IsZero() {
 			packed[i].Age = ageMillis(now, l.At)
 		}
@@ -43,7 +43,7 @@
 			continue
 		}
 		limits = append(limits, policy.LimitReport{
-			Server:        policy.Key(l.ServerStart),
+			Server:        policy.Key(l.Instance),
 			LimitEvidence: policy.LimitEvidence{Rate: l.Rate, Lifted: l.Lifted, At: timeAtAge(now, l.Age)},
 		})
 	}
--- a/internal/gateway/peers/shortage.go
+++ b/internal/gateway/peers/shortage.go
@@ -11,28 +11,28 @@
 const minOffered = 0.05
 
 // shortage is the encoded form of policy.Shortage for one service.
-type shortage struct {
+type offerCounts struct {
 	_ struct{} `cbor:",toarray"`
 	// Service is the hash of the service's name.
 	Service uint32
-	Levels  []levelShortage
+	Levels  []levelOffers
 }
 
 // levelShortage counts the requests offered at one urgency level, and those refused only
 // because no slot was free. Both counts decay with time.
-type levelShortage struct {
+type levelOffers struct {
 	_       struct{} `cbor:",toarray"`
 	Urgency uint8
 	Offered float32
-	Refused float32
+	Lacked  float32
 }
 
 // packShortage encodes the shortage of a service.
-func packShortage(service string, counts *policy.OfferCounts) shortage {
-	packed := shortage{Service: hashName(service)}
+func packOfferCounts(service string, counts *policy.OfferCounts) offerCounts {
+	packed := offerCounts{Service: hashName(service)}
 	for urgency, level := range counts {
 		if level.Offered >= minOffered {
-			packed.Levels = append(packed.Levels, levelShortage{Urgency: uint8(urgency), Offered: float32(level.Offered), Refused: float32(level.Lacked)})
+			packed.Levels = append(packed.Levels, levelOffers{Urgency: uint8(urgency), Offered: float32(level.Offered), Lacked: float32(level.Lacked)})
 		}
 	}
 	return packed
@@ -40,15 +40,15 @@
 
 // unpack decodes a shortage; invalid counts are ignored. An unknown urgency level is mapped to
 // the least urgent one.
-func (s *shortage) unpack() policy.OfferCounts {
+func (s *offerCounts) unpack() policy.OfferCounts {
 	var sum policy.OfferCounts
 	for _, packed := range s.Levels {
-		if !validCount(packed.Offered) || !validCount(packed.Refused) {
+		if !validCount(packed.Offered) || !validCount(packed.Lacked) {
 			continue
 		}
 		level := &sum[min(int(packed.Urgency), len(sum)-1)]
 		level.Offered += float64(packed.Offered)
-		level.Lacked += float64(packed.Refused)
+		level.Lacked += float64(packed.Lacked)
 	}
 	return sum
 }
--- a/internal/gateway/peers/shortage_test.go
+++ b/internal/gateway/peers/shortage_test.go
@@ -13,25 +13,25 @@
 	var sent policy.OfferCounts
 	sent[3].Offered, sent[3].Lacked = 40, 10
 	sent[4].Offered = minOffered / 2
-	a.Shortages = func() map[string]policy.OfferCounts { return map[string]policy.OfferCounts{"chat": sent} }
+	a.OwnOfferCounts = func() map[string]policy.OfferCounts { return map[string]policy.OfferCounts{"chat": sent} }
 	deliver(t, a, b)
-	got := b.Shortage("chat")
+	got := b.OfferCounts("chat")
 	if got[3].Offered != 40 || got[3].Lacked != 10 {
 		t.Errorf("received %+v, sent %+v", got[3], sent[3])
 	}
 	if got[4].Offered != 0 {
 		t.Errorf("a count below minOffered was sent: %+v", got[4])
 	}
-	if other := b.Shortage("search"); other != (policy.OfferCounts{}) {
+	if other := b.OfferCounts("search"); other != (policy.OfferCounts{}) {
 		t.Errorf("shortage %+v of another service", other)
 	}
 	sent[3].Lacked = 4
 	deliver(t, a, b)
-	if got := b.Shortage("chat"); got[3].Lacked != 4 {
+	if got := b.OfferCounts("chat"); got[3].Lacked != 4 {
 		t.Errorf("%v refused after the second datagram, want 4", got[3].Lacked)
 	}
 	b.table.expire(time.Now().Add(2 * peerTimeout))
-	if got := b.Shortage("chat"); got[3].Lacked != 0 {
+	if got := b.OfferCounts("chat"); got[3].Lacked != 0 {
 		t.Errorf("%v refused still counted for a silent gateway", got[3].Lacked)
 	}
 }
--- a/internal/gateway/peers/suspicion.go
+++ b/internal/gateway/peers/suspicion.go
@@ -21,9 +21,9 @@
 
 // crash is the encoded form of policy.Crash: one start of a backend server that ended.
 type crash struct {
-	_     struct{} `cbor:",toarray"`
-	Start uint32
-	Age   uint32
+	_        struct{} `cbor:",toarray"`
+	Instance uint32
+	Age      uint32
 }
 
 // packSuspicions encodes suspicions.
@@ -35,7 +35,7 @@
 			packed[i].ClearedAge = ageMillis(now, s.Cleared)
 		}
 		for _, c := range s.Crashes {
-			packed[i].Crashes = append(packed[i].Crashes, crash{Start: uint32(c.Instance), Age: ageMillis(now, c.At)})
+			packed[i].Crashes = append(packed[i].Crashes, crash{Instance: uint32(c.Instance), Age: ageMillis(now, c.At)})
 		}
 	}
 	return packed
@@ -53,7 +53,7 @@
 			suspicions[i].Cleared = timeAtAge(now, s.ClearedAge)
 		}
 		for _, c := range s.Crashes {
-			suspicions[i].Crashes = append(suspicions[i].Crashes, policy.Crash{Instance: policy.Key(c.Start), At: timeAtAge(now, c.Age)})
+			suspicions[i].Crashes = append(suspicions[i].Crashes, policy.Crash{Instance: policy.Key(c.Instance), At: timeAtAge(now, c.Age)})
 		}
 	}
 	return suspicions
--- a/internal/gateway/peers/table.go
+++ b/internal/gateway/peers/table.go
@@ -26,7 +26,7 @@
 	lastStamp uint64
 	loads     []serverLoad
 	// shortages holds the shortages in the peer's last datagram.
-	shortages []shortage
+	offerCounts []offerCounts
 	// limits holds the limits in the peer's last datagram, with its requests to these servers.
 	limits []serverLimit
 	// stateVersion is the version of the desired state last in force at the peer.
@@ -51,14 +51,14 @@
 	peers    map[string]*peer
 	loadSums map[uint32]*backend.Counts
 	// shortageSums holds the sums of the shortages by service hash.
-	shortageSums map[uint32]policy.OfferCounts
+	offerSums map[uint32]policy.OfferCounts
 	// limitedSendSums holds the sums of requests to servers that have announced a limit, by
 	// server start.
 	limitedSendSums map[uint32]float64
 }
 
 func newTable() *table {
-	return &table{peers: map[string]*peer{}, loadSums: map[uint32]*backend.Counts{}, shortageSums: map[uint32]policy.OfferCounts{}, limitedSendSums: map[uint32]float64{}}
+	return &table{peers: map[string]*peer{}, loadSums: map[uint32]*backend.Counts{}, offerSums: map[uint32]policy.OfferCounts{}, limitedSendSums: map[uint32]float64{}}
 }
 
 // update applies a datagram. It returns false if the datagram is not newer than the last one of
@@ -73,7 +73,7 @@
 	// Add the new counts before subtracting the old ones: the sums of servers at which the
 	// gateway still has load are then kept.
 	t.addLoads(in.Loads, 1)
-	t.addShortages(in.Shortages, 1)
+	t.addOfferCounts(in.OfferCounts, 1)
 	t.addLimitedSends(in.Limits, 1)
 	t.subtract(p)
 	if p.bootID != in.BootID {
@@ -81,7 +81,7 @@
 	}
 	p.addr, p.bootID, p.sequence, p.lastReceived, p.lastStamp = addr, in.BootID, in.Sequence, now, in.Stamp
 	p.stateVersion, p.storeMode, p.serversPosition, p.quarantineKnown = in.StateVersion, in.StoreMode, in.ServersPosition, in.QuarantineKnown
-	p.loads, p.shortages, p.limits = in.Loads, in.Shortages, in.Limits
+	p.loads, p.offerCounts, p.limits = in.Loads, in.OfferCounts, in.Limits
 	return true
 }
 
@@ -203,24 +203,24 @@
 	return backend.Counts{}
 }
 
-func (t *table) limitedSends(start uint32) float64 {
+func (t *table) limitedSends(instance uint32) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.limitedSendSums[start]
+	return t.limitedSendSums[instance]
 }
 
-func (t *table) shortage(service uint32) policy.OfferCounts {
+func (t *table) offerCounts(service uint32) policy.OfferCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.shortageSums[service]
+	return t.offerSums[service]
 }
 
 // subtract removes a peer's counts from the sums; t.mu must be held.
 func (t *table) subtract(p *peer) {
 	t.addLoads(p.loads, -1)
-	t.addShortages(p.shortages, -1)
+	t.addOfferCounts(p.offerCounts, -1)
 	t.addLimitedSends(p.limits, -1)
-	p.loads, p.shortages, p.limits = nil, nil, nil
+	p.loads, p.offerCounts, p.limits = nil, nil, nil
 }
 
 // addLimitedSends adds the requests to limited servers to the sums, or subtracts them if sign
@@ -231,21 +231,21 @@
 		if !validCount(l.SentRequests) {
 			continue
 		}
-		if sum := t.limitedSendSums[l.ServerStart] + sign*float64(l.SentRequests); sum > negligible {
-			t.limitedSendSums[l.ServerStart] = sum
+		if sum := t.limitedSendSums[l.Instance] + sign*float64(l.SentRequests); sum > negligible {
+			t.limitedSendSums[l.Instance] = sum
 		} else {
-			delete(t.limitedSendSums, l.ServerStart)
+			delete(t.limitedSendSums, l.Instance)
 		}
 	}
 }
 
 // addShortages adds shortages to the sums, or subtracts them if sign is -1; t.mu must be held.
-func (t *table) addShortages(shortages []shortage, sign float64) {
-	for i := range shortages {
-		sum := t.shortageSums[shortages[i].Service]
-		unpacked := shortages[i].unpack()
+func (t *table) addOfferCounts(counts []offerCounts, sign float64) {
+	for i := range counts {
+		sum := t.offerSums[counts[i].Service]
+		unpacked := counts[i].unpack()
 		sum.Add(&unpacked, sign)
-		t.shortageSums[shortages[i].Service] = sum
+		t.offerSums[counts[i].Service] = sum
 	}
 }
 
--- a/internal/gateway/peers/usage.go
+++ b/internal/gateway/peers/usage.go
@@ -69,7 +69,7 @@
 	msg := in.Usage
 	m.table.receiveUsage(in.From, msg, msg.WallClock-boottime.Now().Milliseconds())
 	if msg.Update != nil {
-		m.Usage.Merge(now, usage.Source{Gateway: in.From, Start: in.BootID}, *msg.Update)
+		m.Usage.Merge(now, usage.Source{Gateway: in.From, BootID: in.BootID}, *msg.Update)
 	}
 }
 
@@ -86,7 +86,7 @@
 	if m.Usage == nil {
 		return nil
 	}
-	mergedSequence := m.Usage.MergedSequence(usage.Source{Gateway: dst.name, Start: dst.bootID})
+	mergedSequence := m.Usage.MergedSequence(usage.Source{Gateway: dst.name, BootID: dst.bootID})
 	sendUpdate := dst.receivesUsage && m.sequence%usageEveryRounds == 0
 	if !sendUpdate && mergedSequence == dst.ackSent && m.sequence%uint64(max(clockEveryRounds, m.ListedGateways()/clockMessagesPerRound)) != 0 {
 		return nil
--- a/internal/gateway/poll_delegation.go
+++ b/internal/gateway/poll_delegation.go
@@ -51,7 +51,7 @@
 // one needn't poll the store for it. It is false before the first state and once the proof needs
 // renewal.
 func (g *gateway) desiredStateFromPeers() bool {
-	return g.pollersAvailable() && g.holder.Version() != 0 && !g.proofNeedsRenewal() && !g.stateBehind.heldLongerThan(maxPeerLag)
+	return g.pollersAvailable() && g.holder.Version() != 0 && !g.confirmationNeedsRenewal() && !g.stateBehind.heldLongerThan(maxPeerLag)
 }
 
 // gatewayListFresh reports whether the gateway list needn't be read again now. It must be read at
--- a/internal/gateway/protocol/protocol.go
+++ b/internal/gateway/protocol/protocol.go
@@ -14,7 +14,7 @@
 const UrgencyLevels = policy.UrgencyLevels
 
 // PromptPart is one part of a request's prompt.
-type PromptPart struct {
+type PromptSegment struct {
 	// ID is the hash of the part.
 	ID uint64
 	// Tokens is the length of the part in tokens.
@@ -36,13 +36,13 @@
 	PromptTokens int
 	// PromptParts are the parts of the prompt in order. The last one belongs to the request or its
 	// session; those before it are shared.
-	PromptParts []PromptPart
+	PromptSegments []PromptSegment
 }
 
 // AttemptInfo is what a gateway tells a backend server about one attempt.
 type AttemptInfo struct {
 	// Instance is the start of the backend server that the attempt is meant for.
-	Instance string
+	ServerID string
 	// Customer is the owner of the client's API key; empty if none is required.
 	Customer string
 	// Urgency ranges from 0, the most urgent, to UrgencyLevels-1.
@@ -94,5 +94,5 @@
 	ParseResponse(status int, h http.Header) ResponseInfo
 	// ClientHeaders returns the headers of a response for the client: the backend server's headers
 	// without the hop-by-hop headers.
-	ClientHeaders(backend http.Header) http.Header
+	CallerHeaders(backend http.Header) http.Header
 }
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -10,7 +10,7 @@
 	// peerProofLead is how much newer, beyond the wait of a call, other gateways' proofs are than
 	// this gateway's own when the store doesn't respond to it. A call that failed once has been
 	// retried by then.
-	peerProofLead = 800 * time.Millisecond
+	peerConfirmationLead = 800 * time.Millisecond
 	// storeRejectionTimeout is how long this gateway retries a store that rejects it, but responds
 	// to others, before it sends clients to other gateways.
 	storeRejectionTimeout = 500 * time.Millisecond
@@ -22,7 +22,7 @@
 }
 
 // sheddingClients reports whether clients should reconnect to another gateway.
-func (g *gateway) sheddingClients() bool { return g.draining.Load() || g.isolated() }
+func (g *gateway) sheddingCallers() bool { return g.draining.Load() || g.isolated() }
 
 // isolated reports whether clients are better served by other gateways. That is the case when the
 // store responds to others but rejects this gateway, which then serves on their proofs alone; or
@@ -30,12 +30,12 @@
 // requests with a key. If the store is unavailable to all gateways, no other gateway would serve
 // clients better, and public routes continue to be served.
 func (g *gateway) isolated() bool {
-	provenAt := g.holder.ConfirmedAt()
-	maxProofAge := maxFeedSilence + pollerWait(g.router.Bounds().MaxStateAge) + peerProofLead
-	if storeAnswers := boottime.Now()-provenAt <= maxProofAge; storeAnswers {
-		ownProvenAt := time.Duration(g.desiredSink.storeProvenAt.Load())
-		ownProofLate := provenAt-ownProvenAt > g.desiredStateWait()+peerProofLead && !g.desiredStateFromPeers()
-		return ownProofLate || g.desiredSink.unavailableFor() > storeRejectionTimeout && provenAt > ownProvenAt
+	confirmedAt := g.holder.ConfirmedAt()
+	maxConfirmationAge := maxFeedSilence + pollerWait(g.router.Bounds().MaxStateAge) + peerConfirmationLead
+	if storeResponds := boottime.Now()-confirmedAt <= maxConfirmationAge; storeResponds {
+		ownConfirmedAt := time.Duration(g.desiredSink.storeConfirmedAt.Load())
+		ownConfirmationLate := confirmedAt-ownConfirmedAt > g.desiredStateWait()+peerConfirmationLead && !g.desiredStateFromPeers()
+		return ownConfirmationLate || g.desiredSink.unavailableFor() > storeRejectionTimeout && confirmedAt > ownConfirmedAt
 	}
 	return !g.router.StateFresh() && 2*g.mesh.LiveGateways() <= g.mesh.ListedGateways()
 }
--- a/internal/gateway/router/attempt.go
+++ b/internal/gateway/router/attempt.go
@@ -60,9 +60,9 @@
 		return c.handleSendError(ctx, info.ID)
 	}
 	defer response.Abort()
-	reply := c.router.Dialect.ParseResponse(response.Status, response.Header)
-	c.updateServerLimit(server, tracked.sentAt, reply)
-	result := c.handleResponse(ctx, response, reply, tracked)
+	responseInfo := c.router.Dialect.ParseResponse(response.Status, response.Header)
+	c.updateServerLimit(server, tracked.sentAt, responseInfo)
+	result := c.handleResponse(ctx, response, responseInfo, tracked)
 	c.serverEnded = response.Incomplete() && c.serverHasEnded(server)
 	c.recordCrashEvidence(server)
 	c.router.observeOutcome(info.ID, c.policyOutcome(ctx, result))
@@ -83,16 +83,16 @@
 
 // handleResponse reads a response and forwards it to the caller, unless another server should be
 // tried.
-func (c *call) handleResponse(ctx context.Context, response *exchange.Response, reply protocol.ResponseInfo, tracked *trackedRequest) attemptResult {
+func (c *call) handleResponse(ctx context.Context, response *exchange.Response, info protocol.ResponseInfo, tracked *trackedRequest) attemptResult {
 	switch {
-	case reply.NotExecuted:
-		if reply.OtherInstance && c.router.Registry.MarkReplaced(c.serverID) {
+	case info.NotExecuted:
+		if info.OtherInstance && c.router.Registry.MarkReplaced(c.serverID) {
 			c.router.Observer.ServerReplaced(c.serverID)
 		}
 		// Read the body so that the connection can be reused.
 		_, _ = readLimited(response, maxRejectionBody)
 		return resultNotRun
-	case reply.ContentEncoded, isSuccess(response.Status) && !reply.Signed:
+	case info.ContentEncoded, isSuccess(response.Status) && !info.Signed:
 		c.mayHaveRun = true
 		return resultUnknown
 	case isSuccess(response.Status) && c.route.Kind == routes.KindStream:
@@ -107,9 +107,9 @@
 // buildRequest returns the request as it is sent to a server, which has the remaining time to
 // answer it.
 func (c *call) buildRequest(info *backend.Info, remaining time.Duration) *exchange.Request {
-	send := protocol.AttemptInfo{Instance: info.ID, Customer: c.customer, Urgency: c.urgency, Timeout: remaining, LastEventID: c.params.LastEventID, FetchFrom: c.fetchFrom}
+	attemptInfo := protocol.AttemptInfo{ServerID: info.ID, Customer: c.customer, Urgency: c.urgency, Timeout: remaining, LastEventID: c.params.LastEventID, FetchFrom: c.fetchFrom}
 	if c.stream.hasLastID {
-		send.LastEventID = strconv.FormatInt(c.stream.lastID, 10)
+		attemptInfo.LastEventID = strconv.FormatInt(c.stream.lastID, 10)
 	}
 	maxIdle := time.Hour
 	if !c.route.Idempotent() {
@@ -119,7 +119,7 @@
 		Method:  c.req.Method,
 		Target:  c.req.RequestURI,
 		Host:    c.req.Host,
-		Header:  c.router.Dialect.AttemptHeaders(c.req.Header, send),
+		Header:  c.router.Dialect.AttemptHeaders(c.req.Header, attemptInfo),
 		Body:    c.body,
 		MaxIdle: maxIdle,
 		Matches: func(h http.Header) bool { return c.router.Dialect.ParseResponse(0, h).ID == c.params.ID },
--- a/internal/gateway/router/buffered_response.go
+++ b/internal/gateway/router/buffered_response.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return c.resultAfterReadError()
 	}
-	buffered := &bufferedResponse{status: response.Status, header: c.router.Dialect.ClientHeaders(response.Header), body: body, contentLength: response.Header.Get("Content-Length")}
+	buffered := &bufferedResponse{status: response.Status, header: c.router.Dialect.CallerHeaders(response.Header), body: body, contentLength: response.Header.Get("Content-Length")}
 	c.firstByteLatency = time.Since(c.arrivedAt)
 	switch {
 	case impliesNotRun(response.Status):
--- a/internal/gateway/router/call.go
+++ b/internal/gateway/router/call.go
@@ -64,8 +64,8 @@
 
 	// sharedParts are the parts of the prompt that other requests share. fetchFrom is the address
 	// from which the chosen server should fetch those that it has not cached; empty for none.
-	sharedParts []policy.PrefixSegment
-	fetchFrom   string
+	sharedSegments []policy.PrefixSegment
+	fetchFrom      string
 	// triedServers lists the servers that the request was sent to, counted in sends, and those to
 	// which no connection could be opened, counted in failedDials.
 	triedServers []string
@@ -169,12 +169,12 @@
 
 // clampSharedParts returns the parts of a prompt that other requests share, which are all but the
 // last. Parts that extend beyond the prompt end at its end.
-func clampSharedParts(parts []protocol.PromptPart, promptTokens int) []policy.PrefixSegment {
-	if len(parts) < 2 {
+func clampSharedSegments(segments []protocol.PromptSegment, promptTokens int) []policy.PrefixSegment {
+	if len(segments) < 2 {
 		return nil
 	}
-	shared, end := make([]policy.PrefixSegment, len(parts)-1), 0
-	for i, p := range parts[:len(parts)-1] {
+	shared, end := make([]policy.PrefixSegment, len(segments)-1), 0
+	for i, p := range segments[:len(segments)-1] {
 		end += min(p.Tokens, promptTokens-end)
 		shared[i] = policy.PrefixSegment{ID: p.ID, End: end}
 	}
--- a/internal/gateway/router/choose.go
+++ b/internal/gateway/router/choose.go
@@ -9,14 +9,14 @@
 // chooseServer has the policy choose a server. It returns nil if no server is usable.
 func (c *call) chooseServer() (*backend.Server, policy.Choice) {
 	servers, service := c.router.Registry.Servers(c.service), c.serviceConfig()
-	c.sharedParts = clampSharedParts(c.params.PromptParts, c.params.PromptTokens)
+	c.sharedSegments = clampSharedSegments(c.params.PromptSegments, c.params.PromptTokens)
 	firstChoice := len(c.triedServers) == 0 && !c.retriedUnreachable
 	if firstChoice {
 		c.meanTokens = c.router.observePromptSize(c.service, c.route.Name, c.params.PromptTokens)
 	}
 	job := policy.Job{
 		Zone: c.router.Zone, Urgency: c.urgency, Target: c.route.LatencyTarget,
-		Tokens: c.params.PromptTokens, MeanTokens: c.meanTokens, SharedSegments: c.sharedParts, FetchRate: service.FetchRate, Tried: c.triedServers,
+		Tokens: c.params.PromptTokens, MeanTokens: c.meanTokens, SharedSegments: c.sharedSegments, FetchRate: service.FetchRate, Tried: c.triedServers,
 	}
 	choice := c.chooseWithAvoidance(job, c.router.serverLoads(servers, service.MaxConns), firstChoice)
 	if !choice.Found {
--- a/internal/gateway/router/config.go
+++ b/internal/gateway/router/config.go
@@ -51,7 +51,7 @@
 	// At returns the requests that the other gateways have in progress at a backend server.
 	LoadAt(server string) backend.Counts
 	// Shortage returns the recent capacity shortage of the other gateways for a service.
-	Shortage(service string) policy.OfferCounts
+	OfferCounts(service string) policy.OfferCounts
 	// LimitedSends returns the recent number of requests that they sent to a server instance with a
 	// rate limit, as policy.ServerLimits counts them.
 	LimitedSends(instance policy.Key) float64
--- a/internal/gateway/router/policy_state.go
+++ b/internal/gateway/router/policy_state.go
@@ -48,7 +48,7 @@
 	defer r.mu.Unlock()
 	s, now := r.serviceFor(c.service), time.Now()
 	s.sendRate.CountSent(now, c.urgency, choice.PrefillTokens)
-	r.PrefixIndex.RecordSent(now, policy.KeyOf(c.serverID), c.sharedParts)
+	r.PrefixIndex.RecordSent(now, policy.KeyOf(c.serverID), c.sharedSegments)
 	return s.prefillRates[c.urgency].Plan(now, choice.PrefillTokens, choice.TokensAhead)
 }
 
@@ -56,7 +56,7 @@
 // and must be marked by firstChoice. pauseTarget is the route's target for pauses between events; 0
 // means none.
 func (r *Router) runChooser(service string, job policy.Job, pauseTarget time.Duration, loads []policy.Server, firstChoice bool) policy.Choice {
-	shortage := r.Peers.Shortage(service)
+	offerCounts := r.Peers.OfferCounts(service)
 	now, otherGateways := time.Now(), float64(r.Peers.LiveGateways()-1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,20 +66,20 @@
 	requests, tokens := s.sendRate.Expected(now, r.Peers.ReportInterval(), job.Urgency)
 	// On average, updates from other gateways are half as old as they can be.
 	job.UnreportedRequests, job.UnreportedTokens, job.ReportAge = otherGateways*requests, otherGateways*tokens/2, r.Peers.ReportInterval()/2
-	job.UnreportedOffers, job.OtherSenders = shortage.Expected(r.Peers.ReportInterval()), otherGateways
-	ownShortage := s.shortage.Counts(now)
-	shortage.Add(&ownShortage, 1)
+	job.UnreportedOffers, job.OtherSenders = offerCounts.Expected(r.Peers.ReportInterval()), otherGateways
+	ownCounts := s.offerCounter.Counts(now)
+	offerCounts.Add(&ownCounts, 1)
 	r.setAllowances(now, loads)
 	for i := range loads {
 		server := policy.KeyOf(loads[i].Name)
 		loads[i].PauseRisk = s.pauses.ExcessRisk(now, server, job.Urgency, pauseTarget)
 		loads[i].Unresponsive = r.unresponsive.Excluded(now, server)
 	}
-	job.Headroom = s.headroom.Share(now, &shortage, policy.SlotUtilization(loads), job.Urgency)
+	job.Headroom = s.headroom.Share(now, &offerCounts, policy.SlotUtilization(loads), job.Urgency)
 	r.limits.MarkOverLimit(now, r.Random, &job, loads)
 	choice := r.Chooser.Choose(now, job, loads, &s.prefillRates[job.Urgency])
 	if firstChoice {
-		s.shortage.Observe(now, job.Urgency, choice.SlotLimited || choice.RateLimited)
+		s.offerCounter.Observe(now, job.Urgency, choice.SlotLimited || choice.RateLimited)
 	}
 	if choice.Found && (choice.InTime || !firstChoice || job.Tokens == 0 && choice.HasCapacity) {
 		r.countLimitedSend(now, &loads[choice.Index])
@@ -88,15 +88,15 @@
 }
 
 // Shortages returns this gateway's recent capacity shortage by service.
-func (r *Router) Shortages() map[string]policy.OfferCounts {
+func (r *Router) OfferCounts() map[string]policy.OfferCounts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	shortages := make(map[string]policy.OfferCounts, len(r.services))
+	countsByService := make(map[string]policy.OfferCounts, len(r.services))
 	for name, s := range r.services {
-		shortages[name] = s.shortage.Counts(now)
+		countsByService[name] = s.offerCounter.Counts(now)
 	}
-	return shortages
+	return countsByService
 }
 
 // observeFirstToken records the time to the first token, with tokensAhead tokens to process before
@@ -107,7 +107,7 @@
 	now := time.Now()
 	r.serviceFor(c.service).prefillRates[c.urgency].Observe(now, tokensAhead, elapsed)
 	r.updates.addFirstToken(policy.TTFTSample{Service: policy.KeyOf(c.service), Server: policy.KeyOf(c.serverID), Urgency: c.urgency, TokensAhead: tokensAhead, Latency: elapsed})
-	r.PrefixIndex.RecordPrefilled(now, policy.KeyOf(c.serverID), c.sharedParts)
+	r.PrefixIndex.RecordPrefilled(now, policy.KeyOf(c.serverID), c.sharedSegments)
 	r.unresponsive.RecordAnswered(policy.KeyOf(c.serverID))
 }
 
--- a/internal/gateway/router/policy_state_test.go
+++ b/internal/gateway/router/policy_state_test.go
@@ -13,11 +13,11 @@
 // noPeers is the Peers of a gateway that receives no updates.
 type noPeers struct{}
 
-func (noPeers) LoadAt(string) backend.Counts       { return backend.Counts{} }
-func (noPeers) Shortage(string) policy.OfferCounts { return policy.OfferCounts{} }
-func (noPeers) LimitedSends(policy.Key) float64    { return 0 }
-func (noPeers) LiveGateways() int                  { return 1 }
-func (noPeers) ReportInterval() time.Duration      { return 100 * time.Millisecond }
+func (noPeers) LoadAt(string) backend.Counts          { return backend.Counts{} }
+func (noPeers) OfferCounts(string) policy.OfferCounts { return policy.OfferCounts{} }
+func (noPeers) LimitedSends(policy.Key) float64       { return 0 }
+func (noPeers) LiveGateways() int                     { return 1 }
+func (noPeers) ReportInterval() time.Duration         { return 100 * time.Millisecond }
 
 func newTestRouter() *Router {
 	ejector, prefixIndex := policy.NewEjector(), policy.NewPrefixIndex()
--- a/internal/gateway/router/server_limits.go
+++ b/internal/gateway/router/server_limits.go
@@ -10,11 +10,11 @@
 
 // updateServerLimit takes over the rate limit that a response names. A response from another
 // instance at the address says nothing about the server.
-func (c *call) updateServerLimit(server *backend.Server, sent time.Time, reply protocol.ResponseInfo) {
+func (c *call) updateServerLimit(server *backend.Server, sent time.Time, info protocol.ResponseInfo) {
 	switch {
-	case reply.OtherInstance:
-	case reply.Limit.Invalid, c.router.setLimit(server, sent, reply.Limit):
-		c.router.Observer.ServerLimitChanged(server.Info().ID, reply.Limit)
+	case info.OtherInstance:
+	case info.Limit.Invalid, c.router.setLimit(server, sent, info.Limit):
+		c.router.Observer.ServerLimitChanged(server.Info().ID, info.Limit)
 	}
 }
 
--- a/internal/gateway/router/service_state.go
+++ b/internal/gateway/router/service_state.go
@@ -14,7 +14,7 @@
 	prefillRates [policy.UrgencyLevels]policy.PrefillRate
 	sendRate     policy.SendRate
 	pauses       policy.PauseEstimator
-	shortage     policy.OfferCounter
+	offerCounter policy.OfferCounter
 	headroom     policy.AdaptiveHeadroom
 	// promptSizes holds the prompt lengths by route.
 	promptSizes policy.ClassSizes
--- a/internal/gateway/router/stream.go
+++ b/internal/gateway/router/stream.go
@@ -72,7 +72,7 @@
 	}
 	c.stream.headerSent = true
 	c.firstByteLatency = time.Since(c.arrivedAt)
-	c.copyHeader(c.router.Dialect.ClientHeaders(response.Header))
+	c.copyHeader(c.router.Dialect.CallerHeaders(response.Header))
 	c.w.WriteHeader(response.Status)
 }
 
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -29,7 +29,7 @@
 		return nil
 	}
 	g.usage = usage.NewReporter(usage.Config{
-		Name: g.settings.Process, Start: g.mesh.BootID(),
+		Name: g.settings.Process, BootID: g.mesh.BootID(),
 		Windows: usage.Windows{Length: usageSettings.Window}, Delay: usageSettings.Delay, LeaseTime: usageSettings.Lease,
 		Table: g.platform.Duties, Platform: g.platform.Usage, Now: g.mesh.MedianTime, Peers: g.mesh,
 		Eligible: func() bool { return !g.storeHealth.Unavailable() && !g.draining.Load() }, Observer: g.platform.Metrics.UsageReports(), Log: g.log,
--- a/internal/gateway/usage/aggregator.go
+++ b/internal/gateway/usage/aggregator.go
@@ -19,7 +19,7 @@
 	mu      sync.Mutex
 	sources map[Source]*sourceCounts
 	// latestStarts holds, by gateway, the process start that sent the most recent update.
-	latestStarts map[string]uint64
+	latestBootIDs map[string]uint64
 	// currentWindow is the window in which the last update was merged.
 	currentWindow uint64
 }
@@ -34,7 +34,7 @@
 
 // NewAggregator returns an empty Aggregator. The clock returns the gateways' common time of day.
 func NewAggregator(w Windows, clock func() time.Time) *Aggregator {
-	return &Aggregator{windows: w, clock: clock, sources: map[Source]*sourceCounts{}, latestStarts: map[string]uint64{}}
+	return &Aggregator{windows: w, clock: clock, sources: map[Source]*sourceCounts{}, latestBootIDs: map[string]uint64{}}
 }
 
 // Merge merges an update that was received at the given time. It discards counts of windows that
@@ -53,7 +53,7 @@
 	counts := a.sourceLocked(source)
 	counts.merge(update.Counts)
 	counts.sequence, counts.completeUntil, counts.lastReceived = max(counts.sequence, update.Sequence), max(counts.completeUntil, update.CompleteUntil), now
-	a.latestStarts[source.Gateway] = source.Start
+	a.latestBootIDs[source.Gateway] = source.BootID
 }
 
 // sourceLocked returns the counts of a gateway process and creates them if there are none; a.mu
@@ -108,8 +108,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var names []string
-	for name, start := range a.latestStarts {
-		completeUntil := a.sources[Source{Gateway: name, Start: start}].completeUntil
+	for name, start := range a.latestBootIDs {
+		completeUntil := a.sources[Source{Gateway: name, BootID: start}].completeUntil
 		if completeUntil >= begin.UnixMilli() && completeUntil < end.UnixMilli() {
 			names = append(names, name)
 		}
@@ -134,8 +134,8 @@
 			continue
 		}
 		delete(a.sources, source)
-		if a.latestStarts[source.Gateway] == source.Start {
-			delete(a.latestStarts, source.Gateway)
+		if a.latestBootIDs[source.Gateway] == source.BootID {
+			delete(a.latestBootIDs, source.Gateway)
 		}
 	}
 }
--- a/internal/gateway/usage/cluster_test.go
+++ b/internal/gateway/usage/cluster_test.go
@@ -50,7 +50,7 @@
 func (c *cluster) start(t *testing.T, name string, start uint64) *node {
 	n := &node{cluster: c}
 	n.Reporter = NewReporter(Config{
-		Name: name, Start: start, Windows: fiveSeconds, Delay: 10 * time.Second, LeaseTime: 3 * time.Second,
+		Name: name, BootID: start, Windows: fiveSeconds, Delay: 10 * time.Second, LeaseTime: 3 * time.Second,
 		Table: nodeTable{n}, Platform: c.platform, Now: time.Now, Peers: n, Eligible: func() bool { return !n.flag(&n.storeUnreachable) }, Observer: nopObserver{}, Log: zap.NewNop(),
 	})
 	ctx, stop := context.WithCancel(t.Context())
@@ -99,7 +99,7 @@
 		for _, to := range nodes {
 			for _, from := range nodes {
 				if to != from && !to.flag(&to.partitioned) && !from.flag(&from.partitioned) {
-					source := Source{Gateway: from.Name, Start: from.Start}
+					source := Source{Gateway: from.Name, BootID: from.BootID}
 					to.Aggregator.Merge(time.Now(), source, from.Counter.UpdateSince(to.Aggregator.LastSequence(source)))
 				}
 			}
--- a/internal/gateway/usage/config.go
+++ b/internal/gateway/usage/config.go
@@ -27,8 +27,8 @@
 // Config holds the settings and dependencies of a Reporter.
 type Config struct {
 	// Name is the VM's name, and Start identifies this run of the process.
-	Name  string
-	Start uint64
+	Name   string
+	BootID uint64
 	// Windows are the windows to report, each within Delay after its end.
 	Windows Windows
 	Delay   time.Duration
--- a/internal/gateway/usage/counter_test.go
+++ b/internal/gateway/usage/counter_test.go
@@ -36,7 +36,7 @@
 		now := noon
 		counter := NewCounter(fiveSeconds, func() time.Time { return now })
 		aggregate := NewAggregator(fiveSeconds, func() time.Time { return now })
-		source := Source{Gateway: "a", Start: 1}
+		source := Source{Gateway: "a", BootID: 1}
 		want := map[countKey]int64{}
 		var sent []Update
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -76,7 +76,7 @@
 	for i := range 2*maxUpdateCounts + 7 {
 		counter.Add(fmt.Sprint("customer-", i))
 	}
-	aggregate, source := NewAggregator(fiveSeconds, func() time.Time { return noon }), Source{Gateway: "a", Start: 1}
+	aggregate, source := NewAggregator(fiveSeconds, func() time.Time { return noon }), Source{Gateway: "a", BootID: 1}
 	for parts := 1; ; parts++ {
 		update := counter.UpdateSince(aggregate.LastSequence(source))
 		aggregate.Merge(noon, source, update)
@@ -100,8 +100,8 @@
 func TestOnlyLatestStartIsIncomplete(t *testing.T) {
 	aggregate := NewAggregator(fiveSeconds, clockInWindow(7))
 	counts := []Count{{Window: 7, Customer: "a", Requests: 3}}
-	aggregate.Merge(noon, Source{Gateway: "x", Start: 1}, Update{Sequence: 3, CompleteUntil: 100, Counts: counts})
-	aggregate.Merge(noon, Source{Gateway: "x", Start: 2}, Update{Sequence: 3, CompleteUntil: 900, Counts: counts})
+	aggregate.Merge(noon, Source{Gateway: "x", BootID: 1}, Update{Sequence: 3, CompleteUntil: 100, Counts: counts})
+	aggregate.Merge(noon, Source{Gateway: "x", BootID: 2}, Update{Sequence: 3, CompleteUntil: 900, Counts: counts})
 	if got := aggregate.Sum(7)["a"]; got != 6 {
 		t.Errorf("%d requests", got)
 	}
@@ -116,7 +116,7 @@
 		t.Errorf("incomplete gateways %v, want none", incomplete)
 	}
 	aggregate.Expire(noon.Add(2*sourceExpiry), 7)
-	if len(aggregate.sources)+len(aggregate.latestStarts) != 0 {
+	if len(aggregate.sources)+len(aggregate.latestBootIDs) != 0 {
 		t.Error("sources without an update are kept after their expiry")
 	}
 }
@@ -130,7 +130,7 @@
 		for c := range customers {
 			counts = append(counts, Count{Window: 5, Customer: fmt.Sprintf("customer-%03d", c), Requests: 1})
 		}
-		aggregate.Merge(noon, Source{Gateway: fmt.Sprint("gateway-", i), Start: uint64(i) << 50}, Update{Counts: counts})
+		aggregate.Merge(noon, Source{Gateway: fmt.Sprint("gateway-", i), BootID: uint64(i) << 50}, Update{Counts: counts})
 	}
 	rows, err := aggregate.encodeCheckpoint(4)
 	if err != nil {
@@ -163,15 +163,15 @@
 	first := fiveSeconds.Number(noon)
 	for i := range uint64(500) {
 		now = now.Add(5 * time.Second)
-		source := Source{Gateway: fmt.Sprint("gateway-", i%3), Start: i / 50}
+		source := Source{Gateway: fmt.Sprint("gateway-", i%3), BootID: i / 50}
 		aggregate.Merge(now, source, Update{Sequence: i, CompleteUntil: now.UnixMilli(), Counts: []Count{{Window: first + i, Customer: "a", Requests: 1}}})
 	}
 	counts := 0
 	for _, source := range aggregate.sources {
 		counts += len(source.counts)
 	}
-	if counts == 0 || counts > maxRetainedWindows+1 || len(aggregate.sources) > 6 || len(aggregate.latestStarts) != 3 {
-		t.Errorf("%d counts of %d sources, %d gateways", counts, len(aggregate.sources), len(aggregate.latestStarts))
+	if counts == 0 || counts > maxRetainedWindows+1 || len(aggregate.sources) > 6 || len(aggregate.latestBootIDs) != 3 {
+		t.Errorf("%d counts of %d sources, %d gateways", counts, len(aggregate.sources), len(aggregate.latestBootIDs))
 	}
 }
 
@@ -179,9 +179,9 @@
 // displace the counts of the other gateways.
 func TestWrongClockDropsNoValidCounts(t *testing.T) {
 	aggregate := NewAggregator(fiveSeconds, clockInWindow(5000))
-	aggregate.Merge(noon, Source{Gateway: "right", Start: 1}, Update{Counts: []Count{{Window: 5000, Customer: "a", Requests: 3}}})
-	aggregate.Merge(noon, Source{Gateway: "wrong", Start: 1}, Update{Counts: []Count{{Window: 9000, Customer: "a", Requests: 1}, {Window: 100, Customer: "a", Requests: 1}}})
-	aggregate.Merge(noon, Source{Gateway: "right", Start: 1}, Update{Counts: []Count{{Window: 5001, Customer: "a", Requests: 1}}})
+	aggregate.Merge(noon, Source{Gateway: "right", BootID: 1}, Update{Counts: []Count{{Window: 5000, Customer: "a", Requests: 3}}})
+	aggregate.Merge(noon, Source{Gateway: "wrong", BootID: 1}, Update{Counts: []Count{{Window: 9000, Customer: "a", Requests: 1}, {Window: 100, Customer: "a", Requests: 1}}})
+	aggregate.Merge(noon, Source{Gateway: "right", BootID: 1}, Update{Counts: []Count{{Window: 5001, Customer: "a", Requests: 1}}})
 	if aggregate.Sum(5000)["a"] != 3 || aggregate.Sum(5001)["a"] != 1 || len(aggregate.Sum(9000))+len(aggregate.Sum(100)) != 0 {
 		t.Errorf("%v, %v, %v, %v", aggregate.Sum(5000), aggregate.Sum(5001), aggregate.Sum(9000), aggregate.Sum(100))
 	}
--- a/internal/gateway/usage/reporter.go
+++ b/internal/gateway/usage/reporter.go
@@ -190,7 +190,7 @@
 
 // mergeOwnCounts merges this gateway's own counts into the Aggregator.
 func (r *Reporter) mergeOwnCounts() {
-	source := Source{Gateway: r.Name, Start: r.Start}
+	source := Source{Gateway: r.Name, BootID: r.BootID}
 	r.Aggregator.Merge(time.Now(), source, r.Counter.UpdateSince(r.Aggregator.LastSequence(source)))
 }
 
--- a/internal/gateway/usage/update.go
+++ b/internal/gateway/usage/update.go
@@ -4,7 +4,7 @@
 type Source struct {
 	_       struct{} `cbor:",toarray"`
 	Gateway string
-	Start   uint64
+	BootID  uint64
 }
 
 // Count is the number of requests that started for a customer in a window.
