--- a/internal/gateway/backend/registry.go
+++ b/internal/gateway/backend/registry.go
@@ -17,7 +17,7 @@
 
 // Registry holds the backend servers listed in the store. Servers, All and CountUsable read a
 // snapshot without locking. The gateway's follower of the list feeds it through ReplaceAll,
-// ApplyChanges and the MarkStore methods. All methods are safe for concurrent use.
+// ApplyChanges, MarkStoreAvailable and MarkStoreUnavailable. All methods are safe for concurrent use.
 type Registry struct {
 	byService atomic.Pointer[map[string][]*Server]
 	loaded    atomic.Bool
@@ -31,7 +31,7 @@
 	// expiring holds the servers whose entries expired during a store outage, with the time at
 	// which each is removed.
 	expiring map[string]time.Time
-	// storeDown is set while the store does not answer. storeRecoveredAt is when it last answered
+	// storeDown is set while the store does not respond. storeRecoveredAt is when it last responded
 	// again after an outage, or was restored from an older copy.
 	storeDown        bool
 	storeRecoveredAt time.Time
@@ -85,7 +85,7 @@
 	return n
 }
 
-// ReplaceAll sets the whole list. Servers whose entries are unreadable are removed.
+// ReplaceAll sets the complete list. Servers whose entries are unreadable are removed.
 func (r *Registry) ReplaceAll(now time.Time, entries []Info, unreadable []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,8 +139,8 @@
 	}
 }
 
-// MarkStoreUnavailable records that the store did not answer a request, which need not have been
-// for this list.
+// MarkStoreUnavailable records that the store did not respond to a request, which need not have
+// been for this list.
 func (r *Registry) MarkStoreUnavailable() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -157,8 +157,8 @@
 	r.restoreGraceEnd = now.Add(expiryGrace)
 }
 
-// MarkReplaced records that another instance answered at a server's address. The server is gone for
-// good, although the list may still contain it for some time. It reports whether the server is
+// MarkReplaced records that another instance responded at a server's address. The server is gone
+// for good, although the list may still contain it for some time. It reports whether the server is
 // listed and was not yet marked.
 func (r *Registry) MarkReplaced(id string) bool {
 	r.mu.Lock()
@@ -189,8 +189,8 @@
 	}
 }
 
-// MarkStoreAvailable records that the store answered a request, which need not have been for this
-// list.
+// MarkStoreAvailable records that the store responded to a request, which need not have been for
+// this list.
 func (r *Registry) MarkStoreAvailable(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/backend/server.go
+++ b/internal/gateway/backend/server.go
@@ -57,7 +57,7 @@
 // replaced as the list changes; its Load lasts as long as the instance is listed.
 type Server struct {
 	info atomic.Pointer[Info]
-	// replaced is set when another instance answered at the server's address. The Registry's lock
+	// replaced is set when another instance responded at the server's address. The Registry's lock
 	// guards it.
 	replaced bool
 	// ended is set when nothing listens at the server's address any more.
--- a/internal/gateway/client_server_test.go
+++ b/internal/gateway/client_server_test.go
@@ -20,7 +20,7 @@
 // closeDelay is how long after its idle limit a connection may still be open.
 const closeDelay = time.Second
 
-// testIdleLimit is the idle limit of client connections in these tests.
+// testIdleLimit is the idle limit of caller connections in these tests.
 const testIdleLimit = 15 * time.Second
 
 // slowConn simulates a process that stalls between the decision to close a connection and the close
@@ -72,8 +72,8 @@
 
 // Guards against the idle limit cutting a request that has already reached a backend server. A
 // timer used to close idle connections from its own goroutine without checking that the connection
-// was still idle, while another goroutine read a request from it and passed it on. The client then
-// got neither a response nor a refusal, and the gateway logged that the client had left.
+// was still idle, while another goroutine read a request from it and passed it on. The caller then
+// got neither a response nor a refusal, and the gateway logged that the caller had left.
 //
 // It happened when the gateway stalled just as the limit expired, because a desired state of
 // thousands of routes filled a narrow link and a small CPU share. The request log showed a
@@ -88,7 +88,7 @@
 			if started.Add(1) == 2 {
 				close(requestRead)
 			}
-			// Stands for a backend server, which stops working when the client disconnects.
+			// Stands for a backend server, which stops working when the caller disconnects.
 			select {
 			case <-time.After(20 * time.Millisecond):
 				_, _ = io.WriteString(w, "done")
@@ -153,8 +153,8 @@
 	})
 }
 
-// exchangeRequest sends a request, or the rest of one, and reads the whole response. It returns an
-// error if the body isn't "done".
+// exchangeRequest sends a request, or the rest of one, and reads the complete response. It returns
+// an error if the body isn't "done".
 func exchangeRequest(conn net.Conn, reader *bufio.Reader, request string) error {
 	if _, err := io.WriteString(conn, request); err != nil {
 		return err
--- a/internal/gateway/desired_state_sink.go
+++ b/internal/gateway/desired_state_sink.go
@@ -14,8 +14,8 @@
 )
 
 // maxFeedSilence is how long the store's feed may stay silent while changes are being made. A feed
-// response without changes therefore only proves that the state was the newest this long before the
-// call.
+// response without changes therefore only confirms that the state was the newest this long before
+// the call.
 const maxFeedSilence = time.Second
 
 // desiredStateSink applies the desired state from its follower to the holder.
@@ -26,17 +26,17 @@
 	// first.
 	registry *backend.Registry
 	log      *zap.Logger
-	// storeProvenAt is the latest time, in nanoseconds of the boottime clock, at which the store
-	// itself proved the state in force to be the newest; 0 for none.
+	// storeConfirmedAt is the latest time, in nanoseconds of the boottime clock, at which the store
+	// itself confirmed the state in force as the newest; 0 for none.
 	storeConfirmedAt atomic.Int64
 	// unavailableSince is when calls to the store began to fail, in nanoseconds of the boottime
 	// clock; 0 while the store responds.
 	unavailableSince atomic.Int64
-	// unreadable is set while the newest state can't be decoded, so that nothing proves the state
-	// in force to be the newest.
+	// unreadable is set while the newest state can't be decoded, so that nothing confirms the state
+	// in force as the newest.
 	unreadable atomic.Bool
 	// outdated is set while the store holds an older state than this process has seen, for example
-	// after a restore from an older copy. Such a store proves nothing.
+	// after a restore from an older copy. Such a store confirms nothing.
 	outdated atomic.Bool
 }
 
@@ -75,7 +75,7 @@
 }
 
 // apply offers the states of a batch to the holder. If the batch is readable and up to date, it
-// proves that the state in force was the newest at provenAt.
+// confirms that the state in force was the newest at confirmedAt.
 func (s *desiredStateSink) apply(confirmedAt time.Duration, batch follow.Batch[*routes.Snapshot]) {
 	s.Available()
 	if len(batch.Unreadable) > 0 {
@@ -92,7 +92,7 @@
 		}
 	}
 	if !s.unreadable.Load() && !s.outdated.Load() {
-		// Only the follower's goroutine writes storeProvenAt, so load and store needn't be atomic
+		// Only the follower's goroutine writes storeConfirmedAt, so load and store needn't be atomic
 		// together.
 		s.storeConfirmedAt.Store(max(s.storeConfirmedAt.Load(), int64(confirmedAt)))
 		s.holder.Confirm(s.holder.Version(), confirmedAt)
--- a/internal/gateway/desired_state_sink_test.go
+++ b/internal/gateway/desired_state_sink_test.go
@@ -12,25 +12,25 @@
 	"github.com/applepier/applepier/internal/gateway/routes"
 )
 
-// A full read proves the time of its call; a feed response only proves a time maxFeedSilence
-// earlier. A later response may therefore prove an earlier time, which must not move the proof
-// back.
+// A full read confirms for the time of its call; a feed response only for a time maxFeedSilence
+// earlier. A later response may therefore confirm for an earlier time, which must not move the
+// confirmation back.
 func TestStoreProofTimeNeverDecreases(t *testing.T) {
 	sink := &desiredStateSink{holder: &routes.Holder{}, registry: backend.NewRegistry(), log: zap.NewNop()}
 	const readAt = 10 * time.Second
 	sink.Reset(readAt, follow.Batch[*routes.Snapshot]{Items: []*routes.Snapshot{routes.NewSnapshot(1, routes.Limits{}, nil, nil, nil)}})
 	sink.Change(readAt+maxFeedSilence/2, follow.Batch[*routes.Snapshot]{})
 	if got := time.Duration(sink.storeConfirmedAt.Load()); got != readAt {
-		t.Errorf("proof time %v, want %v", got, readAt)
+		t.Errorf("confirmation time %v, want %v", got, readAt)
 	}
 	sink.Change(readAt+2*maxFeedSilence, follow.Batch[*routes.Snapshot]{})
 	if got := time.Duration(sink.storeConfirmedAt.Load()); got != readAt+maxFeedSilence {
-		t.Errorf("proof time %v, want %v", got, readAt+maxFeedSilence)
+		t.Errorf("confirmation time %v, want %v", got, readAt+maxFeedSilence)
 	}
 }
 
 // After a restore from an older copy the store may hold an older state than it had acknowledged.
-// That state must neither replace the newer one nor count as proof.
+// That state must neither replace the newer one nor count as confirmation.
 func TestOlderStateIsNoProof(t *testing.T) {
 	set := func(version uint64) follow.Batch[*routes.Snapshot] {
 		return follow.Batch[*routes.Snapshot]{Items: []*routes.Snapshot{routes.NewSnapshot(version, routes.Limits{}, nil, nil, nil)}}
@@ -41,17 +41,17 @@
 		sink.Reset(20*time.Second, older)
 		sink.Change(30*time.Second, follow.Batch[*routes.Snapshot]{})
 		if sink.holder.Version() != 5 || sink.holder.ConfirmedAt() != 10*time.Second || sink.storeConfirmedAt.Load() != int64(10*time.Second) {
-			t.Errorf("%s: version %d, proof time %v", name, sink.holder.Version(), sink.holder.ConfirmedAt())
+			t.Errorf("%s: version %d, confirmation time %v", name, sink.holder.Version(), sink.holder.ConfirmedAt())
 		}
 		sink.Change(40*time.Second, set(5))
 		if want := 40*time.Second - maxFeedSilence; sink.holder.ConfirmedAt() != want {
-			t.Errorf("%s: proof time %v after operators wrote the state again, want %v", name, sink.holder.ConfirmedAt(), want)
+			t.Errorf("%s: confirmation time %v after operators wrote the state again, want %v", name, sink.holder.ConfirmedAt(), want)
 		}
 	}
 }
 
 // Guards against treating a store as unavailable because it no longer has the requested history,
-// also while other gateways read the state in its place. Gateways that did so sent their clients
+// also while other gateways read the state in its place. Gateways that did so sent their callers
 // elsewhere.
 func TestStoreWithoutHistoryIsAvailable(t *testing.T) {
 	sink := &desiredStateSink{holder: &routes.Holder{}, registry: backend.NewRegistry(), log: zap.NewNop()}
--- a/internal/gateway/exchange/errors.go
+++ b/internal/gateway/exchange/errors.go
@@ -3,7 +3,7 @@
 import "github.com/go-faster/errors"
 
 // Errors of an exchange. Each one says what is known about whether the request ran, which is what
-// may be reported to the client.
+// may be reported to the caller.
 var (
 	// ErrNotSent means that no byte of the request left this process, so it didn't run.
 	ErrNotSent = errors.New("request not sent")
--- a/internal/gateway/exchange/pool.go
+++ b/internal/gateway/exchange/pool.go
@@ -30,7 +30,7 @@
 	// two retransmissions fit.
 	maxUnacknowledged = time.Second
 	// refusalCheckTimeout bounds RefusesConnections. It allows for a round trip to any availability
-	// zone, while a client waits for its response.
+	// zone, while a caller waits for its response.
 	refusalCheckTimeout = 100 * time.Millisecond
 	// processExitTime is the delay before the second connection of RefusesConnections. A process
 	// that is exiting has closed all its sockets by then.
@@ -45,12 +45,12 @@
 	maxIdlePerPeer = 32
 )
 
-// Peer identifies one start of a backend server at its address. Connections to an earlier start are
-// never used for a later one.
+// Peer identifies an instance of a backend server: one run of the process at its address.
+// Connections to an earlier instance are never used for a later one.
 type Peer struct {
 	Addr     string
 	ServerID string
-	// StartTime distinguishes starts where one instance may start again; larger is later, and 0
+	// StartTime distinguishes instances with the same ServerID; larger is later, and 0
 	// means that the backend server reports none.
 	StartTime int64
 }
--- a/internal/gateway/exchange/pool_test.go
+++ b/internal/gateway/exchange/pool_test.go
@@ -88,7 +88,7 @@
 				t.Error("a running server counts as exited")
 			}
 			if took := time.Since(start); took > 5*refusalCheckTimeout {
-				t.Errorf("took %v, while clients wait", took)
+				t.Errorf("took %v, while callers wait", took)
 			}
 		})
 	}
--- a/internal/gateway/exchange/request.go
+++ b/internal/gateway/exchange/request.go
@@ -10,7 +10,7 @@
 // Request is an HTTP request to a backend server.
 type Request struct {
 	Method string
-	// Target is the path and query as the client sent them.
+	// Target is the path and query as the caller sent them.
 	Target string
 	Host   string
 	Header http.Header
--- a/internal/gateway/follow/as_of_test.go
+++ b/internal/gateway/follow/as_of_test.go
@@ -23,8 +23,8 @@
 
 func (s *ageSink) record(asOf time.Duration) { s.ages = append(s.ages, boottime.Now()-asOf) }
 
-// An answer without changes that the store held back for the whole wait is as of the end of the
-// wait. Every other answer is only as of the start of the call.
+// A response without changes that the store held back for the whole wait is as of the end of the
+// wait. Every other response is only as of the start of the call.
 func TestAsOfTimeOfHeldAnswers(t *testing.T) {
 	const wait = 200 * time.Millisecond
 	src := &scriptedSource{calls: []scriptedCall{
@@ -42,13 +42,13 @@
 		t.Fatalf("%d batches", len(sink.ages))
 	}
 	if held := sink.ages[1]; held >= wait {
-		t.Errorf("an answer without changes that was held for %v is %v old on arrival", wait, held)
+		t.Errorf("a response without changes that was held for %v is %v old on arrival", wait, held)
 	}
 	if changed := sink.ages[2]; changed < wait {
-		t.Errorf("an answer with changes that took %v is %v old on arrival", wait, changed)
+		t.Errorf("a response with changes that took %v is %v old on arrival", wait, changed)
 	}
 	if early := sink.ages[3]; early < wait/4 {
-		t.Errorf("an early answer without changes is %v old on arrival", early)
+		t.Errorf("an early response without changes is %v old on arrival", early)
 	}
 }
 
--- a/internal/gateway/follow/convergence_property_test.go
+++ b/internal/gateway/follow/convergence_property_test.go
@@ -19,7 +19,7 @@
 	snapshot
 	era    uint64
 	backup snapshot
-	// loseNext makes the next call fail as if its answer were lost.
+	// loseNext makes the next call fail as if its response were lost.
 	loseNext bool
 }
 
@@ -61,7 +61,7 @@
 func (s *restorableStore) takeLostError() error {
 	if s.loseNext {
 		s.loseNext = false
-		return errors.New("answer lost")
+		return errors.New("response lost")
 	}
 	return nil
 }
--- a/internal/gateway/follow/era_test.go
+++ b/internal/gateway/follow/era_test.go
@@ -84,7 +84,7 @@
 	})
 }
 
-// An answer that was sent before the store was restored belongs to another history and must not be
+// A response that was sent before the store was restored belongs to another history and must not be
 // applied.
 func TestDeltasOfOtherErasAreNotApplied(t *testing.T) {
 	sink := &recordingSink{}
--- a/internal/gateway/follow/follower.go
+++ b/internal/gateway/follow/follower.go
@@ -1,4 +1,4 @@
-// Package follow keeps a copy of a table of the platform's store up to date. It reads the whole
+// Package follow keeps a copy of a table of the platform's store up to date. It reads the complete
 // table, then long-polls for changes, and reads the table again if the store no longer has the
 // history of changes. Start reading at Follower.
 package follow
@@ -23,7 +23,7 @@
 // errPollCancelled means that a long poll was cancelled in order to repeat it with a short wait.
 var errPollCancelled = errors.New("long poll was cancelled")
 
-// ErrHistoryGone means that the changes after a position are no longer available, so the whole
+// ErrHistoryGone means that the changes after a position are no longer available, so the complete
 // table has to be read.
 var ErrHistoryGone = errors.New("change history is no longer available")
 
@@ -33,20 +33,20 @@
 	// effect.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
-	// immediateWait is the maximum wait of a long poll that is to be answered at once.
+	// immediateWait is the maximum wait of a long poll that is to be responded to at once.
 	immediateWait = 50 * time.Millisecond
 	// cancelCheckInterval is how often ShouldCancelPoll is called during a long poll. It is short
 	// compared with the second or more that remains when it first returns true.
 	cancelCheckInterval = 200 * time.Millisecond
 	// maxProbeWait is how long a follower that doesn't probe the store waits for the one that does.
-	// The limit is needed because a store may answer calls for one table and not for another.
+	// The limit is needed because a store may respond to calls for one table and not for another.
 	maxProbeWait = 3 * time.Second
-	// rereadDelay is the delay before the whole table is read again, so that a store that keeps no
-	// history isn't read in a tight loop.
+	// rereadDelay is the delay before the complete table is read again, so that a store that keeps
+	// no history isn't read in a tight loop.
 	rereadDelay = 50 * time.Millisecond
 )
 
-// Batch is the answer to a call: a page of the whole table, or changes.
+// Batch is the response to a call: a page of the complete table, or changes.
 type Batch[T any] struct {
 	Items   []T
 	Removed []string
@@ -55,7 +55,7 @@
 	Unreadable []string
 	// Position is the position after which to continue.
 	Position Position
-	// NextPage is where the next page of the whole table begins; empty on the last page.
+	// NextPage is where the next page of the complete table begins; empty on the last page.
 	NextPage string
 }
 
@@ -65,23 +65,23 @@
 
 // Source is a table of the store.
 type Source[T any] interface {
-	// Read returns the page of the whole table that begins at from, which is empty for the first
+	// Read returns the page of the complete table that begins at from, which is empty for the first
 	// page.
 	Read(ctx context.Context, from string) (Batch[T], error)
 	// Next waits up to wait for changes after a position; the batch may be empty. It returns
-	// ErrHistoryGone if the whole table has to be read.
+	// ErrHistoryGone if the complete table has to be read.
 	Next(ctx context.Context, after Position, wait time.Duration) (Batch[T], error)
 }
 
 // Sink receives the table and its changes from a Follower. The asOf time is on the clock of package
 // boottime: the batch reflects everything that happened before it. It is the time at which the call
-// was made. If the store held back an answer without changes for the whole wait, it is the time at
+// was made. If the store held back a response without changes for the whole wait, it is the time at
 // which the wait ended.
 type Sink[T any] interface {
 	Reset(asOf time.Duration, table Batch[T])
 	Change(asOf time.Duration, changes Batch[T])
-	// Unavailable is called after each failed call. Available is called after an answer without
-	// rows: the store answers, but doesn't have the requested history.
+	// Unavailable is called after each failed call. Available is called after a response without
+	// rows: the store responds, but doesn't have the requested history.
 	Unavailable(err error)
 	Available()
 }
@@ -92,15 +92,16 @@
 	Name   string
 	Source Source[T]
 	Sink   Sink[T]
-	// MaxWait returns the maximum time for which the store may hold back an answer without changes.
-	// It is called before each call. The actual wait is drawn from the upper quarter of the range,
-	// so that followers that received the same change don't all call at the same time from then on.
+	// MaxWait returns the maximum time for which the store may hold back a response without
+	// changes. It is called before each call. The actual wait is drawn from the upper quarter of
+	// the range, so that followers that received the same change don't all call at the same time
+	// from then on.
 	MaxWait func() time.Duration
 	// CoalesceDelay is the delay after a change. Further changes during the delay are returned by a
 	// single call, which matters because each call is paid for.
 	CoalesceDelay time.Duration
 	// ConfirmChanges reports whether the first call after a change uses a short wait. Only an
-	// answer without changes confirms that the known state is the newest, and with a full wait it
+	// response without changes confirms that the known state is the newest, and with a full wait it
 	// would come later by the time that the call with the change took. May be nil, which means
 	// never.
 	ConfirmChanges func() bool
@@ -132,22 +133,22 @@
 	mu       sync.Mutex
 	position Position
 	// history holds the latest changes. live is set while this follower polls the store and the
-	// store answers.
+	// store responds.
 	history history[T]
 	live    atomic.Bool
 
 	failing bool
 	// pollCancelled is set if the last long poll was cancelled.
 	pollCancelled bool
-	// wasIdle is set until the store has answered for the first time after an idle period.
+	// wasIdle is set until the store has responded for the first time after an idle period.
 	wasIdle bool
 	// historyGone is set if the store didn't have the history after historyGoneAt. Changes that
 	// other gateways share may continue from there without a full read.
 	historyGone   bool
 	historyGoneAt Position
-	// changed is set if the last answer held changes.
+	// changed is set if the last response held changes.
 	changed bool
-	// fullRead holds the pages of the whole table that were read so far.
+	// fullRead holds the pages of the complete table that were read so far.
 	fullRead pagedRead[T]
 }
 
@@ -187,7 +188,7 @@
 	}
 }
 
-// callOnce reads the whole table or polls once for changes, and applies the result.
+// callOnce reads the complete table or polls once for changes, and applies the result.
 func (f *Follower[T]) callOnce(ctx context.Context, tableRead bool) error {
 	if f.Receiving != nil {
 		ctx = withResponseStarted(ctx, func() { f.Receiving.Store(true) })
@@ -262,8 +263,8 @@
 	if f.failing || f.pollCancelled || f.wasIdle || f.changed && f.ConfirmChanges != nil && f.ConfirmChanges() {
 		return min(longest, immediateWait)
 	}
-	// Stores count whole milliseconds. If the store rounded the wait down, its answer would seem to
-	// have come early and wouldn't count as of the end of the wait.
+	// Stores count whole milliseconds. If the store rounded the wait down, its response would seem
+	// to have come early and wouldn't count as of the end of the wait.
 	return (longest - rand.N(longest/4+1)).Truncate(time.Millisecond)
 }
 
--- a/internal/gateway/follow/follower_test.go
+++ b/internal/gateway/follow/follower_test.go
@@ -101,7 +101,7 @@
 	return text
 }
 
-// The first answer after a failure shows when the store was back, so the store must not hold it
+// The first response after a failure shows when the store was back, so the store must not hold it
 // back until there is a change.
 func TestFirstPollAfterFailureIsShort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -132,7 +132,7 @@
 	})
 }
 
-// confirmationSink measures the longest time between answers without changes, which confirm that
+// confirmationSink measures the longest time between responses without changes, which confirm that
 // the known state is the newest.
 type confirmationSink struct {
 	lastConfirmed time.Time
@@ -241,7 +241,7 @@
 	})
 }
 
-// slowSource holds each answer back for the whole wait.
+// slowSource holds each response back for the whole wait.
 type slowSource struct {
 	waits    []time.Duration
 	longest  time.Duration
--- a/internal/gateway/follow/history.go
+++ b/internal/gateway/follow/history.go
@@ -14,7 +14,7 @@
 	Items      []T
 	Removed    []string
 	Unreadable []string
-	// Snapshot is set if Items are the whole table, which replaces everything known before.
+	// Snapshot is set if Items are the complete table, which replaces everything known before.
 	Snapshot bool
 }
 
@@ -63,8 +63,8 @@
 	return h.deltas[len(h.deltas)-1].To
 }
 
-// lastKnown returns lastChange or, if there has been no change since the whole table was read, the
-// position of that read.
+// lastKnown returns lastChange or, if there has been no change since the complete table was read,
+// the position of that read.
 func (h *history[T]) lastKnown() Position {
 	if position := h.lastChange(); position != 0 {
 		return position
--- a/internal/gateway/follow/idle.go
+++ b/internal/gateway/follow/idle.go
@@ -14,8 +14,8 @@
 	// idleCheckInterval is how often an idle follower checks whether other gateways still poll the
 	// table.
 	idleCheckInterval = 50 * time.Millisecond
-	// gossipDelay is how long gateways take to tell each other that the store answers them, which
-	// decides which of them reads first.
+	// gossipDelay is how long gateways take to tell each other that the store responds to them,
+	// which decides which of them reads first.
 	gossipDelay = 150 * time.Millisecond
 	// maxFullReadDelay is how long a follower delays a full read to let others read first.
 	maxFullReadDelay = 500 * time.Millisecond
@@ -37,7 +37,7 @@
 	}
 }
 
-// delayFullRead gives other gateways time to read the whole table and to share it.
+// delayFullRead gives other gateways time to read the complete table and to share it.
 func (f *Follower[T]) delayFullRead(ctx context.Context) {
 	if f.DefersFullRead != nil {
 		pause.Sleep(ctx, gossipDelay)
--- a/internal/gateway/follow/paged_read.go
+++ b/internal/gateway/follow/paged_read.go
@@ -11,9 +11,9 @@
 // Stores keep their history for longer, so the changes since the first page can still be followed.
 const maxPagedReadAge = 10 * time.Second
 
-// pagedRead is a read of the whole table in pages. A page that fails is requested again without the
-// pages before it. If hundreds of gateways start at once and the store limits the rate of calls,
-// gateways that restarted from the first page would use up the calls that the others need.
+// pagedRead is a read of the complete table in pages. A page that fails is requested again without
+// the pages before it. If hundreds of gateways start at once and the store limits the rate of
+// calls, gateways that restarted from the first page would use up the calls that the others need.
 type pagedRead[T any] struct {
 	// batch holds the pages that were read. Its NextPage is empty before the first page.
 	batch Batch[T]
--- a/internal/gateway/follow/paged_read_test.go
+++ b/internal/gateway/follow/paged_read_test.go
@@ -81,8 +81,8 @@
 }
 
 func (s *limitedStore) Read(_ context.Context, from string) (Batch[string], error) {
-	const answer = 4 * time.Millisecond
-	time.Sleep(answer)
+	const responseTime = 4 * time.Millisecond
+	time.Sleep(responseTime)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
@@ -103,7 +103,7 @@
 	return Batch[string]{Position: after}, ctx.Err()
 }
 
-// resetTimeSink sends the time at which the whole table was received.
+// resetTimeSink sends the time at which the complete table was received.
 type resetTimeSink struct {
 	resets chan<- time.Time
 }
--- a/internal/gateway/follow/position.go
+++ b/internal/gateway/follow/position.go
@@ -6,7 +6,7 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrPosition is returned for a text that isn't a position.
+// ErrInvalidPosition is returned for a text that isn't a position.
 var ErrInvalidPosition = errors.New("invalid position")
 
 // versionBits is the number of low bits of a Position that hold the version; the rest holds the
@@ -32,7 +32,7 @@
 // String formats the position in decimal, as ParsePosition reads it.
 func (p Position) String() string { return strconv.FormatUint(uint64(p), 10) }
 
-// ParsePosition parses a position; it returns ErrPosition if the text isn't one.
+// ParsePosition parses a position; it returns ErrInvalidPosition if the text isn't one.
 func ParsePosition(text string) (Position, error) {
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
--- a/internal/gateway/follow/response_started.go
+++ b/internal/gateway/follow/response_started.go
@@ -6,7 +6,7 @@
 type responseStartedKey struct{}
 
 // ResponseStarted is called by a Source, with the context of the call, when the response starts to
-// arrive. The store no longer holds back the answer then.
+// arrive. The store no longer holds back the response then.
 func ResponseStarted(ctx context.Context) {
 	if notify, ok := ctx.Value(responseStartedKey{}).(func()); ok {
 		notify()
--- a/internal/gateway/follow/sharing.go
+++ b/internal/gateway/follow/sharing.go
@@ -13,10 +13,10 @@
 var ErrGap = errors.New("changes before the deltas are missing")
 
 // LastChange returns the position after the newest change that is known from the store or from
-// another gateway; 0 if there was none since the whole table was read.
+// another gateway; 0 if there was none since the complete table was read.
 func (f *Follower[T]) LastChange() Position { return f.history.lastChange() }
 
-// LastKnown returns LastChange or, if that is 0, the position at which the whole table was read.
+// LastKnown returns LastChange or, if that is 0, the position at which the complete table was read.
 // The table includes the changes before that position, but the single changes aren't known.
 func (f *Follower[T]) LastKnown() Position { return f.history.lastKnown() }
 
@@ -30,7 +30,7 @@
 	return f.position
 }
 
-// Live reports whether this follower polls the store and the store answers.
+// Live reports whether this follower polls the store and the store responds.
 func (f *Follower[T]) Live() bool { return f.live.Load() }
 
 // ApplyDeltas applies the changes that another follower received from the store, and skips those
@@ -63,7 +63,7 @@
 	f.replaceLocked(asOf, table)
 }
 
-// replaceLocked replaces the whole table; f.mu must be held. If the store was restored from an
+// replaceLocked replaces the complete table; f.mu must be held. If the store was restored from an
 // older copy, the table is kept as a snapshot, so that not all other followers have to read it from
 // the store.
 func (f *Follower[T]) replaceLocked(asOf time.Duration, table Batch[T]) {
@@ -82,8 +82,8 @@
 	f.history.reset(table.Position, snapshot)
 }
 
-// applyChanges applies the store's answer to a call for the changes after a position. It ignores
-// the answer if other gateways have shared later changes meanwhile.
+// applyChanges applies the store's response to a call for the changes after a position. It ignores
+// the response if other gateways have shared later changes meanwhile.
 func (f *Follower[T]) applyChanges(asOf time.Duration, changes Batch[T]) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/follow/sharing_test.go
+++ b/internal/gateway/follow/sharing_test.go
@@ -53,7 +53,7 @@
 	})
 }
 
-// Other gateways wait until this one announces that it polls the store, so its first answer after
+// Other gateways wait until this one announces that it polls the store, so its first response after
 // an idle period must not be held back.
 func TestFirstPollAfterIdleIsShort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -89,7 +89,7 @@
 		idle.Store(true)
 		f := startIdle(t, &scriptedSource{calls: readUpToPosition3()}, sink, &idle)
 		if f.LastChange() != 0 || f.LastKnown() != 3 {
-			t.Errorf("last change %d, last known %d after the whole table was read", f.LastChange(), f.LastKnown())
+			t.Errorf("last change %d, last known %d after the complete table was read", f.LastChange(), f.LastKnown())
 		}
 		deltas := []Delta[string]{{From: 2, To: 3, Items: []string{"old"}}, {From: 3, To: 5, Items: []string{"b"}}, {From: 5, To: 9, Items: []string{"c"}}}
 		if err := f.ApplyDeltas(0, deltas); err != nil {
@@ -110,7 +110,7 @@
 	})
 }
 
-// Other gateways may share later changes during a call. The answer to that call is then outdated
+// Other gateways may share later changes during a call. The response to that call is then outdated
 // and must be dropped.
 func TestOutdatedAnswerIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/gateway/followers.go
+++ b/internal/gateway/followers.go
@@ -12,30 +12,32 @@
 const (
 	// desiredStateMaxWait is how long the store may hold a request for the desired state (a long
 	// poll) where operators set no bound on key revocation. Where they set one, the wait is
-	// proofWaitShare of what the bound leaves after maxFeedSilence, since each response proves only
-	// that the state in force was the newest one second before. The remainder is how long requests
-	// with a key can still be served while the store is unavailable. Only pollers make these calls.
+	// confirmationWaitShare of what the bound leaves after maxFeedSilence, since each response only
+	// confirms that the state in force was the newest one second before. The remainder is how long
+	// requests with a key can still be served while the store is unavailable. Only pollers make
+	// these calls.
 	desiredStateMaxWait   = 2500 * time.Millisecond
 	confirmationWaitShare = 0.25
-	// pollerCount is the number of gateways that poll the store frequently to prove that the
-	// desired state is the newest. The others receive the proof by datagram and ask the store only
-	// every nonPollerWait, or at once when the proof is older than proofRenewalShare of the bound.
-	// With three pollers, two may be cut off or dying while the third still provides the proof. The
-	// number is small because calls to the store are paid for.
+	// pollerCount is the number of gateways that poll the store frequently to confirm that the
+	// desired state is the newest. The others receive the confirmation by datagram and ask the
+	// store only every nonPollerWait, or at once when the confirmation is older than
+	// confirmationRenewalShare of the bound. With three pollers, two may be cut off or dying while
+	// the third still provides the confirmation. The number is small because calls to the store are
+	// paid for.
 	pollerCount              = 3
 	nonPollerWait            = 15 * time.Second
 	confirmationRenewalShare = 0.7
-	// proofDeliverySlack is how much later than a poller's longest wait a proof may arrive, to
-	// allow for a few lost datagrams.
+	// confirmationDeliverySlack is how much later than a poller's longest wait a confirmation may
+	// arrive, to allow for a few lost datagrams.
 	confirmationDeliverySlack = 400 * time.Millisecond
-	// minProofWait is the shortest wait, used where the bound leaves hardly any time.
+	// minPollerWait is the shortest wait of a poller, used where the bound leaves hardly any time.
 	minPollerWait = 200 * time.Millisecond
 	// serverListMaxWait is how long the store may hold a request for the list of backend servers.
-	// It is long because the list proves nothing, each call is paid for, and keep-alive probes
+	// It is long because the list confirms nothing, each call is paid for, and keep-alive probes
 	// detect a silent connection to the store within three seconds.
 	serverListMaxWait = 15 * time.Second
 	// serverListBatchDelay is the pause after a change of the list of backend servers. It is short
-	// compared to the two seconds within which leaving servers must get no more work, and long
+	// compared to the two seconds within which draining servers must get no more work, and long
 	// enough that a start of all servers takes a dozen calls rather than one per server.
 	serverListBatchDelay = 250 * time.Millisecond
 	// gatewayListMaxWait is how long the store may hold a request for the list of gateways. Nothing
@@ -68,9 +70,9 @@
 // frequently, and again immediately after a change.
 func (g *gateway) isPoller() bool { return g.mesh.PrecedingPeers() < pollerCount }
 
-// proofOverdue reports whether the proof is older than it can get while the pollers receive
-// responses from the store. A poller notices a silent store only by its timeout, which is too late
-// for changes that other gateways must learn within two seconds.
+// confirmationOverdue reports whether the confirmation is older than it can get while the pollers
+// receive responses from the store. A poller notices a silent store only by its timeout, which is
+// too late for changes that other gateways must learn within two seconds.
 func (g *gateway) confirmationOverdue() bool {
 	confirmedAt := g.holder.ConfirmedAt()
 	return confirmedAt != 0 && boottime.Now()-confirmedAt > maxFeedSilence+pollerWait(g.router.Bounds().MaxStateAge)+confirmationDeliverySlack
@@ -79,20 +81,20 @@
 // defersToPollers reports whether this gateway leaves polling the store to other gateways.
 func (g *gateway) defersToPollers() bool { return !g.isPoller() }
 
-// proofNeedsRenewal reports whether this gateway must renew the proof of the desired state itself,
+// confirmationNeedsRenewal reports whether this gateway must confirm the desired state itself,
 // whether or not it is a poller.
 func (g *gateway) confirmationNeedsRenewal() bool {
 	maxAge := g.router.Bounds().MaxStateAge
 	if maxAge == 0 || g.holder.Version() == 0 {
-		// Without a bound no renewal is needed. Without a state there is nothing to prove, and the
-		// first state ends the pending call.
+		// Without a bound no renewal is needed. Without a state there is nothing to confirm, and
+		// the first state ends the pending call.
 		return false
 	}
 	return boottime.Now()-g.holder.ConfirmedAt() > time.Duration(confirmationRenewalShare*float64(maxAge))
 }
 
 // pollerWait returns how long the store may hold a poller's request for the desired state, given
-// the maximum age of a proof. A maximum of 0 means no bound.
+// the maximum age of a confirmation. A maximum of 0 means no bound.
 func pollerWait(maxStateAge time.Duration) time.Duration {
 	if maxStateAge == 0 {
 		return desiredStateMaxWait
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,4 +1,4 @@
-// Package gateway implements the gateway process of an entry VM, which sends client requests
+// Package gateway implements the gateway process of an entry VM, which sends caller requests
 // straight to the backend servers. Start reading at Serve.
 package gateway
 
@@ -37,15 +37,15 @@
 const (
 	// sweepInterval is how often expired state and idle connections are removed.
 	sweepInterval = 500 * time.Millisecond
-	// headerTimeout bounds the time to read a client's request header.
+	// headerTimeout bounds the time to read a caller's request header.
 	headerTimeout = 10 * time.Second
 	// handoverTimeout bounds the time to read another gateway's handover request. It is also added
 	// to handover.Longest to bound the writing of the response.
 	handoverTimeout = 2 * time.Second
-	// defaultIdleTimeout is how long an idle client connection is kept open where operators set no
+	// defaultIdleTimeout is how long an idle caller connection is kept open where operators set no
 	// limit.
 	defaultIdleTimeout = 2 * time.Minute
-	// maxHeaderBytes bounds the size of a client's request header; operators' limits are lower.
+	// maxHeaderBytes bounds the size of a caller's request header; operators' limits are lower.
 	maxHeaderBytes = 64 << 10
 	// heapMemoryShare is the share of the memory given to the garbage collector as its limit. The
 	// rest is for memory that it doesn't account for, such as socket buffers and stacks.
@@ -146,7 +146,7 @@
 	return g, nil
 }
 
-// idleLimit returns how long a client connection may stay idle.
+// idleLimit returns how long a caller connection may stay idle.
 func (g *gateway) idleLimit() time.Duration {
 	if s := g.holder.Current(); s != nil && s.Limits.IdleTimeout > 0 {
 		return s.Limits.IdleTimeout
--- a/internal/gateway/handover/client.go
+++ b/internal/gateway/handover/client.go
@@ -19,7 +19,7 @@
 	// progressTimeout bounds the wait for the first byte of a response and each pause within
 	// it. A gateway that doesn't respond in time is given up, and another one is asked.
 	progressTimeout = time.Second
-	// MaxDuration bounds a whole transfer that makes progress. The largest state takes seven
+	// MaxDuration bounds a complete transfer that makes progress. The largest state takes seven
 	// seconds on an otherwise idle link of 10 Mbit/s.
 	MaxDuration = 20 * time.Second
 	// maxStateBytes is the largest response that is read, in bytes.
--- a/internal/gateway/handover/handler.go
+++ b/internal/gateway/handover/handler.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// statePath serves the whole state, desiredStatePath the desired state alone, and
+	// statePath serves the complete state, desiredStatePath the desired state alone, and
 	// serverChangesPath the changes of the list of backend servers after the position in the
 	// path.
 	statePath         = "/state"
--- a/internal/gateway/peer_sync.go
+++ b/internal/gateway/peer_sync.go
@@ -16,8 +16,8 @@
 
 // syncStateFromPeers gets the desired state and the list of backend servers from another gateway
 // while the store doesn't deliver them or isn't polled. So a starting gateway can serve at once,
-// and a gateway that the store rejects still gets changes. Data from another gateway doesn't prove
-// that it is the newest.
+// and a gateway that the store rejects still gets changes. Data from another gateway doesn't
+// confirm that it is the newest.
 func (g *gateway) syncStateFromPeers(ctx context.Context) {
 	client := handover.NewClient()
 	ticker := time.NewTicker(peerCheckInterval)
@@ -30,7 +30,7 @@
 		case now := <-ticker.C:
 			addr, version := g.mesh.PeerWithNewestState()
 			// Data that is already arriving from the store isn't fetched from another gateway too.
-			// Over the same link a large state takes seconds, during which client requests queue
+			// Over the same link a large state takes seconds, during which caller requests queue
 			// behind it.
 			behind := version > g.holder.Version()
 			if g.stateBehind.set(behind); behind && g.desiredStateFromPeers() {
@@ -69,7 +69,7 @@
 		if err != nil {
 			return err
 		}
-		// The handover proves nothing; the other gateway's proof arrives by datagram.
+		// The handover confirms nothing; the other gateway's confirmation arrives by datagram.
 		if g.holder.Update(set, 0) {
 			g.log.Info(logging.EventTargetsAdopted, zap.Uint64("version", set.Version), zap.Int("routes", set.RouteCount()), logging.Peer(addr))
 		}
--- a/internal/gateway/peers/config.go
+++ b/internal/gateway/peers/config.go
@@ -48,7 +48,7 @@
 	Self Entry
 	// Loads returns this gateway's load by backend server; servers without load may be omitted.
 	Loads func() []Load
-	// Shortages returns this gateway's shortages, by service.
+	// OwnOfferCounts returns this gateway's counts of offers, by service.
 	OwnOfferCounts func() map[string]policy.OfferCounts
 	// TakeUpdates returns the updates to send to other gateways; MergeUpdates merges the
 	// updates of another gateway.
--- a/internal/gateway/peers/mesh.go
+++ b/internal/gateway/peers/mesh.go
@@ -36,7 +36,7 @@
 	table    *table
 	bootID   uint64
 	sequence uint64
-	// listUpdates counts the answers received about the list of gateways; listUpdatedAt is the
+	// listUpdates counts the responses received about the list of gateways; listUpdatedAt is the
 	// time of the last one on the boottime clock.
 	listUpdates   atomic.Int64
 	listUpdatedAt atomic.Int64
@@ -82,13 +82,13 @@
 // LoadAt returns the sum of all other gateways' load at a backend server.
 func (m *Mesh) LoadAt(server string) backend.Counts { return m.table.loadAt(hashName(server)) }
 
-// Shortage returns the sum of all other gateways' shortages of a service.
+// OfferCounts returns the sum of all other gateways' counts of offers for a service.
 func (m *Mesh) OfferCounts(service string) policy.OfferCounts {
 	return m.table.offerCounts(hashName(service))
 }
 
-// LimitedSends returns how many requests all other gateways have recently sent to one start of
-// a backend server that has announced a limit.
+// LimitedSends returns how many requests all other gateways have recently sent to an
+// instance of a backend server that has announced a limit.
 func (m *Mesh) LimitedSends(instance policy.Key) float64 {
 	return m.table.limitedSends(uint32(instance))
 }
@@ -120,7 +120,7 @@
 	return m.table.newestState(time.Now())
 }
 
-// BootID returns the random identifier of this process start.
+// BootID returns the random identifier of this instance of the gateway.
 func (m *Mesh) BootID() uint64 { return m.bootID }
 
 // Addr returns the address at which this gateway listens for datagrams.
@@ -134,7 +134,7 @@
 // they are running.
 func (m *Mesh) ListedGateways() int { return 1 + m.table.size() }
 
-// ListUpdates returns the number of answers received about the list of gateways, and the age of
+// ListUpdates returns the number of responses received about the list of gateways, and the age of
 // the last one.
 func (m *Mesh) ListUpdates() (count int64, age time.Duration) {
 	return m.listUpdates.Load(), boottime.Now() - time.Duration(m.listUpdatedAt.Load())
--- a/internal/gateway/peers/message.go
+++ b/internal/gateway/peers/message.go
@@ -13,13 +13,13 @@
 // update: unknown fields are ignored, and missing ones are zero. A number is never reused for
 // another field.
 type message struct {
-	// From is the sender's name and BootID its process start. Loads of an earlier start are
-	// void; Sequence orders the datagrams of one start.
+	// From is the sender's name, and BootID identifies its instance: one run of its process. Loads
+	// of an earlier instance are void; Sequence orders the datagrams of one instance.
 	From     string `cbor:"1,keyasint"`
 	BootID   uint64 `cbor:"2,keyasint"`
 	Sequence uint64 `cbor:"3,keyasint"`
 	// Stamp is the sender's boottime clock in nanoseconds. Echo is the last Stamp received from
-	// the receiver, and EchoBootID the receiver's start at that time, because a VM's clock
+	// the receiver, and EchoBootID the receiver's BootID at that time, because a VM's clock
 	// restarts with the VM. Both are 0 if nothing was received.
 	Stamp      uint64 `cbor:"4,keyasint"`
 	Echo       uint64 `cbor:"5,keyasint,omitempty"`
@@ -44,15 +44,15 @@
 	ServersPosition follow.Position `cbor:"4,keyasint,omitempty"`
 	// Loads is the sender's load by backend server; servers without load are omitted.
 	Loads []serverLoad `cbor:"5,keyasint,omitempty"`
-	// Shortages covers the services for which the sender recently had requests.
+	// OfferCounts covers the services for which the sender recently had requests.
 	OfferCounts []offerCounts `cbor:"6,keyasint,omitempty"`
-	// PrefixUses lists the prompt parts that servers were recently sent or have processed.
+	// PrefixUses lists the prompt segments that servers were recently sent or have prefilled.
 	PrefixUses []prefixUse `cbor:"7,keyasint,omitempty"`
 	// FirstTokens lists the first tokens received since the sender's last datagram.
 	FirstTokens []firstToken `cbor:"8,keyasint,omitempty"`
 	// Pauses covers the streams that ended at the sender since its last datagram.
 	Pauses []longestPause `cbor:"9,keyasint,omitempty"`
-	// Unanswered lists the servers of requests that got no answer since the last datagram, one
+	// Unanswered lists the servers of requests that got no response since the last datagram, one
 	// entry for each request.
 	Unanswered []policy.Key `cbor:"10,keyasint,omitempty"`
 	// Suspicions covers requests during which backend servers crashed.
--- a/internal/gateway/peers/prefix_use.go
+++ b/internal/gateway/peers/prefix_use.go
@@ -2,8 +2,8 @@
 
 import "github.com/applepier/applepier/policy"
 
-// prefixUse is the encoded form of policy.Use: a backend server was sent a part of a prompt, or
-// has processed it.
+// prefixUse is the encoded form of policy.PrefixUse: a backend server was sent a segment of a
+// prompt, or has prefilled it.
 type prefixUse struct {
 	_         struct{} `cbor:",toarray"`
 	Server    uint32
--- a/internal/gateway/peers/server_limit.go
+++ b/internal/gateway/peers/server_limit.go
@@ -7,11 +7,11 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// serverLimit is the encoded form of policy.ServerLimit: a limit that a backend server has
+// serverLimit is the encoded form of policy.LimitReport: a limit that a backend server has
 // announced, and the sender's requests to it.
 type serverLimit struct {
 	_ struct{} `cbor:",toarray"`
-	// ServerStart is the key of the server's start.
+	// Instance is the key of the server's instance.
 	Instance uint32
 	// Rate is in requests per second. Lifted means that the limit no longer applies. Age is the
 	// age of the evidence in milliseconds; 0 if the sender has it from other gateways.
--- a/internal/gateway/peers/shortage.go
+++ b/internal/gateway/peers/shortage.go
@@ -10,7 +10,7 @@
 // decayed to almost nothing.
 const minOffered = 0.05
 
-// shortage is the encoded form of policy.Shortage for one service.
+// offerCounts is the encoded form of policy.OfferCounts for one service.
 type offerCounts struct {
 	_ struct{} `cbor:",toarray"`
 	// Service is the hash of the service's name.
@@ -18,8 +18,8 @@
 	Levels  []levelOffers
 }
 
-// levelShortage counts the requests offered at one urgency level, and those refused only
-// because no slot was free. Both counts decay with time.
+// levelOffers counts the requests offered at one urgency level, and those that found no slot. Both
+// counts decay with time.
 type levelOffers struct {
 	_       struct{} `cbor:",toarray"`
 	Urgency uint8
@@ -27,7 +27,7 @@
 	Lacked  float32
 }
 
-// packShortage encodes the shortage of a service.
+// packOfferCounts encodes the counts of offers for a service.
 func packOfferCounts(service string, counts *policy.OfferCounts) offerCounts {
 	packed := offerCounts{Service: hashName(service)}
 	for urgency, level := range counts {
@@ -38,7 +38,7 @@
 	return packed
 }
 
-// unpack decodes a shortage; invalid counts are ignored. An unknown urgency level is mapped to
+// unpack decodes the counts; invalid counts are ignored. An unknown urgency level is mapped to
 // the least urgent one.
 func (s *offerCounts) unpack() policy.OfferCounts {
 	var sum policy.OfferCounts
--- a/internal/gateway/peers/shortage_test.go
+++ b/internal/gateway/peers/shortage_test.go
@@ -7,7 +7,7 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// A gateway's shortage reaches its peers, and is dropped when the gateway falls silent.
+// A gateway's counts of offers reach its peers, and are dropped when the gateway falls silent.
 func TestShortagesReachPeers(t *testing.T) {
 	a, b, _ := newMeshPair(t)
 	var sent policy.OfferCounts
@@ -23,7 +23,7 @@
 		t.Errorf("a count below minOffered was sent: %+v", got[4])
 	}
 	if other := b.OfferCounts("search"); other != (policy.OfferCounts{}) {
-		t.Errorf("shortage %+v of another service", other)
+		t.Errorf("offer counts %+v of another service", other)
 	}
 	sent[3].Lacked = 4
 	deliver(t, a, b)
--- a/internal/gateway/peers/store_status.go
+++ b/internal/gateway/peers/store_status.go
@@ -14,7 +14,7 @@
 	storeUnreachable storeMode = iota
 	// notPolling means that the gateway leaves polling to other gateways.
 	notPolling
-	// polling means that the gateway polls the store and gets answers.
+	// polling means that the gateway polls the store and gets responses.
 	polling
 )
 
@@ -22,7 +22,7 @@
 type StoreStatus struct {
 	// Reachable is whether this gateway's last call to the store did not fail.
 	Reachable bool
-	// Polling is whether this gateway polls the store and gets answers.
+	// Polling is whether this gateway polls the store and gets responses.
 	Polling bool
 	// ServersPosition is the position after the newest known change of the list of backend
 	// servers, whether from the store or from a peer; 0 if there is none.
--- a/internal/gateway/peers/suspicion.go
+++ b/internal/gateway/peers/suspicion.go
@@ -12,14 +12,14 @@
 type suspicion struct {
 	_           struct{} `cbor:",toarray"`
 	Fingerprint uint64
-	// ClearedAge is the age of the last complete answer; 0 if there is none.
+	// ClearedAge is the age of the last complete response; 0 if there is none.
 	ClearedAge uint32
 	// SeenAge is the time since the request last arrived.
 	SeenAge uint32
 	Crashes []crash
 }
 
-// crash is the encoded form of policy.Crash: one start of a backend server that ended.
+// crash is the encoded form of policy.Crash: an instance of a backend server that ended.
 type crash struct {
 	_        struct{} `cbor:",toarray"`
 	Instance uint32
--- a/internal/gateway/peers/table.go
+++ b/internal/gateway/peers/table.go
@@ -25,7 +25,7 @@
 	// lastStamp is the Stamp of the peer's last datagram, to be echoed.
 	lastStamp uint64
 	loads     []serverLoad
-	// shortages holds the shortages in the peer's last datagram.
+	// offerCounts holds the counts of offers in the peer's last datagram.
 	offerCounts []offerCounts
 	// limits holds the limits in the peer's last datagram, with its requests to these servers.
 	limits []serverLimit
@@ -50,10 +50,10 @@
 	mu       sync.Mutex
 	peers    map[string]*peer
 	loadSums map[uint32]*backend.Counts
-	// shortageSums holds the sums of the shortages by service hash.
+	// offerSums holds the sums of the counts of offers by service hash.
 	offerSums map[uint32]policy.OfferCounts
 	// limitedSendSums holds the sums of requests to servers that have announced a limit, by
-	// server start.
+	// server instance.
 	limitedSendSums map[uint32]float64
 }
 
@@ -239,7 +239,8 @@
 	}
 }
 
-// addShortages adds shortages to the sums, or subtracts them if sign is -1; t.mu must be held.
+// addOfferCounts adds counts of offers to the sums, or subtracts them if sign is -1; t.mu must be
+// held.
 func (t *table) addOfferCounts(counts []offerCounts, sign float64) {
 	for i := range counts {
 		sum := t.offerSums[counts[i].Service]
--- a/internal/gateway/peers/usage.go
+++ b/internal/gateway/peers/usage.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// PeerReportsUsage reports whether a live peer reports usage to the platform.
+// HasUsageReporter reports whether a live peer reports usage to the platform.
 func (m *Mesh) HasUsageReporter() bool {
 	now := time.Now()
 	m.table.mu.Lock()
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -32,7 +32,7 @@
 	// reports. Both are nil if usage reporting is disabled.
 	Duties storage.Table
 	Usage  usage.Platform
-	// Dialect reads and writes the HTTP headers used by clients and backend servers.
+	// Dialect reads and writes the HTTP headers used by callers and backend servers.
 	Dialect protocol.Dialect
 	// Metrics holds the process's counters, including those for calls to the platform.
 	Metrics *metrics.Metrics
--- a/internal/gateway/poll_delegation.go
+++ b/internal/gateway/poll_delegation.go
@@ -11,8 +11,9 @@
 )
 
 // maxPeerLag is how long a gateway tries to get newer data from other gateways, such as changes of
-// the server list, before it polls the store. Added to the second after which the last poller counts as
-// gone, it stays below the two seconds within which leaving servers must get no more work.
+// the server list, before it polls the store. Added to the second after which the last poller
+// counts as gone, it stays below the two seconds within which draining servers must get no more
+// work.
 const maxPeerLag = 400 * time.Millisecond
 
 // gatewayListRefresh is the longest time between reads of the gateway list. A gateway removed from
@@ -20,9 +21,9 @@
 const gatewayListRefresh = time.Minute
 
 // pollStatus returns what this gateway tells other gateways about the store. Pollers also report
-// the position up to which they have read the whole server list, since no other running gateway may
-// know of changes made shortly before. If every gateway reported it, each start of a gateway would
-// make all others poll the store.
+// the position up to which they have read the complete server list, since no other running gateway
+// may know of changes made shortly before. If every gateway reported it, each start of a gateway
+// would make all others poll the store.
 func (g *gateway) pollStatus() peers.StoreStatus {
 	status := peers.StoreStatus{
 		Reachable: !g.storeHealth.Unavailable(), Polling: g.servers.Live(), ServersPosition: g.servers.LastChange(), QuarantineKnown: g.quarantineLoaded.Load(),
@@ -34,9 +35,9 @@
 }
 
 // pollersAvailable reports whether this gateway isn't a poller, and others poll the store and pass
-// on its changes. Without any poller every gateway polls for itself. So does a gateway that hears from half of the listed
-// gateways or fewer: together with those it may be cut off from the store, and it has to find out
-// soon to send clients elsewhere.
+// on its changes. Without any poller every gateway polls for itself. So does a gateway that hears
+// from half of the listed gateways or fewer: together with those it may be cut off from the store,
+// and it has to find out soon to send callers elsewhere.
 func (g *gateway) pollersAvailable() bool {
 	return !g.isPoller() && g.mesh.PeerPollsStore() && 2*g.mesh.LiveGateways() > g.mesh.ListedGateways()
 }
@@ -48,8 +49,8 @@
 }
 
 // desiredStateFromPeers reports whether the desired state comes from other gateways, so that this
-// one needn't poll the store for it. It is false before the first state and once the proof needs
-// renewal.
+// one needn't poll the store for it. It is false before the first state and once the confirmation
+// needs renewal.
 func (g *gateway) desiredStateFromPeers() bool {
 	return g.pollersAvailable() && g.holder.Version() != 0 && !g.confirmationNeedsRenewal() && !g.stateBehind.heldLongerThan(maxPeerLag)
 }
--- a/internal/gateway/protocol/protocol.go
+++ b/internal/gateway/protocol/protocol.go
@@ -1,4 +1,4 @@
-// Package protocol defines what a gateway reads from and writes to the HTTP headers of clients and
+// Package protocol defines what a gateway reads from and writes to the HTTP headers of callers and
 // backend servers, independent of their names. An adapter implements the header names. Start
 // reading at Dialect.
 package protocol
@@ -13,43 +13,43 @@
 // UrgencyLevels is the number of urgency levels that backend servers distinguish.
 const UrgencyLevels = policy.UrgencyLevels
 
-// PromptPart is one part of a request's prompt.
+// PromptSegment is one segment of a request's prompt.
 type PromptSegment struct {
-	// ID is the hash of the part.
+	// ID is the hash of the segment.
 	ID uint64
-	// Tokens is the length of the part in tokens.
+	// Tokens is the length of the segment in tokens.
 	Tokens int
 }
 
-// RequestInfo is what a client's request says about itself.
+// RequestInfo is what a caller's request says about itself.
 type RequestInfo struct {
 	// ID identifies the request; empty if it has none.
 	ID string
-	// Key is the client's API key; empty if it sent none.
+	// Key is the caller's API key; empty if it sent none.
 	Key string
-	// Timeout is how long the client waits for the response; 0 if unspecified.
+	// Timeout is how long the caller waits for the response; 0 if unspecified.
 	Timeout time.Duration
-	// LastEventID is the ID of the last event that the client has received; empty if it asks for
-	// the whole stream.
+	// LastEventID is the ID of the last event that the caller has received; empty if it asks for
+	// the complete stream.
 	LastEventID string
 	// PromptTokens is the length of the prompt in tokens; 0 if unspecified.
 	PromptTokens int
-	// PromptParts are the parts of the prompt in order. The last one belongs to the request or its
-	// session; those before it are shared.
+	// PromptSegments are the segments of the prompt in order. The last one belongs to the request
+	// or its session; those before it are shared.
 	PromptSegments []PromptSegment
 }
 
 // AttemptInfo is what a gateway tells a backend server about one attempt.
 type AttemptInfo struct {
-	// Instance is the start of the backend server that the attempt is meant for.
+	// ServerID identifies the backend server that the attempt is meant for.
 	ServerID string
-	// Customer is the owner of the client's API key; empty if none is required.
+	// Customer is the owner of the caller's API key; empty if none is required.
 	Customer string
 	// Urgency ranges from 0, the most urgent, to UrgencyLevels-1.
 	Urgency int
 	// Timeout is how long the backend server may work on the attempt.
 	Timeout time.Duration
-	// LastEventID is the ID of the last event that the client has received.
+	// LastEventID is the ID of the last event that the caller has received.
 	LastEventID string
 	// FetchFrom is the address of the backend server from which this one should fetch the prompt
 	// data that it has already processed; empty for none.
@@ -60,12 +60,12 @@
 type ResponseInfo struct {
 	// ID identifies the request that the response belongs to.
 	ID string
-	// Signed is set if the response bears the signature that clients need.
+	// Signed is set if the response bears the signature that callers need.
 	Signed bool
 	// NotExecuted is set if the request didn't run and won't.
 	NotExecuted bool
-	// OtherInstance is set if the response comes from another start of the server at the address
-	// than the attempt was meant for.
+	// OtherInstance is set if the response comes from another instance at the address than the
+	// attempt was meant for.
 	OtherInstance bool
 	// Limit is the backend server's request rate limit.
 	Limit RateLimit
@@ -83,16 +83,16 @@
 	Invalid bool
 }
 
-// Dialect reads and writes the headers of clients and backend servers.
+// Dialect reads and writes the headers of callers and backend servers.
 type Dialect interface {
-	// ParseRequest reads the header of a client's request.
+	// ParseRequest reads the header of a caller's request.
 	ParseRequest(r *http.Request) RequestInfo
-	// AttemptHeaders returns the headers of an attempt: the client's headers without the hop-by-hop
+	// AttemptHeaders returns the headers of an attempt: the caller's headers without the hop-by-hop
 	// headers, the API key and those that only a gateway may set.
-	AttemptHeaders(client http.Header, attempt AttemptInfo) http.Header
+	AttemptHeaders(callerHeader http.Header, attempt AttemptInfo) http.Header
 	// ParseResponse reads the header of a backend server's response.
 	ParseResponse(status int, h http.Header) ResponseInfo
-	// ClientHeaders returns the headers of a response for the client: the backend server's headers
+	// CallerHeaders returns the headers of a response for the caller: the backend server's headers
 	// without the hop-by-hop headers.
-	CallerHeaders(backend http.Header) http.Header
+	CallerHeaders(backendHeader http.Header) http.Header
 }
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// peerProofLead is how much newer, beyond the wait of a call, other gateways' proofs are than
-	// this gateway's own when the store doesn't respond to it. A call that failed once has been
-	// retried by then.
+	// peerConfirmationLead is how much newer, beyond the wait of a call, other gateways'
+	// confirmations are than this gateway's own when the store doesn't respond to it. A call that
+	// failed once has been retried by then.
 	peerConfirmationLead = 800 * time.Millisecond
 	// storeRejectionTimeout is how long this gateway retries a store that rejects it, but responds
-	// to others, before it sends clients to other gateways.
+	// to others, before it sends callers to other gateways.
 	storeRejectionTimeout = 500 * time.Millisecond
 )
 
@@ -21,14 +21,14 @@
 	return !g.draining.Load() && g.holder.Current() != nil && g.registry.Loaded() && !g.isolated()
 }
 
-// sheddingClients reports whether clients should reconnect to another gateway.
+// sheddingCallers reports whether callers should reconnect to another gateway.
 func (g *gateway) sheddingCallers() bool { return g.draining.Load() || g.isolated() }
 
-// isolated reports whether clients are better served by other gateways. That is the case when the
-// store responds to others but rejects this gateway, which then serves on their proofs alone; or
-// when this gateway is cut off from the store and from most other gateways, so that it refuses
-// requests with a key. If the store is unavailable to all gateways, no other gateway would serve
-// clients better, and public routes continue to be served.
+// isolated reports whether callers are better served by other gateways. That is the case when the
+// store responds to others but rejects this gateway, which then serves on their confirmations
+// alone; or when this gateway is cut off from the store and from most other gateways, so that it
+// refuses requests with a key. If the store is unavailable to all gateways, no other gateway would
+// serve callers better, and public routes continue to be served.
 func (g *gateway) isolated() bool {
 	confirmedAt := g.holder.ConfirmedAt()
 	maxConfirmationAge := maxFeedSilence + pollerWait(g.router.Bounds().MaxStateAge) + peerConfirmationLead
--- a/internal/gateway/request_observer.go
+++ b/internal/gateway/request_observer.go
@@ -23,14 +23,14 @@
 	usage *usage.Counter
 }
 
-// Began implements router.Observer.
+// ResponseStarted implements router.Observer.
 func (o requestObserver) ResponseStarted(customer string) {
 	if o.usage != nil && customer != "" {
 		o.usage.Add(customer)
 	}
 }
 
-// Ended implements router.Observer.
+// RequestEnded implements router.Observer.
 func (o requestObserver) RequestEnded(end router.RequestResult) {
 	class := o.metrics.ForClass(end.Route)
 	class.Received()
@@ -57,7 +57,7 @@
 	}
 }
 
-// Replaced implements router.Observer.
+// ServerReplaced implements router.Observer.
 func (o requestObserver) ServerReplaced(server string) {
 	o.log.Info(logging.EventServerRemoved, logging.Peer(server), logging.Reason("replaced"))
 }
@@ -68,7 +68,7 @@
 	o.log.Warn(logging.EventServerEnded, logging.Peer(server))
 }
 
-// ServerLimited implements router.Observer.
+// ServerLimitChanged implements router.Observer.
 func (o requestObserver) ServerLimitChanged(server string, limit protocol.RateLimit) {
 	switch {
 	case limit.Invalid:
@@ -80,7 +80,7 @@
 	}
 }
 
-// Quarantined implements router.Observer.
+// RequestQuarantined implements router.Observer.
 func (o requestObserver) RequestQuarantined(suspicion policy.Suspicion) {
 	o.log.Warn(logging.EventRequestQuarantined, zap.Stringer("fingerprint", suspicion.Fingerprint), zap.Int("servers_ended", len(suspicion.Crashes)))
 	o.storeQuarantined(suspicion)
--- a/internal/gateway/router/attempt.go
+++ b/internal/gateway/router/attempt.go
@@ -105,7 +105,7 @@
 }
 
 // buildRequest returns the request as it is sent to a server, which has the remaining time to
-// answer it.
+// respond.
 func (c *call) buildRequest(info *backend.Info, remaining time.Duration) *exchange.Request {
 	attemptInfo := protocol.AttemptInfo{ServerID: info.ID, Customer: c.customer, Urgency: c.urgency, Timeout: remaining, LastEventID: c.params.LastEventID, FetchFrom: c.fetchFrom}
 	if c.stream.hasLastID {
--- a/internal/gateway/router/buffered_response.go
+++ b/internal/gateway/router/buffered_response.go
@@ -32,7 +32,7 @@
 }
 
 // forwardBuffered forwards a response that is not an event stream. Up to maxBufferedResponse it
-// forwards either the whole response or nothing.
+// forwards either the complete response or nothing.
 func (c *call) forwardBuffered(ctx context.Context, response *exchange.Response, tracked *trackedRequest) attemptResult {
 	tracked.responseStarted()
 	body, err := readLimited(response, maxBufferedResponse)
--- a/internal/gateway/router/call.go
+++ b/internal/gateway/router/call.go
@@ -62,8 +62,9 @@
 	callerGone bool
 	service    string
 
-	// sharedParts are the parts of the prompt that other requests share. fetchFrom is the address
-	// from which the chosen server should fetch those that it has not cached; empty for none.
+	// sharedSegments are the segments of the prompt that other requests share. fetchFrom is the
+	// address from which the chosen server should fetch those that it has not cached; empty for
+	// none.
 	sharedSegments []policy.PrefixSegment
 	fetchFrom      string
 	// triedServers lists the servers that the request was sent to, counted in sends, and those to
@@ -80,7 +81,7 @@
 	// mayHaveRun is set if a backend server may have run the request.
 	mayHaveRun bool
 	// serverFailure is a backend server's failure response. It is forwarded if no other server
-	// answers better.
+	// responds better.
 	serverFailure *bufferedResponse
 	stream        streamState
 	// serverEnded is set if the server of the last attempt ended while it had the request.
@@ -167,8 +168,8 @@
 	return c.sends < max(c.route.MaxAttempts, 1) && c.router.allowRetry(c.service)
 }
 
-// clampSharedParts returns the parts of a prompt that other requests share, which are all but the
-// last. Parts that extend beyond the prompt end at its end.
+// clampSharedSegments returns the segments of a prompt that other requests share, which are all but
+// the last. Segments that extend beyond the prompt end at its end.
 func clampSharedSegments(segments []protocol.PromptSegment, promptTokens int) []policy.PrefixSegment {
 	if len(segments) < 2 {
 		return nil
--- a/internal/gateway/router/call_test.go
+++ b/internal/gateway/router/call_test.go
@@ -9,8 +9,8 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// Guards against callers that send wrong part lengths: a part that ended beyond the prompt would
-// make the number of remaining tokens negative.
+// Guards against callers that send wrong segment lengths: a segment that ended beyond the prompt
+// would make the number of remaining tokens negative.
 func TestSharedPartsClampedToPrompt(t *testing.T) {
 	parts := []protocol.PromptSegment{{ID: 1, Tokens: 500}, {ID: 2, Tokens: math.MaxInt - 600}, {ID: 3, Tokens: math.MaxInt}, {ID: 4, Tokens: 10}}
 	want := []policy.PrefixSegment{{ID: 1, End: 500}, {ID: 2, End: 2000}, {ID: 3, End: 2000}}
@@ -18,6 +18,6 @@
 		t.Errorf("%v, want %v", got, want)
 	}
 	if got := clampSharedSegments(parts[:1], 2000); got != nil {
-		t.Errorf("a prompt with one part shares %v", got)
+		t.Errorf("a prompt with one segment shares %v", got)
 	}
 }
--- a/internal/gateway/router/config.go
+++ b/internal/gateway/router/config.go
@@ -48,27 +48,27 @@
 
 // Peers reports what other gateways have told this one.
 type Peers interface {
-	// At returns the requests that the other gateways have in progress at a backend server.
+	// LoadAt returns the requests that the other gateways have in progress at a backend server.
 	LoadAt(server string) backend.Counts
-	// Shortage returns the recent capacity shortage of the other gateways for a service.
+	// OfferCounts returns the recent counts of the other gateways' offers for a service.
 	OfferCounts(service string) policy.OfferCounts
 	// LimitedSends returns the recent number of requests that they sent to a server instance with a
 	// rate limit, as policy.ServerLimits counts them.
 	LimitedSends(instance policy.Key) float64
-	// Gateways returns the number of gateways from which updates arrive, including this one. Unseen
-	// returns the longest time until requests that they send are visible here.
+	// LiveGateways returns the number of gateways from which updates arrive, including this one.
+	// ReportInterval returns the longest time until requests that they send are visible here.
 	LiveGateways() int
 	ReportInterval() time.Duration
 }
 
 // Observer receives events about requests and servers, for metrics and logs.
 type Observer interface {
-	// ResponseStarted is called when a backend server starts to answer a request. The customer is
-	// empty if the request has none.
+	// ResponseStarted is called when a backend server starts to respond to a request. The customer
+	// is empty if the request has none.
 	ResponseStarted(customer string)
 	// RequestEnded is called once for each request when it has ended.
 	RequestEnded(result RequestResult)
-	// ServerReplaced is called when another instance answers at a server's address, once for each
+	// ServerReplaced is called when another instance responds at a server's address, once for each
 	// server.
 	ServerReplaced(server string)
 	// ServerEnded is called when a server has ended while it had requests, once for each instance.
@@ -106,7 +106,7 @@
 	// ServerEnded is set if that server ended while it had the request. It is not set for served
 	// requests.
 	ServerEnded bool
-	// ExpectedFirstToken is the time to the first token that was expected when Server was chosen.
+	// ExpectedTTFT is the time to the first token that was expected when Server was chosen.
 	ExpectedTTFT time.Duration
 	// PromptTokens is the length of the prompt; 0 for services without prompts. The request was
 	// admitted by MeanTokens, the mean length of its route's prompts. Server was expected to
--- a/internal/gateway/router/policy_state.go
+++ b/internal/gateway/router/policy_state.go
@@ -87,7 +87,7 @@
 	return choice
 }
 
-// Shortages returns this gateway's recent capacity shortage by service.
+// OfferCounts returns this gateway's recent counts of offers by service.
 func (r *Router) OfferCounts() map[string]policy.OfferCounts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,7 +100,7 @@
 }
 
 // observeFirstToken records the time to the first token, with tokensAhead tokens to process before
-// it. From now on the server counts as holding the shared parts of the prompt.
+// it. From now on the server counts as holding the shared segments of the prompt.
 func (r *Router) observeFirstToken(c *call, tokensAhead float64, elapsed time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -182,7 +182,7 @@
 	r.recordNoAnswer(server)
 }
 
-// recordUnanswered records that a server did not answer a request.
+// recordUnanswered records that a server did not respond to a request.
 func (r *Router) recordUnanswered(server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -191,7 +191,7 @@
 }
 
 // recordNoAnswer records, for this gateway and for the next update to others, that a server did not
-// answer. r.mu must be held.
+// respond. r.mu must be held.
 func (r *Router) recordNoAnswer(server string) {
 	key := policy.KeyOf(server)
 	r.unresponsive.RecordUnanswered(time.Now(), key)
--- a/internal/gateway/router/policy_state_test.go
+++ b/internal/gateway/router/policy_state_test.go
@@ -53,12 +53,12 @@
 	}
 	r.MergeUpdates(policy.PeerUpdate{FirstTokens: []policy.TTFTSample{{Service: policy.KeyOf("s"), Server: unresponsive, Urgency: 3, TokensAhead: 800, Latency: 100 * time.Millisecond}}})
 	if counts := countChoices(r, 0); counts["b"] == 0 {
-		t.Errorf("chosen %v, but b has answered a request of another gateway", counts)
+		t.Errorf("chosen %v, but b has responded to a request of another gateway", counts)
 	}
 	// Observations of this gateway are sent to the others.
 	r.recordUnanswered("c")
 	if news := r.TakeUpdates(); len(news.Unanswered) != 1 || news.Unanswered[0] != policy.KeyOf("c") {
-		t.Errorf("updates name %v after c did not answer a request", news.Unanswered)
+		t.Errorf("updates name %v after c did not respond to a request", news.Unanswered)
 	}
 	if news := r.TakeUpdates(); len(news.Unanswered) != 0 {
 		t.Errorf("updates name %v a second time", news.Unanswered)
@@ -78,7 +78,7 @@
 		reportPause("b", 150*time.Millisecond)
 		reportPause("c", 92*time.Millisecond)
 	}
-	// For a prompt without shared parts, the chooser samples three servers with replacement, so
+	// For a prompt without shared segments, the chooser samples three servers with replacement, so
 	// sometimes it samples only b.
 	if counts := countChoices(r, 120*time.Millisecond); 6*counts["b"] > counts["a"]+counts["b"]+counts["c"] {
 		t.Errorf("chosen %v, but the pauses at b are too long", counts)
--- a/internal/gateway/router/router.go
+++ b/internal/gateway/router/router.go
@@ -172,7 +172,7 @@
 	return bound == 0 || boottime.Now()-r.Holder.ConfirmedAt() <= bound
 }
 
-// readBody reads the whole body. If that fails, it responds and reports false.
+// readBody reads the complete body. If that fails, it responds and reports false.
 func (c *call) readBody() bool {
 	if c.req.Body == nil || c.req.Body == http.NoBody {
 		return true
--- a/internal/gateway/router/stream.go
+++ b/internal/gateway/router/stream.go
@@ -17,7 +17,7 @@
 // server. With fewer, the longest is mostly chance.
 const minPauses = 16
 
-// relayEvents forwards the events of a stream as they arrive, each as a whole.
+// relayEvents forwards the events of a stream as they arrive, each only when complete.
 func (c *call) relayEvents(ctx context.Context, response *exchange.Response, tracked *trackedRequest) attemptResult {
 	if !c.stream.headerSent {
 		c.stream.setResumePoint(c.params.LastEventID)
--- a/internal/gateway/router/update_buffer.go
+++ b/internal/gateway/router/update_buffer.go
@@ -9,7 +9,7 @@
 const maxBufferedSamples = 256
 
 // updateBuffer collects the samples since the last update to other gateways: times to the first
-// token, pauses, and servers that did not answer. If a datagram is lost, its samples are lost,
+// token, pauses, and servers that did not respond. If a datagram is lost, its samples are lost,
 // which only makes the sample smaller.
 type updateBuffer struct {
 	firstTokens []policy.TTFTSample
@@ -31,7 +31,7 @@
 	}
 }
 
-// addUnanswered adds a server that did not answer a request.
+// addUnanswered adds a server that did not respond to a request.
 func (b *updateBuffer) addUnanswered(server policy.Key) {
 	if len(b.unanswered) < maxBufferedSamples {
 		b.unanswered = append(b.unanswered, server)
--- a/internal/gateway/routes/route.go
+++ b/internal/gateway/routes/route.go
@@ -11,7 +11,7 @@
 	KindUnsafe Kind = iota
 	// KindSafe requests may run more than once.
 	KindSafe
-	// KindStream requests are answered with server-sent events that have increasing ids. They run
+	// KindStream requests get responses of server-sent events that have increasing ids. They run
 	// at most once, unless the route is Resumable.
 	KindStream
 )
@@ -36,8 +36,8 @@
 	// Timeout bounds the time from a request's arrival to the end of its response; 0 if the route
 	// sets none.
 	Timeout time.Duration
-	// LatencyTarget is the target for the time to the whole response or, for streams, to the first
-	// event.
+	// LatencyTarget is the target for the time to the complete response or, for streams, to the
+	// first event.
 	LatencyTarget time.Duration
 	// PauseTarget is the longest pause between events with which a stream is still on time.
 	PauseTarget time.Duration
--- a/internal/gateway/usage/aggregator.go
+++ b/internal/gateway/usage/aggregator.go
@@ -18,13 +18,13 @@
 	// mu guards the fields below; no other lock is taken while it is held.
 	mu      sync.Mutex
 	sources map[Source]*sourceCounts
-	// latestStarts holds, by gateway, the process start that sent the most recent update.
+	// latestBootIDs holds, by gateway, the BootID of the instance that sent the most recent update.
 	latestBootIDs map[string]uint64
 	// currentWindow is the window in which the last update was merged.
 	currentWindow uint64
 }
 
-// sourceCounts holds the counts of one gateway process.
+// sourceCounts holds the counts of one gateway instance.
 type sourceCounts struct {
 	sequence      uint64
 	completeUntil int64
@@ -101,15 +101,15 @@
 	return sum
 }
 
-// IncompleteGateways returns the sorted names of the gateways whose counts are complete up to a time
-// t with begin <= t < end. A gateway whose counts end before begin isn't included: it has stopped or
-// has no counts in the interval.
+// IncompleteGateways returns the sorted names of the gateways whose counts are complete up to a
+// time t with begin <= t < end. A gateway whose counts end before begin isn't included: it has
+// stopped or has no counts in the interval.
 func (a *Aggregator) IncompleteGateways(begin, end time.Time) []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var names []string
-	for name, start := range a.latestBootIDs {
-		completeUntil := a.sources[Source{Gateway: name, BootID: start}].completeUntil
+	for name, bootID := range a.latestBootIDs {
+		completeUntil := a.sources[Source{Gateway: name, BootID: bootID}].completeUntil
 		if completeUntil >= begin.UnixMilli() && completeUntil < end.UnixMilli() {
 			names = append(names, name)
 		}
--- a/internal/gateway/usage/checkpoint.go
+++ b/internal/gateway/usage/checkpoint.go
@@ -25,7 +25,7 @@
 // ErrCorrupt is returned if a stored row can't be decoded by this version of the program.
 var ErrCorrupt = errors.New("cannot decode stored usage")
 
-// checkpointEntry holds the counts of one gateway process.
+// checkpointEntry holds the counts of one gateway instance.
 type checkpointEntry struct {
 	_      struct{} `cbor:",toarray"`
 	From   Source
--- a/internal/gateway/usage/config.go
+++ b/internal/gateway/usage/config.go
@@ -26,7 +26,7 @@
 
 // Config holds the settings and dependencies of a Reporter.
 type Config struct {
-	// Name is the VM's name, and Start identifies this run of the process.
+	// Name is the VM's name, and BootID identifies this instance of the gateway.
 	Name   string
 	BootID uint64
 	// Windows are the windows to report, each within Delay after its end.
@@ -40,8 +40,8 @@
 	Now func() time.Time
 	// Peers reports what the other gateways have sent.
 	Peers Peers
-	// Eligible reports whether this gateway may hold the lease: the store answers it and it isn't
-	// shutting down.
+	// Eligible reports whether this gateway may hold the lease: the store responds to it and it
+	// isn't shutting down.
 	Eligible func() bool
 	// Observer is told the outcome of each attempt to send a report.
 	Observer Observer
--- a/internal/gateway/usage/finalize.go
+++ b/internal/gateway/usage/finalize.go
@@ -55,7 +55,7 @@
 }
 
 // finalize stores a window's report in a transaction under the lease, before the report is sent for
-// the first time. A failed write is retried with the same report, since a write without an answer
+// the first time. A failed write is retried with the same report, since a write without a response
 // may still take effect.
 func (r *Reporter) finalize(ctx context.Context, heldLease *lease.Lease, window uint64) error {
 	end := r.Windows.End(window)
--- a/internal/gateway/usage/reporter.go
+++ b/internal/gateway/usage/reporter.go
@@ -86,7 +86,8 @@
 	return r.holdsLease
 }
 
-// Generation returns the lease's generation while this gateway holds it; 0 otherwise.
+// Generation returns the fencing token of the lease (Holder.Generation) while this gateway holds
+// it; 0 otherwise.
 func (r *Reporter) Generation() uint64 {
 	if !r.HoldsLease() {
 		return 0
--- a/internal/gateway/usage/reporter_test.go
+++ b/internal/gateway/usage/reporter_test.go
@@ -110,7 +110,7 @@
 	})
 }
 
-// The store's answers get lost and writes take effect late.
+// The store's responses get lost and writes take effect late.
 func TestLostAndLateWrites(t *testing.T) {
 	for _, fault := range []storagetest.Fault{storagetest.FaultResponseLost, storagetest.FaultRequestLost, storagetest.FaultDelayed, storagetest.FaultUnavailable, storagetest.FaultTimeout} {
 		runCluster(t, func(t *testing.T, c *cluster, _ *node) {
@@ -132,7 +132,7 @@
 	}
 }
 
-// A report that the platform doesn't answer, rejects or is too busy to accept is sent again.
+// A report that the platform doesn't respond to, rejects or is too busy to accept is sent again.
 func TestFailedReportsAreRetried(t *testing.T) {
 	for _, err := range []error{ErrBusy, ErrNoResponse, ErrRejected} {
 		runCluster(t, func(t *testing.T, c *cluster, _ *node) {
--- a/internal/gateway/usage/send.go
+++ b/internal/gateway/usage/send.go
@@ -25,7 +25,7 @@
 	backOff     *backoff.ExponentialBackOff
 }
 
-// sendLoop sends finalized reports until the lease is lost or ctx ends. A report without an answer
+// sendLoop sends finalized reports until the lease is lost or ctx ends. A report without a response
 // doesn't delay the others.
 func (r *Reporter) sendLoop(ctx context.Context, heldLease *lease.Lease) error {
 	retries := map[uint64]*retryState{}
--- a/internal/gateway/usage/update.go
+++ b/internal/gateway/usage/update.go
@@ -1,6 +1,6 @@
 package usage
 
-// Source identifies one run of a gateway's process.
+// Source identifies an instance of a gateway: one run of its process.
 type Source struct {
 	_       struct{} `cbor:",toarray"`
 	Gateway string
--- a/internal/gateway/usage/usage.go
+++ b/internal/gateway/usage/usage.go
@@ -3,7 +3,7 @@
 // window, by one gateway at a time. Start reading at Reporter; Ledger decides which windows may be
 // reported.
 //
-// Counts are cumulative per gateway, process start, window and customer, so updates may be lost,
+// Counts are cumulative per gateway, instance, window and customer, so updates may be lost,
 // repeated or reordered. A report is stored under the reporter's lease before it is sent for the
 // first time. After that every lease holder sends it as stored, so the platform never receives two
 // different reports of one window.
@@ -31,7 +31,8 @@
 type Holder struct {
 	// Name is the VM's name.
 	Name string
-	// Generation is the lease's fencing token, which increases with each change of holder.
+	// Generation is the lease's fencing token, which increases with each change of holder. Reports,
+	// logs and metrics call it generation.
 	Generation uint64
 }
 
