--- a/internal/gateway/client_server_test.go
+++ b/internal/gateway/client_server_test.go
@@ -82,7 +82,7 @@
 func TestIdleLimitDoesNotCutRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		requestRead := make(chan struct{})
-		serverConn, clientConn := net.Pipe()
+		serverConn, callerConn := net.Pipe()
 		var started atomic.Int32
 		server := newCallerServer(newSingleConnListener(&slowConn{Conn: serverConn, requestRead: requestRead}), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if started.Add(1) == 2 {
@@ -100,19 +100,19 @@
 			defer close(served)
 			server.Serve()
 		}()
-		reader := bufio.NewReader(clientConn)
-		if err := exchangeRequest(clientConn, reader, postRequest); err != nil {
+		reader := bufio.NewReader(callerConn)
+		if err := exchangeRequest(callerConn, reader, postRequest); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(testIdleLimit + closeDelay + time.Millisecond)
-		err := exchangeRequest(clientConn, reader, postRequest)
+		err := exchangeRequest(callerConn, reader, postRequest)
 		switch handled := started.Load() == 2; {
 		case !handled:
 			t.Errorf("the request sent when the idle limit expired wasn't handled: %v", err)
 		case err != nil:
 			t.Errorf("a request that was handled got no response: %v", err)
 		}
-		_, _ = server.Close(), clientConn.Close()
+		_, _ = server.Close(), callerConn.Close()
 		<-served
 	})
 }
@@ -121,7 +121,7 @@
 // the connection is no longer idle, even while its header is incomplete.
 func TestRequestStartedBeforeDrainIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		serverConn, clientConn := net.Pipe()
+		serverConn, callerConn := net.Pipe()
 		server := newCallerServer(newSingleConnListener(serverConn), http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(w, "done")
 		}), func() time.Duration { return testIdleLimit }, zap.NewNop())
@@ -130,8 +130,8 @@
 			defer close(served)
 			server.Serve()
 		}()
-		reader := bufio.NewReader(clientConn)
-		if err := exchangeRequest(clientConn, reader, postRequest); err != nil {
+		reader := bufio.NewReader(callerConn)
+		if err := exchangeRequest(callerConn, reader, postRequest); err != nil {
 			t.Fatal(err)
 		}
 		g := &gateway{settings: settings.Gateway{ShutdownTimeout: 8 * time.Second}, log: zap.NewNop()}
@@ -140,14 +140,14 @@
 			g.drain(server)
 		}()
 		time.Sleep(drainDelay - time.Millisecond)
-		if _, err := io.WriteString(clientConn, postRequest[:len(postRequest)/2]); err != nil {
+		if _, err := io.WriteString(callerConn, postRequest[:len(postRequest)/2]); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(200 * time.Millisecond)
-		if err := exchangeRequest(clientConn, reader, postRequest[len(postRequest)/2:]); err != nil {
+		if err := exchangeRequest(callerConn, reader, postRequest[len(postRequest)/2:]); err != nil {
 			t.Errorf("a request that started before the drain got no response: %v", err)
 		}
-		_ = clientConn.Close()
+		_ = callerConn.Close()
 		<-drained
 		<-served
 	})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -178,7 +178,7 @@
 }
 
 // serve runs all components and returns after they have stopped.
-func (g *gateway) serve(ctx context.Context, clientListener, adminListener, peerListener net.Listener, reload func() (settings.Gateway, error)) {
+func (g *gateway) serve(ctx context.Context, callerListener, adminListener, peerListener net.Listener, reload func() (settings.Gateway, error)) {
 	workCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var wg conc.WaitGroup
 	wg.Go(func() { g.targets.Run(workCtx) })
@@ -192,18 +192,18 @@
 	wg.Go(func() { g.syncServersFromPeers(workCtx) })
 	wg.Go(func() { g.watchSettings(workCtx, reload) })
 
-	clientServer := newCallerServer(clientListener, g.router, g.idleLimit, g.log)
-	wg.Go(func() { g.sweep(workCtx, clientServer) })
+	callerServer := newCallerServer(callerListener, g.router, g.idleLimit, g.log)
+	wg.Go(func() { g.sweep(workCtx, callerServer) })
 	adminServer := &http.Server{Handler: g.adminRoutes(), ReadHeaderTimeout: headerTimeout, IdleTimeout: defaultIdleTimeout}
 	handoverServer := &http.Server{Handler: handover.NewHandler(g.handoverState, g.servers.DeltasSince), ReadTimeout: handoverTimeout, WriteTimeout: handoverTimeout + handover.MaxDuration, ErrorLog: zap.NewStdLog(zap.NewNop())}
 	// These calls return when their servers are closed.
-	wg.Go(clientServer.Serve)
+	wg.Go(callerServer.Serve)
 	wg.Go(func() { _ = adminServer.Serve(adminListener) })
 	wg.Go(func() { _ = handoverServer.Serve(peerListener) })
-	g.log.Info(logging.EventStarted, zap.String("listen", clientListener.Addr().String()), zap.String("admin_listen", adminListener.Addr().String()))
+	g.log.Info(logging.EventStarted, zap.String("listen", callerListener.Addr().String()), zap.String("admin_listen", adminListener.Addr().String()))
 
 	<-ctx.Done()
-	g.drain(clientServer)
+	g.drain(callerServer)
 	_, _ = adminServer.Close(), handoverServer.Close()
 	stop()
 	wg.Wait()
--- a/internal/gateway/router/policy_state.go
+++ b/internal/gateway/router/policy_state.go
@@ -179,7 +179,7 @@
 	defer r.mu.Unlock()
 	r.Ejector.Observe(time.Now(), server, policy.OutcomeFailed)
 	r.PrefixIndex.RemoveServer(policy.KeyOf(server))
-	r.recordNoAnswer(server)
+	r.recordNoResponse(server)
 }
 
 // recordUnanswered records that a server did not respond to a request.
@@ -187,12 +187,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Ejector.Observe(time.Now(), server, policy.OutcomeFailed)
-	r.recordNoAnswer(server)
+	r.recordNoResponse(server)
 }
 
 // recordNoAnswer records, for this gateway and for the next update to others, that a server did not
 // respond. r.mu must be held.
-func (r *Router) recordNoAnswer(server string) {
+func (r *Router) recordNoResponse(server string) {
 	key := policy.KeyOf(server)
 	r.unresponsive.RecordUnanswered(time.Now(), key)
 	r.updates.addUnanswered(key)
