--- a/internal/gateway/follow/follower.go
+++ b/internal/gateway/follow/follower.go
@@ -100,7 +100,7 @@
 	// CoalesceDelay is the delay after a change. Further changes during the delay are returned by a
 	// single call, which matters because each call is paid for.
 	CoalesceDelay time.Duration
-	// ConfirmChanges reports whether the first call after a change uses a short wait. Only an
+	// ConfirmChanges reports whether the first call after a change uses a short wait. Only a
 	// response without changes confirms that the known state is the newest, and with a full wait it
 	// would come later by the time that the call with the change took. May be nil, which means
 	// never.
--- a/internal/gateway/router/config.go
+++ b/internal/gateway/router/config.go
@@ -74,7 +74,7 @@
 	// ServerEnded is called when a server has ended while it had requests, once for each instance.
 	ServerEnded(server string)
 	// ServerLimitChanged is called when a response changes a server's rate limit, and for each
-	// response with an unreadable limit.
+	// response with an invalid limit.
 	ServerLimitChanged(server string, limit protocol.RateLimit)
 	// RequestQuarantined is called when a request is quarantined, with the evidence.
 	RequestQuarantined(evidence policy.Suspicion)
--- a/internal/gateway/router/policy_state.go
+++ b/internal/gateway/router/policy_state.go
@@ -190,7 +190,7 @@
 	r.recordNoResponse(server)
 }
 
-// recordNoAnswer records, for this gateway and for the next update to others, that a server did not
+// recordNoResponse records, for this gateway and for the next update to others, that a server did not
 // respond. r.mu must be held.
 func (r *Router) recordNoResponse(server string) {
 	key := policy.KeyOf(server)
--- a/internal/gateway/usage/aggregator.go
+++ b/internal/gateway/usage/aggregator.go
@@ -56,7 +56,7 @@
 	a.latestBootIDs[source.Gateway] = source.BootID
 }
 
-// sourceLocked returns the counts of a gateway process and creates them if there are none; a.mu
+// sourceLocked returns the counts of a gateway instance and creates them if there are none; a.mu
 // must be held.
 func (a *Aggregator) sourceLocked(source Source) *sourceCounts {
 	counts := a.sources[source]
@@ -75,7 +75,7 @@
 	}
 }
 
-// LastSequence returns the sequence number of the last change received from a gateway process, to
+// LastSequence returns the sequence number of the last change received from a gateway instance, to
 // be acknowledged to it; 0 if none was received.
 func (a *Aggregator) LastSequence(source Source) uint64 {
 	a.mu.Lock()
