--- a/internal/gateway/handover/client.go
+++ b/internal/gateway/handover/client.go
@@ -49,7 +49,7 @@
 
 // DesiredState returns the desired state, without the list of servers, of the gateway at addr.
 // It is meant for gateways that could also read the store: if the document is too large it
-// returns ErrTooLarge, and the caller should read the store instead. Other errors are those of
+// returns ErrTooLarge, and the store should be read instead. Other errors are those of
 // Get.
 func (c *Client) DesiredState(ctx context.Context, addr string) (State, error) {
 	var state State
--- a/internal/gateway/handover/handler.go
+++ b/internal/gateway/handover/handler.go
@@ -18,8 +18,8 @@
 	desiredStatePath  = "/targets"
 	serverChangesPath = "/changes/"
 	positionParam     = "position"
-	// maxDesiredStateBytes bounds the document served at desiredStatePath, in bytes. Its
-	// callers can also read the store. Dozens of them ask the few gateways that first know a
+	// maxDesiredStateBytes bounds the document served at desiredStatePath, in bytes. The
+	// gateways that ask for it can also read the store. Dozens of them ask the few gateways that first know a
 	// new version, over links shared with responses to callers; the store's link is sized for
 	// such transfers.
 	maxDesiredStateBytes = 128 << 10
