--- a/internal/gateway/client_server_test.go
+++ b/internal/gateway/client_server_test.go
@@ -20,7 +20,7 @@
 // closeDelay is how long after its idle limit a connection may still be open.
 const closeDelay = time.Second
 
-// testIdleLimit is the idle limit of client connections in these tests.
+// testIdleLimit is the idle limit of caller connections in these tests.
 const testIdleLimit = 15 * time.Second
 
 // slowConn simulates a process that stalls between the decision to close a connection and the close
@@ -72,8 +72,8 @@
 
 // Guards against the idle limit cutting a request that has already reached a backend server. A
 // timer used to close idle connections from its own goroutine without checking that the connection
-// was still idle, while another goroutine read a request from it and passed it on. The client then
-// got neither a response nor a refusal, and the gateway logged that the client had left.
+// was still idle, while another goroutine read a request from it and passed it on. The caller then
+// got neither a response nor a refusal, and the gateway logged that the caller had left.
 //
 // It happened when the gateway stalled just as the limit expired, because a desired state of
 // thousands of routes filled a narrow link and a small CPU share. The request log showed a
@@ -82,13 +82,13 @@
 func TestIdleLimitDoesNotCutRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		requestRead := make(chan struct{})
-		serverConn, clientConn := net.Pipe()
+		serverConn, callerConn := net.Pipe()
 		var started atomic.Int32
-		server := newClientServer(newSingleConnListener(&slowConn{Conn: serverConn, requestRead: requestRead}), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		server := newCallerServer(newSingleConnListener(&slowConn{Conn: serverConn, requestRead: requestRead}), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if started.Add(1) == 2 {
 				close(requestRead)
 			}
-			// Stands for a backend server, which stops working when the client disconnects.
+			// Stands for a backend server, which stops working when the caller disconnects.
 			select {
 			case <-time.After(20 * time.Millisecond):
 				_, _ = io.WriteString(w, "done")
@@ -100,19 +100,19 @@
 			defer close(served)
 			server.Serve()
 		}()
-		reader := bufio.NewReader(clientConn)
-		if err := exchangeRequest(clientConn, reader, postRequest); err != nil {
+		reader := bufio.NewReader(callerConn)
+		if err := exchangeRequest(callerConn, reader, postRequest); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(testIdleLimit + closeDelay + time.Millisecond)
-		err := exchangeRequest(clientConn, reader, postRequest)
+		err := exchangeRequest(callerConn, reader, postRequest)
 		switch handled := started.Load() == 2; {
 		case !handled:
 			t.Errorf("the request sent when the idle limit expired wasn't handled: %v", err)
 		case err != nil:
 			t.Errorf("a request that was handled got no response: %v", err)
 		}
-		_, _ = server.Close(), clientConn.Close()
+		_, _ = server.Close(), callerConn.Close()
 		<-served
 	})
 }
@@ -121,8 +121,8 @@
 // the connection is no longer idle, even while its header is incomplete.
 func TestRequestStartedBeforeDrainIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		serverConn, clientConn := net.Pipe()
-		server := newClientServer(newSingleConnListener(serverConn), http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		serverConn, callerConn := net.Pipe()
+		server := newCallerServer(newSingleConnListener(serverConn), http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(w, "done")
 		}), func() time.Duration { return testIdleLimit }, zap.NewNop())
 		served, drained := make(chan struct{}), make(chan struct{})
@@ -130,8 +130,8 @@
 			defer close(served)
 			server.Serve()
 		}()
-		reader := bufio.NewReader(clientConn)
-		if err := exchangeRequest(clientConn, reader, postRequest); err != nil {
+		reader := bufio.NewReader(callerConn)
+		if err := exchangeRequest(callerConn, reader, postRequest); err != nil {
 			t.Fatal(err)
 		}
 		g := &gateway{settings: settings.Gateway{ShutdownTimeout: 8 * time.Second}, log: zap.NewNop()}
@@ -140,21 +140,21 @@
 			g.drain(server)
 		}()
 		time.Sleep(drainDelay - time.Millisecond)
-		if _, err := io.WriteString(clientConn, postRequest[:len(postRequest)/2]); err != nil {
+		if _, err := io.WriteString(callerConn, postRequest[:len(postRequest)/2]); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(200 * time.Millisecond)
-		if err := exchangeRequest(clientConn, reader, postRequest[len(postRequest)/2:]); err != nil {
+		if err := exchangeRequest(callerConn, reader, postRequest[len(postRequest)/2:]); err != nil {
 			t.Errorf("a request that started before the drain got no response: %v", err)
 		}
-		_ = clientConn.Close()
+		_ = callerConn.Close()
 		<-drained
 		<-served
 	})
 }
 
-// exchangeRequest sends a request, or the rest of one, and reads the whole response. It returns an
-// error if the body isn't "done".
+// exchangeRequest sends a request, or the rest of one, and reads the complete response. It returns
+// an error if the body isn't "done".
 func exchangeRequest(conn net.Conn, reader *bufio.Reader, request string) error {
 	if _, err := io.WriteString(conn, request); err != nil {
 		return err
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,4 +1,4 @@
-// Package gateway implements the gateway process of an entry VM, which sends client requests
+// Package gateway implements the gateway process of an entry VM, which sends caller requests
 // straight to the backend servers. Start reading at Serve.
 package gateway
 
@@ -37,15 +37,15 @@
 const (
 	// sweepInterval is how often expired state and idle connections are removed.
 	sweepInterval = 500 * time.Millisecond
-	// headerTimeout bounds the time to read a client's request header.
+	// headerTimeout bounds the time to read a caller's request header.
 	headerTimeout = 10 * time.Second
 	// handoverTimeout bounds the time to read another gateway's handover request. It is also added
 	// to handover.Longest to bound the writing of the response.
 	handoverTimeout = 2 * time.Second
-	// defaultIdleTimeout is how long an idle client connection is kept open where operators set no
+	// defaultIdleTimeout is how long an idle caller connection is kept open where operators set no
 	// limit.
 	defaultIdleTimeout = 2 * time.Minute
-	// maxHeaderBytes bounds the size of a client's request header; operators' limits are lower.
+	// maxHeaderBytes bounds the size of a caller's request header; operators' limits are lower.
 	maxHeaderBytes = 64 << 10
 	// heapMemoryShare is the share of the memory given to the garbage collector as its limit. The
 	// rest is for memory that it doesn't account for, such as socket buffers and stacks.
@@ -120,7 +120,7 @@
 	var err error
 	g.mesh, err = peers.Listen(peers.Config{
 		Self:  peers.Entry{Name: s.Process, Addr: s.PeerListen},
-		Loads: g.loads, Shortages: func() map[string]policy.OfferCounts { return g.router.Shortages() },
+		Loads: g.loads, OwnOfferCounts: func() map[string]policy.OfferCounts { return g.router.OfferCounts() },
 		TakeUpdates: func() policy.PeerUpdate { return g.router.TakeUpdates() }, MergeUpdates: func(n policy.PeerUpdate) { g.router.MergeUpdates(n) },
 		Confirmation: func() peers.Confirmation {
 			return peers.Confirmation{Version: g.holder.Version(), At: g.holder.ConfirmedAt()}
@@ -139,14 +139,14 @@
 		Peers: g.mesh, ListedGateways: g.mesh.ListedGateways,
 		Chooser: policy.NewChooser(random, ejector, index), Random: random, Ejector: ejector, PrefixIndex: index,
 		Observer: requestObserver{p.Metrics, log, g.enqueueQuarantined, counter},
-	}, routerBounds(s), g.sheddingClients)
+	}, routerBounds(s), g.sheddingCallers)
 	g.registry.OnRemove = g.router.ForgetServer
 	g.servers, g.targets = g.newServersFollower(), g.newDesiredStateFollower()
 	p.Metrics.CollectGateway(g.metricsSnapshot)
 	return g, nil
 }
 
-// idleLimit returns how long a client connection may stay idle.
+// idleLimit returns how long a caller connection may stay idle.
 func (g *gateway) idleLimit() time.Duration {
 	if s := g.holder.Current(); s != nil && s.Limits.IdleTimeout > 0 {
 		return s.Limits.IdleTimeout
@@ -178,7 +178,7 @@
 }
 
 // serve runs all components and returns after they have stopped.
-func (g *gateway) serve(ctx context.Context, clientListener, adminListener, peerListener net.Listener, reload func() (settings.Gateway, error)) {
+func (g *gateway) serve(ctx context.Context, callerListener, adminListener, peerListener net.Listener, reload func() (settings.Gateway, error)) {
 	workCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var wg conc.WaitGroup
 	wg.Go(func() { g.targets.Run(workCtx) })
@@ -192,18 +192,18 @@
 	wg.Go(func() { g.syncServersFromPeers(workCtx) })
 	wg.Go(func() { g.watchSettings(workCtx, reload) })
 
-	clientServer := newClientServer(clientListener, g.router, g.idleLimit, g.log)
-	wg.Go(func() { g.sweep(workCtx, clientServer) })
+	callerServer := newCallerServer(callerListener, g.router, g.idleLimit, g.log)
+	wg.Go(func() { g.sweep(workCtx, callerServer) })
 	adminServer := &http.Server{Handler: g.adminRoutes(), ReadHeaderTimeout: headerTimeout, IdleTimeout: defaultIdleTimeout}
 	handoverServer := &http.Server{Handler: handover.NewHandler(g.handoverState, g.servers.DeltasSince), ReadTimeout: handoverTimeout, WriteTimeout: handoverTimeout + handover.MaxDuration, ErrorLog: zap.NewStdLog(zap.NewNop())}
 	// These calls return when their servers are closed.
-	wg.Go(clientServer.Serve)
+	wg.Go(callerServer.Serve)
 	wg.Go(func() { _ = adminServer.Serve(adminListener) })
 	wg.Go(func() { _ = handoverServer.Serve(peerListener) })
-	g.log.Info(logging.EventStarted, zap.String("listen", clientListener.Addr().String()), zap.String("admin_listen", adminListener.Addr().String()))
+	g.log.Info(logging.EventStarted, zap.String("listen", callerListener.Addr().String()), zap.String("admin_listen", adminListener.Addr().String()))
 
 	<-ctx.Done()
-	g.drain(clientServer)
+	g.drain(callerServer)
 	_, _ = adminServer.Close(), handoverServer.Close()
 	stop()
 	wg.Wait()
@@ -225,7 +225,7 @@
 			}
 			g.registry.Sweep(now)
 			g.pool.Sweep(now, func(p exchange.Peer) bool {
-				s := g.registry.Server(p.Instance)
+				s := g.registry.Server(p.ServerID)
 				return s != nil && !s.Info().Draining && s.Info().StartUnixMilli == p.StartTime
 			})
 		}
--- a/internal/gateway/handover/client.go
+++ b/internal/gateway/handover/client.go
@@ -19,7 +19,7 @@
 	// progressTimeout bounds the wait for the first byte of a response and each pause within
 	// it. A gateway that doesn't respond in time is given up, and another one is asked.
 	progressTimeout = time.Second
-	// MaxDuration bounds a whole transfer that makes progress. The largest state takes seven
+	// MaxDuration bounds a complete transfer that makes progress. The largest state takes seven
 	// seconds on an otherwise idle link of 10 Mbit/s.
 	MaxDuration = 20 * time.Second
 	// maxStateBytes is the largest response that is read, in bytes.
@@ -28,13 +28,13 @@
 
 // Client fetches state from other gateways.
 type Client struct {
-	http http.Client
+	httpClient http.Client
 }
 
 // NewClient returns a Client. It keeps no idle connections, because requests are rare.
 func NewClient() *Client {
 	dialer := dial.NewDialer(progressTimeout, progressTimeout)
-	return &Client{http: http.Client{
+	return &Client{httpClient: http.Client{
 		Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true},
 	}}
 }
@@ -49,7 +49,7 @@
 
 // DesiredState returns the desired state, without the list of servers, of the gateway at addr.
 // It is meant for gateways that could also read the store: if the document is too large it
-// returns ErrTooLarge, and the caller should read the store instead. Other errors are those of
+// returns ErrTooLarge, and the store should be read instead. Other errors are those of
 // Get.
 func (c *Client) DesiredState(ctx context.Context, addr string) (State, error) {
 	var state State
@@ -73,7 +73,7 @@
 	if err != nil {
 		return errors.Wrap(ErrUnreachable, err.Error())
 	}
-	resp, err := c.http.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return errors.Wrap(ErrUnreachable, err.Error())
 	}
--- a/internal/gateway/handover/handler.go
+++ b/internal/gateway/handover/handler.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// statePath serves the whole state, desiredStatePath the desired state alone, and
+	// statePath serves the complete state, desiredStatePath the desired state alone, and
 	// serverChangesPath the changes of the list of backend servers after the position in the
 	// path.
 	statePath         = "/state"
 	desiredStatePath  = "/targets"
 	serverChangesPath = "/changes/"
 	positionParam     = "position"
-	// maxDesiredStateBytes bounds the document served at desiredStatePath, in bytes. Its
-	// callers can also read the store. Dozens of them ask the few gateways that first know a
+	// maxDesiredStateBytes bounds the document served at desiredStatePath, in bytes. The
+	// gateways that ask for it can also read the store. Dozens of them ask the few gateways that first know a
 	// new version, over links shared with responses to callers; the store's link is sized for
 	// such transfers.
 	maxDesiredStateBytes = 128 << 10
--- a/internal/gateway/router/buffered_response.go
+++ b/internal/gateway/router/buffered_response.go
@@ -32,14 +32,14 @@
 }
 
 // forwardBuffered forwards a response that is not an event stream. Up to maxBufferedResponse it
-// forwards either the whole response or nothing.
+// forwards either the complete response or nothing.
 func (c *call) forwardBuffered(ctx context.Context, response *exchange.Response, tracked *trackedRequest) attemptResult {
 	tracked.responseStarted()
 	body, err := readLimited(response, maxBufferedResponse)
 	if err != nil {
 		return c.resultAfterReadError()
 	}
-	buffered := &bufferedResponse{status: response.Status, header: c.router.Dialect.ClientHeaders(response.Header), body: body, contentLength: response.Header.Get("Content-Length")}
+	buffered := &bufferedResponse{status: response.Status, header: c.router.Dialect.CallerHeaders(response.Header), body: body, contentLength: response.Header.Get("Content-Length")}
 	c.firstByteLatency = time.Since(c.arrivedAt)
 	switch {
 	case impliesNotRun(response.Status):
--- a/internal/gateway/router/call.go
+++ b/internal/gateway/router/call.go
@@ -62,10 +62,11 @@
 	callerGone bool
 	service    string
 
-	// sharedParts are the parts of the prompt that other requests share. fetchFrom is the address
-	// from which the chosen server should fetch those that it has not cached; empty for none.
-	sharedParts []policy.PrefixSegment
-	fetchFrom   string
+	// sharedSegments are the segments of the prompt that other requests share. fetchFrom is the
+	// address from which the chosen server should fetch those that it has not cached; empty for
+	// none.
+	sharedSegments []policy.PrefixSegment
+	fetchFrom      string
 	// triedServers lists the servers that the request was sent to, counted in sends, and those to
 	// which no connection could be opened, counted in failedDials.
 	triedServers []string
@@ -80,7 +81,7 @@
 	// mayHaveRun is set if a backend server may have run the request.
 	mayHaveRun bool
 	// serverFailure is a backend server's failure response. It is forwarded if no other server
-	// answers better.
+	// responds better.
 	serverFailure *bufferedResponse
 	stream        streamState
 	// serverEnded is set if the server of the last attempt ended while it had the request.
@@ -167,14 +168,14 @@
 	return c.sends < max(c.route.MaxAttempts, 1) && c.router.allowRetry(c.service)
 }
 
-// clampSharedParts returns the parts of a prompt that other requests share, which are all but the
-// last. Parts that extend beyond the prompt end at its end.
-func clampSharedParts(parts []protocol.PromptPart, promptTokens int) []policy.PrefixSegment {
-	if len(parts) < 2 {
+// clampSharedSegments returns the segments of a prompt that other requests share, which are all but
+// the last. Segments that extend beyond the prompt end at its end.
+func clampSharedSegments(segments []protocol.PromptSegment, promptTokens int) []policy.PrefixSegment {
+	if len(segments) < 2 {
 		return nil
 	}
-	shared, end := make([]policy.PrefixSegment, len(parts)-1), 0
-	for i, p := range parts[:len(parts)-1] {
+	shared, end := make([]policy.PrefixSegment, len(segments)-1), 0
+	for i, p := range segments[:len(segments)-1] {
 		end += min(p.Tokens, promptTokens-end)
 		shared[i] = policy.PrefixSegment{ID: p.ID, End: end}
 	}
--- a/internal/gateway/usage/aggregator.go
+++ b/internal/gateway/usage/aggregator.go
@@ -18,13 +18,13 @@
 	// mu guards the fields below; no other lock is taken while it is held.
 	mu      sync.Mutex
 	sources map[Source]*sourceCounts
-	// latestStarts holds, by gateway, the process start that sent the most recent update.
-	latestStarts map[string]uint64
+	// latestBootIDs holds, by gateway, the BootID of the instance that sent the most recent update.
+	latestBootIDs map[string]uint64
 	// currentWindow is the window in which the last update was merged.
 	currentWindow uint64
 }
 
-// sourceCounts holds the counts of one gateway process.
+// sourceCounts holds the counts of one gateway instance.
 type sourceCounts struct {
 	sequence      uint64
 	completeUntil int64
@@ -34,7 +34,7 @@
 
 // NewAggregator returns an empty Aggregator. The clock returns the gateways' common time of day.
 func NewAggregator(w Windows, clock func() time.Time) *Aggregator {
-	return &Aggregator{windows: w, clock: clock, sources: map[Source]*sourceCounts{}, latestStarts: map[string]uint64{}}
+	return &Aggregator{windows: w, clock: clock, sources: map[Source]*sourceCounts{}, latestBootIDs: map[string]uint64{}}
 }
 
 // Merge merges an update that was received at the given time. It discards counts of windows that
@@ -53,10 +53,10 @@
 	counts := a.sourceLocked(source)
 	counts.merge(update.Counts)
 	counts.sequence, counts.completeUntil, counts.lastReceived = max(counts.sequence, update.Sequence), max(counts.completeUntil, update.CompleteUntil), now
-	a.latestStarts[source.Gateway] = source.Start
+	a.latestBootIDs[source.Gateway] = source.BootID
 }
 
-// sourceLocked returns the counts of a gateway process and creates them if there are none; a.mu
+// sourceLocked returns the counts of a gateway instance and creates them if there are none; a.mu
 // must be held.
 func (a *Aggregator) sourceLocked(source Source) *sourceCounts {
 	counts := a.sources[source]
@@ -75,7 +75,7 @@
 	}
 }
 
-// LastSequence returns the sequence number of the last change received from a gateway process, to
+// LastSequence returns the sequence number of the last change received from a gateway instance, to
 // be acknowledged to it; 0 if none was received.
 func (a *Aggregator) LastSequence(source Source) uint64 {
 	a.mu.Lock()
@@ -101,15 +101,15 @@
 	return sum
 }
 
-// IncompleteGateways returns the sorted names of the gateways whose counts are complete up to a time
-// t with begin <= t < end. A gateway whose counts end before begin isn't included: it has stopped or
-// has no counts in the interval.
+// IncompleteGateways returns the sorted names of the gateways whose counts are complete up to a
+// time t with begin <= t < end. A gateway whose counts end before begin isn't included: it has
+// stopped or has no counts in the interval.
 func (a *Aggregator) IncompleteGateways(begin, end time.Time) []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var names []string
-	for name, start := range a.latestStarts {
-		completeUntil := a.sources[Source{Gateway: name, Start: start}].completeUntil
+	for name, bootID := range a.latestBootIDs {
+		completeUntil := a.sources[Source{Gateway: name, BootID: bootID}].completeUntil
 		if completeUntil >= begin.UnixMilli() && completeUntil < end.UnixMilli() {
 			names = append(names, name)
 		}
@@ -134,8 +134,8 @@
 			continue
 		}
 		delete(a.sources, source)
-		if a.latestStarts[source.Gateway] == source.Start {
-			delete(a.latestStarts, source.Gateway)
+		if a.latestBootIDs[source.Gateway] == source.BootID {
+			delete(a.latestBootIDs, source.Gateway)
 		}
 	}
 }
--- a/internal/gateway/usage/reporter.go
+++ b/internal/gateway/usage/reporter.go
@@ -86,7 +86,8 @@
 	return r.holdsLease
 }
 
-// Generation returns the lease's generation while this gateway holds it; 0 otherwise.
+// Generation returns the fencing token of the lease (Holder.Generation) while this gateway holds
+// it; 0 otherwise.
 func (r *Reporter) Generation() uint64 {
 	if !r.HoldsLease() {
 		return 0
@@ -190,7 +191,7 @@
 
 // mergeOwnCounts merges this gateway's own counts into the Aggregator.
 func (r *Reporter) mergeOwnCounts() {
-	source := Source{Gateway: r.Name, Start: r.Start}
+	source := Source{Gateway: r.Name, BootID: r.BootID}
 	r.Aggregator.Merge(time.Now(), source, r.Counter.UpdateSince(r.Aggregator.LastSequence(source)))
 }
 
--- a/internal/gateway/usage/update.go
+++ b/internal/gateway/usage/update.go
@@ -1,10 +1,10 @@
 package usage
 
-// Source identifies one run of a gateway's process.
+// Source identifies an instance of a gateway: one run of its process.
 type Source struct {
 	_       struct{} `cbor:",toarray"`
 	Gateway string
-	Start   uint64
+	BootID  uint64
 }
 
 // Count is the number of requests that started for a customer in a window.
