--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -24,7 +24,7 @@
 			Version:         p.TargetsVersion,
 			HasRecentStatus: p.hasRecentStatus(),
 			StatusAge:       optionalAge(p.HasStatus, p.StatusAge),
-			Leaving:         p.Draining,
+			Draining:        p.Draining,
 		})
 	}
 	setETag(w, set.Version)
@@ -44,7 +44,7 @@
 			Running:   e.Running,
 			Waiting:   e.Waiting,
 			Limit:     e.Limit,
-			Leaving:   e.Draining,
+			Draining:  e.Draining,
 			Down:      e.Down,
 			StatusAge: optionalAge(e.HasStatus, e.StatusAge),
 		})
--- a/internal/admin/views.go
+++ b/internal/admin/views.go
@@ -102,7 +102,7 @@
 	// StatusAge is nil if the process has never reported its status.
 	HasRecentStatus bool          `json:"heard"`
 	StatusAge       *jsonDuration `json:"age,omitempty"`
-	Leaving         bool          `json:"leaving"`
+	Draining        bool          `json:"leaving"`
 }
 
 // backendServerView is the JSON representation of a backend server.
@@ -113,7 +113,7 @@
 	Running   int           `json:"running"`
 	Waiting   int           `json:"waiting"`
 	Limit     int           `json:"limit"`
-	Leaving   bool          `json:"leaving"`
+	Draining  bool          `json:"leaving"`
 	Down      bool          `json:"down"`
 	StatusAge *jsonDuration `json:"age,omitempty"`
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -48,10 +48,10 @@
 // Agent controls admission to one backend server and runs requests on it.
 // Exactly one of engine and service is set.
 type Agent struct {
-	settings    settings.Agent
-	incarnation string
-	systemKey   string
-	log         *zap.Logger
+	settings  settings.Agent
+	instance  string
+	systemKey string
+	log       *zap.Logger
 
 	engine  engine.Engine
 	service engine.Service
@@ -73,9 +73,9 @@
 // New returns an Agent with the settings cfg. systemKey authenticates the
 // other processes of the system.
 func New(cfg settings.Agent, systemKey string, log *zap.Logger) *Agent {
-	a := &Agent{settings: cfg, incarnation: ids.New(), systemKey: systemKey, log: log, targets: targets.NewCache(), metrics: metrics.New()}
+	a := &Agent{settings: cfg, instance: ids.New(), systemKey: systemKey, log: log, targets: targets.NewCache(), metrics: metrics.New()}
 	a.events = timeline.NewRing(cfg.Process, &a.clock, eventCapacity)
-	a.dispatcher = newDispatcher(a.incarnation, cfg.Backend.ServedName, a.events, a.targets, a.metrics.Queue)
+	a.dispatcher = newDispatcher(a.instance, cfg.Backend.ServedName, a.events, a.targets, a.metrics.Queue)
 	platform := counted.New(storage.NewHTTPClient(cfg.Platform.URL), a.metrics.Platform)
 	a.vmList = platform
 	a.rowStore = platform
--- a/internal/agent/dispatcher.go
+++ b/internal/agent/dispatcher.go
@@ -28,7 +28,7 @@
 // order that the policy's scheduler decides. Lock order: dispatcher.mu is
 // acquired before the lock of a session's connection, whose Send never blocks.
 type dispatcher struct {
-	incarnation  string
+	instance     string
 	events       *timeline.Ring
 	targets      *targets.Cache
 	queueMetrics *metrics.Queue
@@ -53,9 +53,9 @@
 	drained   chan struct{}
 }
 
-func newDispatcher(incarnation, served string, events *timeline.Ring, targetHolder *targets.Cache, queueMetrics *metrics.Queue) *dispatcher {
+func newDispatcher(instance, served string, events *timeline.Ring, targetHolder *targets.Cache, queueMetrics *metrics.Queue) *dispatcher {
 	return &dispatcher{
-		incarnation:  incarnation,
+		instance:     instance,
 		served:       served,
 		events:       events,
 		targets:      targetHolder,
--- a/internal/agent/dispatcher_grants.go
+++ b/internal/agent/dispatcher_grants.go
@@ -50,7 +50,7 @@
 	delete(d.tickets, next.ID)
 	d.grantSeq++
 	g := &grant{
-		id:        fmt.Sprintf("%s-%d", d.incarnation, d.grantSeq),
+		id:        fmt.Sprintf("%s-%d", d.instance, d.grantSeq),
 		ticketID:  next.ID,
 		requestID: t.requestID,
 		attempt:   t.attempt,
@@ -90,7 +90,7 @@
 func (d *dispatcher) voidGrant(grantID string) wire.VoidResult {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !strings.HasPrefix(grantID, d.incarnation+"-") {
+	if !strings.HasPrefix(grantID, d.instance+"-") {
 		return wire.VoidUnknown
 	}
 	g, ok := d.grants.byID[grantID]
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -42,7 +42,7 @@
 func (a *Agent) newHello(served string) *wire.Hello {
 	return &wire.Hello{
 		Process:     a.settings.Process,
-		Incarnation: a.incarnation,
+		Instance:    a.instance,
 		Zone:        a.settings.Zone,
 		Serves:      served,
 		LoadsModels: a.engine != nil,
--- a/internal/callers/blocking_server_test.go
+++ b/internal/callers/blocking_server_test.go
@@ -82,9 +82,9 @@
 func (s *blockingServer) Addr() net.Addr { return &net.TCPAddr{} }
 
 // connect opens a connection and completes one request on it, so that it is idle.
-func (s *blockingServer) connect() *clientConn {
-	serverEnd, clientEnd := net.Pipe()
-	c := &clientConn{Conn: clientEnd, reader: bufio.NewReader(clientEnd), server: &blockingConn{Conn: serverEnd}}
+func (s *blockingServer) connect() *callerConn {
+	serverEnd, callerEnd := net.Pipe()
+	c := &callerConn{Conn: callerEnd, reader: bufio.NewReader(callerEnd), server: &blockingConn{Conn: serverEnd}}
 	s.incoming <- c.server
 	if err := c.roundTrip(); err != nil {
 		s.t.Fatalf("first request of a connection: %v", err)
@@ -93,7 +93,7 @@
 }
 
 // clientConn is the client's end of a connection.
-type clientConn struct {
+type callerConn struct {
 	net.Conn
 	reader *bufio.Reader
 	server *blockingConn
@@ -102,7 +102,7 @@
 const getRequest = "GET / HTTP/1.1\r\nHost: h.example\r\n\r\n"
 
 // roundTrip sends a request and reads its response.
-func (c *clientConn) roundTrip() error {
+func (c *callerConn) roundTrip() error {
 	if _, err := io.WriteString(c, getRequest); err != nil {
 		return err
 	}
@@ -110,7 +110,7 @@
 }
 
 // readResponse reads a complete response.
-func (c *clientConn) readResponse() error {
+func (c *callerConn) readResponse() error {
 	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return err
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -239,7 +239,7 @@
 	case errors.Is(err, net.ErrClosed):
 		c.recordCloseReason(ReasonServerClosed)
 	case errors.Is(err, io.EOF):
-		c.recordCloseReason(ReasonClientClosed)
+		c.recordCloseReason(ReasonCallerClosed)
 	default:
 		c.recordCloseReason(ReasonBroken)
 	}
--- a/internal/callers/conn_status.go
+++ b/internal/callers/conn_status.go
@@ -11,7 +11,7 @@
 	// ReasonNone: the connection is open, as far as this process can tell.
 	ReasonNone CloseReason = ""
 	// ReasonClientClosed: the client closed its side.
-	ReasonClientClosed CloseReason = "caller_closed"
+	ReasonCallerClosed CloseReason = "caller_closed"
 	// ReasonBroken: the connection was reset, or sent data was not acknowledged in
 	// time.
 	ReasonBroken CloseReason = "broken"
--- a/internal/callers/idle_race_test.go
+++ b/internal/callers/idle_race_test.go
@@ -30,21 +30,21 @@
 			synctest.Test(t, func(t *testing.T) {
 				server := newBlockingServer(t, timeout)
 				defer server.shutdown()
-				client := server.connect()
-				defer func() { _ = client.Close() }()
+				caller := server.connect()
+				defer func() { _ = caller.Close() }()
 				synctest.Wait()
 				handled := server.handled.Load()
 				time.Sleep(timeout / 2)
-				release := client.server.blockReads()
-				if _, err := io.WriteString(client, c.before); err != nil {
+				release := caller.server.blockReads()
+				if _, err := io.WriteString(caller, c.before); err != nil {
 					t.Fatalf("write with half the idle timeout left: %v", err)
 				}
 				time.Sleep(2*timeout + idleMargin)
 				release()
 				synctest.Wait()
 				// The server may accept or reject the remaining bytes.
-				_, _ = io.WriteString(client, c.after)
-				err := client.readResponse()
+				_, _ = io.WriteString(caller, c.after)
+				err := caller.readResponse()
 				if got := server.handled.Load() - handled; got > 0 && err != nil {
 					t.Errorf("request was handled, but its connection closed without the response: %v", err)
 				}
@@ -61,18 +61,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		server := newBlockingServer(t, timeout)
 		defer server.shutdown()
-		client := server.connect()
-		defer func() { _ = client.Close() }()
+		caller := server.connect()
+		defer func() { _ = caller.Close() }()
 		synctest.Wait()
 		handled := server.handled.Load()
-		release := client.server.blockCloses()
+		release := caller.server.blockCloses()
 		defer release()
 		time.Sleep(2*timeout + idleMargin)
 		// One second is enough for a pending close.
 		onHandled := func() { release(); time.Sleep(time.Second) }
 		server.onHandled.Store(&onHandled)
 		result := make(chan error, 1)
-		go func() { result <- client.roundTrip() }()
+		go func() { result <- caller.roundTrip() }()
 		synctest.Wait()
 		release()
 		err := <-result
--- a/internal/callers/idle_timeout_test.go
+++ b/internal/callers/idle_timeout_test.go
@@ -13,13 +13,13 @@
 		synctest.Test(t, func(t *testing.T) {
 			server := newBlockingServer(t, 4*time.Second)
 			defer server.shutdown()
-			client := server.connect()
-			defer func() { _ = client.Close() }()
+			caller := server.connect()
+			defer func() { _ = caller.Close() }()
 			time.Sleep(2 * time.Second)
 			server.timeout.Store(int64(20 * time.Second))
 			// 16 s idle in total: four fifths of the current timeout.
 			time.Sleep(14 * time.Second)
-			if err := client.roundTrip(); err != nil {
+			if err := caller.roundTrip(); err != nil {
 				t.Errorf("closed after 16 s; the idle timeout is 20 s: %v", err)
 			}
 		})
@@ -30,12 +30,12 @@
 			const timeout, noticeTime = 4 * time.Second, 2 * time.Second
 			server := newBlockingServer(t, 20*time.Second)
 			defer server.shutdown()
-			client := server.connect()
-			defer func() { _ = client.Close() }()
+			caller := server.connect()
+			defer func() { _ = caller.Close() }()
 			began := time.Now()
 			time.Sleep(time.Second)
 			server.lowerTimeout(timeout)
-			_, err := client.reader.Peek(1)
+			_, err := caller.reader.Peek(1)
 			if took := time.Since(began); err == nil || took < timeout || took > timeout+idleMargin+noticeTime {
 				t.Errorf("closed after %v; the idle timeout is %v: %v", took, timeout, err)
 			}
--- a/internal/callers/server_test.go
+++ b/internal/callers/server_test.go
@@ -73,9 +73,9 @@
 
 // dial opens a client connection.
 func (s *testServer) dial() (net.Conn, *bufio.Reader) {
-	serverEnd, clientEnd := net.Pipe()
+	serverEnd, callerEnd := net.Pipe()
 	s.pipeListener.conns <- serverEnd
-	return clientEnd, bufio.NewReader(clientEnd)
+	return callerEnd, bufio.NewReader(callerEnd)
 }
 
 // testHeaderTimeout bounds the reading of a request header.
@@ -354,8 +354,8 @@
 		}
 		synctest.Wait()
 		_ = c.Close()
-		if status := <-statuses; status.CloseReason != ReasonClientClosed || status.Requests != 1 {
-			t.Errorf("closed by the client: %+v", status)
+		if status := <-statuses; status.CloseReason != ReasonCallerClosed || status.Requests != 1 {
+			t.Errorf("closed by the caller: %+v", status)
 		}
 		c, _ = s.dial()
 		if _, err := io.WriteString(c, simpleGet); err != nil {
--- a/internal/cli/responses.go
+++ b/internal/cli/responses.go
@@ -95,7 +95,7 @@
 	Version         uint64 `json:"version"`
 	HasRecentStatus bool   `json:"heard"`
 	StatusAge       string `json:"age,omitempty"`
-	Leaving         bool   `json:"leaving"`
+	Draining        bool   `json:"leaving"`
 }
 
 // backendServersResponse lists the backend servers as known to the queried
@@ -113,7 +113,7 @@
 	Running   int    `json:"running"`
 	Waiting   int    `json:"waiting"`
 	Limit     int    `json:"limit"`
-	Leaving   bool   `json:"leaving"`
+	Draining  bool   `json:"leaving"`
 	Down      bool   `json:"down"`
 	StatusAge string `json:"age,omitempty"`
 }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -73,7 +73,7 @@
 const (
 	stateUp           = "up"
 	stateDown         = "down"
-	stateLeaving      = "leaving"
+	stateDraining     = "leaving"
 	stateNotHeardFrom = "not heard from"
 )
 
@@ -81,8 +81,8 @@
 	switch {
 	case !p.HasRecentStatus:
 		return stateNotHeardFrom
-	case p.Leaving:
-		return stateLeaving
+	case p.Draining:
+		return stateDraining
 	default:
 		return stateUp
 	}
@@ -94,8 +94,8 @@
 		return stateNotHeardFrom
 	case s.Down:
 		return stateDown
-	case s.Leaving:
-		return stateLeaving
+	case s.Draining:
+		return stateDraining
 	default:
 		return stateUp
 	}
--- a/internal/entry/api/fake_test.go
+++ b/internal/entry/api/fake_test.go
@@ -41,7 +41,7 @@
 
 func (g *fakeGrantVoider) Void(context.Context, string, string) (wire.VoidResult, error) {
 	if g.result == "" {
-		return "", fleet.ErrNoAnswer
+		return "", fleet.ErrNoResponse
 	}
 	return g.result, nil
 }
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -29,8 +29,8 @@
 const neverCut = -1
 
 func TestOnlyFirstGrantRuns(t *testing.T) {
-	answer := streamTokens([]string{"a", "b"}, neverCut)
-	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", answer), newFakeAgent(t, "two", answer)}}
+	text := streamTokens([]string{"a", "b"}, neverCut)
+	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", text), newFakeAgent(t, "two", text)}}
 	sink := &fakeSink{}
 	result := newTestDispatcher(agents).Do(t.Context(), testRequest(true), sink)
 	if result.Outcome != Completed || sink.received != "ab" || result.Tokens != 2 {
@@ -43,8 +43,8 @@
 }
 
 func TestInterruptedStreamResumesAfterDeliveredTokens(t *testing.T) {
-	answer := []string{"a", "b", "c", "d"}
-	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", streamTokens(answer, 2))}}
+	text := []string{"a", "b", "c", "d"}
+	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", streamTokens(text, 2))}}
 	sink := &fakeSink{}
 	result := newTestDispatcher(agents).Do(t.Context(), testRequest(true), sink)
 	if result.Outcome != Completed || sink.received != "abcd" {
@@ -58,12 +58,12 @@
 
 func TestPreemptedRunsResumeOutsideBudget(t *testing.T) {
 	const preemptions = 15 // exceeds both maxAttempts and the retry budget
-	answer := make([]string, preemptions+1)
-	for i := range answer {
-		answer[i] = string(rune('a' + i))
+	text := make([]string, preemptions+1)
+	for i := range text {
+		text[i] = string(rune('a' + i))
 	}
 	agent := newFakeAgent(t, "one", func(w *wire.FrameWriter, r wire.RunRequest) {
-		writeToken(w, answer[r.ResumeFrom])
+		writeToken(w, text[r.ResumeFrom])
 		if r.ResumeFrom < preemptions {
 			_ = w.Write(wire.Frame{Kind: wire.FrameFail, Fail: wire.FailPreempted})
 			return
@@ -72,7 +72,7 @@
 	})
 	sink := &fakeSink{}
 	result := newTestDispatcher(&fakeAgents{agents: []*fakeAgent{agent}}).Do(t.Context(), testRequest(true), sink)
-	if result.Outcome != Completed || sink.received != strings.Join(answer, "") {
+	if result.Outcome != Completed || sink.received != strings.Join(text, "") {
 		t.Fatalf("got %+v with %q", result, sink.received)
 	}
 }
@@ -85,8 +85,8 @@
 }
 
 func TestFirstInterruptionResumesOutsideBudget(t *testing.T) {
-	answer := []string{"a", "b", "c", "d"}
-	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", streamTokens(answer, 2))}}
+	text := []string{"a", "b", "c", "d"}
+	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", streamTokens(text, 2))}}
 	sink := &fakeSink{}
 	dispatcher := newTestDispatcher(agents)
 	exhaustRetryBudget(dispatcher)
@@ -99,8 +99,8 @@
 // Guards against servers that break every stream getting their load back as
 // retries: only the first interruption is outside the retry budget.
 func TestFurtherInterruptionsUseRetryBudget(t *testing.T) {
-	answer := []string{"a", "b", "c", "d", "e"}
-	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", streamTokens(answer, 1))}}
+	text := []string{"a", "b", "c", "d", "e"}
+	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", streamTokens(text, 1))}}
 	dispatcher := newTestDispatcher(agents)
 	exhaustRetryBudget(dispatcher)
 	result := dispatcher.Do(t.Context(), testRequest(true), &fakeSink{})
--- a/internal/entry/dispatch/fake_test.go
+++ b/internal/entry/dispatch/fake_test.go
@@ -111,7 +111,7 @@
 	if result := f.find(agent).voidResult; result != "" {
 		return result, nil
 	}
-	return "", fleet.ErrNoAnswer
+	return "", fleet.ErrNoResponse
 }
 
 func (f *fakeAgents) Addr(agent string) (string, bool) {
--- a/internal/entry/dispatch/job.go
+++ b/internal/entry/dispatch/job.go
@@ -87,14 +87,14 @@
 	if !j.request.Repeatable {
 		return Result{Outcome: Unknown, Reason: attempted.reason}, true
 	}
-	if j.answerBegun() && !j.request.resumable() {
+	if j.responseBegun() && !j.request.resumable() {
 		return Result{Outcome: Failed, Reason: attempted.reason}, true
 	}
 	return j.retryOrReturn(Result{Outcome: Failed, Reason: attempted.reason})
 }
 
 // answerBegun reports whether the caller has received a part of the body.
-func (j *job) answerBegun() bool { return j.timeToFirstToken > 0 }
+func (j *job) responseBegun() bool { return j.timeToFirstToken > 0 }
 
 // retryOrReturn returns false if the request may be retried, otherwise the
 // final result derived from last.
--- a/internal/entry/dispatch/run.go
+++ b/internal/entry/dispatch/run.go
@@ -38,7 +38,7 @@
 	}
 	defer response.Body.Close()
 	result := j.relay(ctx, response.Body, cancel)
-	if result.outcome == attemptInterrupted && !j.answerBegun() {
+	if result.outcome == attemptInterrupted && !j.responseBegun() {
 		result = j.voidInterrupted(ctx, grant, result)
 	}
 	j.reportToEjector(grant, result)
--- a/internal/entry/fleet/agent_calls.go
+++ b/internal/entry/fleet/agent_calls.go
@@ -56,7 +56,7 @@
 func (f *Fleet) Void(ctx context.Context, agent, grant string) (wire.VoidResult, error) {
 	l, ok := f.findLink(agent)
 	if !ok {
-		return "", ErrNoAnswer
+		return "", ErrNoResponse
 	}
 	return l.void(ctx, grant)
 }
--- a/internal/entry/fleet/link_conn.go
+++ b/internal/entry/fleet/link_conn.go
@@ -78,8 +78,8 @@
 	l.conn = nil
 	lost := l.pending.byAttempt
 	l.pending = newPendingTickets()
-	for _, answer := range l.pendingVoids {
-		close(answer)
+	for _, result := range l.pendingVoids {
+		close(result)
 	}
 	l.pendingVoids = make(map[string]chan wire.VoidResult)
 	l.mu.Unlock()
--- a/internal/entry/fleet/link_void.go
+++ b/internal/entry/fleet/link_void.go
@@ -13,47 +13,47 @@
 const voidTimeout = 2 * time.Second
 
 // ErrNoAnswer is returned if an agent could not be asked or did not answer.
-var ErrNoAnswer = errors.New("agent did not answer")
+var ErrNoResponse = errors.New("agent did not answer")
 
 // handleVoided passes the answer to a Void to its caller.
 func (l *link) handleVoided(v *wire.Voided) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if answer, ok := l.pendingVoids[v.GrantID]; ok {
+	if result, ok := l.pendingVoids[v.GrantID]; ok {
 		delete(l.pendingVoids, v.GrantID)
-		answer <- v.Result
+		result <- v.Result
 	}
 }
 
 // void asks the agent to make a grant unusable and waits for its answer.
 func (l *link) void(ctx context.Context, grant string) (wire.VoidResult, error) {
-	answer := make(chan wire.VoidResult, 1)
+	voidResult := make(chan wire.VoidResult, 1)
 	defer l.removeVoid(grant)
-	if !l.sendVoid(grant, answer) {
-		return "", ErrNoAnswer
+	if !l.sendVoid(grant, voidResult) {
+		return "", ErrNoResponse
 	}
 	ctx, cancel := context.WithTimeout(ctx, voidTimeout)
 	defer cancel()
 	select {
-	case result, ok := <-answer:
+	case result, ok := <-voidResult:
 		if !ok {
-			return "", ErrNoAnswer
+			return "", ErrNoResponse
 		}
 		return result, nil
 	case <-ctx.Done():
-		return "", ErrNoAnswer
+		return "", ErrNoResponse
 	}
 }
 
 // sendVoid sends a Void and registers answer for its result; false if it could
 // not be sent.
-func (l *link) sendVoid(grant string, answer chan wire.VoidResult) bool {
+func (l *link) sendVoid(grant string, result chan wire.VoidResult) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn == nil {
 		return false
 	}
-	l.pendingVoids[grant] = answer
+	l.pendingVoids[grant] = result
 	return l.conn.Send(wire.Message{Void: &wire.Void{GrantID: grant}}) == nil
 }
 
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -103,10 +103,10 @@
 
 // clientAuth identifies clients by API key or, with trustHeader, by the customer header
 // of requests without a key.
-type clientAuth struct{ trustHeader bool }
+type callerAuth struct{ trustHeader bool }
 
 // Customer returns the name of the customer that sent the request, or an error if it
 // can't be authenticated.
-func (c clientAuth) Customer(set *targets.Set, r *http.Request) (string, error) {
+func (c callerAuth) Customer(set *targets.Set, r *http.Request) (string, error) {
 	return auth.AuthenticateCustomer(set, c.trustHeader, r)
 }
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -132,7 +132,7 @@
 		Targets:    e.targets,
 		Dispatcher: e.dispatcher,
 		Catalog:    e.fleet,
-		Auth:       clientAuth{trustHeader: e.settings.ClientAuth.TrustCustomerHeader},
+		Auth:       callerAuth{trustHeader: e.settings.CallerAuth.TrustCustomerHeader},
 		Claims:     e.claimer,
 		Grants:     e.fleet,
 		Observer:   metricsObserver{e.metrics},
@@ -141,21 +141,21 @@
 	})
 }
 
-func (e *entry) serve(ctx context.Context, clientListener, adminListener net.Listener) error {
+func (e *entry) serve(ctx context.Context, callerListener, adminListener net.Listener) error {
 	background, stopBackground := context.WithCancel(context.WithoutCancel(ctx))
 	var wg conc.WaitGroup
 	wg.Go(func() { e.fleet.Run(background) })
 	wg.Go(func() { e.pollTargets(background) })
 	wg.Go(func() { e.runLeaderTasks(ctx) })
-	clientRouter := httprouter.New()
-	e.api.Register(clientRouter)
-	clientServer := e.newServer(clientListener, clientRouter)
+	callerRouter := httprouter.New()
+	e.api.Register(callerRouter)
+	callerServer := e.newServer(callerListener, callerRouter)
 	adminServer := e.newServer(adminListener, e.adminRoutes())
-	wg.Go(clientServer.Serve)
+	wg.Go(callerServer.Serve)
 	wg.Go(adminServer.Serve)
-	e.log.Info(logging.EventStarted, zap.String("listen", clientListener.Addr().String()), zap.String("admin_listen", adminListener.Addr().String()))
+	e.log.Info(logging.EventStarted, zap.String("listen", callerListener.Addr().String()), zap.String("admin_listen", adminListener.Addr().String()))
 	<-ctx.Done()
-	e.drain(clientServer)
+	e.drain(callerServer)
 	// The context is never cancelled, so Drain does not cut off any request.
 	_ = adminServer.Drain(context.Background())
 	stopBackground()
--- a/internal/settings/common.go
+++ b/internal/settings/common.go
@@ -23,7 +23,7 @@
 }
 
 // ClientAuth configures how the customer of a request is determined.
-type ClientAuth struct {
+type CallerAuth struct {
 	// TrustCustomerHeader takes the customer from X-Applepier-Customer if the
 	// client sends no API key; for entry processes behind a proxy that sets it.
 	TrustCustomerHeader bool `yaml:"trust_customer_header"`
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -23,7 +23,7 @@
 	// Keys authenticate operators and the system's own processes.
 	Keys Keys `yaml:"keys"`
 	// ClientAuth configures how the customer of a request is determined.
-	ClientAuth ClientAuth `yaml:"callers"`
+	CallerAuth CallerAuth `yaml:"callers"`
 	// Log configures logging.
 	Log Log `yaml:"log"`
 }
--- a/internal/storage/vms_test.go
+++ b/internal/storage/vms_test.go
@@ -33,14 +33,14 @@
 	httpServer := httptest.NewServer(server)
 	defer httpServer.Close()
 	client := NewHTTPClient(httpServer.URL)
-	read := func(name string, whole, notModified int) {
+	read := func(name string, full, notModified int) {
 		t.Helper()
 		vms, err := client.VMs(context.Background())
 		if err != nil || len(vms) != 1 || vms[0].Name != name {
 			t.Fatalf("got %v, %v; want %s", vms, err, name)
 		}
-		if server.fullResponses != whole || server.notModifiedResponses != notModified {
-			t.Fatalf("whole reads %d, not modified %d; want %d, %d", server.fullResponses, server.notModifiedResponses, whole, notModified)
+		if server.fullResponses != full || server.notModifiedResponses != notModified {
+			t.Fatalf("full reads %d, not modified %d; want %d, %d", server.fullResponses, server.notModifiedResponses, full, notModified)
 		}
 		vms[0].Name = "changed by the caller"
 	}
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -35,7 +35,7 @@
 	// Process is the name of the sender's VM.
 	Process string `cbor:"1,keyasint"`
 	// Incarnation identifies one start of the process.
-	Incarnation string `cbor:"2,keyasint"`
+	Instance string `cbor:"2,keyasint"`
 	// Zone is the sender's availability zone.
 	Zone string `cbor:"3,keyasint"`
 	// Serves is the model or plain service behind an agent.
--- a/testbed/fleet/entry.go
+++ b/testbed/fleet/entry.go
@@ -59,7 +59,7 @@
 		Platform:    settings.Platform{URL: "http://" + platformAddr},
 		Seeds:       f.seeds(),
 		Keys:        f.keys.settings(),
-		ClientAuth:  settings.ClientAuth{TrustCustomerHeader: true},
+		CallerAuth:  settings.CallerAuth{TrustCustomerHeader: true},
 		Log:         settings.Log{Level: f.options.LogLevel},
 	})
 }
