--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -33,7 +33,7 @@
 	Load(ctx context.Context) (*targets.Set, error)
 	// Change applies edit to the targets at version base and returns the new
 	// targets once they are durable. Errors include *store.ConflictError,
-	// *store.UnsettledError, store.ErrUnavailable, *targets.ValidationError and
+	// *store.OutcomeUnknownError, store.ErrUnavailable, *targets.ValidationError and
 	// the errors of edit.
 	Change(ctx context.Context, base uint64, edit func(*targets.Set) error) (*targets.Set, error)
 }
--- a/internal/admin/fleet.go
+++ b/internal/admin/fleet.go
@@ -32,7 +32,7 @@
 	// is the time since its last report.
 	HasStatus bool
 	StatusAge time.Duration
-	// Leaving is true if the process takes no new work.
+	// Draining is true if the process takes no new work.
 	Draining bool
 }
 
@@ -53,7 +53,7 @@
 	Running int
 	Waiting int
 	Limit   int
-	// Leaving is true if its agent takes no new work. Down is true if the agent
+	// Draining is true if its agent takes no new work. Down is true if the agent
 	// can't reach the backend server.
 	Draining bool
 	Down     bool
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,5 +1,5 @@
 // Package agent implements the process that runs beside a backend server and
-// is the only client of it. Entries submit tickets for their requests. The
+// is the only one to call it. Entries submit tickets for their requests. The
 // agent queues the tickets by policy and issues a grant for the next one when
 // the backend server has capacity. It then runs the granted request and
 // relays the response, so it knows exactly what runs on the backend server.
@@ -30,7 +30,7 @@
 )
 
 // ErrCancelEarlierRuns means that the runs that the engine still has from an
-// earlier incarnation of the agent could not be listed or cancelled.
+// earlier instance of the agent could not be listed or cancelled.
 var ErrCancelEarlierRuns = errors.New("cannot cancel the engine's earlier runs")
 
 const (
@@ -93,7 +93,7 @@
 }
 
 // Run does the agent's background work until ctx ends. Grants are issued only
-// after the engine's runs from an earlier incarnation have been cancelled.
+// after the engine's runs from an earlier instance have been cancelled.
 func (a *Agent) Run(ctx context.Context) {
 	var wg conc.WaitGroup
 	wg.Go(func() { a.cancelEarlierRunsAndProbe(ctx) })
@@ -115,7 +115,7 @@
 func (a *Agent) Drained() <-chan struct{} { return a.dispatcher.drained }
 
 // cancelEarlierRunsAndProbe cancels the engine's runs from an earlier
-// incarnation, so that the agent knows of all runs, and then probes the backend
+// instance, so that the agent knows of all runs, and then probes the backend
 // server periodically.
 func (a *Agent) cancelEarlierRunsAndProbe(ctx context.Context) {
 	cancelled := false
--- a/internal/agent/dispatcher_grants.go
+++ b/internal/agent/dispatcher_grants.go
@@ -86,7 +86,7 @@
 
 // voidGrant makes an issued grant unusable. It returns VoidStarted if the grant
 // was used, and VoidUnknown for a grant that is no longer kept or was issued by
-// another incarnation.
+// another instance.
 func (d *dispatcher) voidGrant(grantID string) wire.VoidResult {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/agent/routes.go
+++ b/internal/agent/routes.go
@@ -17,7 +17,7 @@
 )
 
 // vmListInterval is the time between two reads of the VM list. The agent
-// reads it to learn that its own VM is leaving even if no entry reports that,
+// reads it to learn that its own VM is draining even if no entry reports that,
 // and to pass the list on to new VMs.
 const vmListInterval = 5 * time.Second
 
--- a/internal/auth/middleware.go
+++ b/internal/auth/middleware.go
@@ -57,6 +57,6 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("WWW-Authenticate", "Bearer")
 	w.WriteHeader(http.StatusUnauthorized)
-	// A write error means that the client has disconnected.
+	// A write error means that the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(errorResponse{Error: errorInfo{Message: message, Type: "authentication_error", Code: "unauthorized"}})
 }
--- a/internal/callers/blocking_server_test.go
+++ b/internal/callers/blocking_server_test.go
@@ -92,7 +92,7 @@
 	return c
 }
 
-// clientConn is the client's end of a connection.
+// callerConn is the caller's end of a connection.
 type callerConn struct {
 	net.Conn
 	reader *bufio.Reader
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -11,7 +11,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Conn is a client connection. It is idle from the end of a response to the first byte
+// Conn is a caller's connection. It is idle from the end of a response to the first byte
 // of the next request. net/http leaves its own idle state later: only when the whole
 // request header has been read.
 //
@@ -34,7 +34,7 @@
 	// draining is set when the process stops: idle periods end at once.
 	draining bool
 	// backgroundNext is set when the next read is net/http's background read, which
-	// detects a client that disconnects during its request.
+	// detects a caller that disconnects during its request.
 	backgroundNext bool
 	requests       int
 	closeReason    CloseReason
@@ -78,7 +78,7 @@
 }
 
 // received updates the phase after a read: the first byte of a request ends the idle
-// period and starts the header timeout. Line ends between requests, which some clients
+// period and starts the header timeout. Line ends between requests, which some callers
 // send in excess, are ignored.
 func (c *Conn) received(p []byte) {
 	c.mu.Lock()
--- a/internal/callers/conn_status.go
+++ b/internal/callers/conn_status.go
@@ -10,7 +10,7 @@
 const (
 	// ReasonNone: the connection is open, as far as this process can tell.
 	ReasonNone CloseReason = ""
-	// ReasonClientClosed: the client closed its side.
+	// ReasonCallerClosed: the caller closed its side.
 	ReasonCallerClosed CloseReason = "caller_closed"
 	// ReasonBroken: the connection was reset, or sent data was not acknowledged in
 	// time.
--- a/internal/callers/error_log.go
+++ b/internal/callers/error_log.go
@@ -9,7 +9,7 @@
 )
 
 // errorLogWriter forwards net/http's error log to the process's log. A handler that
-// panics closes its client's connection, and only net/http reports it.
+// panics closes its caller's connection, and only net/http reports it.
 type errorLogWriter struct{ log *zap.Logger }
 
 // Write implements io.Writer.
--- a/internal/callers/idle_race_test.go
+++ b/internal/callers/idle_race_test.go
@@ -10,7 +10,7 @@
 // Guards against a request that is handled although its connection is closed for
 // idleness: the idle timeout expires when the request's bytes have arrived but haven't
 // been read yet. The request must be served, or the connection closed without calling
-// the handler. A request that is handled and then aborted may have run, and its client
+// the handler. A request that is handled and then aborted may have run, and its caller
 // can't tell.
 func TestRequestAtIdleTimeoutIsServedOrNotHandled(t *testing.T) {
 	const timeout = 4 * time.Second
--- a/internal/callers/read_ahead.go
+++ b/internal/callers/read_ahead.go
@@ -8,7 +8,7 @@
 
 const (
 	// maxReadAhead bounds the bytes read ahead. A disconnect before the response isn't
-	// detected for a client that has sent more.
+	// detected for a caller that has sent more.
 	maxReadAhead = 4 << 10
 	// readAheadChunk is the size of one read ahead, in bytes: a typical request header.
 	readAheadChunk = 512
@@ -25,12 +25,12 @@
 	return background
 }
 
-// backgroundRead reads until the client disconnects or net/http cancels its background
+// backgroundRead reads until the caller disconnects or net/http cancels its background
 // read by a deadline, and keeps the bytes that arrive meanwhile. net/http's own
-// background read ends with the first byte: it would miss the disconnect of a client
+// background read ends with the first byte: it would miss the disconnect of a caller
 // that has sent an extra line end or its next request.
 func (c *Conn) backgroundRead(p []byte) (int, error) {
-	// Most clients send nothing more, so that the one-byte buffer is enough.
+	// Most callers send nothing more, so that the one-byte buffer is enough.
 	buf := p
 	for len(c.readAhead) < maxReadAhead {
 		if len(c.readAhead) > 0 && len(buf) == 1 {
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -1,4 +1,4 @@
-// Package callers serves HTTP clients' connections: it closes those that stay idle for
+// Package callers serves callers' HTTP connections: it closes those that stay idle for
 // too long, and drains all of them in a graceful stop. Neither closes a connection on
 // which a request has begun to arrive, except for requests that are still in progress
 // when the drain times out. It also reports why a connection was closed. Start reading
@@ -19,7 +19,7 @@
 
 const (
 	// idleMargin is how much longer than the idle timeout a connection stays open, so
-	// that the request of a client that keeps to the timeout doesn't cross the close.
+	// that the request of a caller that keeps to the timeout doesn't cross the close.
 	idleMargin = time.Second
 	// idleGrace is how long a connection is read once more after its idle deadline.
 	// Bytes that have arrived are read at once; the time is for a process that is not
@@ -46,7 +46,7 @@
 	Log         *zap.Logger
 }
 
-// Server serves the clients of one listener.
+// Server serves the callers of one listener.
 type Server struct {
 	http          *http.Server
 	listener      net.Listener
--- a/internal/callers/server_test.go
+++ b/internal/callers/server_test.go
@@ -45,7 +45,7 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// testServer is a Server in a synctest bubble whose clients connect by pipes.
+// testServer is a Server in a synctest bubble whose callers connect by pipes.
 type testServer struct {
 	*Server
 	t            *testing.T
@@ -71,7 +71,7 @@
 	<-s.serveDone
 }
 
-// dial opens a client connection.
+// dial opens a caller's connection.
 func (s *testServer) dial() (net.Conn, *bufio.Reader) {
 	serverEnd, callerEnd := net.Pipe()
 	s.pipeListener.conns <- serverEnd
@@ -340,7 +340,7 @@
 	})
 }
 
-// The close reason distinguishes a close by the client from one by this process.
+// The close reason distinguishes a close by the caller from one by this process.
 func TestCloseReason(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		statuses := make(chan ConnStatus, 1)
--- a/internal/entry/api/api.go
+++ b/internal/entry/api/api.go
@@ -1,4 +1,4 @@
-// Package api implements the client-facing HTTP API of an entry: OpenAI-compatible chat
+// Package api implements the caller-facing HTTP API of an entry: OpenAI-compatible chat
 // completions and model list, and calls to HTTP services. It reads and validates a
 // request, determines its class and customer, hands it to the dispatcher, and writes
 // exactly one final response. The routes are in API.Register.
@@ -37,9 +37,9 @@
 	// maxBodyBytes limits a request body. Long prompts of the lowest tiers have some
 	// hundred kilobytes.
 	maxBodyBytes = 4 << 20
-	// bodyTimeout limits reading the body from a slow client.
+	// bodyTimeout limits reading the body from a slow caller.
 	bodyTimeout = 30 * time.Second
-	// writeTimeout limits one write to a client that stops reading.
+	// writeTimeout limits one write to a caller that stops reading.
 	writeTimeout = 30 * time.Second
 	// maxInFlight limits the requests in flight, as maxBodyMemory limits the memory of
 	// their bodies. At the target size an entry gets 3,600/410 = 9 requests a second, so
@@ -96,7 +96,7 @@
 	Log        *zap.Logger
 }
 
-// API serves client requests. It is safe for concurrent use.
+// API serves callers' requests. It is safe for concurrent use.
 type API struct {
 	config Config
 
@@ -109,7 +109,7 @@
 // New returns an API that uses the dependencies in c.
 func New(c Config) *API { return &API{config: c} }
 
-// Register adds the client routes to router.
+// Register adds the routes for callers to router.
 func (a *API) Register(router *httprouter.Router) {
 	router.HandlerFunc(http.MethodPost, "/v1/chat/completions", a.limitInFlight(a.chat))
 	router.HandlerFunc(http.MethodGet, "/v1/models", a.models)
@@ -134,7 +134,7 @@
 }
 
 // refuseWithoutBody writes an error response without waiting for the request body: a
-// client that announces a body and doesn't send it would otherwise get no response until
+// caller that announces a body and doesn't send it would otherwise get no response until
 // it disconnects.
 func refuseWithoutBody(w http.ResponseWriter, r *http.Request, e apiError) {
 	unread.Respond(w, r, false, func() { writeError(w, e) })
--- a/internal/entry/api/api_error.go
+++ b/internal/entry/api/api_error.go
@@ -50,7 +50,7 @@
 	return "server_error"
 }
 
-// writeError sends e as the whole response.
+// writeError sends e as the complete response.
 func writeError(w http.ResponseWriter, e apiError) {
 	data, err := json.Marshal(e.body())
 	if err != nil {
@@ -105,7 +105,7 @@
 	}
 }
 
-// resultError returns the error for a dispatch result other than Whole, Rejected or Gone.
+// resultError returns the error for a dispatch result other than Completed, Rejected or Gone.
 func resultError(r dispatch.Result) apiError {
 	switch r.Outcome {
 	case dispatch.NotRun:
--- a/internal/entry/api/body_budget.go
+++ b/internal/entry/api/body_budget.go
@@ -62,7 +62,7 @@
 	return maxBodyMemoryNonUrgent
 }
 
-// bodyMemoryLimitByName returns the body memory limit for the class that a client names,
+// bodyMemoryLimitByName returns the body memory limit for the class that a caller names,
 // for use before the body is read. An unknown, retired or missing name gets
 // maxBodyMemoryUnknownClass.
 func bodyMemoryLimitByName(set *targets.Set, name string) int64 {
--- a/internal/entry/api/buffered_response.go
+++ b/internal/entry/api/buffered_response.go
@@ -38,7 +38,7 @@
 const maxChoices = 128
 
 // bufferedResponse collects all chunks and sends the response when it is complete, so
-// that an interrupted run can be resumed without the client noticing.
+// that an interrupted run can be resumed without the caller noticing.
 type bufferedResponse struct {
 	w          http.ResponseWriter
 	completion completion
--- a/internal/entry/api/dispatch.go
+++ b/internal/entry/api/dispatch.go
@@ -10,14 +10,14 @@
 )
 
 // response converts the frames from the backend server into the HTTP response for the
-// client.
+// caller.
 type response interface {
 	dispatch.Sink
 	// started reports whether a part of the response has been sent.
 	started() bool
 	// finish completes a successful response.
 	finish()
-	// fail terminates a response that has started, in a way that the client detects as an
+	// fail terminates a response that has started, in a way that the caller detects as an
 	// error.
 	fail(e apiError)
 }
@@ -69,7 +69,7 @@
 	}
 }
 
-// writeBackendError forwards the backend server's own error response to the client.
+// writeBackendError forwards the backend server's own error response to the caller.
 func writeBackendError(w http.ResponseWriter, result dispatch.Result) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(HeaderOutcome, string(dispatch.Rejected))
--- a/internal/entry/api/refusal_test.go
+++ b/internal/entry/api/refusal_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// A client that is still sending its body receives the refusal, not a connection reset.
+// A caller that is still sending its body receives the refusal, not a connection reset.
 func TestRefusalReachesSendingClient(t *testing.T) {
 	conn, reader := dialFullServer(t)
 	const length = 400 << 10
@@ -123,7 +123,7 @@
 }
 
 // Requests that are refused before their body is read get a response without waiting for
-// the body, and a client that is still sending receives it.
+// the body, and a caller that is still sending receives it.
 func TestEarlyRefusalsDoNotWaitForBodies(t *testing.T) {
 	cases := map[string]struct {
 		head   string
--- a/internal/entry/api/request_body.go
+++ b/internal/entry/api/request_body.go
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// readBody reads a body of at most maxBodyBytes from a possibly slow client. It fails if
+// readBody reads a body of at most maxBodyBytes from a possibly slow caller. It fails if
 // the bodies of all requests would then take more than limit bytes. On failure it writes
 // the error response and returns false; otherwise the caller must release the body.
 func (a *API) readBody(w http.ResponseWriter, r *http.Request, limit int64) (*requestBody, bool) {
--- a/internal/entry/api/response_recorder.go
+++ b/internal/entry/api/response_recorder.go
@@ -7,7 +7,7 @@
 )
 
 // responseRecorder copies the response to a call with an idempotency key, up to
-// claim.MaxAnswer bytes of body.
+// claim.MaxResponseBytes bytes of body.
 type responseRecorder struct {
 	http.ResponseWriter
 	status  int
--- a/internal/entry/api/service.go
+++ b/internal/entry/api/service.go
@@ -15,7 +15,7 @@
 )
 
 // forwardedHeaders are the request headers that an HTTP service receives. Hop-by-hop
-// headers (RFC 9110, 7.6.1) and the client's API key are not forwarded.
+// headers (RFC 9110, 7.6.1) and the caller's API key are not forwarded.
 var forwardedHeaders = []string{"Accept", "Accept-Language", "Content-Type", "If-Match", "If-None-Match", HeaderIdempotencyKey}
 
 // service handles /services/{name}/...
--- a/internal/entry/api/service_response.go
+++ b/internal/entry/api/service_response.go
@@ -9,7 +9,7 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// serviceResponse streams the response of an HTTP service to the client.
+// serviceResponse streams the response of an HTTP service to the caller.
 type serviceResponse struct {
 	w          http.ResponseWriter
 	control    *http.ResponseController
@@ -35,7 +35,7 @@
 }
 
 // writeHeader forwards the Content-Length of the service unchanged: if the response is
-// cut off, the body is shorter than declared and clients detect that it is incomplete.
+// cut off, the body is shorter than declared and callers detect that it is incomplete.
 func (s *serviceResponse) writeHeader(f wire.Frame) {
 	for _, h := range f.Header {
 		s.w.Header().Add(h.Name, h.Value)
--- a/internal/entry/api/stream_response.go
+++ b/internal/entry/api/stream_response.go
@@ -11,9 +11,9 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// streamResponse streams the chunks to the client as server-sent events. The chunks of a
+// streamResponse streams the chunks to the caller as server-sent events. The chunks of a
 // resumed run get the ID and creation time of the first one, and its repeated role chunk
-// is dropped, so that the client sees a single run.
+// is dropped, so that the caller sees a single run.
 type streamResponse struct {
 	w            http.ResponseWriter
 	control      *http.ResponseController
--- a/internal/entry/dispatch/request.go
+++ b/internal/entry/dispatch/request.go
@@ -18,7 +18,7 @@
 	// Serves is the name of the model or plain HTTP service that runs the
 	// request.
 	Serves string
-	// Arrived is the time when the entry had read the whole request.
+	// Arrived is the time when the entry had read the complete request.
 	Arrived time.Time
 	// EstimatedTokens is the estimated amount of work in tokens.
 	EstimatedTokens int
--- a/internal/entry/dispatch/run.go
+++ b/internal/entry/dispatch/run.go
@@ -94,7 +94,7 @@
 // headers. The agent sends them with its first heartbeat at the latest. A
 // returned response is no longer subject to the timeout. If the headers arrive
 // while the timeout expires, the context is already cancelled and the body
-// cannot be read, so wire.ErrSilent is returned.
+// cannot be read, so wire.ErrHeartbeatTimeout is returned.
 func (d *Dispatcher) doWithHeadTimeout(req *http.Request) (*http.Response, error) {
 	ctx, cancel := context.WithCancelCause(req.Context())
 	watchdog := wire.NewWatchdog(func() { cancel(wire.ErrHeartbeatTimeout) })
--- a/internal/entry/fleet/agent_calls.go
+++ b/internal/entry/fleet/agent_calls.go
@@ -51,8 +51,8 @@
 }
 
 // Void asks an agent to make an unused grant unusable and returns the agent's
-// answer. It returns ErrNoAnswer if the agent is not connected or does not
-// answer in time.
+// response. It returns ErrNoResponse if the agent is not connected or does not
+// respond in time.
 func (f *Fleet) Void(ctx context.Context, agent, grant string) (wire.VoidResult, error) {
 	l, ok := f.findLink(agent)
 	if !ok {
--- a/internal/entry/fleet/link_void.go
+++ b/internal/entry/fleet/link_void.go
@@ -9,13 +9,13 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// voidTimeout bounds the wait for the answer to a Void message.
+// voidTimeout bounds the wait for the response to a Void message.
 const voidTimeout = 2 * time.Second
 
-// ErrNoAnswer is returned if an agent could not be asked or did not answer.
+// ErrNoResponse is returned if an agent could not be asked or did not respond.
 var ErrNoResponse = errors.New("agent did not answer")
 
-// handleVoided passes the answer to a Void to its caller.
+// handleVoided passes the response to a Void to its caller.
 func (l *link) handleVoided(v *wire.Voided) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -25,7 +25,7 @@
 	}
 }
 
-// void asks the agent to make a grant unusable and waits for its answer.
+// void asks the agent to make a grant unusable and waits for its response.
 func (l *link) void(ctx context.Context, grant string) (wire.VoidResult, error) {
 	voidResult := make(chan wire.VoidResult, 1)
 	defer l.removeVoid(grant)
@@ -45,7 +45,7 @@
 	}
 }
 
-// sendVoid sends a Void and registers answer for its result; false if it could
+// sendVoid sends a Void and registers result for its result; false if it could
 // not be sent.
 func (l *link) sendVoid(grant string, result chan wire.VoidResult) bool {
 	l.mu.Lock()
@@ -57,7 +57,7 @@
 	return l.conn.Send(wire.Message{Void: &wire.Void{GrantID: grant}}) == nil
 }
 
-// removeVoid ends the wait for an answer, also if none arrived: a link with a
+// removeVoid ends the wait for a response, also if none arrived: a link with a
 // pending void is monitored at watchUrgent.
 func (l *link) removeVoid(grant string) {
 	l.mu.Lock()
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -101,7 +101,7 @@
 	store.NewPoller(e.store, e.targets, e.log).Run(ctx)
 }
 
-// clientAuth identifies clients by API key or, with trustHeader, by the customer header
+// callerAuth identifies callers by API key or, with trustHeader, by the customer header
 // of requests without a key.
 type callerAuth struct{ trustHeader bool }
 
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -1,4 +1,4 @@
-// Package entry implements the entry process: it accepts client requests, dispatches them
+// Package entry implements the entry process: it accepts callers' requests, dispatches them
 // to the agents of the backend servers, and serves the operators' admin API. Serve is the
 // entry point.
 package entry
@@ -35,11 +35,11 @@
 )
 
 const (
-	// headerTimeout limits reading a client's request headers.
+	// headerTimeout limits reading a caller's request headers.
 	headerTimeout = 10 * time.Second
-	// maxHeaderBytes limits a client's request headers.
+	// maxHeaderBytes limits a caller's request headers.
 	maxHeaderBytes = 64 << 10
-	// idleTimeout is how long an idle client connection is kept open.
+	// idleTimeout is how long a caller's idle connection is kept open.
 	idleTimeout = 2 * time.Minute
 	// drainDelay is how long a draining entry still accepts requests after its readiness
 	// check has begun to fail, so that the platform's load balancer has time to stop
--- a/internal/logging/event.go
+++ b/internal/logging/event.go
@@ -83,7 +83,7 @@
 	// EventQuarantineFailed: the quarantined requests could not be read from the
 	// store, or one of them could not be written to it.
 	EventQuarantineFailed = "quarantine_failed"
-	// EventIdleConnClosed: a gateway closed a client's connection that was idle
+	// EventIdleConnClosed: a gateway closed a caller's connection that was idle
 	// longer than the limit.
 	EventIdleConnClosed = "caller_closed"
 	// EventServerError: the HTTP server reported an internal error, such as a
@@ -103,7 +103,7 @@
 	EventRequestRefused = "request_refused"
 	// EventRequestUnknown: it is unknown whether the request ran.
 	EventRequestUnknown = "request_unknown"
-	// EventRequestCancelled: the client disconnected.
+	// EventRequestCancelled: the caller disconnected.
 	EventRequestCancelled = "request_cancelled"
 	// EventClaimNotSettled: the outcome of a request with an idempotency key could
 	// not be written to its claim.
--- a/internal/metrics/class.go
+++ b/internal/metrics/class.go
@@ -102,19 +102,19 @@
 	counter(c.metrics.registry, familyRefusedPromptTokens, c.label, reasonLabel).Inc(int64(tokens))
 }
 
-// OutcomeUnknown counts a request whose client was told that it may have run.
+// OutcomeUnknown counts a request whose caller was told that it may have run.
 func (c *Class) OutcomeUnknown() { c.outcomeUnknown.Inc(1) }
 
 // Failed counts a request that ended with any other error.
 func (c *Class) Failed() { c.failed.Inc(1) }
 
-// Cancelled counts a request whose client disconnected.
+// Cancelled counts a request whose caller disconnected.
 func (c *Class) Cancelled() { c.cancelled.Inc(1) }
 
 // Retried counts a further attempt at a request.
 func (c *Class) Retried() { c.retried.Inc(1) }
 
-// WastedTokens counts tokens that were generated but didn't reach a client as part
+// WastedTokens counts tokens that were generated but didn't reach a caller as part
 // of a complete response.
 func (c *Class) WastedTokens(tokens int) { c.wastedTokens.Inc(int64(tokens)) }
 
--- a/internal/settings/common.go
+++ b/internal/settings/common.go
@@ -22,10 +22,10 @@
 	Env  string `yaml:"env,omitempty"`
 }
 
-// ClientAuth configures how the customer of a request is determined.
+// CallerAuth configures how the customer of a request is determined.
 type CallerAuth struct {
 	// TrustCustomerHeader takes the customer from X-Applepier-Customer if the
-	// client sends no API key; for entry processes behind a proxy that sets it.
+	// caller sends no API key; for entry processes behind a proxy that sets it.
 	TrustCustomerHeader bool `yaml:"trust_customer_header"`
 }
 
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -9,7 +9,7 @@
 	Process string `yaml:"process" validate:"required"`
 	// Zone is the VM's availability zone.
 	Zone string `yaml:"zone" validate:"required"`
-	// Listen is the host:port that serves clients.
+	// Listen is the host:port that serves callers.
 	Listen string `yaml:"listen" validate:"required,hostname_port"`
 	// AdminListen is the host:port that serves operators, metrics and health
 	// checks.
@@ -22,7 +22,7 @@
 	Seeds []string `yaml:"seeds" validate:"dive,hostname_port"`
 	// Keys authenticate operators and the system's own processes.
 	Keys Keys `yaml:"keys"`
-	// ClientAuth configures how the customer of a request is determined.
+	// CallerAuth configures how the customer of a request is determined.
 	CallerAuth CallerAuth `yaml:"callers"`
 	// Log configures logging.
 	Log Log `yaml:"log"`
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -13,7 +13,7 @@
 	Process string `yaml:"process" validate:"required"`
 	// Zone is the VM's availability zone.
 	Zone string `yaml:"zone" validate:"required"`
-	// Listen is the host:port that serves clients.
+	// Listen is the host:port that serves callers.
 	Listen string `yaml:"listen" validate:"required,hostname_port"`
 	// AdminListen is the host:port that serves health checks and metrics.
 	AdminListen string `yaml:"admin_listen" validate:"required,hostname_port,nefield=Listen"`
--- a/internal/storage/platform.go
+++ b/internal/storage/platform.go
@@ -97,7 +97,7 @@
 	Zone string `json:"zone"`
 	// Role distinguishes entry VMs from backend server VMs.
 	Role VMRole `json:"role"`
-	// Leaving means that the VM is being drained and accepts no new requests.
+	// Draining means that the VM takes no new work.
 	Draining bool `json:"leaving,omitempty"`
 	// Serves names the model or plain service that a backend server VM runs.
 	Serves string `json:"serves,omitempty"`
--- a/internal/timeline/handler.go
+++ b/internal/timeline/handler.go
@@ -73,6 +73,6 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A write error means that the client disconnected.
+	// A write error means that the caller disconnected.
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -34,7 +34,7 @@
 type Hello struct {
 	// Process is the name of the sender's VM.
 	Process string `cbor:"1,keyasint"`
-	// Incarnation identifies one start of the process.
+	// Instance identifies one run of the process.
 	Instance string `cbor:"2,keyasint"`
 	// Zone is the sender's availability zone.
 	Zone string `cbor:"3,keyasint"`
@@ -46,7 +46,7 @@
 
 // Ticket is an entry's request for a grant from an agent.
 type Ticket struct {
-	// RequestID identifies the client's request; Attempt numbers the entry's attempts
+	// RequestID identifies the caller's request; Attempt numbers the entry's attempts
 	// to run it.
 	RequestID string `cbor:"1,keyasint"`
 	Attempt   int    `cbor:"2,keyasint"`
@@ -59,7 +59,7 @@
 	SlackMS int64 `cbor:"6,keyasint"`
 	// DeadlineMilestone is the milestone that the latency target applies to.
 	DeadlineMilestone policy.Milestone `cbor:"13,keyasint,omitempty"`
-	// Size is the estimated work in tokens, prompt and answer together.
+	// Size is the estimated work in tokens, prompt and response together.
 	Size int `cbor:"7,keyasint"`
 	// PrefixHash is a hash of the prompt's beginning, for the prefix cache.
 	PrefixHash uint64 `cbor:"8,keyasint"`
@@ -70,7 +70,7 @@
 	// the request is refused for good.
 	MaxEngines int `cbor:"14,keyasint,omitempty"`
 	// Retry marks a request that was executed in part before. It is never refused for
-	// its estimated wait, because its client already has a part of the answer.
+	// its estimated wait, because its caller already has a part of the response.
 	Retry bool `cbor:"10,keyasint,omitempty"`
 	// Serves is the requested model or plain service. An agent whose engine has loaded
 	// another model since refuses the ticket.
@@ -91,7 +91,7 @@
 type Grant struct {
 	RequestID string `cbor:"1,keyasint"`
 	Attempt   int    `cbor:"2,keyasint"`
-	// ID identifies the grant and contains the agent's incarnation.
+	// ID identifies the grant and contains the agent's instance.
 	ID string `cbor:"3,keyasint"`
 }
 
@@ -138,7 +138,7 @@
 	VoidDone VoidResult = "voided"
 	// VoidStarted: the grant was used, and the request has started.
 	VoidStarted VoidResult = "started"
-	// VoidUnknown: an earlier incarnation of the agent issued the grant.
+	// VoidUnknown: an earlier instance of the agent issued the grant.
 	VoidUnknown VoidResult = "unknown"
 )
 
--- a/internal/wire/run.go
+++ b/internal/wire/run.go
@@ -12,9 +12,9 @@
 	GrantID   string `cbor:"1,keyasint"`
 	RequestID string `cbor:"2,keyasint"`
 	Attempt   int    `cbor:"3,keyasint"`
-	// ResumeFrom is the number of tokens that the client has already received.
+	// ResumeFrom is the number of tokens that the caller has already received.
 	ResumeFrom int `cbor:"4,keyasint,omitempty"`
-	// Body is the client's request body.
+	// Body is the caller's request body.
 	Body []byte `cbor:"5,keyasint"`
 	// Method, Path and Header are those of a call to a plain service.
 	Method string   `cbor:"6,keyasint,omitempty"`
