--- a/internal/lease/era.go
+++ b/internal/lease/era.go
@@ -15,9 +15,9 @@
 // era overwrites, since a transaction sent in one of them may still be applied.
 const closedEras = 3
 
-// NextFencingToken returns the fencing token that follows token, for a lease
+// NextFencingToken returns the fencing token that follows previous, for a lease
 // acquired in the given era.
-func NextFencingToken(token, era uint64) uint64 { return max(token, era<<eraShift) + 1 }
+func NextFencingToken(previous, era uint64) uint64 { return max(previous, era<<eraShift) + 1 }
 
 // currentEra returns the newest era of the table service that this process
 // knows of; zero if the table has no eras. A new era begins when the service is
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -136,21 +136,21 @@
 	if err := l.Check(); err != nil {
 		return err
 	}
-	token := l.FencingToken()
+	fencingToken := l.FencingToken()
 	sentAt := time.Now()
 	current, err := readRecord(ctx, l.table, l.rowKey)
 	if err != nil {
 		return err
 	}
-	if current.record.FencingToken != token {
+	if current.record.FencingToken != fencingToken {
 		l.markLost()
 		return ErrLost
 	}
-	next := record{WriteID: uuid.NewString(), Holder: l.holder, FencingToken: token}
+	next := record{WriteID: uuid.NewString(), Holder: l.holder, FencingToken: fencingToken}
 	if err := l.writeRow(ctx, current, next, writes); err != nil {
-		return l.classifyConflict(ctx, token, err)
+		return l.classifyConflict(ctx, fencingToken, err)
 	}
-	l.markHeld(token, sentAt)
+	l.markHeld(fencingToken, sentAt)
 	return nil
 }
 
@@ -161,19 +161,19 @@
 		return err
 	}
 	defer l.endWrite()
-	token := l.FencingToken()
+	fencingToken := l.FencingToken()
 	l.markLost()
-	if token == 0 {
+	if fencingToken == 0 {
 		return nil
 	}
 	current, err := readRecord(ctx, l.table, l.rowKey)
 	if err != nil {
 		return err
 	}
-	if current.record.FencingToken != token {
+	if current.record.FencingToken != fencingToken {
 		return nil
 	}
-	next := record{WriteID: uuid.NewString(), Holder: l.holder, FencingToken: token, Released: true}
+	next := record{WriteID: uuid.NewString(), Holder: l.holder, FencingToken: fencingToken, Released: true}
 	return l.writeRow(ctx, current, next, nil)
 }
 
@@ -192,7 +192,7 @@
 
 // classifyConflict turns ErrLost into ErrConflict if a transaction failed on
 // another row while this process still holds the lease.
-func (l *Lease) classifyConflict(ctx context.Context, token uint64, err error) error {
+func (l *Lease) classifyConflict(ctx context.Context, fencingToken uint64, err error) error {
 	if !errors.Is(err, ErrLost) {
 		return err
 	}
@@ -200,7 +200,7 @@
 	switch {
 	case readErr != nil:
 		return readErr
-	case current.record.FencingToken == token:
+	case current.record.FencingToken == fencingToken:
 		return ErrConflict
 	}
 	l.markLost()
--- a/internal/lease/orders/errors.go
+++ b/internal/lease/orders/errors.go
@@ -22,11 +22,11 @@
 // FencedError reports an order that was rejected because of a stale fencing token.
 type FencedError struct {
 	// Token is the order's fencing token.
-	Token uint64
+	FencingToken uint64
 	// Newest is the newest fencing token known.
 	Newest uint64
 }
 
 func (e *FencedError) Error() string {
-	return fmt.Sprintf("order has stale fencing token %d, newest is %d", e.Token, e.Newest)
+	return fmt.Sprintf("order has stale fencing token %d, newest is %d", e.FencingToken, e.Newest)
 }
--- a/internal/lease/orders/guard.go
+++ b/internal/lease/orders/guard.go
@@ -33,7 +33,7 @@
 // Refresh reads the newest fencing token from the rows of the lease and of the
 // last order. Errors: ErrUnavailable, ErrCorrupt.
 func (g *Guard) Refresh(ctx context.Context) error {
-	token, err := lease.CurrentFencingToken(ctx, g.table, g.leaseName)
+	fencingToken, err := lease.CurrentFencingToken(ctx, g.table, g.leaseName)
 	if err != nil {
 		return errors.Join(ErrUnavailable, err)
 	}
@@ -44,21 +44,21 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.refreshed = true
-	g.newest = max(g.newest, token, last.FencingToken)
+	g.newest = max(g.newest, fencingToken, last.FencingToken)
 	return nil
 }
 
 // Admit accepts an order's fencing token and records it as the newest. It returns a
 // FencedError if the token is stale, and ErrNotRefreshed before the first Refresh.
-func (g *Guard) Admit(token uint64) error {
+func (g *Guard) Admit(fencingToken uint64) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.refreshed {
 		return ErrNotRefreshed
 	}
-	if token < g.newest {
-		return &FencedError{Token: token, Newest: g.newest}
+	if fencingToken < g.newest {
+		return &FencedError{FencingToken: fencingToken, Newest: g.newest}
 	}
-	g.newest = token
+	g.newest = fencingToken
 	return nil
 }
--- a/internal/lease/orders/store.go
+++ b/internal/lease/orders/store.go
@@ -36,7 +36,7 @@
 	}
 	next := Order{ID: last.ID, FencingToken: held.FencingToken(), Model: model}
 	if last.FencingToken > next.FencingToken {
-		return &FencedError{Token: next.FencingToken, Newest: last.FencingToken}
+		return &FencedError{FencingToken: next.FencingToken, Newest: last.FencingToken}
 	}
 	if last == next {
 		return nil
--- a/internal/lease/state.go
+++ b/internal/lease/state.go
@@ -30,10 +30,10 @@
 	return l.fencingToken
 }
 
-func (l *Lease) markHeld(token uint64, sentAt time.Time) {
+func (l *Lease) markHeld(fencingToken uint64, sentAt time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fencingToken = token
+	l.fencingToken = fencingToken
 	l.renewedAt = sentAt
 	l.everHeld = true
 	l.supersededAt = time.Time{}
