--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -44,7 +44,7 @@
 	Store Store
 	// Holder holds the targets applied in this process. Accepted changes are
 	// offered to it immediately.
-	Holder *targets.Cache
+	Targets *targets.Cache
 	// Fleet reports the status of all processes and backend servers.
 	Fleet Fleet
 	// OperatorKey is the key that every request must carry. If it is empty, all
@@ -63,7 +63,7 @@
 // API serves the administration API over HTTP.
 type API struct {
 	store           Store
-	holder          *targets.Cache
+	targets         *targets.Cache
 	fleet           Fleet
 	propagate       func(ctx context.Context, version uint64)
 	requireOperator auth.Middleware
@@ -78,7 +78,7 @@
 	}
 	return &API{
 		store:           config.Store,
-		holder:          config.Holder,
+		targets:         config.Targets,
 		fleet:           config.Fleet,
 		propagate:       config.Propagate,
 		requireOperator: auth.RequireOperatorKey(config.OperatorKey),
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -37,19 +37,19 @@
 
 // testAPI is an API with an in-memory table.
 type testAPI struct {
-	table  *storagetest.Table
-	holder *targets.Cache
-	router *httprouter.Router
+	table   *storagetest.Table
+	targets *targets.Cache
+	router  *httprouter.Router
 	// reportedVersion is the targets version that process "a" reports.
 	reportedVersion atomic.Uint64
 }
 
 func newTestAPI() *testAPI {
-	api := &testAPI{table: storagetest.NewTable(), holder: targets.NewCache(), router: httprouter.New()}
+	api := &testAPI{table: storagetest.NewTable(), targets: targets.NewCache(), router: httprouter.New()}
 	fleet := fakeFleet{processes: func() []Process {
 		return []Process{{Name: "a", HasStatus: true, TargetsVersion: api.reportedVersion.Load()}, {Name: "silent", HasStatus: true, StatusAge: time.Minute}, {Name: "never"}}
 	}}
-	New(Config{Store: store.New(api.table), Holder: api.holder, Fleet: fleet, OperatorKey: operatorKey}).Register(api.router)
+	New(Config{Store: store.New(api.table), Targets: api.targets, Fleet: fleet, OperatorKey: operatorKey}).Register(api.router)
 	return api
 }
 
@@ -95,7 +95,7 @@
 	if !created.Accepted || created.Version != 1 || created.Class.FirstToken != jsonDuration(850*time.Millisecond) {
 		t.Fatalf("created: %+v", created)
 	}
-	if api.holder.Current().Version != 1 {
+	if api.targets.Current().Version != 1 {
 		t.Fatal("the accepted change is not applied in this process")
 	}
 	patched := decodeResponse[changeResponse](t, api.send(http.MethodPatch, "/classes/hazard-flag", "1", `{"completion": "3s", "repeatable": true}`), http.StatusOK)
@@ -142,7 +142,7 @@
 			if !slices.Equal(got, tt.fields) {
 				t.Fatalf("fields: got %v, want %v", got, tt.fields)
 			}
-			if version := api.holder.Current().Version; version != 1 {
+			if version := api.targets.Current().Version; version != 1 {
 				t.Fatalf("version after a rejected request: %d", version)
 			}
 		})
@@ -192,7 +192,7 @@
 	created := decodeResponse[changeResponse](t, api.send(http.MethodPut, "/customers/ledger", "0", ""), http.StatusOK)
 	r := httptest.NewRequest(http.MethodPost, "/", nil)
 	auth.SetBearer(r.Header, created.APIKey)
-	if name, err := auth.AuthenticateCustomer(api.holder.Current(), false, r); err != nil || name != "ledger" {
+	if name, err := auth.AuthenticateCustomer(api.targets.Current(), false, r); err != nil || name != "ledger" {
 		t.Fatalf("caller with the new key: %q, %v", name, err)
 	}
 	for _, path := range []string{"/customers", "/customers/ledger"} {
@@ -206,7 +206,7 @@
 		t.Fatal("a key was generated although a hash was given")
 	}
 	decodeResponse[changeResponse](t, api.send(http.MethodDelete, "/customers/ledger", "2", ""), http.StatusOK)
-	if _, err := auth.AuthenticateCustomer(api.holder.Current(), false, r); err == nil {
+	if _, err := auth.AuthenticateCustomer(api.targets.Current(), false, r); err == nil {
 		t.Fatal("the key of a removed customer still works")
 	}
 }
--- a/internal/admin/change.go
+++ b/internal/admin/change.go
@@ -129,7 +129,7 @@
 		a.writeChangeError(w, err, attach)
 		return
 	}
-	a.holder.UpdateIfNewer(set)
+	a.targets.UpdateIfNewer(set)
 	if a.propagate != nil {
 		a.propagate(r.Context(), set.Version)
 	}
--- a/internal/admin/load.go
+++ b/internal/admin/load.go
@@ -23,8 +23,8 @@
 	set, err := a.store.Load(ctx)
 	if err != nil {
 		a.log.Warn(logging.EventAdminReadFailed, zap.Error(err))
-		return a.holder.Current(), sourceMemory
+		return a.targets.Current(), sourceMemory
 	}
-	a.holder.UpdateIfNewer(set)
+	a.targets.UpdateIfNewer(set)
 	return set, sourceTable
 }
--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -12,7 +12,7 @@
 	response := statusResponse{
 		Version:      set.Version,
 		Source:       source,
-		LocalVersion: a.holder.Current().Version,
+		LocalVersion: a.targets.Current().Version,
 		Propagation:  propagationOf(processes, set.Version),
 		Processes:    []processView{},
 	}
@@ -34,7 +34,7 @@
 // listBackendServers writes the status of the backend servers as known to this
 // process.
 func (a *API) listBackendServers(w http.ResponseWriter, _ *http.Request) {
-	version := a.holder.Current().Version
+	version := a.targets.Current().Version
 	response := backendServersResponse{Version: version, BackendServers: []backendServerView{}}
 	for _, e := range a.fleet.BackendServers() {
 		response.BackendServers = append(response.BackendServers, backendServerView{
--- a/internal/agent/dispatcher.go
+++ b/internal/agent/dispatcher.go
@@ -53,12 +53,12 @@
 	drained   chan struct{}
 }
 
-func newDispatcher(instance, served string, events *timeline.Ring, targetHolder *targets.Cache, queueMetrics *metrics.Queue) *dispatcher {
+func newDispatcher(instance, served string, events *timeline.Ring, targetCache *targets.Cache, queueMetrics *metrics.Queue) *dispatcher {
 	return &dispatcher{
 		instance:     instance,
 		served:       served,
 		events:       events,
-		targets:      targetHolder,
+		targets:      targetCache,
 		queueMetrics: queueMetrics,
 		scheduler:    policy.NewScheduler(),
 		tickets:      make(map[string]*ticket),
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -64,7 +64,7 @@
 		{Name: "engine-1", Role: "agent", Zone: "zone-a", TargetsVersion: 99, HasStatus: true, StatusAge: 80 * time.Millisecond, Draining: true},
 	}
 	router := httprouter.New()
-	admin.New(admin.Config{Store: store.New(api.table), Holder: targets.NewCache(), Fleet: api, OperatorKey: testKey}).Register(router)
+	admin.New(admin.Config{Store: store.New(api.table), Targets: targets.NewCache(), Fleet: api, OperatorKey: testKey}).Register(router)
 	router.Handler(http.MethodGet, timeline.PathView, auth.RequireOperatorKey(testKey)(http.HandlerFunc(api.serveTimeline)))
 	server := httptest.NewServer(router)
 	t.Cleanup(server.Close)
--- a/internal/entry/api/fake_test.go
+++ b/internal/entry/api/fake_test.go
@@ -68,8 +68,8 @@
 
 func newTestAPI(t *testing.T) *testAPI {
 	t.Helper()
-	holder := targets.NewCache()
-	holder.UpdateIfNewer(&targets.Set{Version: 1, Classes: []targets.Class{
+	cache := targets.NewCache()
+	cache.UpdateIfNewer(&targets.Set{Version: 1, Classes: []targets.Class{
 		{Name: "summary", Model: "apple", Tier: 4},
 		{Name: "docket", Service: "ledger", Tier: 2},
 	}})
@@ -77,7 +77,7 @@
 	claimer := claim.NewClaimer(api.table)
 	t.Cleanup(claimer.Close)
 	New(Config{
-		Targets:    holder,
+		Targets:    cache,
 		Dispatcher: api.dispatcher,
 		Catalog:    stubDependencies{},
 		Auth:       stubDependencies{},
--- a/internal/entry/api/fixture_test.go
+++ b/internal/entry/api/fixture_test.go
@@ -32,8 +32,8 @@
 func newBlockingFixture(t testing.TB, claims ClaimStore) *blockingFixture {
 	t.Helper()
 	f := &blockingFixture{t: t, router: httprouter.New(), recorder: &recordingObserver{}, dispatched: make(chan string), release: make(chan struct{})}
-	holder := targets.NewCache()
-	holder.UpdateIfNewer(&targets.Set{Version: 1, Classes: []targets.Class{
+	cache := targets.NewCache()
+	cache.UpdateIfNewer(&targets.Set{Version: 1, Classes: []targets.Class{
 		{Name: "urgent", Tier: 1, Model: "m"},
 		{Name: "lower", Tier: 2, Model: "m"},
 		{Name: "only", Tier: 2, Model: "n"},
@@ -41,7 +41,7 @@
 		{Name: "gate", Tier: 3, Service: "gate"},
 	}})
 	f.api = New(Config{
-		Targets: holder, Dispatcher: f, Catalog: f, Auth: f, Claims: claims, Observer: f.recorder,
+		Targets: cache, Dispatcher: f, Catalog: f, Auth: f, Claims: claims, Observer: f.recorder,
 		Timeline: timeline.NewRing("e", &timeline.Clock{}, 16), Log: zap.NewNop(),
 	})
 	f.api.Register(f.router)
--- a/internal/entry/fleet/link.go
+++ b/internal/entry/fleet/link.go
@@ -83,16 +83,16 @@
 // requests a newer set and sends or announces the current one if the agent's is
 // older.
 func (l *link) syncTargets(m wire.Message) {
-	holder := l.fleet.config.Targets
+	cache := l.fleet.config.Targets
 	if m.TargetSet != nil {
-		holder.UpdateIfNewer(m.TargetSet)
+		cache.UpdateIfNewer(m.TargetSet)
 	}
 	if m.GetTargets != nil {
-		l.send(wire.Message{TargetSet: holder.Current()})
+		l.send(wire.Message{TargetSet: cache.Current()})
 		return
 	}
-	current := holder.Current().Version
-	if holder.ShouldFetch(m.TargetsVersion) {
+	current := cache.Current().Version
+	if cache.ShouldFetch(m.TargetsVersion) {
 		l.send(wire.Message{GetTargets: &wire.GetTargets{}})
 	}
 	if m.TargetsVersion < current && m.GetTargets == nil {
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -31,7 +31,7 @@
 	metrics.Register(router, e.metrics, e.ready)
 	admin.New(admin.Config{
 		Store:       e.store,
-		Holder:      e.targets,
+		Targets:     e.targets,
 		Fleet:       e.fleetStatus,
 		OperatorKey: e.keys.operator,
 		Propagate:   func(ctx context.Context, version uint64) { e.fleet.AwaitTargets(ctx, version) },
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -30,21 +30,21 @@
 		startPeer(t, State{Process: "new", Targets: &targets.Set{Version: 5}, VMs: []storage.VM{{Name: "vm-1"}}}),
 		startPeer(t, State{Process: "older", Targets: &targets.Set{Version: 4}, VMs: []storage.VM{{Name: "vm-2"}}}),
 	}
-	holder := targets.NewCache()
-	vms, err := FetchFromAny(t.Context(), addrs, testKey, holder)
+	cache := targets.NewCache()
+	vms, err := FetchFromAny(t.Context(), addrs, testKey, cache)
 	if err != nil || len(vms) != 1 || vms[0].Name != "vm-1" {
 		t.Fatalf("VMs: got %+v, %v", vms, err)
 	}
-	if got := holder.Current().Version; got != 5 {
+	if got := cache.Current().Version; got != 5 {
 		t.Fatalf("targets: got version %d, want 5, the newest", got)
 	}
 }
 
 func TestPeersWithoutVMListStillProvideTargets(t *testing.T) {
-	holder := targets.NewCache()
-	_, err := FetchFromAny(t.Context(), []string{startPeer(t, State{Targets: &targets.Set{Version: 2}})}, testKey, holder)
-	if !errors.Is(err, ErrUnreachable) || holder.Current().Version != 2 {
-		t.Fatalf("got %v with version %d", err, holder.Current().Version)
+	cache := targets.NewCache()
+	_, err := FetchFromAny(t.Context(), []string{startPeer(t, State{Targets: &targets.Set{Version: 2}})}, testKey, cache)
+	if !errors.Is(err, ErrUnreachable) || cache.Current().Version != 2 {
+		t.Fatalf("got %v with version %d", err, cache.Current().Version)
 	}
 }
 
