--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -42,7 +42,7 @@
 type Config struct {
 	// Store loads and changes the targets.
 	Store Store
-	// Holder holds the targets applied in this process. Accepted changes are
+	// Targets holds the targets applied in this process. Accepted changes are
 	// offered to it immediately.
 	Targets *targets.Cache
 	// Fleet reports the status of all processes and backend servers.
--- a/internal/admin/response.go
+++ b/internal/admin/response.go
@@ -46,7 +46,7 @@
 }
 
 // writeJSON writes a response with a JSON body. Write errors are ignored: they
-// mean that the operator has disconnected.
+// mean that the caller has disconnected.
 func writeJSON[T any](w http.ResponseWriter, status int, body T) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/internal/agent/routes.go
+++ b/internal/agent/routes.go
@@ -45,7 +45,7 @@
 
 // pollVMList reads the VM list periodically until ctx ends. While the platform
 // is down, the agent keeps the last list. If the agent's targets are outdated
-// because a peer has not answered a request for newer ones, pollVMList asks all
+// because a peer has not responded to a request for newer ones, pollVMList asks all
 // entries again.
 func (a *Agent) pollVMList(ctx context.Context) {
 	ticker := time.NewTicker(vmListInterval)
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -12,7 +12,7 @@
 )
 
 // Conn is a caller's connection. It is idle from the end of a response to the first byte
-// of the next request. net/http leaves its own idle state later: only when the whole
+// of the next request. net/http leaves its own idle state later: only when the complete
 // request header has been read.
 //
 // Only the reading goroutine ends an idle period: the end is a read deadline, and after
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -61,7 +61,7 @@
 	writeSem chan struct{}
 
 	mu sync.Mutex
-	// fencingToken is the token of the lease held; zero while it is not held.
+	// fencingToken is the fencing token of the lease held; zero while it is not held.
 	fencingToken uint64
 	// renewedAt is when the last confirmed write of the row was sent.
 	renewedAt time.Time
--- a/internal/lease/orders/errors.go
+++ b/internal/lease/orders/errors.go
@@ -21,7 +21,7 @@
 
 // FencedError reports an order that was rejected because of a stale fencing token.
 type FencedError struct {
-	// Token is the order's fencing token.
+	// FencingToken is the order's fencing token.
 	FencingToken uint64
 	// Newest is the newest fencing token known.
 	Newest uint64
--- a/internal/lease/orders/guard.go
+++ b/internal/lease/orders/guard.go
@@ -11,8 +11,8 @@
 )
 
 // Guard rejects orders with stale fencing tokens on behalf of an engine that does
-// not check the token. It stores nothing on its VM: after a restart it rejects all
-// orders until it has read the newest token from the table service.
+// not check the fencing token. It stores nothing on its VM: after a restart it rejects all
+// orders until it has read the newest fencing token from the table service.
 type Guard struct {
 	table     storage.Table
 	leaseName string
@@ -49,7 +49,7 @@
 }
 
 // Admit accepts an order's fencing token and records it as the newest. It returns a
-// FencedError if the token is stale, and ErrNotRefreshed before the first Refresh.
+// FencedError if it is stale, and ErrNotRefreshed before the first Refresh.
 func (g *Guard) Admit(fencingToken uint64) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/lease/orders/orders_test.go
+++ b/internal/lease/orders/orders_test.go
@@ -91,7 +91,7 @@
 }
 
 // The agent restarts between a change of holder and an order that arrives late with
-// the former holder's token.
+// the former holder's fencing token.
 func TestRestartedAgentRejectsStaleToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
--- a/internal/logging/event.go
+++ b/internal/logging/event.go
@@ -62,14 +62,14 @@
 	EventRegisterFailed = "register_failed"
 	// EventGatewayRemoved: the registration of a terminated gateway was removed.
 	EventGatewayRemoved = "gateway_gone"
-	// EventServersListed: a gateway read the whole list of backend servers.
+	// EventServersListed: a gateway read the complete list of backend servers.
 	EventServersListed = "servers_listed"
 	// EventServerChanged: a backend server was added to the list or its entry there
 	// changed.
 	EventServerChanged = "server_changed"
 	// EventServerRemoved: a backend server was removed from the list.
 	EventServerRemoved = "server_removed"
-	// EventServerEnded: a backend server terminated while it had requests of this
+	// EventServerEnded: a backend server instance terminated while it had requests of this
 	// gateway.
 	EventServerEnded = "server_ended"
 	// EventServerLimited: a backend server announced a new or changed limit in a
--- a/internal/storage/platform.go
+++ b/internal/storage/platform.go
@@ -103,7 +103,7 @@
 	Serves string `json:"serves,omitempty"`
 }
 
-// VMList is the platform's list of live and leaving VMs. It is eventually
+// VMList is the platform's list of live and draining VMs. It is eventually
 // consistent.
 type VMList interface {
 	// VMs returns the list. Its error is ErrUnavailable.
--- a/internal/targets/class.go
+++ b/internal/targets/class.go
@@ -24,7 +24,7 @@
 	// BetweenTokens is the target for the mean inter-token latency; zero
 	// means no target.
 	BetweenTokens time.Duration `json:"between_tokens,omitempty"`
-	// Completion is the target for the whole response; zero means no target.
+	// Completion is the target for the complete response; zero means no target.
 	Completion time.Duration `json:"completion,omitempty"`
 	// Repeatable reports whether a request may be executed again after a
 	// failure that leaves its outcome unknown.
