--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -11,8 +11,8 @@
 	"github.com/go-faster/errors"
 )
 
-// Conn is a client connection. It is idle from the end of a response to the first byte
-// of the next request. net/http leaves its own idle state later: only when the whole
+// Conn is a caller's connection. It is idle from the end of a response to the first byte
+// of the next request. net/http leaves its own idle state later: only when the complete
 // request header has been read.
 //
 // Only the reading goroutine ends an idle period: the end is a read deadline, and after
@@ -34,7 +34,7 @@
 	// draining is set when the process stops: idle periods end at once.
 	draining bool
 	// backgroundNext is set when the next read is net/http's background read, which
-	// detects a client that disconnects during its request.
+	// detects a caller that disconnects during its request.
 	backgroundNext bool
 	requests       int
 	closeReason    CloseReason
@@ -78,7 +78,7 @@
 }
 
 // received updates the phase after a read: the first byte of a request ends the idle
-// period and starts the header timeout. Line ends between requests, which some clients
+// period and starts the header timeout. Line ends between requests, which some callers
 // send in excess, are ignored.
 func (c *Conn) received(p []byte) {
 	c.mu.Lock()
@@ -239,7 +239,7 @@
 	case errors.Is(err, net.ErrClosed):
 		c.recordCloseReason(ReasonServerClosed)
 	case errors.Is(err, io.EOF):
-		c.recordCloseReason(ReasonClientClosed)
+		c.recordCloseReason(ReasonCallerClosed)
 	default:
 		c.recordCloseReason(ReasonBroken)
 	}
--- a/internal/callers/server_test.go
+++ b/internal/callers/server_test.go
@@ -45,7 +45,7 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// testServer is a Server in a synctest bubble whose clients connect by pipes.
+// testServer is a Server in a synctest bubble whose callers connect by pipes.
 type testServer struct {
 	*Server
 	t            *testing.T
@@ -71,11 +71,11 @@
 	<-s.serveDone
 }
 
-// dial opens a client connection.
+// dial opens a caller's connection.
 func (s *testServer) dial() (net.Conn, *bufio.Reader) {
-	serverEnd, clientEnd := net.Pipe()
+	serverEnd, callerEnd := net.Pipe()
 	s.pipeListener.conns <- serverEnd
-	return clientEnd, bufio.NewReader(clientEnd)
+	return callerEnd, bufio.NewReader(callerEnd)
 }
 
 // testHeaderTimeout bounds the reading of a request header.
@@ -340,7 +340,7 @@
 	})
 }
 
-// The close reason distinguishes a close by the client from one by this process.
+// The close reason distinguishes a close by the caller from one by this process.
 func TestCloseReason(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		statuses := make(chan ConnStatus, 1)
@@ -354,8 +354,8 @@
 		}
 		synctest.Wait()
 		_ = c.Close()
-		if status := <-statuses; status.CloseReason != ReasonClientClosed || status.Requests != 1 {
-			t.Errorf("closed by the client: %+v", status)
+		if status := <-statuses; status.CloseReason != ReasonCallerClosed || status.Requests != 1 {
+			t.Errorf("closed by the caller: %+v", status)
 		}
 		c, _ = s.dial()
 		if _, err := io.WriteString(c, simpleGet); err != nil {
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -31,7 +31,7 @@
 	metrics.Register(router, e.metrics, e.ready)
 	admin.New(admin.Config{
 		Store:       e.store,
-		Holder:      e.targets,
+		Targets:     e.targets,
 		Fleet:       e.fleetStatus,
 		OperatorKey: e.keys.operator,
 		Propagate:   func(ctx context.Context, version uint64) { e.fleet.AwaitTargets(ctx, version) },
@@ -101,12 +101,12 @@
 	store.NewPoller(e.store, e.targets, e.log).Run(ctx)
 }
 
-// clientAuth identifies clients by API key or, with trustHeader, by the customer header
+// callerAuth identifies callers by API key or, with trustHeader, by the customer header
 // of requests without a key.
-type clientAuth struct{ trustHeader bool }
+type callerAuth struct{ trustHeader bool }
 
 // Customer returns the name of the customer that sent the request, or an error if it
 // can't be authenticated.
-func (c clientAuth) Customer(set *targets.Set, r *http.Request) (string, error) {
+func (c callerAuth) Customer(set *targets.Set, r *http.Request) (string, error) {
 	return auth.AuthenticateCustomer(set, c.trustHeader, r)
 }
--- a/internal/logging/event.go
+++ b/internal/logging/event.go
@@ -62,14 +62,14 @@
 	EventRegisterFailed = "register_failed"
 	// EventGatewayRemoved: the registration of a terminated gateway was removed.
 	EventGatewayRemoved = "gateway_gone"
-	// EventServersListed: a gateway read the whole list of backend servers.
+	// EventServersListed: a gateway read the complete list of backend servers.
 	EventServersListed = "servers_listed"
 	// EventServerChanged: a backend server was added to the list or its entry there
 	// changed.
 	EventServerChanged = "server_changed"
 	// EventServerRemoved: a backend server was removed from the list.
 	EventServerRemoved = "server_removed"
-	// EventServerEnded: a backend server terminated while it had requests of this
+	// EventServerEnded: a backend server instance terminated while it had requests of this
 	// gateway.
 	EventServerEnded = "server_ended"
 	// EventServerLimited: a backend server announced a new or changed limit in a
@@ -83,7 +83,7 @@
 	// EventQuarantineFailed: the quarantined requests could not be read from the
 	// store, or one of them could not be written to it.
 	EventQuarantineFailed = "quarantine_failed"
-	// EventIdleConnClosed: a gateway closed a client's connection that was idle
+	// EventIdleConnClosed: a gateway closed a caller's connection that was idle
 	// longer than the limit.
 	EventIdleConnClosed = "caller_closed"
 	// EventServerError: the HTTP server reported an internal error, such as a
@@ -103,7 +103,7 @@
 	EventRequestRefused = "request_refused"
 	// EventRequestUnknown: it is unknown whether the request ran.
 	EventRequestUnknown = "request_unknown"
-	// EventRequestCancelled: the client disconnected.
+	// EventRequestCancelled: the caller disconnected.
 	EventRequestCancelled = "request_cancelled"
 	// EventClaimNotSettled: the outcome of a request with an idempotency key could
 	// not be written to its claim.
--- a/internal/storage/platform.go
+++ b/internal/storage/platform.go
@@ -97,13 +97,13 @@
 	Zone string `json:"zone"`
 	// Role distinguishes entry VMs from backend server VMs.
 	Role VMRole `json:"role"`
-	// Leaving means that the VM is being drained and accepts no new requests.
+	// Draining means that the VM takes no new work.
 	Draining bool `json:"leaving,omitempty"`
 	// Serves names the model or plain service that a backend server VM runs.
 	Serves string `json:"serves,omitempty"`
 }
 
-// VMList is the platform's list of live and leaving VMs. It is eventually
+// VMList is the platform's list of live and draining VMs. It is eventually
 // consistent.
 type VMList interface {
 	// VMs returns the list. Its error is ErrUnavailable.
