--- a/testbed/cmd/load/measure.go
+++ b/testbed/cmd/load/measure.go
@@ -51,7 +51,7 @@
 		Seeds:         cmd.Int("seeds"),
 		Scale:         cmd.Float("scale"),
 		Parallel:      cmd.Int("parallel"),
-		ClientTimeout: cmd.Duration("patience"),
+		CallerTimeout: cmd.Duration("patience"),
 
 		MaxRetryAfter: cmd.Duration("return-within"),
 		Progress:      progress,
--- a/testbed/dutymodel/platform.go
+++ b/testbed/dutymodel/platform.go
@@ -15,17 +15,17 @@
 	if to.gateways[c.gateway].refusedToken == c.token {
 		to.violation = fmt.Sprintf("gateway %d reports again with fencing token %d, with which it was refused", c.gateway, c.token)
 	}
-	answered := to
-	if answered.deliver(c) {
-		g := &answered.gateways[c.gateway]
+	responded := to
+	if responded.deliver(c) {
+		g := &responded.gateways[c.gateway]
 		g.ledger = fromProduct(g.ledger.toProduct().Accept(uint64(c.window) + 1))
 	} else {
-		answered.gateways[c.gateway].refusedToken = c.token
+		responded.gateways[c.gateway].refusedToken = c.token
 		if e.guards.StepDown {
-			answered.gateways[c.gateway].stepDown()
+			responded.gateways[c.gateway].stepDown()
 		}
 	}
-	e.add(answered, "gateway %d reports window %d with token %d", c.gateway, c.window+1, c.token)
+	e.add(responded, "gateway %d reports window %d with token %d", c.gateway, c.window+1, c.token)
 
 	if e.bounds.NoLostResponses {
 		return
--- a/testbed/dutymodel/writes.go
+++ b/testbed/dutymodel/writes.go
@@ -15,13 +15,13 @@
 // sendWrite adds the steps of sending a transaction: the response arrives, the response is
 // lost, or the write is late.
 func (e *explorer) sendWrite(s *state, t transaction, action string) {
-	answered := *s
-	if e.apply(&answered, t) && (s.store.era == t.era || !e.guards.EraOfResponse) {
-		answered.acknowledge(t, e.guards)
+	responded := *s
+	if e.apply(&responded, t) && (s.store.era == t.era || !e.guards.EraOfResponse) {
+		responded.acknowledge(t, e.guards)
 	} else {
-		answered.gateways[t.gateway].stepDown()
+		responded.gateways[t.gateway].stepDown()
 	}
-	e.add(answered, "gateway %d %s", t.gateway, action)
+	e.add(responded, "gateway %d %s", t.gateway, action)
 
 	if !e.bounds.NoLostResponses {
 		lost := *s
--- a/testbed/fleet/platform.go
+++ b/testbed/fleet/platform.go
@@ -28,7 +28,7 @@
 }
 
 // MarkLeaving marks a VM in the VM list as leaving.
-func (p *Platform) MarkLeaving(ctx context.Context, name string) error {
+func (p *Platform) MarkDraining(ctx context.Context, name string) error {
 	_, err := call{method: http.MethodPost, url: p.vmURL(name) + "/leaving"}.do(ctx)
 	return err
 }
--- a/testbed/gateway/config_changes_test.go
+++ b/testbed/gateway/config_changes_test.go
@@ -20,10 +20,10 @@
 	f, server := newServingFixture(t, gateway.Options{MemoryMB: 100})
 	server.SetScript(respondSlowly)
 	stop := make(chan struct{})
-	load := &clientLoad{t: t, f: f}
-	var clients sync.WaitGroup
-	for n := range loadClients {
-		clients.Go(func() { load.runClient(fmt.Sprint("c", n), stop) })
+	load := &callerLoad{t: t, f: f}
+	var callers sync.WaitGroup
+	for n := range loadCallers {
+		callers.Go(func() { load.runCaller(fmt.Sprint("c", n), stop) })
 	}
 	// These routes aren't used by the load.
 	var routes strings.Builder
@@ -42,7 +42,7 @@
 		s.ShutdownTimeout = time.Second
 	})
 	close(stop)
-	clients.Wait()
+	callers.Wait()
 	load.report()
 	if load.succeeded.Load() == 0 {
 		t.Error("no request was served")
--- a/testbed/gateway/extra_bytes_test.go
+++ b/testbed/gateway/extra_bytes_test.go
@@ -28,30 +28,30 @@
 			f, server := newServingFixture(t, gateway.Options{})
 			script, release := respondOnRelease("whole")
 			server.SetScript(script)
-			client := dialRaw(t, f)
-			client.send(c.before)
+			caller := dialRaw(t, f)
+			caller.send(c.before)
 			if strings.Contains(c.before, "100-continue") {
-				client.send(c.beside)
+				caller.send(c.beside)
 			}
 			f.WaitFor("the request to reach the server", func() bool { return len(f.ReceivedRequests("1")) > 0 })
 			if !strings.Contains(c.before, "100-continue") {
-				client.send(c.beside)
+				caller.send(c.beside)
 			}
 			close(release)
-			got := client.receive("POST")
+			got := caller.receive("POST")
 			for got.Status == http.StatusContinue {
-				got = client.receive("POST")
+				got = caller.receive("POST")
 			}
 			if got.Status != 200 || got.Body != "whole" || got.Err != nil || unsignedSuccess(got) {
 				t.Errorf("got %+v", got)
 			}
 			switch next := requestHead("POST", "/safe/x", "beside"); {
 			case c.beside != "" && strings.HasPrefix(next, c.beside):
-				client.send(next[len(c.beside):])
+				caller.send(next[len(c.beside):])
 			case !strings.HasSuffix(c.before, next):
-				client.send(next)
+				caller.send(next)
 			}
-			if got := client.receive("POST"); got.Status != 200 || got.Body != "whole" || got.Err != nil || unsignedSuccess(got) {
+			if got := caller.receive("POST"); got.Status != 200 || got.Body != "whole" || got.Err != nil || unsignedSuccess(got) {
 				t.Errorf("the next request got %+v", got)
 			}
 		})
--- a/testbed/gateway/half_close_test.go
+++ b/testbed/gateway/half_close_test.go
@@ -20,12 +20,12 @@
 				f, server := newServingFixture(t, gateway.Options{})
 				script, release := respondOnRelease("id: 1\ndata: whole\n\n")
 				server.SetScript(script)
-				client := dialRaw(t, f)
-				client.send(postHead(path, "half", 4) + "body")
+				caller := dialRaw(t, f)
+				caller.send(postHead(path, "half", 4) + "body")
 				if !immediately {
 					f.WaitFor("the request to reach the server", func() bool { return len(f.ReceivedRequests("half")) > 0 })
 				}
-				if err := client.CloseWrite(); err != nil {
+				if err := caller.CloseWrite(); err != nil {
 					t.Fatal(err)
 				}
 				if !immediately {
@@ -37,7 +37,7 @@
 					}
 				}
 				close(release)
-				got := client.receive("POST")
+				got := caller.receive("POST")
 				if unsignedSuccess(got) {
 					t.Errorf("status %d without a server's signature: %+v", got.Status, got)
 				}
--- a/testbed/gateway/head_test.go
+++ b/testbed/gateway/head_test.go
@@ -10,9 +10,9 @@
 func TestHeadResponseIsForwarded(t *testing.T) {
 	f, server := newServingFixture(t, gateway.Options{})
 	server.SetScript(rawResponse(true, []string{"Content-Length: 5"}, 200, ""))
-	client := dialRaw(t, f)
-	client.send(requestHead("HEAD", "/unsafe/x", "head"))
-	if got := client.receive("HEAD"); got.Status != 200 || unsignedSuccess(got) || got.Header.Get("Content-Length") != "5" {
+	caller := dialRaw(t, f)
+	caller.send(requestHead("HEAD", "/unsafe/x", "head"))
+	if got := caller.receive("HEAD"); got.Status != 200 || unsignedSuccess(got) || got.Header.Get("Content-Length") != "5" {
 		t.Errorf("got %+v", got)
 	}
 }
--- a/testbed/gateway/http10_client_test.go
+++ b/testbed/gateway/http10_client_test.go
@@ -25,9 +25,9 @@
 			t.Parallel()
 			f, server := newServingFixture(t, gateway.Options{})
 			server.SetScript(c.script)
-			client := dialRaw(t, f)
-			client.send(strings.Replace(requestHead("POST", c.path, "old"), "HTTP/1.1", "HTTP/1.0", 1))
-			resp, err := http.ReadResponse(bufio.NewReader(client), nil)
+			caller := dialRaw(t, f)
+			caller.send(strings.Replace(requestHead("POST", c.path, "old"), "HTTP/1.1", "HTTP/1.0", 1))
+			resp, err := http.ReadResponse(bufio.NewReader(caller), nil)
 			if err != nil {
 				return
 			}
--- a/testbed/gateway/idle_close_race_test.go
+++ b/testbed/gateway/idle_close_race_test.go
@@ -31,7 +31,7 @@
 const (
 	// idleClients is the number of connections that stay idle until the gateway is about to
 	// close them, and idleRounds how often each does.
-	idleClients = 150
+	idleCallers = 150
 	idleRounds  = 8
 	// sendJitter is the range over which the times of their requests are spread.
 	sendJitter = 4 * time.Millisecond
@@ -86,12 +86,12 @@
 		}
 	}
 	for round := range idleRounds {
-		var clients sync.WaitGroup
-		for n := range idleClients {
+		var callers sync.WaitGroup
+		for n := range idleCallers {
 			c := dialRaw(t, f)
-			clients.Go(func() { sendAtClose(c, fmt.Sprintf("crosses-%d-%d", n, round)) })
+			callers.Go(func() { sendAtClose(c, fmt.Sprintf("crosses-%d-%d", n, round)) })
 		}
-		clients.Wait()
+		callers.Wait()
 	}
 	t.Logf("%d served, %d closed and not forwarded, %d interrupted", succeeded.Load(), closed.Load(), interrupted.Load())
 }
--- a/testbed/gateway/idle_timeout_test.go
+++ b/testbed/gateway/idle_timeout_test.go
@@ -81,16 +81,16 @@
 	suspendedIdleTimeout = 500 * time.Millisecond
 	// suspendedClients is the number of connections whose idle timers expire in a
 	// suspendRound.
-	suspendedClients = 100
+	suspendedCallers = 100
 )
 
 // suspendRound suspends the gateway, sends a request on every connection, and resumes the
 // gateway once all idle timers have expired. It returns how many requests were answered and
 // how many were forwarded.
-func suspendRound(t *testing.T, f *gateway.Fixture, process *os.Process, round int) (answered, forwarded int) {
+func suspendRound(t *testing.T, f *gateway.Fixture, process *os.Process, round int) (served, forwarded int) {
 	t.Helper()
 	var conns []*keepAliveConn
-	for n := range suspendedClients {
+	for n := range suspendedCallers {
 		conn := dialKeepAlive(t, f)
 		conn.mustServe(t, fmt.Sprintf("first-%d-%d", round, n))
 		conns = append(conns, conn)
@@ -109,7 +109,7 @@
 		_, err := conn.receiveResponse()
 		executed := len(f.ReceivedRequests(fmt.Sprintf("second-%d-%d", round, n))) > 0
 		if err == nil {
-			answered++
+			served++
 		}
 		if executed {
 			forwarded++
@@ -119,5 +119,5 @@
 		}
 		_ = conn.Close()
 	}
-	return answered, forwarded
+	return served, forwarded
 }
--- a/testbed/gateway/incomplete_body_test.go
+++ b/testbed/gateway/incomplete_body_test.go
@@ -14,10 +14,10 @@
 		t.Run(form, func(t *testing.T) {
 			t.Parallel()
 			f, _ := newServingFixture(t, gateway.Options{})
-			client := dialRaw(t, f)
+			caller := dialRaw(t, f)
 			began := time.Now()
-			client.send(strings.TrimSuffix(requestHead("POST", "/quick/x", "slow"), "\r\n") + body)
-			got := client.receive("POST")
+			caller.send(strings.TrimSuffix(requestHead("POST", "/quick/x", "slow"), "\r\n") + body)
+			got := caller.receive("POST")
 			// The route's timeout is 200 ms; the requirement allows 500 ms more.
 			if took := time.Since(began); got.Status == 0 || took > 700*time.Millisecond {
 				t.Errorf("after %v: %+v", took, got)
--- a/testbed/gateway/quarantine_test.go
+++ b/testbed/gateway/quarantine_test.go
@@ -90,10 +90,10 @@
 	f := gateway.NewFixture(t, gateway.Options{})
 	servers := startCrashableServers(f, 6, gateway.Events(20, 0, 20*time.Millisecond))
 	f.WaitFor("the gateway to serve", func() bool { return f.Post("/resume/warm", "warm").Status == http.StatusOK })
-	var clients sync.WaitGroup
+	var callers sync.WaitGroup
 	completed, rejected := make([]int, 12), make([]int, 12)
 	for n := range completed {
-		clients.Go(func() {
+		callers.Go(func() {
 			for i := range 8 {
 				switch got := postBody(f, fmt.Sprintf("/resume/%d", n), fmt.Sprintf("beside-%d-%d", n, i), "harmless"); {
 				case got.Status == http.StatusOK && got.Err == nil:
@@ -108,7 +108,7 @@
 		postBody(f, "/safe/x", fmt.Sprintf("deadly-%d", i), crashBody)
 		time.Sleep(100 * time.Millisecond)
 	}
-	clients.Wait()
+	callers.Wait()
 	if n := servers.crashes(); n != maxCrashes {
 		t.Errorf("%d servers crashed, at most %d may", n, maxCrashes)
 	}
@@ -131,11 +131,11 @@
 		}
 		return gateway.Respond("whole")(c, a)
 	})
-	var clients sync.WaitGroup
-	defer clients.Wait()
+	var callers sync.WaitGroup
+	defer callers.Wait()
 	// startHarmless starts a harmless request and returns the server that runs it.
 	startHarmless := func(id string) string {
-		clients.Go(func() { postBody(f, "/stream/x", id, "harmless") })
+		callers.Go(func() { postBody(f, "/stream/x", id, "harmless") })
 		f.WaitFor("the request to run", func() bool { return len(f.ReceivedRequests(id)) > 0 })
 		return f.ReceivedRequests(id)[0].Server
 	}
@@ -143,7 +143,7 @@
 	for i := range maxCrashes - 1 {
 		startHarmless(fmt.Sprintf("beside-%d", i))
 		postBody(f, "/unsafe/x", fmt.Sprintf("deadly-%d", i), crashBody)
-		clients.Wait()
+		callers.Wait()
 		f.WaitFor("a server to be back", func() bool { return f.Post("/unsafe/x", fmt.Sprintf("back-%d", i)).Status == http.StatusOK })
 	}
 	occupied := startHarmless("beside-last")
--- a/testbed/gateway/rejected_body_test.go
+++ b/testbed/gateway/rejected_body_test.go
@@ -34,16 +34,16 @@
 				t.Parallel()
 				core, logs := observer.New(zap.DebugLevel)
 				f, _ := newServingFixture(t, gateway.Options{Log: zap.New(core)})
-				client := dialRaw(t, f)
-				client.send(rejectedHead(c.path, c.key, "refused", "Content-Length: 8") + "half")
+				caller := dialRaw(t, f)
+				caller.send(rejectedHead(c.path, c.key, "refused", "Content-Length: 8") + "half")
 				f.WaitFor("the request to be rejected", func() bool { return logs.FilterField(zap.String("request", "refused")).Len() > 0 })
-				client.send("half")
-				if got := client.receive("POST"); got.Status != c.status {
+				caller.send("half")
+				if got := caller.receive("POST"); got.Status != c.status {
 					t.Fatalf("rejected with %+v", got)
 				}
 				// The gateway may close the connection; only the response matters.
-				_, _ = client.Write([]byte(postHead(path, "next", 0)))
-				got := client.receive("POST")
+				_, _ = caller.Write([]byte(postHead(path, "next", 0)))
+				got := caller.receive("POST")
 				t.Logf("the next request reached %d servers", len(f.ReceivedRequests("next")))
 				if unsignedSuccess(got) {
 					t.Errorf("status %d without a server's signature: %+v", got.Status, got)
--- a/testbed/gateway/rejection_without_body_test.go
+++ b/testbed/gateway/rejection_without_body_test.go
@@ -20,12 +20,12 @@
 			t.Run(name+", "+form, func(t *testing.T) {
 				t.Parallel()
 				f, _ := newServingFixture(t, gateway.Options{})
-				client := dialRaw(t, f)
+				caller := dialRaw(t, f)
 				began := time.Now()
-				client.send(strings.TrimSuffix(rejectedHead(c.path, c.key, "refused"), "\r\n") + body)
-				got := client.receive("POST")
+				caller.send(strings.TrimSuffix(rejectedHead(c.path, c.key, "refused"), "\r\n") + body)
+				got := caller.receive("POST")
 				if got.Status == http.StatusContinue {
-					got = client.receive("POST")
+					got = caller.receive("POST")
 				}
 				if got.Status != c.status {
 					t.Errorf("after %v: %+v", time.Since(began), got)
--- a/testbed/gateway/server_limit_test.go
+++ b/testbed/gateway/server_limit_test.go
@@ -42,15 +42,15 @@
 // number of responses by status and body.
 func generateLoad(ctx context.Context, fixtures []*gateway.Fixture, perSecond int) map[string]int {
 	var mu sync.Mutex
-	var clients sync.WaitGroup
+	var callers sync.WaitGroup
 	responses := map[string]int{}
 	for _, f := range fixtures {
-		clients.Go(func() {
+		callers.Go(func() {
 			ticker := time.NewTicker(time.Second / time.Duration(perSecond))
 			defer ticker.Stop()
 			for ctx.Err() == nil {
 				<-ticker.C
-				clients.Go(func() {
+				callers.Go(func() {
 					got := f.Post("/safe/x", "pressing")
 					mu.Lock()
 					defer mu.Unlock()
@@ -59,7 +59,7 @@
 			}
 		})
 	}
-	clients.Wait()
+	callers.Wait()
 	return responses
 }
 
--- a/testbed/gateway/shutdown_test.go
+++ b/testbed/gateway/shutdown_test.go
@@ -20,7 +20,7 @@
 
 // clientLoad sends requests on keep-alive connections, with random pauses, until the gateway
 // accepts no new connection or the load is stopped.
-type clientLoad struct {
+type callerLoad struct {
 	t *testing.T
 	f *gateway.Fixture
 	// succeeded, rejected, closed and interrupted count the outcomes of requests.
@@ -29,7 +29,7 @@
 
 // runClient sends requests one after another until stop is closed; name is the prefix of their
 // IDs.
-func (l *clientLoad) runClient(name string, stop <-chan struct{}) {
+func (l *callerLoad) runCaller(name string, stop <-chan struct{}) {
 	var c *rawConn
 	for n := 0; ; n++ {
 		select {
@@ -55,7 +55,7 @@
 
 // send sends one request on a route of random type. It reports whether the connection stays
 // open.
-func (l *clientLoad) send(c *rawConn, id string) bool {
+func (l *callerLoad) send(c *rawConn, id string) bool {
 	path := []string{"/safe/x", "/unsafe/x", "/stream/x", "/resume/x"}[rand.N(4)]
 	_, _ = c.Write([]byte(postHead(path, id, 4)))
 	if rand.N(2) == 0 {
@@ -78,25 +78,25 @@
 }
 
 // report logs the outcomes.
-func (l *clientLoad) report() {
+func (l *callerLoad) report() {
 	l.t.Logf("%d served, %d rejected, %d closed and not forwarded, %d interrupted", l.succeeded.Load(), l.rejected.Load(), l.closed.Load(), l.interrupted.Load())
 }
 
 // loadClients is the number of concurrent clients.
-const loadClients = 60
+const loadCallers = 60
 
 // Requests that arrive during a shutdown are served or not forwarded at all.
 func TestRequestsDuringShutdown(t *testing.T) {
 	f, server := newServingFixture(t, gateway.Options{Grace: 4 * time.Second})
 	server.SetScript(respondSlowly)
-	load := &clientLoad{t: t, f: f}
-	var clients sync.WaitGroup
-	for n := range loadClients {
-		clients.Go(func() { load.runClient(fmt.Sprint("c", n), nil) })
+	load := &callerLoad{t: t, f: f}
+	var callers sync.WaitGroup
+	for n := range loadCallers {
+		callers.Go(func() { load.runCaller(fmt.Sprint("c", n), nil) })
 	}
-	f.WaitFor("the requests to be served", func() bool { return load.succeeded.Load() > 10*loadClients })
+	f.WaitFor("the requests to be served", func() bool { return load.succeeded.Load() > 10*loadCallers })
 	f.Stop()
-	clients.Wait()
+	callers.Wait()
 	load.report()
 }
 
--- a/testbed/gateway/soak_test.go
+++ b/testbed/gateway/soak_test.go
@@ -50,10 +50,10 @@
 	deadline := time.Now().Add(soakDuration)
 	var workers sync.WaitGroup
 	workers.Go(func() { s.injectFaults(servers, deadline) })
-	for client := range 12 {
+	for caller := range 12 {
 		workers.Go(func() {
 			for n := 0; time.Now().Before(deadline); n++ {
-				s.sendAndCheck(fmt.Sprintf("c%d-%d", client, n))
+				s.sendAndCheck(fmt.Sprintf("c%d-%d", caller, n))
 			}
 		})
 	}
--- a/testbed/gateway/unread_response_test.go
+++ b/testbed/gateway/unread_response_test.go
@@ -23,8 +23,8 @@
 	// The body exceeds the socket buffers between the two.
 	body := strings.Repeat("x", 32<<20)
 	server.SetScript(gateway.Respond(body))
-	client := dialRaw(t, f)
-	client.send(requestHead("POST", "/unsafe/x", "unread", "X-Deadline-Ms: 1000", fmt.Sprintf("Content-Length: %d", 0)))
+	caller := dialRaw(t, f)
+	caller.send(requestHead("POST", "/unsafe/x", "unread", "X-Deadline-Ms: 1000", fmt.Sprintf("Content-Length: %d", 0)))
 	f.WaitFor("the request to reach the server", func() bool { return len(f.ReceivedRequests("unread")) > 0 })
 	f.Stop()
 	select {
--- a/testbed/gateway/unusual_responses_test.go
+++ b/testbed/gateway/unusual_responses_test.go
@@ -59,9 +59,9 @@
 			t.Parallel()
 			f, server := newServingFixture(t, gateway.Options{})
 			server.SetScript(c.script)
-			client := dialRaw(t, f)
-			client.send(requestHead(c.method, "/unsafe/x", "odd"))
-			got := client.receive(c.method)
+			caller := dialRaw(t, f)
+			caller.send(requestHead(c.method, "/unsafe/x", "odd"))
+			got := caller.receive(c.method)
 			ok := false
 			for _, want := range c.want {
 				ok = ok || got.Status == want
@@ -73,8 +73,8 @@
 				return
 			}
 			server.SetScript(gateway.Respond("whole"))
-			client.send(requestHead("POST", "/safe/x", "next"))
-			if got := client.receive("POST"); got.Status != 200 || got.Body != "whole" {
+			caller.send(requestHead("POST", "/safe/x", "next"))
+			if got := caller.receive("POST"); got.Status != 200 || got.Body != "whole" {
 				t.Errorf("the next request got %+v", got)
 			}
 		})
@@ -97,12 +97,12 @@
 				if tokens != "" && !strings.HasPrefix(line, "X-Token") {
 					lines = append(lines, tokens)
 				}
-				client := dialRaw(t, f)
-				client.send(requestHead("POST", path, "1", lines...))
-				if got := client.receive("POST"); got.Status == 0 || got.Err != nil || unsignedSuccess(got) {
+				caller := dialRaw(t, f)
+				caller.send(requestHead("POST", path, "1", lines...))
+				if got := caller.receive("POST"); got.Status == 0 || got.Err != nil || unsignedSuccess(got) {
 					t.Errorf("%s, %q: %+v", path, lines, got)
 				}
-				_ = client.Close()
+				_ = caller.Close()
 			}
 		}
 	}
--- a/testbed/gateway/usage_test.go
+++ b/testbed/gateway/usage_test.go
@@ -55,16 +55,16 @@
 // load sends the customer's requests to all of the given gateways for a time and returns how
 // many succeeded.
 func (r *usageFixture) load(d time.Duration, fixtures []*gateway.Fixture) int64 {
-	var answered int64
+	var served int64
 	for deadline := time.Now().Add(d); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		for _, f := range fixtures {
 			r.calls++
 			if got := f.Post("/safe/x", fmt.Sprintf("call-%d", r.calls)); got.Status == 200 {
-				answered++
+				served++
 			}
 		}
 	}
-	return answered
+	return served
 }
 
 // reported returns the sum of the requests reported for the customer.
@@ -78,14 +78,14 @@
 
 // expect waits until the reported requests match those answered, within a relative tolerance,
 // and checks that the reports broke no rule of the platform.
-func (r *usageFixture) expect(answered int64, tolerance float64) {
+func (r *usageFixture) expect(served int64, tolerance float64) {
 	r.t.Helper()
-	least, most := float64(answered)*(1-tolerance), float64(answered)*(1+tolerance)
+	least, most := float64(served)*(1-tolerance), float64(served)*(1+tolerance)
 	for end := time.Now().Add(2 * usageDelay); time.Now().Before(end) && float64(r.reported()) < least; {
 		time.Sleep(50 * time.Millisecond)
 	}
 	if got := float64(r.reported()); got < least || got > most {
-		r.t.Errorf("%v requests reported, %d answered", got, answered)
+		r.t.Errorf("%v requests reported, %d answered", got, served)
 	}
 	for _, violation := range r.cloud.Violations() {
 		r.t.Error(violation)
@@ -104,10 +104,10 @@
 func TestUsageAfterStopAndStoreRestore(t *testing.T) {
 	t.Parallel()
 	r := startUsageFixture(t, 3)
-	answered := r.load(2*time.Second, r.fixtures)
-	r.expect(answered, 0)
+	served := r.load(2*time.Second, r.fixtures)
+	r.expect(served, 0)
 	backup := r.store.Snapshot()
-	answered += r.load(1500*time.Millisecond, r.fixtures)
+	served += r.load(1500*time.Millisecond, r.fixtures)
 	r.store.SetFault(rowstore.Unavailable)
 	r.store.Restore(backup)
 	time.Sleep(outage)
@@ -127,14 +127,14 @@
 func TestUsageDuringPlatformFaults(t *testing.T) {
 	t.Parallel()
 	r := startUsageFixture(t, 2)
-	var answered int64
+	var served int64
 	for _, fault := range []cloud.Fault{cloud.Delayed, cloud.ResponseLost, cloud.Throttled, cloud.RequestLost, cloud.Delayed} {
 		r.cloud.SetFault(fault)
-		answered += r.load(1200*time.Millisecond, r.fixtures)
+		served += r.load(1200*time.Millisecond, r.fixtures)
 		r.cloud.SetFault(cloud.NoFault)
 		r.cloud.RunDelayed()
 	}
-	r.expect(answered, 0)
+	r.expect(served, 0)
 }
 
 // A gateway without the metering duty neither calls the platform nor writes rows for duties.
--- a/testbed/history/check.go
+++ b/testbed/history/check.go
@@ -22,7 +22,7 @@
 	// "unknown" is reported only when something failed.
 	GuaranteeAtMostOnce
 	// GuaranteeLeaving: a leaving backend server gets no new work after a time limit.
-	GuaranteeLeaving
+	GuaranteeDraining
 	// GuaranteeStop: a planned stop interrupts no call.
 	GuaranteeStop
 	// GuaranteeTargets: an accepted change of targets is in force within its
@@ -57,7 +57,7 @@
 		checkNotRun,
 		checkAtMostOnce,
 		checkUnknown,
-		checkLeaving,
+		checkDraining,
 		checkStops,
 		checkVersions,
 		checkChanges,
--- a/testbed/history/check_test.go
+++ b/testbed/history/check_test.go
@@ -20,11 +20,11 @@
 			Started: at(started), Ended: at(started + 2), Ending: EndingComplete}
 	}
 	return History{
-		Calls:    []Call{call("flag", 0, 0), call("docket", 3, 0)},
-		Runs:     []Run{run("flag", 1), run("docket", 1)},
-		Stops:    []Stop{{Process: "e0", At: at(2), Clean: true}},
-		Leavings: []Leaving{{Server: "vm0", At: at(0), Limit: 3 * time.Second}},
-		Changes:  []Change{{Version: 2, Class: "flag", Accepted: at(1), Limit: 5 * time.Second}},
+		Calls:   []Call{call("flag", 0, 0), call("docket", 3, 0)},
+		Runs:    []Run{run("flag", 1), run("docket", 1)},
+		Stops:   []Stop{{Process: "e0", At: at(2), Clean: true}},
+		Drains:  []Drain{{Server: "vm0", At: at(0), Limit: 3 * time.Second}},
+		Changes: []Change{{Version: 2, Class: "flag", Accepted: at(1), Limit: 5 * time.Second}},
 		Versions: []VersionReading{
 			{Process: "e0", At: at(0), Version: 1},
 			{Process: "e0", At: at(7), Version: 2, ClassVersions: map[string]uint64{"flag": 2}},
@@ -111,7 +111,7 @@
 			setFailed(&h.Calls[docket], OutcomeUnknown)
 			h.Faults = []Fault{{At: at(-5), Lifted: at(-1)}}
 		}},
-		{"new work on a leaving server", GuaranteeLeaving, func(h *History) { h.Runs[docket].Started = at(4) }},
+		{"new work on a leaving server", GuaranteeDraining, func(h *History) { h.Runs[docket].Started = at(4) }},
 		{"planned stop cut an answer", GuaranteeStop, func(h *History) { setFailed(&h.Calls[docket], OutcomeFailed) }},
 		{"planned stop refused what waited", GuaranteeStop, func(h *History) {
 			setFailed(&h.Calls[docket], OutcomeNotRun)
@@ -166,7 +166,7 @@
 			setFailed(&h.Calls[docket], OutcomeNotRun)
 			h.Calls[docket].Done = at(1)
 			h.Runs[docket].Request, h.Runs[docket].Started = "r-repeat", at(11)
-			h.Leavings = nil
+			h.Drains = nil
 		}},
 		{"without a key: ran and failed, then refused", func(h *History) {
 			repeat := h.Calls[docket]
--- a/testbed/history/event.go
+++ b/testbed/history/event.go
@@ -13,7 +13,7 @@
 }
 
 // Leaving records that a VM was told to leave.
-type Leaving struct {
+type Drain struct {
 	Server string    `json:"server"`
 	At     time.Time `json:"at"`
 	// Limit is for how long after At new work may still start on the VM.
--- a/testbed/history/history.go
+++ b/testbed/history/history.go
@@ -16,7 +16,7 @@
 	// stops are not faults.
 	Faults []Fault `json:"faults"`
 	// Leavings lists VMs that were told to leave.
-	Leavings []Leaving `json:"leavings"`
+	Drains []Drain `json:"leavings"`
 	// Stops lists planned stops.
 	Stops []Stop `json:"stops"`
 	// Changes lists accepted changes of targets.
--- a/testbed/history/leaving.go
+++ b/testbed/history/leaving.go
@@ -3,14 +3,14 @@
 import "fmt"
 
 // checkLeaving reports runs that started on a leaving server after its time limit.
-func checkLeaving(h *indexedHistory) []Violation {
+func checkDraining(h *indexedHistory) []Violation {
 	var found []Violation
-	for _, leaving := range h.Leavings {
-		last := leaving.At.Add(leaving.Limit)
+	for _, drain := range h.Drains {
+		last := drain.At.Add(drain.Limit)
 		for _, run := range h.Runs {
-			if run.Server == leaving.Server && run.Started.After(last) {
-				found = append(found, Violation{GuaranteeLeaving, leaving.Server,
-					fmt.Sprintf("%s started %s after it was told to leave", run.ID, run.Started.Sub(leaving.At))})
+			if run.Server == drain.Server && run.Started.After(last) {
+				found = append(found, Violation{GuaranteeDraining, drain.Server,
+					fmt.Sprintf("%s started %s after it was told to leave", run.ID, run.Started.Sub(drain.At))})
 			}
 		}
 	}
--- a/testbed/history/recorder.go
+++ b/testbed/history/recorder.go
@@ -30,10 +30,10 @@
 }
 
 // Leaving records that a VM was told to leave.
-func (r *Recorder) Leaving(l Leaving) {
+func (r *Recorder) Drain(l Drain) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.history.Leavings = append(r.history.Leavings, l)
+	r.history.Drains = append(r.history.Drains, l)
 }
 
 // Stop records a planned stop.
@@ -72,7 +72,7 @@
 	h.Calls = append([]Call(nil), h.Calls...)
 	h.Runs = append([]Run(nil), h.Runs...)
 	h.Faults = append([]Fault(nil), h.Faults...)
-	h.Leavings = append([]Leaving(nil), h.Leavings...)
+	h.Drains = append([]Drain(nil), h.Drains...)
 	h.Stops = append([]Stop(nil), h.Stops...)
 	h.Changes = append([]Change(nil), h.Changes...)
 	h.Versions = append([]VersionReading(nil), h.Versions...)
--- a/testbed/matrix/background.go
+++ b/testbed/matrix/background.go
@@ -18,7 +18,7 @@
 func (h *harness) startBackground(ctx context.Context) (stop func()) {
 	stopping := make(chan struct{})
 	var wg conc.WaitGroup
-	for i, request := range []clientRequest{
+	for i, request := range []callerRequest{
 		{class: classFlag, tokens: hazardFlagTokens, customer: customerLarge},
 		{class: classNote, tokens: noteTokens, customer: customerLarge},
 		{class: classNote, tokens: noteTokens, customer: customerSmall, unstreamed: true},
@@ -33,7 +33,7 @@
 
 // repeatCall sends the request again and again, to the entries in turn, until
 // stopping is closed.
-func (h *harness) repeatCall(ctx context.Context, stopping <-chan struct{}, request clientRequest, n int) {
+func (h *harness) repeatCall(ctx context.Context, stopping <-chan struct{}, request callerRequest, n int) {
 	for {
 		select {
 		case <-stopping:
--- a/testbed/matrix/burst.go
+++ b/testbed/matrix/burst.go
@@ -68,7 +68,7 @@
 	stopping := make(chan struct{})
 	maxDuration := maxBurstCallDuration(c)
 	for n := range topTierCallers {
-		request := clientRequest{class: classFlag, tokens: hazardFlagTokens, customer: customerLarge, maxDuration: maxDuration}
+		request := callerRequest{class: classFlag, tokens: hazardFlagTokens, customer: customerLarge, maxDuration: maxDuration}
 		h.calls.Go(func() { h.repeatWithRetry(ctx, stopping, request, n) })
 	}
 	h.calls.Go(func() {
@@ -89,7 +89,7 @@
 		return errors.New("not every agent has waiting tickets")
 	}
 	for n := range lowestTierCallers {
-		request := clientRequest{class: classSummary, marker: h.newMarker(classSummary), tokens: lowestTierTokens, customer: customerSmall, maxDuration: maxDuration}
+		request := callerRequest{class: classSummary, marker: h.newMarker(classSummary), tokens: lowestTierTokens, customer: customerSmall, maxDuration: maxDuration}
 		h.calls.Go(func() { h.callWithRetry(ctx, request, n) })
 	}
 	if c.Faults[0] == NoFault {
@@ -117,7 +117,7 @@
 		if n%2 == 0 {
 			customer = customerSmall
 		}
-		request := clientRequest{class: classBurst, marker: h.newMarker(classBurst), tokens: burstTokens, customer: customer, maxDuration: maxDuration}
+		request := callerRequest{class: classBurst, marker: h.newMarker(classBurst), tokens: burstTokens, customer: customer, maxDuration: maxDuration}
 		h.calls.Go(func() { h.callWithRetry(ctx, request, n) })
 	})
 }
@@ -137,7 +137,7 @@
 
 // repeatWithRetry makes one call after the other, each with retries, until
 // stopping is closed.
-func (h *harness) repeatWithRetry(ctx context.Context, stopping <-chan struct{}, request clientRequest, n int) {
+func (h *harness) repeatWithRetry(ctx context.Context, stopping <-chan struct{}, request callerRequest, n int) {
 	for h.waitPollInterval(ctx, stopping) {
 		request.marker = h.newMarker(request.class)
 		h.callWithRetry(ctx, request, n)
@@ -149,7 +149,7 @@
 // A refused call is sent again after its Retry-After. Only the cell's timeout
 // ends the retries, because the Retry-After hints cover the work of the whole
 // burst and more.
-func (h *harness) callWithRetry(ctx context.Context, request clientRequest, n int) {
+func (h *harness) callWithRetry(ctx context.Context, request callerRequest, n int) {
 	for ctx.Err() == nil {
 		call := h.call(ctx, request, h.pickEntry(n))
 		if call.Outcome == history.OutcomeComplete {
--- a/testbed/matrix/cell.go
+++ b/testbed/matrix/cell.go
@@ -23,7 +23,7 @@
 	// SubjectTargets is a change of targets.
 	SubjectTargets Subject = "targets"
 	// SubjectLeaving is a backend server VM that leaves the fleet.
-	SubjectLeaving Subject = "leaving"
+	SubjectDraining Subject = "leaving"
 	// SubjectStop is a planned stop of one or two processes.
 	SubjectStop Subject = "stop"
 )
--- a/testbed/matrix/cells.go
+++ b/testbed/matrix/cells.go
@@ -63,7 +63,7 @@
 		cells = append(cells, Cell{Subject: SubjectStop, Step: StepUnderLoad, Faults: faults, Seed: seed})
 	}
 	for _, faults := range LeavingFaults {
-		cells = append(cells, Cell{Subject: SubjectLeaving, Step: StepUnderLoad, Faults: faults, Seed: seed})
+		cells = append(cells, Cell{Subject: SubjectDraining, Step: StepUnderLoad, Faults: faults, Seed: seed})
 	}
 	for _, step := range []Step{StepBurst, StepSaturation} {
 		for _, kind := range BurstFaults {
--- a/testbed/matrix/client_request.go
+++ b/testbed/matrix/client_request.go
@@ -31,7 +31,7 @@
 )
 
 // clientRequest is one request that a caller sends.
-type clientRequest struct {
+type callerRequest struct {
 	class       string
 	model       string // the default model if empty
 	marker      string
@@ -63,14 +63,14 @@
 	AnswerTokens string `json:"answer_tokens"`
 }
 
-func (c clientRequest) modelName() string {
+func (c callerRequest) modelName() string {
 	if c.model == "" {
 		return model
 	}
 	return c.model
 }
 
-func (c clientRequest) body() ([]byte, error) {
+func (c callerRequest) body() ([]byte, error) {
 	return json.Marshal(chatBody{
 		Model:     c.modelName(),
 		Stream:    !c.unstreamed,
@@ -86,7 +86,7 @@
 var httpClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 // send sends the request to an entry and returns the call as the caller saw it.
-func (c clientRequest) send(ctx context.Context, entry *fleet.Entry) history.Call {
+func (c callerRequest) send(ctx context.Context, entry *fleet.Entry) history.Call {
 	class := classOf(c.class)
 	call := history.Call{
 		Marker:         c.marker,
@@ -123,7 +123,7 @@
 	return history.OutcomeFailed
 }
 
-func (c clientRequest) do(ctx context.Context, entry *fleet.Entry, call *history.Call) error {
+func (c callerRequest) do(ctx context.Context, entry *fleet.Entry, call *history.Call) error {
 	body, err := c.body()
 	if err != nil {
 		return err
--- a/testbed/matrix/fault.go
+++ b/testbed/matrix/fault.go
@@ -48,13 +48,13 @@
 		return process.Kill()
 	case PauseEntry, PauseAgent, PauseEngine:
 		return process.Pause()
-	case StopEntry, StopAgent, LeaveVM:
+	case StopEntry, StopAgent, DrainVM:
 		return f.startStop(ctx)
 	case Straggler, Stall, CutStream, StaleLoad:
 		return f.location.backend().Server.SetEngineKnobs(ctx, engineFaults(f.kind))
-	case PlatformDown, PlatformSlow, LostAnswer, ListLags:
+	case PlatformDown, PlatformSlow, LostResponse, ListLags:
 		return f.location.harness.fleet.Platform.UpdateKnobs(ctx, platformFaults(f.kind))
-	case CutAnswer:
+	case CutResponse:
 		return f.location.harness.configureServices(ctx, plain.Knobs{SlowMS: int(serviceDelay.Milliseconds()), DropResponses: 1})
 	}
 	return f.startConnectionFault()
@@ -107,9 +107,9 @@
 		return process.Resume()
 	case Straggler, Stall, CutStream, StaleLoad:
 		return f.location.backend().Server.SetEngineKnobs(ctx, healthyEngine)
-	case PlatformDown, PlatformSlow, LostAnswer, ListLags:
+	case PlatformDown, PlatformSlow, LostResponse, ListLags:
 		return f.location.harness.fleet.Platform.UpdateKnobs(ctx, clearPlatformFaults)
-	case CutAnswer:
+	case CutResponse:
 		return f.location.harness.configureServices(ctx, plain.Knobs{})
 	case Refuse:
 		return f.location.proxy().Accept()
--- a/testbed/matrix/fault_kind.go
+++ b/testbed/matrix/fault_kind.go
@@ -36,13 +36,13 @@
 	// after carrying out the call, or returns an outdated VM list.
 	PlatformDown FaultKind = "platform-down"
 	PlatformSlow FaultKind = "platform-slow"
-	LostAnswer   FaultKind = "platform-answer-lost"
+	LostResponse FaultKind = "platform-answer-lost"
 	ListLags     FaultKind = "list-lags"
 	// Planned stops by SIGTERM. LeaveVM marks the VM as leaving and stops its
 	// agent and then its engine.
 	StopEntry FaultKind = "stop-entry"
 	StopAgent FaultKind = "stop-agent"
-	LeaveVM   FaultKind = "leave-vm"
+	DrainVM   FaultKind = "leave-vm"
 )
 
 // RequestFaults lists the faults that are injected at each step of a request.
@@ -50,10 +50,10 @@
 	KillEntry, KillAgent, KillEngine, PauseEntry, PauseAgent, PauseEngine,
 	Cut, Silent, SilentUp, SilentDown, Refuse, Delay, Reorder,
 	Straggler, Stall, CutStream, StaleLoad,
-	PlatformDown, PlatformSlow, LostAnswer, ListLags,
-	StopEntry, StopAgent, LeaveVM,
+	PlatformDown, PlatformSlow, LostResponse, ListLags,
+	StopEntry, StopAgent, DrainVM,
 }
 
 // isPlannedStop reports whether the fault is a planned stop, which must not
 // interrupt any call.
-func (k FaultKind) isPlannedStop() bool { return k == StopEntry || k == StopAgent || k == LeaveVM }
+func (k FaultKind) isPlannedStop() bool { return k == StopEntry || k == StopAgent || k == DrainVM }
--- a/testbed/matrix/fault_settings.go
+++ b/testbed/matrix/fault_settings.go
@@ -60,7 +60,7 @@
 			k.Down = true
 		case PlatformSlow:
 			k.SlowMS = int(platformCallDelay.Milliseconds())
-		case LostAnswer:
+		case LostResponse:
 			k.DropResponses = 1
 		case ListLags:
 			k.ListLagMS = int(vmListAge.Milliseconds())
--- a/testbed/matrix/fixed_cells.go
+++ b/testbed/matrix/fixed_cells.go
@@ -20,7 +20,7 @@
 		singleFaultCell(SubjectService, StepBodySent, KillAgent),
 		singleFaultCell(SubjectService, StepStarted, KillEntry),
 		singleFaultCell(SubjectService, StepStarted, SilentDown),
-		singleFaultCell(SubjectService, StepStarted, CutAnswer),
+		singleFaultCell(SubjectService, StepStarted, CutResponse),
 		singleFaultCell(SubjectService, StepStarted, KillService),
 		singleFaultCell(SubjectTargets, StepWriteLost, TwoOperators),
 		singleFaultCell(SubjectTargets, StepWriteLost, KillEntry),
@@ -29,8 +29,8 @@
 		Cell{Subject: SubjectTargets, Step: StepAccepted, Faults: []FaultKind{PlatformDown, FreshEntry}, Seed: 1},
 		singleFaultCell(SubjectStop, StepUnderLoad, StopEntry),
 		singleFaultCell(SubjectBurst, StepBurst, KillEntry),
-		Cell{Subject: SubjectStop, Step: StepUnderLoad, Faults: []FaultKind{StopEntry, LeaveVM}, Seed: 1},
-		Cell{Subject: SubjectLeaving, Step: StepUnderLoad, Faults: []FaultKind{LeaveVM, ListLags}, Seed: 1},
+		Cell{Subject: SubjectStop, Step: StepUnderLoad, Faults: []FaultKind{StopEntry, DrainVM}, Seed: 1},
+		Cell{Subject: SubjectDraining, Step: StepUnderLoad, Faults: []FaultKind{DrainVM, ListLags}, Seed: 1},
 	)
 	return append(cells, regressionCells()...)
 }
--- a/testbed/matrix/harness.go
+++ b/testbed/matrix/harness.go
@@ -164,7 +164,7 @@
 }
 
 // call sends a request and records the call.
-func (h *harness) call(ctx context.Context, request clientRequest, entry *fleet.Entry) history.Call {
+func (h *harness) call(ctx context.Context, request callerRequest, entry *fleet.Entry) history.Call {
 	call := request.send(ctx, entry)
 	h.recorder.Call(call)
 	return call
--- a/testbed/matrix/lease.go
+++ b/testbed/matrix/lease.go
@@ -27,7 +27,7 @@
 )
 
 // LeaseFaults lists the faults that are injected at each step of a lease.
-var LeaseFaults = []FaultKind{KillEntry, PauseEntry, KillAgent, PauseAgent, PlatformDown, LostAnswer, StopEntry}
+var LeaseFaults = []FaultKind{KillEntry, PauseEntry, KillAgent, PauseAgent, PlatformDown, LostResponse, StopEntry}
 
 // lostModel is the model that loses its only engine, classLost its class.
 const (
@@ -157,7 +157,7 @@
 func (h *harness) probeLostModel(ctx context.Context) {
 	deadline := time.Now().Add(modelLoadTimeout)
 	for n := 0; ; n++ {
-		request := clientRequest{class: classLost, model: lostModel, marker: h.newMarker(classLost), tokens: probeTokens, customer: customerSmall}
+		request := callerRequest{class: classLost, model: lostModel, marker: h.newMarker(classLost), tokens: probeTokens, customer: customerSmall}
 		call := request.send(ctx, h.fleet.Entries[n%entryCount])
 		call.Probe = call.Outcome == history.OutcomeComplete || time.Now().After(deadline)
 		h.recorder.Call(call)
--- a/testbed/matrix/location.go
+++ b/testbed/matrix/location.go
@@ -21,9 +21,9 @@
 	switch kind {
 	case KillEntry, PauseEntry, StopEntry:
 		return l.entry.Process
-	case CutAnswer, KillService, KillEngine, PauseEngine, Straggler, Stall, CutStream, StaleLoad:
+	case CutResponse, KillService, KillEngine, PauseEngine, Straggler, Stall, CutStream, StaleLoad:
 		return l.backend().Server.Process
-	case PlatformDown, PlatformSlow, LostAnswer, ListLags:
+	case PlatformDown, PlatformSlow, LostResponse, ListLags:
 		return l.harness.fleet.Platform.Process
 	}
 	return l.backend().Agent
--- a/testbed/matrix/operators.go
+++ b/testbed/matrix/operators.go
@@ -18,7 +18,7 @@
 // step of a change of targets.
 var TargetFaults = [][]FaultKind{
 	{KillEntry}, {KillAgent}, {PauseEntry}, {PauseAgent}, {Cut}, {Silent}, {SilentUp}, {SilentDown},
-	{Delay}, {PlatformDown}, {PlatformSlow}, {LostAnswer}, {TwoOperators},
+	{Delay}, {PlatformDown}, {PlatformSlow}, {LostResponse}, {TwoOperators},
 	{PlatformDown, FreshEntry}, {KillEntry, PlatformDown}, {PlatformDown, KillAgent}, {StopEntry},
 }
 
--- a/testbed/matrix/planned.go
+++ b/testbed/matrix/planned.go
@@ -15,19 +15,19 @@
 const StepUnderLoad Step = "under-load"
 
 // LeaveListed marks a VM as leaving on the platform's list and stops no process.
-const LeaveListed FaultKind = "leave-listed"
+const DrainListed FaultKind = "leave-listed"
 
 // StopFaults lists the planned stops, alone and in pairs.
 var StopFaults = [][]FaultKind{
-	{StopEntry}, {StopAgent}, {LeaveVM}, {StopEntry, StopEntry},
-	{StopEntry, StopAgent}, {StopEntry, LeaveVM}, {StopAgent, LeaveVM},
+	{StopEntry}, {StopAgent}, {DrainVM}, {StopEntry, StopEntry},
+	{StopEntry, StopAgent}, {StopEntry, DrainVM}, {StopAgent, DrainVM},
 }
 
 // LeavingFaults lists the ways in which a VM leaves, some together with a fault
 // that delays the news of it.
 var LeavingFaults = [][]FaultKind{
-	{LeaveListed}, {LeaveListed, Silent}, {LeaveListed, SilentDown}, {LeaveListed, PauseEntry},
-	{LeaveVM, PlatformDown}, {LeaveVM, ListLags}, {LeaveVM, Silent}, {LeaveVM, SilentDown},
+	{DrainListed}, {DrainListed, Silent}, {DrainListed, SilentDown}, {DrainListed, PauseEntry},
+	{DrainVM, PlatformDown}, {DrainVM, ListLags}, {DrainVM, Silent}, {DrainVM, SilentDown},
 }
 
 const (
@@ -68,7 +68,7 @@
 func (h *harness) startLongStreams(ctx context.Context) error {
 	var markers []string
 	for n := range longStreamCount {
-		request := clientRequest{class: classSummary, marker: h.newMarker("long"), tokens: longStreamTokens, customer: customerLarge}
+		request := callerRequest{class: classSummary, marker: h.newMarker("long"), tokens: longStreamTokens, customer: customerLarge}
 		markers = append(markers, request.marker)
 		h.calls.Go(func() { h.call(ctx, request, h.fleet.Entries[n%entryCount]) })
 	}
@@ -88,17 +88,17 @@
 
 // runLeavingCell runs a cell in which a VM leaves, and continues past leavingLimit so
 // that new work on that VM is seen.
-func (h *harness) runLeavingCell(ctx context.Context, c Cell) error {
+func (h *harness) runDrainingCell(ctx context.Context, c Cell) error {
 	loc := location{harness: h, entry: h.fleet.Entries[0], agent: h.rng.IntN(engineCount)}
 	if err := h.startLongStreams(ctx); err != nil {
 		return err
 	}
 	var faults []*fault
 	for _, kind := range reversed(c.Faults) {
-		if kind == LeaveListed {
+		if kind == DrainListed {
 			vm := loc.backend().VM.Name
-			h.recorder.Leaving(history.Leaving{Server: vm, At: time.Now(), Limit: leavingLimit})
-			if err := h.fleet.Platform.MarkLeaving(ctx, vm); err != nil {
+			h.recorder.Drain(history.Drain{Server: vm, At: time.Now(), Limit: drainingLimit})
+			if err := h.fleet.Platform.MarkDraining(ctx, vm); err != nil {
 				return err
 			}
 			continue
@@ -110,7 +110,7 @@
 		faults = append(faults, f)
 	}
 	// A fixed wait is needed here: the check is that no work starts during it.
-	pause.Sleep(ctx, leavingLimit+extraObservation)
+	pause.Sleep(ctx, drainingLimit+extraObservation)
 	for _, f := range faults {
 		if err := f.clear(ctx); err != nil {
 			return err
--- a/testbed/matrix/probe.go
+++ b/testbed/matrix/probe.go
@@ -38,7 +38,7 @@
 func (h *harness) probeClass(ctx context.Context, class string, entry *fleet.Entry) {
 	deadline := time.Now().Add(recoveryTimeout)
 	for {
-		call := clientRequest{class: class, marker: h.newMarker("probe-" + class), tokens: probeTokens, customer: customerSmall}.send(ctx, entry)
+		call := callerRequest{class: class, marker: h.newMarker("probe-" + class), tokens: probeTokens, customer: customerSmall}.send(ctx, entry)
 		call.Probe = call.Outcome == history.OutcomeComplete || time.Now().After(deadline)
 		h.recorder.Call(call)
 		if call.Probe || !h.waitPollInterval(ctx, nil) {
--- a/testbed/matrix/report.go
+++ b/testbed/matrix/report.go
@@ -22,9 +22,9 @@
 	Held    int
 	Broken  int
 	// Spread is the longest propagation time of a change of targets in any cell.
-	Spread       time.Duration
-	LeavingLimit time.Duration
-	ChangeLimit  time.Duration
+	Spread        time.Duration
+	DrainingLimit time.Duration
+	ChangeLimit   time.Duration
 }
 
 // WriteReport writes the report with the table of cells to path.
@@ -33,7 +33,7 @@
 	if err != nil {
 		return errors.Wrap(err, "parse report template")
 	}
-	data := reportData{Results: results, LeavingLimit: leavingLimit, ChangeLimit: changeLimit}
+	data := reportData{Results: results, DrainingLimit: drainingLimit, ChangeLimit: changeLimit}
 	for _, result := range results {
 		data.Spread = max(data.Spread, result.Spread)
 		if result.Holds() {
--- a/testbed/matrix/request.go
+++ b/testbed/matrix/request.go
@@ -29,7 +29,7 @@
 	}
 	b := h.setBreakpoint(c.Step, string(c.Subject))
 	defer b.release()
-	subject := clientRequest{class: string(c.Subject), marker: h.newMarker(string(c.Subject)), tokens: subjectTokens, customer: customerLarge}
+	subject := callerRequest{class: string(c.Subject), marker: h.newMarker(string(c.Subject)), tokens: subjectTokens, customer: customerLarge}
 	if c.Subject == SubjectDocket {
 		subject.key = uuid.NewString()
 	}
@@ -154,7 +154,7 @@
 
 // retryCall retries an unserved call through other entries with the same
 // idempotency key, as its caller would.
-func (h *harness) retryCall(ctx context.Context, request clientRequest, last history.Call) {
+func (h *harness) retryCall(ctx context.Context, request callerRequest, last history.Call) {
 	for n := range maxRetries {
 		if last.Outcome == history.OutcomeComplete || ctx.Err() != nil {
 			return
--- a/testbed/matrix/run.go
+++ b/testbed/matrix/run.go
@@ -99,8 +99,8 @@
 		return h.runLeaseCell(ctx, c)
 	case SubjectBurst:
 		return h.runBurstCell(ctx, c)
-	case SubjectLeaving:
-		return h.runLeavingCell(ctx, c)
+	case SubjectDraining:
+		return h.runDrainingCell(ctx, c)
 	}
 	return errors.Errorf("unknown subject %s", c.Subject)
 }
--- a/testbed/matrix/saturate.go
+++ b/testbed/matrix/saturate.go
@@ -35,7 +35,7 @@
 		if h.allAgentsWaiting() {
 			return nil
 		}
-		filler := clientRequest{class: classNote, marker: h.newMarker("filler"), tokens: fillerTokens, customer: customerSmall}
+		filler := callerRequest{class: classNote, marker: h.newMarker("filler"), tokens: fillerTokens, customer: customerSmall}
 		h.calls.Go(func() { h.call(ctx, filler, h.pickEntry(n)) })
 		waitCtx, cancel := context.WithTimeout(ctx, fillerStatusWait)
 		pollUntil(waitCtx, h.allAgentsWaiting)
--- a/testbed/matrix/service.go
+++ b/testbed/matrix/service.go
@@ -25,7 +25,7 @@
 
 // CutAnswer makes the plain service carry out the call and close the connection
 // before the response.
-const CutAnswer FaultKind = "cut-answer"
+const CutResponse FaultKind = "cut-answer"
 
 // ServiceSteps and ServiceFaults list the steps of a plain service's call and the
 // faults that are injected at each.
@@ -33,7 +33,7 @@
 	ServiceSteps  = []Step{StepBeforeTicket, StepGranted, StepBodySent, StepStarted, StepAfterEnd}
 	ServiceFaults = []FaultKind{
 		KillEntry, KillAgent, PauseEntry, PauseAgent, Cut, Silent, SilentUp, SilentDown, Refuse,
-		Delay, PlatformDown, LostAnswer, StopEntry, StopAgent, CutAnswer, KillService,
+		Delay, PlatformDown, LostResponse, StopEntry, StopAgent, CutResponse, KillService,
 	}
 )
 
--- a/testbed/matrix/stop.go
+++ b/testbed/matrix/stop.go
@@ -11,15 +11,15 @@
 // leavingLimit is the time after which a leaving backend server gets no new
 // work. The agent reads the VM list every 5 s, the platform's response takes
 // some time, and earlier grants may be used for 1 s.
-const leavingLimit = 8 * time.Second
+const drainingLimit = 8 * time.Second
 
 // startStop starts a planned stop without waiting for its end.
 func (f *fault) startStop(ctx context.Context) error {
 	h := f.location.harness
-	if f.kind == LeaveVM {
+	if f.kind == DrainVM {
 		vm := f.location.backend().VM.Name
-		h.recorder.Leaving(history.Leaving{Server: vm, At: time.Now(), Limit: leavingLimit})
-		if err := h.fleet.Platform.MarkLeaving(ctx, vm); err != nil {
+		h.recorder.Drain(history.Drain{Server: vm, At: time.Now(), Limit: drainingLimit})
+		if err := h.fleet.Platform.MarkDraining(ctx, vm); err != nil {
 			return err
 		}
 	}
@@ -34,7 +34,7 @@
 func (f *fault) finishStop(ctx context.Context) error {
 	process := f.location.process(f.kind)
 	f.recordStop(ctx, process)
-	if f.kind == LeaveVM {
+	if f.kind == DrainVM {
 		server := f.location.backend().Server.Process
 		if err := server.SendTerminate(); err != nil {
 			return err
--- a/testbed/measure/fleetrun.go
+++ b/testbed/measure/fleetrun.go
@@ -66,7 +66,7 @@
 	}
 	target := loadfleet.LoadOptions(running, scenario.Scaled(s.options.Scale))
 	target.Seed = s.seed
-	target.RequestTimeout = s.options.ClientTimeout
+	target.RequestTimeout = s.options.CallerTimeout
 	target.MaxRetryAfter = s.options.MaxRetryAfter
 	for _, name := range s.options.Targets {
 		if name == targetDirect && shape != quietShape {
--- a/testbed/measure/measure_test.go
+++ b/testbed/measure/measure_test.go
@@ -17,7 +17,7 @@
 		Seeds:         1,
 		Scale:         0.03,
 		Parallel:      1,
-		ClientTimeout: 20 * time.Second,
+		CallerTimeout: 20 * time.Second,
 		Progress:      io.Discard,
 	}
 	rounds, err := measure.Run(t.Context(), options)
--- a/testbed/measure/options.go
+++ b/testbed/measure/options.go
@@ -19,7 +19,7 @@
 	// Parallel is the number of fleets that run concurrently.
 	Parallel int
 	// ClientTimeout is how long a client waits for the end of its response.
-	ClientTimeout time.Duration
+	CallerTimeout time.Duration
 	// MaxRetryAfter is the longest retry delay that a refused client obeys; it
 	// doesn't retry after a longer one.
 	MaxRetryAfter time.Duration
--- a/testbed/platform/server.go
+++ b/testbed/platform/server.go
@@ -78,7 +78,7 @@
 	router.HandlerFunc(http.MethodGet, "/vms", s.limitRead(s.listVMs))
 	router.PUT("/vms/:name", s.putVM)
 	router.DELETE("/vms/:name", s.deleteVM)
-	router.POST("/vms/:name/leaving", s.markLeaving)
+	router.POST("/vms/:name/leaving", s.markDraining)
 	router.Handler(http.MethodGet, "/knobs", &s.knobs)
 	router.Handler(http.MethodPut, "/knobs", &s.knobs)
 	router.HandlerFunc(http.MethodGet, "/stats", s.getStats)
@@ -163,8 +163,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (s *Server) markLeaving(w http.ResponseWriter, _ *http.Request, params httprouter.Params) {
-	if !s.vms.markLeaving(params.ByName("name"), time.Now()) {
+func (s *Server) markDraining(w http.ResponseWriter, _ *http.Request, params httprouter.Params) {
+	if !s.vms.markDraining(params.ByName("name"), time.Now()) {
 		http.Error(w, "no such VM", http.StatusNotFound)
 		return
 	}
--- a/testbed/platform/vmlist.go
+++ b/testbed/platform/vmlist.go
@@ -50,7 +50,7 @@
 }
 
 // markLeaving marks a VM as leaving and reports whether it is listed.
-func (l *vmList) markLeaving(name string, at time.Time) bool {
+func (l *vmList) markDraining(name string, at time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	vm, ok := l.current[name]
--- a/testbed/soak/client.go
+++ b/testbed/soak/client.go
@@ -17,7 +17,7 @@
 	maxIdleFraction = 0.8
 	// clientTimeout is how long a client waits for a response: more than twice
 	// the longest route timeout plus the longest path delays.
-	clientTimeout = 10 * time.Second
+	callerTimeout = 10 * time.Second
 	// reconnectDelay is the delay between two connection attempts.
 	reconnectDelay = 50 * time.Millisecond
 	host           = "h.example"
@@ -25,7 +25,7 @@
 
 // client sends requests to one gateway over a persistent connection, which it
 // keeps open until the gateway closes it or a request fails.
-type client struct {
+type caller struct {
 	name, gateway, addr string
 	random              *rand.Rand
 	state               *stateGenerator
@@ -39,7 +39,7 @@
 }
 
 // run sends requests until ctx is done.
-func (c *client) run(ctx context.Context) {
+func (c *caller) run(ctx context.Context) {
 	defer c.closeConn()
 	for n := 0; ctx.Err() == nil; n++ {
 		if c.conn == nil && !c.connect(ctx) {
@@ -63,7 +63,7 @@
 
 // drawIdleTime draws how long the connection stays idle before its next request:
 // zero in a third of the cases, the maximum in another third, else a random time.
-func (c *client) drawIdleTime() time.Duration {
+func (c *caller) drawIdleTime() time.Duration {
 	longest := maxIdleFraction * float64(c.state.minIdleTimeout())
 	switch c.random.IntN(3) {
 	case 0:
@@ -75,7 +75,7 @@
 	}
 }
 
-func (c *client) connect(ctx context.Context) bool {
+func (c *caller) connect(ctx context.Context) bool {
 	conn, err := net.DialTimeout("tcp", c.addr, time.Second)
 	if err != nil {
 		sleep(ctx, reconnectDelay)
@@ -85,7 +85,7 @@
 	return true
 }
 
-func (c *client) closeConn() {
+func (c *caller) closeConn() {
 	if c.conn != nil {
 		_ = c.conn.Close()
 		c.conn = nil
@@ -94,7 +94,7 @@
 
 // send sends one request and reads its response. It closes the connection if
 // either fails.
-func (c *client) send(id, kind, key string) (call Call) {
+func (c *caller) send(id, kind, key string) (call Call) {
 	call = Call{ID: id, Gateway: c.gateway, Kind: kind, Key: key, Before: c.requestCount, Timeout: routeTimeout(kind), Stray: c.reader.Buffered() > 0}
 	if c.requestCount > 0 {
 		call.Rested = time.Since(c.lastResponse)
@@ -105,7 +105,7 @@
 		request += "Authorization: Bearer " + call.Key + "\r\n"
 	}
 	call.Sent = time.Now()
-	_ = c.conn.SetDeadline(call.Sent.Add(clientTimeout))
+	_ = c.conn.SetDeadline(call.Sent.Add(callerTimeout))
 	_, err := io.WriteString(c.conn, request+"\r\n"+body)
 	call.Written = err == nil
 	if err == nil {
@@ -121,7 +121,7 @@
 	return call
 }
 
-func (c *client) readResponse(call *Call) error {
+func (c *caller) readResponse(call *Call) error {
 	resp, err := http.ReadResponse(c.reader, &http.Request{Method: http.MethodPost})
 	if err != nil {
 		return err
--- a/testbed/soak/harness.go
+++ b/testbed/soak/harness.go
@@ -18,7 +18,7 @@
 	// servers is the number of backend servers; half of them get faults.
 	servers = 5
 	// clientsPerGateway is a load that a small VM's fraction of a core can serve.
-	clientsPerGateway = 30
+	callersPerGateway = 30
 	// sampleInterval is how often a gateway's metrics and descriptors are read.
 	sampleInterval = 150 * time.Millisecond
 	startTimeout   = 20 * time.Second
@@ -164,7 +164,7 @@
 	started := time.Now()
 	probe := Probe{Gateway: g.name, Kind: kind, After: -1}
 	for n := 0; probe.After < 0 && ctx.Err() == nil && time.Since(started) < recoveryTimeout; n++ {
-		c := &client{gateway: g.name, addr: g.frontProxy.addr(), random: rand.New(rand.NewPCG(h.config.Seed, 0)), state: h.states}
+		c := &caller{gateway: g.name, addr: g.frontProxy.addr(), random: rand.New(rand.NewPCG(h.config.Seed, 0)), state: h.states}
 		if c.connect(ctx) {
 			key := permanentKey
 			if kind == kindOpen {
--- a/testbed/soak/proxy.go
+++ b/testbed/soak/proxy.go
@@ -129,26 +129,26 @@
 }
 
 // relay forwards one connection until both directions have ended.
-func (p *proxy) relay(client net.Conn) {
+func (p *proxy) relay(caller net.Conn) {
 	p.mu.Lock()
 	target := p.target
 	p.mu.Unlock()
 	server, err := net.Dial("tcp", target)
 	if err != nil {
-		abort(client)
+		abort(caller)
 		return
 	}
 	p.mu.Lock()
-	p.conns[client] = server
+	p.conns[caller] = server
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.forward(client, server, upstream) })
-	both.Go(func() { p.forward(server, client, downstream) })
+	both.Go(func() { p.forward(caller, server, upstream) })
+	both.Go(func() { p.forward(server, caller, downstream) })
 	both.Wait()
 	p.mu.Lock()
-	delete(p.conns, client)
+	delete(p.conns, caller)
 	p.mu.Unlock()
-	_, _ = client.Close(), server.Close()
+	_, _ = caller.Close(), server.Close()
 }
 
 // chunk is data in flight; due is when it is forwarded.
--- a/testbed/soak/run.go
+++ b/testbed/soak/run.go
@@ -102,12 +102,12 @@
 		coreFraction := coreFractions[random.IntN(len(coreFractions))]
 		workers.Go(func() { enforceCPUQuota(work, g, coreFraction) })
 		workers.Go(func() { h.sampleGateway(work, g) })
-		for i := range clientsPerGateway {
-			loadClient := &client{
+		for i := range callersPerGateway {
+			loadCaller := &caller{
 				name: fmt.Sprintf("c%d-%d", n, i), gateway: g.name, addr: g.frontProxy.addr(),
-				random: rand.New(rand.NewPCG(c.Seed, uint64(n*clientsPerGateway+i)+1<<32)), state: h.states, record: h.recordCall,
+				random: rand.New(rand.NewPCG(c.Seed, uint64(n*callersPerGateway+i)+1<<32)), state: h.states, record: h.recordCall,
 			}
-			workers.Go(func() { loadClient.run(work) })
+			workers.Go(func() { loadCaller.run(work) })
 		}
 	}
 	h.runSteps(work, steps)
--- a/testbed/soak/script.go
+++ b/testbed/soak/script.go
@@ -95,8 +95,8 @@
 // respondHalf breaks off its response in the middle.
 func respondHalf(c net.Conn, a *gateway.ReceivedRequest) bool {
 	kind, from := parseRequest(a)
-	whole := expectedBody(kind, a.ID, from)
-	_, _ = io.WriteString(c, gateway.ResponseHead(a, 200, fmt.Sprintf("Content-Length: %d", len(whole)))+whole[:len(whole)/2])
+	complete := expectedBody(kind, a.ID, from)
+	_, _ = io.WriteString(c, gateway.ResponseHead(a, 200, fmt.Sprintf("Content-Length: %d", len(complete)))+complete[:len(complete)/2])
 	return false
 }
 
