--- a/testbed/faultproxy/tap.go
+++ b/testbed/faultproxy/tap.go
@@ -20,7 +20,7 @@
 	direction Direction
 
 	mu              sync.Mutex
-	generation      int
+	blackholeCount  int
 	connectionCount int64
 	closed          chan struct{} // closed to close all existing connections
 	holds           []*Hold
@@ -30,9 +30,9 @@
 
 // connState is a tap's state for one connection.
 type connState struct {
-	generation int
-	closed     <-chan struct{}
-	parser     eventParser
+	blackholesBefore int
+	closed           <-chan struct{}
+	parser           eventParser
 	// delayFraction is the position of the connection's delay between minDelay (0) and maxDelay (1).
 	delayFraction float64
 }
@@ -48,7 +48,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.connectionCount++
-	return &connState{generation: t.generation, closed: t.closed, delayFraction: rand.Float64(), parser: eventParser{direction: t.direction, connection: t.connectionCount}}
+	return &connState{blackholesBefore: t.blackholeCount, closed: t.closed, delayFraction: rand.Float64(), parser: eventParser{direction: t.direction, connection: t.connectionCount}}
 }
 
 // Pipe forwards the data of one connection; toxiproxy calls it.
@@ -133,13 +133,13 @@
 func (t *tap) blackhole() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.generation++
+	t.blackholeCount++
 }
 
 func (t *tap) blackholed(state *connState) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return state.generation < t.generation
+	return state.blackholesBefore < t.blackholeCount
 }
 
 // closeAll closes all existing connections. Blackholed ones need this, since they
--- a/testbed/fleet/killwithparent_other.go
+++ b/testbed/fleet/killwithparent_other.go
@@ -5,6 +5,6 @@
 import "syscall"
 
 // killWithParent returns nil: outside Linux only Close stops the children.
-func endWithParent() *syscall.SysProcAttr {
+func killWithParent() *syscall.SysProcAttr {
 	return nil
 }
--- a/testbed/matrix/cells.go
+++ b/testbed/matrix/cells.go
@@ -62,7 +62,7 @@
 	for _, faults := range StopFaults {
 		cells = append(cells, Cell{Subject: SubjectStop, Step: StepUnderLoad, Faults: faults, Seed: seed})
 	}
-	for _, faults := range LeavingFaults {
+	for _, faults := range DrainingFaults {
 		cells = append(cells, Cell{Subject: SubjectDraining, Step: StepUnderLoad, Faults: faults, Seed: seed})
 	}
 	for _, step := range []Step{StepBurst, StepSaturation} {
--- a/testbed/matrix/planned.go
+++ b/testbed/matrix/planned.go
@@ -25,7 +25,7 @@
 
 // LeavingFaults lists the ways in which a VM leaves, some together with a fault
 // that delays the news of it.
-var LeavingFaults = [][]FaultKind{
+var DrainingFaults = [][]FaultKind{
 	{DrainListed}, {DrainListed, Silent}, {DrainListed, SilentDown}, {DrainListed, PauseEntry},
 	{DrainVM, PlatformDown}, {DrainVM, ListLags}, {DrainVM, Silent}, {DrainVM, SilentDown},
 }
--- a/testbed/soak/proxy.go
+++ b/testbed/soak/proxy.go
@@ -129,26 +129,26 @@
 }
 
 // relay forwards one connection until both directions have ended.
-func (p *proxy) relay(caller net.Conn) {
+func (p *proxy) relay(conn net.Conn) {
 	p.mu.Lock()
 	target := p.target
 	p.mu.Unlock()
 	server, err := net.Dial("tcp", target)
 	if err != nil {
-		abort(caller)
+		abort(conn)
 		return
 	}
 	p.mu.Lock()
-	p.conns[caller] = server
+	p.conns[conn] = server
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.forward(caller, server, upstream) })
-	both.Go(func() { p.forward(server, caller, downstream) })
+	both.Go(func() { p.forward(conn, server, upstream) })
+	both.Go(func() { p.forward(server, conn, downstream) })
 	both.Wait()
 	p.mu.Lock()
-	delete(p.conns, caller)
+	delete(p.conns, conn)
 	p.mu.Unlock()
-	_, _ = caller.Close(), server.Close()
+	_, _ = conn.Close(), server.Close()
 }
 
 // chunk is data in flight; due is when it is forwarded.
