--- a/testbed/baseline/router.go
+++ b/testbed/baseline/router.go
@@ -29,7 +29,7 @@
 }
 
 // Router sends each request to one engine, without retries. It implements
-// http.Handler for the clients' streaming API.
+// http.Handler for the callers' streaming API.
 type Router struct {
 	picker picker
 }
--- a/testbed/cmd/soak/main.go
+++ b/testbed/cmd/soak/main.go
@@ -1,5 +1,5 @@
 // Command soak injects overlapping faults, drawn from seeds, into gateways, backend
-// servers and a store that run as separate processes, and checks what clients and
+// servers and a store that run as separate processes, and checks what callers and
 // servers observed. It must be run from within the workspace, whose programs it builds.
 package main
 
--- a/testbed/dutymodel/state.go
+++ b/testbed/dutymodel/state.go
@@ -3,7 +3,7 @@
 // the report itself. Calls may be lost, late or duplicated, gateways may be killed, and the
 // store may be restored from an older copy. Explore visits the states within given bounds
 // and checks the invariants in each. The decisions are made by the product's own code
-// (usage.Ledger, usage.Recover, lease.NextFence). Start reading at Explore.
+// (usage.Ledger, usage.Recover, lease.NextFencingToken). Start reading at Explore.
 package dutymodel
 
 // Size of the model.
@@ -89,7 +89,7 @@
 	content uint8
 }
 
-// state is the state of the whole model. It must stay comparable.
+// state is the state of the complete model. It must stay comparable.
 type state struct {
 	store       store
 	gateways    [gateways]gateway
--- a/testbed/e2e/zone_test.go
+++ b/testbed/e2e/zone_test.go
@@ -53,7 +53,7 @@
 }
 
 // checkStream streams one response, signals its first token on started, and checks
-// that the whole text equals want.
+// that the complete text equals want.
 func checkStream(ctx context.Context, t *testing.T, entry *fleet.Entry, want string, started chan<- struct{}) {
 	client := newClient(entry, "log-summary")
 	stream := client.Chat.Completions.NewStreaming(ctx, params(streamTokens))
--- a/testbed/engine/load_reporter.go
+++ b/testbed/engine/load_reporter.go
@@ -8,7 +8,7 @@
 )
 
 // loadReporter holds the load report and updates it at a fixed interval, so that
-// clients see a stale load as with real engines.
+// readers see a stale load as with real engines.
 type loadReporter struct {
 	mu     sync.Mutex
 	report engine.Load
--- a/testbed/engine/request.go
+++ b/testbed/engine/request.go
@@ -33,7 +33,7 @@
 	// max_tokens because the router must not know the length in advance.
 	ResponseTokens int `json:"answer_tokens,string"`
 	// Marker is copied to the run's record, so that a test can match runs
-	// and requests even if the client never received a request id.
+	// and requests even if the caller never received a request ID.
 	Marker string `json:"marker"`
 }
 
--- a/testbed/engine/response.go
+++ b/testbed/engine/response.go
@@ -23,7 +23,7 @@
 
 // ResponseTokens returns the tokens of the complete response to a chat
 // completion request. They depend only on the request's messages and on the
-// response length it asks for, so that a test can verify that a client received
+// response length it asks for, so that a test can verify that a caller received
 // exactly its own response. It returns nil for a body that can't be decoded.
 func ResponseTokens(body []byte) []string {
 	req, err := decodeRequest(body)
--- a/testbed/engine/run_record.go
+++ b/testbed/engine/run_record.go
@@ -19,7 +19,7 @@
 	OutcomeCompleted Outcome = "whole"
 	// OutcomeCancelled: the run was cancelled by its id.
 	OutcomeCancelled Outcome = "cancelled"
-	// OutcomeDisconnected: the client closed the connection.
+	// OutcomeDisconnected: the HTTP client closed the connection.
 	OutcomeDisconnected Outcome = "disconnected"
 	// OutcomeCrashed: the engine crashed or was closed.
 	OutcomeCrashed Outcome = "crashed"
@@ -27,7 +27,7 @@
 	OutcomeCut Outcome = "cut"
 )
 
-// RunRecord is what the engine did for one run. Tests compare clients'
+// RunRecord is what the engine did for one run. Tests compare callers'
 // observations with it.
 type RunRecord struct {
 	// Seq is the run's sequence number on this engine, starting at 1.
@@ -47,7 +47,7 @@
 	Accepted time.Time  `json:"accepted"`
 	Started  *time.Time `json:"started,omitempty"`
 	Ended    *time.Time `json:"ended,omitempty"`
-	// ResumedFrom is the number of leading response tokens that the client
+	// ResumedFrom is the number of leading response tokens that the request
 	// asked to skip.
 	ResumedFrom int `json:"resumed_from,omitempty"`
 	// Tokens is the number of tokens that the run has produced, without
--- a/testbed/fleet/fleet_test.go
+++ b/testbed/fleet/fleet_test.go
@@ -13,7 +13,7 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-// testTimeout bounds a whole test and allows for a busy machine.
+// testTimeout bounds a complete test and allows for a busy machine.
 const testTimeout = 90 * time.Second
 
 func startFleet(t *testing.T, options Options) (context.Context, *Fleet) {
--- a/testbed/fleet/platform.go
+++ b/testbed/fleet/platform.go
@@ -27,7 +27,7 @@
 	return err
 }
 
-// MarkLeaving marks a VM in the VM list as leaving.
+// MarkDraining marks a VM in the VM list as draining.
 func (p *Platform) MarkDraining(ctx context.Context, name string) error {
 	_, err := call{method: http.MethodPost, url: p.vmURL(name) + "/leaving"}.do(ctx)
 	return err
--- a/testbed/fleet/process.go
+++ b/testbed/fleet/process.go
@@ -24,7 +24,7 @@
 
 	program      string
 	args         []string
-	argsForStart func(start int) []string // if set, replaces args at each start
+	argsForStart func(start int) []string // if set, replaces args for each instance
 	startCount   int
 	logPath      string
 	launcher     *launcher
--- a/testbed/fleet/server.go
+++ b/testbed/fleet/server.go
@@ -25,7 +25,7 @@
 	Spec BackendSpec
 
 	mu          sync.Mutex
-	recordFiles []string // record files, oldest first; an engine has one per start
+	recordFiles []string // record files, oldest first; an engine has one per instance
 }
 
 func (f *Fleet) newServer(name string, spec BackendSpec) (*Server, error) {
@@ -45,8 +45,8 @@
 	return s, nil
 }
 
-// engineArgs returns the arguments for one start of an engine. Each start has
-// its own record file, since run numbers start at 1 again.
+// engineArgs returns the arguments for one instance of an engine. Each instance
+// has its own record file, since its run numbers start at 1.
 func (s *Server) engineArgs(dir string, start int) []string {
 	record := filepath.Join(dir, fmt.Sprintf("%s-%d.runs", s.Name, start))
 	s.mu.Lock()
--- a/testbed/gateway/admission_test.go
+++ b/testbed/gateway/admission_test.go
@@ -45,7 +45,7 @@
 		}
 	}
 	if remaining := a.Header.Get("X-Deadline-Ms"); len(remaining) != 3 || remaining > "900" {
-		t.Errorf("deadline %q, the client's is 900 ms", remaining)
+		t.Errorf("deadline %q, the caller's is 900 ms", remaining)
 	}
 }
 
@@ -90,7 +90,7 @@
 	}
 }
 
-// Guards against running out of memory when clients send large bodies at once: the gateway
+// Guards against running out of memory when callers send large bodies at once: the gateway
 // rejects requests before it buffers too much.
 func TestBufferedBodiesAreBounded(t *testing.T) {
 	f := gateway.NewFixture(t, gateway.Options{MemoryMB: 1})
@@ -134,7 +134,7 @@
 	}
 }
 
-// Guards against a connection reset that destroys a rejection: the client is still sending its
+// Guards against a connection reset that destroys a rejection: the caller is still sending its
 // body and has asked for the connection to be closed.
 func TestRejectionReachesClientThatIsStillSending(t *testing.T) {
 	f := gateway.NewFixture(t, gateway.Options{})
--- a/testbed/gateway/blockable_handler.go
+++ b/testbed/gateway/blockable_handler.go
@@ -17,7 +17,7 @@
 }
 
 // blockableWriter holds back a response whose header is written while the handler is blocked,
-// until the client gives up.
+// until the HTTP client gives up.
 type blockableWriter struct {
 	http.ResponseWriter
 	request *http.Request
--- a/testbed/gateway/disconnect_test.go
+++ b/testbed/gateway/disconnect_test.go
@@ -7,7 +7,7 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// The gateway detects that a client closes or resets its connection, also when more bytes
+// The gateway detects that a caller closes or resets its connection, also when more bytes
 // follow the request, and cancels the request at the server.
 func TestDisconnectIsDetected(t *testing.T) {
 	reset := func(c *rawConn) {
@@ -33,9 +33,9 @@
 				select {
 				case <-f.ReceivedRequests("left")[0].Closed:
 				case <-time.After(closeDetectionTime):
-					t.Error("the request is still running 500 ms after its client disconnected")
+					t.Error("the request is still running 500 ms after its caller disconnected")
 				}
-				// The pipelined request has no client any more.
+				// The pipelined request has no caller any more.
 				if n := len(f.ReceivedRequests("next")); n > 0 {
 					t.Errorf("the next request reached %d servers", n)
 				}
--- a/testbed/gateway/extra_bytes_test.go
+++ b/testbed/gateway/extra_bytes_test.go
@@ -8,7 +8,7 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// Unusual but valid bytes around a request must not be taken for a disconnect: the client gets
+// Unusual but valid bytes around a request must not be taken for a disconnect: the caller gets
 // the complete response, and so does its next request on the connection.
 func TestExtraBytesAreNoDisconnect(t *testing.T) {
 	cases := map[string]struct{ before, beside string }{
--- a/testbed/gateway/fixture.go
+++ b/testbed/gateway/fixture.go
@@ -37,7 +37,7 @@
  "tenants": [{"name":"crew","api-keys":["key-1"%s],"priority":1}]
 }`
 
-// idleTimeout is the limit for idle client connections in the initial desired state. It
+// idleTimeout is the limit for idle caller connections in the initial desired state. It
 // exceeds the duration of every test.
 const idleTimeout = 15 * time.Second
 
@@ -46,7 +46,7 @@
 type Fixture struct {
 	t     testing.TB
 	Store *rowstore.Store
-	// GatewayAddr is the address for clients, AdminAddr the one for the load balancer's
+	// GatewayAddr is the address for callers, AdminAddr the one for the load balancer's
 	// readiness checks.
 	GatewayAddr string
 	AdminAddr   string
@@ -272,7 +272,7 @@
 	f.requests = append(f.requests, a)
 }
 
-// Request returns a client request with an ID, authorized with key-1.
+// Request returns a caller request with an ID, authorized with key-1.
 func (f *Fixture) Request(ctx context.Context, method, path, id string, body io.Reader) *http.Request {
 	f.t.Helper()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+f.GatewayAddr+path, body)
@@ -285,7 +285,7 @@
 	return req
 }
 
-// Response is a response as the client received it.
+// Response is a response as the caller received it.
 type Response struct {
 	Status int
 	Header http.Header
--- a/testbed/gateway/half_close_test.go
+++ b/testbed/gateway/half_close_test.go
@@ -7,11 +7,11 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// closeDetectionTime is the time within which a gateway detects that a client closed its
+// closeDetectionTime is the time within which a gateway detects that a caller closed its
 // connection, if it detects that at all.
 const closeDetectionTime = 500 * time.Millisecond
 
-// A client that half-closes its connection after its request may still read. It gets its
+// A caller that half-closes its connection after its request may still read. It gets its
 // response or none, never an unsigned success.
 func TestHalfClosedClientGetsNoFalseSuccess(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/unsafe/x", "/stream/x", "/resume/x"} {
@@ -29,7 +29,7 @@
 					t.Fatal(err)
 				}
 				if !immediately {
-					// A gateway that treats the client as gone closes its connection to the
+					// A gateway that treats the caller as gone closes its connection to the
 					// server.
 					select {
 					case <-f.ReceivedRequests("half")[0].Closed:
--- a/testbed/gateway/http10_client_test.go
+++ b/testbed/gateway/http10_client_test.go
@@ -11,7 +11,7 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// For an HTTP/1.0 client the end of the connection ends a response of unknown length. If such
+// For an HTTP/1.0 caller the end of the connection ends a response of unknown length. If such
 // a response is interrupted, the connection must be reset, or the response looks complete.
 func TestInterruptedResponseToHTTP10ClientIsReset(t *testing.T) {
 	for name, c := range map[string]struct {
--- a/testbed/gateway/idle_close_race_test.go
+++ b/testbed/gateway/idle_close_race_test.go
@@ -29,7 +29,7 @@
 }
 
 const (
-	// idleClients is the number of connections that stay idle until the gateway is about to
+	// idleCallers is the number of connections that stay idle until the gateway is about to
 	// close them, and idleRounds how often each does.
 	idleCallers = 150
 	idleRounds  = 8
@@ -77,7 +77,7 @@
 			succeeded.Add(1)
 		case unsignedSuccess(got), len(f.ReceivedRequests(id)) > 0:
 			interrupted.Add(1)
-			t.Errorf("%s reached a server, and its client got %+v", id, got)
+			t.Errorf("%s reached a server, and its caller got %+v", id, got)
 			for _, entry := range logs.FilterField(zap.String("request", id)).All() {
 				t.Logf("%s: %s %v after %v", id, entry.Message, entry.ContextMap()["reason"], entry.ContextMap()["took"])
 			}
--- a/testbed/gateway/idle_timeout_test.go
+++ b/testbed/gateway/idle_timeout_test.go
@@ -15,7 +15,7 @@
 // because the absence of a close can't be observed.
 const closeMargin = 1200 * time.Millisecond
 
-// A raised idle timeout applies to connections that are idle already: their clients rely on
+// A raised idle timeout applies to connections that are idle already: their callers rely on
 // the timeout in effect.
 func TestRaisedIdleTimeoutServesNextRequest(t *testing.T) {
 	t.Parallel()
@@ -68,7 +68,7 @@
 	t.Cleanup(func() { _ = process.Signal(syscall.SIGCONT) })
 	for round := 0; round < rounds && !t.Failed(); round++ {
 		answered, forwarded := suspendRound(t, f, process, round)
-		t.Logf("round %d: %d requests forwarded, %d answered", round, forwarded, answered)
+		t.Logf("round %d: %d requests forwarded, %d served", round, forwarded, answered)
 		if forwarded == 0 {
 			t.Errorf("round %d: no request was forwarded, so nothing was tested", round)
 		}
@@ -77,15 +77,15 @@
 
 const (
 	// suspendedIdleTimeout is the idle timeout in a suspendRound: long enough for the first
-	// requests of all clients.
+	// requests of all callers.
 	suspendedIdleTimeout = 500 * time.Millisecond
-	// suspendedClients is the number of connections whose idle timers expire in a
+	// suspendedCallers is the number of connections whose idle timers expire in a
 	// suspendRound.
 	suspendedCallers = 100
 )
 
 // suspendRound suspends the gateway, sends a request on every connection, and resumes the
-// gateway once all idle timers have expired. It returns how many requests were answered and
+// gateway once all idle timers have expired. It returns how many requests were served and
 // how many were forwarded.
 func suspendRound(t *testing.T, f *gateway.Fixture, process *os.Process, round int) (served, forwarded int) {
 	t.Helper()
@@ -115,7 +115,7 @@
 			forwarded++
 		}
 		if executed && err != nil {
-			t.Errorf("round %d, client %d: the request was forwarded to a backend server, and its connection was closed: %v", round, n, err)
+			t.Errorf("round %d, caller %d: the request was forwarded to a backend server, and its connection was closed: %v", round, n, err)
 		}
 		_ = conn.Close()
 	}
--- a/testbed/gateway/incomplete_body_test.go
+++ b/testbed/gateway/incomplete_body_test.go
@@ -8,7 +8,7 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// A request whose body doesn't arrive completely is answered by the route's timeout.
+// A request whose body doesn't arrive completely gets a response by the route's timeout.
 func TestIncompleteBodyTimesOut(t *testing.T) {
 	for form, body := range map[string]string{"a length": "Content-Length: 8\r\n\r\nhalf", "chunks": "Transfer-Encoding: chunked\r\n\r\n8\r\nhalf"} {
 		t.Run(form, func(t *testing.T) {
--- a/testbed/gateway/keepalive_conn_test.go
+++ b/testbed/gateway/keepalive_conn_test.go
@@ -11,10 +11,10 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// responseTimeout is the maximum time that a client waits for a response.
+// responseTimeout is the maximum time that a caller waits for a response.
 const responseTimeout = 10 * time.Second
 
-// keepAliveConn is a client connection that stays open between requests.
+// keepAliveConn is a caller connection that stays open between requests.
 type keepAliveConn struct {
 	net.Conn
 	reader *bufio.Reader
@@ -22,7 +22,7 @@
 	idleSince time.Time
 }
 
-// dialKeepAlive opens a client connection to a gateway.
+// dialKeepAlive opens a caller connection to a gateway.
 func dialKeepAlive(t *testing.T, f *gateway.Fixture) *keepAliveConn {
 	t.Helper()
 	c, err := net.Dial("tcp", f.GatewayAddr)
--- a/testbed/gateway/quarantine_test.go
+++ b/testbed/gateway/quarantine_test.go
@@ -24,7 +24,7 @@
 }
 
 // Guards against a request that crashes every server it runs on: retries took one server after
-// another away from all other clients.
+// another away from all other callers.
 func TestRequestThatCrashesServersIsQuarantined(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/unsafe/x", "/stream/x", "/resume/x"} {
 		t.Run(path, func(t *testing.T) {
@@ -114,7 +114,7 @@
 	}
 	for n := range completed {
 		if rejected[n] > 0 || completed[n] < 6 {
-			t.Errorf("client %d: %d of 8 complete, %d rejected", n, completed[n], rejected[n])
+			t.Errorf("caller %d: %d of 8 complete, %d rejected", n, completed[n], rejected[n])
 		}
 	}
 }
--- a/testbed/gateway/rejection_without_body_test.go
+++ b/testbed/gateway/rejection_without_body_test.go
@@ -9,7 +9,7 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// A rejection is sent even if the body never arrives completely: the client waits for it, and
+// A rejection is sent even if the body never arrives completely: the caller waits for it, and
 // a gateway that shuts down would wait for the body.
 func TestRejectionDoesNotWaitForBody(t *testing.T) {
 	for name, c := range earlyRejections {
--- a/testbed/gateway/retry_test.go
+++ b/testbed/gateway/retry_test.go
@@ -75,7 +75,7 @@
 }
 
 // Only a stream of a resumable route is continued on another server, after the last event that
-// the client received.
+// the caller received.
 func TestStreamResumesOnAnotherServer(t *testing.T) {
 	f := gateway.NewFixture(t, gateway.Options{})
 	f.StartServer("i-1", gateway.Events(6, 4, time.Millisecond))
@@ -106,13 +106,13 @@
 			t.Errorf("%s: %q, %v", id, got.Body, got.Err)
 		}
 		if len(a) == 2 && a[1].Header.Get("Last-Event-Id") != "3" {
-			t.Errorf("%s was resumed after event %q, the client had received 3", id, a[1].Header.Get("Last-Event-Id"))
+			t.Errorf("%s was resumed after event %q, the caller had received 3", id, a[1].Header.Get("Last-Event-Id"))
 		}
 		return len(a) == 2
 	})
 }
 
-// A stream without event IDs isn't continued on another server: the client's last event is
+// A stream without event IDs isn't continued on another server: the caller's last event is
 // unknown, and no event may be sent twice.
 func TestStreamWithoutIDsIsNotRetried(t *testing.T) {
 	f := gateway.NewFixture(t, gateway.Options{})
@@ -136,7 +136,7 @@
 	})
 }
 
-// A client's disconnect cancels its request at the server.
+// A caller's disconnect cancels its request at the server.
 func TestDisconnectCancelsRequest(t *testing.T) {
 	f := gateway.NewFixture(t, gateway.Options{})
 	f.StartServer("i-1", gateway.Hang)
@@ -149,11 +149,11 @@
 	select {
 	case <-f.ReceivedRequests("left")[0].Closed:
 	case <-time.After(500 * time.Millisecond):
-		t.Error("the request is still running 500 ms after its client disconnected")
+		t.Error("the request is still running 500 ms after its caller disconnected")
 	}
 }
 
-// A request that isn't answered gets a 504 at the route's timeout.
+// A request without a response from the server gets a 504 at the route's timeout.
 func TestRequestTimesOut(t *testing.T) {
 	f := gateway.NewFixture(t, gateway.Options{})
 	f.StartServer("i-1", gateway.Hang)
--- a/testbed/gateway/shutdown_test.go
+++ b/testbed/gateway/shutdown_test.go
@@ -18,7 +18,7 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// clientLoad sends requests on keep-alive connections, with random pauses, until the gateway
+// callerLoad sends requests on keep-alive connections, with random pauses, until the gateway
 // accepts no new connection or the load is stopped.
 type callerLoad struct {
 	t *testing.T
@@ -27,7 +27,7 @@
 	succeeded, rejected, closed, interrupted atomic.Int64
 }
 
-// runClient sends requests one after another until stop is closed; name is the prefix of their
+// runCaller sends requests one after another until stop is closed; name is the prefix of their
 // IDs.
 func (l *callerLoad) runCaller(name string, stop <-chan struct{}) {
 	var c *rawConn
@@ -70,7 +70,7 @@
 		l.rejected.Add(1)
 	case errors.Is(got.Err, os.ErrDeadlineExceeded), unsignedSuccess(got), len(l.f.ReceivedRequests(id)) > 0:
 		l.interrupted.Add(1)
-		l.t.Errorf("%s %s reached %d servers, and its client got %+v", path, id, len(l.f.ReceivedRequests(id)), got)
+		l.t.Errorf("%s %s reached %d servers, and its caller got %+v", path, id, len(l.f.ReceivedRequests(id)), got)
 	default:
 		l.closed.Add(1)
 	}
@@ -82,7 +82,7 @@
 	l.t.Logf("%d served, %d rejected, %d closed and not forwarded, %d interrupted", l.succeeded.Load(), l.rejected.Load(), l.closed.Load(), l.interrupted.Load())
 }
 
-// loadClients is the number of concurrent clients.
+// loadCallers is the number of concurrent callers.
 const loadCallers = 60
 
 // Requests that arrive during a shutdown are served or not forwarded at all.
--- a/testbed/gateway/soak_test.go
+++ b/testbed/gateway/soak_test.go
@@ -37,7 +37,7 @@
 	responses  map[string]int
 }
 
-// Checks these invariants under random faults: each response belongs to its client, and is
+// Checks these invariants under random faults: each response belongs to its caller, and is
 // complete or recognizably incomplete; non-repeatable requests run at most once; requests
 // rejected as not executed didn't run.
 func TestFaultSoak(t *testing.T) {
--- a/testbed/gateway/state_test.go
+++ b/testbed/gateway/state_test.go
@@ -109,7 +109,7 @@
 	f.WaitFor("the gateway to be listed again", listed)
 }
 
-// A gateway that alone has lost the store reports that it isn't ready, so that its clients go
+// A gateway that alone has lost the store reports that it isn't ready, so that its callers go
 // to others. If all gateways have lost it, each keeps serving what it may.
 func TestGatewayWithoutStoreIsNotReady(t *testing.T) {
 	const within = 2500 * time.Millisecond
--- a/testbed/gateway/store_polling_test.go
+++ b/testbed/gateway/store_polling_test.go
@@ -109,7 +109,7 @@
 }
 
 // A gateway that hears from few others may be partitioned together with them, also from the
-// store. Only its own calls show that; it then reports that it isn't ready, so that clients go
+// store. Only its own calls show that; it then reports that it isn't ready, so that callers go
 // elsewhere.
 func TestPartitionedGatewaysPollTheStore(t *testing.T) {
 	const gateways, changes = 8, 8
--- a/testbed/gateway/unread_response_test.go
+++ b/testbed/gateway/unread_response_test.go
@@ -9,7 +9,7 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// A client that doesn't read its response must not delay a graceful shutdown: the gateway
+// A caller that doesn't read its response must not delay a graceful shutdown: the gateway
 // drops it soon after the response was due.
 func TestUnreadResponseDoesNotDelayShutdown(t *testing.T) {
 	t.Parallel()
--- a/testbed/gateway/usage_test.go
+++ b/testbed/gateway/usage_test.go
@@ -76,7 +76,7 @@
 	return n
 }
 
-// expect waits until the reported requests match those answered, within a relative tolerance,
+// expect waits until the reported requests match those served, within a relative tolerance,
 // and checks that the reports broke no rule of the platform.
 func (r *usageFixture) expect(served int64, tolerance float64) {
 	r.t.Helper()
@@ -85,7 +85,7 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	if got := float64(r.reported()); got < least || got > most {
-		r.t.Errorf("%v requests reported, %d answered", got, served)
+		r.t.Errorf("%v requests reported, %d served", got, served)
 	}
 	for _, violation := range r.cloud.Violations() {
 		r.t.Error(violation)
--- a/testbed/history/call.go
+++ b/testbed/history/call.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Outcome is the final result of a call as its client observed it.
+// Outcome is the final result of a call as its caller observed it.
 type Outcome string
 
 // Outcomes of calls.
@@ -13,19 +13,19 @@
 	OutcomeNotRun Outcome = "not_run"
 	// OutcomeUnknown means an error after which the request may have run.
 	OutcomeUnknown Outcome = "unknown"
-	// OutcomeFailed means a failure visible to the client, such as an error event
+	// OutcomeFailed means a failure visible to the caller, such as an error event
 	// in a stream or a broken connection.
 	OutcomeFailed Outcome = "failed"
-	// OutcomeNone means that the call didn't end within the client's timeout.
+	// OutcomeNone means that the call didn't end within the caller's timeout.
 	OutcomeNone Outcome = "nothing"
 )
 
-// Call is one request as its client observed it.
+// Call is one request as its caller observed it.
 type Call struct {
 	// Marker identifies the work. It is part of the prompt, so that runs contain
 	// it. Calls that retry the same work share it.
 	Marker string `json:"marker"`
-	// RequestID is the ID that the entry gave the request; empty if the client
+	// RequestID is the ID that the entry gave the request; empty if the caller
 	// didn't receive it.
 	RequestID string `json:"request_id,omitempty"`
 	// Entry is the entry process that the call was sent to.
@@ -47,7 +47,7 @@
 	RetryAfter time.Duration `json:"retry_after,omitempty"`
 
 	Sent time.Time `json:"sent"`
-	// Done is when the client observed the outcome.
+	// Done is when the caller observed the outcome.
 	Done    time.Time `json:"done"`
 	Outcome Outcome   `json:"told"`
 	// Status and Code are the response's HTTP status and error code.
--- a/testbed/history/check.go
+++ b/testbed/history/check.go
@@ -13,7 +13,7 @@
 	// GuaranteeServed: every call ends, and every class is served again once
 	// all faults have ended.
 	GuaranteeServed
-	// GuaranteeComplete: a complete response is the one to the client's own
+	// GuaranteeComplete: a complete response is the one to the caller's own
 	// request, and a failure is visible and contains no foreign data.
 	GuaranteeComplete
 	// GuaranteeNotRun: a request reported as not run did not run.
@@ -21,7 +21,7 @@
 	// GuaranteeAtMostOnce: work that is not repeatable runs at most once, and
 	// "unknown" is reported only when something failed.
 	GuaranteeAtMostOnce
-	// GuaranteeLeaving: a leaving backend server gets no new work after a time limit.
+	// GuaranteeDraining: a draining backend server gets no new work after a time limit.
 	GuaranteeDraining
 	// GuaranteeStop: a planned stop interrupts no call.
 	GuaranteeStop
--- a/testbed/history/complete.go
+++ b/testbed/history/complete.go
@@ -14,13 +14,13 @@
 	var found []Violation
 	for _, call := range h.Calls {
 		if call.Outcome == OutcomeComplete && call.Text != call.Expected {
-			found = append(found, Violation{GuaranteeComplete, call.Marker, "whole answer is wrong: " + difference(call)})
+			found = append(found, Violation{GuaranteeComplete, call.Marker, "complete response is wrong: " + difference(call)})
 		}
 		if call.Outcome != OutcomeComplete && !strings.HasPrefix(call.Expected, call.Text) {
-			found = append(found, Violation{GuaranteeComplete, call.Marker, "part of an answer is wrong: " + difference(call)})
+			found = append(found, Violation{GuaranteeComplete, call.Marker, "part of a response is wrong: " + difference(call)})
 		}
 		if call.Outcome == OutcomeComplete && len(h.runsOf(call.Marker)) == 0 {
-			found = append(found, Violation{GuaranteeComplete, call.Marker, "answered without a run"})
+			found = append(found, Violation{GuaranteeComplete, call.Marker, "response without a run"})
 		}
 	}
 	return found
--- a/testbed/history/duration.go
+++ b/testbed/history/duration.go
@@ -3,7 +3,7 @@
 import "fmt"
 
 // checkBound reports served calls that took longer than MaxDuration, and work with
-// such a bound that was never served although its client retried.
+// such a bound that was never served although its caller retried.
 func checkBound(h *indexedHistory) []Violation {
 	var found []Violation
 	served, lastCalls := map[string]bool{}, map[string]Call{}
--- a/testbed/history/event.go
+++ b/testbed/history/event.go
@@ -12,7 +12,7 @@
 	Lifted time.Time `json:"lifted"`
 }
 
-// Leaving records that a VM was told to leave.
+// Drain records that a VM was told to take no new work.
 type Drain struct {
 	Server string    `json:"server"`
 	At     time.Time `json:"at"`
--- a/testbed/history/fencingtoken.go
+++ b/testbed/history/fencingtoken.go
@@ -22,7 +22,7 @@
 	for _, seen := range h.FencingTokens {
 		if seen.FencingToken < highest[seen.Resource] {
 			found = append(found, Violation{GuaranteeLease, seen.Resource,
-				fmt.Sprintf("fencing number %d came after %d", seen.FencingToken, highest[seen.Resource])})
+				fmt.Sprintf("fencing token %d came after %d", seen.FencingToken, highest[seen.Resource])})
 			continue
 		}
 		highest[seen.Resource] = seen.FencingToken
--- a/testbed/history/history.go
+++ b/testbed/history/history.go
@@ -1,6 +1,6 @@
-// Package history records what clients, backend servers and processes observed
+// Package history records what callers, backend servers and processes observed
 // during a test and checks it. All tests share one checker: Check compares the
-// outcomes that clients observed with the backend servers' own record of runs. All
+// outcomes that callers observed with the backend servers' own record of runs. All
 // times are read from one machine's clock. Start reading at History.
 package history
 
@@ -8,14 +8,14 @@
 
 // History is everything observed during one test.
 type History struct {
-	// Calls lists the calls as clients observed them.
+	// Calls lists the calls as callers observed them.
 	Calls []Call `json:"calls"`
 	// Runs lists the runs as backend servers recorded them.
 	Runs []Run `json:"runs"`
 	// Faults lists the injected faults of processes and connections; planned
 	// stops are not faults.
 	Faults []Fault `json:"faults"`
-	// Leavings lists VMs that were told to leave.
+	// Drains lists VMs that were told to take no new work.
 	Drains []Drain `json:"leavings"`
 	// Stops lists planned stops.
 	Stops []Stop `json:"stops"`
--- a/testbed/history/leaving.go
+++ b/testbed/history/leaving.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// checkLeaving reports runs that started on a leaving server after its time limit.
+// checkDraining reports runs that started on a draining server after its time limit.
 func checkDraining(h *indexedHistory) []Violation {
 	var found []Violation
 	for _, drain := range h.Drains {
@@ -10,7 +10,7 @@
 		for _, run := range h.Runs {
 			if run.Server == drain.Server && run.Started.After(last) {
 				found = append(found, Violation{GuaranteeDraining, drain.Server,
-					fmt.Sprintf("%s started %s after it was told to leave", run.ID, run.Started.Sub(drain.At))})
+					fmt.Sprintf("%s started %s after it was told to take no new work", run.ID, run.Started.Sub(drain.At))})
 			}
 		}
 	}
--- a/testbed/load/engine_client.go
+++ b/testbed/load/engine_client.go
@@ -15,7 +15,7 @@
 const (
 	// engineTimeout is the timeout of one call to an engine's test API.
 	engineTimeout = 10 * time.Second
-	// runEndTimeout is the time that engines get to end runs whose clients
+	// runEndTimeout is the time that engines get to end runs whose callers
 	// have disconnected. After it the records are used as they are.
 	runEndTimeout      = 5 * time.Second
 	runEndPollInterval = 100 * time.Millisecond
--- a/testbed/load/report.go
+++ b/testbed/load/report.go
@@ -14,7 +14,7 @@
 	Target   string `json:"target"`
 	// Seconds is the time from the start of the run to the last response.
 	Seconds float64 `json:"seconds"`
-	// Total and Classes summarize the whole run.
+	// Total and Classes summarize the complete run.
 	Total   ClassReport   `json:"total"`
 	Classes []ClassReport `json:"classes"`
 	// Phases summarize the requests that were scheduled in each phase.
--- a/testbed/load/result.go
+++ b/testbed/load/result.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Outcome is the outcome of a request as the client sees it.
+// Outcome is the outcome of a request as the caller sees it.
 type Outcome string
 
 // Outcomes of a request.
@@ -15,7 +15,7 @@
 	OutcomeRefused Outcome = "refused"
 	// OutcomeUnknown: an error that says that the request may have run.
 	OutcomeUnknown Outcome = "unknown"
-	// OutcomeBroken: any other failure that the client can detect.
+	// OutcomeBroken: any other failure that the caller can detect.
 	OutcomeBroken Outcome = "broken"
 	// OutcomeWrong: a response that looks complete but is not the expected
 	// one.
@@ -40,7 +40,7 @@
 	Detail string
 }
 
-// complete reports whether the client received its complete response.
+// complete reports whether the caller received its complete response.
 func (r Result) complete() bool {
 	return r.Outcome == OutcomeOnTime || r.Outcome == OutcomeLate
 }
@@ -55,7 +55,7 @@
 	retry *Result
 }
 
-// deliveredTokens returns the number of tokens that the client received in
+// deliveredTokens returns the number of tokens that the caller received in
 // complete responses.
 func (r requestRecord) deliveredTokens() int {
 	delivered := 0
--- a/testbed/load/summary.go
+++ b/testbed/load/summary.go
@@ -41,7 +41,7 @@
 	// OnTimeTokens is the number of tokens in responses on time.
 	OnTimeTokens int `json:"on_time_tokens"`
 	// ProducedTokens is the number of tokens that the engines produced for
-	// the class. WastedTokens is the part that no client received in a
+	// the class. WastedTokens is the part that no caller received in a
 	// complete response; WastedShare is its ratio to ProducedTokens.
 	ProducedTokens int     `json:"produced_tokens"`
 	WastedTokens   int     `json:"wasted_tokens"`
--- a/testbed/matrix/burst.go
+++ b/testbed/matrix/burst.go
@@ -147,7 +147,7 @@
 
 // callWithRetry retries a call, through the entries in turn, until it is served.
 // A refused call is sent again after its Retry-After. Only the cell's timeout
-// ends the retries, because the Retry-After hints cover the work of the whole
+// ends the retries, because the Retry-After hints cover the work of the complete
 // burst and more.
 func (h *harness) callWithRetry(ctx context.Context, request callerRequest, n int) {
 	for ctx.Err() == nil {
--- a/testbed/matrix/cell.go
+++ b/testbed/matrix/cell.go
@@ -22,7 +22,7 @@
 	SubjectSummary Subject = "summary"
 	// SubjectTargets is a change of targets.
 	SubjectTargets Subject = "targets"
-	// SubjectLeaving is a backend server VM that leaves the fleet.
+	// SubjectDraining is a backend server VM that is draining.
 	SubjectDraining Subject = "leaving"
 	// SubjectStop is a planned stop of one or two processes.
 	SubjectStop Subject = "stop"
--- a/testbed/matrix/client_request.go
+++ b/testbed/matrix/client_request.go
@@ -30,7 +30,7 @@
 	headerRetryAfter = "Retry-After"
 )
 
-// clientRequest is one request that a caller sends.
+// callerRequest is one request that a caller sends.
 type callerRequest struct {
 	class       string
 	model       string // the default model if empty
--- a/testbed/matrix/fault_kind.go
+++ b/testbed/matrix/fault_kind.go
@@ -38,7 +38,7 @@
 	PlatformSlow FaultKind = "platform-slow"
 	LostResponse FaultKind = "platform-answer-lost"
 	ListLags     FaultKind = "list-lags"
-	// Planned stops by SIGTERM. LeaveVM marks the VM as leaving and stops its
+	// Planned stops by SIGTERM. DrainVM marks the VM as draining and stops its
 	// agent and then its engine.
 	StopEntry FaultKind = "stop-entry"
 	StopAgent FaultKind = "stop-agent"
--- a/testbed/matrix/fixed_cells.go
+++ b/testbed/matrix/fixed_cells.go
@@ -3,7 +3,7 @@
 // FixedCells returns the part of the matrix that CI runs: a crash, a pause and a
 // broken connection at each step of non-repeatable work, every fault in the
 // middle of a stream, and every cell that once exposed a fault of the product,
-// with its seed. VMs that leave by the platform's list alone are covered only by
+// with its seed. VMs that are draining by the platform's list alone are covered only by
 // the complete matrix, because their limit of a few seconds cannot be met
 // reliably on a busy machine.
 func FixedCells() []Cell {
--- a/testbed/matrix/planned.go
+++ b/testbed/matrix/planned.go
@@ -10,11 +10,11 @@
 	"github.com/applepier/applepier/testbed/history"
 )
 
-// StepUnderLoad is the step of planned stops and of a leaving VM: long streams
+// StepUnderLoad is the step of planned stops and of a draining VM: long streams
 // run through every entry.
 const StepUnderLoad Step = "under-load"
 
-// LeaveListed marks a VM as leaving on the platform's list and stops no process.
+// DrainListed marks a VM as draining on the platform's list and stops no process.
 const DrainListed FaultKind = "leave-listed"
 
 // StopFaults lists the planned stops, alone and in pairs.
@@ -23,8 +23,8 @@
 	{StopEntry, StopAgent}, {StopEntry, DrainVM}, {StopAgent, DrainVM},
 }
 
-// LeavingFaults lists the ways in which a VM leaves, some together with a fault
-// that delays the news of it.
+// DrainingFaults lists the ways in which a VM is told to take no new work, some together
+// with a fault that delays the news of it.
 var DrainingFaults = [][]FaultKind{
 	{DrainListed}, {DrainListed, Silent}, {DrainListed, SilentDown}, {DrainListed, PauseEntry},
 	{DrainVM, PlatformDown}, {DrainVM, ListLags}, {DrainVM, Silent}, {DrainVM, SilentDown},
@@ -36,7 +36,7 @@
 	// before it stops.
 	longStreamCount  = 4
 	longStreamTokens = 350
-	// extraObservation is how long a cell continues after leavingLimit.
+	// extraObservation is how long a cell continues after drainingLimit.
 	extraObservation = 3 * time.Second
 )
 
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// runLeavingCell runs a cell in which a VM leaves, and continues past leavingLimit so
+// runDrainingCell runs a cell in which a VM is draining, and continues past drainingLimit so
 // that new work on that VM is seen.
 func (h *harness) runDrainingCell(ctx context.Context, c Cell) error {
 	loc := location{harness: h, entry: h.fleet.Entries[0], agent: h.rng.IntN(engineCount)}
@@ -121,7 +121,7 @@
 }
 
 // reversed returns the kinds in reverse order, so that a fault that delays the
-// news is injected before the VM leaves.
+// news is injected before the VM is marked as draining.
 func reversed(kinds []FaultKind) []FaultKind {
 	result := make([]FaultKind, 0, len(kinds))
 	for i := range kinds {
--- a/testbed/matrix/run.go
+++ b/testbed/matrix/run.go
@@ -35,7 +35,7 @@
 	// Spread is the longest time until a change of targets was in force at a
 	// process.
 	Spread time.Duration
-	// Took is the duration of the whole cell.
+	// Took is the duration of the complete cell.
 	Took time.Duration
 }
 
--- a/testbed/matrix/service.go
+++ b/testbed/matrix/service.go
@@ -23,7 +23,7 @@
 // KillService kills the plain service; its record of calls survives.
 const KillService FaultKind = "kill-service"
 
-// CutAnswer makes the plain service carry out the call and close the connection
+// CutResponse makes the plain service carry out the call and close the connection
 // before the response.
 const CutResponse FaultKind = "cut-answer"
 
--- a/testbed/matrix/stop.go
+++ b/testbed/matrix/stop.go
@@ -8,7 +8,7 @@
 	"github.com/applepier/applepier/testbed/history"
 )
 
-// leavingLimit is the time after which a leaving backend server gets no new
+// drainingLimit is the time after which a draining backend server gets no new
 // work. The agent reads the VM list every 5 s, the platform's response takes
 // some time, and earlier grants may be used for 1 s.
 const drainingLimit = 8 * time.Second
@@ -30,7 +30,7 @@
 }
 
 // finishStop waits for the stop's end and restarts the process, as on a replaced VM.
-// If the VM leaves, it stops the backend server instead.
+// If the VM is draining, it stops the backend server instead.
 func (f *fault) finishStop(ctx context.Context) error {
 	process := f.location.process(f.kind)
 	f.recordStop(ctx, process)
--- a/testbed/matrix/versions.go
+++ b/testbed/matrix/versions.go
@@ -14,7 +14,7 @@
 const (
 	// readInterval is the interval between two reads of a process's targets.
 	readInterval = 200 * time.Millisecond
-	// readTimeout bounds one read; a paused process does not answer.
+	// readTimeout bounds one read; a paused process sends no response.
 	readTimeout = time.Second
 	// tableName is the process name under which the table service is recorded.
 	tableName = "table"
@@ -63,7 +63,7 @@
 		switch {
 		case err != nil || set == nil || set.Version == 0:
 			// A process that has just started has no targets yet and is not
-			// ready; one that is paused or gone does not answer.
+			// ready; one that is paused or gone sends no response.
 			lastUnreadable = time.Now()
 		default:
 			h.recorder.Version(history.VersionReading{
--- a/testbed/measure/detailtables.go
+++ b/testbed/measure/detailtables.go
@@ -6,7 +6,7 @@
 	"github.com/applepier/applepier/testbed/load"
 )
 
-// writeRetries writes a table of refused clients, their retries and the retry delays.
+// writeRetries writes a table of refused callers, their retries and the retry delays.
 func (t table) writeRetries() {
 	t.header("shape", "refused", "came back in time", "then on time", "then late", "hint, median s", "longest hint, s")
 	for _, shape := range t.shapes {
--- a/testbed/measure/measure.go
+++ b/testbed/measure/measure.go
@@ -1,6 +1,6 @@
 // Package measure runs load scenarios on real processes, against the system and
 // against baseline routers in front of the same engines, and writes tables of what
-// clients observed. Start reading at Run.
+// callers observed. Start reading at Run.
 package measure
 
 import (
--- a/testbed/measure/options.go
+++ b/testbed/measure/options.go
@@ -18,9 +18,9 @@
 	Scale float64
 	// Parallel is the number of fleets that run concurrently.
 	Parallel int
-	// ClientTimeout is how long a client waits for the end of its response.
+	// CallerTimeout is how long a caller waits for the end of its response.
 	CallerTimeout time.Duration
-	// MaxRetryAfter is the longest retry delay that a refused client obeys; it
+	// MaxRetryAfter is the longest retry delay that a refused caller obeys; it
 	// doesn't retry after a longer one.
 	MaxRetryAfter time.Duration
 	// Progress receives one line for each result.
--- a/testbed/plain/server_test.go
+++ b/testbed/plain/server_test.go
@@ -29,7 +29,7 @@
 	}
 	status, text, err := do("a#1", http.MethodPost, "/docket?x=1", "9 t")
 	if err != nil || status != http.StatusOK || text != plain.Response(http.MethodPost, "/docket?x=1", []byte("9 t")) {
-		t.Fatalf("answer: %d %q %v", status, text, err)
+		t.Fatalf("response: %d %q %v", status, text, err)
 	}
 	setKnobs(t, do, `{"cut_answers":1}`)
 	if _, _, err := do("b#1", http.MethodPost, "/docket", ""); err == nil {
--- a/testbed/platform/bench_test.go
+++ b/testbed/platform/bench_test.go
@@ -45,7 +45,7 @@
 }
 
 // BenchmarkVMListRead measures reading an unchanged VM list. wire-B is the number
-// of bytes in both directions, headers included; times cover client and server.
+// of bytes in both directions, headers included; times cover HTTP client and server.
 func BenchmarkVMListRead(b *testing.B) {
 	httpServer := httptest.NewUnstartedServer(standin.New())
 	counter := &countingListener{Listener: httpServer.Listener}
--- a/testbed/platform/knobs.go
+++ b/testbed/platform/knobs.go
@@ -7,7 +7,7 @@
 	// ListDown makes reads of the VM list fail with status 503.
 	ListDown bool `json:"list_down"`
 	// SlowMS delays every request by this many milliseconds before it takes
-	// effect, even if the client has disconnected by then.
+	// effect, even if the HTTP client has disconnected by then.
 	SlowMS int `json:"slow_ms"`
 	// DropResponses is the number of upcoming writes that take effect but whose
 	// connection is closed without a response.
--- a/testbed/platform/server.go
+++ b/testbed/platform/server.go
@@ -181,7 +181,7 @@
 	update(&s.stats)
 }
 
-// readBody reads the whole request body. Writes take effect only afterwards, so
+// readBody reads the complete request body. Writes take effect only afterwards, so
 // a request whose connection breaks midway has no effect.
 func readBody(r *http.Request) ([]byte, error) {
 	return io.ReadAll(r.Body)
--- a/testbed/platform/vmlist.go
+++ b/testbed/platform/vmlist.go
@@ -19,7 +19,7 @@
 	history []vmListVersion
 }
 
-// vmListVersion is one version of the whole list, valid from since on.
+// vmListVersion is one version of the complete list, valid from since on.
 type vmListVersion struct {
 	since time.Time
 	// number is the version's position in the history, starting at 1.
@@ -49,7 +49,7 @@
 	l.appendVersion(at)
 }
 
-// markLeaving marks a VM as leaving and reports whether it is listed.
+// markDraining marks a VM as draining and reports whether it is listed.
 func (l *vmList) markDraining(name string, at time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/testbed/readme/readme_test.go
+++ b/testbed/readme/readme_test.go
@@ -40,7 +40,7 @@
 }
 
 // TestTryItNamesWhatIsThere checks only that the files in the commands exist: the
-// commands run the whole demo and all checks, of which this test is one.
+// commands run the complete demo and all checks, of which this test is one.
 func TestTryItNamesWhatIsThere(t *testing.T) {
 	for _, line := range readmeCommands(t, "Try it") {
 		words := strings.Fields(line)
--- a/testbed/rowstore/calls.go
+++ b/testbed/rowstore/calls.go
@@ -24,7 +24,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	body.NowMS = nowMS()
 	w.WriteHeader(status)
-	// An encoding error means that the client has disconnected.
+	// An encoding error means that the HTTP client has disconnected.
 	_ = json.NewEncoder(w).Encode(body)
 }
 
--- a/testbed/soak/call.go
+++ b/testbed/soak/call.go
@@ -23,7 +23,7 @@
 	maxBodyBytes     = 6000
 )
 
-// Call is one request as its client observed it.
+// Call is one request as its caller observed it.
 type Call struct {
 	ID, Gateway, Kind, Key string
 	// Before is the number of earlier requests on the connection, and Rested is
@@ -55,7 +55,7 @@
 		c.ID, c.Gateway, c.Before, c.Rested.Round(time.Millisecond), c.Sent.Format("15:04:05.000"), c.Done.Sub(c.Sent).Round(time.Millisecond), c.Status, c.Err)
 }
 
-// isStream reports whether requests of a kind are answered with a stream of events.
+// isStream reports whether the response to requests of a kind is a stream of events.
 func isStream(kind string) bool { return kind == kindStream || kind == kindResume }
 
 // expectedBody returns the complete response body for a request. For a stream it
--- a/testbed/soak/check.go
+++ b/testbed/soak/check.go
@@ -30,7 +30,7 @@
 	checkSingleHolder    = "one at a time"
 )
 
-// index is a History with its arrivals indexed by request ID.
+// indexedHistory is a History with its arrivals indexed by request ID.
 type indexedHistory struct {
 	History
 	arrivals map[string][]Arrival
@@ -81,12 +81,12 @@
 	case c.Stray:
 		report(checkIntegrity, "%s: bytes that nothing had asked for", c)
 	case c.Echoed != "" && c.Echoed != c.ID:
-		report(checkIntegrity, "%s: an answer to %s", c, c.Echoed)
+		report(checkIntegrity, "%s: a response to %s", c, c.Echoed)
 	case !isSuccess(c.Status):
 	case c.Whole && !c.Signed:
 		report(checkIntegrity, "%s: a success that no server signed", c)
 	case c.Whole && c.Body != expected:
-		report(checkIntegrity, "%s: looks whole: %q", c, c.Body)
+		report(checkIntegrity, "%s: looks complete: %q", c, c.Body)
 	case !strings.HasPrefix(expected, c.Body):
 		report(checkIntegrity, "%s: another's bytes: %q", c, c.Body)
 	}
@@ -182,7 +182,7 @@
 		last = n
 	}
 	if c.Whole && last < streamEventCount {
-		report(checkStreamOrder, "%s: looks whole after event %d", c, last)
+		report(checkStreamOrder, "%s: looks complete after event %d", c, last)
 	}
 }
 
--- a/testbed/soak/client.go
+++ b/testbed/soak/client.go
@@ -13,9 +13,9 @@
 
 const (
 	// maxIdleFraction is the largest fraction of the idle timeout for which a
-	// client leaves a connection idle.
+	// caller leaves a connection idle.
 	maxIdleFraction = 0.8
-	// clientTimeout is how long a client waits for a response: more than twice
+	// callerTimeout is how long a caller waits for a response: more than twice
 	// the longest route timeout plus the longest path delays.
 	callerTimeout = 10 * time.Second
 	// reconnectDelay is the delay between two connection attempts.
@@ -23,7 +23,7 @@
 	host           = "h.example"
 )
 
-// client sends requests to one gateway over a persistent connection, which it
+// caller sends requests to one gateway over a persistent connection, which it
 // keeps open until the gateway closes it or a request fails.
 type caller struct {
 	name, gateway, addr string
--- a/testbed/soak/harness.go
+++ b/testbed/soak/harness.go
@@ -17,7 +17,7 @@
 const (
 	// servers is the number of backend servers; half of them get faults.
 	servers = 5
-	// clientsPerGateway is a load that a small VM's fraction of a core can serve.
+	// callersPerGateway is a load that a small VM's fraction of a core can serve.
 	callersPerGateway = 30
 	// sampleInterval is how often a gateway's metrics and descriptors are read.
 	sampleInterval = 150 * time.Millisecond
--- a/testbed/soak/history.go
+++ b/testbed/soak/history.go
@@ -1,6 +1,6 @@
 // Package soak injects overlapping series of faults, drawn from a seed, into
 // gateways, backend servers and a store that run as separate processes, while
-// clients send requests over persistent connections. It then checks what clients
+// callers send requests over persistent connections. It then checks what callers
 // and servers observed. Start reading at Run; Check contains the checks.
 package soak
 
--- a/testbed/soak/proxy.go
+++ b/testbed/soak/proxy.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Directions of a connection: upstream is from the client to the target.
+// Directions of a connection: upstream is from the connecting process to the target.
 const (
 	upstream = iota
 	downstream
--- a/testbed/soak/script.go
+++ b/testbed/soak/script.go
@@ -51,7 +51,7 @@
 }
 
 // delayed runs then after a delay derived from the request's ID, below maxMS
-// milliseconds. It gives up if the client disconnects meanwhile.
+// milliseconds. It gives up if the gateway disconnects meanwhile.
 func delayed(maxMS uint64, then gateway.Script) gateway.Script {
 	return func(c net.Conn, a *gateway.ReceivedRequest) bool {
 		select {
@@ -64,7 +64,7 @@
 }
 
 // parseRequest returns the kind of a request and the number of the last event that
-// its client has received; 0 for none.
+// its caller has received; 0 for none.
 func parseRequest(a *gateway.ReceivedRequest) (kind string, lastEvent int) {
 	// Without a valid number the stream starts at its first event.
 	_, _ = fmt.Sscan(a.Header.Get("Last-Event-Id"), &lastEvent)
--- a/testbed/soak/simulators.go
+++ b/testbed/soak/simulators.go
@@ -34,7 +34,7 @@
 	pathDutiesReport = "/broken"
 )
 
-// instanceSeparator separates a server's name from the number of its start.
+// instanceSeparator separates a server's name from the number of its instance.
 const instanceSeparator = "."
 
 // ServeServer runs a simulated backend server until ctx is done. It serves requests
@@ -107,7 +107,7 @@
 	})
 	mux.HandleFunc(pathLand, func(http.ResponseWriter, *http.Request) { platform.RunDelayed() })
 	mux.HandleFunc(pathDutiesReport, func(w http.ResponseWriter, _ *http.Request) {
-		// A client that disconnects must ask again.
+		// An HTTP client that disconnects must ask again.
 		_ = json.NewEncoder(w).Encode(Duties{Reports: len(platform.Reports()), Broken: platform.Violations()})
 	})
 	failed := make(chan error, 3)
--- a/testbed/soak/stategenerator.go
+++ b/testbed/soak/stategenerator.go
@@ -28,7 +28,7 @@
 }
 
 // stateGenerator generates the desired states that operators would write, and
-// tells clients which keys and idle timeouts may be in force.
+// tells callers which keys and idle timeouts may be in force.
 type stateGenerator struct {
 	// mu guards the fields below; no other lock is acquired while it is held.
 	mu          sync.Mutex
