--- a/testbed/fleet/process.go
+++ b/testbed/fleet/process.go
@@ -22,13 +22,13 @@
 	// Addr is the host:port that the process listens on.
 	Addr string
 
-	program      string
-	args         []string
-	argsForStart func(start int) []string // if set, replaces args for each instance
-	startCount   int
-	logPath      string
-	launcher     *launcher
-	ready        readinessCheck
+	program         string
+	args            []string
+	argsForInstance func(number int) []string // if set, replaces args for each instance
+	startCount      int
+	logPath         string
+	launcher        *launcher
+	ready           readinessCheck
 
 	mu   sync.Mutex
 	last *instance
@@ -60,8 +60,8 @@
 		return errors.Wrapf(err, "log of %s", p.Name)
 	}
 	defer log.Close()
-	if p.argsForStart != nil {
-		p.args = p.argsForStart(p.startCount)
+	if p.argsForInstance != nil {
+		p.args = p.argsForInstance(p.startCount)
 	}
 	p.startCount++
 	cmd := exec.Command(p.program, p.args...)
--- a/testbed/fleet/server.go
+++ b/testbed/fleet/server.go
@@ -40,15 +40,15 @@
 		s.recordFiles = []string{callsFile}
 	}
 	if spec.Kind == settings.BackendEngine {
-		s.argsForStart = func(start int) []string { return s.engineArgs(f.dir, start) }
+		s.argsForInstance = func(number int) []string { return s.engineArgs(f.dir, number) }
 	}
 	return s, nil
 }
 
 // engineArgs returns the arguments for one instance of an engine. Each instance
 // has its own record file, since its run numbers start at 1.
-func (s *Server) engineArgs(dir string, start int) []string {
-	record := filepath.Join(dir, fmt.Sprintf("%s-%d.runs", s.Name, start))
+func (s *Server) engineArgs(dir string, number int) []string {
+	record := filepath.Join(dir, fmt.Sprintf("%s-%d.runs", s.Name, number))
 	s.mu.Lock()
 	s.recordFiles = append(s.recordFiles, record)
 	s.mu.Unlock()
--- a/testbed/gateway/idle_timeout_test.go
+++ b/testbed/gateway/idle_timeout_test.go
@@ -67,8 +67,8 @@
 	process := <-child.started
 	t.Cleanup(func() { _ = process.Signal(syscall.SIGCONT) })
 	for round := 0; round < rounds && !t.Failed(); round++ {
-		answered, forwarded := suspendRound(t, f, process, round)
-		t.Logf("round %d: %d requests forwarded, %d served", round, forwarded, answered)
+		served, forwarded := suspendRound(t, f, process, round)
+		t.Logf("round %d: %d requests forwarded, %d served", round, forwarded, served)
 		if forwarded == 0 {
 			t.Errorf("round %d: no request was forwarded, so nothing was tested", round)
 		}
--- a/testbed/gateway/store_polling_test.go
+++ b/testbed/gateway/store_polling_test.go
@@ -79,7 +79,7 @@
 func TestOthersPollWhenThePollersAreLost(t *testing.T) {
 	fixtures := startGateways(t, 6, 0)
 	first := fixtures[0]
-	leaving := first.StartServer("i-1", gateway.Respond("whole"))
+	draining := first.StartServer("i-1", gateway.Respond("whole"))
 	first.StartServer("i-2", gateway.Respond("whole"))
 	remaining := fixtures[storePollers:]
 	for i, f := range remaining {
@@ -94,7 +94,7 @@
 	for _, f := range fixtures[:storePollers] {
 		<-f.Stopped
 	}
-	first.ListServer(leaving, "draining")
+	first.ListServer(draining, "draining")
 	// A draining server must receive no new requests after two seconds.
 	time.Sleep(2 * time.Second)
 	for i, f := range remaining {
--- a/testbed/measure/detailtables.go
+++ b/testbed/measure/detailtables.go
@@ -31,11 +31,11 @@
 	_, _ = fmt.Fprintln(t.out)
 }
 
-func countWithPercent(part, whole int) string {
-	if whole == 0 {
+func countWithPercent(part, total int) string {
+	if total == 0 {
 		return "none"
 	}
-	return fmt.Sprintf("%d (%.0f%%)", part, percent*float64(part)/float64(whole))
+	return fmt.Sprintf("%d (%.0f%%)", part, percent*float64(part)/float64(total))
 }
 
 // writeAddedLatency writes a table of latencies at quiet load, through the system and
