--- a/testbed/cloud/cloud.go
+++ b/testbed/cloud/cloud.go
@@ -1,7 +1,7 @@
 // Package cloud is a stand-in for the platform's endpoints that only one process at a time,
 // the holder of a lease, may call: usage reports and scaling of servers. It checks fencing
 // tokens when it executes a call, can drop responses and execute calls late, and records
-// violations by the callers. It identifies a machine by the handler through which it calls
+// violations by the machines that call. It identifies a machine by the handler through which it calls
 // (Cloud.Machine), not by the name in the request. Cloud is the main type.
 package cloud
 
--- a/testbed/cmd/matrix/command.go
+++ b/testbed/cmd/matrix/command.go
@@ -24,7 +24,7 @@
 	flagLogs     = "logs"
 )
 
-// errCellsFailed reports that at least one cell was not completed or broke a promise.
+// errCellsFailed reports that at least one cell was not completed or broke a guarantee.
 var errCellsFailed = errors.New("some cells failed")
 
 // newCommand returns the command with its flags.
--- a/testbed/engine/response.go
+++ b/testbed/engine/response.go
@@ -39,7 +39,7 @@
 }
 
 // Fingerprint returns a hash of a request's messages, which identifies the
-// request independently of the ids assigned on its way. It returns the empty
+// request independently of the IDs assigned on its way. It returns the empty
 // string for a body that can't be decoded.
 func Fingerprint(body []byte) string {
 	req, err := decodeRequest(body)
--- a/testbed/engine/run_log.go
+++ b/testbed/engine/run_log.go
@@ -85,7 +85,7 @@
 	l.write(r)
 }
 
-// cancel cancels the active runs with the given id, or all active runs if it is
+// cancel cancels the active runs with the given ID, or all active runs if it is
 // empty.
 func (l *runLog) cancel(runID string, cause error) {
 	l.mu.Lock()
@@ -97,7 +97,7 @@
 	}
 }
 
-// activeIDs returns the ids of the runs that have not ended, oldest first.
+// activeIDs returns the IDs of the runs that have not ended, oldest first.
 func (l *runLog) activeIDs() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/testbed/engine/run_record.go
+++ b/testbed/engine/run_record.go
@@ -17,7 +17,7 @@
 	OutcomeRunning Outcome = "running"
 	// OutcomeCompleted: the complete response and [DONE] were written.
 	OutcomeCompleted Outcome = "whole"
-	// OutcomeCancelled: the run was cancelled by its id.
+	// OutcomeCancelled: the run was cancelled by its ID.
 	OutcomeCancelled Outcome = "cancelled"
 	// OutcomeDisconnected: the HTTP client closed the connection.
 	OutcomeDisconnected Outcome = "disconnected"
@@ -32,7 +32,7 @@
 type RunRecord struct {
 	// Seq is the run's sequence number on this engine, starting at 1.
 	Seq int `json:"seq"`
-	// RunID is the run's id; RequestID is its part before "#", without the
+	// RunID is the run's ID; RequestID is its part before "#", without the
 	// number of the attempt.
 	RunID     string `json:"run"`
 	RequestID string `json:"request"`
--- a/testbed/fleet/options.go
+++ b/testbed/fleet/options.go
@@ -59,7 +59,7 @@
 	// LoadLag is the maximum age of an engine's load report, in whole
 	// milliseconds; zero selects the engine's default.
 	LoadLag time.Duration
-	// IgnoresFencingToken makes an engine accept orders with outdated fencing tokens.
+	// IgnoreFencingTokens makes an engine accept orders with stale fencing tokens.
 	IgnoresFencingToken bool
 }
 
--- a/testbed/gateway/fixture.go
+++ b/testbed/gateway/fixture.go
@@ -37,7 +37,7 @@
  "tenants": [{"name":"crew","api-keys":["key-1"%s],"priority":1}]
 }`
 
-// idleTimeout is the limit for idle caller connections in the initial desired state. It
+// idleTimeout is the limit for callers' idle connections in the initial desired state. It
 // exceeds the duration of every test.
 const idleTimeout = 15 * time.Second
 
@@ -272,7 +272,7 @@
 	f.requests = append(f.requests, a)
 }
 
-// Request returns a caller request with an ID, authorized with key-1.
+// Request returns a caller's request with an ID, authorized with key-1.
 func (f *Fixture) Request(ctx context.Context, method, path, id string, body io.Reader) *http.Request {
 	f.t.Helper()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+f.GatewayAddr+path, body)
--- a/testbed/gateway/keepalive_conn_test.go
+++ b/testbed/gateway/keepalive_conn_test.go
@@ -14,7 +14,7 @@
 // responseTimeout is the maximum time that a caller waits for a response.
 const responseTimeout = 10 * time.Second
 
-// keepAliveConn is a caller connection that stays open between requests.
+// keepAliveConn is a caller's connection that stays open between requests.
 type keepAliveConn struct {
 	net.Conn
 	reader *bufio.Reader
@@ -22,7 +22,7 @@
 	idleSince time.Time
 }
 
-// dialKeepAlive opens a caller connection to a gateway.
+// dialKeepAlive opens a caller's connection to a gateway.
 func dialKeepAlive(t *testing.T, f *gateway.Fixture) *keepAliveConn {
 	t.Helper()
 	c, err := net.Dial("tcp", f.GatewayAddr)
--- a/testbed/gateway/raw_conn_test.go
+++ b/testbed/gateway/raw_conn_test.go
@@ -15,14 +15,14 @@
 // readTimeout bounds each read of a caller; it is far longer than any route's timeout.
 const readTimeout = 6 * time.Second
 
-// rawConn is a caller connection for requests written byte by byte.
+// rawConn is a caller's connection for requests written byte by byte.
 type rawConn struct {
 	*net.TCPConn
 	t      testing.TB
 	reader *bufio.Reader
 }
 
-// dialRaw opens a caller connection to the gateway.
+// dialRaw opens a caller's connection to the gateway.
 func dialRaw(t testing.TB, f *gateway.Fixture) *rawConn {
 	t.Helper()
 	c, err := net.Dial("tcp", f.GatewayAddr)
--- a/testbed/gateway/server.go
+++ b/testbed/gateway/server.go
@@ -32,7 +32,7 @@
 
 // Server is a scripted backend server.
 type Server struct {
-	// Instance identifies the server process; a restart has a new ID.
+	// Instance is the ID of the instance; a restarted server has a new one.
 	Instance string
 	Addr     string
 	// onRequest is called for each request.
--- a/testbed/matrix/harness.go
+++ b/testbed/matrix/harness.go
@@ -60,7 +60,7 @@
 	}
 	for i := range backends {
 		backends[i].LoadLag = c.loadReportAge()
-		// The agents alone must refuse orders with an old fencing token.
+		// The agents alone must refuse orders with a stale fencing token.
 		backends[i].IgnoresFencingToken = true
 	}
 	var err error
--- a/testbed/matrix/matrix_test.go
+++ b/testbed/matrix/matrix_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// TestFixedCells runs the cells of FixedCells; no promise may be broken.
+// TestFixedCells runs the cells of FixedCells; no guarantee may be broken.
 func TestFixedCells(t *testing.T) {
 	slots := make(chan struct{}, parallelCells)
 	for _, cell := range FixedCells() {
--- a/testbed/matrix/run.go
+++ b/testbed/matrix/run.go
@@ -23,7 +23,7 @@
 // Result is the result of running a cell.
 type Result struct {
 	Cell Cell
-	// Violations are the promises that were broken.
+	// Violations are the guarantees that were broken.
 	Violations []history.Violation
 	// Err is the reason why the cell was not completed, if it was not.
 	Err error
@@ -39,7 +39,7 @@
 	Took time.Duration
 }
 
-// First returns the first broken promise, or "" if there is none.
+// First returns the first broken guarantee, or "" if there is none.
 func (r Result) First() string {
 	if len(r.Violations) == 0 {
 		return ""
@@ -50,7 +50,7 @@
 // Faults returns the names of the cell's faults, joined by "+".
 func (r Result) Faults() string { return r.Cell.faultNames() }
 
-// Holds reports whether the cell was completed and broke no promise.
+// Holds reports whether the cell was completed and broke no guarantee.
 func (r Result) Holds() bool { return r.Err == nil && len(r.Violations) == 0 }
 
 // Run runs one cell on its own fleet. Errors are reported in Result.Err.
--- a/testbed/soak/run.go
+++ b/testbed/soak/run.go
@@ -53,7 +53,7 @@
 	if len(r.Violations) > 0 {
 		verdict = fmt.Sprintf("FAILED, %d violations, evidence in %s", len(r.Violations), r.Evidence)
 	}
-	return fmt.Sprintf("seed %d: %d steps, %d calls, %d served, %d judged as owed an answer: %s", r.Seed, r.Steps, r.Calls, r.Served, r.Owed, verdict)
+	return fmt.Sprintf("seed %d: %d steps, %d calls, %d served, %d judged as owed a response: %s", r.Seed, r.Steps, r.Calls, r.Served, r.Owed, verdict)
 }
 
 // Run runs a seed and checks its history. An error means that the soak itself
