--- a/testbed/fleet/backend.go
+++ b/testbed/fleet/backend.go
@@ -64,7 +64,7 @@
 			Kind:               spec.Kind,
 			ServedName:         spec.Serves,
 			URL:                "http://" + serverAddr,
-			ChecksFencingToken: !spec.IgnoresFencingToken,
+			ChecksFencingToken: !spec.IgnoreFencingTokens,
 		},
 		Log: settings.Log{Level: f.options.LogLevel},
 	})
--- a/testbed/fleet/options.go
+++ b/testbed/fleet/options.go
@@ -60,7 +60,7 @@
 	// milliseconds; zero selects the engine's default.
 	LoadLag time.Duration
 	// IgnoreFencingTokens makes an engine accept orders with stale fencing tokens.
-	IgnoresFencingToken bool
+	IgnoreFencingTokens bool
 }
 
 // Engines returns specs of count identical engines of one model. The interval
--- a/testbed/fleet/server.go
+++ b/testbed/fleet/server.go
@@ -63,7 +63,7 @@
 	if s.Spec.LoadLag > 0 {
 		args = append(args, "--load-lag-ms", strconv.FormatInt(s.Spec.LoadLag.Milliseconds(), 10))
 	}
-	if s.Spec.IgnoresFencingToken {
+	if s.Spec.IgnoreFencingTokens {
 		args = append(args, "--ignore-fences")
 	}
 	return args
--- a/testbed/matrix/harness.go
+++ b/testbed/matrix/harness.go
@@ -61,7 +61,7 @@
 	for i := range backends {
 		backends[i].LoadLag = c.loadReportAge()
 		// The agents alone must refuse orders with a stale fencing token.
-		backends[i].IgnoresFencingToken = true
+		backends[i].IgnoreFencingTokens = true
 	}
 	var err error
 	h.fleet, err = fleet.Start(ctx, fleet.Options{
