--- a/testbed/fleet/options.go
+++ b/testbed/fleet/options.go
@@ -59,8 +59,8 @@
 	// LoadLag is the maximum age of an engine's load report, in whole
 	// milliseconds; zero selects the engine's default.
 	LoadLag time.Duration
-	// IgnoresFencingToken makes an engine accept orders with outdated fencing tokens.
-	IgnoresFencingToken bool
+	// IgnoreFencingTokens makes an engine accept orders with stale fencing tokens.
+	IgnoreFencingTokens bool
 }
 
 // Engines returns specs of count identical engines of one model. The interval
--- a/testbed/fleet/server.go
+++ b/testbed/fleet/server.go
@@ -25,7 +25,7 @@
 	Spec BackendSpec
 
 	mu          sync.Mutex
-	recordFiles []string // record files, oldest first; an engine has one per start
+	recordFiles []string // record files, oldest first; an engine has one per instance
 }
 
 func (f *Fleet) newServer(name string, spec BackendSpec) (*Server, error) {
@@ -40,15 +40,15 @@
 		s.recordFiles = []string{callsFile}
 	}
 	if spec.Kind == settings.BackendEngine {
-		s.argsForStart = func(start int) []string { return s.engineArgs(f.dir, start) }
+		s.argsForInstance = func(number int) []string { return s.engineArgs(f.dir, number) }
 	}
 	return s, nil
 }
 
-// engineArgs returns the arguments for one start of an engine. Each start has
-// its own record file, since run numbers start at 1 again.
-func (s *Server) engineArgs(dir string, start int) []string {
-	record := filepath.Join(dir, fmt.Sprintf("%s-%d.runs", s.Name, start))
+// engineArgs returns the arguments for one instance of an engine. Each instance
+// has its own record file, since its run numbers start at 1.
+func (s *Server) engineArgs(dir string, number int) []string {
+	record := filepath.Join(dir, fmt.Sprintf("%s-%d.runs", s.Name, number))
 	s.mu.Lock()
 	s.recordFiles = append(s.recordFiles, record)
 	s.mu.Unlock()
@@ -63,7 +63,7 @@
 	if s.Spec.LoadLag > 0 {
 		args = append(args, "--load-lag-ms", strconv.FormatInt(s.Spec.LoadLag.Milliseconds(), 10))
 	}
-	if s.Spec.IgnoresFencingToken {
+	if s.Spec.IgnoreFencingTokens {
 		args = append(args, "--ignore-fences")
 	}
 	return args
--- a/testbed/gateway/half_close_test.go
+++ b/testbed/gateway/half_close_test.go
@@ -7,11 +7,11 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// closeDetectionTime is the time within which a gateway detects that a client closed its
+// closeDetectionTime is the time within which a gateway detects that a caller closed its
 // connection, if it detects that at all.
 const closeDetectionTime = 500 * time.Millisecond
 
-// A client that half-closes its connection after its request may still read. It gets its
+// A caller that half-closes its connection after its request may still read. It gets its
 // response or none, never an unsigned success.
 func TestHalfClosedClientGetsNoFalseSuccess(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/unsafe/x", "/stream/x", "/resume/x"} {
@@ -20,16 +20,16 @@
 				f, server := newServingFixture(t, gateway.Options{})
 				script, release := respondOnRelease("id: 1\ndata: whole\n\n")
 				server.SetScript(script)
-				client := dialRaw(t, f)
-				client.send(postHead(path, "half", 4) + "body")
+				caller := dialRaw(t, f)
+				caller.send(postHead(path, "half", 4) + "body")
 				if !immediately {
 					f.WaitFor("the request to reach the server", func() bool { return len(f.ReceivedRequests("half")) > 0 })
 				}
-				if err := client.CloseWrite(); err != nil {
+				if err := caller.CloseWrite(); err != nil {
 					t.Fatal(err)
 				}
 				if !immediately {
-					// A gateway that treats the client as gone closes its connection to the
+					// A gateway that treats the caller as gone closes its connection to the
 					// server.
 					select {
 					case <-f.ReceivedRequests("half")[0].Closed:
@@ -37,7 +37,7 @@
 					}
 				}
 				close(release)
-				got := client.receive("POST")
+				got := caller.receive("POST")
 				if unsignedSuccess(got) {
 					t.Errorf("status %d without a server's signature: %+v", got.Status, got)
 				}
--- a/testbed/gateway/http10_client_test.go
+++ b/testbed/gateway/http10_client_test.go
@@ -11,7 +11,7 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// For an HTTP/1.0 client the end of the connection ends a response of unknown length. If such
+// For an HTTP/1.0 caller the end of the connection ends a response of unknown length. If such
 // a response is interrupted, the connection must be reset, or the response looks complete.
 func TestInterruptedResponseToHTTP10ClientIsReset(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -25,9 +25,9 @@
 			t.Parallel()
 			f, server := newServingFixture(t, gateway.Options{})
 			server.SetScript(c.script)
-			client := dialRaw(t, f)
-			client.send(strings.Replace(requestHead("POST", c.path, "old"), "HTTP/1.1", "HTTP/1.0", 1))
-			resp, err := http.ReadResponse(bufio.NewReader(client), nil)
+			caller := dialRaw(t, f)
+			caller.send(strings.Replace(requestHead("POST", c.path, "old"), "HTTP/1.1", "HTTP/1.0", 1))
+			resp, err := http.ReadResponse(bufio.NewReader(caller), nil)
 			if err != nil {
 				return
 			}
--- a/testbed/gateway/incomplete_body_test.go
+++ b/testbed/gateway/incomplete_body_test.go
@@ -8,16 +8,16 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// A request whose body doesn't arrive completely is answered by the route's timeout.
+// A request whose body doesn't arrive completely gets a response by the route's timeout.
 func TestIncompleteBodyTimesOut(t *testing.T) {
 	for form, body := range map[string]string{"a length": "Content-Length: 8\r\n\r\nhalf", "chunks": "Transfer-Encoding: chunked\r\n\r\n8\r\nhalf"} {
 		t.Run(form, func(t *testing.T) {
 			t.Parallel()
 			f, _ := newServingFixture(t, gateway.Options{})
-			client := dialRaw(t, f)
+			caller := dialRaw(t, f)
 			began := time.Now()
-			client.send(strings.TrimSuffix(requestHead("POST", "/quick/x", "slow"), "\r\n") + body)
-			got := client.receive("POST")
+			caller.send(strings.TrimSuffix(requestHead("POST", "/quick/x", "slow"), "\r\n") + body)
+			got := caller.receive("POST")
 			// The route's timeout is 200 ms; the requirement allows 500 ms more.
 			if took := time.Since(began); got.Status == 0 || took > 700*time.Millisecond {
 				t.Errorf("after %v: %+v", took, got)
--- a/testbed/gateway/soak_test.go
+++ b/testbed/gateway/soak_test.go
@@ -37,7 +37,7 @@
 	responses  map[string]int
 }
 
-// Checks these invariants under random faults: each response belongs to its client, and is
+// Checks these invariants under random faults: each response belongs to its caller, and is
 // complete or recognizably incomplete; non-repeatable requests run at most once; requests
 // rejected as not executed didn't run.
 func TestFaultSoak(t *testing.T) {
@@ -50,10 +50,10 @@
 	deadline := time.Now().Add(soakDuration)
 	var workers sync.WaitGroup
 	workers.Go(func() { s.injectFaults(servers, deadline) })
-	for client := range 12 {
+	for caller := range 12 {
 		workers.Go(func() {
 			for n := 0; time.Now().Before(deadline); n++ {
-				s.sendAndCheck(fmt.Sprintf("c%d-%d", client, n))
+				s.sendAndCheck(fmt.Sprintf("c%d-%d", caller, n))
 			}
 		})
 	}
--- a/testbed/gateway/store_polling_test.go
+++ b/testbed/gateway/store_polling_test.go
@@ -79,7 +79,7 @@
 func TestOthersPollWhenThePollersAreLost(t *testing.T) {
 	fixtures := startGateways(t, 6, 0)
 	first := fixtures[0]
-	leaving := first.StartServer("i-1", gateway.Respond("whole"))
+	draining := first.StartServer("i-1", gateway.Respond("whole"))
 	first.StartServer("i-2", gateway.Respond("whole"))
 	remaining := fixtures[storePollers:]
 	for i, f := range remaining {
@@ -94,7 +94,7 @@
 	for _, f := range fixtures[:storePollers] {
 		<-f.Stopped
 	}
-	first.ListServer(leaving, "draining")
+	first.ListServer(draining, "draining")
 	// A draining server must receive no new requests after two seconds.
 	time.Sleep(2 * time.Second)
 	for i, f := range remaining {
@@ -109,7 +109,7 @@
 }
 
 // A gateway that hears from few others may be partitioned together with them, also from the
-// store. Only its own calls show that; it then reports that it isn't ready, so that clients go
+// store. Only its own calls show that; it then reports that it isn't ready, so that callers go
 // elsewhere.
 func TestPartitionedGatewaysPollTheStore(t *testing.T) {
 	const gateways, changes = 8, 8
--- a/testbed/gateway/unread_response_test.go
+++ b/testbed/gateway/unread_response_test.go
@@ -9,7 +9,7 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// A client that doesn't read its response must not delay a graceful shutdown: the gateway
+// A caller that doesn't read its response must not delay a graceful shutdown: the gateway
 // drops it soon after the response was due.
 func TestUnreadResponseDoesNotDelayShutdown(t *testing.T) {
 	t.Parallel()
@@ -23,8 +23,8 @@
 	// The body exceeds the socket buffers between the two.
 	body := strings.Repeat("x", 32<<20)
 	server.SetScript(gateway.Respond(body))
-	client := dialRaw(t, f)
-	client.send(requestHead("POST", "/unsafe/x", "unread", "X-Deadline-Ms: 1000", fmt.Sprintf("Content-Length: %d", 0)))
+	caller := dialRaw(t, f)
+	caller.send(requestHead("POST", "/unsafe/x", "unread", "X-Deadline-Ms: 1000", fmt.Sprintf("Content-Length: %d", 0)))
 	f.WaitFor("the request to reach the server", func() bool { return len(f.ReceivedRequests("unread")) > 0 })
 	f.Stop()
 	select {
--- a/testbed/history/event.go
+++ b/testbed/history/event.go
@@ -12,8 +12,8 @@
 	Lifted time.Time `json:"lifted"`
 }
 
-// Leaving records that a VM was told to leave.
-type Leaving struct {
+// Drain records that a VM was told to take no new work.
+type Drain struct {
 	Server string    `json:"server"`
 	At     time.Time `json:"at"`
 	// Limit is for how long after At new work may still start on the VM.
--- a/testbed/matrix/fixed_cells.go
+++ b/testbed/matrix/fixed_cells.go
@@ -3,7 +3,7 @@
 // FixedCells returns the part of the matrix that CI runs: a crash, a pause and a
 // broken connection at each step of non-repeatable work, every fault in the
 // middle of a stream, and every cell that once exposed a fault of the product,
-// with its seed. VMs that leave by the platform's list alone are covered only by
+// with its seed. VMs that are draining by the platform's list alone are covered only by
 // the complete matrix, because their limit of a few seconds cannot be met
 // reliably on a busy machine.
 func FixedCells() []Cell {
@@ -20,7 +20,7 @@
 		singleFaultCell(SubjectService, StepBodySent, KillAgent),
 		singleFaultCell(SubjectService, StepStarted, KillEntry),
 		singleFaultCell(SubjectService, StepStarted, SilentDown),
-		singleFaultCell(SubjectService, StepStarted, CutAnswer),
+		singleFaultCell(SubjectService, StepStarted, CutResponse),
 		singleFaultCell(SubjectService, StepStarted, KillService),
 		singleFaultCell(SubjectTargets, StepWriteLost, TwoOperators),
 		singleFaultCell(SubjectTargets, StepWriteLost, KillEntry),
@@ -29,8 +29,8 @@
 		Cell{Subject: SubjectTargets, Step: StepAccepted, Faults: []FaultKind{PlatformDown, FreshEntry}, Seed: 1},
 		singleFaultCell(SubjectStop, StepUnderLoad, StopEntry),
 		singleFaultCell(SubjectBurst, StepBurst, KillEntry),
-		Cell{Subject: SubjectStop, Step: StepUnderLoad, Faults: []FaultKind{StopEntry, LeaveVM}, Seed: 1},
-		Cell{Subject: SubjectLeaving, Step: StepUnderLoad, Faults: []FaultKind{LeaveVM, ListLags}, Seed: 1},
+		Cell{Subject: SubjectStop, Step: StepUnderLoad, Faults: []FaultKind{StopEntry, DrainVM}, Seed: 1},
+		Cell{Subject: SubjectDraining, Step: StepUnderLoad, Faults: []FaultKind{DrainVM, ListLags}, Seed: 1},
 	)
 	return append(cells, regressionCells()...)
 }
--- a/testbed/matrix/harness.go
+++ b/testbed/matrix/harness.go
@@ -60,8 +60,8 @@
 	}
 	for i := range backends {
 		backends[i].LoadLag = c.loadReportAge()
-		// The agents alone must refuse orders with an old fencing token.
-		backends[i].IgnoresFencingToken = true
+		// The agents alone must refuse orders with a stale fencing token.
+		backends[i].IgnoreFencingTokens = true
 	}
 	var err error
 	h.fleet, err = fleet.Start(ctx, fleet.Options{
@@ -164,7 +164,7 @@
 }
 
 // call sends a request and records the call.
-func (h *harness) call(ctx context.Context, request clientRequest, entry *fleet.Entry) history.Call {
+func (h *harness) call(ctx context.Context, request callerRequest, entry *fleet.Entry) history.Call {
 	call := request.send(ctx, entry)
 	h.recorder.Call(call)
 	return call
--- a/testbed/matrix/run.go
+++ b/testbed/matrix/run.go
@@ -23,7 +23,7 @@
 // Result is the result of running a cell.
 type Result struct {
 	Cell Cell
-	// Violations are the promises that were broken.
+	// Violations are the guarantees that were broken.
 	Violations []history.Violation
 	// Err is the reason why the cell was not completed, if it was not.
 	Err error
@@ -35,11 +35,11 @@
 	// Spread is the longest time until a change of targets was in force at a
 	// process.
 	Spread time.Duration
-	// Took is the duration of the whole cell.
+	// Took is the duration of the complete cell.
 	Took time.Duration
 }
 
-// First returns the first broken promise, or "" if there is none.
+// First returns the first broken guarantee, or "" if there is none.
 func (r Result) First() string {
 	if len(r.Violations) == 0 {
 		return ""
@@ -50,7 +50,7 @@
 // Faults returns the names of the cell's faults, joined by "+".
 func (r Result) Faults() string { return r.Cell.faultNames() }
 
-// Holds reports whether the cell was completed and broke no promise.
+// Holds reports whether the cell was completed and broke no guarantee.
 func (r Result) Holds() bool { return r.Err == nil && len(r.Violations) == 0 }
 
 // Run runs one cell on its own fleet. Errors are reported in Result.Err.
@@ -99,8 +99,8 @@
 		return h.runLeaseCell(ctx, c)
 	case SubjectBurst:
 		return h.runBurstCell(ctx, c)
-	case SubjectLeaving:
-		return h.runLeavingCell(ctx, c)
+	case SubjectDraining:
+		return h.runDrainingCell(ctx, c)
 	}
 	return errors.Errorf("unknown subject %s", c.Subject)
 }
--- a/testbed/measure/detailtables.go
+++ b/testbed/measure/detailtables.go
@@ -6,7 +6,7 @@
 	"github.com/applepier/applepier/testbed/load"
 )
 
-// writeRetries writes a table of refused clients, their retries and the retry delays.
+// writeRetries writes a table of refused callers, their retries and the retry delays.
 func (t table) writeRetries() {
 	t.header("shape", "refused", "came back in time", "then on time", "then late", "hint, median s", "longest hint, s")
 	for _, shape := range t.shapes {
@@ -31,11 +31,11 @@
 	_, _ = fmt.Fprintln(t.out)
 }
 
-func countWithPercent(part, whole int) string {
-	if whole == 0 {
+func countWithPercent(part, total int) string {
+	if total == 0 {
 		return "none"
 	}
-	return fmt.Sprintf("%d (%.0f%%)", part, percent*float64(part)/float64(whole))
+	return fmt.Sprintf("%d (%.0f%%)", part, percent*float64(part)/float64(total))
 }
 
 // writeAddedLatency writes a table of latencies at quiet load, through the system and
--- a/testbed/soak/proxy.go
+++ b/testbed/soak/proxy.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Directions of a connection: upstream is from the client to the target.
+// Directions of a connection: upstream is from the connecting process to the target.
 const (
 	upstream = iota
 	downstream
@@ -129,26 +129,26 @@
 }
 
 // relay forwards one connection until both directions have ended.
-func (p *proxy) relay(client net.Conn) {
+func (p *proxy) relay(conn net.Conn) {
 	p.mu.Lock()
 	target := p.target
 	p.mu.Unlock()
 	server, err := net.Dial("tcp", target)
 	if err != nil {
-		abort(client)
+		abort(conn)
 		return
 	}
 	p.mu.Lock()
-	p.conns[client] = server
+	p.conns[conn] = server
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.forward(client, server, upstream) })
-	both.Go(func() { p.forward(server, client, downstream) })
+	both.Go(func() { p.forward(conn, server, upstream) })
+	both.Go(func() { p.forward(server, conn, downstream) })
 	both.Wait()
 	p.mu.Lock()
-	delete(p.conns, client)
+	delete(p.conns, conn)
 	p.mu.Unlock()
-	_, _ = client.Close(), server.Close()
+	_, _ = conn.Close(), server.Close()
 }
 
 // chunk is data in flight; due is when it is forwarded.
--- a/testbed/soak/run.go
+++ b/testbed/soak/run.go
@@ -53,7 +53,7 @@
 	if len(r.Violations) > 0 {
 		verdict = fmt.Sprintf("FAILED, %d violations, evidence in %s", len(r.Violations), r.Evidence)
 	}
-	return fmt.Sprintf("seed %d: %d steps, %d calls, %d served, %d judged as owed an answer: %s", r.Seed, r.Steps, r.Calls, r.Served, r.Owed, verdict)
+	return fmt.Sprintf("seed %d: %d steps, %d calls, %d served, %d judged as owed a response: %s", r.Seed, r.Steps, r.Calls, r.Served, r.Owed, verdict)
 }
 
 // Run runs a seed and checks its history. An error means that the soak itself
@@ -102,12 +102,12 @@
 		coreFraction := coreFractions[random.IntN(len(coreFractions))]
 		workers.Go(func() { enforceCPUQuota(work, g, coreFraction) })
 		workers.Go(func() { h.sampleGateway(work, g) })
-		for i := range clientsPerGateway {
-			loadClient := &client{
+		for i := range callersPerGateway {
+			loadCaller := &caller{
 				name: fmt.Sprintf("c%d-%d", n, i), gateway: g.name, addr: g.frontProxy.addr(),
-				random: rand.New(rand.NewPCG(c.Seed, uint64(n*clientsPerGateway+i)+1<<32)), state: h.states, record: h.recordCall,
+				random: rand.New(rand.NewPCG(c.Seed, uint64(n*callersPerGateway+i)+1<<32)), state: h.states, record: h.recordCall,
 			}
-			workers.Go(func() { loadClient.run(work) })
+			workers.Go(func() { loadCaller.run(work) })
 		}
 	}
 	h.runSteps(work, steps)
