--- a/internal/agent/dispatcher_test.go
+++ b/internal/agent/dispatcher_test.go
@@ -119,7 +119,7 @@
 		d, s, sender := newTestDispatcher()
 		d.enqueue(s, testTicket("r"))
 		g, _ := d.useGrant(newRunRequest(sender.grants()[0]))
-		d.finishRun(g, policy.OutcomeWhole)
+		d.finishRun(g, policy.OutcomeComplete)
 		time.Sleep(grantRetention + time.Second)
 		d.tick(time.Now())
 		if len(d.grants.byID) != 0 || len(d.grants.finished) != 0 {
@@ -143,7 +143,7 @@
 		t.Fatal("drained while a request is running")
 	default:
 	}
-	d.finishRun(g, policy.OutcomeWhole)
+	d.finishRun(g, policy.OutcomeComplete)
 	<-d.drained
 }
 
--- a/internal/agent/relay_test.go
+++ b/internal/agent/relay_test.go
@@ -64,8 +64,8 @@
 	const repeats = 20
 	for range repeats {
 		synctest.Test(t, func(t *testing.T) {
-			if outcome, _ := relayWithPauses(t, engineIdleTimeouts.next+time.Second, 0, time.Second, 0); outcome != policy.OutcomeWhole {
-				t.Fatalf("outcome %v, want %v", outcome, policy.OutcomeWhole)
+			if outcome, _ := relayWithPauses(t, engineIdleTimeouts.next+time.Second, 0, time.Second, 0); outcome != policy.OutcomeComplete {
+				t.Fatalf("outcome %v, want %v", outcome, policy.OutcomeComplete)
 			}
 		})
 	}
@@ -75,8 +75,8 @@
 func TestFramesWithinIdleTimeoutAreRelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		justWithin := engineIdleTimeouts.next - time.Millisecond
-		if outcome, _ := relayWithPauses(t, 0, engineIdleTimeouts.first-time.Millisecond, justWithin, justWithin); outcome != policy.OutcomeWhole {
-			t.Fatalf("outcome %v, want %v", outcome, policy.OutcomeWhole)
+		if outcome, _ := relayWithPauses(t, 0, engineIdleTimeouts.first-time.Millisecond, justWithin, justWithin); outcome != policy.OutcomeComplete {
+			t.Fatalf("outcome %v, want %v", outcome, policy.OutcomeComplete)
 		}
 	})
 }
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -171,7 +171,7 @@
 	if err := r.out.Write(wire.Frame{Kind: wire.FrameEnd}); err != nil {
 		return policy.OutcomeCancelled
 	}
-	return policy.OutcomeWhole
+	return policy.OutcomeComplete
 }
 
 // idleTimeouts returns the timeouts for the kind of backend server.
--- a/internal/entry/dispatch/run.go
+++ b/internal/entry/dispatch/run.go
@@ -143,7 +143,7 @@
 
 // reportToEjector records the result of an attempt for outlier ejection.
 func (j *job) reportToEjector(grant acceptedGrant, result attemptResult) {
-	outcome := policy.OutcomeWhole
+	outcome := policy.OutcomeComplete
 	switch result.outcome {
 	case attemptInterrupted:
 		outcome = policy.OutcomeFailed
--- a/internal/entry/dispatch/shared_policies.go
+++ b/internal/entry/dispatch/shared_policies.go
@@ -45,5 +45,5 @@
 func (s *sharedPolicies) forgetAgent(agent string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ejector.Forget(agent)
+	s.ejector.RemoveEngine(agent)
 }
--- a/internal/gateway/peers/server_limit.go
+++ b/internal/gateway/peers/server_limit.go
@@ -26,7 +26,7 @@
 func packLimits(now time.Time, limits []policy.LimitReport) []serverLimit {
 	packed := make([]serverLimit, len(limits))
 	for i, l := range limits {
-		packed[i] = serverLimit{Instance: uint32(l.Server), Rate: l.Rate, Lifted: l.Lifted, SentRequests: float32(l.Sent)}
+		packed[i] = serverLimit{Instance: uint32(l.Instance), Rate: l.Rate, Lifted: l.Lifted, SentRequests: float32(l.Sent)}
 		if !l.At.IsZero() {
 			packed[i].Age = ageMillis(now, l.At)
 		}
@@ -43,7 +43,7 @@
 			continue
 		}
 		limits = append(limits, policy.LimitReport{
-			Server:        policy.Key(l.Instance),
+			Instance:      policy.Key(l.Instance),
 			LimitEvidence: policy.LimitEvidence{Rate: l.Rate, Lifted: l.Lifted, At: timeAtAge(now, l.Age)},
 		})
 	}
--- a/internal/gateway/peers/size_test.go
+++ b/internal/gateway/peers/size_test.go
@@ -21,7 +21,7 @@
 	makeLimits := func(n int) []policy.LimitReport {
 		list := make([]policy.LimitReport, n)
 		for i := range list {
-			list[i] = policy.LimitReport{Server: 1<<31 + policy.Key(i), LimitEvidence: policy.LimitEvidence{Rate: 1.8, At: now.Add(-time.Minute)}, Sent: 2.3}
+			list[i] = policy.LimitReport{Instance: 1<<31 + policy.Key(i), LimitEvidence: policy.LimitEvidence{Rate: 1.8, At: now.Add(-time.Minute)}, Sent: 2.3}
 		}
 		return list
 	}
--- a/internal/gateway/peers/updates_test.go
+++ b/internal/gateway/peers/updates_test.go
@@ -76,10 +76,10 @@
 	now := time.Now()
 	a.TakeUpdates = func() policy.PeerUpdate {
 		return policy.PeerUpdate{Limits: []policy.LimitReport{
-			{Server: 0xfffffff0, LimitEvidence: policy.LimitEvidence{Rate: 1.8, At: now.Add(-time.Minute)}, Sent: 2.5},
-			{Server: 2, LimitEvidence: policy.LimitEvidence{Lifted: true, At: now}},
-			{Server: 3, LimitEvidence: policy.LimitEvidence{Rate: math.NaN(), At: now}, Sent: math.NaN()},
-			{Server: 4, Sent: 1},
+			{Instance: 0xfffffff0, LimitEvidence: policy.LimitEvidence{Rate: 1.8, At: now.Add(-time.Minute)}, Sent: 2.5},
+			{Instance: 2, LimitEvidence: policy.LimitEvidence{Lifted: true, At: now}},
+			{Instance: 3, LimitEvidence: policy.LimitEvidence{Rate: math.NaN(), At: now}, Sent: math.NaN()},
+			{Instance: 4, Sent: 1},
 		}}
 	}
 	var merged []policy.LimitReport
--- a/internal/gateway/router/attempt.go
+++ b/internal/gateway/router/attempt.go
@@ -130,7 +130,7 @@
 func (c *call) policyOutcome(ctx context.Context, result attemptResult) policy.Outcome {
 	switch {
 	case c.served:
-		return policy.OutcomeWhole
+		return policy.OutcomeComplete
 	case result == resultNotRun, ctx.Err() != nil:
 		return policy.OutcomeCancelled
 	default:
--- a/internal/gateway/router/policy_state.go
+++ b/internal/gateway/router/policy_state.go
@@ -18,7 +18,7 @@
 		ownCounts := s.Load.Counts(now)
 		counts.Add(&ownCounts, 1)
 		loads[i] = policy.Server{
-			Name: info.ID, Start: info.InstanceKey(), Zone: info.Zone, Slots: info.Slots, MaxConns: maxConns,
+			Name: info.ID, Instance: info.InstanceKey(), Zone: info.Zone, Slots: info.Slots, MaxConns: maxConns,
 			Draining: info.Draining, Warming: info.WarmupLeft > 0,
 			Running: counts.Running, Pending: counts.Pending,
 		}
@@ -66,7 +66,7 @@
 	requests, tokens := s.sendRate.Expected(now, r.Peers.ReportInterval(), job.Urgency)
 	// On average, updates from other gateways are half as old as they can be.
 	job.UnreportedRequests, job.UnreportedTokens, job.ReportAge = otherGateways*requests, otherGateways*tokens/2, r.Peers.ReportInterval()/2
-	job.UnreportedOffers, job.OtherSenders = offerCounts.Expected(r.Peers.ReportInterval()), otherGateways
+	job.UnreportedOffers, job.OtherGateways = offerCounts.Expected(r.Peers.ReportInterval()), otherGateways
 	ownCounts := s.offerCounter.Counts(now)
 	offerCounts.Add(&ownCounts, 1)
 	r.setAllowances(now, loads)
@@ -108,7 +108,7 @@
 	r.serviceFor(c.service).prefillRates[c.urgency].Observe(now, tokensAhead, elapsed)
 	r.updates.addFirstToken(policy.TTFTSample{Service: policy.KeyOf(c.service), Server: policy.KeyOf(c.serverID), Urgency: c.urgency, TokensAhead: tokensAhead, Latency: elapsed})
 	r.PrefixIndex.RecordPrefilled(now, policy.KeyOf(c.serverID), c.sharedSegments)
-	r.unresponsive.RecordAnswered(policy.KeyOf(c.serverID))
+	r.unresponsive.RecordResponse(policy.KeyOf(c.serverID))
 }
 
 // observePause records the longest pause of a stream that came completely from one server.
@@ -134,13 +134,13 @@
 	r.quarantine.Merge(now, updates.Suspicions)
 	r.limits.Merge(updates.Limits)
 	for _, f := range updates.FirstTokens {
-		r.unresponsive.RecordAnswered(f.Server)
+		r.unresponsive.RecordResponse(f.Server)
 		if s := r.serviceByKey(f.Service); s != nil {
 			s.prefillRates[f.Urgency].Observe(now, f.TokensAhead, f.Latency)
 		}
 	}
 	for _, server := range updates.Unanswered {
-		r.unresponsive.RecordUnanswered(now, server)
+		r.unresponsive.RecordNoResponse(now, server)
 	}
 	for _, p := range updates.Pauses {
 		if s := r.serviceByKey(p.Service); s != nil {
@@ -194,7 +194,7 @@
 // respond. r.mu must be held.
 func (r *Router) recordNoResponse(server string) {
 	key := policy.KeyOf(server)
-	r.unresponsive.RecordUnanswered(time.Now(), key)
+	r.unresponsive.RecordNoResponse(time.Now(), key)
 	r.updates.addUnanswered(key)
 }
 
@@ -209,7 +209,7 @@
 func (r *Router) ForgetServer(server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Ejector.Forget(server)
+	r.Ejector.RemoveEngine(server)
 	r.unresponsive.RemoveServer(policy.KeyOf(server))
 	r.PrefixIndex.RemoveServer(policy.KeyOf(server))
 	for _, s := range r.services {
--- a/internal/gateway/router/quarantine.go
+++ b/internal/gateway/router/quarantine.go
@@ -117,7 +117,7 @@
 func (r *Router) recordServed(f policy.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.quarantine.ObserveAnswer(time.Now(), f)
+	r.quarantine.ObserveResponse(time.Now(), f)
 }
 
 // recordCrash records that a server instance ended while it had the request.
--- a/internal/gateway/router/server_limits.go
+++ b/internal/gateway/router/server_limits.go
@@ -39,7 +39,7 @@
 	liveShare := float64(r.Peers.LiveGateways()) / float64(listed)
 	for i := range loads {
 		s := &loads[i]
-		s.Allowance, s.RateLimited = r.limits.Allowance(now, s.Start, r.Peers.LimitedSends(s.Start), liveShare)
+		s.Allowance, s.RateLimited = r.limits.Allowance(now, s.Instance, r.Peers.LimitedSends(s.Instance), liveShare)
 	}
 }
 
@@ -48,7 +48,7 @@
 // must be held.
 func (r *Router) countLimitedSend(now time.Time, server *policy.Server) {
 	if server.RateLimited {
-		r.limits.CountSent(now, server.Start)
+		r.limits.CountSent(now, server.Instance)
 		r.limitedSends.Add(1)
 	}
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -73,7 +73,7 @@
 					s.Tokens(now, t.ID, 1)
 				}
 				s.NextWake(now)
-				s.Finished(now, t.ID, OutcomeWhole)
+				s.Finished(now, t.ID, OutcomeComplete)
 			}
 		})
 	}
--- a/policy/ejector.go
+++ b/policy/ejector.go
@@ -48,7 +48,7 @@
 	switch o {
 	case OutcomeFailed:
 		e.failed(now, engine)
-	case OutcomeWhole:
+	case OutcomeComplete:
 		e.succeeded(now, engine)
 	}
 }
@@ -84,6 +84,6 @@
 }
 
 // RemoveEngine drops the record of an engine that left.
-func (e *Ejector) Forget(engine string) {
+func (e *Ejector) RemoveEngine(engine string) {
 	delete(e.records, engine)
 }
--- a/policy/ejector_test.go
+++ b/policy/ejector_test.go
@@ -22,7 +22,7 @@
 		now = now.Add(duration)
 	}
 	for range healthyAfter {
-		e.Observe(now, "a", OutcomeWhole)
+		e.Observe(now, "a", OutcomeComplete)
 	}
 	if len(e.records) != 0 {
 		t.Errorf("a healthy engine still has a record")
@@ -32,7 +32,7 @@
 func TestEjectionByFailureShare(t *testing.T) {
 	e := NewEjector()
 	for i := range 40 {
-		o := OutcomeWhole
+		o := OutcomeComplete
 		if i%3 > 0 {
 			o = OutcomeFailed
 		}
@@ -43,7 +43,7 @@
 	if !e.Ejected(testStart, "flaky") || e.Ejected(testStart, "cancelled") || e.Ejected(testStart, "lapsed") {
 		t.Errorf("records %v", e.records)
 	}
-	e.Forget("flaky")
+	e.RemoveEngine("flaky")
 	if e.Ejected(testStart, "flaky") {
 		t.Errorf("still ejected after Forget")
 	}
--- a/policy/job.go
+++ b/policy/job.go
@@ -50,7 +50,7 @@
 	// other gateways have received for the service since their last update, and
 	// OtherGateways the number of these gateways.
 	UnreportedOffers float64
-	OtherSenders     float64
+	OtherGateways    float64
 	// Headroom is the fraction of each server's slots that is reserved for more
 	// urgent requests, in addition to the fixed reservation.
 	Headroom float64
--- a/policy/limit_probe_test.go
+++ b/policy/limit_probe_test.go
@@ -29,7 +29,7 @@
 			s.Tokens(now, id, 1)
 		}
 		if round > 2*initialLimit {
-			s.Finished(now, streams[0], OutcomeWhole)
+			s.Finished(now, streams[0], OutcomeComplete)
 			streams = streams[1:]
 		}
 		if s.limiter.limit > initialLimit {
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -8,7 +8,7 @@
 // Outcomes of a run.
 const (
 	// OutcomeComplete means that the response was complete.
-	OutcomeWhole Outcome = iota + 1
+	OutcomeComplete Outcome = iota + 1
 	// OutcomeFailed means that the engine failed the run.
 	OutcomeFailed
 	// OutcomeCancelled means that the caller or the router cancelled the run.
@@ -20,7 +20,7 @@
 // String returns the outcome's name, as shown in the timeline.
 func (o Outcome) String() string {
 	switch o {
-	case OutcomeWhole:
+	case OutcomeComplete:
 		return "whole"
 	case OutcomeFailed:
 		return "failed"
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -4,7 +4,7 @@
 
 func TestOutcomeString(t *testing.T) {
 	want := map[Outcome]string{
-		OutcomeWhole: "whole", OutcomeFailed: "failed", OutcomeCancelled: "cancelled", OutcomeLapsed: "lapsed",
+		OutcomeComplete: "whole", OutcomeFailed: "failed", OutcomeCancelled: "cancelled", OutcomeLapsed: "lapsed",
 		0: "unknown outcome 0",
 	}
 	for o, name := range want {
--- a/policy/over_limit.go
+++ b/policy/over_limit.go
@@ -26,10 +26,10 @@
 		}
 	}
 	// A request considers a few of the servers and takes the one with the most capacity.
-	others := min(job.UnreportedOffers, job.OtherSenders) * min(1, sampledServers/float64(max(available, 1)))
+	others := min(job.UnreportedOffers, job.OtherGateways) * min(1, sampledServers/float64(max(available, 1)))
 	for i := range servers {
 		if s := &servers[i]; s.RateLimited {
-			remaining, limit := s.limitRemaining(job), l.servers[s.Start]
+			remaining, limit := s.limitRemaining(job), l.servers[s.Instance]
 			s.OverLimit = remaining <= 0 || !limit.draw(now, random, (limit.sendsPerRedraw()+remaining)/(limit.sendsPerRedraw()+others))
 		}
 	}
--- a/policy/quarantine.go
+++ b/policy/quarantine.go
@@ -109,7 +109,7 @@
 }
 
 // ObserveResponse records a server's complete response to a request.
-func (q *Quarantine) ObserveAnswer(now time.Time, f Fingerprint) {
+func (q *Quarantine) ObserveResponse(now time.Time, f Fingerprint) {
 	q.completions.add(now, f)
 	if s := q.suspects[f]; s != nil && len(s.crashes) > 0 && q.record(f, now) {
 		q.announce(f, s)
--- a/policy/quarantine_test.go
+++ b/policy/quarantine_test.go
@@ -39,7 +39,7 @@
 	for _, instance := range instances("a", "b") {
 		q.ObserveCrash(testStart, 7, instance)
 	}
-	q.ObserveAnswer(testStart.Add(time.Second), 7)
+	q.ObserveResponse(testStart.Add(time.Second), 7)
 	later := testStart.Add(2*time.Second + crashGracePeriod)
 	q.ObserveCrash(later, 7, KeyOf("c"))
 	// A report of earlier crashes arrives late.
@@ -170,7 +170,7 @@
 		}
 	}
 	for range 10 {
-		sim.gateways[sim.random.IntN(len(sim.gateways))].ObserveAnswer(sim.now, Fingerprint(100+sim.random.IntN(40)))
+		sim.gateways[sim.random.IntN(len(sim.gateways))].ObserveResponse(sim.now, Fingerprint(100+sim.random.IntN(40)))
 	}
 	sim.broadcast(lossRate)
 	sim.now = sim.now.Add(gossipInterval)
@@ -242,7 +242,7 @@
 	q, now := NewQuarantine(), testStart
 	const popular, crashes, perCrash = 60, 300, 20
 	for f := range Fingerprint(popular) {
-		q.ObserveAnswer(now, f)
+		q.ObserveResponse(now, f)
 	}
 	for n := range crashes {
 		now = now.Add(200 * time.Millisecond)
@@ -260,7 +260,7 @@
 			}
 		}
 		for range 20 {
-			q.ObserveAnswer(now.Add(50*time.Millisecond), Fingerprint(random.IntN(popular)))
+			q.ObserveResponse(now.Add(50*time.Millisecond), Fingerprint(random.IntN(popular)))
 		}
 		if count := q.Len(); count > 0 {
 			t.Fatalf("%d requests quarantined after %d crashes", count, n+1)
@@ -271,7 +271,7 @@
 // One gateway received a complete response to the request, another lost it with a server.
 func TestCompleteAnswerAtOneSenderClearsForAll(t *testing.T) {
 	a, b := NewQuarantine(), NewQuarantine()
-	a.ObserveAnswer(testStart, 7)
+	a.ObserveResponse(testStart, 7)
 	for _, instance := range instances("a", "b", "c") {
 		b.ObserveCrash(testStart.Add(time.Second), 7, instance)
 	}
@@ -288,7 +288,7 @@
 // A request that was harmless crashes servers of the next release.
 func TestRequestAnsweredLongAgoIsQuarantined(t *testing.T) {
 	q := NewQuarantine()
-	q.ObserveAnswer(testStart, 7)
+	q.ObserveResponse(testStart, 7)
 	for i, instance := range instances("a", "b", "c", "d") {
 		q.ObserveCrash(testStart.Add(crashGracePeriod/2+time.Duration(i)*crashGracePeriod), 7, instance)
 	}
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -27,7 +27,7 @@
 		s.Offer(testStart, Ticket{ID: id, Class: "warm", Size: 100})
 		s.Next(testStart)
 		s.Started(testStart, id)
-		s.Finished(testStart.Add(time.Second), id, OutcomeWhole)
+		s.Finished(testStart.Add(time.Second), id, OutcomeComplete)
 	}
 }
 
@@ -109,7 +109,7 @@
 			now = now.Add(30 * time.Second)
 			s.Tokens(now, id, 1)
 			now = now.Add(30 * time.Second)
-			s.Finished(now, id, OutcomeWhole)
+			s.Finished(now, id, OutcomeComplete)
 		}
 		for i := range 5 {
 			d := s.Offer(now, Ticket{
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -184,7 +184,7 @@
 	if !r.lastToken.IsZero() {
 		s.limiter.streamEnded()
 	}
-	if o == OutcomeWhole && !r.started.IsZero() {
+	if o == OutcomeComplete && !r.started.IsZero() {
 		s.serviceRate.observe(now, ticketSize(r.ticket), now.Sub(r.started))
 	}
 }
--- a/policy/scheduler_property_test.go
+++ b/policy/scheduler_property_test.go
@@ -235,7 +235,7 @@
 				runTime := time.Duration(rapid.Int64Range(1, int64(longestRun)).Draw(t, "run"))
 				id := ticket.ID
 				s.Started(clock.now, id)
-				clock.afterFunc(runTime, func() { s.Finished(clock.now, id, OutcomeWhole); grantAll() })
+				clock.afterFunc(runTime, func() { s.Finished(clock.now, id, OutcomeComplete); grantAll() })
 			}
 		}
 		for class := range classes {
--- a/policy/server.go
+++ b/policy/server.go
@@ -18,9 +18,9 @@
 type Server struct {
 	// Name identifies the server, and Instance one run of its process. Zone is its
 	// availability zone.
-	Name  string
-	Start Key
-	Zone  string
+	Name     string
+	Instance Key
+	Zone     string
 	// Slots is the number of requests that run concurrently; 0 if unknown.
 	Slots int
 	// MaxConns is the number of connections that the server accepts from all gateways
--- a/policy/server_limit.go
+++ b/policy/server_limit.go
@@ -36,7 +36,7 @@
 // limit.
 type LimitReport struct {
 	// Server identifies the server instance.
-	Server Key
+	Instance Key
 	LimitEvidence
 	// Sent is how many requests the gateway sent to the server recently, with exponential
 	// decay.
--- a/policy/server_limits.go
+++ b/policy/server_limits.go
@@ -75,7 +75,7 @@
 		if report.At.IsZero() {
 			continue
 		}
-		if s := l.server(report.Server); report.At.After(s.At) {
+		if s := l.server(report.Instance); report.At.After(s.At) {
 			s.LimitEvidence = report.LimitEvidence
 		}
 	}
@@ -90,7 +90,7 @@
 			continue
 		}
 		s.decay(now)
-		reports = append(reports, LimitReport{Server: key, LimitEvidence: s.own, Sent: s.sent})
+		reports = append(reports, LimitReport{Instance: key, LimitEvidence: s.own, Sent: s.sent})
 	}
 	return reports
 }
--- a/policy/server_limits_test.go
+++ b/policy/server_limits_test.go
@@ -69,7 +69,7 @@
 		sim.gateways = append(sim.gateways, sim.newGateway())
 	}
 	for i := range servers {
-		sim.servers = append(sim.servers, Server{Name: fmt.Sprint("server", i), Start: KeyOf(fmt.Sprint("server", i)), Zone: "z", Slots: 64})
+		sim.servers = append(sim.servers, Server{Name: fmt.Sprint("server", i), Instance: KeyOf(fmt.Sprint("server", i)), Zone: "z", Slots: 64})
 	}
 	sim.arrivals = make([][]time.Time, servers)
 	return sim
@@ -140,13 +140,13 @@
 		live++
 		offers.Add(&report.offers, 1)
 		for _, limit := range report.limits {
-			sent[limit.Server] += limit.Sent
+			sent[limit.Instance] += limit.Sent
 		}
 	}
-	job := Job{Zone: "z", UnreportedOffers: offers.Expected(gossipInterval), OtherSenders: float64(live - 1)}
+	job := Job{Zone: "z", UnreportedOffers: offers.Expected(gossipInterval), OtherGateways: float64(live - 1)}
 	servers := append([]Server(nil), sim.servers...)
 	for i := range servers {
-		servers[i].Allowance, servers[i].RateLimited = s.limits.Allowance(sim.now, servers[i].Start, sent[servers[i].Start], float64(live)/float64(len(sim.gateways)))
+		servers[i].Allowance, servers[i].RateLimited = s.limits.Allowance(sim.now, servers[i].Instance, sent[servers[i].Instance], float64(live)/float64(len(sim.gateways)))
 	}
 	s.limits.MarkOverLimit(sim.now, sim.random, &job, servers)
 	choice := s.chooser.Choose(sim.now, job, servers, nil)
@@ -155,7 +155,7 @@
 		sim.refused++
 		return
 	}
-	key := servers[choice.Index].Start
+	key := servers[choice.Index].Instance
 	s.limits.CountSent(sim.now, key)
 	sim.arrivals[choice.Index] = append(sim.arrivals[choice.Index], sim.now)
 	s.limits.ObserveLimit(sim.now, key, sim.rate)
@@ -326,7 +326,7 @@
 		limits.ObserveLimit(testStart, 1, 4)
 		limits.CountSent(testStart, 1)
 		limits.CountSent(testStart, 1)
-		servers := []Server{{Name: "a", Start: 1}}
+		servers := []Server{{Name: "a", Instance: 1}}
 		servers[0].Allowance, servers[0].RateLimited = limits.Allowance(testStart, 1, 0, 1)
 		limits.MarkOverLimit(testStart, random, &Job{Headroom: headroom}, servers)
 		choice := NewChooser(random, NewEjector(), NewPrefixIndex()).Choose(testStart, Job{Headroom: headroom}, servers, nil)
@@ -371,7 +371,7 @@
 		t.Error("another gateway didn't learn that the limit was lifted")
 	}
 	// Outdated evidence arrives late.
-	others.Merge([]LimitReport{{Server: 1, LimitEvidence: LimitEvidence{Rate: 2, At: testStart}}})
+	others.Merge([]LimitReport{{Instance: 1, LimitEvidence: LimitEvidence{Rate: 2, At: testStart}}})
 	if others.LimitedServers() != 0 {
 		t.Error("outdated evidence restores a limit that was lifted")
 	}
--- a/policy/simulated_engine_test.go
+++ b/policy/simulated_engine_test.go
@@ -117,7 +117,7 @@
 	}
 	e.engine.release()
 	delete(e.running, r.id)
-	e.scheduler.Finished(e.sim.clock.now, r.id, OutcomeWhole)
+	e.scheduler.Finished(e.sim.clock.now, r.id, OutcomeComplete)
 	e.sim.completed(r)
 	e.runScheduler()
 }
--- a/policy/straggler_test.go
+++ b/policy/straggler_test.go
@@ -51,7 +51,7 @@
 		s.Started(now, "slow")
 		now = now.Add(firstToken)
 		s.Tokens(now, "slow", 1)
-		s.Finished(now, "slow", OutcomeWhole)
+		s.Finished(now, "slow", OutcomeComplete)
 	}
 	return s, now
 }
--- a/policy/unresponsive_servers.go
+++ b/policy/unresponsive_servers.go
@@ -47,7 +47,7 @@
 }
 
 // RecordUnanswered records a request that got no response.
-func (u *UnresponsiveServers) RecordUnanswered(now time.Time, server Key) {
+func (u *UnresponsiveServers) RecordNoResponse(now time.Time, server Key) {
 	u.sweep(now)
 	record := u.servers[server]
 	if record == nil {
@@ -75,7 +75,7 @@
 }
 
 // RecordAnswered records that a server has answered a request.
-func (u *UnresponsiveServers) RecordAnswered(server Key) { delete(u.servers, server) }
+func (u *UnresponsiveServers) RecordResponse(server Key) { delete(u.servers, server) }
 
 // Excluded reports whether a server is excluded now. Once the exclusion has ended, a single
 // unanswered request excludes the server again.
--- a/policy/unresponsive_servers_test.go
+++ b/policy/unresponsive_servers_test.go
@@ -11,22 +11,22 @@
 		if s.Excluded(now, 7) {
 			t.Fatalf("excluded after %d requests", i)
 		}
-		s.RecordUnanswered(now, 7)
+		s.RecordNoResponse(now, 7)
 	}
 	if !s.Excluded(now, 7) || s.Excluded(now, 8) {
 		t.Error("the unresponsive server is used, or another one is excluded")
 	}
 	// Requests that were sent before the exclusion don't extend it.
-	s.RecordUnanswered(now.Add(exclusionTime/2), 7)
+	s.RecordNoResponse(now.Add(exclusionTime/2), 7)
 	now = now.Add(exclusionTime)
 	if s.Excluded(now, 7) {
 		t.Error("the server isn't tried again")
 	}
-	s.RecordUnanswered(now, 7)
+	s.RecordNoResponse(now, 7)
 	if !s.Excluded(now, 7) {
 		t.Error("another unanswered request doesn't exclude the server again")
 	}
-	s.RecordAnswered(7)
+	s.RecordResponse(7)
 	if s.Excluded(now, 7) {
 		t.Error("the server is excluded although it answers")
 	}
@@ -38,9 +38,9 @@
 	for i := range 200 {
 		now := testStart.Add(time.Duration(i) * 50 * time.Millisecond)
 		if i%3 == 0 {
-			s.RecordAnswered(7)
+			s.RecordResponse(7)
 		} else {
-			s.RecordUnanswered(now, 7)
+			s.RecordNoResponse(now, 7)
 		}
 		if s.Excluded(now, 7) {
 			t.Fatalf("excluded after %d requests, of which a third is answered", i)
@@ -55,7 +55,7 @@
 func TestMissRecordsExpire(t *testing.T) {
 	s := NewUnresponsiveServers()
 	for i := range 10_000 {
-		s.RecordUnanswered(testStart.Add(time.Duration(i)*time.Second), Key(i))
+		s.RecordNoResponse(testStart.Add(time.Duration(i)*time.Second), Key(i))
 	}
 	if most := 2 * int(missRecordTTL/time.Second); len(s.servers) > most+1 {
 		t.Errorf("%d records remain, one of each second", len(s.servers))
