--- a/policy/unresponsive_servers.go
+++ b/policy/unresponsive_servers.go
@@ -46,7 +46,7 @@
 	return &UnresponsiveServers{servers: map[Key]*missRecord{}}
 }
 
-// RecordUnanswered records a request that got no response.
+// RecordNoResponse records a request that got no response.
 func (u *UnresponsiveServers) RecordNoResponse(now time.Time, server Key) {
 	u.sweep(now)
 	record := u.servers[server]
@@ -74,7 +74,7 @@
 	maps.DeleteFunc(u.servers, func(_ Key, record *missRecord) bool { return now.Sub(record.lastMiss) > missRecordTTL })
 }
 
-// RecordAnswered records that a server has answered a request.
+// RecordResponse records that a server has responded to a request.
 func (u *UnresponsiveServers) RecordResponse(server Key) { delete(u.servers, server) }
 
 // Excluded reports whether a server is excluded now. Once the exclusion has ended, a single
