--- a/internal/entry/dispatch/job.go
+++ b/internal/entry/dispatch/job.go
@@ -35,7 +35,7 @@
 	timeToFirstToken     time.Duration
 }
 
-// execute runs attempts until one of them yields a final result.
+// execute runs attempts until one of them has a final result.
 func (j *job) execute(ctx context.Context) Result {
 	for {
 		j.attempt++
--- a/internal/entry/fleet/liveness.go
+++ b/internal/entry/fleet/liveness.go
@@ -42,7 +42,7 @@
 
 // liveness detects silent connections. A connection without traffic is not
 // pinged: it is monitored while work is pending, and after a message until the
-// agent is heard from again. The latter detects a silent connection whose
+// agent sends something again. The latter detects a silent connection whose
 // tickets were all granted by other agents; otherwise it would lose
 // announcements of targets indefinitely. It is guarded by the link's lock.
 type liveness struct {
--- a/internal/gateway/desired_state_sink.go
+++ b/internal/gateway/desired_state_sink.go
@@ -21,7 +21,7 @@
 // desiredStateSink applies the desired state from its follower to the holder.
 type desiredStateSink struct {
 	holder *routes.Holder
-	// registry is told when the store becomes unavailable or available again. Calls for the desired
+	// registry is notified when the store becomes unavailable or available again. Calls for the desired
 	// state have a shorter wait than those for the list of backend servers, so they notice it
 	// first.
 	registry *backend.Registry
--- a/internal/gateway/follow/as_of_test.go
+++ b/internal/gateway/follow/as_of_test.go
@@ -23,7 +23,7 @@
 
 func (s *ageSink) record(asOf time.Duration) { s.ages = append(s.ages, boottime.Now()-asOf) }
 
-// A response without changes that the store held back for the whole wait is as of the end of the
+// A response without changes that the store sent only after the complete wait is as of the end of the
 // wait. Every other response is only as of the start of the call.
 func TestAsOfTimeOfHeldAnswers(t *testing.T) {
 	const wait = 200 * time.Millisecond
--- a/internal/gateway/follow/follower.go
+++ b/internal/gateway/follow/follower.go
@@ -75,7 +75,7 @@
 
 // Sink receives the table and its changes from a Follower. The asOf time is on the clock of package
 // boottime: the batch reflects everything that happened before it. It is the time at which the call
-// was made. If the store held back a response without changes for the whole wait, it is the time at
+// was made. If the store sent a response without changes only after the complete wait, it is the time at
 // which the wait ended.
 type Sink[T any] interface {
 	Reset(asOf time.Duration, table Batch[T])
--- a/internal/gateway/follow/sharing_test.go
+++ b/internal/gateway/follow/sharing_test.go
@@ -54,7 +54,7 @@
 }
 
 // Other gateways wait until this one announces that it polls the store, so its first response after
-// an idle period must not be held back.
+// an idle period must not wait for changes.
 func TestFirstPollAfterIdleIsShort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &failOnceSource{}
--- a/internal/gateway/poll_delegation.go
+++ b/internal/gateway/poll_delegation.go
@@ -35,7 +35,7 @@
 }
 
 // pollersAvailable reports whether this gateway isn't a poller, and others poll the store and pass
-// on its changes. Without any poller every gateway polls for itself. So does a gateway that hears
+// on its changes. Without any poller every gateway polls for itself. So does a gateway that receives
 // from half of the listed gateways or fewer: together with those it may be cut off from the store,
 // and it has to find out soon to send callers elsewhere.
 func (g *gateway) pollersAvailable() bool {
--- a/internal/gateway/router/config.go
+++ b/internal/gateway/router/config.go
@@ -46,7 +46,7 @@
 	Observer    Observer
 }
 
-// Peers reports what other gateways have told this one.
+// Peers provides what the other gateways have reported to this one.
 type Peers interface {
 	// LoadAt returns the requests that the other gateways have in progress at a backend server.
 	LoadAt(server string) backend.Counts
--- a/internal/gateway/usage/config.go
+++ b/internal/gateway/usage/config.go
@@ -43,7 +43,7 @@
 	// Eligible reports whether this gateway may hold the lease: the store responds to it and it
 	// isn't shutting down.
 	Eligible func() bool
-	// Observer is told the outcome of each attempt to send a report.
+	// Observer receives the outcome of each attempt to send a report.
 	Observer Observer
 	Log      *zap.Logger
 }
--- a/internal/gateway/usage/counter_test.go
+++ b/internal/gateway/usage/counter_test.go
@@ -175,7 +175,7 @@
 	}
 }
 
-// The clock of a gateway may be hours off until it hears from the others. Its updates must not
+// The clock of a gateway may be hours off until it has received from the others. Its updates must not
 // displace the counts of the other gateways.
 func TestWrongClockDropsNoValidCounts(t *testing.T) {
 	aggregate := NewAggregator(fiveSeconds, clockInWindow(5000))
--- a/internal/metrics/gateway.go
+++ b/internal/metrics/gateway.go
@@ -8,7 +8,7 @@
 	StateVersion uint64
 	// StateAge is the time since that version was last confirmed to be the newest.
 	StateAge time.Duration
-	// LiveGateways is the number of gateways that this one hears from, itself included.
+	// LiveGateways is the number of gateways that this one receives from, itself included.
 	LiveGateways int
 	// PollsStore says whether this gateway polls the store for changes to the list of
 	// backend servers, instead of receiving them from other gateways.
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -74,7 +74,7 @@
 
 // admitByTime decides at random whether a request may use the time that the servers which meet
 // the target have left together. Near saturation all gateways see the same last server that
-// meets the target; each would send there until it hears of the others' requests, which then
+// meets the target; each would send there until it knows of the others' requests, which then
 // wait for seconds. Of the tokens that other gateways are expected to send meanwhile, less
 // what the servers prefill in that time, the share that fits into the spare time is admitted.
 //
--- a/policy/model_move.go
+++ b/policy/model_move.go
@@ -23,7 +23,7 @@
 // minMoveInterval is the minimum time between two moves. Loading a model takes
 // about a minute, during which the engine serves no requests. A second move
 // before the effect of the first is visible could remove engines faster than they
-// come back.
+// become available again.
 const minMoveInterval = time.Minute
 
 // absenceThreshold is how long a model must have had no engine before an engine
--- a/policy/over_limit.go
+++ b/policy/over_limit.go
@@ -11,7 +11,7 @@
 // their last report. Of the gateways that are expected to have a request for the server
 // meanwhile, as many are admitted as the limit allows in that time, plus what remains of it.
 // Otherwise every gateway that sees capacity would send, and dozens do whenever there is
-// capacity for one. A gateway that loses a draw waits until it has heard from the others, so
+// capacity for one. A gateway that loses a draw waits until it has received from the others, so
 // that a burst causes one draw per gateway.
 //
 // A less urgent request leaves the same share of each limit free as of servers' slots.
--- a/policy/preemption.go
+++ b/policy/preemption.go
@@ -16,7 +16,7 @@
 
 // Preempt returns the ID of a less urgent run that the caller must cancel for a
 // waiting urgent ticket. The caller repeats the call until it reports false. A
-// cancelled run ends with Finished as usual, and its request comes back through
+// cancelled run ends with Finished as usual, and its request is queued again through
 // Resume.
 //
 // Preemption handles a burst of urgent requests on engines that are full of long
--- a/policy/scheduler_property_test.go
+++ b/policy/scheduler_property_test.go
@@ -167,7 +167,7 @@
 		t.Fatalf("load %+v, want %d waiting and %d running", load, len(m.waiting), len(m.running))
 	}
 	reserved := max(reservedSlots(load.Limit), m.urgentUsage.reserved())
-	if load.Waiting > 0 && load.Running < load.Limit-reserved && !m.heldBack() {
+	if load.Waiting > 0 && load.Running < load.Limit-reserved && !m.deferred() {
 		t.Fatalf("%d tickets wait while %d runs use a limit of %d", load.Waiting, load.Running, load.Limit)
 	}
 	if wake, ok := m.NextWake(m.now); ok && !wake.After(m.now) {
@@ -178,9 +178,9 @@
 	}
 }
 
-// heldBack reports whether the next ticket is held back for other engines that have
+// deferred reports whether the next ticket is deferred to other engines that have
 // a copy of it, which is allowed for less than likelyLateDeferral.
-func (m *schedulerModel) heldBack() bool {
+func (m *schedulerModel) deferred() bool {
 	_, held := m.nextDeferralEnd(m.now)
 	w := m.queue.next().head()
 	return held && w.ticket.Copies > 1 && m.now.Sub(w.ticket.Arrived) < likelyLateDeferral
--- a/policy/server_limit.go
+++ b/policy/server_limit.go
@@ -94,7 +94,7 @@
 }
 
 // decayTime returns the time constant for averaging sends. It is about the same for all
-// gateways that hear of each other.
+// gateways that receive from each other.
 func (s *serverLimit) decayTime() time.Duration {
 	return max(minLimitDecay, time.Duration(limitBurst/(s.sendRate()*s.liveShare)*float64(time.Second)))
 }
--- a/policy/server_limits.go
+++ b/policy/server_limits.go
@@ -9,7 +9,7 @@
 	// limitTTL is for how long a limit stays in force without another response that states it:
 	// a server that gets no requests can't lift its limit.
 	limitTTL = 10 * time.Minute
-	// liftGossipTime is for how long other gateways are told that a limit was lifted.
+	// liftGossipTime is how long the lifting of a limit is broadcast to other gateways.
 	liftGossipTime = 5 * time.Second
 )
 
--- a/testbed/gateway/store_polling_test.go
+++ b/testbed/gateway/store_polling_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// A gateway that hears from few others may be partitioned together with them, also from the
+// A gateway that receives from few others may be partitioned together with them, also from the
 // store. Only its own calls show that; it then reports that it isn't ready, so that callers go
 // elsewhere.
 func TestPartitionedGatewaysPollTheStore(t *testing.T) {
--- a/testbed/gateway/unusual_responses_test.go
+++ b/testbed/gateway/unusual_responses_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// Unusual and malformed server responses yield a response to the caller, and its connection
+// Unusual and malformed server responses end in a response to the caller, and its connection
 // stays usable or is closed properly.
 func TestUnusualResponsesAreHandled(t *testing.T) {
 	cases := map[string]struct {
--- a/testbed/history/event.go
+++ b/testbed/history/event.go
@@ -12,7 +12,7 @@
 	Lifted time.Time `json:"lifted"`
 }
 
-// Drain records that a VM was told to take no new work.
+// Drain records that a VM was ordered to drain.
 type Drain struct {
 	Server string    `json:"server"`
 	At     time.Time `json:"at"`
--- a/testbed/history/history.go
+++ b/testbed/history/history.go
@@ -15,7 +15,7 @@
 	// Faults lists the injected faults of processes and connections; planned
 	// stops are not faults.
 	Faults []Fault `json:"faults"`
-	// Drains lists VMs that were told to take no new work.
+	// Drains lists VMs that were ordered to drain.
 	Drains []Drain `json:"leavings"`
 	// Stops lists planned stops.
 	Stops []Stop `json:"stops"`
--- a/testbed/history/recorder.go
+++ b/testbed/history/recorder.go
@@ -29,7 +29,7 @@
 	r.history.Faults = append(r.history.Faults, f)
 }
 
-// Drain records that a VM was told to take no new work.
+// Drain records that a VM was ordered to drain.
 func (r *Recorder) Drain(l Drain) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/testbed/matrix/planned.go
+++ b/testbed/matrix/planned.go
@@ -23,8 +23,8 @@
 	{StopEntry, StopAgent}, {StopEntry, DrainVM}, {StopAgent, DrainVM},
 }
 
-// DrainingFaults lists the ways in which a VM is told to take no new work, some together
-// with a fault that delays the news of it.
+// DrainingFaults lists the ways in which a VM is ordered to drain, some together
+// with a fault that delays the notification.
 var DrainingFaults = [][]FaultKind{
 	{DrainListed}, {DrainListed, Silent}, {DrainListed, SilentDown}, {DrainListed, PauseEntry},
 	{DrainVM, PlatformDown}, {DrainVM, ListLags}, {DrainVM, Silent}, {DrainVM, SilentDown},
