--- a/policy/adaptive_headroom.go
+++ b/policy/adaptive_headroom.go
@@ -69,14 +69,14 @@
 // Share returns the share of each server's slots, from 0 to 1, that a level leaves free now.
 // offers counts the requests offered and refused at all gateways; busy is the share of all
 // slots in use.
-func (h *AdaptiveHeadroom) Share(now time.Time, offers *OfferCounts, busy float64, urgency int) float64 {
-	h.advance(now, offers, busy)
-	return max(h.headroom[urgency], min(busy*h.surge[urgency], maxHeadroom))
+func (h *AdaptiveHeadroom) Share(now time.Time, offers *OfferCounts, utilization float64, urgency int) float64 {
+	h.advance(now, offers, utilization)
+	return max(h.headroom[urgency], min(utilization*h.surge[urgency], maxHeadroom))
 }
 
 // advance accounts for the time since the last call. For growth, a longer gap counts as a
 // single gossip interval, since refusals were not observed during the whole gap.
-func (h *AdaptiveHeadroom) advance(now time.Time, offers *OfferCounts, busy float64) {
+func (h *AdaptiveHeadroom) advance(now time.Time, offers *OfferCounts, utilization float64) {
 	const maxGrowthStep = 100 * time.Millisecond
 	elapsed := now.Sub(h.updated)
 	if h.updated.IsZero() {
@@ -93,7 +93,7 @@
 	}
 	for urgency := range h.headroom {
 		h.headroom[urgency] *= decay
-		if limit := min(maxHeadroom, offered/total, headroomRefusalFactor*busy*refused/max(admitted, 1)); refused >= headroomMinRefusals && refused > headroomMinRefusalRatio*offered && h.headroom[urgency] < limit {
+		if limit := min(maxHeadroom, offered/total, headroomRefusalFactor*utilization*refused/max(admitted, 1)); refused >= headroomMinRefusals && refused > headroomMinRefusalRatio*offered && h.headroom[urgency] < limit {
 			h.headroom[urgency] = min(h.headroom[urgency]+maxGrowth, limit)
 		}
 		offered += offers[urgency].Offered
--- a/policy/adaptive_headroom_test.go
+++ b/policy/adaptive_headroom_test.go
@@ -53,12 +53,12 @@
 func TestHeadroomFollowsSurge(t *testing.T) {
 	var headroom AdaptiveHeadroom
 	var offers OfferCounts
-	now, busy := testStart, 0.6
+	now, utilization := testStart, 0.6
 	advance := func(d time.Duration, urgent float64) float64 {
 		offers[3].Offered, offers[4].Offered = urgent, 100
 		share := 0.0
 		for until := now.Add(d); now.Before(until); now = now.Add(50 * time.Millisecond) {
-			share = headroom.Share(now, &offers, busy, 4)
+			share = headroom.Share(now, &offers, utilization, 4)
 		}
 		return share
 	}
@@ -68,7 +68,7 @@
 	if share := advance(500*time.Millisecond, 400); share < 0.2 || share > maxHeadroom {
 		t.Errorf("headroom %.2f half a second after the more urgent traffic doubled", share)
 	}
-	if own, above := headroom.Share(now, &offers, busy, 3), headroom.Share(now, &offers, busy, 0); own != 0 || above != 0 {
+	if own, above := headroom.Share(now, &offers, utilization, 3), headroom.Share(now, &offers, utilization, 0); own != 0 || above != 0 {
 		t.Errorf("headroom %.2f and %.2f at levels without a surge above them", own, above)
 	}
 	if share := advance(15*time.Second, 400); share > 0.02 {
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestSlotsInUse(t *testing.T) {
+func TestSlotUtilization(t *testing.T) {
 	if got := SlotUtilization(nil); got != 0 {
 		t.Errorf("got %v without servers, want 0", got)
 	}
--- a/policy/cache_miss.go
+++ b/policy/cache_miss.go
@@ -43,13 +43,13 @@
 
 // prefillTokens returns the number of tokens that the server prefills, or could prefill
 // while it fetches.
-func (n *cacheMiss) prefillTokens() int { return int(n.uncached + n.recomputed + n.transferTokens) }
+func (m *cacheMiss) prefillTokens() int { return int(m.uncached + m.recomputed + m.transferTokens) }
 
 // penalty returns the cost in addition to the prefill itself, in tokens.
-func (n *cacheMiss) penalty() float64 {
-	cost := (recomputeWeight-1)*n.recomputed + fetchWeight*n.fetched
-	if !n.home {
-		cost += nonHomeWeight * n.uncached
+func (m *cacheMiss) penalty() float64 {
+	cost := (recomputeWeight-1)*m.recomputed + fetchWeight*m.fetched
+	if !m.home {
+		cost += nonHomeWeight * m.uncached
 	}
 	return cost
 }
@@ -95,18 +95,18 @@
 
 // missAt returns the part of the shared prefix that the server at index i doesn't have
 // cached.
-func (p *prefixLookup) missAt(i int, job *Job, rate *PrefillRate) cacheMiss {
-	if p.cached == nil {
+func (l *prefixLookup) missAt(i int, job *Job, rate *PrefillRate) cacheMiss {
+	if l.cached == nil {
 		return cacheMiss{}
 	}
-	miss := cacheMiss{home: i == p.homes[0], secondHome: i == p.homes[1], uncached: float64(p.length - p.longestCached), recomputed: float64(p.longestCached - p.cached[i].expected)}
-	if p.source < 0 || p.source == i || job.FetchRate == 0 {
+	miss := cacheMiss{home: i == l.homes[0], secondHome: i == l.homes[1], uncached: float64(l.length - l.longestCached), recomputed: float64(l.longestCached - l.cached[i].expected)}
+	if l.source < 0 || l.source == i || job.FetchRate == 0 {
 		return miss
 	}
-	fetched := float64(p.cached[p.source].prefilled - p.cached[i].expected)
+	fetched := float64(l.cached[l.source].prefilled - l.cached[i].expected)
 	transfer := rate.tokensIn(fetchSetup) + fetched*rate.rate()/job.FetchRate
 	if fetched >= minFetchTokens && transfer < fetched {
-		miss.fetched, miss.transferTokens, miss.source = fetched, transfer, p.source
+		miss.fetched, miss.transferTokens, miss.source = fetched, transfer, l.source
 		miss.recomputed -= fetched
 	}
 	return miss
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -32,32 +32,32 @@
 // Independent draws per server would add up: with 13 requests for seven servers that have two
 // free slots each, two of three requests would win at least one draw, and the cheapest server
 // would get most of them.
-func (c *Chooser) admitBySlots(unreported float64, all []scoredServer) {
-	withSlots, freeSlots, onTime := 0, 0.0, 0
-	for i := range all {
-		if !all[i].choice.HasCapacity {
+func (c *Chooser) admitBySlots(unreported float64, scored []scoredServer) {
+	withCapacity, freeSlots, meetingTarget := 0, 0.0, 0
+	for i := range scored {
+		if !scored[i].choice.HasCapacity {
 			continue
 		}
-		withSlots++
-		if all[i].choice.meetsTarget {
-			onTime++
-			freeSlots += all[i].slotsLeft
+		withCapacity++
+		if scored[i].choice.meetsTarget {
+			meetingTarget++
+			freeSlots += scored[i].slotsLeft
 		}
 	}
-	perServer := unreported / float64(max(withSlots, 1))
-	draw, scarce := 0.0, freeSlots < perServer*float64(onTime)
+	perServer := unreported / float64(max(withCapacity, 1))
+	draw, scarce := 0.0, freeSlots < perServer*float64(meetingTarget)
 	if scarce {
-		draw = c.random.Float64() * perServer * float64(onTime)
+		draw = c.random.Float64() * perServer * float64(meetingTarget)
 	}
-	for i := range all {
-		w := &all[i]
+	for i := range scored {
+		s := &scored[i]
 		switch {
-		case !w.choice.HasCapacity:
-		case scarce && w.choice.meetsTarget:
-			w.choice.HasCapacity = draw >= 0 && draw < w.slotsLeft
-			draw -= w.slotsLeft
-		case w.slotsLeft < perServer:
-			w.choice.HasCapacity = c.random.Float64() < w.slotsLeft/perServer
+		case !s.choice.HasCapacity:
+		case scarce && s.choice.meetsTarget:
+			s.choice.HasCapacity = draw >= 0 && draw < s.slotsLeft
+			draw -= s.slotsLeft
+		case s.slotsLeft < perServer:
+			s.choice.HasCapacity = c.random.Float64() < s.slotsLeft/perServer
 		}
 	}
 }
@@ -80,12 +80,12 @@
 //
 // eligible counts the servers that meet the target whether or not they have a free slot:
 // servers without one are short of slots, not of time.
-func (c *Chooser) admitByTime(job *Job, best *Choice, rate *PrefillRate, eligible int) bool {
+func (c *Chooser) admitByTime(job *Job, best *Choice, rate *PrefillRate, meetingTarget int) bool {
 	if job.Target == 0 || job.UnreportedTokens == 0 {
 		return true
 	}
-	unreportedTokens := job.UnreportedTokens/float64(eligible) - rate.tokensIn(job.ReportAge)
+	unreportedTokens := job.UnreportedTokens/float64(meetingTarget) - rate.tokensIn(job.ReportAge)
 	prefill := float64(best.PrefillTokens)
-	spare := rate.maxTokensAhead(job.Target, job.scaleToMeanLength(prefill)) - (best.TokensAhead - prefill)
+	spare := rate.maxQueuedTokens(job.Target, job.scaleToMeanLength(prefill)) - (best.TokensAhead - prefill)
 	return spare >= unreportedTokens || c.random.Float64() < spare/unreportedTokens
 }
--- a/policy/chooser.go
+++ b/policy/chooser.go
@@ -25,10 +25,10 @@
 	recomputeWeight = 8.0
 	// sampledServers is the number of servers considered for a prompt without a shared
 	// prefix: with stale load information two or three choices work best (Mitzenmacher,
-	// How useful is old information, 2000). unsampledCost is the cost of the other
+	// How useful is old information, 2000). nonPreferredCost is the cost of the other
 	// servers, in tokens: more than that of any sampled server that is in time.
-	sampledServers = 3
-	unsampledCost  = 1e6
+	sampledServers   = 3
+	nonPreferredCost = 1e6
 )
 
 // Chooser selects the backend server to which a request is sent at once.
@@ -99,20 +99,20 @@
 	recomputeCost := job.recomputeCost(servers, usable, rate)
 	preferred := c.preferred(servers, usable, &lookup)
 	c.scored = c.scored[:0]
-	meetTarget := 0
+	meetingTarget := 0
 	for i := range servers {
 		if !usable(&servers[i]) {
 			continue
 		}
-		w := c.scoreServer(job, &servers[i], lookup.missAt(i, &job, rate), recomputeCost, rate)
-		w.choice.Index = i
-		if w.choice.meetsTarget {
-			meetTarget++
+		scored := c.scoreServer(job, &servers[i], lookup.missAt(i, &job, rate), recomputeCost, rate)
+		scored.choice.Index = i
+		if scored.choice.meetsTarget {
+			meetingTarget++
 		}
 		if !preferred[i] {
-			w.cost += unsampledCost * (1 + c.random.Float64())
+			scored.cost += nonPreferredCost * (1 + c.random.Float64())
 		}
-		c.scored = append(c.scored, w)
+		c.scored = append(c.scored, scored)
 	}
 	c.admitBySlots(job.UnreportedRequests, c.scored)
 	var best Choice
@@ -124,8 +124,8 @@
 			best, lowestCost = choice, cost
 		}
 	}
-	best.SlotLimited = meetTarget > 0 && !best.InTime
-	best.InTime = best.InTime && c.admitByTime(&job, &best, rate, meetTarget)
+	best.SlotLimited = meetingTarget > 0 && !best.InTime
+	best.InTime = best.InTime && c.admitByTime(&job, &best, rate, meetingTarget)
 	return best
 }
 
@@ -160,13 +160,13 @@
 // scoreServer returns the expected result and cost of sending the job to a server. The
 // prefill penalty is kept apart since it counts only if the first token is in time.
 func (c *Chooser) scoreServer(job Job, s *Server, miss cacheMiss, recomputeCost float64, rate *PrefillRate) scoredServer {
-	own := job.Tokens - job.sharedPrefix().End
-	choice := Choice{Found: true, PrefillTokens: own + miss.prefillTokens(), FetchFrom: miss.source, Fetches: miss.fetched > 0}
-	others := s.tokensAhead(job.Urgency)
-	choice.TokensAhead = others + float64(choice.PrefillTokens)
+	ownTokens := job.Tokens - job.sharedPrefix().End
+	choice := Choice{Found: true, PrefillTokens: ownTokens + miss.prefillTokens(), FetchFrom: miss.source, Fetches: miss.fetched > 0}
+	queuedTokens := s.tokensAhead(job.Urgency)
+	choice.TokensAhead = queuedTokens + float64(choice.PrefillTokens)
 	slotsLeft := s.slotsLeft(job)
 	choice.HasCapacity = slotsLeft > 0 && !s.connsExhausted()
-	choice.meetsTarget = job.meetsTarget(rate, others, miss, recomputeCost)
+	choice.meetsTarget = job.meetsTarget(rate, queuedTokens, miss, recomputeCost)
 	choice.ExpectedTTFT = rate.expectedTTFT(choice.TokensAhead)
 	cost := choice.TokensAhead + float64(s.Running*runningRequestTokens)
 	if s.Zone != job.Zone {
--- a/policy/chooser_test.go
+++ b/policy/chooser_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestUnusableServers(t *testing.T) {
+func TestUnusableServersAreNotChosen(t *testing.T) {
 	c, servers := newTestChooser(), idleServers(3)
 	servers[0].Draining = true
 	job := summaryJob(5)
@@ -193,7 +193,7 @@
 }
 
 // A service without servers gives no choice.
-func TestNoServers(t *testing.T) {
+func TestChooseWithoutServers(t *testing.T) {
 	c := newTestChooser()
 	for _, job := range []Job{summaryJob(5), {Zone: "z"}} {
 		if choice := c.Choose(testStart, job, nil, nil); choice.Found || choice.InTime {
--- a/policy/direct_simulation_test.go
+++ b/policy/direct_simulation_test.go
@@ -120,12 +120,12 @@
 	}
 	for range gateways {
 		index := NewPrefixIndex()
-		s := &directGateway{chooser: NewChooser(p.random, NewEjector(), index), index: index}
+		g := &directGateway{chooser: NewChooser(p.random, NewEjector(), index), index: index}
 		for i := range engines {
 			server := Server{Name: fmt.Sprintf("engine-%d", i), Zone: "z", Slots: 48}
-			s.own, s.others = append(s.own, server), append(s.others, server)
+			g.own, g.others = append(g.own, server), append(g.others, server)
 		}
-		p.gateways = append(p.gateways, s)
+		p.gateways = append(p.gateways, g)
 	}
 	return p
 }
@@ -138,29 +138,29 @@
 func (p *directSimulation) broadcast() {
 	for i := range p.engines {
 		var sum Server
-		for _, s := range p.gateways {
-			sum.add(&s.own[i], 1)
+		for _, g := range p.gateways {
+			sum.add(&g.own[i], 1)
 		}
-		for _, s := range p.gateways {
+		for _, g := range p.gateways {
 			others := sum
-			others.add(&s.own[i], -1)
-			s.others[i].Running, s.others[i].Pending = others.Running, others.Pending
+			others.add(&g.own[i], -1)
+			g.others[i].Running, g.others[i].Pending = others.Running, others.Pending
 		}
 	}
 	var offers OfferCounts
-	for _, s := range p.gateways {
-		own := s.offerCounter.Counts(p.time())
+	for _, g := range p.gateways {
+		own := g.offerCounter.Counts(p.time())
 		offers.Add(&own, 1)
 	}
-	for _, s := range p.gateways {
+	for _, g := range p.gateways {
 		for _, other := range p.gateways {
-			if other != s {
-				s.index.Merge(p.time(), other.index.Updates(p.time()))
+			if other != g {
+				g.index.Merge(p.time(), other.index.Updates(p.time()))
 			}
 		}
-		own := s.offerCounter.Counts(p.time())
-		s.otherOffers = offers
-		s.otherOffers.Add(&own, -1)
+		own := g.offerCounter.Counts(p.time())
+		g.otherOffers = offers
+		g.otherOffers.Add(&own, -1)
 	}
 	p.after(broadcastInterval, p.broadcast)
 }
@@ -168,9 +168,9 @@
 func (p *directSimulation) time() time.Time { return testStart.Add(p.now) }
 
 // offers returns the offer counts of all gateways as known to this one.
-func (s *directGateway) offers(now time.Time) *OfferCounts {
-	all := s.offerCounter.Counts(now)
-	all.Add(&s.otherOffers, 1)
+func (g *directGateway) offers(now time.Time) *OfferCounts {
+	all := g.offerCounter.Counts(now)
+	all.Add(&g.otherOffers, 1)
 	return &all
 }
 
@@ -198,25 +198,25 @@
 
 func (p *directSimulation) offer(r *directRequest) {
 	r.gateway = p.random.IntN(len(p.gateways))
-	s := p.gateways[r.gateway]
+	g := p.gateways[r.gateway]
 	servers := make([]Server, len(p.engines))
 	for i := range servers {
-		servers[i] = s.others[i]
-		servers[i].add(&s.own[i], 1)
+		servers[i] = g.others[i]
+		servers[i].add(&g.own[i], 1)
 	}
-	r.job.Headroom = s.headroom.Share(p.time(), s.offers(p.time()), SlotUtilization(servers), r.job.Urgency)
+	r.job.Headroom = g.headroom.Share(p.time(), g.offers(p.time()), SlotUtilization(servers), r.job.Urgency)
 	if p.estimateUnreported {
 		others := float64(len(p.gateways) - 1)
-		requests, tokens := s.sends.Expected(p.time(), broadcastInterval, r.job.Urgency)
+		requests, tokens := g.sends.Expected(p.time(), broadcastInterval, r.job.Urgency)
 		r.job.UnreportedRequests, r.job.UnreportedTokens, r.job.ReportAge = others*requests, others*tokens/2, broadcastInterval/2
 	}
 	for i := range servers {
-		servers[i].PauseRisk = s.pauses.ExcessRisk(p.time(), KeyOf(servers[i].Name), r.job.Urgency, p.pauseTargets[r.class])
+		servers[i].PauseRisk = g.pauses.ExcessRisk(p.time(), KeyOf(servers[i].Name), r.job.Urgency, p.pauseTargets[r.class])
 	}
-	r.job.MeanTokens = s.sizes.Mean(r.class, r.job.Tokens)
-	s.sizes.Observe(r.class, r.job.Tokens)
-	choice := s.chooser.Choose(p.time(), r.job, servers, &s.rate)
-	s.offerCounter.Observe(p.time(), r.job.Urgency, choice.SlotLimited)
+	r.job.MeanTokens = g.sizes.Mean(r.class, r.job.Tokens)
+	g.sizes.Observe(r.class, r.job.Tokens)
+	choice := g.chooser.Choose(p.time(), r.job, servers, &g.rate)
+	g.offerCounter.Observe(p.time(), r.job.Urgency, choice.SlotLimited)
 	if p.admit && !choice.InTime {
 		if !r.retried {
 			r.retried = true
@@ -225,12 +225,12 @@
 		return
 	}
 	r.engine, r.sentAt, r.tokensAhead, r.prefillTokens = choice.Index, p.now, choice.TokensAhead, choice.PrefillTokens
-	s.sends.CountSent(p.time(), r.job.Urgency, r.prefillTokens)
-	s.index.RecordSent(p.time(), KeyOf(servers[choice.Index].Name), r.job.SharedSegments)
+	g.sends.CountSent(p.time(), r.job.Urgency, r.prefillTokens)
+	g.index.RecordSent(p.time(), KeyOf(servers[choice.Index].Name), r.job.SharedSegments)
 	if choice.Fetches {
 		r.fetchFrom = p.engines[choice.FetchFrom]
 	}
-	level := &s.own[r.engine].Pending[r.job.Urgency]
+	level := &g.own[r.engine].Pending[r.job.Urgency]
 	level.Requests++
 	level.Tokens += r.prefillTokens
 	p.engines[r.engine].enqueue(r)
@@ -261,15 +261,15 @@
 	p := e.simulation
 	r.started = true
 	p.removePending(r)
-	s := p.gateways[r.gateway]
-	s.rate.Observe(p.time(), r.tokensAhead, p.now-r.sentAt)
+	g := p.gateways[r.gateway]
+	g.rate.Observe(p.time(), r.tokensAhead, p.now-r.sentAt)
 	for _, other := range p.gateways {
-		if p.shareFirstTokens && other != s {
+		if p.shareFirstTokens && other != g {
 			other.rate.Observe(p.time(), r.tokensAhead, p.now-r.sentAt)
 		}
 	}
-	s.index.RecordPrefilled(p.time(), KeyOf(s.own[r.engine].Name), r.job.SharedSegments)
-	s.own[r.engine].Running++
+	g.index.RecordPrefilled(p.time(), KeyOf(g.own[r.engine].Name), r.job.SharedSegments)
+	g.own[r.engine].Running++
 	e.running++
 	if r.arrivedAt >= p.measureFrom {
 		p.started[r.class]++
@@ -281,7 +281,7 @@
 	e.holdSlot(r.holdTime, func() {
 		p.recordPause(r, e.drawPause(e.prefillTime > before))
 		e.running--
-		s.own[r.engine].Running--
+		g.own[r.engine].Running--
 		e.next()
 	})
 }
@@ -296,8 +296,8 @@
 		p.latePauses[r.class]++
 	}
 	server := KeyOf(p.gateways[r.gateway].own[r.engine].Name)
-	for _, s := range p.gateways {
-		s.pauses.Observe(p.time(), Pause{Server: server, Urgency: r.job.Urgency, Longest: longest})
+	for _, g := range p.gateways {
+		g.pauses.Observe(p.time(), Pause{Server: server, Urgency: r.job.Urgency, Longest: longest})
 	}
 }
 
--- a/policy/job.go
+++ b/policy/job.go
@@ -109,18 +109,18 @@
 // all lengths find a server equally often; see ClassSizes. Where almost nothing
 // is queued it is admitted anyway, so that classes are served whose prompts take
 // the whole target.
-func (j *Job) meetsTarget(rate *PrefillRate, queuedTokens float64, need cacheMiss, recomputeCost float64) bool {
+func (j *Job) meetsTarget(rate *PrefillRate, queuedTokens float64, miss cacheMiss, recomputeCost float64) bool {
 	if j.Target == 0 {
 		return true
 	}
 	ownTokens := float64(j.Tokens - j.sharedPrefix().End)
-	ownTokens += need.transferTokens
-	recomputedTokens := need.recomputed
-	if need.home || need.secondHome {
-		ownTokens += need.uncached
+	ownTokens += miss.transferTokens
+	recomputedTokens := miss.recomputed
+	if miss.home || miss.secondHome {
+		ownTokens += miss.uncached
 	} else {
 		// Other requests may prefill it on one of its home servers in the meantime.
-		recomputedTokens += need.uncached
+		recomputedTokens += miss.uncached
 	}
 	ownTokens, recomputedTokens = j.scaleToMeanLength(ownTokens), j.scaleToMeanLength(recomputedTokens)
 	return rate.likelyTTFT(queuedTokens+recomputeCost*recomputedTokens, ownTokens) <= j.Target ||
--- a/policy/pause_simulation_test.go
+++ b/policy/pause_simulation_test.go
@@ -58,7 +58,7 @@
 // engines that meet them while these have slots; without that a third of the streams is
 // late.
 func TestTightStreamsAvoidSlowEngines(t *testing.T) {
-	p, without := simulateUnequalEngines(120, 80, simPauseTargets), simulateUnequalEngines(120, 80, nil)
+	p, withoutTargets := simulateUnequalEngines(120, 80, simPauseTargets), simulateUnequalEngines(120, 80, nil)
 	started, late := p.started["question"], p.latePauses["question"]
 	t.Logf("of %d questions %d started, %d were late by a pause; summaries in time %d of %d",
 		p.arrived["question"], started, late, p.inTime["summary"], p.arrived["summary"])
@@ -68,7 +68,7 @@
 	if missed := p.arrived["question"] - p.inTime["question"]; 50*missed > p.arrived["question"] {
 		t.Errorf("%d of %d questions had no first token in time", missed, p.arrived["question"])
 	}
-	if lost := without.inTime["summary"] - p.inTime["summary"]; 50*lost > p.arrived["summary"] {
+	if lost := withoutTargets.inTime["summary"] - p.inTime["summary"]; 50*lost > p.arrived["summary"] {
 		t.Errorf("%d of %d summaries fewer are in time because of it", lost, p.arrived["summary"])
 	}
 }
--- a/policy/prefill_rate.go
+++ b/policy/prefill_rate.go
@@ -73,7 +73,7 @@
 	}
 	expected := toMillis(r.expectedTTFT(tokensAhead))
 	millis := min(toMillis(latency), maxOverrun*expected)
-	elapsed := r.sinceLast(now)
+	elapsed := r.countSample(now)
 	weight := max(sampleWeight(elapsed, regressionTimeConstant, maxRegressionWeight), 1/(priorSamples+r.samples))
 	if expected > 0 {
 		r.relativeDeviation += weight * (math.Abs(millis-expected)/expected - r.relativeDeviation)
@@ -84,8 +84,8 @@
 	r.addSample(weight, tokensAhead, millis)
 }
 
-// sinceLast counts a sample and returns the time since the previous one; 0 for the first.
-func (r *PrefillRate) sinceLast(now time.Time) time.Duration {
+// countSample counts a sample and returns the time since the previous one; 0 for the first.
+func (r *PrefillRate) countSample(now time.Time) time.Duration {
 	elapsed := now.Sub(r.lastSample)
 	if r.lastSample.IsZero() {
 		elapsed = 0
@@ -161,14 +161,14 @@
 // time and the mean deviation, applied to the wait for others only. The first step and the
 // request's own prefill take their time at an idle server too. A deviation on these would
 // refuse every request of a class with a tight target, and nothing more would be learned.
-func (r *PrefillRate) likelyTTFT(others, own float64) time.Duration {
-	return r.expectedTTFT(own) + time.Duration(float64(r.prefillTime(others))*(1+r.deviation()))
+func (r *PrefillRate) likelyTTFT(queuedTokens, ownTokens float64) time.Duration {
+	return r.expectedTTFT(ownTokens) + time.Duration(float64(r.prefillTime(queuedTokens))*(1+r.deviation()))
 }
 
-// maxTokensAhead returns how many tokens of other requests may be ahead for a first token
+// maxQueuedTokens returns how many tokens of other requests may be ahead for a first token
 // that is likely within a time, with own tokens of the request itself.
-func (r *PrefillRate) maxTokensAhead(d time.Duration, own float64) float64 {
-	slack := d - r.expectedTTFT(own)
+func (r *PrefillRate) maxQueuedTokens(d time.Duration, ownTokens float64) float64 {
+	slack := d - r.expectedTTFT(ownTokens)
 	return max(r.tokensIn(slack)/(1+r.deviation()), 0)
 }
 
--- a/policy/quarantine.go
+++ b/policy/quarantine.go
@@ -239,14 +239,14 @@
 
 // evict drops the suspect that evictBefore orders first.
 func (q *Quarantine) evict() {
-	var oldest Fingerprint
-	var oldestSuspect *suspect
+	var victim Fingerprint
+	var victimState *suspect
 	for f, s := range q.suspects {
-		if oldestSuspect == nil || s.evictBefore(oldestSuspect) {
-			oldest, oldestSuspect = f, s
+		if victimState == nil || s.evictBefore(victimState) {
+			victim, victimState = f, s
 		}
 	}
-	delete(q.suspects, oldest)
+	delete(q.suspects, victim)
 	q.quarantined = nil
 }
 
--- a/policy/quarantine_test.go
+++ b/policy/quarantine_test.go
@@ -34,7 +34,7 @@
 
 // Guards against refusing a popular request for good because it ran beside a culprit at
 // several crashes.
-func TestCompleteAnswerClearsEarlierCrashes(t *testing.T) {
+func TestCompleteResponseClearsEarlierCrashes(t *testing.T) {
 	q := NewQuarantine()
 	for _, instance := range instances("a", "b") {
 		q.ObserveCrash(testStart, 7, instance)
@@ -178,10 +178,10 @@
 
 // Guards against each gateway counting only its own crashes, so that retries accumulate over
 // all gateways.
-func TestSendersShareSuspicions(t *testing.T) {
+func TestGatewaysShareSuspicions(t *testing.T) {
 	for _, gateways := range []int{2, 6, 68} {
 		for _, lossRate := range []float64{0, 0.3} {
-			t.Run(fmt.Sprintf("senders=%d loss=%v", gateways, lossRate), func(t *testing.T) {
+			t.Run(fmt.Sprintf("gateways=%d loss=%v", gateways, lossRate), func(t *testing.T) {
 				sim := newCrashSimulation(gateways, 1)
 				for range 100 {
 					sim.step(lossRate, 1)
@@ -200,7 +200,7 @@
 
 // A gateway that starts or restarts knows of no crashes. If it had to observe three of its
 // own, each start would cost three more servers.
-func TestStartingSenderLearnsQuarantine(t *testing.T) {
+func TestStartingGatewayLearnsQuarantine(t *testing.T) {
 	sim := newCrashSimulation(6, 2)
 	for range 30 {
 		sim.step(0, 1)
@@ -219,7 +219,7 @@
 	}
 }
 
-func TestReconnectedSenderLearnsQuarantine(t *testing.T) {
+func TestReconnectedGatewayLearnsQuarantine(t *testing.T) {
 	sim := newCrashSimulation(6, 3)
 	sim.disconnected[0] = true
 	for range 50 {
@@ -269,7 +269,7 @@
 }
 
 // One gateway received a complete response to the request, another lost it with a server.
-func TestCompleteAnswerAtOneSenderClearsForAll(t *testing.T) {
+func TestCompleteResponseAtOneGatewayClearsForAll(t *testing.T) {
 	a, b := NewQuarantine(), NewQuarantine()
 	a.ObserveResponse(testStart, 7)
 	for _, instance := range instances("a", "b", "c") {
@@ -299,7 +299,7 @@
 
 // Guards against gateways that report a request to each other in turn and so never forget it
 // after it has stopped arriving.
-func TestSuspectExpiresAtAllSenders(t *testing.T) {
+func TestSuspectExpiresAtAllGateways(t *testing.T) {
 	sim := newCrashSimulation(6, 5)
 	for range 30 {
 		sim.step(0, 1)
--- a/policy/recent_completions.go
+++ b/policy/recent_completions.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// maxMapSize bounds each of the two maps of recentCompletions, which holds
+// maxCompletionsPerMap bounds each of the two maps of recentCompletions, which holds
 // up to twice as many requests.
-const maxMapSize = 4096
+const maxCompletionsPerMap = 4096
 
 // recentCompletions holds the time of the last complete response by request fingerprint,
 // for responses within crashGracePeriod and some older ones.
@@ -15,7 +15,7 @@
 }
 
 func (r *recentCompletions) add(now time.Time, f Fingerprint) {
-	if r.current == nil || len(r.current) >= maxMapSize || now.Sub(r.rotated) > crashGracePeriod {
+	if r.current == nil || len(r.current) >= maxCompletionsPerMap || now.Sub(r.rotated) > crashGracePeriod {
 		r.current, r.previous, r.rotated = map[Fingerprint]time.Time{}, r.current, now
 	}
 	r.current[f] = now
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -40,12 +40,12 @@
 }
 
 // ticket returns the ticket that the request offers to an engine.
-func (r *request) ticket(copies, asks int) Ticket {
+func (r *request) ticket(copies, maxEngines int) Ticket {
 	due, target := r.workload.due()
 	return Ticket{
 		ID: r.id, Class: r.workload.class, Customer: r.customer, Tier: r.workload.tier,
 		Deadline: r.arrived.Add(target), DeadlineMilestone: due,
-		Size: r.promptTokens + r.workload.responseTokens, Copies: copies, MaxEngines: asks, Preemptible: true,
+		Size: r.promptTokens + r.workload.responseTokens, Copies: copies, MaxEngines: maxEngines, Preemptible: true,
 		FirstToken: r.workload.firstToken, BetweenTokens: r.workload.betweenTokens,
 	}
 }
--- a/policy/scored_server.go
+++ b/policy/scored_server.go
@@ -16,11 +16,11 @@
 
 // finalScore returns the choice and its cost in tokens once it is known whether a slot
 // is left. latePenalty is the cost of a late request, in tokens.
-func (w *scoredServer) finalScore(latePenalty float64) (Choice, float64) {
-	choice, cost := w.choice, w.cost
+func (s *scoredServer) finalScore(latePenalty float64) (Choice, float64) {
+	choice, cost := s.choice, s.cost
 	choice.InTime = choice.HasCapacity && choice.meetsTarget
 	if choice.InTime {
-		cost += w.prefillPenalty + latePenalty*w.pauseRisk
+		cost += s.prefillPenalty + latePenalty*s.pauseRisk
 	}
 	return choice, cost
 }
--- a/policy/server_limits_test.go
+++ b/policy/server_limits_test.go
@@ -76,28 +76,28 @@
 }
 
 func (sim *limitSimulation) newGateway() *limitGateway {
-	s := &limitGateway{
+	g := &limitGateway{
 		limits: NewServerLimits(), reports: map[int]limitReportSet{},
 		chooser:    NewChooser(rand.New(rand.NewPCG(sim.random.Uint64(), 1)), NewEjector(), NewPrefixIndex()),
 		nextReport: sim.now.Add(time.Duration(sim.random.Int64N(int64(gossipInterval)))),
 	}
-	return s
+	return g
 }
 
 // run simulates d, with perSecond requests a second, each at the gateway whose index draw
 // returns.
-func (sim *limitSimulation) run(d time.Duration, perSecond float64, draw func() int) {
+func (sim *limitSimulation) run(d time.Duration, perSecond float64, pickGateway func() int) {
 	for until := sim.now.Add(d); sim.now.Before(until); sim.now = sim.now.Add(simStep) {
 		sim.deliver()
-		for i, s := range sim.gateways {
-			if !sim.now.Before(s.nextReport) {
-				s.nextReport = s.nextReport.Add(gossipInterval)
+		for i, g := range sim.gateways {
+			if !sim.now.Before(g.nextReport) {
+				g.nextReport = g.nextReport.Add(gossipInterval)
 				sim.report(i)
 			}
 		}
 		for left := perSecond * simStep.Seconds(); left > 0; left-- {
 			if sim.random.Float64() < left {
-				sim.request(draw())
+				sim.request(pickGateway())
 			}
 		}
 	}
@@ -105,10 +105,10 @@
 
 // report sends a gateway's report to all others.
 func (sim *limitSimulation) report(from int) {
-	s := sim.gateways[from]
-	report := limitReportSet{limits: s.limits.Reports(sim.now), offers: s.offers.Counts(sim.now)}
+	g := sim.gateways[from]
+	report := limitReportSet{limits: g.limits.Reports(sim.now), offers: g.offers.Counts(sim.now)}
 	for to, other := range sim.gateways {
-		if to != from && !s.disconnected && !other.disconnected && sim.random.Float64() >= sim.lossRate {
+		if to != from && !g.disconnected && !other.disconnected && sim.random.Float64() >= sim.lossRate {
 			sim.inFlight = append(sim.inFlight, limitDatagram{from: from, to: to, at: sim.now.Add(sim.delay), report: report})
 		}
 	}
@@ -130,10 +130,10 @@
 // request has a gateway choose a server for one request, which answers with its limit if the
 // request is sent.
 func (sim *limitSimulation) request(gateway int) {
-	s := sim.gateways[gateway]
+	g := sim.gateways[gateway]
 	sim.offered++
 	live, sent, offers := 1, map[Key]float64{}, OfferCounts{}
-	for _, report := range s.reports {
+	for _, report := range g.reports {
 		if sim.now.Sub(report.at) > simReportTTL {
 			continue
 		}
@@ -146,19 +146,19 @@
 	job := Job{Zone: "z", UnreportedOffers: offers.Expected(gossipInterval), OtherGateways: float64(live - 1)}
 	servers := append([]Server(nil), sim.servers...)
 	for i := range servers {
-		servers[i].Allowance, servers[i].RateLimited = s.limits.Allowance(sim.now, servers[i].Instance, sent[servers[i].Instance], float64(live)/float64(len(sim.gateways)))
+		servers[i].Allowance, servers[i].RateLimited = g.limits.Allowance(sim.now, servers[i].Instance, sent[servers[i].Instance], float64(live)/float64(len(sim.gateways)))
 	}
-	s.limits.MarkOverLimit(sim.now, sim.random, &job, servers)
-	choice := s.chooser.Choose(sim.now, job, servers, nil)
-	s.offers.Observe(sim.now, 0, choice.RateLimited)
+	g.limits.MarkOverLimit(sim.now, sim.random, &job, servers)
+	choice := g.chooser.Choose(sim.now, job, servers, nil)
+	g.offers.Observe(sim.now, 0, choice.RateLimited)
 	if !choice.Found {
 		sim.refused++
 		return
 	}
 	key := servers[choice.Index].Instance
-	s.limits.CountSent(sim.now, key)
+	g.limits.CountSent(sim.now, key)
 	sim.arrivals[choice.Index] = append(sim.arrivals[choice.Index], sim.now)
-	s.limits.ObserveLimit(sim.now, key, sim.rate)
+	g.limits.ObserveLimit(sim.now, key, sim.rate)
 }
 
 // anyGateway returns a random gateway's index, uniformly distributed.
@@ -208,7 +208,7 @@
 
 // Guards against each gateway keeping to a server's limit by itself: dozens of gateways would
 // send dozens of times what the server accepts.
-func TestSendersShareALimit(t *testing.T) {
+func TestGatewaysShareALimit(t *testing.T) {
 	for _, c := range []struct {
 		gateways  int
 		rate      float64
@@ -224,15 +224,15 @@
 		{gateways: 24, rate: 0.2, perSecond: 600, delay: 2 * time.Millisecond},
 		{gateways: 6, rate: 40, perSecond: 100, delay: 300 * time.Millisecond, lossRate: 0.1},
 	} {
-		t.Run(fmt.Sprintf("senders=%d rate=%v of %v delay=%v loss=%v", c.gateways, c.rate, c.perSecond, c.delay, c.lossRate), func(t *testing.T) {
+		t.Run(fmt.Sprintf("gateways=%d rate=%v of %v delay=%v loss=%v", c.gateways, c.rate, c.perSecond, c.delay, c.lossRate), func(t *testing.T) {
 			t.Parallel()
 			sim := newLimitSimulation(t, c.gateways, 1, c.rate)
 			sim.delay, sim.lossRate = c.delay, c.lossRate
-			// requests returns how long n requests take at the limit.
-			requests := func(n float64) time.Duration { return time.Duration(n / c.rate * float64(time.Second)) }
-			sim.run(max(3*time.Second, requests(8)), c.perSecond, sim.anyGateway)
+			// timeFor returns how long n requests take at the limit.
+			timeFor := func(n float64) time.Duration { return time.Duration(n / c.rate * float64(time.Second)) }
+			sim.run(max(3*time.Second, timeFor(8)), c.perSecond, sim.anyGateway)
 			settled := sim.now
-			sim.run(max(20*time.Second, min(requests(100), 200*time.Second)), c.perSecond, sim.anyGateway)
+			sim.run(max(20*time.Second, min(timeFor(100), 200*time.Second)), c.perSecond, sim.anyGateway)
 			sim.expectWithinLimit(testStart.Add(500 * time.Millisecond))
 			sim.expectUsed(settled, 0.9, 1.2)
 		})
@@ -269,7 +269,7 @@
 
 // Guards against giving each gateway an equal share of the limit, which would starve a gateway
 // that has all of the load.
-func TestSingleLoadedSenderUsesWholeLimit(t *testing.T) {
+func TestSingleLoadedGatewayUsesWholeLimit(t *testing.T) {
 	t.Parallel()
 	sim := newLimitSimulation(t, 68, 1, 1.6)
 	sim.run(3*time.Second, 40, func() int { return 0 })
@@ -292,7 +292,7 @@
 
 // Gateways that have just started don't know the limit until another gateway reports it or an
 // response states it.
-func TestLimitHoldsWhileSendersStart(t *testing.T) {
+func TestLimitHoldsWhileGatewaysStart(t *testing.T) {
 	t.Parallel()
 	sim := newLimitSimulation(t, 12, 1, 2)
 	sim.run(2*time.Second, 100, sim.anyGateway)
@@ -304,7 +304,7 @@
 }
 
 // Gateways that receive no reports from each other keep to their equal shares.
-func TestLimitHoldsWithDisconnectedSenders(t *testing.T) {
+func TestLimitHoldsWithDisconnectedGateways(t *testing.T) {
 	t.Parallel()
 	sim := newLimitSimulation(t, 12, 1, 6)
 	sim.run(2*time.Second, 200, sim.anyGateway)
@@ -356,7 +356,7 @@
 }
 
 // Responses on different connections overtake each other.
-func TestAnswerToEarlierRequestLiftsNoLimit(t *testing.T) {
+func TestResponseToEarlierRequestLiftsNoLimit(t *testing.T) {
 	limits := NewServerLimits()
 	limits.ObserveLimit(testStart, 1, 2)
 	if limits.ObserveNoLimit(testStart.Add(-time.Millisecond), 1) || limits.LimitedServers() != 1 {
--- a/policy/suspect_runs_test.go
+++ b/policy/suspect_runs_test.go
@@ -118,7 +118,7 @@
 // quarantined in the culprit's place, and a fourth server would end.
 func TestSuspectsThatShareAllCrashesAreKeptApart(t *testing.T) {
 	for _, gateways := range []int{1, 2, 6} {
-		t.Run(fmt.Sprint("senders=", gateways), func(t *testing.T) {
+		t.Run(fmt.Sprint("gateways=", gateways), func(t *testing.T) {
 			excessive, refused := 0, 0
 			for seed := range uint64(500) {
 				sim := newIsolationSimulation(seed, gateways, 6, 12)
--- a/policy/unresponsive_servers_test.go
+++ b/policy/unresponsive_servers_test.go
@@ -33,7 +33,7 @@
 }
 
 // A server that loses some responses, or is cut off from one of many gateways, is used.
-func TestServerWithSomeAnswersIsUsed(t *testing.T) {
+func TestServerWithSomeResponsesIsUsed(t *testing.T) {
 	s := NewUnresponsiveServers()
 	for i := range 200 {
 		now := testStart.Add(time.Duration(i) * 50 * time.Millisecond)
