--- a/policy/adaptive_headroom_test.go
+++ b/policy/adaptive_headroom_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Several gateways compete for a few free slots on a few servers. Without a joint draw the
-// chances at each server would add up: together they must send about as many requests as slots
-// are left, spread over the servers.
+// Guards against many gateways sending for the same few free slots: with an independent draw
+// for each server their chances would add up. Together they must send about as many requests
+// as slots are left, spread over the servers.
 func TestScarceSlotsAreSharedEvenly(t *testing.T) {
 	const gateways, freeServers, freePerServer = 90, 7, 2
 	servers := idleServers(50)
@@ -48,8 +48,9 @@
 	}
 }
 
-// When more than usual is offered above a level, the level leaves slots free before any
-// refusal, in proportion to the surge, and none a few seconds later.
+// Guards against less urgent requests filling the slots while an urgent surge is not refused
+// yet: the level leaves slots free in proportion to the surge above it, and none a few seconds
+// later.
 func TestHeadroomFollowsSurge(t *testing.T) {
 	var headroom AdaptiveHeadroom
 	var offers OfferCounts
@@ -126,8 +127,8 @@
 	}
 }
 
-// A few refusals above a level make it leave only a few slots free, however much is offered
-// there: the requests admitted above have their slots already.
+// Guards against a few refusals above a level that make it leave many slots free because much
+// is offered there: the requests admitted above have their slots already.
 func TestHeadroomIsBoundedByRefusalsAbove(t *testing.T) {
 	var headroom AdaptiveHeadroom
 	var offers OfferCounts
--- a/policy/cache_miss_test.go
+++ b/policy/cache_miss_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A segment cached at a busy server is fetched from it, and prefilled elsewhere if servers
-// can't fetch.
+// Guards against waiting at a busy server because it has a segment cached: another server must
+// fetch the segment from it, or prefill it if servers can't fetch.
 func TestSegmentOfBusyServerIsFetched(t *testing.T) {
 	for _, fetchRate := range []float64{0, 600} {
 		c, servers := newTestChooser(), idleServers(8)
@@ -26,7 +26,8 @@
 	}
 }
 
-// Servers that are draining, ejected or restarted aren't fetched from.
+// Guards against fetching from a server that is draining or ejected, or whose cache is empty
+// after a restart.
 func TestNothingIsFetchedFromUnusableServers(t *testing.T) {
 	faults := map[string]func(c *Chooser, s *Server){
 		"draining": func(_ *Chooser, s *Server) { s.Draining = true },
@@ -45,7 +46,7 @@
 		c.index.RecordPrefilled(testStart, KeyOf(servers[holder].Name), job.SharedSegments)
 		inject(c, &servers[holder])
 		if choice := c.Choose(testStart, job, servers, nil); choice.Fetches {
-			t.Errorf("%s: %+v", name, choice)
+			t.Errorf("fetches from a server that is %s: %+v", name, choice)
 		}
 	}
 }
@@ -58,11 +59,12 @@
 	c.index.RecordPrefilled(testStart, KeyOf(servers[holder].Name), job.SharedSegments)
 	servers[holder].Pending[4].Tokens = 60_000
 	if choice := c.Choose(testStart, job, servers, nil); choice.Fetches || choice.Index == holder {
-		t.Errorf("%+v, holder %d", choice, holder)
+		t.Errorf("a segment of %d tokens isn't prefilled at another server than %d, which has it: %+v", minFetchTokens-1, holder, choice)
 	}
 }
 
-// All gateways see the same single server that is in time. Only some of them may send to it.
+// Guards against all gateways sending to the last server that is in time, which all of them
+// see: only some of them may.
 func TestGatewaysShareTheLastServerInTime(t *testing.T) {
 	const gateways = 30
 	sent := 0
@@ -84,9 +86,9 @@
 	}
 }
 
-// If slots are the bottleneck, the few servers with free slots are shared by slots alone:
-// the other servers have time, and the prompts that other gateways send aren't prefilled
-// at these few.
+// Guards against refusing requests for lack of time when only slots are short: the prompts
+// that other gateways send are divided among all servers that have time, and not only among
+// the few that have free slots.
 func TestSlotShortageIsNoTimeShortage(t *testing.T) {
 	servers := idleServers(20)
 	for i := range servers {
--- a/policy/chooser_test.go
+++ b/policy/chooser_test.go
@@ -91,7 +91,8 @@
 	}
 }
 
-// A plain service resets connections beyond the number that it accepts.
+// Guards against sending to a plain service on more connections than it accepts: it resets
+// them, and the outcome of their requests is unknown.
 func TestPlainServicesKeepSpareConnections(t *testing.T) {
 	c, servers := newTestChooser(), idleServers(3)
 	for i := range servers {
@@ -152,8 +153,8 @@
 	}
 }
 
-// If few slots are left, all gateways see the same ones. Only some of the gateways may
-// send to them.
+// Guards against all gateways sending for the last few slots, which all of them see: only
+// some of them may.
 func TestGatewaysShareTheLastSlots(t *testing.T) {
 	const gateways = 30
 	sent := 0
@@ -188,7 +189,7 @@
 		t.Errorf("%v requests with %v tokens expected in 100 ms at 100 requests a second with 50 tokens each", got, tokens)
 	}
 	if got, tokens := r.Expected(testStart.Add(4*time.Second), 100*time.Millisecond, 2); got > 0.1 || tokens != 0 {
-		t.Errorf("%v requests expected three seconds after the last", got)
+		t.Errorf("%v requests with %v tokens expected three seconds after the last, want about none", got, tokens)
 	}
 }
 
--- a/policy/direct_engine_test.go
+++ b/policy/direct_engine_test.go
@@ -18,6 +18,7 @@
 	slowdown float64
 }
 
+// enqueue queues a request behind those that are at least as urgent.
 func (e *directEngine) enqueue(r *directRequest) {
 	at := len(e.queue)
 	for at > 0 && e.queue[at-1].job.Urgency > r.job.Urgency {
--- a/policy/direct_simulation_test.go
+++ b/policy/direct_simulation_test.go
@@ -19,22 +19,27 @@
 	events  simEvents
 	engines []*directEngine
 	// requests are those that are measured.
-	requests         []*directRequest
-	gateways         []*directGateway
-	admit            bool
-	inTime           map[string]int
-	arrived          map[string]int
+	requests []*directRequest
+	gateways []*directGateway
+	// admit makes gateways refuse requests that no server can answer in time.
+	admit bool
+	// arrived and inTime count, by class, the measured requests and those of them whose
+	// first token was in time.
+	inTime  map[string]int
+	arrived map[string]int
+	// recomputedTokens counts the tokens of shared prefixes that engines prefilled.
 	recomputedTokens int
 	// measureFrom is when measuring begins; before it the engines' caches fill.
 	measureFrom time.Duration
 	// estimateUnreported makes gateways allow for the requests that others have sent since
-	// their last update. started counts requests that got a first token, late or not,
-	// and longestQueue is the longest queue of an engine without a free slot.
+	// their last update.
 	estimateUnreported bool
 	// prefillDelaysDecode makes streams pause while a prompt is prefilled.
 	prefillDelaysDecode bool
-	started             map[string]int
-	longestQueue        int
+	// started counts, by class, the measured requests that got a first token, late or not.
+	started map[string]int
+	// longestQueue is the length of the longest queue at an engine without a free slot.
+	longestQueue int
 	// shareFirstTokens makes gateways learn from each other's first tokens.
 	shareFirstTokens bool
 	// chunkTokens is the chunk size of chunked prefill; 0 for complete prompts.
@@ -326,9 +331,9 @@
 	return p
 }
 
-// Without admission control a long burst makes all requests late: each one waits behind
-// requests that their callers have abandoned. With it the engines serve as many in time as
-// they can prefill, and the urgent class isn't affected.
+// Guards against a long burst that makes all requests late: without admission control each
+// request waits behind others whose callers have given up. With it the engines serve about as
+// many in time as they can prefill, and the urgent class isn't affected.
 func TestBurstOfSummariesIsServedInTime(t *testing.T) {
 	for _, multiple := range []float64{1, 2, 4} {
 		open, admitted := simulateOverload(multiple, false), simulateOverload(multiple, true)
@@ -360,6 +365,6 @@
 	}, 300*time.Millisecond)
 	p.run(15 * time.Second)
 	if got, asked := p.inTime["summary"], p.arrived["summary"]; float64(got) < 0.9*float64(asked) {
-		t.Errorf("%d of %d in time", got, asked)
+		t.Errorf("%d of %d summaries with a hot prefix in time", got, asked)
 	}
 }
--- a/policy/ejector_test.go
+++ b/policy/ejector_test.go
@@ -41,11 +41,11 @@
 		e.Observe(testStart, "lapsed", OutcomeLapsed)
 	}
 	if !e.Ejected(testStart, "flaky") || e.Ejected(testStart, "cancelled") || e.Ejected(testStart, "lapsed") {
-		t.Errorf("records %v", e.records)
+		t.Errorf("want only the engine with failures ejected; records %v", e.records)
 	}
 	e.RemoveEngine("flaky")
 	if e.Ejected(testStart, "flaky") {
-		t.Errorf("still ejected after Forget")
+		t.Errorf("still ejected after RemoveEngine")
 	}
 }
 
@@ -62,7 +62,7 @@
 		t.Errorf("%d retries allowed for 1000 requests", allowed)
 	}
 	if b.Allow(testStart) || !b.Allow(testStart.Add(time.Minute)) {
-		t.Errorf("the budget is not used up, or an idle minute earned no retry")
+		t.Errorf("a retry is allowed although the budget is used up, or none after an idle minute")
 	}
 }
 
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// sortedIDs returns the keys in order, so that draws from them can be repeated.
+// sortedIDs returns the IDs of tickets in order, so that random draws from them are
+// reproducible.
 func sortedIDs(tickets map[string]Ticket) []string {
 	return slices.Sorted(maps.Keys(tickets))
 }
--- a/policy/long_prompts_test.go
+++ b/policy/long_prompts_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// minLongestShare is the users' bound on fairness by length: the share served of a class's
-// longest tenth is at least this part of the share served of the whole class.
+// minLongestShare is the users' bound on fairness by length. The served share of a class's
+// longest tenth of requests must be at least this multiple of the served share of the whole
+// class.
 const minLongestShare = 0.5
 
 // variedSummaries simulates ten seconds of summaries whose shared segments and remainders
--- a/policy/pause_simulation_test.go
+++ b/policy/pause_simulation_test.go
@@ -54,9 +54,8 @@
 	return p
 }
 
-// Engines of one service differ in speed. Streams with tight pause targets must use the
-// engines that meet them while these have slots; without that a third of the streams is
-// late.
+// Guards against streams with tight pause targets at engines that are too slow for them, while
+// faster engines of the service have slots: a third of the streams would be late.
 func TestTightStreamsAvoidSlowEngines(t *testing.T) {
 	p, withoutTargets := simulateUnequalEngines(120, 80, simPauseTargets), simulateUnequalEngines(120, 80, nil)
 	started, late := p.started["question"], p.latePauses["question"]
@@ -69,7 +68,7 @@
 		t.Errorf("%d of %d questions had no first token in time", missed, p.arrived["question"])
 	}
 	if lost := withoutTargets.inTime["summary"] - p.inTime["summary"]; 50*lost > p.arrived["summary"] {
-		t.Errorf("%d of %d summaries fewer are in time because of it", lost, p.arrived["summary"])
+		t.Errorf("of %d summaries, %d fewer are in time than without pause targets", p.arrived["summary"], lost)
 	}
 }
 
--- a/policy/prefill_plan_test.go
+++ b/policy/prefill_plan_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// At 40 tokens per millisecond, with 4,000 tokens of others ahead, a prompt of 2,000
-// tokens is prefilled from 120 to 170 ms after it was sent.
+// Guards against counting tokens that a server has already prefilled. At 40 tokens per
+// millisecond, with 4,000 tokens of others ahead, a prompt of 2,000 tokens is prefilled from
+// 120 to 170 ms after it was sent.
 func TestPrefillPlanCountsRemainingTokens(t *testing.T) {
 	var r *PrefillRate
 	plan := r.Plan(testStart, 2000, 6000)
@@ -26,7 +27,8 @@
 	}
 }
 
-// Two half-prefilled prompts leave time for a third one that two complete prompts would not.
+// Guards against refusing a request that would be in time: two half-prefilled prompts leave
+// time for a third one, which two complete prompts wouldn't.
 func TestPrefilledTokensMakeRoom(t *testing.T) {
 	c, servers := newTestChooser(), idleServers(1)
 	job := Job{Zone: "z", Urgency: 4, Target: 500 * time.Millisecond, Tokens: 4000}
--- a/policy/prefill_rate_test.go
+++ b/policy/prefill_rate_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// A model with a slow first step prefills as fast as others: a single rate without a fixed
+// Guards against mistaking a slow first step for slow prefill: a single rate without a fixed
 // time would be a sixth of the true one here.
 func TestPrefillRateSeparatesFixedTimeFromPrefill(t *testing.T) {
 	var r PrefillRate
@@ -72,8 +72,8 @@
 	}
 }
 
-// With high variance less is admitted: otherwise half of the requests that are expected
-// just within the target would be late.
+// Guards against admitting by the expected time alone when times vary widely: half of the
+// requests that are expected just within the target would be late.
 func TestHighVarianceAdmitsLess(t *testing.T) {
 	trained := func(spread float64) *PrefillRate {
 		r, random := &PrefillRate{}, rand.New(rand.NewPCG(7, 8))
@@ -97,8 +97,8 @@
 	}
 }
 
-// The longest prompts can't be in time anyway. They are admitted at idle servers even if
-// the model's first step alone takes a fifth of the target.
+// Guards against never admitting the longest prompts, which can't be in time anyway: idle
+// servers admit them even if the model's first step alone takes a fifth of the target.
 func TestLongestPromptIsAdmittedDespiteSlowFirstStep(t *testing.T) {
 	r := &PrefillRate{}
 	observePrefillSamples(r, 1000, 120*time.Millisecond, 60)
--- a/policy/quarantine_test.go
+++ b/policy/quarantine_test.go
@@ -28,7 +28,7 @@
 		q.ObserveCrash(testStart, 7, instance)
 	}
 	if !q.Quarantined(testStart, 7) || q.Quarantined(testStart, 8) || q.Len() != 1 {
-		t.Error("want only the request under which three servers ended")
+		t.Error("want only the request quarantined that was running when three servers ended")
 	}
 }
 
@@ -65,8 +65,9 @@
 	}
 }
 
-// A request that was running at all crashes of a culprit can't be distinguished from it. If
-// the wrong one is quarantined, the culprit's next crash must release it.
+// Guards against refusing an innocent request for good: one that was running at all crashes of
+// a culprit can't be distinguished from it and may be quarantined in its place. The culprit's
+// next crash must release it.
 func TestWronglyQuarantinedRequestIsReleasedByNextCrash(t *testing.T) {
 	q := NewQuarantine()
 	for _, instance := range instances("a", "b", "c") {
@@ -78,10 +79,12 @@
 	}
 	q.ObserveCrash(testStart, 2, KeyOf("d"))
 	if q.Quarantined(testStart, 1) || !q.Quarantined(testStart, 2) {
-		t.Error("want the request that explains the last crash")
+		t.Error("want only the request quarantined that was running at the last crash too")
 	}
 }
 
+// Guards against many suspects with one crash evicting the culprit, and against remembering
+// requests that no longer arrive.
 func TestSuspectsAreBoundedAndExpire(t *testing.T) {
 	q := NewQuarantine()
 	for _, instance := range instances("a", "b", "c") {
@@ -198,8 +201,8 @@
 	}
 }
 
-// A gateway that starts or restarts knows of no crashes. If it had to observe three of its
-// own, each start would cost three more servers.
+// Guards against a gateway that has just started, knows of no crashes and has to observe three
+// of its own: each start would cost three more servers.
 func TestStartingGatewayLearnsQuarantine(t *testing.T) {
 	sim := newCrashSimulation(6, 2)
 	for range 30 {
@@ -219,6 +222,8 @@
 	}
 }
 
+// Guards against a gateway that was disconnected while others learned of the culprit, and
+// admits it after it has reconnected.
 func TestReconnectedGatewayLearnsQuarantine(t *testing.T) {
 	sim := newCrashSimulation(6, 3)
 	sim.disconnected[0] = true
@@ -235,8 +240,8 @@
 	}
 }
 
-// Servers that crash for reasons of their own end all their requests. Frequent requests are
-// running at every crash and must not be refused because of it.
+// Guards against quarantining frequent requests when servers crash for reasons of their own:
+// such requests are running at every crash.
 func TestCrashesWithoutCulpritQuarantineNothing(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 1))
 	q, now := NewQuarantine(), testStart
@@ -268,7 +273,8 @@
 	}
 }
 
-// One gateway received a complete response to the request, another lost it with a server.
+// Guards against quarantining a request that was answered completely through one gateway,
+// because servers crashed while they ran it for another gateway.
 func TestCompleteResponseAtOneGatewayClearsForAll(t *testing.T) {
 	a, b := NewQuarantine(), NewQuarantine()
 	a.ObserveResponse(testStart, 7)
@@ -281,11 +287,12 @@
 		t.Error("quarantined by the gateway that answered it")
 	}
 	if b.Merge(now, a.Updates(now)); b.Quarantined(now, 7) {
-		t.Error("quarantined by a gateway that was told of the response")
+		t.Error("quarantined by a gateway that was notified of the response")
 	}
 }
 
-// A request that was harmless crashes servers of the next release.
+// Guards against a complete response that excuses all later crashes: a request that was
+// harmless may crash servers of the next release.
 func TestRequestAnsweredLongAgoIsQuarantined(t *testing.T) {
 	q := NewQuarantine()
 	q.ObserveResponse(testStart, 7)
@@ -297,8 +304,8 @@
 	}
 }
 
-// Guards against gateways that report a request to each other in turn and so never forget it
-// after it has stopped arriving.
+// Guards against gateways that keep reporting a request to each other after it has stopped
+// arriving, so that none of them ever drops it.
 func TestSuspectExpiresAtAllGateways(t *testing.T) {
 	sim := newCrashSimulation(6, 5)
 	for range 30 {
--- a/policy/request_stats_test.go
+++ b/policy/request_stats_test.go
@@ -8,7 +8,7 @@
 	measureEnd   = time.Minute
 )
 
-// requestStats counts what became of a class's requests, or of those of one of
+// requestStats counts the outcomes of a class's requests, or of those of one of
 // its customers.
 type requestStats struct {
 	// offered counts requests without their retries; completed and onTime count
--- a/policy/server_limits_test.go
+++ b/policy/server_limits_test.go
@@ -84,8 +84,8 @@
 	return g
 }
 
-// run simulates d, with perSecond requests a second, each at the gateway whose index draw
-// returns.
+// run simulates d, with perSecond requests a second, each at the gateway whose index
+// pickGateway returns.
 func (sim *limitSimulation) run(d time.Duration, perSecond float64, pickGateway func() int) {
 	for until := sim.now.Add(d); sim.now.Before(until); sim.now = sim.now.Add(simStep) {
 		sim.deliver()
@@ -239,7 +239,8 @@
 	}
 }
 
-// simulateBursts simulates callers that arrive in bursts at all gateways at once.
+// simulateBursts simulates six bursts, each two seconds long, that reach all gateways at once
+// with factor times the usual rate, and checks that the servers' limits hold.
 func simulateBursts(t *testing.T, seed uint64, factor float64) {
 	sim := newLimitSimulation(t, 68, 2, 1.6)
 	sim.random = rand.New(rand.NewPCG(seed, 7))
@@ -250,8 +251,8 @@
 	sim.expectWithinLimit(testStart.Add(500 * time.Millisecond))
 }
 
-// Gateways estimate from recently offered requests how many others have a request for the
-// remaining allowance.
+// Guards against all gateways sending for the same remaining allowance in a burst: each has to
+// estimate from recently offered requests how many others have a request for it.
 func TestLimitHoldsInBursts(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(burstSeeds) {
@@ -259,7 +260,8 @@
 	}
 }
 
-// In a sudden surge every gateway may have seen remaining allowance.
+// Guards against exceeding a limit when a burst is too sudden for recently offered requests to
+// show it, and every gateway still sees remaining allowance.
 func TestLimitHoldsInSuddenBursts(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(burstSeeds) {
@@ -279,7 +281,7 @@
 	sim.expectUsed(settled, 0.9, 1.2)
 }
 
-// When many servers have limits, the limits of all of them are used.
+// Guards against using the limits of only some servers when many of them have one.
 func TestLimitsOfManyServersAreUsed(t *testing.T) {
 	t.Parallel()
 	sim := newLimitSimulation(t, 12, 24, 2)
@@ -290,8 +292,8 @@
 	sim.expectUsed(settled, 0.85, 1.2)
 }
 
-// Gateways that have just started don't know the limit until another gateway reports it or an
-// response states it.
+// Guards against exceeding a limit through gateways that have just started: they don't know it
+// until another gateway reports it or a response states it.
 func TestLimitHoldsWhileGatewaysStart(t *testing.T) {
 	t.Parallel()
 	sim := newLimitSimulation(t, 12, 1, 2)
@@ -303,7 +305,8 @@
 	sim.expectWithinLimit(testStart.Add(500 * time.Millisecond))
 }
 
-// Gateways that receive no reports from each other keep to their equal shares.
+// Guards against exceeding a limit through gateways that receive no reports from each other:
+// each of them may use only its equal share.
 func TestLimitHoldsWithDisconnectedGateways(t *testing.T) {
 	t.Parallel()
 	sim := newLimitSimulation(t, 12, 1, 6)
@@ -318,7 +321,8 @@
 	sim.expectUsed(settled, 0.5, 1.2)
 }
 
-// Less urgent requests leave a part of a limit free for more urgent ones.
+// Guards against less urgent requests using up a limit: they must leave their headroom free for
+// more urgent ones.
 func TestHeadroomReservesLimit(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	overLimit := func(headroom float64) bool {
@@ -355,7 +359,9 @@
 	}
 }
 
-// Responses on different connections overtake each other.
+// Guards against lifting a limit by a response that was made before the limit was stated:
+// responses on different connections overtake each other. A limit that was lifted must not be
+// restored by outdated reports.
 func TestResponseToEarlierRequestLiftsNoLimit(t *testing.T) {
 	limits := NewServerLimits()
 	limits.ObserveLimit(testStart, 1, 2)
@@ -379,6 +385,6 @@
 		t.Error("dropped before all gateways know that the limit was lifted")
 	}
 	if limits.Reports(testStart.Add(2 * limitTTL)); !limits.Empty() {
-		t.Error("never dropped")
+		t.Errorf("a lifted limit is still remembered after %v", 2*limitTTL)
 	}
 }
--- a/policy/slot_contention_test.go
+++ b/policy/slot_contention_test.go
@@ -55,10 +55,10 @@
 	return sim
 }
 
-// Slots are kept free for more urgent requests and for requests that gateways don't see of
-// each other. Without more urgent traffic, and with other gateways' requests accounted for,
-// all that fits in the slots must be admitted, and no engine may get more than it can start in
-// time.
+// Guards against slots that stay free although nothing needs them: some are reserved for more
+// urgent requests, and some for requests that other gateways haven't reported yet. Without
+// more urgent traffic all that fits in the slots must be admitted, and no engine may get more
+// requests than it can start in time.
 func TestUrgentTrafficAloneUsesAllSlots(t *testing.T) {
 	sim := simulateQuestionsOnly()
 	arrived, started, inTime := sim.arrived["question"], sim.started["question"], sim.inTime["question"]
@@ -89,8 +89,9 @@
 	return sim
 }
 
-// An urgent burst fills the slots only gradually, as its streams accumulate. Less urgent
-// requests must leave the servers to it before the first of its requests is refused.
+// Guards against less urgent requests taking the slots that an urgent burst needs a little
+// later: the burst fills the slots only gradually, as its streams accumulate. Slots must be
+// left free for it before the first of its requests is refused.
 func TestUrgentSurgeFindsSlots(t *testing.T) {
 	sim := simulateQuestionSurge()
 	arrived, started, inTime := sim.arrived["question"], sim.started["question"], sim.inTime["question"]
--- a/policy/unresponsive_servers_test.go
+++ b/policy/unresponsive_servers_test.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// A server that loses some responses, or is cut off from one of many gateways, is used.
+// Guards against excluding a server that loses some responses, or that one of many gateways
+// can't reach.
 func TestServerWithSomeResponsesIsUsed(t *testing.T) {
 	s := NewUnresponsiveServers()
 	for i := range 200 {
@@ -58,12 +59,13 @@
 		s.RecordNoResponse(testStart.Add(time.Duration(i)*time.Second), Key(i))
 	}
 	if most := 2 * int(missRecordTTL/time.Second); len(s.servers) > most+1 {
-		t.Errorf("%d records remain, one of each second", len(s.servers))
+		t.Errorf("%d records remain of one a second, want at most %d", len(s.servers), most+1)
 	}
 }
 
-// Unresponsive servers are used if most servers are unresponsive: then the cause is more
-// likely in the gateway, or the other servers can't carry the load.
+// Guards against choosing an unresponsive server beside others, and against excluding most
+// servers: if most are unresponsive, the cause is more likely in the gateway, or the other
+// servers can't carry the load.
 func TestUnresponsiveServersAreChosenLast(t *testing.T) {
 	c, servers := newTestChooser(), idleServers(4)
 	servers[1].Unresponsive = true
