--- a/policy/adaptive_headroom.go
+++ b/policy/adaptive_headroom.go
@@ -33,8 +33,9 @@
 	// offerBaselineDecay is the time constant of the average of offered requests that a surge
 	// is compared with. Streams hold their slots for about as long: 1.5 s to 4 s.
 	offerBaselineDecay = 3 * time.Second
-	// surgeStdDevs is by how many standard deviations of a count the offered requests must
-	// exceed the baseline to count as a surge.
+	// surgeStdDevs is how many standard deviations above the baseline the number of offered
+	// requests must be to count as a surge. The standard deviation of a Poisson count is the
+	// square root of its mean.
 	surgeStdDevs = 2
 )
 
@@ -49,10 +50,10 @@
 //
 // Refusals are a late signal. Streams hold their slots for seconds, so an urgent burst fills
 // the servers only two or three seconds after it began, and the less urgent requests admitted
-// until then take slots and server time from it. A level therefore also leaves free what the
-// levels above will occupy while they hold their slots, if more than usual is offered there at
-// all gateways: slots in use grow in proportion to offered requests. Where both fit, nothing
-// is refused because of this.
+// until then take slots and server time from it. A level therefore also leaves slots free when
+// all gateways together are offered more than usual above it: as many as these requests will
+// occupy, since the slots in use grow in proportion to the offered requests. If both levels
+// fit, this refuses nothing.
 //
 // Not safe for concurrent use.
 type AdaptiveHeadroom struct {
@@ -67,15 +68,15 @@
 }
 
 // Share returns the share of each server's slots, from 0 to 1, that a level leaves free now.
-// offers counts the requests offered and refused at all gateways; busy is the share of all
-// slots in use.
+// offers counts the requests offered and refused at all gateways; utilization is the share of
+// all slots in use, as SlotUtilization returns it.
 func (h *AdaptiveHeadroom) Share(now time.Time, offers *OfferCounts, utilization float64, urgency int) float64 {
 	h.advance(now, offers, utilization)
 	return max(h.headroom[urgency], min(utilization*h.surge[urgency], maxHeadroom))
 }
 
-// advance accounts for the time since the last call. For growth, a longer gap counts as a
-// single gossip interval, since refusals were not observed during the whole gap.
+// advance accounts for the time since the last call. One call lets the headroom grow for at
+// most one gossip interval, since refusals during a longer gap weren't observed.
 func (h *AdaptiveHeadroom) advance(now time.Time, offers *OfferCounts, utilization float64) {
 	const maxGrowthStep = 100 * time.Millisecond
 	elapsed := now.Sub(h.updated)
@@ -111,8 +112,8 @@
 	}
 }
 
-// detectSurge computes how far the offered requests exceed the baseline beyond random
-// variation.
+// detectSurge updates each level's surge: the requests offered above the level in excess of
+// the baseline and its random variation.
 func (h *AdaptiveHeadroom) detectSurge(offers *OfferCounts) {
 	total := 0.0
 	for _, baseline := range h.baseline {
--- a/policy/cache_miss.go
+++ b/policy/cache_miss.go
@@ -62,9 +62,10 @@
 	homes [homeCount]int
 	// longestCached is the longest beginning that was sent to a usable server, in tokens.
 	longestCached int
-	// cached is by server; nil if the prompt has no shared prefix.
+	// cached holds what each server has cached, by the server's index; nil if the prompt has
+	// no shared prefix.
 	cached []cachedPrefix
-	// source is the index of the server that has prefilled most; -1 for none.
+	// source is the index of the server that has prefilled most of the prefix; -1 for none.
 	source int
 }
 
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -23,7 +23,7 @@
 
 // admitBySlots decides at random which servers with a free slot stay eligible for the request.
 // unreported is how many requests other gateways are expected to have sent since their last
-// report. A server stays eligible with the probability that a slot is left for this request.
+// update. A server stays eligible with the probability that a slot is left for this request.
 // Without this, all gateways see the same few servers with a free slot when nearly all are
 // full, and all of them send there.
 //
@@ -72,13 +72,14 @@
 	return share*float64(s.Slots) - float64(s.inFlight())
 }
 
-// admitByTime decides at random whether a request may use the time that the servers which meet
-// the target have left together. Near saturation all gateways see the same last server that
-// meets the target; each would send there until it knows of the others' requests, which then
-// wait for seconds. Of the tokens that other gateways are expected to send meanwhile, less
-// what the servers prefill in that time, the share that fits into the spare time is admitted.
+// admitByTime decides at random whether a request is admitted at the chosen server, given what
+// other gateways may have sent since their last updates. Near saturation all gateways see the
+// same last server that meets the target. If each sent there until it learned of the others'
+// requests, these would wait for seconds. The probability of admission is the number of tokens
+// that the server can still prefill within the target, divided by the number of tokens that
+// other gateways are expected to have sent there and that it hasn't prefilled yet.
 //
-// eligible counts the servers that meet the target whether or not they have a free slot:
+// meetingTarget counts the servers that meet the target whether or not they have a free slot:
 // servers without one are short of slots, not of time.
 func (c *Chooser) admitByTime(job *Job, best *Choice, rate *PrefillRate, meetingTarget int) bool {
 	if job.Target == 0 || job.UnreportedTokens == 0 {
--- a/policy/chooser.go
+++ b/policy/chooser.go
@@ -23,15 +23,16 @@
 	// has it cached, relative to a token of waiting: prefill delays all later requests
 	// at that server, waiting only this request.
 	recomputeWeight = 8.0
-	// sampledServers is the number of servers considered for a prompt without a shared
-	// prefix: with stale load information two or three choices work best (Mitzenmacher,
-	// How useful is old information, 2000). nonPreferredCost is the cost of the other
-	// servers, in tokens: more than that of any sampled server that is in time.
-	sampledServers   = 3
+	// sampledServers is the number of servers considered first for a prompt without a
+	// shared prefix: with stale load information two or three choices work best
+	// (Mitzenmacher, How useful is old information, 2000).
+	sampledServers = 3
+	// nonPreferredCost is the least additional cost of a server that preferred doesn't mark,
+	// in tokens: more than the cost of any marked server that is in time.
 	nonPreferredCost = 1e6
 )
 
-// Chooser selects the backend server to which a request is sent at once.
+// Chooser selects the backend server to which a request is sent immediately.
 //
 // It handles prompts with long shared prefixes, prefixes that cause most of the load,
 // and unevenly loaded servers. Among the servers whose first token is likely in time it
--- a/policy/ejection_record.go
+++ b/policy/ejection_record.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// maxConsecutive returns how many consecutive failures eject the engine: one after it has been
+// maxConsecutive returns how many consecutive failures eject the engine: a single one if it was
 // ejected before.
 func (r *ejectionRecord) maxConsecutive() int {
 	if r.ejections > 0 {
--- a/policy/ejector.go
+++ b/policy/ejector.go
@@ -27,7 +27,7 @@
 // outcomes and not probes or load reports, which lag behind.
 //
 // It guards against an engine that fails fast: its slots are always free, so it looks best and
-// attracts the whole load. A slow engine needs no ejection, since it rarely grants.
+// attracts the whole load. A slow engine needs no ejection, since it grants few tickets.
 // Readmission is damped: an engine that fails again at once after its return is ejected for
 // twice as long.
 //
--- a/policy/filter.go
+++ b/policy/filter.go
@@ -22,8 +22,9 @@
 }
 
 // panicThreshold is the fraction of ejected engines above which ejection is ignored: if
-// half of them fail, the cause is more likely common to all engines or in the entry,
-// and the remaining engines can't carry the load.
+// more than half of the engines fail, the cause is more likely common to all of them or in
+// the entry, and the remaining engines can't carry the load. It also applies to unresponsive
+// servers.
 const panicThreshold = 0.5
 
 // ejectionFilter removes engines that the Ejector has ejected, unless more than
--- a/policy/job.go
+++ b/policy/job.go
@@ -12,9 +12,9 @@
 	// segments that server caches; these then move elsewhere in turn.
 	maxRecomputePenalty = 15.0
 	// minWaitFraction is the fraction of the target that any request may wait for
-	// others, not counting the model's first step. It lets classes of very long
-	// prompts in where almost nothing is queued. A larger value delays all other
-	// requests.
+	// others, not counting the model's first step. It admits classes of very long
+	// prompts at servers where almost nothing is queued. A larger value delays all
+	// other requests.
 	minWaitFraction = 0.04
 )
 
@@ -103,12 +103,12 @@
 	return 1 + maxRecomputePenalty*min(medianWait/float64(j.Target), 1)
 }
 
-// meetsTarget reports whether a request is admitted behind queuedTokens of other
-// prompts, with shared segments to be prefilled again. It is judged as a prompt of
-// the mean length of its class with the same fraction cached, so that prompts of
-// all lengths find a server equally often; see ClassSizes. Where almost nothing
-// is queued it is admitted anyway, so that classes are served whose prompts take
-// the whole target.
+// meetsTarget reports whether the request's first token is likely within the target
+// at a server with queuedTokens of other prompts ahead and the given cache miss. The
+// request is judged as a prompt of the mean length of its class with the same
+// fraction cached, so that prompts of all lengths find a server equally often; see
+// ClassSizes. A server where almost nothing is queued counts as meeting the target
+// anyway, so that classes are served whose prompts take the whole target.
 func (j *Job) meetsTarget(rate *PrefillRate, queuedTokens float64, miss cacheMiss, recomputeCost float64) bool {
 	if j.Target == 0 {
 		return true
--- a/policy/prefill_plan.go
+++ b/policy/prefill_plan.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// minRemainingShare is the fraction of a prompt that counts as remaining once its first
-// token is overdue: without a first token the prefill isn't complete, but how much of it
+// minRemainingShare is the least fraction of a prompt that counts as remaining until its
+// first token arrives: if that is overdue, the prefill isn't complete, but how much of it
 // remains is unknown.
 const minRemainingShare = 0.25
 
-// PrefillPlan is the period in which a server is expected to prefill a prompt. With it,
-// other requests for that server aren't expected to wait for tokens that have already
-// been prefilled.
+// PrefillPlan is the period in which a server is expected to prefill a prompt. It gives the
+// number of tokens that are still to be prefilled, so that tokens that the server has
+// already prefilled don't count as a wait for other requests.
 //
 // This matters for long prompts that arrive close together. If prompts counted in full
 // until their first token, two half-completed prompts would look like two complete ones, and
@@ -20,10 +20,10 @@
 	end    time.Time
 }
 
-// Plan returns the plan of a prompt of a number of tokens that is sent now. tokensAhead
-// includes the prompt and everything prefilled before it. Of the initial fixed time to
-// first token only the network delay matters: while a model computes its first decoding
-// step it already prefills the next prompt.
+// Plan returns the prefill plan of a prompt of the given number of tokens that is sent now.
+// tokensAhead includes the prompt and everything prefilled before it. The plan adds
+// initialFixedTime for the network delay and not the estimated fixed time, which includes
+// the first decoding step: during that step a model already prefills the next prompt.
 func (r *PrefillRate) Plan(now time.Time, tokens int, tokensAhead float64) PrefillPlan {
 	end := now.Add(initialFixedTime + r.prefillTime(tokensAhead))
 	return PrefillPlan{tokens: tokens, start: end.Add(-r.prefillTime(float64(tokens))), end: end}
--- a/policy/prefill_rate.go
+++ b/policy/prefill_rate.go
@@ -156,17 +156,18 @@
 	return r.fixedTime() + r.prefillTime(tokensAhead)
 }
 
-// likelyTTFT returns the time within which a first token arrives in most cases, with
-// others tokens of other requests ahead and own tokens of the request itself: the expected
-// time and the mean deviation, applied to the wait for others only. The first step and the
-// request's own prefill take their time at an idle server too. A deviation on these would
-// refuse every request of a class with a tight target, and nothing more would be learned.
+// likelyTTFT returns the time within which the first token of a request arrives in most
+// cases, with queuedTokens of other requests ahead and ownTokens of its own to prefill. It is
+// the expected time plus the mean deviation, applied only to the wait for the other requests.
+// The first step and the request's own prefill take as long at an idle server. If a deviation
+// were added for these too, every request of a class with a tight target would be refused, and
+// no more samples would correct the estimate.
 func (r *PrefillRate) likelyTTFT(queuedTokens, ownTokens float64) time.Duration {
 	return r.expectedTTFT(ownTokens) + time.Duration(float64(r.prefillTime(queuedTokens))*(1+r.deviation()))
 }
 
-// maxQueuedTokens returns how many tokens of other requests may be ahead for a first token
-// that is likely within a time, with own tokens of the request itself.
+// maxQueuedTokens returns the number of tokens of other requests up to which likelyTTFT is
+// within d for a request with ownTokens to prefill; at least 0.
 func (r *PrefillRate) maxQueuedTokens(d time.Duration, ownTokens float64) float64 {
 	slack := d - r.expectedTTFT(ownTokens)
 	return max(r.tokensIn(slack)/(1+r.deviation()), 0)
--- a/policy/prefix_index.go
+++ b/policy/prefix_index.go
@@ -11,8 +11,9 @@
 	// room for 285,000 to 590,000 tokens, running requests use a third of it, and a
 	// burst adds 20,000 to 40,000 tokens a second, so a segment lasts 5 to 20 seconds.
 	cacheTTL = 8 * time.Second
-	// pendingTTL is how long a segment that was sent counts as about to be cached. After
-	// that its request was refused, cancelled, or is stuck.
+	// pendingTTL is how long a segment that was sent, but isn't known to be prefilled,
+	// counts as cached. If it takes longer, its request was refused or cancelled, or is
+	// stuck.
 	pendingTTL = 4 * time.Second
 	// minUpdateInterval is the minimum time between two updates about the same segment
 	// at the same server.
--- a/policy/quarantine.go
+++ b/policy/quarantine.go
@@ -13,8 +13,9 @@
 	quarantineAfter = 3
 	// suspectTTL is for how long a suspect is remembered after its last arrival.
 	suspectTTL = time.Hour
-	// minSeenAdvance is by how much an arrival reported by another gateway must be later than
-	// the known one to replace it: arrivals seem newer each time that they are relayed.
+	// minSeenAdvance is the least time between the known arrival and a later one reported by
+	// another gateway that replaces it. Gateways exchange ages without the time in transit, so
+	// an arrival seems newer each time that it is relayed.
 	minSeenAdvance = time.Minute
 	// maxSuspects bounds the suspects. The one with the fewest crashes is evicted first, and
 	// of several the one that was seen least recently.
@@ -237,7 +238,7 @@
 	return s
 }
 
-// evict drops the suspect that evictBefore orders first.
+// evict drops the suspect that evictBefore orders before all others.
 func (q *Quarantine) evict() {
 	var victim Fingerprint
 	var victimState *suspect
@@ -263,10 +264,11 @@
 	}
 }
 
-// quarantinedSet returns the fewest suspects that explain the crashes, by a greedy choice:
-// each round takes the suspect with the most crashes that no other explains yet. All gateways
-// with the same information get the same result. A request that was quarantined for another
-// one's crashes is released by the next crash that it wasn't running at.
+// quarantinedSet returns the suspects that are quarantined. A greedy choice keeps their number
+// small: each round takes the suspect with the most crashes that no quarantined one explains
+// yet, until none has quarantineAfter of them left. All gateways with the same information get
+// the same result. A request that was quarantined for another one's crashes is released by the
+// next crash at which it wasn't running.
 func (q *Quarantine) quarantinedSet() map[Fingerprint]bool {
 	if q.quarantined != nil {
 		return q.quarantined
--- a/policy/reserve.go
+++ b/policy/reserve.go
@@ -30,8 +30,8 @@
 // the next slot may become free only after seconds, later than the request's whole target. One
 // slot in eight, and at least one, is reserved for the two top tiers. Preemptible runs may use
 // these slots until Preempt takes them back: left idle, they cost a tenth of the goodput in a
-// burst of a lower class. Slots that the urgent tiers have used recently aren't lent, since one
-// run after another would be cancelled.
+// burst of a lower class. Preemptible runs don't get slots that the urgent tiers have used
+// recently, since one run after another would be cancelled.
 //
 // The top tier may exceed the limit by the number of reserved slots, so that runs of other
 // tiers that can't be cancelled don't delay it. Engines honour priority, and one run too many
@@ -51,7 +51,7 @@
 	}
 }
 
-// overflowSlots returns by how many slots a top-tier ticket may exceed the limit.
+// overflowSlots returns the number of slots above the limit that a top-tier ticket may use.
 func (s *Scheduler) overflowSlots(now time.Time, w *queuedTicket) int {
 	if now.Sub(w.ticket.Arrived) < overflowDelay {
 		return 0
--- a/policy/retry_after.go
+++ b/policy/retry_after.go
@@ -6,8 +6,8 @@
 )
 
 // CombineRetryAfter returns the Retry-After for a caller whose request was refused by several
-// engines: the median of their values, the later one if there are two. The earliest value
-// would come from the engine whose estimate of its load is furthest off, and callers may
+// engines: the median of their values, or the larger of the two middle values if their number
+// is even. The earliest value would come from the engine whose estimate of its load is furthest off, and callers may
 // return to any of the engines. The result is at least one second, the least that HTTP can
 // state.
 func CombineRetryAfter(refusals []Decision) time.Duration {
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -6,8 +6,9 @@
 	// retryRatio is how many retries each new request earns. If every engine fails, load grows
 	// by a tenth instead of multiplying.
 	retryRatio = 0.1
-	// maxRetryBalance bounds the saved retries. Ten let the crash of one engine with a full
-	// batch be retried at once, and keep a quiet day from paying for a retry storm.
+	// maxRetryBalance bounds the saved retries. With ten, the requests of one crashed engine
+	// with a full batch are retried at once, and retries saved during a quiet day can't add up
+	// to a retry storm.
 	maxRetryBalance = 10
 	// idleRetryRate is how many retries are earned per second without traffic, so that a
 	// service with one request a minute still gets its retry.
--- a/policy/retry_delay.go
+++ b/policy/retry_delay.go
@@ -6,7 +6,8 @@
 // capacity is told to retry. Most of the target is left for the response.
 const retryDelayShare = 0.2
 
-// RetryDelay returns after what time a refused request with a latency target should retry.
+// RetryDelay returns the time after which a refused request with a latency target should be
+// retried.
 //
 // It handles bursts that fill the servers briefly: a caller that retries within the target may
 // still be answered in time, by a server that has prefilled its earlier work. After a longer
--- a/policy/server.go
+++ b/policy/server.go
@@ -36,8 +36,8 @@
 	Warming bool
 	// Unresponsive servers answer no gateway.
 	Unresponsive bool
-	// RateLimited servers have announced a rate limit, of which Allowance is left to
-	// this gateway. No request is sent to a server that is OverLimit.
+	// RateLimited servers have stated a rate limit, of which Allowance is left to this
+	// gateway. No request is sent to a server that is OverLimit.
 	RateLimited bool
 	Allowance   Allowance
 	OverLimit   bool
--- a/policy/server_limit.go
+++ b/policy/server_limit.go
@@ -11,14 +11,14 @@
 	// constant, so that a low limit can be used by single requests far apart.
 	minLimitDecay = 800 * time.Millisecond
 	limitBurst    = 1.2
-	// sendMargin is subtracted from the allowed average: each send raises the sum by one, and
-	// the sum should meet the limit in the mean.
+	// sendMargin is subtracted from the allowed number of recent sends: each send raises that
+	// number by a whole one, and its mean should meet the limit.
 	sendMargin = 0.3
-	// redrawInterval is after what time a gateway that lost a draw draws again: by then it
-	// has received what the others sent.
+	// redrawInterval is the time after which a gateway that lost a draw draws again: by then
+	// it has received reports of what the others sent.
 	redrawInterval = 100 * time.Millisecond
-	// minLimitRate is the lowest rate, in requests per second, that is sent to a limited
-	// server: without any response its limit would never be lifted.
+	// minLimitRate is the lowest rate, in requests per second, at which a limited server is
+	// sent requests: without any response its limit would never be lifted.
 	minLimitRate = 0.1
 )
 
@@ -35,7 +35,7 @@
 // LimitReport is what a gateway reports to other gateways about a server that has stated a
 // limit.
 type LimitReport struct {
-	// Server identifies the server instance.
+	// Instance identifies the server instance.
 	Instance Key
 	LimitEvidence
 	// Sent is how many requests the gateway sent to the server recently, with exponential
@@ -50,7 +50,8 @@
 	// send after an idle period.
 	Remaining float64
 	Burst     float64
-	// AvailableIn is after what time Remaining is above 0 if nobody sends meanwhile.
+	// AvailableIn is the time until Remaining is above 0 if no gateway sends meanwhile; 0 if
+	// Remaining is above 0 already.
 	AvailableIn time.Duration
 }
 
@@ -84,11 +85,13 @@
 	return allowance
 }
 
-// sendRate returns how many requests per second the server is sent.
+// sendRate returns the rate, in requests per second, that all gateways together may send to
+// the server.
 func (s *serverLimit) sendRate() float64 { return max(s.Rate, minLimitRate) }
 
-// sendsPerRedraw returns how many requests the server is sent until a gateway draws again. It
-// is at least a half, so that low limits are used while few requests of a burst are admitted.
+// sendsPerRedraw returns how many requests all gateways together may send to the server in a
+// redrawInterval. It is at least a half, so that low limits are used while few requests of a
+// burst are admitted.
 func (s *serverLimit) sendsPerRedraw() float64 {
 	return max(s.sendRate()*redrawInterval.Seconds(), 0.5)
 }
--- a/policy/server_limits.go
+++ b/policy/server_limits.go
@@ -21,8 +21,8 @@
 // dozens of times the limit, and an equal share for each would starve those that have most of
 // the load. So each gateway reports its recent sends to the others, and sends as long as all
 // together have sent less than the limit. MarkOverLimit accounts for what others may have sent
-// since their last report. Gateways that aren't live may use their equal share, which is
-// reserved for them.
+// since their last report. An equal share of the limit is reserved for each gateway that isn't
+// live: it may still be sending.
 //
 // A server states its limit in its responses, and lifts it with a response that states none. A
 // response to a request that was sent before the limit was stated is no evidence that it was
--- a/policy/suspect.go
+++ b/policy/suspect.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// crashGracePeriod is for how long after a complete response crashes don't count. It is longer
-// than a frequent request often takes to be answered again, and short enough that a request
-// which crashes a server's next release is detected soon.
+// crashGracePeriod is the time after a complete response during which crashes don't count. It
+// is longer than the usual time between two complete responses to a frequent request, and short
+// enough that a request which crashes a server's next release is detected soon.
 const crashGracePeriod = 10 * time.Second
 
-// minClearAdvance is by how much a complete response must be later than the known one to
-// replace it: responses seem newer each time that they are relayed.
+// minClearAdvance is the least time between the known complete response and a later one that
+// replaces it. Gateways exchange ages without the time in transit, so a response seems newer
+// each time that it is relayed.
 const minClearAdvance = time.Second
 
 // maxCrashes bounds the crashes remembered for a request. It is above quarantineAfter, so that
@@ -20,6 +21,7 @@
 
 // suspect is the state of a request that was running when server instances ended.
 type suspect struct {
+	// cleared is when a server last answered the request completely; zero for never.
 	cleared time.Time
 	crashes []Crash
 	// seen is when the request last arrived at any gateway.
--- a/policy/suspect_runs.go
+++ b/policy/suspect_runs.go
@@ -39,7 +39,7 @@
 // the next crash distinguishes it from other suspects.
 //
 // It guards against an innocent request that ran beside the culprit at each crash so far: at
-// the third crash one of the two is quarantined by chance, and if that is the wrong one, a
+// the third crash an arbitrary one of the two is quarantined, and if it is the wrong one, a
 // fourth server ends. From the second crash on, suspects that share all their crashes don't
 // run at the same server through one gateway. Gateways can't know each other's runs, so the
 // servers are also divided among these suspects. Requests with one crash aren't restricted: a
