--- a/policy/adaptive_headroom.go
+++ b/policy/adaptive_headroom.go
@@ -26,13 +26,13 @@
 	// requests refused above would occupy. It is above 1 since other requests take some of the
 	// slots that become free.
 	headroomRefusalFactor = 1.5
-	// headroomDecay is the time constant with which a level's headroom decays: two thirds of
+	// headroomTimeConstant is the time constant with which a level's headroom decays: two thirds of
 	// it are gone after that time. It spans several turnovers of a batch, so that slots stay
 	// free during a burst and aren't left unused for long after it.
-	headroomDecay = 4 * time.Second
-	// offerBaselineDecay is the time constant of the average of offered requests that a surge
+	headroomTimeConstant = 4 * time.Second
+	// offerBaselineTimeConstant is the time constant of the average of offered requests that a surge
 	// is compared with. Streams hold their slots for about as long: 1.5 s to 4 s.
-	offerBaselineDecay = 3 * time.Second
+	offerBaselineTimeConstant = 3 * time.Second
 	// surgeStdDevs is how many standard deviations above the baseline the number of offered
 	// requests must be to count as a surge. The standard deviation of a Poisson count is the
 	// square root of its mean.
@@ -85,7 +85,7 @@
 	}
 	h.updated = now
 	h.updateBaseline(elapsed, offers)
-	decay := math.Exp(-float64(elapsed) / float64(headroomDecay))
+	decay := math.Exp(-float64(elapsed) / float64(headroomTimeConstant))
 	maxGrowth := headroomGrowth * min(elapsed, maxGrowthStep).Seconds()
 	total, admitted, offered, refused := 0.0, 0.0, 0.0, 0.0
 	for _, level := range offers {
@@ -105,7 +105,7 @@
 
 // updateBaseline adds the currently offered requests to the baseline.
 func (h *AdaptiveHeadroom) updateBaseline(elapsed time.Duration, offers *OfferCounts) {
-	decay := math.Exp(-float64(elapsed) / float64(offerBaselineDecay))
+	decay := math.Exp(-float64(elapsed) / float64(offerBaselineTimeConstant))
 	h.baselineWeight = decay*h.baselineWeight + 1 - decay
 	for urgency := range h.baseline {
 		h.baseline[urgency] = decay*h.baseline[urgency] + (1-decay)*offers[urgency].Offered
--- a/policy/offer_counts.go
+++ b/policy/offer_counts.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// offerDecay is the time constant for averaging offered and refused requests. It spans a few
+// offerTimeConstant is the time constant for averaging offered and refused requests. It spans a few
 // gossip intervals, so that the first second of a burst counts and single refusals don't.
-const offerDecay = 500 * time.Millisecond
+const offerTimeConstant = 500 * time.Millisecond
 
 // OfferCounts holds, for each urgency level, how many requests were offered to a service's
 // servers recently and how many of them were refused only for lack of a slot. The counts decay
@@ -32,7 +32,7 @@
 	for _, level := range c {
 		offered += level.Offered
 	}
-	return offered * float64(d) / float64(offerDecay)
+	return offered * float64(d) / float64(offerTimeConstant)
 }
 
 // OfferCounter maintains one gateway's OfferCounts with exponential decay. Not safe for
@@ -60,7 +60,7 @@
 
 func (c *OfferCounter) decay(now time.Time) {
 	if !c.updated.IsZero() {
-		factor := math.Exp(-float64(now.Sub(c.updated)) / float64(offerDecay))
+		factor := math.Exp(-float64(now.Sub(c.updated)) / float64(offerTimeConstant))
 		for i := range c.counts {
 			c.counts[i].Offered *= factor
 			c.counts[i].Lacked *= factor
--- a/policy/pause_simulation_test.go
+++ b/policy/pause_simulation_test.go
@@ -57,18 +57,18 @@
 // Guards against streams with tight pause targets at engines that are too slow for them, while
 // faster engines of the service have slots: a third of the streams would be late.
 func TestTightStreamsAvoidSlowEngines(t *testing.T) {
-	p, withoutTargets := simulateUnequalEngines(120, 80, simPauseTargets), simulateUnequalEngines(120, 80, nil)
-	started, late := p.started["question"], p.latePauses["question"]
+	withTargets, withoutTargets := simulateUnequalEngines(120, 80, simPauseTargets), simulateUnequalEngines(120, 80, nil)
+	started, late := withTargets.started["question"], withTargets.latePauses["question"]
 	t.Logf("of %d questions %d started, %d were late by a pause; summaries in time %d of %d",
-		p.arrived["question"], started, late, p.inTime["summary"], p.arrived["summary"])
+		withTargets.arrived["question"], started, late, withTargets.inTime["summary"], withTargets.arrived["summary"])
 	if 20*late > started {
 		t.Errorf("%d of %d questions were late by a pause", late, started)
 	}
-	if missed := p.arrived["question"] - p.inTime["question"]; 50*missed > p.arrived["question"] {
-		t.Errorf("%d of %d questions had no first token in time", missed, p.arrived["question"])
+	if missed := withTargets.arrived["question"] - withTargets.inTime["question"]; 50*missed > withTargets.arrived["question"] {
+		t.Errorf("%d of %d questions had no first token in time", missed, withTargets.arrived["question"])
 	}
-	if lost := withoutTargets.inTime["summary"] - p.inTime["summary"]; 50*lost > p.arrived["summary"] {
-		t.Errorf("of %d summaries, %d fewer are in time than without pause targets", p.arrived["summary"], lost)
+	if lost := withoutTargets.inTime["summary"] - withTargets.inTime["summary"]; 50*lost > withTargets.arrived["summary"] {
+		t.Errorf("of %d summaries, %d fewer are in time than without pause targets", withTargets.arrived["summary"], lost)
 	}
 }
 
--- a/policy/quarantine.go
+++ b/policy/quarantine.go
@@ -80,7 +80,7 @@
 	suspects map[Fingerprint]*suspect
 	// quarantined holds the quarantined requests; nil if it must be recomputed.
 	quarantined map[Fingerprint]bool
-	swept       time.Time
+	lastSweep   time.Time
 	// pending holds the suspects with changes to send to other gateways, oldest first.
 	pending []Fingerprint
 	// roundRobin holds the suspects that are sent in turn even without changes.
@@ -253,10 +253,10 @@
 
 // sweep drops suspects that haven't arrived within suspectTTL, at most once a minute.
 func (q *Quarantine) sweep(now time.Time) {
-	if now.Sub(q.swept) < time.Minute {
+	if now.Sub(q.lastSweep) < time.Minute {
 		return
 	}
-	q.swept = now
+	q.lastSweep = now
 	before := len(q.suspects)
 	maps.DeleteFunc(q.suspects, func(_ Fingerprint, s *suspect) bool { return now.Sub(s.seen) > suspectTTL })
 	if len(q.suspects) != before {
--- a/policy/send_rate.go
+++ b/policy/send_rate.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// sendDecay is the time constant for averaging sends. It spans a few gossip intervals, so that
+// sendTimeConstant is the time constant for averaging sends. It spans a few gossip intervals, so that
 // the start of a burst counts at once and single requests don't.
-const sendDecay = 300 * time.Millisecond
+const sendTimeConstant = 300 * time.Millisecond
 
 // SendRate tracks how many requests a gateway sent recently, and how many tokens are prefilled
 // for those of each urgency level, with exponential decay. Not safe for concurrent use.
@@ -28,7 +28,7 @@
 // prefilled for those at least as urgent as the given level.
 func (r *SendRate) Expected(now time.Time, d time.Duration, urgency int) (requests, tokens float64) {
 	r.decay(now)
-	share := float64(d) / float64(sendDecay)
+	share := float64(d) / float64(sendTimeConstant)
 	for _, t := range r.tokens[:urgency+1] {
 		tokens += t
 	}
@@ -37,7 +37,7 @@
 
 func (r *SendRate) decay(now time.Time) {
 	if !r.updated.IsZero() {
-		factor := math.Exp(-float64(now.Sub(r.updated)) / float64(sendDecay))
+		factor := math.Exp(-float64(now.Sub(r.updated)) / float64(sendTimeConstant))
 		r.sends *= factor
 		for i := range r.tokens {
 			r.tokens[i] *= factor
--- a/policy/server_limit.go
+++ b/policy/server_limit.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// minLimitDecay is the shortest time constant for averaging sends to a server: several
+	// minLimitTimeConstant is the shortest time constant for averaging sends to a server: several
 	// gossip intervals. limitBurst is the least number of requests allowed within the time
 	// constant, so that a low limit can be used by single requests far apart.
-	minLimitDecay = 800 * time.Millisecond
-	limitBurst    = 1.2
+	minLimitTimeConstant = 800 * time.Millisecond
+	limitBurst           = 1.2
 	// sendMargin is subtracted from the allowed number of recent sends: each send raises that
 	// number by a whole one, and its mean should meet the limit.
 	sendMargin = 0.3
@@ -73,7 +73,7 @@
 // allowance returns what is left of the limit; others is how many requests other gateways
 // sent recently.
 func (s *serverLimit) allowance(others float64) Allowance {
-	timeConstant := s.decayTime()
+	timeConstant := s.timeConstant()
 	burst := s.sendRate() * timeConstant.Seconds() * s.liveShare
 	// Reports of other gateways are half a gossip interval old on average.
 	sent := s.sent + others*math.Exp(-float64(redrawInterval/2)/float64(timeConstant))
@@ -96,16 +96,16 @@
 	return max(s.sendRate()*redrawInterval.Seconds(), 0.5)
 }
 
-// decayTime returns the time constant for averaging sends. It is about the same for all
+// timeConstant returns the time constant for averaging sends. It is about the same for all
 // gateways that receive from each other.
-func (s *serverLimit) decayTime() time.Duration {
-	return max(minLimitDecay, time.Duration(limitBurst/(s.sendRate()*s.liveShare)*float64(time.Second)))
+func (s *serverLimit) timeConstant() time.Duration {
+	return max(minLimitTimeConstant, time.Duration(limitBurst/(s.sendRate()*s.liveShare)*float64(time.Second)))
 }
 
 // decay reduces the weight of earlier sends.
 func (s *serverLimit) decay(now time.Time) {
 	if !s.sentAt.IsZero() {
-		s.sent *= math.Exp(-float64(now.Sub(s.sentAt)) / float64(s.decayTime()))
+		s.sent *= math.Exp(-float64(now.Sub(s.sentAt)) / float64(s.timeConstant()))
 	}
 	s.sentAt = now
 }
--- a/policy/server_limits.go
+++ b/policy/server_limits.go
@@ -30,8 +30,8 @@
 //
 // Not safe for concurrent use.
 type ServerLimits struct {
-	servers map[Key]*serverLimit
-	swept   time.Time
+	servers   map[Key]*serverLimit
+	lastSweep time.Time
 }
 
 // NewServerLimits returns ServerLimits without any limit.
@@ -134,9 +134,9 @@
 
 // sweep drops limits without recent evidence, at most once a minute.
 func (l *ServerLimits) sweep(now time.Time) {
-	if now.Sub(l.swept) < time.Minute {
+	if now.Sub(l.lastSweep) < time.Minute {
 		return
 	}
-	l.swept = now
+	l.lastSweep = now
 	maps.DeleteFunc(l.servers, func(_ Key, s *serverLimit) bool { return now.Sub(s.At) > limitTTL })
 }
--- a/policy/unresponsive_servers.go
+++ b/policy/unresponsive_servers.go
@@ -13,9 +13,9 @@
 	// exclusionTime is how long it is then excluded: about the time in which a crashed
 	// server restarts or its registration expires.
 	exclusionTime = time.Second
-	// missRecordTTL is the time without another unanswered request after which a record
+	// unansweredRecordTTL is the time without another unanswered request after which a record
 	// is removed, and the interval between removals.
-	missRecordTTL = time.Minute
+	unansweredRecordTTL = time.Minute
 )
 
 // UnresponsiveServers tracks servers that answer no gateway, from the answered and
@@ -28,22 +28,22 @@
 //
 // Servers that answer have no entry. Not safe for concurrent use.
 type UnresponsiveServers struct {
-	servers   map[Key]*missRecord
+	servers   map[Key]*unansweredRecord
 	lastSweep time.Time
 }
 
-// missRecord describes the requests that a server has left unanswered.
-type missRecord struct {
+// unansweredRecord describes the requests that a server has left unanswered.
+type unansweredRecord struct {
 	// consecutive is the number of them since the server's last response.
 	consecutive   int
 	excludedUntil time.Time
-	// lastMiss is when the newest of them was reported.
-	lastMiss time.Time
+	// lastUnanswered is when the newest of them was reported.
+	lastUnanswered time.Time
 }
 
 // NewUnresponsiveServers returns an empty tracker.
 func NewUnresponsiveServers() *UnresponsiveServers {
-	return &UnresponsiveServers{servers: map[Key]*missRecord{}}
+	return &UnresponsiveServers{servers: map[Key]*unansweredRecord{}}
 }
 
 // RecordNoResponse records a request that got no response.
@@ -51,10 +51,10 @@
 	u.sweep(now)
 	record := u.servers[server]
 	if record == nil {
-		record = &missRecord{}
+		record = &unansweredRecord{}
 		u.servers[server] = record
 	}
-	record.lastMiss = now
+	record.lastUnanswered = now
 	if now.Before(record.excludedUntil) {
 		// It was sent before the server was excluded.
 		return
@@ -67,11 +67,13 @@
 
 // sweep removes servers to which no requests are sent any more.
 func (u *UnresponsiveServers) sweep(now time.Time) {
-	if now.Sub(u.lastSweep) < missRecordTTL {
+	if now.Sub(u.lastSweep) < unansweredRecordTTL {
 		return
 	}
 	u.lastSweep = now
-	maps.DeleteFunc(u.servers, func(_ Key, record *missRecord) bool { return now.Sub(record.lastMiss) > missRecordTTL })
+	maps.DeleteFunc(u.servers, func(_ Key, record *unansweredRecord) bool {
+		return now.Sub(record.lastUnanswered) > unansweredRecordTTL
+	})
 }
 
 // RecordResponse records that a server has responded to a request.
--- a/policy/unresponsive_servers_test.go
+++ b/policy/unresponsive_servers_test.go
@@ -53,12 +53,12 @@
 	}
 }
 
-func TestMissRecordsExpire(t *testing.T) {
+func TestUnansweredRecordsExpire(t *testing.T) {
 	s := NewUnresponsiveServers()
 	for i := range 10_000 {
 		s.RecordNoResponse(testStart.Add(time.Duration(i)*time.Second), Key(i))
 	}
-	if most := 2 * int(missRecordTTL/time.Second); len(s.servers) > most+1 {
+	if most := 2 * int(unansweredRecordTTL/time.Second); len(s.servers) > most+1 {
 		t.Errorf("%d records remain of one a second, want at most %d", len(s.servers), most+1)
 	}
 }
