--- a/policy/job.go
+++ b/policy/job.go
@@ -51,8 +51,9 @@
 	// OtherGateways the number of these gateways.
 	UnreportedOffers float64
 	OtherGateways    float64
-	// Headroom is the fraction of each server's slots that is reserved for more
-	// urgent requests, in addition to the fixed reservation.
+	// Headroom is the share of each server's slots, from 0 to 1, that is left free
+	// for more urgent requests, in addition to slotSharePerLevel. See
+	// AdaptiveHeadroom.
 	Headroom float64
 	// Tried lists the servers that must not be used again.
 	Tried []string
--- a/policy/offer_counts.go
+++ b/policy/offer_counts.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// offerTimeConstant is the time constant for averaging offered and refused requests. It spans a few
-// gossip intervals, so that the first second of a burst counts and single refusals don't.
+// offerTimeConstant is the time constant for averaging offered and refused requests. It spans
+// a few gossip intervals, so that the first second of a burst counts and single refusals don't.
 const offerTimeConstant = 500 * time.Millisecond
 
 // OfferCounts holds, for each urgency level, how many requests were offered to a service's
--- a/policy/server.go
+++ b/policy/server.go
@@ -55,8 +55,9 @@
 	return n
 }
 
-// SlotUtilization returns the used fraction of all servers' slots; 0 if no server has a
-// known number of slots. Slots that a rate limit keeps idle count as used.
+// SlotUtilization returns the number of running and pending requests as a share of all
+// servers' slots; 0 if no server has a known number of slots. Slots that a rate limit keeps
+// idle count as used.
 func SlotUtilization(servers []Server) float64 {
 	used, slots := 0.0, 0
 	for i := range servers {
--- a/policy/server_limit.go
+++ b/policy/server_limit.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// minLimitTimeConstant is the shortest time constant for averaging sends to a server: several
-	// gossip intervals. limitBurst is the least number of requests allowed within the time
-	// constant, so that a low limit can be used by single requests far apart.
+	// minLimitTimeConstant is the shortest time constant for averaging sends to a server:
+	// several gossip intervals. limitBurst is the least number of requests allowed within the
+	// time constant, so that a low limit can be used by single requests far apart.
 	minLimitTimeConstant = 800 * time.Millisecond
 	limitBurst           = 1.2
 	// sendMargin is subtracted from the allowed number of recent sends: each send raises that
