--- a/policy/adaptive_headroom_test.go
+++ b/policy/adaptive_headroom_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Several gateways compete for a few free slots on a few servers. Without a joint draw the
-// chances at each server would add up: together they must send about as many requests as slots
-// are left, spread over the servers.
+// Guards against many gateways sending for the same few free slots: with an independent draw
+// for each server their chances would add up. Together they must send about as many requests
+// as slots are left, spread over the servers.
 func TestScarceSlotsAreSharedEvenly(t *testing.T) {
 	const gateways, freeServers, freePerServer = 90, 7, 2
 	servers := idleServers(50)
@@ -48,17 +48,18 @@
 	}
 }
 
-// When more than usual is offered above a level, the level leaves slots free before any
-// refusal, in proportion to the surge, and none a few seconds later.
+// Guards against less urgent requests filling the slots while an urgent surge is not refused
+// yet: the level leaves slots free in proportion to the surge above it, and none a few seconds
+// later.
 func TestHeadroomFollowsSurge(t *testing.T) {
 	var headroom AdaptiveHeadroom
 	var offers OfferCounts
-	now, busy := testStart, 0.6
+	now, utilization := testStart, 0.6
 	advance := func(d time.Duration, urgent float64) float64 {
 		offers[3].Offered, offers[4].Offered = urgent, 100
 		share := 0.0
 		for until := now.Add(d); now.Before(until); now = now.Add(50 * time.Millisecond) {
-			share = headroom.Share(now, &offers, busy, 4)
+			share = headroom.Share(now, &offers, utilization, 4)
 		}
 		return share
 	}
@@ -68,7 +69,7 @@
 	if share := advance(500*time.Millisecond, 400); share < 0.2 || share > maxHeadroom {
 		t.Errorf("headroom %.2f half a second after the more urgent traffic doubled", share)
 	}
-	if own, above := headroom.Share(now, &offers, busy, 3), headroom.Share(now, &offers, busy, 0); own != 0 || above != 0 {
+	if own, above := headroom.Share(now, &offers, utilization, 3), headroom.Share(now, &offers, utilization, 0); own != 0 || above != 0 {
 		t.Errorf("headroom %.2f and %.2f at levels without a surge above them", own, above)
 	}
 	if share := advance(15*time.Second, 400); share > 0.02 {
@@ -94,7 +95,7 @@
 	}
 }
 
-func TestSlotsInUse(t *testing.T) {
+func TestSlotUtilization(t *testing.T) {
 	if got := SlotUtilization(nil); got != 0 {
 		t.Errorf("got %v without servers, want 0", got)
 	}
@@ -126,8 +127,8 @@
 	}
 }
 
-// A few refusals above a level make it leave only a few slots free, however much is offered
-// there: the requests admitted above have their slots already.
+// Guards against a few refusals above a level that make it leave many slots free because much
+// is offered there: the requests admitted above have their slots already.
 func TestHeadroomIsBoundedByRefusalsAbove(t *testing.T) {
 	var headroom AdaptiveHeadroom
 	var offers OfferCounts
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -23,7 +23,7 @@
 
 // admitBySlots decides at random which servers with a free slot stay eligible for the request.
 // unreported is how many requests other gateways are expected to have sent since their last
-// report. A server stays eligible with the probability that a slot is left for this request.
+// update. A server stays eligible with the probability that a slot is left for this request.
 // Without this, all gateways see the same few servers with a free slot when nearly all are
 // full, and all of them send there.
 //
@@ -32,32 +32,32 @@
 // Independent draws per server would add up: with 13 requests for seven servers that have two
 // free slots each, two of three requests would win at least one draw, and the cheapest server
 // would get most of them.
-func (c *Chooser) admitBySlots(unreported float64, all []scoredServer) {
-	withSlots, freeSlots, onTime := 0, 0.0, 0
-	for i := range all {
-		if !all[i].choice.HasCapacity {
+func (c *Chooser) admitBySlots(unreported float64, scored []scoredServer) {
+	withCapacity, freeSlots, meetingTarget := 0, 0.0, 0
+	for i := range scored {
+		if !scored[i].choice.HasCapacity {
 			continue
 		}
-		withSlots++
-		if all[i].choice.meetsTarget {
-			onTime++
-			freeSlots += all[i].slotsLeft
+		withCapacity++
+		if scored[i].choice.meetsTarget {
+			meetingTarget++
+			freeSlots += scored[i].slotsLeft
 		}
 	}
-	perServer := unreported / float64(max(withSlots, 1))
-	draw, scarce := 0.0, freeSlots < perServer*float64(onTime)
+	perServer := unreported / float64(max(withCapacity, 1))
+	draw, scarce := 0.0, freeSlots < perServer*float64(meetingTarget)
 	if scarce {
-		draw = c.random.Float64() * perServer * float64(onTime)
+		draw = c.random.Float64() * perServer * float64(meetingTarget)
 	}
-	for i := range all {
-		w := &all[i]
+	for i := range scored {
+		s := &scored[i]
 		switch {
-		case !w.choice.HasCapacity:
-		case scarce && w.choice.meetsTarget:
-			w.choice.HasCapacity = draw >= 0 && draw < w.slotsLeft
-			draw -= w.slotsLeft
-		case w.slotsLeft < perServer:
-			w.choice.HasCapacity = c.random.Float64() < w.slotsLeft/perServer
+		case !s.choice.HasCapacity:
+		case scarce && s.choice.meetsTarget:
+			s.choice.HasCapacity = draw >= 0 && draw < s.slotsLeft
+			draw -= s.slotsLeft
+		case s.slotsLeft < perServer:
+			s.choice.HasCapacity = c.random.Float64() < s.slotsLeft/perServer
 		}
 	}
 }
@@ -72,20 +72,21 @@
 	return share*float64(s.Slots) - float64(s.inFlight())
 }
 
-// admitByTime decides at random whether a request may use the time that the servers which meet
-// the target have left together. Near saturation all gateways see the same last server that
-// meets the target; each would send there until it knows of the others' requests, which then
-// wait for seconds. Of the tokens that other gateways are expected to send meanwhile, less
-// what the servers prefill in that time, the share that fits into the spare time is admitted.
+// admitByTime decides at random whether a request is admitted at the chosen server, given what
+// other gateways may have sent since their last updates. Near saturation all gateways see the
+// same last server that meets the target. If each sent there until it learned of the others'
+// requests, these would wait for seconds. The probability of admission is the number of tokens
+// that the server can still prefill within the target, divided by the number of tokens that
+// other gateways are expected to have sent there and that it hasn't prefilled yet.
 //
-// eligible counts the servers that meet the target whether or not they have a free slot:
+// meetingTarget counts the servers that meet the target whether or not they have a free slot:
 // servers without one are short of slots, not of time.
-func (c *Chooser) admitByTime(job *Job, best *Choice, rate *PrefillRate, eligible int) bool {
+func (c *Chooser) admitByTime(job *Job, best *Choice, rate *PrefillRate, meetingTarget int) bool {
 	if job.Target == 0 || job.UnreportedTokens == 0 {
 		return true
 	}
-	unreportedTokens := job.UnreportedTokens/float64(eligible) - rate.tokensIn(job.ReportAge)
+	unreportedTokens := job.UnreportedTokens/float64(meetingTarget) - rate.tokensIn(job.ReportAge)
 	prefill := float64(best.PrefillTokens)
-	spare := rate.maxTokensAhead(job.Target, job.scaleToMeanLength(prefill)) - (best.TokensAhead - prefill)
+	spare := rate.maxQueuedTokens(job.Target, job.scaleToMeanLength(prefill)) - (best.TokensAhead - prefill)
 	return spare >= unreportedTokens || c.random.Float64() < spare/unreportedTokens
 }
--- a/policy/job.go
+++ b/policy/job.go
@@ -12,9 +12,9 @@
 	// segments that server caches; these then move elsewhere in turn.
 	maxRecomputePenalty = 15.0
 	// minWaitFraction is the fraction of the target that any request may wait for
-	// others, not counting the model's first step. It lets classes of very long
-	// prompts in where almost nothing is queued. A larger value delays all other
-	// requests.
+	// others, not counting the model's first step. It admits classes of very long
+	// prompts at servers where almost nothing is queued. A larger value delays all
+	// other requests.
 	minWaitFraction = 0.04
 )
 
@@ -51,8 +51,9 @@
 	// OtherGateways the number of these gateways.
 	UnreportedOffers float64
 	OtherGateways    float64
-	// Headroom is the fraction of each server's slots that is reserved for more
-	// urgent requests, in addition to the fixed reservation.
+	// Headroom is the share of each server's slots, from 0 to 1, that is left free
+	// for more urgent requests, in addition to slotSharePerLevel. See
+	// AdaptiveHeadroom.
 	Headroom float64
 	// Tried lists the servers that must not be used again.
 	Tried []string
@@ -103,24 +104,24 @@
 	return 1 + maxRecomputePenalty*min(medianWait/float64(j.Target), 1)
 }
 
-// meetsTarget reports whether a request is admitted behind queuedTokens of other
-// prompts, with shared segments to be prefilled again. It is judged as a prompt of
-// the mean length of its class with the same fraction cached, so that prompts of
-// all lengths find a server equally often; see ClassSizes. Where almost nothing
-// is queued it is admitted anyway, so that classes are served whose prompts take
-// the whole target.
-func (j *Job) meetsTarget(rate *PrefillRate, queuedTokens float64, need cacheMiss, recomputeCost float64) bool {
+// meetsTarget reports whether the request's first token is likely within the target
+// at a server with queuedTokens of other prompts ahead and the given cache miss. The
+// request is judged as a prompt of the mean length of its class with the same
+// fraction cached, so that prompts of all lengths find a server equally often; see
+// ClassSizes. A server where almost nothing is queued counts as meeting the target
+// anyway, so that classes are served whose prompts take the whole target.
+func (j *Job) meetsTarget(rate *PrefillRate, queuedTokens float64, miss cacheMiss, recomputeCost float64) bool {
 	if j.Target == 0 {
 		return true
 	}
 	ownTokens := float64(j.Tokens - j.sharedPrefix().End)
-	ownTokens += need.transferTokens
-	recomputedTokens := need.recomputed
-	if need.home || need.secondHome {
-		ownTokens += need.uncached
+	ownTokens += miss.transferTokens
+	recomputedTokens := miss.recomputed
+	if miss.home || miss.secondHome {
+		ownTokens += miss.uncached
 	} else {
 		// Other requests may prefill it on one of its home servers in the meantime.
-		recomputedTokens += need.uncached
+		recomputedTokens += miss.uncached
 	}
 	ownTokens, recomputedTokens = j.scaleToMeanLength(ownTokens), j.scaleToMeanLength(recomputedTokens)
 	return rate.likelyTTFT(queuedTokens+recomputeCost*recomputedTokens, ownTokens) <= j.Target ||
--- a/policy/quarantine.go
+++ b/policy/quarantine.go
@@ -13,8 +13,9 @@
 	quarantineAfter = 3
 	// suspectTTL is for how long a suspect is remembered after its last arrival.
 	suspectTTL = time.Hour
-	// minSeenAdvance is by how much an arrival reported by another gateway must be later than
-	// the known one to replace it: arrivals seem newer each time that they are relayed.
+	// minSeenAdvance is the least time between the known arrival and a later one reported by
+	// another gateway that replaces it. Gateways exchange ages without the time in transit, so
+	// an arrival seems newer each time that it is relayed.
 	minSeenAdvance = time.Minute
 	// maxSuspects bounds the suspects. The one with the fewest crashes is evicted first, and
 	// of several the one that was seen least recently.
@@ -79,7 +80,7 @@
 	suspects map[Fingerprint]*suspect
 	// quarantined holds the quarantined requests; nil if it must be recomputed.
 	quarantined map[Fingerprint]bool
-	swept       time.Time
+	lastSweep   time.Time
 	// pending holds the suspects with changes to send to other gateways, oldest first.
 	pending []Fingerprint
 	// roundRobin holds the suspects that are sent in turn even without changes.
@@ -237,25 +238,25 @@
 	return s
 }
 
-// evict drops the suspect that evictBefore orders first.
+// evict drops the suspect that evictBefore orders before all others.
 func (q *Quarantine) evict() {
-	var oldest Fingerprint
-	var oldestSuspect *suspect
+	var victim Fingerprint
+	var victimState *suspect
 	for f, s := range q.suspects {
-		if oldestSuspect == nil || s.evictBefore(oldestSuspect) {
-			oldest, oldestSuspect = f, s
+		if victimState == nil || s.evictBefore(victimState) {
+			victim, victimState = f, s
 		}
 	}
-	delete(q.suspects, oldest)
+	delete(q.suspects, victim)
 	q.quarantined = nil
 }
 
 // sweep drops suspects that haven't arrived within suspectTTL, at most once a minute.
 func (q *Quarantine) sweep(now time.Time) {
-	if now.Sub(q.swept) < time.Minute {
+	if now.Sub(q.lastSweep) < time.Minute {
 		return
 	}
-	q.swept = now
+	q.lastSweep = now
 	before := len(q.suspects)
 	maps.DeleteFunc(q.suspects, func(_ Fingerprint, s *suspect) bool { return now.Sub(s.seen) > suspectTTL })
 	if len(q.suspects) != before {
@@ -263,10 +264,11 @@
 	}
 }
 
-// quarantinedSet returns the fewest suspects that explain the crashes, by a greedy choice:
-// each round takes the suspect with the most crashes that no other explains yet. All gateways
-// with the same information get the same result. A request that was quarantined for another
-// one's crashes is released by the next crash that it wasn't running at.
+// quarantinedSet returns the suspects that are quarantined. A greedy choice keeps their number
+// small: each round takes the suspect with the most crashes that no quarantined one explains
+// yet, until none has quarantineAfter of them left. All gateways with the same information get
+// the same result. A request that was quarantined for another one's crashes is released by the
+// next crash at which it wasn't running.
 func (q *Quarantine) quarantinedSet() map[Fingerprint]bool {
 	if q.quarantined != nil {
 		return q.quarantined
--- a/policy/server_limit.go
+++ b/policy/server_limit.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// minLimitDecay is the shortest time constant for averaging sends to a server: several
-	// gossip intervals. limitBurst is the least number of requests allowed within the time
-	// constant, so that a low limit can be used by single requests far apart.
-	minLimitDecay = 800 * time.Millisecond
-	limitBurst    = 1.2
-	// sendMargin is subtracted from the allowed average: each send raises the sum by one, and
-	// the sum should meet the limit in the mean.
+	// minLimitTimeConstant is the shortest time constant for averaging sends to a server:
+	// several gossip intervals. limitBurst is the least number of requests allowed within the
+	// time constant, so that a low limit can be used by single requests far apart.
+	minLimitTimeConstant = 800 * time.Millisecond
+	limitBurst           = 1.2
+	// sendMargin is subtracted from the allowed number of recent sends: each send raises that
+	// number by a whole one, and its mean should meet the limit.
 	sendMargin = 0.3
-	// redrawInterval is after what time a gateway that lost a draw draws again: by then it
-	// has received what the others sent.
+	// redrawInterval is the time after which a gateway that lost a draw draws again: by then
+	// it has received reports of what the others sent.
 	redrawInterval = 100 * time.Millisecond
-	// minLimitRate is the lowest rate, in requests per second, that is sent to a limited
-	// server: without any response its limit would never be lifted.
+	// minLimitRate is the lowest rate, in requests per second, at which a limited server is
+	// sent requests: without any response its limit would never be lifted.
 	minLimitRate = 0.1
 )
 
@@ -35,7 +35,7 @@
 // LimitReport is what a gateway reports to other gateways about a server that has stated a
 // limit.
 type LimitReport struct {
-	// Server identifies the server instance.
+	// Instance identifies the server instance.
 	Instance Key
 	LimitEvidence
 	// Sent is how many requests the gateway sent to the server recently, with exponential
@@ -50,7 +50,8 @@
 	// send after an idle period.
 	Remaining float64
 	Burst     float64
-	// AvailableIn is after what time Remaining is above 0 if nobody sends meanwhile.
+	// AvailableIn is the time until Remaining is above 0 if no gateway sends meanwhile; 0 if
+	// Remaining is above 0 already.
 	AvailableIn time.Duration
 }
 
@@ -72,7 +73,7 @@
 // allowance returns what is left of the limit; others is how many requests other gateways
 // sent recently.
 func (s *serverLimit) allowance(others float64) Allowance {
-	timeConstant := s.decayTime()
+	timeConstant := s.timeConstant()
 	burst := s.sendRate() * timeConstant.Seconds() * s.liveShare
 	// Reports of other gateways are half a gossip interval old on average.
 	sent := s.sent + others*math.Exp(-float64(redrawInterval/2)/float64(timeConstant))
@@ -84,25 +85,27 @@
 	return allowance
 }
 
-// sendRate returns how many requests per second the server is sent.
+// sendRate returns the rate, in requests per second, that all gateways together may send to
+// the server.
 func (s *serverLimit) sendRate() float64 { return max(s.Rate, minLimitRate) }
 
-// sendsPerRedraw returns how many requests the server is sent until a gateway draws again. It
-// is at least a half, so that low limits are used while few requests of a burst are admitted.
+// sendsPerRedraw returns how many requests all gateways together may send to the server in a
+// redrawInterval. It is at least a half, so that low limits are used while few requests of a
+// burst are admitted.
 func (s *serverLimit) sendsPerRedraw() float64 {
 	return max(s.sendRate()*redrawInterval.Seconds(), 0.5)
 }
 
-// decayTime returns the time constant for averaging sends. It is about the same for all
+// timeConstant returns the time constant for averaging sends. It is about the same for all
 // gateways that receive from each other.
-func (s *serverLimit) decayTime() time.Duration {
-	return max(minLimitDecay, time.Duration(limitBurst/(s.sendRate()*s.liveShare)*float64(time.Second)))
+func (s *serverLimit) timeConstant() time.Duration {
+	return max(minLimitTimeConstant, time.Duration(limitBurst/(s.sendRate()*s.liveShare)*float64(time.Second)))
 }
 
 // decay reduces the weight of earlier sends.
 func (s *serverLimit) decay(now time.Time) {
 	if !s.sentAt.IsZero() {
-		s.sent *= math.Exp(-float64(now.Sub(s.sentAt)) / float64(s.decayTime()))
+		s.sent *= math.Exp(-float64(now.Sub(s.sentAt)) / float64(s.timeConstant()))
 	}
 	s.sentAt = now
 }
--- a/policy/server_limits.go
+++ b/policy/server_limits.go
@@ -21,8 +21,8 @@
 // dozens of times the limit, and an equal share for each would starve those that have most of
 // the load. So each gateway reports its recent sends to the others, and sends as long as all
 // together have sent less than the limit. MarkOverLimit accounts for what others may have sent
-// since their last report. Gateways that aren't live may use their equal share, which is
-// reserved for them.
+// since their last report. An equal share of the limit is reserved for each gateway that isn't
+// live: it may still be sending.
 //
 // A server states its limit in its responses, and lifts it with a response that states none. A
 // response to a request that was sent before the limit was stated is no evidence that it was
@@ -30,8 +30,8 @@
 //
 // Not safe for concurrent use.
 type ServerLimits struct {
-	servers map[Key]*serverLimit
-	swept   time.Time
+	servers   map[Key]*serverLimit
+	lastSweep time.Time
 }
 
 // NewServerLimits returns ServerLimits without any limit.
@@ -134,9 +134,9 @@
 
 // sweep drops limits without recent evidence, at most once a minute.
 func (l *ServerLimits) sweep(now time.Time) {
-	if now.Sub(l.swept) < time.Minute {
+	if now.Sub(l.lastSweep) < time.Minute {
 		return
 	}
-	l.swept = now
+	l.lastSweep = now
 	maps.DeleteFunc(l.servers, func(_ Key, s *serverLimit) bool { return now.Sub(s.At) > limitTTL })
 }
--- a/policy/server_limits_test.go
+++ b/policy/server_limits_test.go
@@ -76,28 +76,28 @@
 }
 
 func (sim *limitSimulation) newGateway() *limitGateway {
-	s := &limitGateway{
+	g := &limitGateway{
 		limits: NewServerLimits(), reports: map[int]limitReportSet{},
 		chooser:    NewChooser(rand.New(rand.NewPCG(sim.random.Uint64(), 1)), NewEjector(), NewPrefixIndex()),
 		nextReport: sim.now.Add(time.Duration(sim.random.Int64N(int64(gossipInterval)))),
 	}
-	return s
+	return g
 }
 
-// run simulates d, with perSecond requests a second, each at the gateway whose index draw
-// returns.
-func (sim *limitSimulation) run(d time.Duration, perSecond float64, draw func() int) {
+// run simulates d, with perSecond requests a second, each at the gateway whose index
+// pickGateway returns.
+func (sim *limitSimulation) run(d time.Duration, perSecond float64, pickGateway func() int) {
 	for until := sim.now.Add(d); sim.now.Before(until); sim.now = sim.now.Add(simStep) {
 		sim.deliver()
-		for i, s := range sim.gateways {
-			if !sim.now.Before(s.nextReport) {
-				s.nextReport = s.nextReport.Add(gossipInterval)
+		for i, g := range sim.gateways {
+			if !sim.now.Before(g.nextReport) {
+				g.nextReport = g.nextReport.Add(gossipInterval)
 				sim.report(i)
 			}
 		}
 		for left := perSecond * simStep.Seconds(); left > 0; left-- {
 			if sim.random.Float64() < left {
-				sim.request(draw())
+				sim.request(pickGateway())
 			}
 		}
 	}
@@ -105,10 +105,10 @@
 
 // report sends a gateway's report to all others.
 func (sim *limitSimulation) report(from int) {
-	s := sim.gateways[from]
-	report := limitReportSet{limits: s.limits.Reports(sim.now), offers: s.offers.Counts(sim.now)}
+	g := sim.gateways[from]
+	report := limitReportSet{limits: g.limits.Reports(sim.now), offers: g.offers.Counts(sim.now)}
 	for to, other := range sim.gateways {
-		if to != from && !s.disconnected && !other.disconnected && sim.random.Float64() >= sim.lossRate {
+		if to != from && !g.disconnected && !other.disconnected && sim.random.Float64() >= sim.lossRate {
 			sim.inFlight = append(sim.inFlight, limitDatagram{from: from, to: to, at: sim.now.Add(sim.delay), report: report})
 		}
 	}
@@ -130,10 +130,10 @@
 // request has a gateway choose a server for one request, which answers with its limit if the
 // request is sent.
 func (sim *limitSimulation) request(gateway int) {
-	s := sim.gateways[gateway]
+	g := sim.gateways[gateway]
 	sim.offered++
 	live, sent, offers := 1, map[Key]float64{}, OfferCounts{}
-	for _, report := range s.reports {
+	for _, report := range g.reports {
 		if sim.now.Sub(report.at) > simReportTTL {
 			continue
 		}
@@ -146,19 +146,19 @@
 	job := Job{Zone: "z", UnreportedOffers: offers.Expected(gossipInterval), OtherGateways: float64(live - 1)}
 	servers := append([]Server(nil), sim.servers...)
 	for i := range servers {
-		servers[i].Allowance, servers[i].RateLimited = s.limits.Allowance(sim.now, servers[i].Instance, sent[servers[i].Instance], float64(live)/float64(len(sim.gateways)))
+		servers[i].Allowance, servers[i].RateLimited = g.limits.Allowance(sim.now, servers[i].Instance, sent[servers[i].Instance], float64(live)/float64(len(sim.gateways)))
 	}
-	s.limits.MarkOverLimit(sim.now, sim.random, &job, servers)
-	choice := s.chooser.Choose(sim.now, job, servers, nil)
-	s.offers.Observe(sim.now, 0, choice.RateLimited)
+	g.limits.MarkOverLimit(sim.now, sim.random, &job, servers)
+	choice := g.chooser.Choose(sim.now, job, servers, nil)
+	g.offers.Observe(sim.now, 0, choice.RateLimited)
 	if !choice.Found {
 		sim.refused++
 		return
 	}
 	key := servers[choice.Index].Instance
-	s.limits.CountSent(sim.now, key)
+	g.limits.CountSent(sim.now, key)
 	sim.arrivals[choice.Index] = append(sim.arrivals[choice.Index], sim.now)
-	s.limits.ObserveLimit(sim.now, key, sim.rate)
+	g.limits.ObserveLimit(sim.now, key, sim.rate)
 }
 
 // anyGateway returns a random gateway's index, uniformly distributed.
@@ -208,7 +208,7 @@
 
 // Guards against each gateway keeping to a server's limit by itself: dozens of gateways would
 // send dozens of times what the server accepts.
-func TestSendersShareALimit(t *testing.T) {
+func TestGatewaysShareALimit(t *testing.T) {
 	for _, c := range []struct {
 		gateways  int
 		rate      float64
@@ -224,22 +224,23 @@
 		{gateways: 24, rate: 0.2, perSecond: 600, delay: 2 * time.Millisecond},
 		{gateways: 6, rate: 40, perSecond: 100, delay: 300 * time.Millisecond, lossRate: 0.1},
 	} {
-		t.Run(fmt.Sprintf("senders=%d rate=%v of %v delay=%v loss=%v", c.gateways, c.rate, c.perSecond, c.delay, c.lossRate), func(t *testing.T) {
+		t.Run(fmt.Sprintf("gateways=%d rate=%v of %v delay=%v loss=%v", c.gateways, c.rate, c.perSecond, c.delay, c.lossRate), func(t *testing.T) {
 			t.Parallel()
 			sim := newLimitSimulation(t, c.gateways, 1, c.rate)
 			sim.delay, sim.lossRate = c.delay, c.lossRate
-			// requests returns how long n requests take at the limit.
-			requests := func(n float64) time.Duration { return time.Duration(n / c.rate * float64(time.Second)) }
-			sim.run(max(3*time.Second, requests(8)), c.perSecond, sim.anyGateway)
+			// timeFor returns how long n requests take at the limit.
+			timeFor := func(n float64) time.Duration { return time.Duration(n / c.rate * float64(time.Second)) }
+			sim.run(max(3*time.Second, timeFor(8)), c.perSecond, sim.anyGateway)
 			settled := sim.now
-			sim.run(max(20*time.Second, min(requests(100), 200*time.Second)), c.perSecond, sim.anyGateway)
+			sim.run(max(20*time.Second, min(timeFor(100), 200*time.Second)), c.perSecond, sim.anyGateway)
 			sim.expectWithinLimit(testStart.Add(500 * time.Millisecond))
 			sim.expectUsed(settled, 0.9, 1.2)
 		})
 	}
 }
 
-// simulateBursts simulates callers that arrive in bursts at all gateways at once.
+// simulateBursts simulates six bursts, each two seconds long, that reach all gateways at once
+// with factor times the usual rate, and checks that the servers' limits hold.
 func simulateBursts(t *testing.T, seed uint64, factor float64) {
 	sim := newLimitSimulation(t, 68, 2, 1.6)
 	sim.random = rand.New(rand.NewPCG(seed, 7))
@@ -250,8 +251,8 @@
 	sim.expectWithinLimit(testStart.Add(500 * time.Millisecond))
 }
 
-// Gateways estimate from recently offered requests how many others have a request for the
-// remaining allowance.
+// Guards against all gateways sending for the same remaining allowance in a burst: each has to
+// estimate from recently offered requests how many others have a request for it.
 func TestLimitHoldsInBursts(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(burstSeeds) {
@@ -259,7 +260,8 @@
 	}
 }
 
-// In a sudden surge every gateway may have seen remaining allowance.
+// Guards against exceeding a limit when a burst is too sudden for recently offered requests to
+// show it, and every gateway still sees remaining allowance.
 func TestLimitHoldsInSuddenBursts(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(burstSeeds) {
@@ -269,7 +271,7 @@
 
 // Guards against giving each gateway an equal share of the limit, which would starve a gateway
 // that has all of the load.
-func TestSingleLoadedSenderUsesWholeLimit(t *testing.T) {
+func TestSingleLoadedGatewayUsesWholeLimit(t *testing.T) {
 	t.Parallel()
 	sim := newLimitSimulation(t, 68, 1, 1.6)
 	sim.run(3*time.Second, 40, func() int { return 0 })
@@ -279,7 +281,7 @@
 	sim.expectUsed(settled, 0.9, 1.2)
 }
 
-// When many servers have limits, the limits of all of them are used.
+// Guards against using the limits of only some servers when many of them have one.
 func TestLimitsOfManyServersAreUsed(t *testing.T) {
 	t.Parallel()
 	sim := newLimitSimulation(t, 12, 24, 2)
@@ -290,9 +292,9 @@
 	sim.expectUsed(settled, 0.85, 1.2)
 }
 
-// Gateways that have just started don't know the limit until another gateway reports it or an
-// response states it.
-func TestLimitHoldsWhileSendersStart(t *testing.T) {
+// Guards against exceeding a limit through gateways that have just started: they don't know it
+// until another gateway reports it or a response states it.
+func TestLimitHoldsWhileGatewaysStart(t *testing.T) {
 	t.Parallel()
 	sim := newLimitSimulation(t, 12, 1, 2)
 	sim.run(2*time.Second, 100, sim.anyGateway)
@@ -303,8 +305,9 @@
 	sim.expectWithinLimit(testStart.Add(500 * time.Millisecond))
 }
 
-// Gateways that receive no reports from each other keep to their equal shares.
-func TestLimitHoldsWithDisconnectedSenders(t *testing.T) {
+// Guards against exceeding a limit through gateways that receive no reports from each other:
+// each of them may use only its equal share.
+func TestLimitHoldsWithDisconnectedGateways(t *testing.T) {
 	t.Parallel()
 	sim := newLimitSimulation(t, 12, 1, 6)
 	sim.run(2*time.Second, 200, sim.anyGateway)
@@ -318,7 +321,8 @@
 	sim.expectUsed(settled, 0.5, 1.2)
 }
 
-// Less urgent requests leave a part of a limit free for more urgent ones.
+// Guards against less urgent requests using up a limit: they must leave their headroom free for
+// more urgent ones.
 func TestHeadroomReservesLimit(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	overLimit := func(headroom float64) bool {
@@ -355,8 +359,10 @@
 	}
 }
 
-// Responses on different connections overtake each other.
-func TestAnswerToEarlierRequestLiftsNoLimit(t *testing.T) {
+// Guards against lifting a limit by a response that was made before the limit was stated:
+// responses on different connections overtake each other. A limit that was lifted must not be
+// restored by outdated reports.
+func TestResponseToEarlierRequestLiftsNoLimit(t *testing.T) {
 	limits := NewServerLimits()
 	limits.ObserveLimit(testStart, 1, 2)
 	if limits.ObserveNoLimit(testStart.Add(-time.Millisecond), 1) || limits.LimitedServers() != 1 {
@@ -379,6 +385,6 @@
 		t.Error("dropped before all gateways know that the limit was lifted")
 	}
 	if limits.Reports(testStart.Add(2 * limitTTL)); !limits.Empty() {
-		t.Error("never dropped")
+		t.Errorf("a lifted limit is still remembered after %v", 2*limitTTL)
 	}
 }
