--- a/policy/active_runs.go
+++ b/policy/active_runs.go
@@ -74,8 +74,8 @@
 // suffices: they are no more than the prompts that the engine prefills at the
 // same time.
 func (r *activeRuns) removeAwaiting(run *run) {
-	for i, p := range r.awaitingFirstToken {
-		if p == run {
+	for i, other := range r.awaitingFirstToken {
+		if other == run {
 			r.awaitingFirstToken = append(r.awaitingFirstToken[:i], r.awaitingFirstToken[i+1:]...)
 			return
 		}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -103,10 +103,10 @@
 }
 
 // refuse returns the Decision that refuses t; lateBy is how much too late it would have started.
-func (s *Scheduler) refuse(t Ticket, lateBy time.Duration) Decision {
+func (s *Scheduler) refuse(t Ticket, baseDelay time.Duration) Decision {
 	s.retryBacklog.refusals[t.Tier].observe(s.lastCall, true)
 	work := float64(ticketSize(t)) / float64(t.engineCount())
-	retryAfter := s.retryBacklog.retryAfter(s.lastCall, t.Tier, work, lateBy, s.tierRate(t.Tier))
+	retryAfter := s.retryBacklog.retryAfter(s.lastCall, t.Tier, work, baseDelay, s.tierRate(t.Tier))
 	return Decision{RetryAfter: retryAfter}
 }
 
--- a/policy/cold_start_test.go
+++ b/policy/cold_start_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// coldStart simulates six seconds of requests on engines with empty prefix caches. They
+// simulateColdStart simulates six seconds of requests on engines with empty prefix caches. They
 // use 200 long prefixes, about five times each, at half of the engines' capacity if all
 // prefixes were cached; each prefix has to be prefilled once first.
-func coldStart(seed uint64) *directSimulation {
+func simulateColdStart(seed uint64) *directSimulation {
 	p := newSeededSimulation(seed, 12, 24, true)
 	randomPrefix := func() uint64 { return uint64(p.random.IntN(200)+1) * 0x9e3779b97f4a7c15 }
 	p.addArrivals("essay", 160, 0, 6*time.Second, func() Job {
@@ -23,7 +23,7 @@
 // of 971 requests are in time. Counting the tokens that an empty cache adds keeps the
 // learned rate near the true one.
 func TestColdStartKeepsLearnedRate(t *testing.T) {
-	p := coldStart(simSeed)
+	p := simulateColdStart(simSeed)
 	learnedRate := p.meanRate()
 	t.Logf("%d of %d in time, %d thousand tokens of prefixes prefilled, learned rate %.0f of %.0f tokens/ms",
 		p.inTime["essay"], p.arrived["essay"], p.recomputedTokens/1000, learnedRate, simPrefillRate)
@@ -57,7 +57,7 @@
 func TestColdStartsOfOtherSeeds(t *testing.T) {
 	arrived, inTime := 0, 0
 	for seed := range uint64(8) {
-		p := coldStart(seed + 1)
+		p := simulateColdStart(seed + 1)
 		arrived += p.arrived["essay"]
 		inTime += p.inTime["essay"]
 		if 4*p.inTime["essay"] < 3*p.arrived["essay"] {
--- a/policy/concurrency_limiter.go
+++ b/policy/concurrency_limiter.go
@@ -116,10 +116,10 @@
 	return 0
 }
 
-// slotsExhausted records that a ticket waits because no slot is free, and starts
+// observeSlotsExhausted records that a ticket waits because no slot is free, and starts
 // a probe if one is due.
-func (l *concurrencyLimiter) slotsExhausted(now time.Time) {
-	l.window.full = true
+func (l *concurrencyLimiter) observeSlotsExhausted(now time.Time) {
+	l.window.slotsExhausted = true
 	if l.ramping || l.probing || now.Before(l.nextProbe) || l.window.worstRatio() >= maxGrowthRatio {
 		return
 	}
@@ -156,7 +156,7 @@
 		// The run started under a different limit.
 		return
 	}
-	l.window.firstToken(firstTokenSample{depth: r.depth, delayed: delayed}, l.streaming)
+	l.window.addFirstToken(firstTokenSample{depth: r.depth, delayed: delayed}, l.streaming)
 	if !delayed {
 		l.addTimelySample(r.depth)
 	}
@@ -167,12 +167,12 @@
 // raises the limit during ramp-up if all slots are in use.
 func (l *concurrencyLimiter) addTimelySample(depth int) {
 	if l.probing && depth >= l.limit+l.probeStep {
-		l.window.trialGood++
+		l.window.timelyProbeSamples++
 	}
-	inUse := l.window.full && depth >= l.limit-reservedSlots(l.limit)
+	inUse := l.window.slotsExhausted && depth >= l.limit-reservedSlots(l.limit)
 	if l.ramping && inUse && l.window.worstRatio() < maxGrowthRatio {
 		l.limit = min(l.limit+1, maxLimit)
-		l.window.full = false
+		l.window.slotsExhausted = false
 	}
 }
 
@@ -184,12 +184,12 @@
 	if t.BetweenTokens <= 0 {
 		return
 	}
-	l.window.interval(t.Tier, float64(d)/float64(t.BetweenTokens))
+	l.window.addInterval(t.Tier, float64(d)/float64(t.BetweenTokens))
 	l.adjust(now)
 }
 
-// streamEnded records the end of a run that had produced its first token.
-func (l *concurrencyLimiter) streamEnded() {
+// observeStreamEnd records the end of a run that had produced its first token.
+func (l *concurrencyLimiter) observeStreamEnd() {
 	l.streaming--
 }
 
@@ -198,7 +198,7 @@
 	ratio := l.window.worstRatio()
 	switch {
 	case l.engineQueues():
-		l.lower(now, l.window.streams)
+		l.lower(now, l.window.maxStreamsAtDelay)
 	case ratio > 1:
 		l.lower(now, int(float64(l.limit)/ratio))
 	case l.probing:
@@ -209,15 +209,15 @@
 // engineQueues reports whether runs persistently queue inside the engine.
 func (l *concurrencyLimiter) engineQueues() bool {
 	if l.ramping || l.probing {
-		return l.firstTokensSinceNonePending >= trialQueuedRuns && l.window.queued(trialDelayedSamples)
+		return l.firstTokensSinceNonePending >= probeQueuedRuns && l.window.indicatesQueueing(probeDelayedSamples)
 	}
-	return l.firstTokensSinceNonePending >= settledQueuedRuns && l.window.queued(settledDelayedSamples)
+	return l.firstTokensSinceNonePending >= settledQueuedRuns && l.window.indicatesQueueing(settledDelayedSamples)
 }
 
 // evaluateProbe ends a successful probe, keeps its slots and starts the next one
 // at once. It ends a probe without a result after maxProbeDuration.
 func (l *concurrencyLimiter) evaluateProbe(now time.Time) {
-	if l.window.trialGood >= trialGoodSamples && l.window.worstRatio() < maxGrowthRatio {
+	if l.window.timelyProbeSamples >= probeSuccessSamples && l.window.worstRatio() < maxGrowthRatio {
 		l.limit = min(l.limit+l.probeStep, maxLimit)
 		l.probeStep = min(2*l.probeStep, max(1, l.limit/4))
 		l.probePause = minProbePause
--- a/policy/limiter_window.go
+++ b/policy/limiter_window.go
@@ -16,12 +16,12 @@
 	// there are moments in which every run has its first token.
 	settledDelayedSamples = 4
 	settledQueuedRuns     = 12
-	// trialDelayedSamples and trialQueuedRuns are the same for a trial of a higher limit.
+	// probeDelayedSamples and probeQueuedRuns are the same for a trial of a higher limit.
 	// Stopping a trial by mistake costs little; continuing a bad one delays urgent runs.
-	trialDelayedSamples = 2
-	trialQueuedRuns     = 6
-	// trialGoodSamples is how many timely first tokens at the trial's depth make it succeed.
-	trialGoodSamples = 8
+	probeDelayedSamples = 2
+	probeQueuedRuns     = 6
+	// probeSuccessSamples is how many timely first tokens at the trial's depth make it succeed.
+	probeSuccessSamples = 8
 	// intervalSamples is over how many times between tokens the average is taken: a few tokens
 	// of each stream, since single ones jitter.
 	intervalSamples = 32
@@ -41,39 +41,39 @@
 	// recent holds the last windowSamples first tokens.
 	recent  [windowSamples]firstTokenSample
 	samples int
-	// trialGood counts timely first tokens beyond the limit during a trial.
-	trialGood int
+	// timelyProbeSamples counts timely first tokens beyond the limit during a trial.
+	timelyProbeSamples int
 	// ratio is the recent mean of time between tokens divided by its target, by tier, and
 	// ratioSamples the number of samples in it.
 	ratio        [tierCount]float64
 	ratioSamples [tierCount]int
-	// streams is the largest number of streams that produced tokens when a first token was
+	// maxStreamsAtDelay is the largest number of streams that produced tokens when a first token was
 	// delayed. A full engine runs that many of ours.
-	streams int
-	// full says that a ticket waited for lack of a slot.
-	full bool
+	maxStreamsAtDelay int
+	// slotsExhausted says that a ticket waited for lack of a slot.
+	slotsExhausted bool
 }
 
-// firstToken adds a sample; streaming is how many streams produce tokens now.
-func (w *limiterWindow) firstToken(sample firstTokenSample, streaming int) {
+// addFirstToken adds a sample; streaming is how many streams produce tokens now.
+func (w *limiterWindow) addFirstToken(sample firstTokenSample, streaming int) {
 	if sample.delayed {
-		w.streams = max(w.streams, streaming)
+		w.maxStreamsAtDelay = max(w.maxStreamsAtDelay, streaming)
 	}
 	w.recent[w.samples%windowSamples] = sample
 	w.samples++
 }
 
-// interval adds a tier's time between tokens, divided by its target.
-func (w *limiterWindow) interval(tier Tier, ratio float64) {
+// addInterval adds a tier's time between tokens, divided by its target.
+func (w *limiterWindow) addInterval(tier Tier, ratio float64) {
 	w.ratioSamples[tier]++
 	weight := max(1.0/intervalSamples, 1/float64(w.ratioSamples[tier]))
 	w.ratio[tier] += weight * (ratio - w.ratio[tier])
 }
 
-// queued reports whether runs wait inside the engine. That is so if at least minDelayed first
+// indicatesQueueing reports whether runs wait inside the engine. That is so if at least minDelayed first
 // tokens were delayed and, at their median depth and beyond, more were delayed than not.
 // Timely ones at a smaller depth say nothing, and a few delays at any depth are noise.
-func (w *limiterWindow) queued(minDelayed int) bool {
+func (w *limiterWindow) indicatesQueueing(minDelayed int) bool {
 	recent := w.recent[:min(w.samples, windowSamples)]
 	var depths []int
 	for _, s := range recent {
--- a/policy/placer_test.go
+++ b/policy/placer_test.go
@@ -32,8 +32,8 @@
 	for range ejectAfterFailures {
 		ejector.Observe(testStart, list[2].Name, OutcomeFailed)
 	}
-	want := PlacementRequest{Exclude: []string{list[3].Name}}
-	got := p.Pick(testStart, want, list, 6)
+	request := PlacementRequest{Exclude: []string{list[3].Name}}
+	got := p.Pick(testStart, request, list, 6)
 	slices.Sort(got)
 	if !slices.Equal(got, []string{list[4].Name, list[5].Name}) {
 		t.Errorf("picked %v", got)
@@ -62,10 +62,10 @@
 	for i := range list {
 		list[i].Running = 4
 	}
-	want := PlacementRequest{Prefix: 42}
-	home := p.Pick(testStart, want, list, 2)[0]
+	request := PlacementRequest{Prefix: 42}
+	home := p.Pick(testStart, request, list, 2)[0]
 	for range 20 {
-		if got := p.Pick(testStart, want, list, 2)[0]; got != home {
+		if got := p.Pick(testStart, request, list, 2)[0]; got != home {
 			t.Fatalf("prefix moved from %s to %s while its engine has room", home, got)
 		}
 	}
@@ -74,7 +74,7 @@
 			list[i].Waiting = 8
 		}
 	}
-	if got := p.Pick(testStart, want, list, 2); slices.Contains(got, home) {
+	if got := p.Pick(testStart, request, list, 2); slices.Contains(got, home) {
 		t.Errorf("prefix still goes to its full engine: picked %v", got)
 	}
 }
--- a/policy/queued_ticket.go
+++ b/policy/queued_ticket.go
@@ -56,9 +56,9 @@
 	return !w.resumed && !w.expiresAt.IsZero()
 }
 
-// hasNoLatestStart reports whether the ticket has no latest start that can still
+// hasInfiniteSlack reports whether the ticket has no latest start that can still
 // be met.
-func (w *queuedTicket) hasNoLatestStart() bool {
+func (w *queuedTicket) hasInfiniteSlack() bool {
 	return w.late || w.latestStart.IsZero()
 }
 
--- a/policy/retry_backlog.go
+++ b/policy/retry_backlog.go
@@ -33,10 +33,10 @@
 // backlog. late is by how much the work would have missed its deadline, and rate is the tier's
 // current service rate in work per second. Each engine that refuses a request counts its own
 // part, so work is only this engine's part.
-func (b *retryBacklog) retryAfter(now time.Time, t Tier, work float64, late time.Duration, rate float64) time.Duration {
-	late += secondsToDuration(b.refusals[t].at(now) * burstDelay.Seconds())
+func (b *retryBacklog) retryAfter(now time.Time, t Tier, work float64, baseDelay time.Duration, rate float64) time.Duration {
+	baseDelay += secondsToDuration(b.refusals[t].at(now) * burstDelay.Seconds())
 	if rate <= 0 {
-		return clampRetryAfter(late)
+		return clampRetryAfter(baseDelay)
 	}
 	rate *= retryRateShare
 	if !b.updated[t].IsZero() {
@@ -44,7 +44,7 @@
 		b.work[t] = max(0, b.work[t]-done)
 	}
 	b.updated[t] = now
-	delay := late + secondsToDuration(b.work[t]/rate)
+	delay := baseDelay + secondsToDuration(b.work[t]/rate)
 	if delay < maxRetryAfter {
 		b.work[t] += work
 	}
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -91,7 +91,7 @@
 	}
 	full := !s.canStart(now, class.head())
 	if full {
-		s.limiter.slotsExhausted(now)
+		s.limiter.observeSlotsExhausted(now)
 	}
 	if starved := s.starvedClass(now); starved != nil && (full || starved != class) {
 		return s.grant(now, starved, true), true
@@ -182,7 +182,7 @@
 		s.guarantee.running--
 	}
 	if !r.lastToken.IsZero() {
-		s.limiter.streamEnded()
+		s.limiter.observeStreamEnd()
 	}
 	if o == OutcomeComplete && !r.started.IsZero() {
 		s.serviceRate.observe(now, ticketSize(r.ticket), now.Sub(r.started))
--- a/policy/scheduler_property_test.go
+++ b/policy/scheduler_property_test.go
@@ -147,9 +147,9 @@
 	}
 	delete(m.waiting, ticket.ID)
 	m.running[ticket.ID] = ticket
-	asGuaranteed := m.guarantee.running > guaranteedBefore
+	guaranteed := m.guarantee.running > guaranteedBefore
 	for _, other := range m.waiting {
-		if other.Tier < ticket.Tier && !asGuaranteed {
+		if other.Tier < ticket.Tier && !guaranteed {
 			t.Fatalf("tier %d granted before tier %d", ticket.Tier, other.Tier)
 		}
 	}
@@ -181,9 +181,9 @@
 // deferred reports whether the next ticket is deferred to other engines that have
 // a copy of it, which is allowed for less than likelyLateDeferral.
 func (m *schedulerModel) deferred() bool {
-	_, held := m.nextDeferralEnd(m.now)
+	_, isDeferred := m.nextDeferralEnd(m.now)
 	w := m.queue.next().head()
-	return held && w.ticket.Copies > 1 && m.now.Sub(w.ticket.Arrived) < likelyLateDeferral
+	return isDeferred && w.ticket.Copies > 1 && m.now.Sub(w.ticket.Arrived) < likelyLateDeferral
 }
 
 // TestSchedulerProperties checks, for random calls, that no ticket is both granted and
--- a/policy/simulated_engine_test.go
+++ b/policy/simulated_engine_test.go
@@ -35,8 +35,8 @@
 func (e *simulatedEngine) drop(id string) {
 	r := e.waiting[id]
 	delete(e.waiting, id)
-	hint := e.scheduler.RetryAfter(e.sim.clock.now, r.workload.tier)
-	e.sim.refused(e, r, Decision{RetryAfter: hint})
+	retryAfter := e.scheduler.RetryAfter(e.sim.clock.now, r.workload.tier)
+	e.sim.refused(e, r, Decision{RetryAfter: retryAfter})
 }
 
 // runScheduler carries out all decisions that are due and sets the next wake-up.
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -197,13 +197,13 @@
 	if r.granted || len(r.ticketsAt) > 0 || r.retried {
 		return
 	}
-	hint := CombineRetryAfter(r.refusals)
+	retryAfter := CombineRetryAfter(r.refusals)
 	s.updateStats(r, func(stats *requestStats) {
 		stats.refused++
 		stats.retries++
-		stats.totalRetryAfter += hint
+		stats.totalRetryAfter += retryAfter
 	})
-	s.clock.afterFunc(hint, func() {
+	s.clock.afterFunc(retryAfter, func() {
 		r.retried = true
 		r.retriedInBurst = s.clock.now.Sub(s.start) < s.burstEnd
 		if r.retriedInBurst {
--- a/policy/straggler_test.go
+++ b/policy/straggler_test.go
@@ -56,9 +56,9 @@
 	return s, now
 }
 
-// TestHoldBack checks for how long an engine that is likely to miss a ticket's target
+// TestDeferral checks for how long an engine that is likely to miss a ticket's target
 // leaves it to the other engines with a copy.
-func TestHoldBack(t *testing.T) {
+func TestDeferral(t *testing.T) {
 	for name, c := range map[string]struct {
 		firstToken time.Duration
 		copies     int
--- a/policy/tier_queue.go
+++ b/policy/tier_queue.go
@@ -135,8 +135,8 @@
 // lessSlack reports whether a has less slack than b. A ticket without a latest
 // start has infinite slack.
 func lessSlack(a, b *queuedTicket) bool {
-	if a.hasNoLatestStart() || b.hasNoLatestStart() {
-		return !a.hasNoLatestStart()
+	if a.hasInfiniteSlack() || b.hasInfiniteSlack() {
+		return !a.hasInfiniteSlack()
 	}
 	return a.latestStart.Before(b.latestStart)
 }
