--- a/policy/admission.go
+++ b/policy/admission.go
@@ -3,8 +3,8 @@
 import "time"
 
 // coldQueuePerSlot is how many tickets per slot an engine admits before its
-// service rate is known: two rounds of runs. Nothing is known about the rate
-// until a round has ended, and by then a wait of one round has been observed.
+// service rate is known: two rounds of runs. The rate becomes known when the
+// first round ends, after the tickets of the second have waited for one round.
 const coldQueuePerSlot = 2
 
 // admit decides whether a ticket enters the queue.
@@ -59,8 +59,8 @@
 )
 
 // latestStart returns when t must start on this engine: its deadline minus the
-// expected time from the start of a run of the given size in tokens to the
-// milestone of the deadline. It returns the zero time if t has no deadline.
+// estimated time from the start of the run to the milestone of the deadline, for
+// a run of size tokens. It returns the zero time if t has no deadline.
 func (s *Scheduler) latestStart(now time.Time, t Ticket, size int) time.Time {
 	if t.Deadline.IsZero() {
 		return time.Time{}
@@ -102,7 +102,9 @@
 	return decision
 }
 
-// refuse returns the Decision that refuses t; lateBy is how much too late it would have started.
+// refuse returns the Decision that refuses t. baseDelay is the time after which a
+// retry could succeed at the earliest: how late t would have started or, if the
+// queue is full, its expected wait.
 func (s *Scheduler) refuse(t Ticket, baseDelay time.Duration) Decision {
 	s.retryBacklog.refusals[t.Tier].observe(s.lastCall, true)
 	work := float64(ticketSize(t)) / float64(t.engineCount())
@@ -145,8 +147,8 @@
 }
 
 // coldWaitEstimate returns the expected wait on an engine with unknown service
-// rate: zero while few tickets wait, otherwise longest, with which a ticket that
-// has a deadline is refused.
+// rate: zero while few tickets wait, otherwise maxDuration, so that a ticket with
+// a deadline is refused.
 func (s *Scheduler) coldWaitEstimate() time.Duration {
 	if s.queue.Len() < coldQueuePerSlot*s.limiter.limit {
 		return 0
--- a/policy/concurrency_limiter.go
+++ b/policy/concurrency_limiter.go
@@ -116,8 +116,8 @@
 	return 0
 }
 
-// observeSlotsExhausted records that a ticket waits because no slot is free, and starts
-// a probe if one is due.
+// observeSlotsExhausted records that a ticket waits because no slot is free, and
+// starts a probe if one is due.
 func (l *concurrencyLimiter) observeSlotsExhausted(now time.Time) {
 	l.window.slotsExhausted = true
 	if l.ramping || l.probing || now.Before(l.nextProbe) || l.window.worstRatio() >= maxGrowthRatio {
@@ -178,8 +178,8 @@
 
 // observeInterval records the time between tokens of a run. The caller passes it
 // only while no more runs execute than the limit and a probe allow: after a
-// decrease, surplus streams continue for a while and would distort it. Runs of a
-// probe always exceed the limit, and are what the probe measures.
+// decrease, surplus streams continue for a while and would distort it. The runs
+// that a probe adds do count, because the probe measures their effect.
 func (l *concurrencyLimiter) observeInterval(now time.Time, t Ticket, d time.Duration) {
 	if t.BetweenTokens <= 0 {
 		return
--- a/policy/copy_share.go
+++ b/policy/copy_share.go
@@ -6,7 +6,7 @@
 // copyShare estimates the fraction of tickets with several copies that run on this
 // engine. While all engines admit them, it is 1 divided by the number of copies. In a
 // burst most engines refuse theirs and nearly all admitted tickets run where they wait;
-// an estimate by the number of copies would then admit up to twice of what can start in
+// an estimate by the number of copies would then admit up to twice what can start in
 // time.
 type copyShare struct {
 	share       float64
@@ -14,7 +14,7 @@
 }
 
 // observe records that a ticket left the queue, and whether it runs here. Tickets
-// without copies are ignored.
+// with a single copy are ignored.
 func (c *copyShare) observe(t Ticket, here bool) {
 	if t.Copies < 2 {
 		return
--- a/policy/decision.go
+++ b/policy/decision.go
@@ -4,7 +4,7 @@
 
 // Decision is the result of offering a ticket.
 type Decision struct {
-	// Admitted tickets are queued. Other tickets are refused and certainly not run.
+	// Admitted tickets are queued. Other tickets are refused and never run.
 	Admitted bool
 	// QueueFull reports that the ticket was refused because the bounded queue is full,
 	// not because of its target.
@@ -13,7 +13,7 @@
 	// is refused.
 	RetryAfter time.Duration
 	// Displaced lists the IDs of waiting tickets that were removed from the full queue in
-	// favour of this one. They are refused at once and certainly not run; their time to
-	// retry is Scheduler.RetryAfter of their tier.
+	// favour of this one. They are refused at once and never run; Scheduler.RetryAfter
+	// returns the time after which to retry them.
 	Displaced []string
 }
--- a/policy/deferral.go
+++ b/policy/deferral.go
@@ -13,15 +13,15 @@
 	likelyLateDeferral = 5 * overflowDelay
 )
 
-// deferredUntil returns until when w is left to the other engines that hold a copy of it; zero
-// if it may be granted now.
+// deferredUntil returns the time until which w is left to the other engines that hold a copy
+// of it; zero if it may be granted now.
 //
 // It guards against an idle straggler, which grants before all other engines and delays every
 // urgent ticket that it wins. Such an engine defers its grant for a moment. If no other engine
 // has granted the ticket by then, it is granted here, so that the engine stays in use and its
 // recovery is noticed. As long as its usual time to first token still meets the deadline, the
 // deferral ends early enough for that. Requests that are queued only at this engine, are
-// already late, or have run in part before aren't deferred.
+// already late, or were partially executed before aren't deferred.
 func (s *Scheduler) deferredUntil(now time.Time, w *queuedTicket) time.Time {
 	t := w.ticket
 	if w.resumed || t.engineCount() < 2 || t.DeadlineMilestone != MilestoneFirstToken || t.Deadline.IsZero() {
@@ -51,8 +51,8 @@
 	return end.at
 }
 
-// nextDeferralEnd returns when the next ticket in the queue may be granted although other
-// engines are likely to be faster; false if it isn't deferred.
+// nextDeferralEnd returns when the deferral of the next ticket in the queue ends, and false if
+// that ticket isn't deferred.
 func (s *Scheduler) nextDeferralEnd(now time.Time) (time.Time, bool) {
 	class := s.queue.next()
 	if class == nil {
--- a/policy/limiter_window.go
+++ b/policy/limiter_window.go
@@ -9,29 +9,31 @@
 	// windowSamples is how many first tokens are evaluated together: two rounds of a small
 	// batch.
 	windowSamples = 16
-	// settledDelayedSamples is how many delayed first tokens lower a settled limit, and
-	// settledQueuedRuns how many runs in a row must have left another run without its first
-	// token. Times to first token differ by a factor of ten between a prompt that is in the
-	// engine's cache and one that isn't, so late ones alone prove little; but without a queue
-	// there are moments in which every run has its first token.
+	// A settled limit is lowered after settledDelayedSamples delayed first tokens, if at each
+	// of the last settledQueuedRuns first tokens another run was still waiting for its own.
+	// Delayed first tokens alone prove little: times differ by a factor of ten between a
+	// prompt that is in the engine's cache and one that isn't. But unless runs queue inside
+	// the engine, there are moments in which none waits for its first token.
 	settledDelayedSamples = 4
 	settledQueuedRuns     = 12
-	// probeDelayedSamples and probeQueuedRuns are the same for a trial of a higher limit.
-	// Stopping a trial by mistake costs little; continuing a bad one delays urgent runs.
+	// probeDelayedSamples and probeQueuedRuns are the same during ramp-up and while a higher
+	// limit is probed. Ending a probe by mistake costs little; continuing a bad one delays
+	// urgent runs.
 	probeDelayedSamples = 2
 	probeQueuedRuns     = 6
-	// probeSuccessSamples is how many timely first tokens at the trial's depth make it succeed.
+	// probeSuccessSamples is the number of timely first tokens at the probe's depth with which
+	// it succeeds.
 	probeSuccessSamples = 8
-	// intervalSamples is over how many times between tokens the average is taken: a few tokens
+	// intervalSamples is the number of times between tokens that are averaged: a few tokens
 	// of each stream, since single ones jitter.
 	intervalSamples = 32
 )
 
-// firstTokenSample is the first token of a run, or its absence after too long.
+// firstTokenSample records that the first token of a run arrived or became overdue.
 type firstTokenSample struct {
-	// depth is how many runs were on the engine when this one began, itself included.
+	// depth is the number of runs on the engine when this one started, itself included.
 	depth int
-	// delayed says that the first token was late compared with the engine's own baseline.
+	// delayed is set if the first token was late compared with the engine's own baseline.
 	delayed bool
 }
 
@@ -41,20 +43,20 @@
 	// recent holds the last windowSamples first tokens.
 	recent  [windowSamples]firstTokenSample
 	samples int
-	// timelyProbeSamples counts timely first tokens beyond the limit during a trial.
+	// timelyProbeSamples counts timely first tokens beyond the limit during a probe.
 	timelyProbeSamples int
 	// ratio is the recent mean of time between tokens divided by its target, by tier, and
 	// ratioSamples the number of samples in it.
 	ratio        [tierCount]float64
 	ratioSamples [tierCount]int
-	// maxStreamsAtDelay is the largest number of streams that produced tokens when a first token was
-	// delayed. A full engine runs that many of ours.
+	// maxStreamsAtDelay is the largest number of streams that produced tokens when a first
+	// token was delayed. It estimates how many runs of this agent fit into the engine's batch.
 	maxStreamsAtDelay int
-	// slotsExhausted says that a ticket waited for lack of a slot.
+	// slotsExhausted is set if a ticket waited because no slot was free.
 	slotsExhausted bool
 }
 
-// addFirstToken adds a sample; streaming is how many streams produce tokens now.
+// addFirstToken adds a sample; streaming is the number of streams that produce tokens now.
 func (w *limiterWindow) addFirstToken(sample firstTokenSample, streaming int) {
 	if sample.delayed {
 		w.maxStreamsAtDelay = max(w.maxStreamsAtDelay, streaming)
@@ -70,9 +72,10 @@
 	w.ratio[tier] += weight * (ratio - w.ratio[tier])
 }
 
-// indicatesQueueing reports whether runs wait inside the engine. That is so if at least minDelayed first
-// tokens were delayed and, at their median depth and beyond, more were delayed than not.
-// Timely ones at a smaller depth say nothing, and a few delays at any depth are noise.
+// indicatesQueueing reports whether the samples indicate that runs queue inside the engine: at
+// least minDelayed first tokens were delayed and, at their median depth and beyond, more were
+// delayed than not. Timely ones at a smaller depth prove nothing, and a few delays at any
+// depth are noise.
 func (w *limiterWindow) indicatesQueueing(minDelayed int) bool {
 	recent := w.recent[:min(w.samples, windowSamples)]
 	var depths []int
--- a/policy/queued_ticket.go
+++ b/policy/queued_ticket.go
@@ -56,8 +56,8 @@
 	return !w.resumed && !w.expiresAt.IsZero()
 }
 
-// hasInfiniteSlack reports whether the ticket has no latest start that can still
-// be met.
+// hasInfiniteSlack reports whether the ticket is ordered behind all others: it has
+// no latest start, or has missed it.
 func (w *queuedTicket) hasInfiniteSlack() bool {
 	return w.late || w.latestStart.IsZero()
 }
--- a/policy/tier_queue.go
+++ b/policy/tier_queue.go
@@ -10,7 +10,7 @@
 	// the class of its tier that was served least. Within this lead the ticket
 	// with the least slack goes first, so that classes with different targets
 	// meet them. Beyond it the classes share equally, so that a burst with a
-	// short target can't hold back a class with a longer one indefinitely. 8 is
+	// short target can't delay a class with a longer one indefinitely. 8 is
 	// about one batch of an engine, which is enough to reorder the tickets of one
 	// batch.
 	maxClassLead = 8
@@ -28,7 +28,8 @@
 type tierQueue struct {
 	classes []*classQueue
 	byKey   map[classKey]*classQueue
-	// virtualTime is the start tag of the class that was granted last, in tokens.
+	// virtualTime is the smallest start tag, in tokens, of the classes that were
+	// waiting at the last grant; it never decreases.
 	virtualTime float64
 	// meanSize is the moving average of the size of granted tickets, in tokens.
 	meanSize float64
@@ -116,8 +117,8 @@
 }
 
 // workAhead returns the queued work of the tier, in tokens, that is served before
-// a new ticket. Each other class counts with at most what the ticket's own class
-// has ahead of it.
+// a new ticket. Each other class counts with at most the work of the ticket's own
+// class up to and including the ticket, plus the lead that a class may have.
 func (q *tierQueue) workAhead(t Ticket, work float64) float64 {
 	ownAhead := 0.0
 	if own := q.onTimeClass(t.Class); own != nil {
@@ -132,8 +133,7 @@
 	return sum
 }
 
-// lessSlack reports whether a has less slack than b. A ticket without a latest
-// start has infinite slack.
+// lessSlack reports whether a has less slack than b.
 func lessSlack(a, b *queuedTicket) bool {
 	if a.hasInfiniteSlack() || b.hasInfiniteSlack() {
 		return !a.hasInfiniteSlack()
