--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -11,7 +11,7 @@
 	OutcomeComplete Outcome = iota + 1
 	// OutcomeFailed means that the engine failed the run.
 	OutcomeFailed
-	// OutcomeCancelled means that the caller or the router cancelled the run.
+	// OutcomeCancelled means that the run was cancelled, by its caller or by the system.
 	OutcomeCancelled
 	// OutcomeLapsed means that the grant expired unused.
 	OutcomeLapsed
--- a/policy/over_limit.go
+++ b/policy/over_limit.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// MarkOverLimit marks the servers whose limit leaves no capacity for a request.
+// MarkOverLimit sets OverLimit on the servers whose limit leaves no capacity for the job.
 //
-// It decides at random, to account for what other gateways may have sent to a server since
-// their last report. Of the gateways that are expected to have a request for the server
-// meanwhile, as many are admitted as the limit allows in that time, plus what remains of it.
-// Otherwise every gateway that sees capacity would send, and dozens do whenever there is
-// capacity for one. A gateway that loses a draw waits until it has received from the others, so
-// that a burst causes one draw per gateway.
+// It decides at random, because other gateways may have sent requests to a server since their
+// last report. The probability to send is (a + remaining) / (a + others): a is the number of
+// requests that the limit allows until the next draw, remaining the number that it allows now,
+// and others the expected number of other gateways with a request for the server. Without the
+// draw every gateway that sees capacity would send: dozens of requests where there is capacity
+// for one. A gateway that loses a draw doesn't draw again until it has received the reports of
+// the others, so that a burst causes one draw per gateway.
 //
-// A less urgent request leaves the same share of each limit free as of servers' slots.
+// The job leaves Headroom of each limit free, as it does of the servers' slots.
 func (l *ServerLimits) MarkOverLimit(now time.Time, random *rand.Rand, job *Job, servers []Server) {
 	if l.Empty() {
 		return
@@ -25,7 +26,8 @@
 			available++
 		}
 	}
-	// A request considers a few of the servers and takes the one with the most capacity.
+	// others is the expected number of other gateways with a request for the same server: a
+	// request considers only a few servers and takes the one with the most capacity.
 	others := min(job.UnreportedOffers, job.OtherGateways) * min(1, sampledServers/float64(max(available, 1)))
 	for i := range servers {
 		if s := &servers[i]; s.RateLimited {
@@ -48,7 +50,7 @@
 }
 
 // limitRemaining returns how many requests of the job's urgency the server's limit still
-// allows; 1 if it has none.
+// allows; 1 if the server has no limit.
 func (s *Server) limitRemaining(job *Job) float64 {
 	if !s.RateLimited {
 		return 1
@@ -56,8 +58,8 @@
 	return s.Allowance.Remaining - job.Headroom*s.Allowance.Burst
 }
 
-// soonestAvailable returns after what time the first of the candidates that are over their
-// limit has capacity; false if none is over its limit.
+// soonestAvailable returns the time until the first of the candidates that are over their
+// limit has capacity again, and false if none is over its limit.
 func soonestAvailable(servers []Server, candidate func(*Server) bool) (soonest time.Duration, found bool) {
 	for i := range servers {
 		s := &servers[i]
--- a/policy/placer.go
+++ b/policy/placer.go
@@ -79,7 +79,7 @@
 	return best
 }
 
-// cost returns the sum of all scores of a candidate.
+// cost returns the sum of the costs that all scorers assign to a candidate.
 func (p *Placer) cost(now time.Time, request PlacementRequest, c *Candidate, mean float64) float64 {
 	sum := 0.0
 	for _, s := range p.scorers {
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -7,14 +7,14 @@
 
 // maxQueuedTickets limits the tickets that wait at one engine. An engine that
 // finishes ten requests per second takes over three minutes to work off 2,048,
-// which is longer than any target that admission allows to wait. The limit
+// which is longer than admission lets a ticket with a deadline wait. The limit
 // therefore matters only for tickets without a deadline and for the top tier, and
 // it keeps the state of an agent below a few megabytes.
 const maxQueuedTickets = 2048
 
-// maxLateWait is how long after its arrival a late top-tier ticket is given up and
-// its caller is told that the request was not run. Without this limit the oldest
-// late tickets would be as old as the burst.
+// maxLateWait is how long a late top-tier ticket waits from its arrival until it
+// expires and its caller is told that the request was not run. Without this limit
+// the oldest late tickets would be as old as the burst.
 const maxLateWait = 2 * time.Minute
 
 // Queue orders the waiting tickets of one engine: by tier; within a tier by least
--- a/policy/queued_ticket.go
+++ b/policy/queued_ticket.go
@@ -15,7 +15,7 @@
 	// target.
 	latestStart time.Time
 	// expiresAt is when Queue.expire handles the ticket: at latestStart, or for a
-	// late ticket when it is given up.
+	// late ticket maxLateWait after its arrival.
 	expiresAt time.Time
 	// resumed tickets neither expire nor are displaced, because their caller
 	// already has a part of the response.
--- a/policy/recent_grants.go
+++ b/policy/recent_grants.go
@@ -5,6 +5,8 @@
 // recentGrants tracks which classes were granted a ticket within the last starvedAfter. Its
 // size is bounded by the number of grants in that time.
 type recentGrants struct {
+	// latest is the time of the last grant of each class, and order has one entry per
+	// class, the oldest first.
 	latest map[string]time.Time
 	order  []classGrant
 }
@@ -35,8 +37,8 @@
 	return known
 }
 
-// expire drops grants older than starvedAfter. Each class is in order once: if it was granted
-// again since it was queued, it moves to the end with its latest time.
+// expire drops grants older than starvedAfter. If a class was granted again since its entry was
+// appended to order, the entry moves to the end with the time of the latest grant.
 func (g *recentGrants) expire(now time.Time) {
 	for len(g.order) > 0 && now.Sub(g.order[0].at) >= starvedAfter {
 		oldest := g.order[0]
--- a/policy/retry_backlog.go
+++ b/policy/retry_backlog.go
@@ -20,19 +20,20 @@
 
 // retryBacklog tracks, by tier, the refused work that callers are expected to retry.
 //
-// It guards against synchronized retries: with the same Retry-After, all callers that a burst
-// turned away would return in the same second and be refused again. Each refusal names the
-// time when the engine will have finished the work refused before it.
+// It guards against synchronized retries: with the same Retry-After, all callers refused in a
+// burst would return in the same second and be refused again. Each refusal states the time
+// when the engine will have finished the work refused before it.
 type retryBacklog struct {
+	// work is in tokens, as of updated.
 	work     [tierCount]float64
 	updated  [tierCount]time.Time
 	refusals [tierCount]refusalRatio
 }
 
 // retryAfter returns the Retry-After for refused work of a tier and adds the work to the
-// backlog. late is by how much the work would have missed its deadline, and rate is the tier's
-// current service rate in work per second. Each engine that refuses a request counts its own
-// part, so work is only this engine's part.
+// backlog. baseDelay is the time after which a retry could succeed if no other work were
+// retried, and rate is the tier's current service rate in tokens per second. A request may be
+// refused by several engines; work, in tokens, is this engine's share of it.
 func (b *retryBacklog) retryAfter(now time.Time, t Tier, work float64, baseDelay time.Duration, rate float64) time.Duration {
 	baseDelay += secondsToDuration(b.refusals[t].at(now) * burstDelay.Seconds())
 	if rate <= 0 {
--- a/policy/run.go
+++ b/policy/run.go
@@ -6,7 +6,7 @@
 type run struct {
 	ticket  Ticket
 	granted time.Time
-	// started is zero until the grant is taken up.
+	// started is when the run started on the engine; zero before.
 	started time.Time
 	// lastToken is when the last tokens arrived; zero before the first one.
 	lastToken time.Time
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -43,8 +43,8 @@
 	s.reportOverdueRuns(now)
 }
 
-// reportOverdueRuns reports runs whose first token is late to the limiter, each
-// once.
+// reportOverdueRuns reports to the limiter, once for each, the runs whose first
+// token is late.
 func (s *Scheduler) reportOverdueRuns(now time.Time) {
 	for _, r := range s.running.awaitingFirstToken {
 		if !r.overdue && s.limiter.delayed(r.ticket, now.Sub(r.started)) {
@@ -197,8 +197,9 @@
 	return s.queue.expire(now, func(class string) bool { return s.recentGrants.contains(now, class) })
 }
 
-// RetryAfter returns when a caller whose ticket was displaced or has expired
-// should retry.
+// RetryAfter returns the time after which a caller whose ticket was displaced or
+// has expired should retry. Call it once for each such ticket: it adds a run of
+// mean size to the work that callers are expected to retry.
 func (s *Scheduler) RetryAfter(now time.Time, tier Tier) time.Duration {
 	s.advance(now)
 	wait := s.waitForSlot(now, tier, s.queuedWorkAbove(tier+1))
--- a/policy/service_rate.go
+++ b/policy/service_rate.go
@@ -13,7 +13,7 @@
 	stallGapFactor = 4
 )
 
-// serviceRate estimates the true processing rate of an engine: work per second of a busy
+// serviceRate estimates the true processing rate of an engine: tokens per second of a busy
 // slot, not per second of elapsed time.
 //
 // The throughput over elapsed time is low at an idle engine only because of low demand;
@@ -21,10 +21,12 @@
 // processing rate of Zhang et al., AuTraScale+ (IEEE TPDS 2024). Work is measured in the
 // tickets' own size estimates, so that a constant error factor in them cancels out.
 type serviceRate struct {
+	// work, in tokens, and busySeconds are sums over the complete runs, in which older
+	// runs have less weight.
 	work           float64
 	busySeconds    float64
 	lastCompletion time.Time
-	// meanSize is the moving average size of a complete run.
+	// meanSize is the moving average of the size of complete runs, in tokens.
 	meanSize float64
 }
 
@@ -55,8 +57,8 @@
 	return secondsToDuration(float64(size) * r.busySeconds / r.work)
 }
 
-// throughput returns the engine's work per second with a number of concurrent runs; zero
-// if the rate is unknown.
+// throughput returns the engine's rate, in tokens per second, with all of the given slots
+// in use; zero if the rate is unknown.
 func (r *serviceRate) throughput(slots int) float64 {
 	if !r.known() {
 		return 0
--- a/policy/tier_demand.go
+++ b/policy/tier_demand.go
@@ -8,6 +8,7 @@
 
 // tierDemand tracks how much work each tier was granted recently.
 type tierDemand struct {
+	// work is in tokens, with a weight that decays over demandWindow.
 	work    [tierCount]float64
 	updated time.Time
 }
@@ -18,7 +19,8 @@
 	d.work[t.Tier] += float64(ticketSize(t))
 }
 
-// rateAbove returns the work per second granted to tiers more urgent than t.
+// rateAbove returns the rate, in tokens per second, at which tiers more urgent than t were
+// granted work.
 func (d *tierDemand) rateAbove(now time.Time, t Tier) float64 {
 	d.decay(now)
 	sum := 0.0
--- a/policy/urgent_usage.go
+++ b/policy/urgent_usage.go
@@ -30,7 +30,7 @@
 	u.current = slots
 }
 
-// reserved returns how many runs of the urgent tiers to keep capacity free for.
+// reserved returns the number of slots to reserve for the urgent tiers.
 func (u *urgentUsage) reserved() int {
 	return int(u.mean + urgentDeviations*u.deviation)
 }
