--- a/policy/burst_end_test.go
+++ b/policy/burst_end_test.go
@@ -28,8 +28,9 @@
 	return sim
 }
 
-// Guards against prompts being refused by engines that are idle again after a burst: the
-// prefill rate learned while the engines were slow isn't corrected by refused requests.
+// Guards against prompts being refused although the engines are idle again after a slow
+// period, as in a burst: the prefill rate learned while they were slow isn't corrected by
+// refused requests.
 func TestIdleEnginesAreUsedAfterABurst(t *testing.T) {
 	for seed := range uint64(5) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
--- a/policy/cold_start_test.go
+++ b/policy/cold_start_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// simulateColdStart simulates six seconds of requests on engines with empty prefix caches. They
-// use 200 long prefixes, about five times each, at half of the engines' capacity if all
-// prefixes were cached; each prefix has to be prefilled once first.
+// simulateColdStart simulates six seconds of requests on engines with empty prefix caches.
+// The requests use 200 long prefixes, about five times each, and would take half of the
+// engines' capacity if all prefixes were cached; each prefix has to be prefilled once first.
 func simulateColdStart(seed uint64) *directSimulation {
 	p := newSeededSimulation(seed, 12, 24, true)
 	randomPrefix := func() uint64 { return uint64(p.random.IntN(200)+1) * 0x9e3779b97f4a7c15 }
@@ -18,7 +18,7 @@
 	return p
 }
 
-// Guards against counting a prefix as cached on its home servers before they have read
+// Guards against counting a prefix as cached on its home servers before they have prefilled
 // it: the learned prefill rate then falls to 26 of 60 tokens a millisecond, and only 734
 // of 971 requests are in time. Counting the tokens that an empty cache adds keeps the
 // learned rate near the true one.
@@ -52,7 +52,7 @@
 
 // Checks other arrival sequences. How many requests are in time depends on how soon
 // prefixes repeat: for the first four seconds the engines prefill at full capacity, and
-// a prefix that comes twice in that time is read once. One sequence may therefore fall a
+// a prefix that comes twice in that time is prefilled once. One sequence may therefore fall a
 // little below the bound that holds for all of them together.
 func TestColdStartsOfOtherSeeds(t *testing.T) {
 	arrived, inTime := 0, 0
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -28,7 +28,7 @@
 		sim.run(time.Minute, time.Minute, questionWorkload(constantRate(rate)))
 		t.Logf("batch %d: limit %d reached after %v, then %d to %d", batch, batch-1, reachedAfter, lowest, highest)
 		if reachedAfter == 0 || reachedAfter > 10*time.Second {
-			t.Errorf("batch %d: limit reached the batch size after %v", batch, reachedAfter)
+			t.Errorf("batch %d: limit reached the batch size after %v (0s: never), want at most 10s", batch, reachedAfter)
 		}
 		if lowest < batch*3/4 || highest > batch+2 {
 			t.Errorf("batch %d: limit varied from %d to %d", batch, lowest, highest)
@@ -80,7 +80,8 @@
 }
 
 // TestUnequalEngines simulates eight cold engines at two thirds of their capacity, four
-// of them with external load and one at a quarter of the speed.
+// of them with external load and one at a quarter of the speed: nearly all requests must
+// be on time.
 func TestUnequalEngines(t *testing.T) {
 	t.Parallel()
 	engines := newFakeEngines(8, 8)
@@ -100,8 +101,9 @@
 	}
 }
 
-// TestLimitKeepsInterTokenLatency simulates overload by a class whose inter-token
-// latency target allows six streams, on an engine with a batch of sixteen.
+// TestLimitKeepsInterTokenLatency simulates overload by a class whose target for the
+// time between tokens allows six streams, on an engine with a batch of sixteen: the limit
+// must settle at about six.
 func TestLimitKeepsInterTokenLatency(t *testing.T) {
 	t.Parallel()
 	e := newFakeEngine(16)
--- a/policy/fairness_test.go
+++ b/policy/fairness_test.go
@@ -28,7 +28,8 @@
 }
 
 // TestClassesOfOneTier simulates a burst of a class with a short target beside a class
-// of the same tier with a longer target that needs a fifth of the capacity.
+// of the same tier with a longer target that needs a fifth of the capacity: the other
+// class must be on time.
 func TestClassesOfOneTier(t *testing.T) {
 	t.Parallel()
 	sim := newSimulation(1, newFakeEngines(4, 8)...)
@@ -44,7 +45,7 @@
 }
 
 // TestLongAmongShort simulates long summaries and short questions that together use
-// nine tenths of the capacity.
+// nine tenths of the capacity: both classes must be on time.
 func TestLongAmongShort(t *testing.T) {
 	t.Parallel()
 	sim := newSimulation(1, newFakeEngines(4, 8)...)
@@ -60,8 +61,8 @@
 	}
 }
 
-// saturationBound is the longest wait under guarantee for five starved classes, runs
-// of at most 20 s and eight slots or more.
+// saturationBound is the longest wait under the starvation guarantee with five starved
+// classes, runs of at most 20 s and eight slots or more.
 const saturationBound = 130 * time.Second
 
 // TestSaturation simulates 12 minutes in which each of the three most urgent classes
--- a/policy/fake_engine_test.go
+++ b/policy/fake_engine_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// fakeEngine runs a bounded number of streams in a batch. The inter-token latency
+// fakeEngine runs a bounded number of streams in a batch. The time between tokens
 // grows with each stream. Runs beyond the batch queue inside the engine, by tier.
 type fakeEngine struct {
 	batch int
@@ -17,8 +17,8 @@
 	// none.
 	prefillFactor func() float64
 
-	// prefillPerToken is the time to prefill a token on an idle engine. The
-	// inter-token latency is baseInterval and intervalPerStream for each stream.
+	// prefillPerToken is the time to prefill a token on an idle engine. The time
+	// between tokens is baseInterval and intervalPerStream for each stream.
 	prefillPerToken   time.Duration
 	baseInterval      time.Duration
 	intervalPerStream time.Duration
--- a/policy/limit_probe_test.go
+++ b/policy/limit_probe_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestProbeKeepsInterTokenLatency simulates inter-token latencies that just meet the
+// TestProbeKeepsInterTokenLatency simulates times between tokens that just meet the
 // target with eight streams and miss it with more: no probe of a higher limit may
 // succeed.
 func TestProbeKeepsInterTokenLatency(t *testing.T) {
--- a/policy/pause_estimator_test.go
+++ b/policy/pause_estimator_test.go
@@ -14,7 +14,7 @@
 	}
 }
 
-// trainedPauses returns the estimates for a service whose server b is slower than a and c.
+// trainedPauses returns an estimator of a service whose server b is slower than a and c.
 func trainedPauses() *PauseEstimator {
 	p := &PauseEstimator{}
 	for i := range 20 {
--- a/policy/placer_test.go
+++ b/policy/placer_test.go
@@ -36,7 +36,7 @@
 	got := p.Pick(testStart, request, list, 6)
 	slices.Sort(got)
 	if !slices.Equal(got, []string{list[4].Name, list[5].Name}) {
-		t.Errorf("picked %v", got)
+		t.Errorf("picked %v, want only the usable engines %s and %s", got, list[4].Name, list[5].Name)
 	}
 	if got := p.Pick(testStart, PlacementRequest{}, nil, 2); len(got) != 0 {
 		t.Errorf("picked %v without candidates", got)
@@ -52,7 +52,7 @@
 		}
 	}
 	if got := p.Pick(testStart, PlacementRequest{}, list, 4); len(got) != 4 {
-		t.Errorf("picked %v", got)
+		t.Errorf("picked %v, want all 4 engines although 3 are ejected", got)
 	}
 }
 
@@ -86,11 +86,11 @@
 	list[1].Zone, list[1].Running = "other", 4
 	list[2].Zone, list[2].Running, list[2].Waiting = "own", 8, 20
 	if got := p.Pick(testStart, PlacementRequest{Zone: "own"}, list, 1)[0]; got != list[0].Name {
-		t.Errorf("picked %s", got)
+		t.Errorf("picked %s, want %s, the less loaded engine of the zone", got, list[0].Name)
 	}
 	list[0].ReportedAt = testStart.Add(-time.Hour)
 	list[2].ReportedAt = time.Time{}
 	if got := p.Pick(testStart, PlacementRequest{Zone: "other"}, list, 1)[0]; got != list[1].Name {
-		t.Errorf("picked %s", got)
+		t.Errorf("picked %s, want %s, the engine of the zone", got, list[1].Name)
 	}
 }
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -41,6 +41,9 @@
 	}
 }
 
+// TestFullQueueOfTopTier checks that a queue full of top-tier tickets refuses more
+// tickets of the customer that fills it, but neither those of other customers nor the
+// only ticket of a class or a resumed run.
 func TestFullQueueOfTopTier(t *testing.T) {
 	s := NewScheduler()
 	warmUp(s)
--- a/policy/scheduler_property_test.go
+++ b/policy/scheduler_property_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// resume hands in a request that ran in part before.
+// resume queues a request that was partially executed before.
 func (m *schedulerModel) resume(t *rapid.T) {
 	ticket := m.drawTicket(t)
 	m.Resume(m.now, ticket)
@@ -108,7 +108,7 @@
 	m.ended[id] = true
 }
 
-// sleep moves the clock on by up to five seconds.
+// sleep advances the clock by up to five seconds.
 func (m *schedulerModel) sleep(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond)
 }
@@ -209,8 +209,9 @@
 	})
 }
 
-// TestBoundedWait checks the bound that guarantee states: a class with a waiting ticket
-// is granted within it, for random run times up to the longest.
+// TestBoundedWait checks the bound on the wait that is documented at guarantee: a class
+// with a waiting ticket is granted a slot within it, for random run times up to the
+// longest.
 func TestBoundedWait(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
--- a/policy/simulated_engine_test.go
+++ b/policy/simulated_engine_test.go
@@ -122,8 +122,8 @@
 	e.runScheduler()
 }
 
-// preemptNext cancels the run that the scheduler names, if any. Its request waits
-// here again, to be resumed.
+// preemptNext cancels the run that the scheduler returns, if any, and queues its request
+// on this engine again, to be resumed.
 func (e *simulatedEngine) preemptNext() bool {
 	id, ok := e.scheduler.Preempt(e.sim.clock.now)
 	if !ok {
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -83,7 +83,8 @@
 	s.clock.runUntil(s.start.Add(d + tail))
 }
 
-// every calls check at each interval until a time since the start.
+// every calls check at each interval, with the time since the start, until that reaches
+// until.
 func (s *simulation) every(interval, until time.Duration, check func(since time.Duration)) {
 	s.clock.afterFunc(interval, func() {
 		since := s.clock.now.Sub(s.start)
@@ -187,7 +188,7 @@
 }
 
 // refused handles the refusal of a ticket. The request is offered to another engine;
-// when no ticket is left its caller is refused and retries once after the hint.
+// when no ticket is left its caller is refused and retries once, after its Retry-After.
 func (s *simulation) refused(e *simulatedEngine, r *request, d Decision) {
 	delete(r.ticketsAt, e)
 	r.refusals = append(r.refusals, d)
--- a/policy/straggler_test.go
+++ b/policy/straggler_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// schedulerWithFirstToken returns the scheduler of an engine on which four first
-// tokens took a time, and the time after them.
+// schedulerWithFirstToken returns the scheduler of an engine on which each of four runs
+// took firstToken to its first token, and the time after these runs.
 func schedulerWithFirstToken(firstToken time.Duration) (*Scheduler, time.Time) {
 	s, now := NewScheduler(), testStart
 	for range 4 {
@@ -56,8 +56,8 @@
 	return s, now
 }
 
-// TestDeferral checks for how long an engine that is likely to miss a ticket's target
-// leaves it to the other engines with a copy.
+// TestDeferral checks how long an engine that is likely to miss a ticket's target leaves
+// the ticket to the other engines with a copy.
 func TestDeferral(t *testing.T) {
 	for name, c := range map[string]struct {
 		firstToken time.Duration
--- a/policy/workload_test.go
+++ b/policy/workload_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// due returns what the tickets' deadline is for, and the target for it.
+// deadlineTarget returns the milestone of the tickets' deadline and the target for it.
 func (w workload) due() (Milestone, time.Duration) {
 	if w.firstToken > 0 {
 		return MilestoneFirstToken, w.firstToken
