--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -101,10 +101,10 @@
 	}
 }
 
-// TestLimitKeepsInterTokenLatency simulates overload by a class whose target for the
+// TestLimitKeepsTimeBetweenTokens simulates overload by a class whose target for the
 // time between tokens allows six streams, on an engine with a batch of sixteen: the limit
 // must settle at about six.
-func TestLimitKeepsInterTokenLatency(t *testing.T) {
+func TestLimitKeepsTimeBetweenTokens(t *testing.T) {
 	t.Parallel()
 	e := newFakeEngine(16)
 	sim := newSimulation(1, e)
--- a/policy/limit_probe_test.go
+++ b/policy/limit_probe_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// TestProbeKeepsInterTokenLatency simulates times between tokens that just meet the
+// TestProbeKeepsTimeBetweenTokens simulates times between tokens that just meet the
 // target with eight streams and miss it with more: no probe of a higher limit may
 // succeed.
-func TestProbeKeepsInterTokenLatency(t *testing.T) {
+func TestProbeKeepsTimeBetweenTokens(t *testing.T) {
 	const target = 48 * time.Millisecond
 	s := NewScheduler()
 	s.limiter.ramping = false
