--- a/policy/baseline.go
+++ b/policy/baseline.go
@@ -7,8 +7,8 @@
 
 const (
 	// baselineWindow is how long a minimum is valid: it is replaced after one to
-	// two windows. The window is longer than runs wait inside an engine that is
-	// filled by other load, because that wait would otherwise become the
+	// two windows. The window is longer than the time for which other load makes
+	// runs wait inside the engine, because their wait would otherwise become the
 	// baseline. An engine that becomes permanently slower is judged by its new
 	// speed once the old minimum has been replaced.
 	baselineWindow = 5 * time.Minute
--- a/policy/concurrency_limiter.go
+++ b/policy/concurrency_limiter.go
@@ -74,8 +74,8 @@
 	// streaming is the number of runs that have produced a first token and
 	// haven't ended.
 	streaming int
-	// firstTokensSinceNonePending is the number of first tokens since no run was
-	// waiting for its first token.
+	// firstTokensSinceNonePending counts first tokens; it is reset when no run
+	// waits for its first token.
 	firstTokensSinceNonePending int
 }
 
--- a/policy/model_move.go
+++ b/policy/model_move.go
@@ -10,7 +10,7 @@
 	ActiveRequests int
 }
 
-// ModelMove orders an engine to load another model.
+// ModelMove is an order to an engine to load another model.
 type ModelMove struct {
 	Engine string
 	Model  string
--- a/policy/simulated_engine_test.go
+++ b/policy/simulated_engine_test.go
@@ -10,7 +10,7 @@
 	scheduler *Scheduler
 	waiting   map[string]*request
 	running   map[string]*request
-	// nextWake is when the scheduler is run next; zero if that isn't set.
+	// nextWake is when the scheduler is run next; zero if no wake-up is scheduled.
 	nextWake time.Time
 	// lastReport is the load that entries know of.
 	lastReport Candidate
--- a/policy/wake.go
+++ b/policy/wake.go
@@ -25,8 +25,8 @@
 	return wake.at, !wake.at.IsZero()
 }
 
-// nextOverdue returns when the first urgent run without a first token exceeds the
-// delay that is normal for the engine.
+// nextOverdue returns when the first token of the next urgent run becomes overdue,
+// and false if no run waits for one.
 func (s *Scheduler) nextOverdue() (time.Time, bool) {
 	var first earliest
 	for _, r := range s.running.awaitingFirstToken {
@@ -39,7 +39,7 @@
 }
 
 // nextGuaranteedGrant returns when the starvation guarantee may grant a currently
-// free slot to a class.
+// free slot to a class, and false if there is no such slot or class.
 func (s *Scheduler) nextGuaranteedGrant(now time.Time) (time.Time, bool) {
 	limit := s.limiter.limit
 	class := s.queue.longestWaitingClass()
@@ -54,7 +54,7 @@
 }
 
 // nextOverflow returns when the next waiting urgent ticket may exceed the
-// concurrency limit or preempt a run.
+// concurrency limit or preempt a run, and false if none will.
 func (s *Scheduler) nextOverflow(now time.Time) (time.Time, bool) {
 	var first earliest
 	for _, tier := range s.queue.tiers[:lastUrgentTier+1] {
