--- a/policy/simulated_engine_test.go
+++ b/policy/simulated_engine_test.go
@@ -24,7 +24,7 @@
 		e.drop(id)
 	}
 	if !decision.Admitted {
-		e.sim.refused(e, r, decision)
+		e.sim.handleRefusal(e, r, decision)
 		return
 	}
 	e.waiting[r.id] = r
@@ -36,7 +36,7 @@
 	r := e.waiting[id]
 	delete(e.waiting, id)
 	retryAfter := e.scheduler.RetryAfter(e.sim.clock.now, r.workload.tier)
-	e.sim.refused(e, r, Decision{RetryAfter: retryAfter})
+	e.sim.handleRefusal(e, r, Decision{RetryAfter: retryAfter})
 }
 
 // runScheduler carries out all decisions that are due and sets the next wake-up.
@@ -81,7 +81,7 @@
 	r.granted = true
 	delete(e.waiting, r.id)
 	e.running[r.id] = r
-	e.sim.granted(e, r)
+	e.sim.handleGrant(e, r)
 	e.scheduler.Started(now, r.id)
 	r.run++
 	r.runStart = now
@@ -118,7 +118,7 @@
 	e.engine.release()
 	delete(e.running, r.id)
 	e.scheduler.Finished(e.sim.clock.now, r.id, OutcomeComplete)
-	e.sim.completed(r)
+	e.sim.handleCompletion(r)
 	e.runScheduler()
 }
 
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -169,9 +169,9 @@
 	}
 }
 
-// granted withdraws the other tickets of a request that engine by has granted, and
+// handleGrant withdraws the other tickets of a request that engine by has granted, and
 // records how long it waited.
-func (s *simulation) granted(by *simulatedEngine, r *request) {
+func (s *simulation) handleGrant(by *simulatedEngine, r *request) {
 	for e := range r.ticketsAt {
 		if e != by {
 			e.scheduler.Withdraw(r.id)
@@ -187,9 +187,9 @@
 	s.updateStats(r, func(stats *requestStats) { stats.longestWait = max(stats.longestWait, wait) })
 }
 
-// refused handles the refusal of a ticket. The request is offered to another engine;
+// handleRefusal handles the refusal of a ticket. The request is offered to another engine;
 // when no ticket is left its caller is refused and retries once, after its Retry-After.
-func (s *simulation) refused(e *simulatedEngine, r *request, d Decision) {
+func (s *simulation) handleRefusal(e *simulatedEngine, r *request, d Decision) {
 	delete(r.ticketsAt, e)
 	r.refusals = append(r.refusals, d)
 	if !r.granted && (len(r.refusals) < maxRefusals || r.workload.tier == TopTier) {
@@ -216,8 +216,8 @@
 	})
 }
 
-// completed counts a request whose complete response was generated.
-func (s *simulation) completed(r *request) {
+// handleCompletion counts a request whose complete response was generated.
+func (s *simulation) handleCompletion(r *request) {
 	now := s.clock.now
 	onTime := !r.late(now)
 	since := now.Sub(s.start)
