--- a/policy/placer_test.go
+++ b/policy/placer_test.go
@@ -32,11 +32,11 @@
 	for range ejectAfterFailures {
 		ejector.Observe(testStart, list[2].Name, OutcomeFailed)
 	}
-	want := PlacementRequest{Exclude: []string{list[3].Name}}
-	got := p.Pick(testStart, want, list, 6)
+	request := PlacementRequest{Exclude: []string{list[3].Name}}
+	got := p.Pick(testStart, request, list, 6)
 	slices.Sort(got)
 	if !slices.Equal(got, []string{list[4].Name, list[5].Name}) {
-		t.Errorf("picked %v", got)
+		t.Errorf("picked %v, want only the usable engines %s and %s", got, list[4].Name, list[5].Name)
 	}
 	if got := p.Pick(testStart, PlacementRequest{}, nil, 2); len(got) != 0 {
 		t.Errorf("picked %v without candidates", got)
@@ -52,7 +52,7 @@
 		}
 	}
 	if got := p.Pick(testStart, PlacementRequest{}, list, 4); len(got) != 4 {
-		t.Errorf("picked %v", got)
+		t.Errorf("picked %v, want all 4 engines although 3 are ejected", got)
 	}
 }
 
@@ -62,10 +62,10 @@
 	for i := range list {
 		list[i].Running = 4
 	}
-	want := PlacementRequest{Prefix: 42}
-	home := p.Pick(testStart, want, list, 2)[0]
+	request := PlacementRequest{Prefix: 42}
+	home := p.Pick(testStart, request, list, 2)[0]
 	for range 20 {
-		if got := p.Pick(testStart, want, list, 2)[0]; got != home {
+		if got := p.Pick(testStart, request, list, 2)[0]; got != home {
 			t.Fatalf("prefix moved from %s to %s while its engine has room", home, got)
 		}
 	}
@@ -74,7 +74,7 @@
 			list[i].Waiting = 8
 		}
 	}
-	if got := p.Pick(testStart, want, list, 2); slices.Contains(got, home) {
+	if got := p.Pick(testStart, request, list, 2); slices.Contains(got, home) {
 		t.Errorf("prefix still goes to its full engine: picked %v", got)
 	}
 }
@@ -86,11 +86,11 @@
 	list[1].Zone, list[1].Running = "other", 4
 	list[2].Zone, list[2].Running, list[2].Waiting = "own", 8, 20
 	if got := p.Pick(testStart, PlacementRequest{Zone: "own"}, list, 1)[0]; got != list[0].Name {
-		t.Errorf("picked %s", got)
+		t.Errorf("picked %s, want %s, the less loaded engine of the zone", got, list[0].Name)
 	}
 	list[0].ReportedAt = testStart.Add(-time.Hour)
 	list[2].ReportedAt = time.Time{}
 	if got := p.Pick(testStart, PlacementRequest{Zone: "other"}, list, 1)[0]; got != list[1].Name {
-		t.Errorf("picked %s", got)
+		t.Errorf("picked %s, want %s, the engine of the zone", got, list[1].Name)
 	}
 }
--- a/policy/queued_ticket.go
+++ b/policy/queued_ticket.go
@@ -15,7 +15,7 @@
 	// target.
 	latestStart time.Time
 	// expiresAt is when Queue.expire handles the ticket: at latestStart, or for a
-	// late ticket when it is given up.
+	// late ticket maxLateWait after its arrival.
 	expiresAt time.Time
 	// resumed tickets neither expire nor are displaced, because their caller
 	// already has a part of the response.
@@ -56,9 +56,9 @@
 	return !w.resumed && !w.expiresAt.IsZero()
 }
 
-// hasNoLatestStart reports whether the ticket has no latest start that can still
-// be met.
-func (w *queuedTicket) hasNoLatestStart() bool {
+// hasInfiniteSlack reports whether the ticket is ordered behind all others: it has
+// no latest start, or has missed it.
+func (w *queuedTicket) hasInfiniteSlack() bool {
 	return w.late || w.latestStart.IsZero()
 }
 
--- a/policy/scheduler_property_test.go
+++ b/policy/scheduler_property_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// resume hands in a request that ran in part before.
+// resume queues a request that was partially executed before.
 func (m *schedulerModel) resume(t *rapid.T) {
 	ticket := m.drawTicket(t)
 	m.Resume(m.now, ticket)
@@ -108,7 +108,7 @@
 	m.ended[id] = true
 }
 
-// sleep moves the clock on by up to five seconds.
+// sleep advances the clock by up to five seconds.
 func (m *schedulerModel) sleep(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond)
 }
@@ -147,9 +147,9 @@
 	}
 	delete(m.waiting, ticket.ID)
 	m.running[ticket.ID] = ticket
-	asGuaranteed := m.guarantee.running > guaranteedBefore
+	guaranteed := m.guarantee.running > guaranteedBefore
 	for _, other := range m.waiting {
-		if other.Tier < ticket.Tier && !asGuaranteed {
+		if other.Tier < ticket.Tier && !guaranteed {
 			t.Fatalf("tier %d granted before tier %d", ticket.Tier, other.Tier)
 		}
 	}
@@ -181,9 +181,9 @@
 // deferred reports whether the next ticket is deferred to other engines that have
 // a copy of it, which is allowed for less than likelyLateDeferral.
 func (m *schedulerModel) deferred() bool {
-	_, held := m.nextDeferralEnd(m.now)
+	_, isDeferred := m.nextDeferralEnd(m.now)
 	w := m.queue.next().head()
-	return held && w.ticket.Copies > 1 && m.now.Sub(w.ticket.Arrived) < likelyLateDeferral
+	return isDeferred && w.ticket.Copies > 1 && m.now.Sub(w.ticket.Arrived) < likelyLateDeferral
 }
 
 // TestSchedulerProperties checks, for random calls, that no ticket is both granted and
@@ -209,8 +209,9 @@
 	})
 }
 
-// TestBoundedWait checks the bound that guarantee states: a class with a waiting ticket
-// is granted within it, for random run times up to the longest.
+// TestBoundedWait checks the bound on the wait that is documented at guarantee: a class
+// with a waiting ticket is granted a slot within it, for random run times up to the
+// longest.
 func TestBoundedWait(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
--- a/policy/simulated_engine_test.go
+++ b/policy/simulated_engine_test.go
@@ -10,7 +10,7 @@
 	scheduler *Scheduler
 	waiting   map[string]*request
 	running   map[string]*request
-	// nextWake is when the scheduler is run next; zero if that isn't set.
+	// nextWake is when the scheduler is run next; zero if no wake-up is scheduled.
 	nextWake time.Time
 	// lastReport is the load that entries know of.
 	lastReport Candidate
@@ -24,7 +24,7 @@
 		e.drop(id)
 	}
 	if !decision.Admitted {
-		e.sim.refused(e, r, decision)
+		e.sim.handleRefusal(e, r, decision)
 		return
 	}
 	e.waiting[r.id] = r
@@ -35,8 +35,8 @@
 func (e *simulatedEngine) drop(id string) {
 	r := e.waiting[id]
 	delete(e.waiting, id)
-	hint := e.scheduler.RetryAfter(e.sim.clock.now, r.workload.tier)
-	e.sim.refused(e, r, Decision{RetryAfter: hint})
+	retryAfter := e.scheduler.RetryAfter(e.sim.clock.now, r.workload.tier)
+	e.sim.handleRefusal(e, r, Decision{RetryAfter: retryAfter})
 }
 
 // runScheduler carries out all decisions that are due and sets the next wake-up.
@@ -81,7 +81,7 @@
 	r.granted = true
 	delete(e.waiting, r.id)
 	e.running[r.id] = r
-	e.sim.granted(e, r)
+	e.sim.handleGrant(e, r)
 	e.scheduler.Started(now, r.id)
 	r.run++
 	r.runStart = now
@@ -118,12 +118,12 @@
 	e.engine.release()
 	delete(e.running, r.id)
 	e.scheduler.Finished(e.sim.clock.now, r.id, OutcomeComplete)
-	e.sim.completed(r)
+	e.sim.handleCompletion(r)
 	e.runScheduler()
 }
 
-// preemptNext cancels the run that the scheduler names, if any. Its request waits
-// here again, to be resumed.
+// preemptNext cancels the run that the scheduler returns, if any, and queues its request
+// on this engine again, to be resumed.
 func (e *simulatedEngine) preemptNext() bool {
 	id, ok := e.scheduler.Preempt(e.sim.clock.now)
 	if !ok {
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -83,7 +83,8 @@
 	s.clock.runUntil(s.start.Add(d + tail))
 }
 
-// every calls check at each interval until a time since the start.
+// every calls check at each interval, with the time since the start, until that reaches
+// until.
 func (s *simulation) every(interval, until time.Duration, check func(since time.Duration)) {
 	s.clock.afterFunc(interval, func() {
 		since := s.clock.now.Sub(s.start)
@@ -168,9 +169,9 @@
 	}
 }
 
-// granted withdraws the other tickets of a request that engine by has granted, and
+// handleGrant withdraws the other tickets of a request that engine by has granted, and
 // records how long it waited.
-func (s *simulation) granted(by *simulatedEngine, r *request) {
+func (s *simulation) handleGrant(by *simulatedEngine, r *request) {
 	for e := range r.ticketsAt {
 		if e != by {
 			e.scheduler.Withdraw(r.id)
@@ -186,9 +187,9 @@
 	s.updateStats(r, func(stats *requestStats) { stats.longestWait = max(stats.longestWait, wait) })
 }
 
-// refused handles the refusal of a ticket. The request is offered to another engine;
-// when no ticket is left its caller is refused and retries once after the hint.
-func (s *simulation) refused(e *simulatedEngine, r *request, d Decision) {
+// handleRefusal handles the refusal of a ticket. The request is offered to another engine;
+// when no ticket is left its caller is refused and retries once, after its Retry-After.
+func (s *simulation) handleRefusal(e *simulatedEngine, r *request, d Decision) {
 	delete(r.ticketsAt, e)
 	r.refusals = append(r.refusals, d)
 	if !r.granted && (len(r.refusals) < maxRefusals || r.workload.tier == TopTier) {
@@ -197,13 +198,13 @@
 	if r.granted || len(r.ticketsAt) > 0 || r.retried {
 		return
 	}
-	hint := CombineRetryAfter(r.refusals)
+	retryAfter := CombineRetryAfter(r.refusals)
 	s.updateStats(r, func(stats *requestStats) {
 		stats.refused++
 		stats.retries++
-		stats.totalRetryAfter += hint
+		stats.totalRetryAfter += retryAfter
 	})
-	s.clock.afterFunc(hint, func() {
+	s.clock.afterFunc(retryAfter, func() {
 		r.retried = true
 		r.retriedInBurst = s.clock.now.Sub(s.start) < s.burstEnd
 		if r.retriedInBurst {
@@ -215,8 +216,8 @@
 	})
 }
 
-// completed counts a request whose complete response was generated.
-func (s *simulation) completed(r *request) {
+// handleCompletion counts a request whose complete response was generated.
+func (s *simulation) handleCompletion(r *request) {
 	now := s.clock.now
 	onTime := !r.late(now)
 	since := now.Sub(s.start)
