--- a/internal/gateway/backend/registry.go
+++ b/internal/gateway/backend/registry.go
@@ -89,7 +89,7 @@
 func (r *Registry) ReplaceAll(now time.Time, entries []Info, unreadable []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.storeAnswered(now)
+	r.endStoreOutage(now)
 	listed := make(map[string]bool, len(entries))
 	r.deleteAll(now, unreadable)
 	for _, info := range entries {
@@ -126,7 +126,7 @@
 func (r *Registry) ApplyChanges(now time.Time, changed []Info, removed, unreadable []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.storeAnswered(now)
+	r.endStoreOutage(now)
 	r.deleteAll(now, unreadable)
 	for _, info := range changed {
 		r.applyFromStore(now, info)
@@ -194,11 +194,11 @@
 func (r *Registry) MarkStoreAvailable(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.storeAnswered(now)
+	r.endStoreOutage(now)
 }
 
-// storeAnswered ends an outage of the store. r.mu must be held.
-func (r *Registry) storeAnswered(now time.Time) {
+// endStoreOutage ends an outage of the store. r.mu must be held.
+func (r *Registry) endStoreOutage(now time.Time) {
 	if r.storeDown {
 		r.storeDown = false
 		r.storeRecoveredAt = now
--- a/internal/gateway/router/attempt.go
+++ b/internal/gateway/router/attempt.go
@@ -72,7 +72,7 @@
 // handleSendError returns the result of an attempt that got no response after the request was sent.
 func (c *call) handleSendError(ctx context.Context, server string) attemptResult {
 	c.mayHaveRun = true
-	if c.checkCallerLeft() {
+	if c.endIfDisconnected() {
 		return resultFinal
 	}
 	if ctx.Err() == nil {
--- a/internal/gateway/router/buffered_response.go
+++ b/internal/gateway/router/buffered_response.go
@@ -37,7 +37,7 @@
 	tracked.responseStarted()
 	body, err := readLimited(response, maxBufferedResponse)
 	if err != nil {
-		return c.resultAfterReadError()
+		return c.brokenResponseResult()
 	}
 	buffered := &bufferedResponse{status: response.Status, header: c.router.Dialect.CallerHeaders(response.Header), body: body, contentLength: response.Header.Get("Content-Length")}
 	c.firstByteLatency = time.Since(c.arrivedAt)
@@ -65,21 +65,21 @@
 	}
 }
 
-// resultAfterReadError returns the result of an attempt whose response broke off.
-func (c *call) resultAfterReadError() attemptResult {
-	if c.checkCallerLeft() {
+// brokenResponseResult returns the result of an attempt whose response broke off.
+func (c *call) brokenResponseResult() attemptResult {
+	if c.endIfDisconnected() {
 		return resultFinal
 	}
 	return resultUnknown
 }
 
-// checkCallerLeft reports whether the caller has disconnected, and if so, reports the end of the
+// endIfDisconnected reports whether the caller has disconnected, and if so, reports the end of the
 // request.
-func (c *call) checkCallerLeft() bool {
+func (c *call) endIfDisconnected() bool {
 	if c.req.Context().Err() == nil {
 		return false
 	}
-	c.callerGone = true
+	c.callerDisconnected = true
 	c.reportEnd(0, ReasonCallerLeft)
 	return true
 }
--- a/internal/gateway/router/call.go
+++ b/internal/gateway/router/call.go
@@ -45,22 +45,22 @@
 	stateVersion uint64
 	// serverID is the server that was chosen last. At that time its first token was expected after
 	// expectedFirstToken.
-	serverID           string
-	expectedFirstToken time.Duration
+	serverID     string
+	expectedTTFT time.Duration
 	// prefillTokens is how many tokens of the prompt that server was expected to compute, after
-	// tokensAhead tokens of other requests.
-	prefillTokens, tokensAhead int
+	// otherTokensAhead tokens of other requests.
+	prefillTokens, otherTokensAhead int
 	// meanTokens is the prompt length by which the request is admitted: about the mean of its
 	// route.
 	meanTokens float64
 	body       []byte
-	// bodyRead is set once the body has been read, or reading it has failed.
-	bodyRead bool
-	// bodyLate is set if the body was not complete by the deadline.
-	bodyLate bool
-	// callerGone is set if the caller disconnected before it got a response.
-	callerGone bool
-	service    string
+	// bodyReadStarted is set once the body has been read, or reading it has failed.
+	bodyReadStarted bool
+	// bodyTimedOut is set if the body was not complete by the deadline.
+	bodyTimedOut bool
+	// callerDisconnected is set if the caller disconnected before it got a response.
+	callerDisconnected bool
+	service            string
 
 	// sharedSegments are the segments of the prompt that other requests share. fetchFrom is the
 	// address from which the chosen server should fetch those that it has not cached; empty for
@@ -120,7 +120,7 @@
 		case resultFinal:
 			return
 		case resultTruncated:
-			c.abortStream()
+			c.abortResponse()
 		}
 		if !c.mayRetry(ctx, result) {
 			c.respondFinalFailure()
--- a/internal/gateway/router/call_test.go
+++ b/internal/gateway/router/call_test.go
@@ -11,7 +11,7 @@
 
 // Guards against callers that send wrong segment lengths: a segment that ended beyond the prompt
 // would make the number of remaining tokens negative.
-func TestSharedPartsClampedToPrompt(t *testing.T) {
+func TestSharedSegmentsClampedToPrompt(t *testing.T) {
 	segments := []protocol.PromptSegment{{ID: 1, Tokens: 500}, {ID: 2, Tokens: math.MaxInt - 600}, {ID: 3, Tokens: math.MaxInt}, {ID: 4, Tokens: 10}}
 	want := []policy.PrefixSegment{{ID: 1, End: 500}, {ID: 2, End: 2000}, {ID: 3, End: 2000}}
 	if got := clampSharedSegments(segments, 2000); !reflect.DeepEqual(got, want) {
--- a/internal/gateway/router/choose.go
+++ b/internal/gateway/router/choose.go
@@ -22,8 +22,8 @@
 	if !choice.Found {
 		return nil, choice
 	}
-	c.serverID, c.expectedFirstToken = servers[choice.Index].Info().ID, choice.ExpectedTTFT
-	c.prefillTokens, c.tokensAhead = choice.PrefillTokens, int(choice.TokensAhead)-choice.PrefillTokens
+	c.serverID, c.expectedTTFT = servers[choice.Index].Info().ID, choice.ExpectedTTFT
+	c.prefillTokens, c.otherTokensAhead = choice.PrefillTokens, int(choice.TokensAhead)-choice.PrefillTokens
 	c.fetchFrom = ""
 	if choice.Fetches {
 		c.fetchFrom = servers[choice.FetchFrom].Info().Addr
--- a/internal/gateway/router/config.go
+++ b/internal/gateway/router/config.go
@@ -133,8 +133,8 @@
 }
 
 // Late reports whether the request missed one of its route's targets.
-func (e *RequestResult) Late() bool {
-	return e.LatencyTarget > 0 && e.FirstByteLatency > e.LatencyTarget || e.PauseTarget > 0 && e.LongestPause > e.PauseTarget
+func (r *RequestResult) Late() bool {
+	return r.LatencyTarget > 0 && r.FirstByteLatency > r.LatencyTarget || r.PauseTarget > 0 && r.LongestPause > r.PauseTarget
 }
 
 // Reason is why a request ended as it did. It appears in error responses, logs and metrics.
--- a/internal/gateway/router/config_test.go
+++ b/internal/gateway/router/config_test.go
@@ -8,8 +8,8 @@
 func TestLateForEitherTarget(t *testing.T) {
 	const target, pauseTarget = 500 * time.Millisecond, 200 * time.Millisecond
 	cases := map[string]struct {
-		end  RequestResult
-		late bool
+		result RequestResult
+		late   bool
 	}{
 		"in time":         {RequestResult{LatencyTarget: target, FirstByteLatency: target, PauseTarget: pauseTarget, LongestPause: pauseTarget}, false},
 		"late first byte": {RequestResult{LatencyTarget: target, FirstByteLatency: target + 1, PauseTarget: pauseTarget}, true},
@@ -17,8 +17,8 @@
 		"without targets": {RequestResult{FirstByteLatency: time.Hour, LongestPause: time.Hour}, false},
 	}
 	for name, c := range cases {
-		if c.end.Late() != c.late {
-			t.Errorf("%s: late is %v", name, c.end.Late())
+		if c.result.Late() != c.late {
+			t.Errorf("%s: late is %v", name, c.result.Late())
 		}
 	}
 }
--- a/internal/gateway/router/policy_state_test.go
+++ b/internal/gateway/router/policy_state_test.go
@@ -57,11 +57,11 @@
 	}
 	// Observations of this gateway are sent to the others.
 	r.recordUnanswered("c")
-	if news := r.TakeUpdates(); len(news.Unanswered) != 1 || news.Unanswered[0] != policy.KeyOf("c") {
-		t.Errorf("updates name %v after c did not respond to a request", news.Unanswered)
+	if updates := r.TakeUpdates(); len(updates.Unanswered) != 1 || updates.Unanswered[0] != policy.KeyOf("c") {
+		t.Errorf("updates name %v after c did not respond to a request", updates.Unanswered)
 	}
-	if news := r.TakeUpdates(); len(news.Unanswered) != 0 {
-		t.Errorf("updates name %v a second time", news.Unanswered)
+	if updates := r.TakeUpdates(); len(updates.Unanswered) != 0 {
+		t.Errorf("updates name %v a second time", updates.Unanswered)
 	}
 }
 
--- a/internal/gateway/router/refuse.go
+++ b/internal/gateway/router/refuse.go
@@ -15,9 +15,9 @@
 // error that leaves open whether it ran.
 func (c *call) respondFinalFailure() {
 	switch {
-	case c.checkCallerLeft():
+	case c.endIfDisconnected():
 	case c.stream.headerSent:
-		c.abortStream()
+		c.abortResponse()
 	case c.serverFailure != nil:
 		c.writeBuffered(c.serverFailure)
 		c.reportEnd(c.serverFailure.status, ReasonServerFailure)
@@ -58,16 +58,16 @@
 		_, _ = c.w.Write([]byte(string(reason) + "\n"))
 		c.reportEnd(status, reason)
 	}
-	if c.bodyRead && !c.bodyLate {
+	if c.bodyReadStarted && !c.bodyTimedOut {
 		writeResponse()
 		return
 	}
-	unread.Respond(c.w, c.req, c.bodyLate, writeResponse)
+	unread.Respond(c.w, c.req, c.bodyTimedOut, writeResponse)
 }
 
-// abortStream closes the connection of a stream that cannot be completed, so that the caller does
+// abortResponse closes the connection of a stream that cannot be completed, so that the caller does
 // not take it for complete.
-func (c *call) abortStream() {
+func (c *call) abortResponse() {
 	c.reportEnd(0, ReasonStreamBroken)
 	if !c.req.ProtoAtLeast(1, 1) {
 		// In HTTP/1.0, a normal close of the connection is the end of a response without a length,
@@ -81,8 +81,8 @@
 func (c *call) reportEnd(status int, reason Reason) {
 	result := RequestResult{
 		ID: c.params.ID, Service: c.service, Customer: c.customer, Urgency: c.urgency,
-		Status: status, Reason: reason, Sends: c.sends, FailedDials: c.failedDials, Server: c.serverID, ExpectedTTFT: c.expectedFirstToken,
-		PromptTokens: c.params.PromptTokens, MeanTokens: int(c.meanTokens), PrefillTokens: c.prefillTokens, TokensAhead: c.tokensAhead,
+		Status: status, Reason: reason, Sends: c.sends, FailedDials: c.failedDials, Server: c.serverID, ExpectedTTFT: c.expectedTTFT,
+		PromptTokens: c.params.PromptTokens, MeanTokens: int(c.meanTokens), PrefillTokens: c.prefillTokens, TokensAhead: c.otherTokensAhead,
 		StateVersion: c.stateVersion, StateAge: boottime.Now() - c.router.Holder.ConfirmedAt(),
 		FirstByteLatency: c.firstByteLatency, LongestPause: c.stream.longestPause, Duration: time.Since(c.arrivedAt),
 		Connection: callers.ConnStatusOf(c.req.Context()),
--- a/internal/gateway/router/router.go
+++ b/internal/gateway/router/router.go
@@ -71,7 +71,7 @@
 	if r.closeConnections() {
 		w.Header().Set("Connection", "close")
 	}
-	if !c.admit() {
+	if !c.matchAndAuthorize() {
 		return
 	}
 	reserved, ok := r.memory.acquire(req.ContentLength, r.Bounds().MaxRequestMemory)
@@ -88,16 +88,16 @@
 	ctx, cancel := context.WithDeadline(req.Context(), c.deadline)
 	defer cancel()
 	c.run(ctx)
-	if c.callerGone {
+	if c.callerDisconnected {
 		// If the handler returned without a response, net/http would send a 200 to a caller that
 		// has closed only its sending side.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// admit finds the request's route and customer. If the request cannot be served, it responds and
+// matchAndAuthorize finds the request's route and customer. If the request cannot be served, it responds and
 // reports false.
-func (c *call) admit() bool {
+func (c *call) matchAndAuthorize() bool {
 	r := c.router
 	snapshot := r.Holder.Current()
 	if snapshot == nil {
@@ -181,7 +181,7 @@
 	if c.bodyLimit > 0 {
 		body = http.MaxBytesReader(c.w, c.req.Body, c.bodyLimit)
 	}
-	c.bodyRead = true
+	c.bodyReadStarted = true
 	// net/http clears the read deadline when the end of the body has been read.
 	_ = http.NewResponseController(c.w).SetReadDeadline(c.deadline)
 	var err error
@@ -193,7 +193,7 @@
 	case errors.As(err, &tooLarge):
 		c.respondError(http.StatusRequestEntityTooLarge, ReasonBodyTooLarge)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.bodyLate = true
+		c.bodyTimedOut = true
 		c.respondError(http.StatusRequestTimeout, ReasonBodyTimeout)
 	default:
 		c.reportEnd(0, ReasonBodyIncomplete)
--- a/internal/gateway/router/stream.go
+++ b/internal/gateway/router/stream.go
@@ -30,7 +30,7 @@
 			if events := splitter.add(buffer[:n]); len(events) > 0 {
 				tracked.responseStarted()
 				if !c.sendEvents(response, events) {
-					return c.resultAfterReadError()
+					return c.brokenResponseResult()
 				}
 				splitter.consume(len(events))
 			}
@@ -45,7 +45,7 @@
 		case errors.Is(err, io.EOF):
 			return resultUnknown
 		default:
-			return c.resultAfterReadError()
+			return c.brokenResponseResult()
 		}
 	}
 }
