--- a/internal/gateway/router/attempt.go
+++ b/internal/gateway/router/attempt.go
@@ -40,6 +40,7 @@
 	c.triedServers = append(c.triedServers, info.ID)
 	remaining := time.Until(c.deadline)
 	if remaining <= 0 {
+		// Nothing is sent. The final response depends on mayHaveRun, which stays as it is.
 		return resultUnknown
 	}
 	tracked := &trackedRequest{InFlight: server.Load.Track(c.urgency, c.router.planPrefill(c, choice)), call: c, tokensAhead: choice.TokensAhead, sentAt: time.Now()}
@@ -93,6 +94,7 @@
 		_, _ = readLimited(response, maxRejectionBody)
 		return resultNotRun
 	case info.ContentEncoded, isSuccess(response.Status) && !info.Signed:
+		// The body is not the server's own bytes, or callers would not accept the response.
 		c.mayHaveRun = true
 		return resultUnknown
 	case isSuccess(response.Status) && c.route.Kind == routes.KindStream:
@@ -111,6 +113,7 @@
 	if c.stream.hasLastID {
 		attemptInfo.LastEventID = strconv.FormatInt(c.stream.lastID, 10)
 	}
+	// Idempotent requests may use any connection that the pool has kept.
 	maxIdle := time.Hour
 	if !c.route.Idempotent() {
 		maxIdle = maxIdleForUnsafe
@@ -126,7 +129,8 @@
 	}
 }
 
-// policyOutcome returns what an attempt says about the health of its server.
+// policyOutcome returns the outcome of an attempt for the Ejector. An attempt that the server did
+// not run, or that ended because ctx did, is no evidence of a failure.
 func (c *call) policyOutcome(ctx context.Context, result attemptResult) policy.Outcome {
 	switch {
 	case c.served:
--- a/internal/gateway/router/buffered_response.go
+++ b/internal/gateway/router/buffered_response.go
@@ -15,8 +15,8 @@
 	// is forwarded. If such a response breaks off, the request can be sent to another server, or
 	// the caller gets the right status. Longer responses are forwarded as they arrive.
 	maxBufferedResponse = 256 << 10
-	// maxRejectionBody bounds how much is read of the body of a response that says that the request
-	// did not run, in bytes.
+	// maxRejectionBody bounds the bytes read from the body of a response that reports that the
+	// request did not run.
 	maxRejectionBody = 16 << 10
 	// copyBufferSize is the size of the buffer with which longer responses are copied, in bytes.
 	copyBufferSize = 32 << 10
@@ -65,7 +65,8 @@
 	}
 }
 
-// brokenResponseResult returns the result of an attempt whose response broke off.
+// brokenResponseResult returns the result of an attempt whose response broke off or could not be
+// written to the caller.
 func (c *call) brokenResponseResult() attemptResult {
 	if c.endIfDisconnected() {
 		return resultFinal
@@ -105,7 +106,7 @@
 		c.w.Header().Set("Content-Length", length)
 	}
 	c.w.WriteHeader(buffered.status)
-	// If the write fails, the caller has disconnected, and nothing else is lost.
+	// If the write fails, the caller has disconnected.
 	_, _ = c.w.Write(buffered.body)
 }
 
@@ -126,6 +127,8 @@
 	c.w.WriteHeader(buffered.status)
 	_, err := c.w.Write(buffered.body)
 	if err == nil {
+		// The wrapper hides the ReadFrom method of c.w, with which io.CopyBuffer would not use the
+		// buffer.
 		_, err = io.CopyBuffer(struct{ io.Writer }{c.w}, response, make([]byte, copyBufferSize))
 	}
 	if err != nil {
@@ -136,7 +139,8 @@
 	return resultFinal
 }
 
-// readLimited reads the body up to its end, or up to limit+1 bytes.
+// readLimited reads the body up to its end, or up to limit+1 bytes if it is longer than limit. It
+// returns an error if the body breaks off before that.
 func readLimited(response *exchange.Response, limit int) ([]byte, error) {
 	if response.Length >= 0 && response.Length <= int64(limit) {
 		body := make([]byte, response.Length)
--- a/internal/gateway/router/call.go
+++ b/internal/gateway/router/call.go
@@ -38,50 +38,52 @@
 	params   protocol.RequestInfo
 	route    *routes.Route
 	customer string
-	// urgency ranges from 0, the most urgent, to protocol.Levels-1.
+	// urgency ranges from 0, the most urgent, to protocol.UrgencyLevels-1.
 	urgency   int
 	bodyLimit int64
 	// stateVersion is the version of the desired state under which the request is served.
 	stateVersion uint64
-	// serverID is the server that was chosen last. At that time its first token was expected after
-	// expectedFirstToken.
+	// serverID is the id of the server that was chosen last, and expectedTTFT the time to its first
+	// token that was expected then.
 	serverID     string
 	expectedTTFT time.Duration
-	// prefillTokens is how many tokens of the prompt that server was expected to compute, after
-	// otherTokensAhead tokens of other requests.
+	// prefillTokens is how many tokens of the prompt that server was expected to prefill, and
+	// otherTokensAhead how many tokens of other requests it was expected to prefill first.
 	prefillTokens, otherTokensAhead int
-	// meanTokens is the prompt length by which the request is admitted: about the mean of its
-	// route.
+	// meanTokens is the prompt length, in tokens, that admission uses instead of the request's own:
+	// about the mean of its route. It is 0 without a prompt.
 	meanTokens float64
 	body       []byte
-	// bodyReadStarted is set once the body has been read, or reading it has failed.
+	// bodyReadStarted is set once reading the body has started.
 	bodyReadStarted bool
 	// bodyTimedOut is set if the body was not complete by the deadline.
 	bodyTimedOut bool
-	// callerDisconnected is set if the caller disconnected before it got a response.
+	// callerDisconnected is set if the caller was found to have disconnected before its response
+	// was complete.
 	callerDisconnected bool
-	service            string
+	// service is the service that was picked from the route's shares.
+	service string
 
 	// sharedSegments are the segments of the prompt that other requests share. fetchFrom is the
-	// address from which the chosen server should fetch those that it has not cached; empty for
-	// none.
+	// address of the server from which the chosen one should fetch those that it has not cached;
+	// empty for none.
 	sharedSegments []policy.PrefixSegment
 	fetchFrom      string
-	// triedServers lists the servers that the request was sent to, counted in sends, and those to
-	// which no connection could be opened, counted in failedDials.
+	// triedServers lists the ids of the servers that were tried. sends counts the attempts in which
+	// the request was sent, failedDials those in which no connection could be opened.
 	triedServers []string
 	sends        int
 	failedDials  int
-	// unreachable lists those of triedServers that may be tried again because only one connection
-	// attempt has failed.
+	// unreachable lists the servers in triedServers to which one connection attempt has failed. They
+	// are tried once more if no other server can take the request.
 	unreachable []string
 	// retriedUnreachable is set once the servers in unreachable have been made available for a
 	// second attempt.
 	retriedUnreachable bool
 	// mayHaveRun is set if a backend server may have run the request.
 	mayHaveRun bool
-	// serverFailure is a backend server's failure response. It is forwarded if no other server
-	// responds better.
+	// serverFailure is the last failure response of a backend server. It is forwarded if no other
+	// server serves the request.
 	serverFailure *bufferedResponse
 	stream        streamState
 	// serverEnded is set if the server of the last attempt ended while it had the request.
@@ -151,7 +153,8 @@
 }
 
 // mayRetry reports whether the request may be sent to another server after an attempt with the
-// given result. Unless the request was not sent, it takes an allowed retry from the retry budget.
+// given result. If the attempt sent the request, an allowed retry is taken from the service's retry
+// budget.
 func (c *call) mayRetry(ctx context.Context, result attemptResult) bool {
 	if ctx.Err() != nil {
 		return false
--- a/internal/gateway/router/choose.go
+++ b/internal/gateway/router/choose.go
@@ -31,8 +31,8 @@
 	return servers[choice.Index], choice
 }
 
-// chooseWithAvoidance chooses among the servers that the request does not have to avoid. If none of
-// these admits it, it chooses among all servers.
+// chooseWithAvoidance has the policy choose among the servers outside serversToAvoid. If the request
+// is not admitted at any of them, the policy chooses among all servers.
 func (c *call) chooseWithAvoidance(job policy.Job, loads []policy.Server, firstChoice bool) policy.Choice {
 	if avoided := c.serversToAvoid(loads); len(avoided) > 0 {
 		avoiding := job
@@ -55,8 +55,9 @@
 	return routes.Service{}
 }
 
-// admitted reports whether the request is admitted at the chosen server. A request that was sent
-// before always is: rejecting it would waste the time and work already spent.
+// admitted reports whether the request is admitted at the chosen server. Without a prompt, it needs
+// only capacity there. A request that was sent before is always admitted: rejecting it would waste
+// the time and work already spent.
 func (c *call) admitted(choice policy.Choice) bool {
 	return choice.InTime || c.sends > 0 || c.params.PromptTokens == 0 && choice.HasCapacity
 }
--- a/internal/gateway/router/config.go
+++ b/internal/gateway/router/config.go
@@ -14,11 +14,11 @@
 
 // Bounds holds the operator's bounds on a gateway.
 type Bounds struct {
-	// MaxStateAge is how long ago the desired state may have been confirmed to be the newest for
-	// requests with an API key to be served; 0 means no bound.
+	// MaxStateAge bounds the time since the desired state was last confirmed to be the newest.
+	// Beyond it, requests that require an API key or match no route are refused. 0 means no bound.
 	MaxStateAge time.Duration
-	// RetryRatio and RetryExtra bound the retries of a service within RetryWindow, over all
-	// gateways: RetryRatio for each request, plus RetryExtra.
+	// RetryRatio and RetryExtra bound the retries of a service within RetryWindow. All gateways
+	// together may send RetryRatio retries for each request, plus RetryExtra.
 	RetryRatio  float64
 	RetryExtra  float64
 	RetryWindow time.Duration
@@ -56,8 +56,9 @@
 	// rate limit, as policy.ServerLimits counts them.
 	LimitedSends(instance policy.Key) float64
 	// LiveGateways returns the number of gateways from which updates arrive, including this one.
-	// ReportInterval returns the longest time until requests that they send are visible here.
 	LiveGateways() int
+	// ReportInterval returns the longest time until requests that other gateways send are visible
+	// here.
 	ReportInterval() time.Duration
 }
 
@@ -108,9 +109,10 @@
 	ServerEnded bool
 	// ExpectedTTFT is the time to the first token that was expected when Server was chosen.
 	ExpectedTTFT time.Duration
-	// PromptTokens is the length of the prompt; 0 for services without prompts. The request was
-	// admitted by MeanTokens, the mean length of its route's prompts. Server was expected to
-	// compute PrefillTokens of the prompt, after TokensAhead tokens of other requests.
+	// PromptTokens is the length of the prompt in tokens; 0 for services without prompts. Admission
+	// used MeanTokens instead, which is about the mean of the route's prompts. Server was expected
+	// to prefill TokensAhead tokens of other requests and then PrefillTokens of this one; unlike
+	// policy.Choice.TokensAhead, TokensAhead excludes the latter.
 	PromptTokens  int
 	MeanTokens    int
 	PrefillTokens int
--- a/internal/gateway/router/event_splitter.go
+++ b/internal/gateway/router/event_splitter.go
@@ -31,8 +31,8 @@
 // pendingBytes returns the number of bytes that are not yet consumed.
 func (s *eventSplitter) pendingBytes() int { return len(s.pending) }
 
-// lastEventEnd returns the end of the last complete event, which is after an empty line, or 0 if
-// there is none.
+// lastEventEnd returns the offset at which the last complete event ends, or 0 if there is none. An
+// empty line ends an event.
 func lastEventEnd(p []byte) int {
 	end := 0
 	if index := bytes.LastIndex(p, []byte("\n\n")); index >= 0 {
@@ -44,7 +44,7 @@
 	return end
 }
 
-// nextEvent splits off the first event.
+// nextEvent splits off the first event. If none is complete, the event is all of p.
 func nextEvent(p []byte) (event, rest []byte) {
 	end := len(p)
 	if index := bytes.Index(p, []byte("\n\n")); index >= 0 {
--- a/internal/gateway/router/memory_limiter.go
+++ b/internal/gateway/router/memory_limiter.go
@@ -3,7 +3,7 @@
 import "sync/atomic"
 
 const (
-	// requestOverhead is the memory of a request in progress without its body, in bytes: the
+	// requestOverhead is the assumed memory of a request in progress without its body, in bytes: the
 	// goroutine's stack, the buffers of both connections and the headers.
 	requestOverhead = 32 << 10
 	// unknownBodySize is the size in bytes that is assumed for a body of unknown length.
@@ -17,8 +17,9 @@
 	bytes atomic.Int64
 }
 
-// acquire reserves memory for a request with a body of the given length, -1 if unknown. It reports
-// false if the total would exceed limit; a limit of 0 means none. All sizes are in bytes.
+// acquire reserves memory for a request with a body of the given length, -1 if unknown, and returns
+// the size to pass to release. It reports false if the total would exceed limit; a limit of 0 means
+// none. All sizes are in bytes.
 func (m *memoryLimiter) acquire(length, limit int64) (size int64, ok bool) {
 	if length < 0 {
 		length = unknownBodySize
@@ -31,5 +32,5 @@
 	return size, true
 }
 
-// release returns memory that acquire reserved.
+// release frees a reservation of the given size.
 func (m *memoryLimiter) release(size int64) { m.bytes.Add(-size) }
--- a/internal/gateway/router/policy_state.go
+++ b/internal/gateway/router/policy_state.go
@@ -7,8 +7,8 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// serverLoads returns the servers with the load of all gateways, as the policy takes them. The
-// bound on connections for each server is maxConns.
+// serverLoads returns the servers with the load of all gateways, as input for the policy. maxConns
+// is the number of connections that each server accepts; 0 if unknown.
 func (r *Router) serverLoads(servers []*backend.Server, maxConns int) []policy.Server {
 	loads := make([]policy.Server, len(servers))
 	now := time.Now()
@@ -26,8 +26,8 @@
 	return loads
 }
 
-// observePromptSize returns the prompt length by which a new request is admitted, which is about
-// the mean of its route, or 0 without a prompt. It then includes the request's own length in that
+// observePromptSize returns the prompt length, in tokens, that admission uses for a new request:
+// about the mean of its route, or 0 without a prompt. It then adds the request's own length to that
 // mean.
 func (r *Router) observePromptSize(service, route string, tokens int) float64 {
 	if tokens == 0 {
@@ -42,7 +42,7 @@
 }
 
 // planPrefill records that the request is sent to the chosen server, and returns when that server
-// is expected to process its prompt.
+// is expected to prefill its prompt.
 func (r *Router) planPrefill(c *call, choice policy.Choice) policy.PrefillPlan {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,11 +60,12 @@
 	now, otherGateways := time.Now(), float64(r.Peers.LiveGateways()-1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// Other gateways are assumed to receive as many requests as this one, which has no better
-	// estimate.
 	s := r.serviceFor(service)
+	// For lack of a better estimate, other gateways are assumed to send as many requests as this
+	// one.
 	requests, tokens := s.sendRate.Expected(now, r.Peers.ReportInterval(), job.Urgency)
-	// On average, updates from other gateways are half as old as they can be.
+	// Requests are counted over the whole interval between updates. Tokens are counted over half of
+	// it, the mean age of updates.
 	job.UnreportedRequests, job.UnreportedTokens, job.ReportAge = otherGateways*requests, otherGateways*tokens/2, r.Peers.ReportInterval()/2
 	job.UnreportedOffers, job.OtherGateways = offerCounts.Expected(r.Peers.ReportInterval()), otherGateways
 	ownCounts := s.offerCounter.Counts(now)
@@ -99,8 +100,9 @@
 	return countsByService
 }
 
-// observeFirstToken records the time to the first token, with tokensAhead tokens to process before
-// it. From now on the server counts as holding the shared segments of the prompt.
+// observeFirstToken records the time to the first token, before which tokensAhead tokens had to be
+// prefilled, the request's own included. From now on the server counts as having the shared segments
+// of the prompt cached.
 func (r *Router) observeFirstToken(c *call, tokensAhead float64, elapsed time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,7 +113,8 @@
 	r.unresponsive.RecordResponse(policy.KeyOf(c.serverID))
 }
 
-// observePause records the longest pause of a stream that came completely from one server.
+// observePause records the longest pause of a complete stream. It ignores streams that were sent to
+// several servers, and those with fewer than minPauses pauses.
 func (r *Router) observePause(c *call) {
 	if c.route.PauseTarget == 0 || c.sends > 1 || c.stream.pauseCount < minPauses {
 		return
@@ -217,7 +220,7 @@
 	}
 }
 
-// countRequest adds a request to the base of the service's retry budget.
+// countRequest counts a request, which adds to the retries that the service's retry budget allows.
 func (r *Router) countRequest(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/router/policy_state_test.go
+++ b/internal/gateway/router/policy_state_test.go
@@ -86,7 +86,7 @@
 	if counts := countChoices(r, 0); counts["b"] == 0 {
 		t.Errorf("chosen %v without a pause target", counts)
 	}
-	// After a restart, the server has no history.
+	// The pauses of a server that is no longer listed must not count after its restart.
 	r.ForgetServer("b")
 	if counts := countChoices(r, 120*time.Millisecond); counts["b"] == 0 {
 		t.Errorf("chosen %v, but b has restarted", counts)
--- a/internal/gateway/router/quarantine.go
+++ b/internal/gateway/router/quarantine.go
@@ -14,14 +14,15 @@
 // that crashes servers is not admitted again until it has been absent for a long time.
 const quarantineRetryAfter = time.Minute
 
-// fingerprint identifies requests for the same work. It leaves out the request id and the timeout,
-// which differ when a caller sends the same request again. The hash is cryptographic so that nobody
-// can construct a request with the fingerprint of another customer's.
+// fingerprint returns a hash that identifies requests for the same work. It leaves out the request id
+// and the timeout, which differ when a caller sends the same request again. The hash is cryptographic
+// so that nobody can construct a request with the fingerprint of another customer's.
 func (c *call) fingerprint() policy.Fingerprint {
 	if !c.fingerprintCached {
 		hash := sha256.New()
 		for _, part := range []string{c.req.Method, c.req.Host, c.req.RequestURI, c.customer} {
-			// Writing to a hash never fails. None of the parts contains a zero byte.
+			// Writing to a hash never fails. No part contains a zero byte, so the separators are
+			// unambiguous.
 			_, _ = io.WriteString(hash, part+"\x00")
 		}
 		_, _ = hash.Write(c.body)
@@ -55,8 +56,8 @@
 	}
 }
 
-// hasSuspects reports whether any request is suspected of crashing servers. If not, no fingerprints
-// are computed.
+// hasSuspects reports whether any request is suspected of crashing servers. If not, no fingerprint is
+// needed before an attempt.
 func (r *Router) hasSuspects() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/router/refuse.go
+++ b/internal/gateway/router/refuse.go
@@ -65,8 +65,8 @@
 	unread.Respond(c.w, c.req, c.bodyTimedOut, writeResponse)
 }
 
-// abortResponse closes the connection of a stream that cannot be completed, so that the caller does
-// not take it for complete.
+// abortResponse closes the caller's connection because its response cannot be completed, so that the
+// caller does not take it for complete. It panics with http.ErrAbortHandler.
 func (c *call) abortResponse() {
 	c.reportEnd(0, ReasonStreamBroken)
 	if !c.req.ProtoAtLeast(1, 1) {
@@ -77,7 +77,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// reportEnd tells the Observer how the request ended.
+// reportEnd reports to the Observer how the request ended. A status of 0 means that no response was
+// completed.
 func (c *call) reportEnd(status int, reason Reason) {
 	result := RequestResult{
 		ID: c.params.ID, Service: c.service, Customer: c.customer, Urgency: c.urgency,
--- a/internal/gateway/router/router.go
+++ b/internal/gateway/router/router.go
@@ -1,7 +1,7 @@
 // Package router proxies callers' requests to backend servers. It matches the route and the
-// customer, has the policy choose a server, sends the request, and retries it where that is certain
-// to do no harm. The names of HTTP headers are left to protocol.Dialect. Start reading at
-// Router.ServeHTTP.
+// customer, has the policy choose a server, sends the request, and retries it if it did not run or
+// may run more than once. protocol.Dialect defines the names of application-specific HTTP headers.
+// Start reading at Router.ServeHTTP.
 package router
 
 import (
@@ -34,8 +34,8 @@
 	Config
 	// mu guards the Chooser, the Ejector, the prefix index, Random and the policy state below:
 	// services, unresponsive, quarantine, limits and updates. It comes after the Registry's lock in
-	// the lock order. Peers and ListedGateways may be called, and lock, while it is held; no other
-	// lock is acquired then.
+	// the lock order. While it is held, Peers and ListedGateways may be called and may acquire locks
+	// of their own; no other lock is acquired.
 	mu               sync.Mutex
 	services         map[string]*serviceState
 	unresponsive     *policy.UnresponsiveServers
@@ -95,8 +95,8 @@
 	}
 }
 
-// matchAndAuthorize finds the request's route and customer. If the request cannot be served, it responds and
-// reports false.
+// matchAndAuthorize finds the request's route and customer. If the request cannot be served, it
+// responds and reports false.
 func (c *call) matchAndAuthorize() bool {
 	r := c.router
 	snapshot := r.Holder.Current()
@@ -155,6 +155,7 @@
 
 // requestHeaderSize returns the size of the request line and the headers in bytes.
 func requestHeaderSize(req *http.Request) int {
+	// The separators of a line: a colon and a space, or two spaces in the request line, and CRLF.
 	const lineOverhead = 4
 	n := len(req.Method) + len(req.RequestURI) + len(req.Proto) + len("Host") + len(req.Host) + 2*lineOverhead
 	for name, values := range req.Header {
@@ -172,7 +173,8 @@
 	return bound == 0 || boottime.Now()-r.Holder.ConfirmedAt() <= bound
 }
 
-// readBody reads the complete body. If that fails, it responds and reports false.
+// readBody reads the complete body. If that fails, it responds and reports false. If the body breaks
+// off, it panics with http.ErrAbortHandler instead.
 func (c *call) readBody() bool {
 	if c.req.Body == nil || c.req.Body == http.NoBody {
 		return true
--- a/internal/gateway/router/server_ended.go
+++ b/internal/gateway/router/server_ended.go
@@ -6,9 +6,9 @@
 	"github.com/applepier/applepier/internal/gateway/backend"
 )
 
-// serverHasEnded reports whether a server that broke off a response has ended, which shows in its
-// host refusing connections. If it has, all its requests are lost; if not, only this response is
-// affected.
+// serverHasEnded reports whether a server that broke off a response has ended: its host then refuses
+// connections to its address. If it has ended, all its requests are lost; if not, only this response
+// is affected.
 func (c *call) serverHasEnded(server *backend.Server) bool {
 	if server.HasEnded() {
 		return true
--- a/internal/gateway/router/server_limits.go
+++ b/internal/gateway/router/server_limits.go
@@ -8,8 +8,9 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// updateServerLimit takes over the rate limit that a response names. A response from another
-// instance at the address says nothing about the server.
+// updateServerLimit records the rate limit that a response reports, and notifies the Observer of
+// changes and of invalid limits. An invalid limit leaves the known one unchanged, and so does a
+// response from another instance at the address.
 func (c *call) updateServerLimit(server *backend.Server, sent time.Time, info protocol.ResponseInfo) {
 	switch {
 	case info.OtherInstance:
@@ -18,8 +19,8 @@
 	}
 }
 
-// setLimit records a server's rate limit, or that a response to a request of the time sent named
-// none. It reports whether the limit has changed.
+// setLimit records a server's rate limit or, if its response to a request sent at the given time
+// reported none, that it has none. It reports whether the limit has changed.
 func (r *Router) setLimit(server *backend.Server, sent time.Time, limit protocol.RateLimit) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -29,8 +30,8 @@
 	return r.limits.ObserveNoLimit(sent, server.Info().InstanceKey())
 }
 
-// setAllowances sets in loads how much of each server's rate limit is left to this gateway. r.mu
-// must be held.
+// setAllowances sets in loads how many requests each server's rate limit still allows this gateway to
+// send. r.mu must be held.
 func (r *Router) setAllowances(now time.Time, loads []policy.Server) {
 	if r.limits.Empty() {
 		return
@@ -53,7 +54,7 @@
 	}
 }
 
-// LimitedSendCount returns the number of requests sent to servers with a rate limit.
+// LimitedSendCount returns the number of requests sent to servers with a rate limit since the start.
 func (r *Router) LimitedSendCount() int64 { return r.limitedSends.Load() }
 
 // LimitedServerCount returns the number of servers with a rate limit.
--- a/internal/gateway/router/service_state.go
+++ b/internal/gateway/router/service_state.go
@@ -2,7 +2,7 @@
 
 import "github.com/applepier/applepier/policy"
 
-// retryBudgetShare is the part of the shared retry budget that is used. The rest is a margin,
+// retryBudgetShare is the fraction of the shared retry budget that is used. The rest is a margin,
 // because each gateway counts in its own window and may not know all others.
 const retryBudgetShare = 0.75
 
@@ -16,7 +16,7 @@
 	pauses       policy.PauseEstimator
 	offerCounter policy.OfferCounter
 	headroom     policy.AdaptiveHeadroom
-	// promptSizes holds the prompt lengths by route.
+	// promptSizes holds the mean prompt lengths by route, in tokens.
 	promptSizes policy.ClassSizes
 }
 
--- a/internal/gateway/router/stream.go
+++ b/internal/gateway/router/stream.go
@@ -13,8 +13,8 @@
 // streamBufferSize is the size of the buffer for reading a stream, in bytes. It holds a few events.
 const streamBufferSize = 2 << 10
 
-// minPauses is the minimum number of pauses in a stream for its longest one to count for the
-// server. With fewer, the longest is mostly chance.
+// minPauses is the minimum number of pauses in a stream for its longest one to count as an
+// observation of the server. With fewer, the longest is mostly chance.
 const minPauses = 16
 
 // relayEvents forwards the events of a stream as they arrive, each only when complete.
@@ -76,7 +76,8 @@
 	c.w.WriteHeader(response.Status)
 }
 
-// finishStream ends a complete stream.
+// finishStream reports a completely forwarded stream as served. If the stream had no events, it
+// sends the status and headers first.
 func (c *call) finishStream(response *exchange.Response) attemptResult {
 	c.writeStreamHeader(response)
 	c.served = true
--- a/internal/gateway/router/stream_state.go
+++ b/internal/gateway/router/stream_state.go
@@ -12,10 +12,10 @@
 	// lastID is the id of the last event that the caller has. It is valid if hasLastID is set.
 	lastID    int64
 	hasLastID bool
-	// sentWithoutID is set if the caller has received events without an id.
+	// sentWithoutID is set if the caller has received events without an id, other than comments.
 	sentWithoutID bool
 	// lastSentAt is when events were last forwarded, and longestPause the longest time between two
-	// such moments.
+	// consecutive writes of events.
 	lastSentAt   time.Time
 	longestPause time.Duration
 	// pauseCount is the number of pauses measured.
--- a/internal/gateway/router/stream_state_test.go
+++ b/internal/gateway/router/stream_state_test.go
@@ -12,17 +12,17 @@
 		gap       bool
 		resumable bool
 	}{
-		"from the first":            {"", []string{"id: 1\n\n", "id: 2\n\nid: 3\n\n"}, "id: 1\n\nid: 2\n\nid: 3\n\n", false, true},
-		"from zero":                 {"", []string{"id: 0\n\nid: 1\n\n"}, "id: 0\n\nid: 1\n\n", false, true},
-		"after one":                 {"2", []string{"id: 3\n\n"}, "id: 3\n\n", false, true},
-		"from the first, after one": {"2", []string{"id: 1\n\nid: 2\n\nid: 3\n\n"}, "id: 3\n\n", false, true},
-		"with a gap":                {"2", []string{"id: 4\n\n"}, "", true, true},
-		"with a gap later":          {"", []string{"id: 1\n\n", "id: 3\n\n"}, "id: 1\n\n", true, true},
-		"with a gap in a read":      {"", []string{"id: 1\n\nid: 3\n\n"}, "id: 1\n\n", true, true},
-		"with comments":             {"", []string{": wait\n\n", "id: 1\n\n"}, ": wait\n\nid: 1\n\n", false, true},
-		"without ids":               {"", []string{"data: a\n\n"}, "data: a\n\n", false, false},
-		"without ids, after one":    {"2", []string{"data: a\n\n"}, "data: a\n\n", false, false},
-		"last event without an id":  {"", []string{"id: 1\n\ndata: [DONE]\n\n"}, "id: 1\n\ndata: [DONE]\n\n", false, false},
+		"from the first":                {"", []string{"id: 1\n\n", "id: 2\n\nid: 3\n\n"}, "id: 1\n\nid: 2\n\nid: 3\n\n", false, true},
+		"from zero":                     {"", []string{"id: 0\n\nid: 1\n\n"}, "id: 0\n\nid: 1\n\n", false, true},
+		"after event 2":                 {"2", []string{"id: 3\n\n"}, "id: 3\n\n", false, true},
+		"from the first, after event 2": {"2", []string{"id: 1\n\nid: 2\n\nid: 3\n\n"}, "id: 3\n\n", false, true},
+		"with a gap":                    {"2", []string{"id: 4\n\n"}, "", true, true},
+		"with a gap later":              {"", []string{"id: 1\n\n", "id: 3\n\n"}, "id: 1\n\n", true, true},
+		"with a gap in a read":          {"", []string{"id: 1\n\nid: 3\n\n"}, "id: 1\n\n", true, true},
+		"with comments":                 {"", []string{": wait\n\n", "id: 1\n\n"}, ": wait\n\nid: 1\n\n", false, true},
+		"without ids":                   {"", []string{"data: a\n\n"}, "data: a\n\n", false, false},
+		"without ids, after event 2":    {"2", []string{"data: a\n\n"}, "data: a\n\n", false, false},
+		"last event without an id":      {"", []string{"id: 1\n\ndata: [DONE]\n\n"}, "id: 1\n\ndata: [DONE]\n\n", false, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gateway/router/tracked_request.go
+++ b/internal/gateway/router/tracked_request.go
@@ -6,13 +6,13 @@
 	"github.com/applepier/applepier/internal/gateway/backend"
 )
 
-// trackedRequest is a request in flight at a server, with what is needed to learn from its first
-// token.
+// trackedRequest is a request in flight at a server, with the data for recording its time to the
+// first token.
 type trackedRequest struct {
 	*backend.InFlight
 	call *call
-	// tokensAhead is how many tokens the server was expected to process before the first token, at
-	// the time of sending.
+	// tokensAhead is how many tokens the server was expected, at the time of sending, to prefill
+	// before the first token, the request's own included.
 	tokensAhead float64
 	sentAt      time.Time
 }
--- a/internal/gateway/router/update_buffer.go
+++ b/internal/gateway/router/update_buffer.go
@@ -9,8 +9,8 @@
 const maxBufferedSamples = 256
 
 // updateBuffer collects the samples since the last update to other gateways: times to the first
-// token, pauses, and servers that did not respond. If a datagram is lost, its samples are lost,
-// which only makes the sample smaller.
+// token, pauses, and servers that did not respond. Samples in a lost datagram are not sent again;
+// the other gateways then merely have fewer samples.
 type updateBuffer struct {
 	firstTokens []policy.TTFTSample
 	pauses      []policy.Pause
