--- a/internal/gateway/routes/holder.go
+++ b/internal/gateway/routes/holder.go
@@ -13,7 +13,8 @@
 	// confirmedAt is the latest time at which the current Snapshot was known to be the newest, in
 	// nanoseconds of the clock that the callers use; 0 if there is none.
 	confirmedAt atomic.Int64
-	// mu makes a change of the version and its confirmation one step.
+	// mu makes changing the Snapshot and its confirmation time one atomic step for Update and
+	// Confirm. Readers do not acquire it.
 	mu sync.Mutex
 }
 
@@ -28,9 +29,9 @@
 	return 0
 }
 
-// Update makes s the current Snapshot if it is newer, and reports whether it did. No newer version
-// than s was in force at confirmedAt. For the current version it only records the confirmation, and
-// for an older one it does nothing.
+// Update makes s the current Snapshot if it is newer, and reports whether it did. confirmedAt is a
+// time at which no newer version than s was in force. For the current version Update only records
+// the confirmation, and for an older one it does nothing.
 func (h *Holder) Update(s *Snapshot, confirmedAt time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,6 +63,6 @@
 	}
 }
 
-// ConfirmedAt returns the latest time, on the clock of those who call Update and Confirm, at which
-// the current Snapshot was known to be the newest, or 0 if there is none.
+// ConfirmedAt returns the latest time at which the current Snapshot was known to be the newest, or 0
+// if there is none. The clock is the one that callers of Update and Confirm use.
 func (h *Holder) ConfirmedAt() time.Duration { return time.Duration(h.confirmedAt.Load()) }
--- a/internal/gateway/routes/route.go
+++ b/internal/gateway/routes/route.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Kind says whether a route's requests may run more than once.
+// Kind says whether a route's requests may run more than once, and whether their responses are
+// streams.
 type Kind int
 
 // Kinds of requests.
@@ -37,13 +38,15 @@
 	// sets none.
 	Timeout time.Duration
 	// LatencyTarget is the target for the time to the complete response or, for streams, to the
-	// first event.
+	// first event; 0 means none.
 	LatencyTarget time.Duration
-	// PauseTarget is the longest pause between events with which a stream is still on time.
+	// PauseTarget is the longest pause between events with which a stream is still on time; 0 means
+	// no target.
 	PauseTarget time.Duration
 	// Tier is the route's priority; 0 is the most urgent.
 	Tier int
-	// MaxAttempts is the maximum number of backend servers to which one request is sent.
+	// MaxAttempts is the maximum number of backend servers to which one request is sent. Values
+	// below 1 mean 1.
 	MaxAttempts int
 	// Public routes require no API key.
 	Public bool
@@ -57,7 +60,8 @@
 }
 
 // PickService returns the service for a request. The hash must be evenly distributed, so that each
-// service gets requests in proportion to its weight.
+// service gets requests in proportion to its weight. A negative weight counts as 0; if no weight is
+// positive, the first service gets all requests.
 func (r *Route) PickService(hash uint64) string {
 	totalWeight := 0
 	for _, s := range r.Shares {
--- a/internal/gateway/routes/snapshot.go
+++ b/internal/gateway/routes/snapshot.go
@@ -1,6 +1,6 @@
-// Package routes models the desired state that a gateway serves by: routes, services, customers and
-// limits under one version. A Snapshot is immutable. A Holder keeps the newest one and the time at
-// which it was last confirmed to be the newest. Start reading at Snapshot.
+// Package routes models the desired state by which a gateway serves requests: routes, services,
+// customers and limits under one version. A Snapshot is immutable. A Holder keeps the newest one and
+// the time at which it was last confirmed to be the newest. Start reading at Snapshot.
 package routes
 
 import (
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Service is a group of backend servers that run the same requests.
+// Service is a group of interchangeable backend servers.
 type Service struct {
 	Name string
 	// MaxConns is how many connections one of its servers accepts from all callers together; 0 if
 	// unknown.
 	MaxConns int
-	// FetchRate is how fast one of its servers fetches the cached prompt prefix of another, in
-	// tokens per millisecond; 0 if the servers cannot or the rate is unknown.
+	// FetchRate is the rate, in tokens per millisecond, at which one of its servers fetches a cached
+	// prompt prefix from another; 0 if the servers cannot or the rate is unknown.
 	FetchRate float64
 }
 
@@ -23,7 +23,7 @@
 type Customer struct {
 	Name string
 	// Tier is the customer's priority among requests of routes with the same tier; 0 is the most
-	// urgent. It is nil if only the route's tier counts.
+	// urgent. If it is nil, the route's tier is used instead.
 	Tier *int
 	Keys []string
 }
@@ -42,14 +42,15 @@
 	Version  uint64
 	Limits   Limits
 	Services map[string]*Service
-	// Document is this version as the platform wrote it, for handing it to other gateways. It is
-	// set before the Snapshot is shared.
-	Document       []byte
+	// Document is this version as the platform wrote it, for handing it to other gateways.
+	Document []byte
+	// routesByHost holds the routes by lower-case host and then by prefix.
 	routesByHost   map[string]map[string]*Route
 	customersByKey map[string]*Customer
 	// keysRequired is set if requests of routes that are not public require an API key.
 	keysRequired bool
-	ranks        []rank
+	// ranks lists the ranks that requests can have, the most urgent first.
+	ranks []rank
 }
 
 // NewSnapshot returns a Snapshot with its indexes built. If customers is nil, no route requires an
@@ -115,6 +116,7 @@
 	return n
 }
 
+// hostWithoutPort returns the host of a Host header. An IPv6 address keeps its brackets.
 func hostWithoutPort(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		return host[:colon]
--- a/internal/gateway/routes/snapshot_test.go
+++ b/internal/gateway/routes/snapshot_test.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// Guards against requests of an urgent class being preempted, or refused, in favour of a less
-// urgent class whose customer has a higher tier. Route tiers are compared first; customer tiers
-// decide between routes of the same tier.
+// Guards against requests of an urgent route being preempted, or refused, in favour of a less urgent
+// route whose customer has a more urgent tier. Route tiers are compared first; customer tiers decide
+// between routes of the same tier.
 func TestUrgencyOrder(t *testing.T) {
 	s := newTestSnapshot(1)
 	first, second, plain := &Customer{Tier: intPtr(0)}, &Customer{Tier: intPtr(1)}, &Customer{}
@@ -90,8 +90,8 @@
 	}
 }
 
-// With more ranks than levels, the levels are assigned in order, all of them are used, and no two
-// route tiers share one.
+// Guards against route tiers sharing a level although there are enough levels for all of them. With
+// more ranks than levels, the levels are assigned in order, and the last level is used.
 func TestUrgencyWithMoreRanksThanLevels(t *testing.T) {
 	var allRoutes []*Route
 	var customers []*Customer
@@ -119,7 +119,8 @@
 	}
 }
 
-// With more route tiers than levels, neighbouring tiers share levels in order.
+// Guards against levels out of order, skipped or beyond the last when there are more route tiers than
+// levels: neighbouring tiers share a level.
 func TestUrgencyWithMoreTiersThanLevels(t *testing.T) {
 	var allRoutes []*Route
 	for i := range 25 {
--- a/internal/gateway/routes/urgency.go
+++ b/internal/gateway/routes/urgency.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// rank is the priority of a request: its route's tier, then its customer's. The customer's tier
-// must not put a request before one of a more urgent class: servers preempt the least urgent
-// requests, so one customer's summaries would preempt another's alarms.
+// rank is the priority of a request: its route's tier, then its customer's. The customer's tier must
+// not put a request before one of a more urgent route: servers preempt the least urgent requests, so
+// one customer's summaries would preempt another's alarms.
 type rank struct{ route, customer int }
 
 // compareRanks orders ranks from the most to the least urgent.
@@ -63,7 +63,7 @@
 	if tierCount > levels {
 		return index * levels / len(ranks)
 	}
-	// Leaving out one rank and one level for each tier, the ranks before index take a proportional
-	// part of the levels.
+	// The first rank of each tier starts a new level. The other ranks share the remaining levels in
+	// proportion.
 	return tiersBefore + (index-tiersBefore)*(levels-tierCount)/max(len(ranks)-tierCount, 1)
 }
