--- a/internal/gateway/backend/load.go
+++ b/internal/gateway/backend/load.go
@@ -35,8 +35,8 @@
 	pending map[*InFlight]struct{}
 }
 
-// Counts returns the current counts. For prompts that the server is processing, it counts only the
-// tokens expected to remain at now.
+// Counts returns the current counts. For prompts that the server is expected to be prefilling, it
+// counts only the tokens expected to remain at now.
 func (l *Load) Counts(now time.Time) Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,7 +50,7 @@
 }
 
 // Track adds a request that is being sent to the server. The plan says when the server is expected
-// to process its prompt. The caller must call Finish on the result.
+// to prefill its prompt. The caller must call Finish on the result.
 func (l *Load) Track(urgency int, plan policy.PrefillPlan) *InFlight {
 	f := &InFlight{load: l, urgency: urgency, plan: plan}
 	l.mu.Lock()
@@ -84,7 +84,7 @@
 	return true
 }
 
-// Finish removes the request from the Load.
+// Finish removes the request from the Load. It must be called exactly once.
 func (f *InFlight) Finish() {
 	f.MarkStarted()
 	f.load.mu.Lock()
--- a/internal/gateway/backend/registry.go
+++ b/internal/gateway/backend/registry.go
@@ -16,9 +16,11 @@
 const expiryGrace = 2 * time.Second
 
 // Registry holds the backend servers listed in the store. Servers, All and CountUsable read a
-// snapshot without locking. The gateway's follower of the list feeds it through ReplaceAll,
-// ApplyChanges, MarkStoreAvailable and MarkStoreUnavailable. All methods are safe for concurrent use.
+// snapshot without locking. The gateway applies the list, as it reads it from the store, through
+// ReplaceAll and ApplyChanges, and reports the store's availability through the MarkStore methods.
+// All methods are safe for concurrent use.
 type Registry struct {
+	// byService is the snapshot: the servers of each service, sorted by id.
 	byService atomic.Pointer[map[string][]*Server]
 	loaded    atomic.Bool
 	// OnRemove, if not nil, is called with the id of each server removed from the list. It runs
@@ -35,8 +37,8 @@
 	// again after an outage, or was restored from an older copy.
 	storeDown        bool
 	storeRecoveredAt time.Time
-	// restoreGraceEnd is until when the list may still show the state of the older copy from which
-	// the store was restored.
+	// restoreGraceEnd is the time until which the list may still show the state of the older copy
+	// from which the store was restored.
 	restoreGraceEnd time.Time
 	// tombstones holds the last entries of removed servers.
 	tombstones tombstones
@@ -49,8 +51,8 @@
 	return r
 }
 
-// Servers returns the servers of a service, sorted by id, without those that were replaced and
-// earlier instances at an address. The caller must not modify the slice.
+// Servers returns the servers of a service, sorted by id. It leaves out those that were replaced, and
+// those at whose address a later instance is listed. The caller must not modify the slice.
 func (r *Registry) Servers(service string) []*Server {
 	return (*r.byService.Load())[service]
 }
@@ -65,7 +67,7 @@
 	return r.servers[id]
 }
 
-// All returns the servers of all services, as Servers does.
+// All returns the servers that Servers returns, of all services and in no particular order.
 func (r *Registry) All() []*Server {
 	var all []*Server
 	for _, list := range *r.byService.Load() {
@@ -85,7 +87,8 @@
 	return n
 }
 
-// ReplaceAll sets the complete list. Servers whose entries are unreadable are removed.
+// ReplaceAll sets the complete list as read from the store. unreadable holds the ids of entries that
+// could not be decoded; their servers are removed.
 func (r *Registry) ReplaceAll(now time.Time, entries []Info, unreadable []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,8 +124,8 @@
 	return true
 }
 
-// ApplyChanges applies a change of the list. Servers whose entries have become unreadable are
-// removed.
+// ApplyChanges applies a change of the list. unreadable holds the ids of entries that can no longer be
+// decoded; their servers are removed.
 func (r *Registry) ApplyChanges(now time.Time, changed []Info, removed, unreadable []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -157,8 +160,8 @@
 	r.restoreGraceEnd = now.Add(expiryGrace)
 }
 
-// MarkReplaced records that another instance responded at a server's address. The server is gone
-// for good, although the list may still contain it for some time. It reports whether the server is
+// MarkReplaced records that another instance responded at a server's address. The server has ended,
+// although the list may still contain it for some time. MarkReplaced reports whether the server is
 // listed and was not yet marked.
 func (r *Registry) MarkReplaced(id string) bool {
 	r.mu.Lock()
@@ -197,7 +200,7 @@
 	r.endStoreOutage(now)
 }
 
-// endStoreOutage ends an outage of the store. r.mu must be held.
+// endStoreOutage records that the store responds again, if there was an outage. r.mu must be held.
 func (r *Registry) endStoreOutage(now time.Time) {
 	if r.storeDown {
 		r.storeDown = false
@@ -205,8 +208,9 @@
 	}
 }
 
-// applyFromStore applies an entry read from the store, unless it is older than what is known and
-// the store was restored just before. r.mu must be held.
+// applyFromStore applies an entry read from the store. Until restoreGraceEnd it ignores entries that
+// are older than the known ones, and those of servers removed with the same or a newer entry. r.mu
+// must be held.
 func (r *Registry) applyFromStore(now time.Time, info Info) {
 	if now.Before(r.restoreGraceEnd) {
 		if s := r.servers[info.ID]; s != nil && info.olderThan(s.Info()) || r.tombstones.supersedes(now, &info) {
@@ -254,7 +258,8 @@
 	r.delete(now, id)
 }
 
-// deleteAll removes those of the servers that are listed. r.mu must be held.
+// deleteAll removes the servers with the given ids, ignoring ids that are not listed. r.mu must be
+// held.
 func (r *Registry) deleteAll(now time.Time, ids []string) {
 	for _, id := range ids {
 		if r.servers[id] != nil {
@@ -263,7 +268,7 @@
 	}
 }
 
-// delete removes a server and keeps its entry as a tombstone. r.mu must be held.
+// delete removes a server, keeps its entry as a tombstone and calls OnRemove. r.mu must be held.
 func (r *Registry) delete(now time.Time, id string) {
 	delete(r.expiring, id)
 	if s := r.servers[id]; s != nil {
--- a/internal/gateway/backend/registry_test.go
+++ b/internal/gateway/backend/registry_test.go
@@ -63,7 +63,7 @@
 		t.Errorf("after a change: %+v, %+v", s.Info(), s.Load.Counts(testStart))
 	}
 	if !inFlight.MarkStarted() || inFlight.MarkStarted() {
-		t.Error("MarkStarted is true on the first call only")
+		t.Error("MarkStarted must return true on the first call and false on the second")
 	}
 	if c := r.Server("a").Load.Counts(testStart); c.Running != 1 || c.Pending[3].Requests != 0 || c.Pending[3].Tokens != 0 {
 		t.Errorf("after the response started: %+v", c)
@@ -228,13 +228,13 @@
 	other.Service = "other"
 	r.ApplyChanges(testStart, []Info{other}, nil, nil)
 	expectListed(t, r, "")
-	// An instance without a start time takes over no address and loses its own to none.
+	// An instance without a start time neither excludes another at its address nor is excluded.
 	r.ApplyChanges(testStart, []Info{entryAt("e", "10.0.0.2:1", 0), entryAt("f", "10.0.0.2:1", 4000)}, nil, nil)
 	expectListed(t, r, "e f")
 }
 
-// Guards against an entry with a wrong address shutting out the server at that address once no such
-// instance is found there.
+// Guards against an entry with a wrong address excluding the server at that address for good. Once
+// the gateway finds that another instance responds there, the server must be used again.
 func TestFalseAddressClaim(t *testing.T) {
 	r := NewRegistry()
 	r.ReplaceAll(testStart, []Info{entryAt("a", "10.0.0.1:1", 1000)}, nil)
--- a/internal/gateway/backend/restored_test.go
+++ b/internal/gateway/backend/restored_test.go
@@ -12,8 +12,8 @@
 	return i
 }
 
-// Guards against believing an older copy of the list after the store was restored. The copy shows a
-// draining server as ready and a removed one as listed, and lacks one that started since.
+// Guards against applying an older copy of the list after the store was restored from it. The copy
+// shows a draining server as ready and a removed one as listed, and lacks one that started since.
 func TestRestoredOlderListIsIgnored(t *testing.T) {
 	r := NewRegistry()
 	r.ReplaceAll(testStart, []Info{entryWithSequence("drains", 4, true), entryWithSequence("gone", 4, false), entryWithSequence("new", 1, false)}, nil)
--- a/internal/gateway/backend/server.go
+++ b/internal/gateway/backend/server.go
@@ -17,9 +17,10 @@
 	// not report it. Sequence is the number of the entry among those that the instance wrote.
 	StartUnixMilli int64 `cbor:"Born"`
 	Sequence       int64
-	Addr           string
-	Service        string
-	Zone           string
+	// Addr is the host and port at which the server accepts requests.
+	Addr    string
+	Service string
+	Zone    string
 	// Slots is how many requests the server runs concurrently.
 	Slots int
 	// Draining servers take no new requests.
@@ -31,6 +32,7 @@
 
 // InstanceKey returns a key that identifies the instance, even if a later one has the same ID.
 func (i *Info) InstanceKey() policy.Key {
+	// 2^64 divided by the golden ratio, for Fibonacci hashing of the start time.
 	const mixer = 0x9e3779b97f4a7c15
 	return policy.KeyOf(i.ID) ^ policy.Key(uint64(i.StartUnixMilli)*mixer>>32)
 }
@@ -60,7 +62,7 @@
 	// replaced is set when another instance responded at the server's address. The Registry's lock
 	// guards it.
 	replaced bool
-	// ended is set when nothing listens at the server's address any more.
+	// ended is set once the server's host refuses connections to its address.
 	ended atomic.Bool
 	// Load tracks this process's requests at the server.
 	Load Load
--- a/internal/gateway/backend/tombstones.go
+++ b/internal/gateway/backend/tombstones.go
@@ -14,6 +14,7 @@
 // older copy does not bring them back.
 type tombstones map[string]tombstone
 
+// tombstone is the last entry of a removed server.
 type tombstone struct {
 	info      Info
 	removedAt time.Time
@@ -39,7 +40,8 @@
 	}
 }
 
-// supersedes reports whether the server was removed with an entry at least as new as info.
+// supersedes reports whether the server was removed within tombstoneTTL with an entry at least as new
+// as info.
 func (ts tombstones) supersedes(now time.Time, info *Info) bool {
 	t, ok := ts[info.ID]
 	return ok && now.Sub(t.removedAt) <= tombstoneTTL && !t.info.olderThan(info)
