--- a/internal/gateway/router/stream.go
+++ b/internal/gateway/router/stream.go
@@ -13,8 +13,8 @@
 // streamBufferSize is the size of the buffer for reading a stream, in bytes. It holds a few events.
 const streamBufferSize = 2 << 10
 
-// minPauses is the minimum number of pauses in a stream for its longest one to count for the
-// server. With fewer, the longest is mostly chance.
+// minPauses is the minimum number of pauses in a stream for its longest one to count as an
+// observation of the server. With fewer, the longest is mostly chance.
 const minPauses = 16
 
 // relayEvents forwards the events of a stream as they arrive, each only when complete.
@@ -30,7 +30,7 @@
 			if events := splitter.add(buffer[:n]); len(events) > 0 {
 				tracked.responseStarted()
 				if !c.sendEvents(response, events) {
-					return c.resultAfterReadError()
+					return c.brokenResponseResult()
 				}
 				splitter.consume(len(events))
 			}
@@ -45,7 +45,7 @@
 		case errors.Is(err, io.EOF):
 			return resultUnknown
 		default:
-			return c.resultAfterReadError()
+			return c.brokenResponseResult()
 		}
 	}
 }
@@ -76,7 +76,8 @@
 	c.w.WriteHeader(response.Status)
 }
 
-// finishStream ends a complete stream.
+// finishStream reports a completely forwarded stream as served. If the stream had no events, it
+// sends the status and headers first.
 func (c *call) finishStream(response *exchange.Response) attemptResult {
 	c.writeStreamHeader(response)
 	c.served = true
