--- a/internal/gateway/client_server_test.go
+++ b/internal/gateway/caller_server_test.go
@@ -20,8 +20,8 @@
 // closeDelay is how long after its idle limit a connection may still be open.
 const closeDelay = time.Second
 
-// testIdleLimit is the idle limit of caller connections in these tests.
-const testIdleLimit = 15 * time.Second
+// testIdleTimeout is the idle limit of caller connections in these tests.
+const testIdleTimeout = 15 * time.Second
 
 // slowConn simulates a process that stalls between the decision to close a connection and the close
 // itself: Close blocks until a request has been read, for at most one second.
@@ -79,7 +79,7 @@
 // thousands of routes filled a narrow link and a small CPU share. The request log showed a
 // connection closed as idle after 16.018 s under a limit of 15 s, 0.8 ms after the request had been
 // read.
-func TestIdleLimitDoesNotCutRequest(t *testing.T) {
+func TestIdleTimeoutDoesNotAbortRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		requestRead := make(chan struct{})
 		serverConn, callerConn := net.Pipe()
@@ -94,7 +94,7 @@
 				_, _ = io.WriteString(w, "done")
 			case <-r.Context().Done():
 			}
-		}), func() time.Duration { return testIdleLimit }, zap.NewNop())
+		}), func() time.Duration { return testIdleTimeout }, zap.NewNop())
 		served := make(chan struct{})
 		go func() {
 			defer close(served)
@@ -104,7 +104,7 @@
 		if err := exchangeRequest(callerConn, reader, postRequest); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(testIdleLimit + closeDelay + time.Millisecond)
+		time.Sleep(testIdleTimeout + closeDelay + time.Millisecond)
 		err := exchangeRequest(callerConn, reader, postRequest)
 		switch handled := started.Load() == 2; {
 		case !handled:
@@ -124,7 +124,7 @@
 		serverConn, callerConn := net.Pipe()
 		server := newCallerServer(newSingleConnListener(serverConn), http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(w, "done")
-		}), func() time.Duration { return testIdleLimit }, zap.NewNop())
+		}), func() time.Duration { return testIdleTimeout }, zap.NewNop())
 		served, drained := make(chan struct{}), make(chan struct{})
 		go func() {
 			defer close(served)
--- a/internal/gateway/desired_state_sink.go
+++ b/internal/gateway/desired_state_sink.go
@@ -43,14 +43,14 @@
 var _ follow.Sink[*routes.Snapshot] = (*desiredStateSink)(nil)
 
 // Reset implements follow.Sink.
-func (s *desiredStateSink) Reset(readAt time.Duration, all follow.Batch[*routes.Snapshot]) {
+func (s *desiredStateSink) Reset(asOf time.Duration, all follow.Batch[*routes.Snapshot]) {
 	s.outdated.Store(s.holder.Version() != 0)
-	s.apply(readAt, all)
+	s.apply(asOf, all)
 }
 
 // Change implements follow.Sink.
-func (s *desiredStateSink) Change(receivedAt time.Duration, changes follow.Batch[*routes.Snapshot]) {
-	s.apply(receivedAt-maxFeedSilence, changes)
+func (s *desiredStateSink) Change(asOf time.Duration, changes follow.Batch[*routes.Snapshot]) {
+	s.apply(asOf-maxFeedSilence, changes)
 }
 
 // Unavailable implements follow.Sink.
@@ -81,14 +81,14 @@
 	if len(batch.Unreadable) > 0 {
 		s.unreadable.Store(true)
 	}
-	for _, set := range batch.Items {
-		if set == nil {
+	for _, snapshot := range batch.Items {
+		if snapshot == nil {
 			continue
 		}
 		s.unreadable.Store(false)
-		s.outdated.Store(set.Version < s.holder.Version())
-		if s.holder.Update(set, confirmedAt) {
-			s.log.Info(logging.EventTargetsAdopted, zap.Uint64("version", set.Version), zap.Int("routes", set.RouteCount()), zap.Duration("idle_limit", set.Limits.IdleTimeout))
+		s.outdated.Store(snapshot.Version < s.holder.Version())
+		if s.holder.Update(snapshot, confirmedAt) {
+			s.log.Info(logging.EventTargetsAdopted, zap.Uint64("version", snapshot.Version), zap.Int("routes", snapshot.RouteCount()), zap.Duration("idle_limit", snapshot.Limits.IdleTimeout))
 		}
 	}
 	if !s.unreadable.Load() && !s.outdated.Load() {
--- a/internal/gateway/desired_state_sink_test.go
+++ b/internal/gateway/desired_state_sink_test.go
@@ -15,7 +15,7 @@
 // A full read confirms for the time of its call; a feed response only for a time maxFeedSilence
 // earlier. A later response may therefore confirm for an earlier time, which must not move the
 // confirmation back.
-func TestStoreProofTimeNeverDecreases(t *testing.T) {
+func TestStoreConfirmationTimeNeverDecreases(t *testing.T) {
 	sink := &desiredStateSink{holder: &routes.Holder{}, registry: backend.NewRegistry(), log: zap.NewNop()}
 	const readAt = 10 * time.Second
 	sink.Reset(readAt, follow.Batch[*routes.Snapshot]{Items: []*routes.Snapshot{routes.NewSnapshot(1, routes.Limits{}, nil, nil, nil)}})
@@ -31,19 +31,19 @@
 
 // After a restore from an older copy the store may hold an older state than it had acknowledged.
 // That state must neither replace the newer one nor count as confirmation.
-func TestOlderStateIsNoProof(t *testing.T) {
-	set := func(version uint64) follow.Batch[*routes.Snapshot] {
+func TestOlderStateConfirmsNothing(t *testing.T) {
+	batchWithVersion := func(version uint64) follow.Batch[*routes.Snapshot] {
 		return follow.Batch[*routes.Snapshot]{Items: []*routes.Snapshot{routes.NewSnapshot(version, routes.Limits{}, nil, nil, nil)}}
 	}
-	for name, older := range map[string]follow.Batch[*routes.Snapshot]{"an older one": set(4), "none": {}} {
+	for name, older := range map[string]follow.Batch[*routes.Snapshot]{"an older one": batchWithVersion(4), "none": {}} {
 		sink := &desiredStateSink{holder: &routes.Holder{}, registry: backend.NewRegistry(), log: zap.NewNop()}
-		sink.Reset(10*time.Second, set(5))
+		sink.Reset(10*time.Second, batchWithVersion(5))
 		sink.Reset(20*time.Second, older)
 		sink.Change(30*time.Second, follow.Batch[*routes.Snapshot]{})
 		if sink.holder.Version() != 5 || sink.holder.ConfirmedAt() != 10*time.Second || sink.storeConfirmedAt.Load() != int64(10*time.Second) {
 			t.Errorf("%s: version %d, confirmation time %v", name, sink.holder.Version(), sink.holder.ConfirmedAt())
 		}
-		sink.Change(40*time.Second, set(5))
+		sink.Change(40*time.Second, batchWithVersion(5))
 		if want := 40*time.Second - maxFeedSilence; sink.holder.ConfirmedAt() != want {
 			t.Errorf("%s: confirmation time %v after operators wrote the state again, want %v", name, sink.holder.ConfirmedAt(), want)
 		}
--- a/internal/gateway/exchange/conn.go
+++ b/internal/gateway/exchange/conn.go
@@ -13,17 +13,17 @@
 
 // conn is a connection to a backend server. It carries one request at a time.
 type conn struct {
-	netConn net.Conn
-	reader  *bufio.Reader
-	peer    Peer
+	netConn  net.Conn
+	reader   *bufio.Reader
+	instance Peer
 	// keepAlive is how long the connection may be reused after it became idle.
 	keepAlive time.Duration
 	// idleSince is when the last exchange ended.
 	idleSince time.Time
 }
 
-func newConn(netConn net.Conn, peer Peer) *conn {
-	return &conn{netConn: netConn, reader: bufio.NewReaderSize(netConn, readBufferSize), peer: peer, keepAlive: defaultKeepAlive}
+func newConn(netConn net.Conn, instance Peer) *conn {
+	return &conn{netConn: netConn, reader: bufio.NewReaderSize(netConn, readBufferSize), instance: instance, keepAlive: defaultKeepAlive}
 }
 
 // reusable reports whether an idle connection is open and has no unread data. Unread data belongs
--- a/internal/gateway/exchange/exchange.go
+++ b/internal/gateway/exchange/exchange.go
@@ -56,8 +56,8 @@
 
 // Do sends a request and reads the response header. It returns early when ctx ends. Errors wrap one
 // of ErrNotSent, ErrIncomplete, ErrTimeout and ErrCancelled.
-func (p *Pool) Do(ctx context.Context, peer Peer, r *Request) (*Response, error) {
-	c, err := p.acquire(ctx, peer, r.MaxIdle)
+func (p *Pool) Do(ctx context.Context, instance Peer, r *Request) (*Response, error) {
+	c, err := p.acquire(ctx, instance, r.MaxIdle)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/gateway/exchange/pool.go
+++ b/internal/gateway/exchange/pool.go
@@ -41,8 +41,8 @@
 	probeDialTimeout = 30 * time.Millisecond
 	// redialDelay is the pause before another connection attempt to a peer that reset one.
 	redialDelay = 5 * time.Millisecond
-	// maxIdlePerPeer bounds the idle connections to one backend server.
-	maxIdlePerPeer = 32
+	// maxIdlePerInstance bounds the idle connections to one backend server.
+	maxIdlePerInstance = 32
 )
 
 // Peer identifies an instance of a backend server: one run of the process at its address.
@@ -73,9 +73,9 @@
 
 // acquire returns a pooled connection that has been idle for less than maxIdle, or opens one. The
 // error wraps ErrNotSent.
-func (p *Pool) acquire(ctx context.Context, peer Peer, maxIdle time.Duration) (*conn, error) {
+func (p *Pool) acquire(ctx context.Context, instance Peer, maxIdle time.Duration) (*conn, error) {
 	for {
-		c := p.popIdle(peer)
+		c := p.popIdle(instance)
 		if c == nil {
 			break
 		}
@@ -85,11 +85,11 @@
 		}
 		c.close()
 	}
-	netConn, err := p.dialer.DialContext(ctx, "tcp", peer.Addr)
+	netConn, err := p.dialer.DialContext(ctx, "tcp", instance.Addr)
 	if err != nil {
 		return nil, errors.Wrapf(ErrNotSent, "connect: %v", err)
 	}
-	return newConn(netConn, peer), nil
+	return newConn(netConn, instance), nil
 }
 
 // RefusesConnections reports whether a peer's host refuses connections to its address, as it does
@@ -97,7 +97,7 @@
 // accepts connections for a process that is about to exit. A peer therefore counts as running only
 // if a second connection opens processExitTime later; both connections then go to the pool. It
 // returns false if the result isn't known within refusalCheckTimeout.
-func (p *Pool) RefusesConnections(ctx context.Context, peer Peer) bool {
+func (p *Pool) RefusesConnections(ctx context.Context, instance Peer) bool {
 	ctx, cancel := context.WithTimeout(ctx, refusalCheckTimeout)
 	defer cancel()
 	var first *conn
@@ -107,7 +107,7 @@
 		}
 	}()
 	for {
-		probe, err := p.dialProbe(ctx, peer)
+		probe, err := p.dialProbe(ctx, instance)
 		delay := redialDelay
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED):
@@ -128,28 +128,28 @@
 }
 
 // dialProbe opens a connection, or gives up before a lost SYN would be retransmitted.
-func (p *Pool) dialProbe(ctx context.Context, peer Peer) (*conn, error) {
+func (p *Pool) dialProbe(ctx context.Context, instance Peer) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeDialTimeout)
 	defer cancel()
-	netConn, err := p.dialer.DialContext(ctx, "tcp", peer.Addr)
+	netConn, err := p.dialer.DialContext(ctx, "tcp", instance.Addr)
 	if err != nil {
 		return nil, err
 	}
-	return newConn(netConn, peer), nil
+	return newConn(netConn, instance), nil
 }
 
 // popIdle removes and returns the most recently used connection, so that surplus ones expire. It
 // returns nil if there is none.
-func (p *Pool) popIdle(peer Peer) *conn {
+func (p *Pool) popIdle(instance Peer) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	conns := p.idle[peer]
+	conns := p.idle[instance]
 	if len(conns) == 0 {
 		return nil
 	}
 	c := conns[len(conns)-1]
 	conns[len(conns)-1] = nil
-	p.idle[peer] = conns[:len(conns)-1]
+	p.idle[instance] = conns[:len(conns)-1]
 	return c
 }
 
@@ -158,11 +158,11 @@
 	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.peer]) >= maxIdlePerPeer {
+	if len(p.idle[c.instance]) >= maxIdlePerInstance {
 		c.close()
 		return
 	}
-	p.idle[c.peer] = append(p.idle[c.peer], c)
+	p.idle[c.instance] = append(p.idle[c.instance], c)
 }
 
 // Sweep closes expired idle connections, and all connections to peers that aren't wanted any more.
@@ -170,10 +170,10 @@
 func (p *Pool) Sweep(now time.Time, wanted func(Peer) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for peer, conns := range p.idle {
+	for instance, conns := range p.idle {
 		kept := conns[:0]
 		for _, c := range conns {
-			if wanted(peer) && !c.expired(now) {
+			if wanted(instance) && !c.expired(now) {
 				kept = append(kept, c)
 			} else {
 				c.close()
@@ -181,9 +181,9 @@
 		}
 		clear(conns[len(kept):])
 		if len(kept) == 0 {
-			delete(p.idle, peer)
+			delete(p.idle, instance)
 		} else {
-			p.idle[peer] = kept
+			p.idle[instance] = kept
 		}
 	}
 }
--- a/internal/gateway/exchange/pool_test.go
+++ b/internal/gateway/exchange/pool_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// newEndingPeer starts a listener that closes after delay, counted from the first accepted
+// newExitingServer starts a listener that closes after delay, counted from the first accepted
 // connection if accepts is set, like a process that is killed. The returned channel receives the
 // time when the listener was closed.
-func newEndingPeer(t *testing.T, accepts bool, delay time.Duration) (Peer, <-chan time.Time) {
+func newExitingServer(t *testing.T, accepts bool, delay time.Duration) (Peer, <-chan time.Time) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,11 +49,11 @@
 			t.Run(fmt.Sprintf("accepts %v/%v", accepts, delay), func(t *testing.T) {
 				t.Parallel()
 				for range 20 {
-					peer, closed := newEndingPeer(t, accepts, delay)
+					instance, closed := newExitingServer(t, accepts, delay)
 					start := time.Now()
 					// On a busy machine the listener may have stayed open long enough to count as
 					// running.
-					if !NewPool().RefusesConnections(t.Context(), peer) && (<-closed).Sub(start) < processExitTime {
+					if !NewPool().RefusesConnections(t.Context(), instance) && (<-closed).Sub(start) < processExitTime {
 						t.Fatal("an exiting server counts as running")
 					}
 				}
@@ -63,7 +63,7 @@
 }
 
 // A running server must not be mistaken for an exited one, even if it closes each new connection.
-func TestRunningPeerDoesNotRefuse(t *testing.T) {
+func TestRunningServerDoesNotRefuse(t *testing.T) {
 	for name, closes := range map[string]bool{"keeps connections": false, "closes connections": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -96,7 +96,7 @@
 
 // Guards against sending a request on a connection to a server that may have exited: the first
 // connection opened, but no later one did.
-func TestProbeOfPossiblyEndedPeerIsNotPooled(t *testing.T) {
+func TestConnectionToPossiblyExitedServerIsNotPooled(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -114,11 +114,11 @@
 		t.Fatal(err)
 	}
 	port := sockaddr.(*syscall.SockaddrInet4).Port
-	peer, pool := Peer{Addr: fmt.Sprintf("127.0.0.1:%d", port), ServerID: "i"}, NewPool()
-	if pool.RefusesConnections(t.Context(), peer) {
+	instance, pool := Peer{Addr: fmt.Sprintf("127.0.0.1:%d", port), ServerID: "i"}, NewPool()
+	if pool.RefusesConnections(t.Context(), instance) {
 		t.Error("counts as exited, though no connection was refused")
 	}
-	if pooled := len(pool.idle[peer]); pooled != 0 {
+	if pooled := len(pool.idle[instance]); pooled != 0 {
 		t.Errorf("%d connections in the pool, want 0", pooled)
 	}
 }
--- a/internal/gateway/followers.go
+++ b/internal/gateway/followers.go
@@ -36,22 +36,22 @@
 	// It is long because the list confirms nothing, each call is paid for, and keep-alive probes
 	// detect a silent connection to the store within three seconds.
 	serverListMaxWait = 15 * time.Second
-	// serverListBatchDelay is the pause after a change of the list of backend servers. It is short
+	// serverListCoalesceDelay is the pause after a change of the list of backend servers. It is short
 	// compared to the two seconds within which draining servers must get no more work, and long
 	// enough that a start of all servers takes a dozen calls rather than one per server.
-	serverListBatchDelay = 250 * time.Millisecond
+	serverListCoalesceDelay = 250 * time.Millisecond
 	// gatewayListMaxWait is how long the store may hold a request for the list of gateways. Nothing
 	// depends on it being current: gateways not yet listed are known by their datagrams.
 	gatewayListMaxWait = 30 * time.Second
-	// gatewayListBatchDelay is the pause after a change of the list of gateways. When all gateways
+	// gatewayListCoalesceDelay is the pause after a change of the list of gateways. When all gateways
 	// start at once, each receives datagrams from all others within two seconds.
-	gatewayListBatchDelay = 2 * time.Second
+	gatewayListCoalesceDelay = 2 * time.Second
 )
 
 // newDesiredStateFollower returns the follower of the desired state.
 func (g *gateway) newDesiredStateFollower() *follow.Follower[*routes.Snapshot] {
 	return &follow.Follower[*routes.Snapshot]{
-		Name: "desired state", Source: g.platform.DesiredState, Sink: g.desiredSink,
+		Name: "desired state", Source: g.platform.DesiredState, Sink: g.desiredStateSink,
 		MaxWait: g.desiredStateWait, ConfirmChanges: g.isPoller, ShouldCancelPoll: g.confirmationNeedsRenewal, Receiving: &g.receivingState, Idle: func() bool { return g.desiredStateFromPeers() && !g.confirmationOverdue() }, DefersFullRead: g.defersToPollers,
 		StoreHealth: &g.storeHealth, ProbesStore: true, OnCall: g.platform.Metrics.StoreCallCounter("targets"), OnRestore: g.platform.Metrics.StoreRestoreCounter("targets"), Log: g.log,
 	}
@@ -106,7 +106,7 @@
 func (g *gateway) newServersFollower() *follow.Follower[backend.Info] {
 	return &follow.Follower[backend.Info]{
 		Name: "backend servers", Source: g.platform.Servers, Sink: &serverListSink{registry: g.registry, log: g.log},
-		MaxWait: follow.FixedWait(serverListMaxWait), CoalesceDelay: serverListBatchDelay, Idle: func() bool { return g.serversFromPeers() && !g.confirmationOverdue() }, DefersFullRead: g.defersToPollers,
+		MaxWait: follow.FixedWait(serverListMaxWait), CoalesceDelay: serverListCoalesceDelay, Idle: func() bool { return g.serversFromPeers() && !g.confirmationOverdue() }, DefersFullRead: g.defersToPollers,
 		StoreHealth: &g.storeHealth, OnCall: g.platform.Metrics.StoreCallCounter("backend_servers"), OnRestore: g.platform.Metrics.StoreRestoreCounter("backend_servers"), Log: g.log,
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -63,17 +63,17 @@
 	platform Platform
 	log      *zap.Logger
 
-	holder      *routes.Holder
-	desiredSink *desiredStateSink
-	registry    *backend.Registry
-	pool        *exchange.Pool
-	router      *router.Router
+	holder           *routes.Holder
+	desiredStateSink *desiredStateSink
+	registry         *backend.Registry
+	pool             *exchange.Pool
+	router           *router.Router
 	// usage is nil if usage reporting is disabled.
 	usage *usage.Reporter
 	mesh  *peers.Mesh
 	// servers follows the list of backend servers, targets the desired state.
-	servers *follow.Follower[backend.Info]
-	targets *follow.Follower[*routes.Snapshot]
+	servers      *follow.Follower[backend.Info]
+	desiredState *follow.Follower[*routes.Snapshot]
 	// serversBehind and stateBehind track since when other gateways have had changes of the server
 	// list, or a newer desired state, that this gateway hasn't got from them.
 	serversBehind, stateBehind timedCondition
@@ -116,16 +116,16 @@
 		holder: &routes.Holder{}, registry: backend.NewRegistry(), pool: exchange.NewPool(),
 		pendingQuarantine: make(chan policy.Suspicion, maxPendingQuarantine),
 	}
-	g.desiredSink = &desiredStateSink{holder: g.holder, registry: g.registry, log: log}
+	g.desiredStateSink = &desiredStateSink{holder: g.holder, registry: g.registry, log: log}
 	var err error
 	g.mesh, err = peers.Listen(peers.Config{
 		Self:  peers.Entry{Name: s.Process, Addr: s.PeerListen},
 		Loads: g.loads, OwnOfferCounts: func() map[string]policy.OfferCounts { return g.router.OfferCounts() },
-		TakeUpdates: func() policy.PeerUpdate { return g.router.TakeUpdates() }, MergeUpdates: func(n policy.PeerUpdate) { g.router.MergeUpdates(n) },
+		TakeUpdates: func() policy.PeerUpdate { return g.router.TakeUpdates() }, MergeUpdates: func(u policy.PeerUpdate) { g.router.MergeUpdates(u) },
 		Confirmation: func() peers.Confirmation {
 			return peers.Confirmation{Version: g.holder.Version(), At: g.holder.ConfirmedAt()}
 		},
-		Confirm: func(p peers.Confirmation) { g.holder.Confirm(p.Version, p.At) }, StoreStatus: g.pollStatus,
+		Confirm: func(c peers.Confirmation) { g.holder.Confirm(c.Version, c.At) }, StoreStatus: g.pollStatus,
 		Usage: g.peerUsage(), Log: log,
 	})
 	if err != nil {
@@ -141,15 +141,15 @@
 		Observer: requestObserver{p.Metrics, log, g.enqueueQuarantined, counter},
 	}, routerBounds(s), g.sheddingCallers)
 	g.registry.OnRemove = g.router.ForgetServer
-	g.servers, g.targets = g.newServersFollower(), g.newDesiredStateFollower()
+	g.servers, g.desiredState = g.newServersFollower(), g.newDesiredStateFollower()
 	p.Metrics.CollectGateway(g.metricsSnapshot)
 	return g, nil
 }
 
-// idleLimit returns how long a caller connection may stay idle.
-func (g *gateway) idleLimit() time.Duration {
-	if s := g.holder.Current(); s != nil && s.Limits.IdleTimeout > 0 {
-		return s.Limits.IdleTimeout
+// idleTimeout returns how long a caller connection may stay idle.
+func (g *gateway) idleTimeout() time.Duration {
+	if snapshot := g.holder.Current(); snapshot != nil && snapshot.Limits.IdleTimeout > 0 {
+		return snapshot.Limits.IdleTimeout
 	}
 	return defaultIdleTimeout
 }
@@ -181,7 +181,7 @@
 func (g *gateway) serve(ctx context.Context, callerListener, adminListener, peerListener net.Listener, reload func() (settings.Gateway, error)) {
 	workCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var wg conc.WaitGroup
-	wg.Go(func() { g.targets.Run(workCtx) })
+	wg.Go(func() { g.desiredState.Run(workCtx) })
 	wg.Go(func() { g.servers.Run(workCtx) })
 	wg.Go(func() { g.mesh.Run(workCtx) })
 	wg.Go(func() { g.followGatewayList(workCtx) })
@@ -192,7 +192,7 @@
 	wg.Go(func() { g.syncServersFromPeers(workCtx) })
 	wg.Go(func() { g.watchSettings(workCtx, reload) })
 
-	callerServer := newCallerServer(callerListener, g.router, g.idleLimit, g.log)
+	callerServer := newCallerServer(callerListener, g.router, g.idleTimeout, g.log)
 	wg.Go(func() { g.sweep(workCtx, callerServer) })
 	adminServer := &http.Server{Handler: g.adminRoutes(), ReadHeaderTimeout: headerTimeout, IdleTimeout: defaultIdleTimeout}
 	handoverServer := &http.Server{Handler: handover.NewHandler(g.handoverState, g.servers.DeltasSince), ReadTimeout: handoverTimeout, WriteTimeout: handoverTimeout + handover.MaxDuration, ErrorLog: zap.NewStdLog(zap.NewNop())}
@@ -213,20 +213,20 @@
 func (g *gateway) sweep(ctx context.Context, server *callers.Server) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
-	limit := g.idleLimit()
+	timeout := g.idleTimeout()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			previous := limit
-			if limit = g.idleLimit(); limit < previous {
+			previous := timeout
+			if timeout = g.idleTimeout(); timeout < previous {
 				server.ApplyIdleTimeout()
 			}
 			g.registry.Sweep(now)
-			g.pool.Sweep(now, func(p exchange.Peer) bool {
-				s := g.registry.Server(p.ServerID)
-				return s != nil && !s.Info().Draining && s.Info().StartUnixMilli == p.StartTime
+			g.pool.Sweep(now, func(instance exchange.Peer) bool {
+				s := g.registry.Server(instance.ServerID)
+				return s != nil && !s.Info().Draining && s.Info().StartUnixMilli == instance.StartTime
 			})
 		}
 	}
--- a/internal/gateway/gateway_list.go
+++ b/internal/gateway/gateway_list.go
@@ -18,7 +18,7 @@
 // are known. Gateways that start later have read the list and are known by their datagrams.
 func (g *gateway) followGatewayList(ctx context.Context) {
 	follower := follow.Follower[peers.Entry]{
-		Name: "gateways", Source: g.platform.Gateways, Sink: g.mesh, MaxWait: follow.FixedWait(gatewayListMaxWait), CoalesceDelay: gatewayListBatchDelay,
+		Name: "gateways", Source: g.platform.Gateways, Sink: g.mesh, MaxWait: follow.FixedWait(gatewayListMaxWait), CoalesceDelay: gatewayListCoalesceDelay,
 		Idle: g.gatewayListFresh, DefersFullRead: g.defersToPollers, StoreHealth: &g.storeHealth, OnCall: g.platform.Metrics.StoreCallCounter("gateways"), OnRestore: g.platform.Metrics.StoreRestoreCounter("gateways"), Log: g.log,
 	}
 	follower.Run(ctx)
--- a/internal/gateway/peer_sync.go
+++ b/internal/gateway/peer_sync.go
@@ -65,13 +65,13 @@
 // as soon as the store responds. It returns the decoder's error if the document can't be decoded.
 func (g *gateway) applyPeerState(addr string, state handover.State) error {
 	if state.Version > g.holder.Version() {
-		set, err := g.platform.Decode(state.Document)
+		snapshot, err := g.platform.Decode(state.Document)
 		if err != nil {
 			return err
 		}
 		// The handover confirms nothing; the other gateway's confirmation arrives by datagram.
-		if g.holder.Update(set, 0) {
-			g.log.Info(logging.EventTargetsAdopted, zap.Uint64("version", set.Version), zap.Int("routes", set.RouteCount()), logging.Peer(addr))
+		if g.holder.Update(snapshot, 0) {
+			g.log.Info(logging.EventTargetsAdopted, zap.Uint64("version", snapshot.Version), zap.Int("routes", snapshot.RouteCount()), logging.Peer(addr))
 		}
 	}
 	if len(state.Servers) > 0 && g.registry.SeedFromPeer(state.Servers) {
@@ -83,8 +83,8 @@
 // handoverState returns the state that this gateway hands over to others.
 func (g *gateway) handoverState() handover.State {
 	var state handover.State
-	if set := g.holder.Current(); set != nil {
-		state.Version, state.Document = set.Version, set.Document
+	if snapshot := g.holder.Current(); snapshot != nil {
+		state.Version, state.Document = snapshot.Version, snapshot.Document
 	}
 	if g.registry.Loaded() {
 		for _, s := range g.registry.All() {
--- a/internal/gateway/peers/broadcast.go
+++ b/internal/gateway/peers/broadcast.go
@@ -54,7 +54,7 @@
 		}
 	}
 	updates := m.TakeUpdates()
-	shared.PrefixUses, shared.FirstTokens, shared.Pauses = packPrefixUses(updates.PrefixUses), packFirstTokens(updates.FirstTokens), packPauses(updates.Pauses)
+	shared.PrefixUses, shared.FirstTokens, shared.Pauses = packPrefixUses(updates.PrefixUses), packTTFTSamples(updates.FirstTokens), packPauses(updates.Pauses)
 	now := time.Now()
 	shared.Unanswered, shared.Suspicions, shared.Limits = updates.Unanswered, packSuspicions(now, updates.Suspicions), packLimits(now, updates.Limits)
 	return shared
--- a/internal/gateway/peers/compatibility_test.go
+++ b/internal/gateway/peers/compatibility_test.go
@@ -71,9 +71,9 @@
 	}
 }
 
-func TestInvalidShortageCountsAreIgnored(t *testing.T) {
-	s := offerCounts{Levels: []levelOffers{{Urgency: 1, Offered: float32(math.NaN())}, {Urgency: 1, Offered: float32(math.Inf(1))}, {Urgency: 1, Offered: -1}, {Urgency: 200, Offered: 3, Lacked: 2}}}
-	counts := s.unpack()
+func TestInvalidOfferCountsAreIgnored(t *testing.T) {
+	packed := offerCounts{Levels: []levelOffers{{Urgency: 1, Offered: float32(math.NaN())}, {Urgency: 1, Offered: float32(math.Inf(1))}, {Urgency: 1, Offered: -1}, {Urgency: 200, Offered: 3, Lacked: 2}}}
+	counts := packed.unpack()
 	if last := counts[len(counts)-1]; counts[1].Offered != 0 || last.Offered != 3 || last.Lacked != 2 {
 		t.Errorf("got %+v", counts)
 	}
@@ -82,7 +82,7 @@
 // FuzzDatagram checks that any input is either decoded or rejected with ErrMalformed, and that
 // decoded values stay within bounds.
 func FuzzDatagram(f *testing.F) {
-	state := cbor.RawMessage(mustMarshal(f, map[int]any{1: 7, 5: []serverLoad{{Server: 1, Running: 2, Pending: []pendingWork{{Urgency: 9, Requests: 1, Tokens: 5}}}}, 6: []offerCounts{{Service: 1, Levels: []levelOffers{{Urgency: 200, Offered: 1}}}}, 8: []firstToken{{Urgency: 77}}, 9: []longestPause{{Urgency: 77}}, 11: []suspicion{{Fingerprint: 7, ClearedAge: 1, Crashes: []crash{{Instance: 3, Age: 1 << 31}}}}, 12: []serverLimit{{Instance: 1, Rate: 2, Age: 3, SentRequests: 4}}}))
+	state := cbor.RawMessage(mustMarshal(f, map[int]any{1: 7, 5: []serverLoad{{Server: 1, Running: 2, Pending: []pendingWork{{Urgency: 9, Requests: 1, Tokens: 5}}}}, 6: []offerCounts{{Service: 1, Levels: []levelOffers{{Urgency: 200, Offered: 1}}}}, 8: []ttftSample{{Urgency: 77}}, 9: []longestPause{{Urgency: 77}}, 11: []suspicion{{Fingerprint: 7, ClearedAge: 1, Crashes: []crash{{Instance: 3, Age: 1 << 31}}}}, 12: []serverLimit{{Instance: 1, Rate: 2, Age: 3, SentRequests: 4}}}))
 	f.Add(mustMarshal(f, map[int]any{1: "edge-1", 2: 1, 3: 1, 4: 1, 7: state}))
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, datagram []byte) {
@@ -99,7 +99,7 @@
 		for _, p := range unpackPauses(in.Pauses) {
 			checkUrgency(t, p.Urgency)
 		}
-		for _, f := range unpackFirstTokens(in.FirstTokens) {
+		for _, f := range unpackTTFTSamples(in.FirstTokens) {
 			checkUrgency(t, f.Urgency)
 		}
 		table := newTable()
--- a/internal/gateway/peers/mesh.go
+++ b/internal/gateway/peers/mesh.go
@@ -145,10 +145,10 @@
 
 // Reset implements follow.Sink. If the list was read after this gateway's entry was written but
 // doesn't contain it, the store has returned an older copy, and Unlisted is signalled.
-func (m *Mesh) Reset(readAt time.Duration, entries follow.Batch[Entry]) {
-	m.Change(readAt, entries)
+func (m *Mesh) Reset(asOf time.Duration, entries follow.Batch[Entry]) {
+	m.Change(asOf, entries)
 	registeredAt := time.Duration(m.registeredAt.Load())
-	if registeredAt == 0 || readAt < registeredAt {
+	if registeredAt == 0 || asOf < registeredAt {
 		return
 	}
 	if !slices.ContainsFunc(entries.Items, func(e Entry) bool { return e.Name == m.Self.Name }) {
--- a/internal/gateway/peers/mesh_test.go
+++ b/internal/gateway/peers/mesh_test.go
@@ -34,7 +34,7 @@
 		return m
 	}
 	a = listen("a", func(Confirmation) {})
-	b = listen("b", func(p Confirmation) { *confirmations = append(*confirmations, p) })
+	b = listen("b", func(c Confirmation) { *confirmations = append(*confirmations, c) })
 	return a, b, confirmations
 }
 
@@ -70,7 +70,7 @@
 
 // A VM's clock starts from zero after a power loss. If a stamp from before the restart were
 // accepted, it would confirm the desired state for as long as the VM had been up.
-func TestStampOfAnEarlierStartProvesNothing(t *testing.T) {
+func TestStampOfEarlierInstanceConfirmsNothing(t *testing.T) {
 	a, b, confirmations := newMeshPair(t)
 	deliver(t, b, a)
 	b.bootID++
--- a/internal/gateway/peers/message.go
+++ b/internal/gateway/peers/message.go
@@ -49,7 +49,7 @@
 	// PrefixUses lists the prompt segments that servers were recently sent or have prefilled.
 	PrefixUses []prefixUse `cbor:"7,keyasint,omitempty"`
 	// FirstTokens lists the first tokens received since the sender's last datagram.
-	FirstTokens []firstToken `cbor:"8,keyasint,omitempty"`
+	FirstTokens []ttftSample `cbor:"8,keyasint,omitempty"`
 	// Pauses covers the streams that ended at the sender since its last datagram.
 	Pauses []longestPause `cbor:"9,keyasint,omitempty"`
 	// Unanswered lists the servers of requests that got no response since the last datagram, one
--- a/internal/gateway/peers/shortage.go
+++ b/internal/gateway/peers/offer_counts.go
@@ -40,9 +40,9 @@
 
 // unpack decodes the counts; invalid counts are ignored. An unknown urgency level is mapped to
 // the least urgent one.
-func (s *offerCounts) unpack() policy.OfferCounts {
+func (c *offerCounts) unpack() policy.OfferCounts {
 	var sum policy.OfferCounts
-	for _, packed := range s.Levels {
+	for _, packed := range c.Levels {
 		if !validCount(packed.Offered) || !validCount(packed.Lacked) {
 			continue
 		}
--- a/internal/gateway/peers/shortage_test.go
+++ b/internal/gateway/peers/offer_counts_test.go
@@ -8,7 +8,7 @@
 )
 
 // A gateway's counts of offers reach its peers, and are dropped when the gateway falls silent.
-func TestShortagesReachPeers(t *testing.T) {
+func TestOfferCountsReachPeers(t *testing.T) {
 	a, b, _ := newMeshPair(t)
 	var sent policy.OfferCounts
 	sent[3].Offered, sent[3].Lacked = 40, 10
--- a/internal/gateway/peers/receive.go
+++ b/internal/gateway/peers/receive.go
@@ -67,7 +67,7 @@
 	m.receiveUsage(now, in)
 	if len(in.PrefixUses)+len(in.FirstTokens)+len(in.Pauses)+len(in.Unanswered)+len(in.Suspicions)+len(in.Limits) > 0 {
 		m.MergeUpdates(policy.PeerUpdate{
-			PrefixUses: unpackPrefixUses(in.PrefixUses), FirstTokens: unpackFirstTokens(in.FirstTokens), Pauses: unpackPauses(in.Pauses), Unanswered: in.Unanswered,
+			PrefixUses: unpackPrefixUses(in.PrefixUses), FirstTokens: unpackTTFTSamples(in.FirstTokens), Pauses: unpackPauses(in.Pauses), Unanswered: in.Unanswered,
 			Suspicions: unpackSuspicions(now, in.Suspicions), Limits: unpackLimits(now, in.Limits),
 		})
 	}
--- a/internal/gateway/peers/first_token.go
+++ b/internal/gateway/peers/ttft_sample.go
@@ -6,9 +6,9 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// firstToken is the encoded form of policy.FirstToken: the time to the first token at a server,
+// ttftSample is the encoded form of policy.FirstToken: the time to the first token at a server,
 // with the number of prompt tokens queued ahead of it.
-type firstToken struct {
+type ttftSample struct {
 	_             struct{} `cbor:",toarray"`
 	Service       uint32
 	Server        uint32
@@ -17,11 +17,11 @@
 	LatencyMillis uint32
 }
 
-// packFirstTokens encodes first-token samples.
-func packFirstTokens(samples []policy.TTFTSample) []firstToken {
-	packed := make([]firstToken, len(samples))
+// packTTFTSamples encodes first-token samples.
+func packTTFTSamples(samples []policy.TTFTSample) []ttftSample {
+	packed := make([]ttftSample, len(samples))
 	for i, sample := range samples {
-		packed[i] = firstToken{
+		packed[i] = ttftSample{
 			Service: uint32(sample.Service), Server: uint32(sample.Server), Urgency: uint8(sample.Urgency),
 			TokensAhead: uint32(max(sample.TokensAhead, 0)), LatencyMillis: uint32(max(sample.Latency.Milliseconds(), 0)),
 		}
@@ -29,9 +29,9 @@
 	return packed
 }
 
-// unpackFirstTokens decodes first-token samples. An unknown urgency level is mapped to the
+// unpackTTFTSamples decodes first-token samples. An unknown urgency level is mapped to the
 // least urgent one.
-func unpackFirstTokens(packed []firstToken) []policy.TTFTSample {
+func unpackTTFTSamples(packed []ttftSample) []policy.TTFTSample {
 	samples := make([]policy.TTFTSample, len(packed))
 	for i, sample := range packed {
 		samples[i] = policy.TTFTSample{
--- a/internal/gateway/peers/usage_test.go
+++ b/internal/gateway/peers/usage_test.go
@@ -119,7 +119,7 @@
 }
 
 // A gateway of another deployment or an earlier release sends no usage.
-func TestNothingIsSentWhereNothingIsReported(t *testing.T) {
+func TestNoUsageIsSentIfUsageReportingIsDisabled(t *testing.T) {
 	m, _, _ := newMeshPair(t)
 	m.handle("127.0.0.1:9", &decodedMessage{message: message{From: "x", BootID: 1, Sequence: 1, Usage: &usageMessage{Reporter: true}}})
 	if d := m.usageDestinations(); m.usageMessageFor(&d[0]) != nil || m.HasUsageReporter() {
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// peerConfirmationLead is how much newer, beyond the wait of a call, other gateways'
+	// confirmationRetryMargin is how much newer, beyond the wait of a call, other gateways'
 	// confirmations are than this gateway's own when the store doesn't respond to it. A call that
 	// failed once has been retried by then.
-	peerConfirmationLead = 800 * time.Millisecond
+	confirmationRetryMargin = 800 * time.Millisecond
 	// storeRejectionTimeout is how long this gateway retries a store that rejects it, but responds
 	// to others, before it sends callers to other gateways.
 	storeRejectionTimeout = 500 * time.Millisecond
@@ -31,11 +31,11 @@
 // serve callers better, and public routes continue to be served.
 func (g *gateway) isolated() bool {
 	confirmedAt := g.holder.ConfirmedAt()
-	maxConfirmationAge := maxFeedSilence + pollerWait(g.router.Bounds().MaxStateAge) + peerConfirmationLead
+	maxConfirmationAge := maxFeedSilence + pollerWait(g.router.Bounds().MaxStateAge) + confirmationRetryMargin
 	if storeResponds := boottime.Now()-confirmedAt <= maxConfirmationAge; storeResponds {
-		ownConfirmedAt := time.Duration(g.desiredSink.storeConfirmedAt.Load())
-		ownConfirmationLate := confirmedAt-ownConfirmedAt > g.desiredStateWait()+peerConfirmationLead && !g.desiredStateFromPeers()
-		return ownConfirmationLate || g.desiredSink.unavailableFor() > storeRejectionTimeout && confirmedAt > ownConfirmedAt
+		ownConfirmedAt := time.Duration(g.desiredStateSink.storeConfirmedAt.Load())
+		ownConfirmationLate := confirmedAt-ownConfirmedAt > g.desiredStateWait()+confirmationRetryMargin && !g.desiredStateFromPeers()
+		return ownConfirmationLate || g.desiredStateSink.unavailableFor() > storeRejectionTimeout && confirmedAt > ownConfirmedAt
 	}
 	return !g.router.StateFresh() && 2*g.mesh.LiveGateways() <= g.mesh.ListedGateways()
 }
--- a/internal/gateway/request_observer.go
+++ b/internal/gateway/request_observer.go
@@ -31,29 +31,29 @@
 }
 
 // RequestEnded implements router.Observer.
-func (o requestObserver) RequestEnded(end router.RequestResult) {
-	class := o.metrics.ForClass(end.Route)
+func (o requestObserver) RequestEnded(result router.RequestResult) {
+	class := o.metrics.ForClass(result.Route)
 	class.Received()
-	class.ReceivedPromptTokens(end.PromptTokens)
-	for range end.Sends - 1 {
+	class.ReceivedPromptTokens(result.PromptTokens)
+	for range result.Sends - 1 {
 		class.Retried()
 	}
-	if end.FirstByteLatency > 0 {
-		class.ObserveFirstToken(end.FirstByteLatency)
+	if result.FirstByteLatency > 0 {
+		class.ObserveFirstToken(result.FirstByteLatency)
 	}
-	if end.LongestPause > 0 {
-		class.ObservePause(end.LongestPause)
+	if result.LongestPause > 0 {
+		class.ObservePause(result.LongestPause)
 	}
-	o.count(class, end)
-	if end.Reason != router.ReasonServed {
-		o.log.Info(eventName(end), logging.Request(end.ID), logging.Class(end.Route), logging.Reason(string(end.Reason)),
-			zap.Int("status", end.Status), zap.String("service", end.Service), zap.String("customer", end.Customer),
-			zap.Int("urgency", end.Urgency), zap.Int("sends", end.Sends), zap.Int("unreached", end.FailedDials), zap.String("last_server", end.Server),
-			zap.Bool("server_ended", end.ServerEnded), zap.Stringer("fingerprint", end.Fingerprint),
-			zap.Uint64("version", end.StateVersion), zap.Duration("proof_age", end.StateAge),
-			zap.Duration("expected", end.ExpectedTTFT), zap.Duration("took", end.Duration),
-			zap.Int("prompt_tokens", end.PromptTokens), zap.Int("mean_tokens", end.MeanTokens), zap.Int("prefill_tokens", end.PrefillTokens), zap.Int("tokens_ahead", end.TokensAhead),
-			zap.String("connection", string(end.Connection.CloseReason)), zap.Duration("rested", end.Connection.IdleTime), zap.Int("requests", end.Connection.Requests))
+	o.count(class, result)
+	if result.Reason != router.ReasonServed {
+		o.log.Info(eventName(result), logging.Request(result.ID), logging.Class(result.Route), logging.Reason(string(result.Reason)),
+			zap.Int("status", result.Status), zap.String("service", result.Service), zap.String("customer", result.Customer),
+			zap.Int("urgency", result.Urgency), zap.Int("sends", result.Sends), zap.Int("unreached", result.FailedDials), zap.String("last_server", result.Server),
+			zap.Bool("server_ended", result.ServerEnded), zap.Stringer("fingerprint", result.Fingerprint),
+			zap.Uint64("version", result.StateVersion), zap.Duration("proof_age", result.StateAge),
+			zap.Duration("expected", result.ExpectedTTFT), zap.Duration("took", result.Duration),
+			zap.Int("prompt_tokens", result.PromptTokens), zap.Int("mean_tokens", result.MeanTokens), zap.Int("prefill_tokens", result.PrefillTokens), zap.Int("tokens_ahead", result.TokensAhead),
+			zap.String("connection", string(result.Connection.CloseReason)), zap.Duration("rested", result.Connection.IdleTime), zap.Int("requests", result.Connection.Requests))
 	}
 }
 
@@ -87,22 +87,22 @@
 }
 
 // count adds the end of a request to the counter of its outcome.
-func (o requestObserver) count(class *metrics.Class, end router.RequestResult) {
-	switch eventName(end) {
+func (o requestObserver) count(class *metrics.Class, result router.RequestResult) {
+	switch eventName(result) {
 	case logging.EventRequestRefused:
-		class.Refused(metrics.Reason(end.Reason))
-		class.RefusedPromptTokens(metrics.Reason(end.Reason), end.PromptTokens)
+		class.Refused(metrics.Reason(result.Reason))
+		class.RefusedPromptTokens(metrics.Reason(result.Reason), result.PromptTokens)
 	case logging.EventRequestUnknown:
 		class.OutcomeUnknown()
 	case logging.EventRequestCancelled:
 		class.Cancelled()
 	default:
-		if end.Reason != router.ReasonServed {
+		if result.Reason != router.ReasonServed {
 			class.Failed()
 			return
 		}
 		timing := metrics.OnTime
-		if end.Late() {
+		if result.Late() {
 			timing = metrics.Late
 		}
 		class.Finished(timing, 0)
@@ -111,14 +111,14 @@
 
 // eventName returns the log event for the end of a request, which depends on whether the request
 // ran.
-func eventName(end router.RequestResult) string {
+func eventName(result router.RequestResult) string {
 	switch {
-	case end.Reason == router.ReasonCallerLeft:
+	case result.Reason == router.ReasonCallerLeft:
 		return logging.EventRequestCancelled
-	case end.Status == http.StatusServiceUnavailable, end.Reason == router.ReasonNoRoute, end.Reason == router.ReasonUnknownKey,
-		end.Reason == router.ReasonNoRequestID, end.Reason == router.ReasonBodyTooLarge, end.Reason == router.ReasonHeaderTooLarge:
+	case result.Status == http.StatusServiceUnavailable, result.Reason == router.ReasonNoRoute, result.Reason == router.ReasonUnknownKey,
+		result.Reason == router.ReasonNoRequestID, result.Reason == router.ReasonBodyTooLarge, result.Reason == router.ReasonHeaderTooLarge:
 		return logging.EventRequestRefused
-	case end.Reason == router.ReasonOutcomeUnknown, end.Reason == router.ReasonTimeout:
+	case result.Reason == router.ReasonOutcomeUnknown, result.Reason == router.ReasonTimeout:
 		return logging.EventRequestUnknown
 	default:
 		return logging.EventRequestFinished
