--- a/internal/gateway/caller_server.go
+++ b/internal/gateway/caller_server.go
@@ -10,7 +10,7 @@
 	"github.com/applepier/applepier/internal/callers"
 )
 
-// newCallerServer returns the HTTP server for caller requests. idleLimit returns how long a caller
+// newCallerServer returns the HTTP server for caller requests. idleTimeout returns how long a caller
 // connection may stay idle.
 func newCallerServer(listener net.Listener, handler http.Handler, idleTimeout func() time.Duration, log *zap.Logger) *callers.Server {
 	return callers.New(listener, callers.Config{Handler: handler, HeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleTimeout, Log: log})
--- a/internal/gateway/caller_server_test.go
+++ b/internal/gateway/caller_server_test.go
@@ -17,10 +17,10 @@
 	"github.com/applepier/applepier/internal/settings"
 )
 
-// closeDelay is how long after its idle limit a connection may still be open.
+// closeDelay is how long after its idle timeout a connection may still be open.
 const closeDelay = time.Second
 
-// testIdleTimeout is the idle limit of caller connections in these tests.
+// testIdleTimeout is the idle timeout of caller connections in these tests.
 const testIdleTimeout = 15 * time.Second
 
 // slowConn simulates a process that stalls between the decision to close a connection and the close
@@ -70,15 +70,16 @@
 // postRequest is a non-idempotent request, which may run at most once.
 const postRequest = "POST /flag HTTP/1.1\r\nHost: h.example\r\nContent-Length: 0\r\n\r\n"
 
-// Guards against the idle limit cutting a request that has already reached a backend server. A
-// timer used to close idle connections from its own goroutine without checking that the connection
-// was still idle, while another goroutine read a request from it and passed it on. The caller then
-// got neither a response nor a refusal, and the gateway logged that the caller had left.
+// Guards against closing a connection as idle although a request from it has already reached a
+// backend server. A timer used to close idle connections from its own goroutine without checking
+// that the connection was still idle, while another goroutine read a request from it and passed it
+// on. The caller then got neither a response nor a refusal, and the gateway logged that the caller
+// had left.
 //
-// It happened when the gateway stalled just as the limit expired, because a desired state of
-// thousands of routes filled a narrow link and a small CPU share. The request log showed a
-// connection closed as idle after 16.018 s under a limit of 15 s, 0.8 ms after the request had been
-// read.
+// It happened when the gateway stalled just as the timeout expired, because a desired state of
+// thousands of routes saturated a slow link and the gateway's small CPU share. The request log
+// showed a connection closed as idle after 16.018 s under a timeout of 15 s, 0.8 ms after the
+// request had been read.
 func TestIdleTimeoutDoesNotAbortRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		requestRead := make(chan struct{})
@@ -108,7 +109,7 @@
 		err := exchangeRequest(callerConn, reader, postRequest)
 		switch handled := started.Load() == 2; {
 		case !handled:
-			t.Errorf("the request sent when the idle limit expired wasn't handled: %v", err)
+			t.Errorf("the request sent when the idle timeout expired wasn't handled: %v", err)
 		case err != nil:
 			t.Errorf("a request that was handled got no response: %v", err)
 		}
--- a/internal/gateway/desired_state_sink.go
+++ b/internal/gateway/desired_state_sink.go
@@ -13,17 +13,17 @@
 	"github.com/applepier/applepier/internal/logging"
 )
 
-// maxFeedSilence is how long the store's feed may stay silent while changes are being made. A feed
-// response without changes therefore only confirms that the state was the newest this long before
-// the call.
+// maxFeedSilence is how long after a change the store's feed may still respond without it. A feed
+// response therefore only confirms that the state was the newest maxFeedSilence before the time
+// that follow.Sink calls asOf.
 const maxFeedSilence = time.Second
 
 // desiredStateSink applies the desired state from its follower to the holder.
 type desiredStateSink struct {
 	holder *routes.Holder
-	// registry is notified when the store becomes unavailable or available again. Calls for the desired
-	// state have a shorter wait than those for the list of backend servers, so they notice it
-	// first.
+	// registry is notified when the store becomes unavailable or available again. Calls for the
+	// desired state have a shorter wait than those for the list of backend servers, so they are the
+	// first to fail or succeed.
 	registry *backend.Registry
 	log      *zap.Logger
 	// storeConfirmedAt is the latest time, in nanoseconds of the boottime clock, at which the store
@@ -65,7 +65,7 @@
 	s.unavailableSince.Store(0)
 }
 
-// unavailableFor returns how long the store hasn't responded; 0 while it does.
+// unavailableFor returns how long calls to the store have been failing; 0 while the store responds.
 func (s *desiredStateSink) unavailableFor() time.Duration {
 	since := time.Duration(s.unavailableSince.Load())
 	if since == 0 {
@@ -74,8 +74,8 @@
 	return boottime.Now() - since
 }
 
-// apply offers the states of a batch to the holder. If the batch is readable and up to date, it
-// confirms that the state in force was the newest at confirmedAt.
+// apply passes the states of a batch to the holder. Unless the newest state is unreadable or older
+// than the one in force, the batch confirms that the state in force was the newest at confirmedAt.
 func (s *desiredStateSink) apply(confirmedAt time.Duration, batch follow.Batch[*routes.Snapshot]) {
 	s.Available()
 	if len(batch.Unreadable) > 0 {
--- a/internal/gateway/desired_state_sink_test.go
+++ b/internal/gateway/desired_state_sink_test.go
@@ -12,9 +12,9 @@
 	"github.com/applepier/applepier/internal/gateway/routes"
 )
 
-// A full read confirms for the time of its call; a feed response only for a time maxFeedSilence
-// earlier. A later response may therefore confirm for an earlier time, which must not move the
-// confirmation back.
+// A full read confirms the state as of its call, a feed response only as of maxFeedSilence before.
+// A later response may therefore confirm the state as of an earlier time, which must not replace
+// the later confirmation time.
 func TestStoreConfirmationTimeNeverDecreases(t *testing.T) {
 	sink := &desiredStateSink{holder: &routes.Holder{}, registry: backend.NewRegistry(), log: zap.NewNop()}
 	const readAt = 10 * time.Second
@@ -51,8 +51,8 @@
 }
 
 // Guards against treating a store as unavailable because it no longer has the requested history,
-// also while other gateways read the state in its place. Gateways that did so sent their callers
-// elsewhere.
+// also while this gateway leaves the full read to other gateways. Gateways that did so sent their
+// callers to other gateways.
 func TestStoreWithoutHistoryIsAvailable(t *testing.T) {
 	sink := &desiredStateSink{holder: &routes.Holder{}, registry: backend.NewRegistry(), log: zap.NewNop()}
 	sink.Unavailable(nil)
@@ -72,7 +72,7 @@
 	}
 }
 
-// sourceWithoutHistory is a store whose history is gone.
+// sourceWithoutHistory is a source whose store responds, but has no history of changes.
 type sourceWithoutHistory struct{}
 
 func (sourceWithoutHistory) Read(context.Context, string) (follow.Batch[*routes.Snapshot], error) {
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -9,17 +9,20 @@
 )
 
 const (
-	// drainDelay is how long a stopping gateway keeps accepting requests after its health check
+	// drainDelay is how long a stopping gateway keeps accepting requests after its readiness check
 	// begins to fail. The load balancer checks once a second and removes a VM after two failures.
+	// At most half of the shutdown timeout is used.
 	drainDelay = 2500 * time.Millisecond
-	// shutdownMargin is how long before the end of the grace period the requests in progress are
-	// aborted. Where the grace period is short, it is limited to the grace period divided by
-	// shutdownMarginDivisor, since a request aborted early is lost.
+	// shutdownMargin is how long before the end of the shutdown timeout the remaining requests are
+	// aborted. With a short timeout, it is limited to the timeout divided by shutdownMarginDivisor,
+	// since a request aborted early is lost.
 	shutdownMargin        = 400 * time.Millisecond
 	shutdownMarginDivisor = 6
 )
 
-// drain completes the requests in progress within the grace period.
+// drain makes the readiness check fail, serves new requests for drainDelay, and then waits until the
+// requests in progress are complete. It aborts those that remain at the end of the shutdown timeout,
+// less shutdownMargin.
 func (g *gateway) drain(server *callers.Server) {
 	start := time.Now()
 	g.draining.Store(true)
--- a/internal/gateway/followers.go
+++ b/internal/gateway/followers.go
@@ -10,20 +10,19 @@
 )
 
 const (
-	// desiredStateMaxWait is how long the store may hold a request for the desired state (a long
-	// poll) where operators set no bound on key revocation. Where they set one, the wait is
-	// confirmationWaitShare of what the bound leaves after maxFeedSilence, since each response only
-	// confirms that the state in force was the newest one second before. The remainder is how long
-	// requests with a key can still be served while the store is unavailable. Only pollers make
-	// these calls.
+	// desiredStateMaxWait is how long the store may hold a poller's request for the desired state (a
+	// long poll) where operators set no bound on key revocation. Where they set one, the wait is
+	// confirmationWaitShare of the bound less maxFeedSilence, since each response only confirms that
+	// the state in force was the newest one second before. The rest of the bound is how long
+	// requests with a key can still be served while the store is unavailable.
 	desiredStateMaxWait   = 2500 * time.Millisecond
 	confirmationWaitShare = 0.25
 	// pollerCount is the number of gateways that poll the store frequently to confirm that the
-	// desired state is the newest. The others receive the confirmation by datagram and ask the
-	// store only every nonPollerWait, or at once when the confirmation is older than
-	// confirmationRenewalShare of the bound. With three pollers, two may be cut off or dying while
-	// the third still provides the confirmation. The number is small because calls to the store are
-	// paid for.
+	// desired state is the newest. The others receive the confirmation by datagram. While they have
+	// to poll the store themselves, they let it hold a request for nonPollerWait, but repeat the
+	// request with a short wait once the confirmation is older than confirmationRenewalShare of the
+	// bound. With three pollers, two may be cut off or failing while the third still provides the
+	// confirmation. The number is small because calls to the store are paid for.
 	pollerCount              = 3
 	nonPollerWait            = 15 * time.Second
 	confirmationRenewalShare = 0.7
@@ -36,15 +35,15 @@
 	// It is long because the list confirms nothing, each call is paid for, and keep-alive probes
 	// detect a silent connection to the store within three seconds.
 	serverListMaxWait = 15 * time.Second
-	// serverListCoalesceDelay is the pause after a change of the list of backend servers. It is short
-	// compared to the two seconds within which draining servers must get no more work, and long
+	// serverListCoalesceDelay is the pause after a change of the list of backend servers. It is
+	// short compared to the two seconds after which draining servers must get no more work, and long
 	// enough that a start of all servers takes a dozen calls rather than one per server.
 	serverListCoalesceDelay = 250 * time.Millisecond
 	// gatewayListMaxWait is how long the store may hold a request for the list of gateways. Nothing
 	// depends on it being current: gateways not yet listed are known by their datagrams.
 	gatewayListMaxWait = 30 * time.Second
-	// gatewayListCoalesceDelay is the pause after a change of the list of gateways. When all gateways
-	// start at once, each receives datagrams from all others within two seconds.
+	// gatewayListCoalesceDelay is the pause after a change of the list of gateways. When all
+	// gateways start at once, each receives datagrams from all others within two seconds.
 	gatewayListCoalesceDelay = 2 * time.Second
 )
 
@@ -58,7 +57,7 @@
 }
 
 // desiredStateWait returns how long the store may hold a request for the desired state under the
-// settings in force.
+// settings in force, which differs between pollers and other gateways.
 func (g *gateway) desiredStateWait() time.Duration {
 	if !g.isPoller() {
 		return nonPollerWait
@@ -70,9 +69,10 @@
 // frequently, and again immediately after a change.
 func (g *gateway) isPoller() bool { return g.mesh.PrecedingPeers() < pollerCount }
 
-// confirmationOverdue reports whether the confirmation is older than it can get while the pollers
-// receive responses from the store. A poller notices a silent store only by its timeout, which is
-// too late for changes that other gateways must learn within two seconds.
+// confirmationOverdue reports whether the confirmation is older than it can become while the pollers
+// receive responses from the store. A poller detects that the store has stopped responding only when
+// its call times out, which is too late for changes that other gateways must learn within two
+// seconds.
 func (g *gateway) confirmationOverdue() bool {
 	confirmedAt := g.holder.ConfirmedAt()
 	return confirmedAt != 0 && boottime.Now()-confirmedAt > maxFeedSilence+pollerWait(g.router.Bounds().MaxStateAge)+confirmationDeliverySlack
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
 // Package gateway implements the gateway process of an entry VM, which sends caller requests
-// straight to the backend servers. Start reading at Serve.
+// directly to the backend servers. Start reading at Serve.
 package gateway
 
 import (
@@ -35,22 +35,24 @@
 )
 
 const (
-	// sweepInterval is how often expired state and idle connections are removed.
+	// sweepInterval is the time between two calls of the sweep methods, which remove expired state
+	// and idle connections.
 	sweepInterval = 500 * time.Millisecond
 	// headerTimeout bounds the time to read a caller's request header.
 	headerTimeout = 10 * time.Second
 	// handoverTimeout bounds the time to read another gateway's handover request. It is also added
-	// to handover.Longest to bound the writing of the response.
+	// to handover.MaxDuration to bound the writing of the response.
 	handoverTimeout = 2 * time.Second
 	// defaultIdleTimeout is how long an idle caller connection is kept open where operators set no
 	// limit.
 	defaultIdleTimeout = 2 * time.Minute
 	// maxHeaderBytes bounds the size of a caller's request header; operators' limits are lower.
 	maxHeaderBytes = 64 << 10
-	// heapMemoryShare is the share of the memory given to the garbage collector as its limit. The
-	// rest is for memory that it doesn't account for, such as socket buffers and stacks.
+	// heapMemoryShare is the share of the process's memory limit that is set as the Go runtime's
+	// limit. The rest is for memory that the runtime doesn't account for, such as socket buffers.
 	heapMemoryShare = 0.6
-	// requestMemoryShare is the share of the memory that requests in progress may use.
+	// requestMemoryShare is the share of the process's memory limit that requests in progress may
+	// use.
 	requestMemoryShare = 0.4
 	// gcPercent is the heap growth, in percent, that triggers a garbage collection.
 	gcPercent = 60
@@ -71,11 +73,11 @@
 	// usage is nil if usage reporting is disabled.
 	usage *usage.Reporter
 	mesh  *peers.Mesh
-	// servers follows the list of backend servers, targets the desired state.
+	// servers follows the list of backend servers, desiredState the desired state.
 	servers      *follow.Follower[backend.Info]
 	desiredState *follow.Follower[*routes.Snapshot]
-	// serversBehind and stateBehind track since when other gateways have had changes of the server
-	// list, or a newer desired state, that this gateway hasn't got from them.
+	// serversBehind holds while other gateways have changes of the server list that this gateway
+	// doesn't have, stateBehind while they have a newer desired state.
 	serversBehind, stateBehind timedCondition
 	draining                   atomic.Bool
 	// pendingQuarantine holds newly quarantined requests until they are written to the store.
@@ -209,7 +211,8 @@
 	wg.Wait()
 }
 
-// sweep removes expired state and closes unused connections until ctx ends.
+// sweep periodically removes expired state, closes connections to backend servers that are expired
+// or no longer wanted, and applies a shortened idle timeout to caller connections, until ctx ends.
 func (g *gateway) sweep(ctx context.Context, server *callers.Server) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -244,7 +247,7 @@
 	return mux
 }
 
-// limitMemory sets the garbage collector's target and memory limit, given the memory of the process
+// limitMemory sets the garbage collector's target and memory limit, given the process's memory limit
 // in megabytes; 0 means no limit.
 func limitMemory(megabytes float64) {
 	debug.SetGCPercent(gcPercent)
--- a/internal/gateway/gateway_list.go
+++ b/internal/gateway/gateway_list.go
@@ -11,11 +11,12 @@
 )
 
 // staleCheckInterval is the mean interval between checks of the list for gateways that are gone.
-// Each removal costs one write.
+// Each removal is one write to the store.
 const staleCheckInterval = time.Minute
 
-// followGatewayList follows the list of gateways until all gateways that started at the same time
-// are known. Gateways that start later have read the list and are known by their datagrams.
+// followGatewayList follows the list of gateways until ctx ends. Once all gateways that started at
+// the same time are known, it mostly idles (see gatewayListFresh): gateways that start later read
+// the list and then become known by their datagrams.
 func (g *gateway) followGatewayList(ctx context.Context) {
 	follower := follow.Follower[peers.Entry]{
 		Name: "gateways", Source: g.platform.Gateways, Sink: g.mesh, MaxWait: follow.FixedWait(gatewayListMaxWait), CoalesceDelay: gatewayListCoalesceDelay,
@@ -47,7 +48,7 @@
 // the same entries: the others learn of the first removal from the list.
 func staleCheckDelay() time.Duration { return staleCheckInterval/2 + rand.N(staleCheckInterval) }
 
-// register enters this gateway in the list, and retries until that succeeds or ctx ends.
+// register adds this gateway to the list, and retries until that succeeds or ctx ends.
 func (g *gateway) register(ctx context.Context) {
 	g.retryUntilDone(ctx, logging.EventRegisterFailed, func(ctx context.Context) error {
 		err := g.platform.Register(ctx, g.mesh.Self)
--- a/internal/gateway/gateway_list_test.go
+++ b/internal/gateway/gateway_list_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Gateways that started together must not all check the list at the same time and remove the same
-// entries.
+// Guards against gateways that started together all checking the list at the same time and removing
+// the same entries.
 func TestStaleCheckDelaysAreSpread(t *testing.T) {
 	const samples, buckets = 1000, 10
 	var counts [buckets]int
--- a/internal/gateway/peer_fallback.go
+++ b/internal/gateway/peer_fallback.go
@@ -12,8 +12,8 @@
 	waitingSince time.Time
 }
 
-// due reports whether to query another gateway now. Each true result starts a new wait for the
-// store, since the other gateway's data may be of no use here.
+// due reports whether to query another gateway now, given whether data is missing. Each true result
+// starts a new wait for the store, since the other gateway's data may not be usable here.
 func (f *peerFallback) due(now time.Time, missing bool) bool {
 	switch {
 	case !missing:
--- a/internal/gateway/peer_fallback_test.go
+++ b/internal/gateway/peer_fallback_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Another gateway is queried once storeWait has passed, and again only after another storeWait,
-// since the data that it hands over may be of no use.
+// Another gateway is queried once data has been missing for storeWait, and again only after another
+// storeWait, since the data that it returns may not be usable. The wait starts again whenever no
+// data is missing, here at one second.
 func TestPeersAreQueriedAfterEachStoreWait(t *testing.T) {
 	var fallback peerFallback
 	start := time.Unix(0, 0)
--- a/internal/gateway/peer_sync.go
+++ b/internal/gateway/peer_sync.go
@@ -29,14 +29,14 @@
 			return
 		case now := <-ticker.C:
 			addr, version := g.mesh.PeerWithNewestState()
-			// Data that is already arriving from the store isn't fetched from another gateway too.
-			// Over the same link a large state takes seconds, during which caller requests queue
-			// behind it.
 			behind := version > g.holder.Version()
 			if g.stateBehind.set(behind); behind && g.desiredStateFromPeers() {
 				g.fetchFromPeer(ctx, addr, client.DesiredState)
 				continue
 			}
+			// Data that is already arriving from the store isn't fetched from another gateway too.
+			// Over the same link a large state takes seconds, during which caller requests queue
+			// behind it.
 			missing := behind && !g.receivingState.Load() || !g.registry.Loaded()
 			if fallback.due(now, addr != "" && missing) {
 				g.fetchFromPeer(ctx, addr, client.Get)
@@ -45,7 +45,8 @@
 	}
 }
 
-// fetchFromPeer fetches the state of one gateway and applies it.
+// fetchFromPeer fetches the state of one gateway and applies it. It logs errors. If the desired state
+// is too large to transfer, it makes this gateway poll the store instead.
 func (g *gateway) fetchFromPeer(ctx context.Context, addr string, fetch func(context.Context, string) (handover.State, error)) {
 	state, err := fetch(ctx, addr)
 	if err == nil {
@@ -54,15 +55,17 @@
 	switch {
 	case err == nil, ctx.Err() != nil:
 	case errors.Is(err, handover.ErrTooLarge):
+		// desiredStateFromPeers is false until the state has arrived, so the follower polls the store.
 		g.stateBehind.setExpired()
 	default:
 		g.log.Warn(logging.EventHandoverFailed, logging.Peer(addr), logging.Reason(err.Error()))
 	}
 }
 
-// applyPeerState applies the state handed over by another gateway as far as it is newer. The list
-// of backend servers is used only if none is known: the store's own list is newer, or is read again
-// as soon as the store responds. It returns the decoder's error if the document can't be decoded.
+// applyPeerState applies the state received from another gateway: the desired state if it is newer,
+// and the list of backend servers if none is known yet. A list from the store is never replaced: it
+// is newer, or is read again as soon as the store responds. It returns the decoder's error if the
+// document can't be decoded.
 func (g *gateway) applyPeerState(addr string, state handover.State) error {
 	if state.Version > g.holder.Version() {
 		snapshot, err := g.platform.Decode(state.Document)
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -28,8 +28,8 @@
 	Register   func(ctx context.Context, self peers.Entry) error
 	Unregister func(ctx context.Context, name string) error
 	Quarantine QuarantineStore
-	// Duties is the table of duties, each held by one gateway at a time. Usage receives usage
-	// reports. Both are nil if usage reporting is disabled.
+	// Duties is the table of the leases for duties, each held by one gateway at a time. Usage
+	// receives usage reports. Both are nil if usage reporting is disabled.
 	Duties storage.Table
 	Usage  usage.Platform
 	// Dialect reads and writes the HTTP headers used by callers and backend servers.
--- a/internal/gateway/poll_delegation.go
+++ b/internal/gateway/poll_delegation.go
@@ -10,9 +10,9 @@
 	"github.com/applepier/applepier/internal/logging"
 )
 
-// maxPeerLag is how long a gateway tries to get newer data from other gateways, such as changes of
-// the server list, before it polls the store. Added to the second after which the last poller
-// counts as gone, it stays below the two seconds within which draining servers must get no more
+// maxPeerLag is how long a gateway tries to get newer data, such as changes of the server list, from
+// other gateways before it polls the store. Together with the second after which a silent poller
+// counts as gone, it stays below the two seconds after which draining servers must get no more
 // work.
 const maxPeerLag = 400 * time.Millisecond
 
@@ -35,9 +35,9 @@
 }
 
 // pollersAvailable reports whether this gateway isn't a poller, and others poll the store and pass
-// on its changes. Without any poller every gateway polls for itself. So does a gateway that receives
-// from half of the listed gateways or fewer: together with those it may be cut off from the store,
-// and it has to find out soon to send callers elsewhere.
+// on its changes. If none does, every gateway polls for itself. So does a gateway if half or fewer
+// of the listed gateways are live to it: it may be cut off from the store together with them, and
+// has to detect that soon to send callers to other gateways.
 func (g *gateway) pollersAvailable() bool {
 	return !g.isPoller() && g.mesh.PeerPollsStore() && 2*g.mesh.LiveGateways() > g.mesh.ListedGateways()
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -21,18 +21,21 @@
 	// the same length is added, so that only a few of the gateways that start together read the
 	// store.
 	minPeerWait = 300 * time.Millisecond
-	// maxPeerWait is how long a gateway listens to the others, which send the quarantined requests
-	// in turn: dozens of requests arrive in that time.
+	// maxPeerWait is how long a starting gateway receives the quarantined requests from others that
+	// know them. Their datagrams repeat the requests one at a time; dozens arrive in that time.
 	maxPeerWait = 2 * time.Second
-	// maxPendingQuarantine bounds the requests waiting to be written to the store. Until they are
-	// written, all gateways know them as long as one of those gateways runs.
+	// maxPendingQuarantine bounds the requests waiting to be written to the store. Requests that
+	// aren't written are still known to all gateways as long as one of those gateways runs.
 	maxPendingQuarantine = 64
 )
 
 // QuarantineStore persists quarantined requests, so that they outlive the gateways.
 type QuarantineStore interface {
+	// Read returns all stored requests, with a zero Seen.
 	Read(ctx context.Context) ([]policy.Suspicion, error)
+	// Write stores a request, replacing a stored one with the same fingerprint.
 	Write(ctx context.Context, s policy.Suspicion) error
+	// Drop deletes the request with the fingerprint.
 	Drop(ctx context.Context, f policy.Fingerprint) error
 }
 
@@ -66,8 +69,9 @@
 	g.quarantineLoaded.Store(true)
 }
 
-// readStoredQuarantine loads the quarantined requests from the store, and deletes those that are
-// older than quarantineRetention.
+// readStoredQuarantine loads the quarantined requests from the store, and deletes those whose last
+// crash is longer ago than quarantineRetention. It returns the store's error if reading fails; failed
+// deletions are logged.
 func (g *gateway) readStoredQuarantine(ctx context.Context) error {
 	stored, err := g.platform.Quarantine.Read(ctx)
 	if err != nil {
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// confirmationRetryMargin is how much newer, beyond the wait of a call, other gateways'
-	// confirmations are than this gateway's own when the store doesn't respond to it. A call that
-	// failed once has been retried by then.
+	// confirmationRetryMargin is the time, beyond the longest wait of a call to the store, after
+	// which a missing confirmation means that the store doesn't respond. A call that failed once has
+	// been retried by then.
 	confirmationRetryMargin = 800 * time.Millisecond
-	// storeRejectionTimeout is how long this gateway retries a store that rejects it, but responds
-	// to others, before it sends callers to other gateways.
+	// storeRejectionTimeout is how long this gateway retries calls to a store that rejects it, but
+	// responds to others, before it sends callers to other gateways.
 	storeRejectionTimeout = 500 * time.Millisecond
 )
 
@@ -24,8 +24,8 @@
 // sheddingCallers reports whether callers should reconnect to another gateway.
 func (g *gateway) sheddingCallers() bool { return g.draining.Load() || g.isolated() }
 
-// isolated reports whether callers are better served by other gateways. That is the case when the
-// store responds to others but rejects this gateway, which then serves on their confirmations
+// isolated reports whether other gateways serve callers better than this one. That is the case when
+// the store responds to others but rejects this gateway, which then depends on their confirmations
 // alone; or when this gateway is cut off from the store and from most other gateways, so that it
 // refuses requests with a key. If the store is unavailable to all gateways, no other gateway would
 // serve callers better, and public routes continue to be served.
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	// reloadInterval is how often the settings are read without a signal, since the file may change
-	// without one.
+	// reloadInterval is the time between two reads of the settings without a signal, since the file
+	// may change without one.
 	reloadInterval = 5 * time.Second
 	// clockSkewMargin is subtracted from the bound on the age of the desired state, to allow for
 	// clocks that differ slightly.
 	clockSkewMargin = 100 * time.Millisecond
 )
 
-// watchSettings applies changed settings on SIGHUP and every reloadInterval until ctx ends.
-// Addresses and names belong to the VM; changes of them take effect at the next start.
+// watchSettings reads the settings on SIGHUP and every reloadInterval until ctx ends, and applies the
+// changed bounds and memory limit. Other changes, such as of addresses and names, take effect at the
+// next start.
 func (g *gateway) watchSettings(ctx context.Context, reload func() (settings.Gateway, error)) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
@@ -50,7 +51,7 @@
 	}
 }
 
-// routerBounds returns the router's bounds for the settings.
+// routerBounds derives the router's bounds from the settings.
 func routerBounds(s settings.Gateway) router.Bounds {
 	bounds := router.Bounds{RetryRatio: s.RetryBudget.Ratio, RetryExtra: s.RetryBudget.ExtraPerWindow, RetryWindow: s.RetryBudget.Window, MaxRequestMemory: int64(requestMemoryShare * s.MemoryLimitMB * megabyte)}
 	if s.Revocation.Strict {
--- a/internal/gateway/request_observer.go
+++ b/internal/gateway/request_observer.go
@@ -13,7 +13,9 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// requestObserver counts request outcomes, and logs the requests that weren't served.
+// requestObserver implements router.Observer. It counts request outcomes and usage, logs the requests
+// that weren't served and the changes of backend servers that requests reveal, and has quarantined
+// requests stored.
 type requestObserver struct {
 	metrics *metrics.Metrics
 	log     *zap.Logger
@@ -109,8 +111,9 @@
 	}
 }
 
-// eventName returns the log event for the end of a request, which depends on whether the request
-// ran.
+// eventName returns the log event for the end of a request. It tells whether the request was
+// cancelled by its caller, refused without being run, may have run with an unknown outcome, or
+// finished.
 func eventName(result router.RequestResult) string {
 	switch {
 	case result.Reason == router.ReasonCallerLeft:
--- a/internal/gateway/request_observer_test.go
+++ b/internal/gateway/request_observer_test.go
@@ -13,8 +13,8 @@
 	"github.com/applepier/applepier/internal/metrics"
 )
 
-// Guards against rejections that don't report the prompt size: starved long prompts would be
-// indistinguishable from ordinary overload.
+// Guards against rejections that don't report the prompt size: if long prompts were always rejected,
+// that would be indistinguishable from ordinary overload.
 func TestRejectionsReportPromptSize(t *testing.T) {
 	core, entries := observer.New(zap.InfoLevel)
 	registry := metrics.New()
--- a/internal/gateway/server_list_sink.go
+++ b/internal/gateway/server_list_sink.go
@@ -15,7 +15,8 @@
 type serverListSink struct {
 	registry *backend.Registry
 	log      *zap.Logger
-	// era is the era of the list; 0 until the list has been read.
+	// era is the store's era (see follow.Position) at the last full read; 0 until the list has been
+	// read.
 	era atomic.Uint64
 }
 
--- a/internal/gateway/timed_condition_test.go
+++ b/internal/gateway/timed_condition_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// Guards against set(true) restarting the time of a condition that already holds: a gateway whose
+// data stays behind that of others would then never poll the store itself.
 func TestTimedConditionKeepsStartTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var condition timedCondition
