--- a/internal/gateway/peers/broadcast.go
+++ b/internal/gateway/peers/broadcast.go
@@ -13,6 +13,8 @@
 
 // broadcast sends one datagram to each known gateway.
 func (m *Mesh) broadcast() {
+	// The stamps to echo must be read before buildSharedState measures the confirmation's age:
+	// receivers subtract that age from the echoed stamp.
 	destinations := m.table.destinations()
 	if len(destinations) == 0 {
 		return
@@ -22,7 +24,7 @@
 	}
 	encoded, err := cbor.Marshal(m.buildSharedState())
 	if err != nil {
-		m.Log.Error(logging.EventPeerUnreadable, logging.Reason(err.Error()))
+		m.Log.Error(logging.EventPeerUnreadable, logging.Reason("encode state: "+err.Error()))
 		return
 	}
 	m.sequence++
@@ -35,7 +37,7 @@
 }
 
 // buildSharedState returns the part of a datagram that is the same for all receivers. The
-// confirmation's age is measured before the datagram's Stamp is taken.
+// confirmation's age is rounded up to the next millisecond.
 func (m *Mesh) buildSharedState() *sharedState {
 	confirmation := m.Confirmation()
 	store := m.StoreStatus()
@@ -60,10 +62,11 @@
 	return shared
 }
 
+// send encodes a datagram and sends it to an address. Errors are logged, except those of the socket.
 func (m *Mesh) send(addr string, msg *message) {
 	datagram, err := cbor.Marshal(msg)
 	if err != nil {
-		m.Log.Error(logging.EventPeerUnreadable, logging.Reason(err.Error()))
+		m.Log.Error(logging.EventPeerUnreadable, logging.Reason("encode datagram: "+err.Error()))
 		return
 	}
 	dst, err := net.ResolveUDPAddr("udp4", addr)
--- a/internal/gateway/peers/compatibility_test.go
+++ b/internal/gateway/peers/compatibility_test.go
@@ -50,6 +50,8 @@
 	}
 }
 
+// Guards against accepting a datagram without a sender or state, and against errors other than
+// ErrMalformed for arbitrary bytes.
 func TestDecodeRejectsMalformedDatagrams(t *testing.T) {
 	empty := cbor.RawMessage(mustMarshal(t, map[int]any{}))
 	cases := map[string][]byte{
@@ -71,6 +73,8 @@
 	}
 }
 
+// Guards against a NaN or infinite count in one datagram, which would stay in the sums over all
+// gateways for good. An unknown urgency level counts as the least urgent one.
 func TestInvalidOfferCountsAreIgnored(t *testing.T) {
 	packed := offerCounts{Levels: []levelOffers{{Urgency: 1, Offered: float32(math.NaN())}, {Urgency: 1, Offered: float32(math.Inf(1))}, {Urgency: 1, Offered: -1}, {Urgency: 200, Offered: 3, Lacked: 2}}}
 	counts := packed.unpack()
--- a/internal/gateway/peers/config.go
+++ b/internal/gateway/peers/config.go
@@ -1,6 +1,7 @@
-// Package peers exchanges datagrams between gateways: the load that each has at the backend
-// servers, and how recently each confirmed its desired state. A lost datagram isn't
-// retransmitted; the next one makes up for it. Start reading at Mesh.
+// Package peers exchanges datagrams between gateways. They hold the sender's load at the backend
+// servers, when it last confirmed its desired state, and what it has observed of servers, requests
+// and the store. A lost datagram isn't retransmitted: the next one holds the sender's state again, and
+// a few lost observations don't matter. Start reading at Mesh.
 package peers
 
 import (
@@ -31,6 +32,7 @@
 
 // Load is a gateway's load at one backend server.
 type Load struct {
+	// Server is the server's ID.
 	Server string
 	Counts backend.Counts
 }
@@ -50,8 +52,8 @@
 	Loads func() []Load
 	// OwnOfferCounts returns this gateway's counts of offers, by service.
 	OwnOfferCounts func() map[string]policy.OfferCounts
-	// TakeUpdates returns the updates to send to other gateways; MergeUpdates merges the
-	// updates of another gateway.
+	// TakeUpdates returns the updates to send to other gateways in the next datagram; MergeUpdates
+	// merges the updates of another gateway.
 	TakeUpdates  func() policy.PeerUpdate
 	MergeUpdates func(policy.PeerUpdate)
 	// Confirmation returns this gateway's confirmation; Confirm is called with a confirmation
@@ -60,9 +62,11 @@
 	Confirm      func(Confirmation)
 	// StoreStatus returns what this gateway has observed of the store.
 	StoreStatus func() StoreStatus
-	// Usage connects the exchange to usage reporting; nil if usage isn't reported.
+	// Usage connects the Mesh to usage reporting; nil if usage reporting is disabled.
 	Usage *UsageExchange
 	Log   *zap.Logger
 }
 
+// hashName returns the hash by which datagrams identify a backend server, given its ID, or a service,
+// given its name. It also defines the order of gateways.
 func hashName(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
--- a/internal/gateway/peers/mesh.go
+++ b/internal/gateway/peers/mesh.go
@@ -21,19 +21,21 @@
 	// gossipInterval is the time between two datagrams to a peer. A request takes 20 to 2,000
 	// ms, and a datagram a fraction of a millisecond.
 	gossipInterval = 100 * time.Millisecond
-	// removeAfter is how long a gateway may be silent before its entry is removed from the
+	// removeAfter is how long a gateway may send no datagrams before its entry is removed from the
 	// list. A VM restart or the repair of a network fault takes less time.
 	removeAfter = 10 * time.Minute
 )
 
-// Mesh is this gateway's endpoint of the exchange. It implements follow.Sink for the list of
-// gateways.
+// Mesh sends this gateway's datagrams to the other gateways and keeps what it received from them. It
+// implements follow.Sink for the list of gateways. Its exported methods may be called concurrently.
 type Mesh struct {
 	Config
 	// Unlisted receives a value when this gateway's own entry was removed from the list.
 	Unlisted chan struct{}
 	conn     net.PacketConn
 	table    *table
+	// bootID identifies this instance of the gateway; sequence is that of the last broadcast, and
+	// is used only by Run's goroutine.
 	bootID   uint64
 	sequence uint64
 	// listUpdates counts the responses received about the list of gateways; listUpdatedAt is the
@@ -76,7 +78,7 @@
 	wg.Wait()
 }
 
-// Close closes the socket of a Mesh that isn't running.
+// Close closes the socket. Run does so itself when ctx ends.
 func (m *Mesh) Close() { _ = m.conn.Close() }
 
 // LoadAt returns the sum of all other gateways' load at a backend server.
@@ -96,16 +98,16 @@
 // LiveGateways returns the number of live gateways, including this one.
 func (m *Mesh) LiveGateways() int { return 1 + m.table.livePeers(time.Now()) }
 
-// PrecedingPeers returns the number of live peers that come before this gateway in an order on
-// which all gateways that are live to each other agree. Peers known to be unable to reach the
+// PrecedingPeers returns the number of live peers that come before this gateway in the order of
+// their names' hashes, on which all gateways agree. Peers that report that they can't reach the
 // store are not counted.
 func (m *Mesh) PrecedingPeers() int { return m.table.precedingPeers(time.Now(), m.Self.Name) }
 
 // PeerPollsStore reports whether a live peer polls the store for changes.
 func (m *Mesh) PeerPollsStore() bool { return m.table.anyPolling(time.Now()) }
 
-// PeerKnowsQuarantine reports whether a live peer knows the quarantined requests. Such a peer
-// sends them in rotation.
+// PeerKnowsQuarantine reports whether a live peer knows the quarantined requests. The datagrams of
+// such a peer repeat them one at a time.
 func (m *Mesh) PeerKnowsQuarantine() bool { return m.table.anyKnowsQuarantine(time.Now()) }
 
 // PeerWithNewerServers returns the address of a live peer that knows changes of the list of
@@ -114,8 +116,8 @@
 	return m.table.withNewerServers(time.Now(), position)
 }
 
-// PeerWithNewestState returns the address of the live peer with the newest desired state, and
-// its version; empty if there is none.
+// PeerWithNewestState returns the address of a live peer with the newest desired state, and its
+// version; empty and 0 if no live peer has one.
 func (m *Mesh) PeerWithNewestState() (addr string, version uint64) {
 	return m.table.newestState(time.Now())
 }
@@ -126,8 +128,8 @@
 // Addr returns the address at which this gateway listens for datagrams.
 func (m *Mesh) Addr() string { return m.conn.LocalAddr().String() }
 
-// ReportInterval returns the time between two reports of another gateway. Its newer requests
-// are unknown here for up to that long.
+// ReportInterval returns the time between two datagrams of another gateway. Requests that it started
+// since its last datagram are unknown here.
 func (m *Mesh) ReportInterval() time.Duration { return gossipInterval }
 
 // ListedGateways returns the number of gateways in the list, including this one, whether or not
@@ -143,8 +145,8 @@
 // MarkRegistered records that this gateway's entry has just been written to the list.
 func (m *Mesh) MarkRegistered() { m.registeredAt.Store(int64(boottime.Now())) }
 
-// Reset implements follow.Sink. If the list was read after this gateway's entry was written but
-// doesn't contain it, the store has returned an older copy, and Unlisted is signalled.
+// Reset implements follow.Sink. It signals Unlisted if the list was read after this gateway's entry
+// was written but doesn't contain it, as after a restore of the store from an older copy.
 func (m *Mesh) Reset(asOf time.Duration, entries follow.Batch[Entry]) {
 	m.Change(asOf, entries)
 	registeredAt := time.Duration(m.registeredAt.Load())
@@ -183,9 +185,9 @@
 	}
 }
 
-// SilentPeers returns the names of known gateways that have been silent for so long that their
-// VMs are taken to be gone. A VM's name is never reused, so a stale entry would stay for good
-// and count in the shared budgets.
+// SilentPeers returns the names of known gateways that have sent no datagrams for so long that their
+// VMs are taken to be gone. A VM's name is never reused, so a stale entry would stay for good and
+// keep a share of the retry budgets and rate limits, which are divided by ListedGateways.
 func (m *Mesh) SilentPeers() []string { return m.table.silentPeers(time.Now(), removeAfter) }
 
 // Available implements follow.Sink.
--- a/internal/gateway/peers/mesh_test.go
+++ b/internal/gateway/peers/mesh_test.go
@@ -50,6 +50,8 @@
 	to.handle(addr, in)
 }
 
+// Guards against dating a confirmation by its arrival: however long the datagrams were in transit, it
+// must not seem newer than it is.
 func TestConfirmationIsDatedByTheEchoedStamp(t *testing.T) {
 	a, b, confirmations := newMeshPair(t)
 	deliver(t, a, b)
@@ -68,18 +70,20 @@
 	}
 }
 
-// A VM's clock starts from zero after a power loss. If a stamp from before the restart were
-// accepted, it would confirm the desired state for as long as the VM had been up.
+// A VM's boottime clock starts from zero when the VM restarts. If the echo of a stamp from before the
+// restart were accepted, it would confirm the desired state for as long as the VM had been up.
 func TestStampOfEarlierInstanceConfirmsNothing(t *testing.T) {
 	a, b, confirmations := newMeshPair(t)
 	deliver(t, b, a)
 	b.bootID++
 	deliver(t, a, b)
 	if len(*confirmations) != 0 {
-		t.Fatalf("a stamp of an earlier start led to confirmations %+v", *confirmations)
+		t.Fatalf("the stamp of an earlier instance led to confirmations %+v", *confirmations)
 	}
 }
 
+// Guards against removing a gateway whose VM is restarting, and against keeping a gateway that is
+// listed but has never sent a datagram.
 func TestSilentPeersAreReportedForRemoval(t *testing.T) {
 	a, b, _ := newMeshPair(t)
 	now := time.Now()
@@ -98,7 +102,8 @@
 	}
 }
 
-// Live gateways agree on their order, and a peer that has fallen silent precedes nobody.
+// Live gateways agree on their order. A peer that sends no more datagrams isn't counted as preceding
+// others.
 func TestLivePeersAgreeOnTheirOrder(t *testing.T) {
 	a, b, _ := newMeshPair(t)
 	deliver(t, a, b)
@@ -112,8 +117,8 @@
 	}
 }
 
-// A list that was read after this gateway's entry was written and doesn't contain it comes from
-// an older copy of the store. A list that was read before the write need not contain it.
+// A store that was restored from an older copy may have lost this gateway's entry, which then has to
+// be written again. A list that was read before the entry was written need not contain it.
 func TestMissingOwnEntryInNewerListSignalsUnlisted(t *testing.T) {
 	mesh, _, _ := newMeshPair(t)
 	unlisted := func() bool {
--- a/internal/gateway/peers/message.go
+++ b/internal/gateway/peers/message.go
@@ -26,7 +26,7 @@
 	EchoBootID uint64 `cbor:"6,keyasint,omitempty"`
 	// State is the encoded sharedState, identical for all receivers.
 	State cbor.RawMessage `cbor:"7,keyasint"`
-	// Usage holds the usage data for this receiver; nil if there is none to send.
+	// Usage holds the usage data for this receiver; nil if this datagram has none.
 	Usage *usageMessage `cbor:"8,keyasint,omitempty"`
 }
 
@@ -44,20 +44,24 @@
 	ServersPosition follow.Position `cbor:"4,keyasint,omitempty"`
 	// Loads is the sender's load by backend server; servers without load are omitted.
 	Loads []serverLoad `cbor:"5,keyasint,omitempty"`
-	// OfferCounts covers the services for which the sender recently had requests.
+	// OfferCounts holds the counts of offers of the services for which the sender recently had
+	// requests.
 	OfferCounts []offerCounts `cbor:"6,keyasint,omitempty"`
-	// PrefixUses lists the prompt segments that servers were recently sent or have prefilled.
+	// PrefixUses lists the prompt segments that the sender recently sent to servers, and those that
+	// servers have prefilled.
 	PrefixUses []prefixUse `cbor:"7,keyasint,omitempty"`
-	// FirstTokens lists the first tokens received since the sender's last datagram.
+	// FirstTokens holds the times to first token of the responses that started at the sender since
+	// its last datagram.
 	FirstTokens []ttftSample `cbor:"8,keyasint,omitempty"`
-	// Pauses covers the streams that ended at the sender since its last datagram.
+	// Pauses holds the longest pause of each stream that ended at the sender since its last datagram.
 	Pauses []longestPause `cbor:"9,keyasint,omitempty"`
-	// Unanswered lists the servers of requests that got no response since the last datagram, one
-	// entry for each request.
+	// Unanswered lists the servers that didn't respond to a request since the sender's last
+	// datagram, one entry for each such request.
 	Unanswered []policy.Key `cbor:"10,keyasint,omitempty"`
-	// Suspicions covers requests during which backend servers crashed.
+	// Suspicions lists requests during which backend servers crashed.
 	Suspicions []suspicion `cbor:"11,keyasint,omitempty"`
-	// Limits lists the limits that servers have announced, and the sender's requests to them.
+	// Limits lists the rate limits that servers have announced, with the number of requests that the
+	// sender recently sent to each.
 	Limits []serverLimit `cbor:"12,keyasint,omitempty"`
 	// QuarantineKnown is whether the sender knows the quarantined requests.
 	QuarantineKnown bool `cbor:"13,keyasint,omitempty"`
--- a/internal/gateway/peers/offer_counts.go
+++ b/internal/gateway/peers/offer_counts.go
@@ -6,8 +6,8 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// minOffered is the number of requests below which an urgency level is omitted: the count has
-// decayed to almost nothing.
+// minOffered is the number of offered requests below which an urgency level is omitted, because the
+// count has decayed to almost zero.
 const minOffered = 0.05
 
 // offerCounts is the encoded form of policy.OfferCounts for one service.
@@ -18,8 +18,8 @@
 	Levels  []levelOffers
 }
 
-// levelOffers counts the requests offered at one urgency level, and those that found no slot. Both
-// counts decay with time.
+// levelOffers counts the requests offered at one urgency level, and those of them that were refused
+// for lack of a slot. Both counts decay exponentially.
 type levelOffers struct {
 	_       struct{} `cbor:",toarray"`
 	Urgency uint8
--- a/internal/gateway/peers/offer_counts_test.go
+++ b/internal/gateway/peers/offer_counts_test.go
@@ -7,7 +7,8 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// A gateway's counts of offers reach its peers, and are dropped when the gateway falls silent.
+// A gateway's counts of offers reach its peers, and are dropped when the gateway sends no more
+// datagrams.
 func TestOfferCountsReachPeers(t *testing.T) {
 	a, b, _ := newMeshPair(t)
 	var sent policy.OfferCounts
--- a/internal/gateway/peers/receive.go
+++ b/internal/gateway/peers/receive.go
@@ -13,11 +13,11 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// maxDatagramBytes is the size of the receive buffer; a datagram of that size holds about 4,000
-// servers.
+// maxDatagramBytes is the size of the receive buffer. A datagram of that size holds the loads at about
+// 4,000 servers.
 const maxDatagramBytes = 60 << 10
 
-// receiveLoop handles datagrams until the socket is closed.
+// receiveLoop receives and handles datagrams until ctx ends. It logs datagrams that it can't decode.
 func (m *Mesh) receiveLoop(ctx context.Context) {
 	buffer := make([]byte, maxDatagramBytes)
 	for ctx.Err() == nil {
@@ -31,7 +31,8 @@
 	}
 }
 
-// receive blocks until a datagram arrives, and decodes it.
+// receive waits for a datagram and decodes it. It returns the sender's address, and the error of the
+// socket or ErrMalformed.
 func (m *Mesh) receive(buffer []byte) (addr string, in *decodedMessage, err error) {
 	n, source, err := m.conn.ReadFrom(buffer)
 	if err != nil {
@@ -56,9 +57,9 @@
 	return in, nil
 }
 
-// handle processes one datagram. A confirmation is dated from the echoed stamp, which this
-// gateway sent before the peer measured the age. The peer's confirmation is therefore at least
-// as recent as computed, however long both datagrams were in transit.
+// handle processes one datagram. It dates a confirmation by subtracting its age from the echoed stamp,
+// which this gateway sent before the peer measured the age. The peer's confirmation is therefore at
+// least as recent as computed, however long both datagrams were in transit.
 func (m *Mesh) handle(addr string, in *decodedMessage) {
 	now := time.Now()
 	if in.From == m.Self.Name || !m.table.update(now, addr, in) {
--- a/internal/gateway/peers/server_limit.go
+++ b/internal/gateway/peers/server_limit.go
@@ -7,8 +7,8 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// serverLimit is the encoded form of policy.LimitReport: a limit that a backend server has
-// announced, and the sender's requests to it.
+// serverLimit is the encoded form of policy.LimitReport: a rate limit that a backend server has
+// announced, and the number of requests that the sender recently sent to it.
 type serverLimit struct {
 	_ struct{} `cbor:",toarray"`
 	// Instance is the key of the server's instance.
@@ -18,7 +18,8 @@
 	Rate   float64
 	Lifted bool
 	Age    uint32
-	// SentRequests is the number of requests that the sender has recently sent.
+	// SentRequests is the number of requests that the sender has recently sent, with exponential
+	// decay.
 	SentRequests float32
 }
 
@@ -34,8 +35,8 @@
 	return packed
 }
 
-// unpackLimits decodes server limits; entries without evidence of the sender's own, or with an
-// invalid rate, are dropped.
+// unpackLimits decodes server limits. It drops entries with an invalid rate, and those that the sender
+// has only from other gateways.
 func unpackLimits(now time.Time, packed []serverLimit) []policy.LimitReport {
 	var limits []policy.LimitReport
 	for _, l := range packed {
--- a/internal/gateway/peers/size_test.go
+++ b/internal/gateway/peers/size_test.go
@@ -7,8 +7,9 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// The bytes that each suspected request and each limited server add to a datagram are bounded:
-// control traffic may take three kilobytes per second at a gateway.
+// Guards against an encoding of suspicions or limits that is too large: a gateway's control traffic
+// may take three kilobytes per second, and the bytes that each suspected request and each limited
+// server add to a datagram are part of it.
 func TestEncodedSizesOfSuspicionsAndLimits(t *testing.T) {
 	now := time.Now()
 	makeSuspicions := func(n int) []policy.Suspicion {
--- a/internal/gateway/peers/store_status.go
+++ b/internal/gateway/peers/store_status.go
@@ -6,7 +6,7 @@
 	"github.com/applepier/applepier/internal/gateway/follow"
 )
 
-// storeMode is a gateway's relation to the platform's store.
+// storeMode is whether a gateway can reach the platform's store and polls it, as sent in datagrams.
 type storeMode uint8
 
 const (
@@ -32,6 +32,7 @@
 	QuarantineKnown bool
 }
 
+// mode returns the storeMode to send to other gateways.
 func (s StoreStatus) mode() storeMode {
 	switch {
 	case s.Polling:
--- a/internal/gateway/peers/store_status_test.go
+++ b/internal/gateway/peers/store_status_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// Guards against a gateway that can't reach the store being counted as preceding others, which would
+// then leave polling to it.
 func TestUnreachableStoreExcludesGatewaysFromTheOrder(t *testing.T) {
 	a, b, _ := newMeshPair(t)
 	a.Config.StoreStatus = func() StoreStatus { return StoreStatus{} }
@@ -35,7 +37,7 @@
 	}
 	deliver(t, a, b)
 	if !b.PeerKnowsQuarantine() {
-		t.Error("a knows the quarantined requests, but this isn't seen at b")
+		t.Error("a knows the quarantined requests, but b doesn't know that it does")
 	}
 	afterTimeout := time.Now().Add(2 * peerTimeout)
 	if b.table.anyPolling(afterTimeout) || b.table.anyKnowsQuarantine(afterTimeout) || b.table.withNewerServers(afterTimeout, 7) != "" {
--- a/internal/gateway/peers/suspicion.go
+++ b/internal/gateway/peers/suspicion.go
@@ -19,7 +19,7 @@
 	Crashes []crash
 }
 
-// crash is the encoded form of policy.Crash: an instance of a backend server that ended.
+// crash is the encoded form of policy.Crash: an instance of a backend server that crashed.
 type crash struct {
 	_        struct{} `cbor:",toarray"`
 	Instance uint32
@@ -59,12 +59,13 @@
 	return suspicions
 }
 
-// ageMillis returns the age of a time in milliseconds, at least 1. The datagram's transit time
-// is not included; receivers neglect it.
+// ageMillis returns the age of a time in milliseconds, at least 1. Receivers neglect the time for
+// which a datagram is in transit.
 func ageMillis(now, at time.Time) uint32 {
 	return uint32(min(max(now.Sub(at).Milliseconds(), 1), math.MaxUint32))
 }
 
+// timeAtAge returns the time that has the given age in milliseconds.
 func timeAtAge(now time.Time, age uint32) time.Time {
 	return now.Add(-time.Duration(age) * time.Millisecond)
 }
--- a/internal/gateway/peers/table.go
+++ b/internal/gateway/peers/table.go
@@ -9,14 +9,16 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// peerTimeout is how long a peer's counts are used after its last datagram: long enough to
-// tolerate a few lost datagrams, and short enough that a crashed gateway doesn't keep servers
-// looking busy.
+// peerTimeout is how long a peer counts as live, and its counts are used, after its last datagram. It
+// is long enough to tolerate a few lost datagrams, and short enough that servers don't seem busy for
+// long with the requests of a crashed gateway.
 const peerTimeout = time.Second
 
 // peer is the known state of another gateway.
 type peer struct {
-	addr         string
+	// addr is the host:port to which datagrams are sent.
+	addr string
+	// bootID, sequence and lastReceived are those of the peer's last datagram.
 	bootID       uint64
 	sequence     uint64
 	lastReceived time.Time
@@ -27,12 +29,13 @@
 	loads     []serverLoad
 	// offerCounts holds the counts of offers in the peer's last datagram.
 	offerCounts []offerCounts
-	// limits holds the limits in the peer's last datagram, with its requests to these servers.
+	// limits holds the rate limits in the peer's last datagram, with the number of requests that the
+	// peer sent to these servers.
 	limits []serverLimit
 	// stateVersion is the version of the desired state last in force at the peer.
 	stateVersion uint64
-	// storeMode is whether the peer polls the store; serversPosition is its position in the
-	// list of backend servers.
+	// storeMode is whether the peer polls the store; serversPosition is the position after the newest
+	// change of the list of backend servers that it knows.
 	storeMode       storeMode
 	serversPosition follow.Position
 	// quarantineKnown is whether the peer knows the quarantined requests.
@@ -47,12 +50,13 @@
 // safe for concurrent use.
 type table struct {
 	// mu guards the fields below. No other lock is taken while it is held.
-	mu       sync.Mutex
+	mu sync.Mutex
+	// peers holds the other gateways by name, loadSums the sums of their loads by server hash.
 	peers    map[string]*peer
 	loadSums map[uint32]*backend.Counts
 	// offerSums holds the sums of the counts of offers by service hash.
 	offerSums map[uint32]policy.OfferCounts
-	// limitedSendSums holds the sums of requests to servers that have announced a limit, by
+	// limitedSendSums holds the sums of requests to servers that have announced a rate limit, by
 	// server instance.
 	limitedSendSums map[uint32]float64
 }
@@ -62,7 +66,7 @@
 }
 
 // update applies a datagram. It returns false if the datagram is not newer than the last one of
-// the same start.
+// the same instance of the gateway.
 func (t *table) update(now time.Time, addr string, in *decodedMessage) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -92,7 +96,7 @@
 	t.getOrAdd(name).addr = addr
 }
 
-// getOrAdd returns the peer of a name, added if it is new; t.mu must be held.
+// getOrAdd returns the peer with a name, adding it if it is new; t.mu must be held.
 func (t *table) getOrAdd(name string) *peer {
 	p := t.peers[name]
 	if p == nil {
@@ -139,18 +143,20 @@
 
 // destination is a receiver of a datagram, with the data that is specific to it.
 type destination struct {
-	name      string
-	addr      string
+	name string
+	addr string
+	// echoStamp and bootID are the Stamp and the BootID of the receiver's last datagram.
 	echoStamp uint64
 	bootID    uint64
-	// receivesUsage is whether the receiver is sent usage updates; ackReceived is the last
-	// change that it has acknowledged as merged.
+	// receivesUsage is whether the receiver is sent usage updates; ackReceived is the sequence
+	// number of this gateway's last change that it has acknowledged as merged.
 	receivesUsage bool
 	ackReceived   uint64
-	// ackSent is the last sequence that was acknowledged to the receiver.
+	// ackSent is the sequence number of the receiver's last change that was acknowledged to it.
 	ackSent uint64
 }
 
+// destinations returns all known gateways, live or not. receivesUsage is not set yet.
 func (t *table) destinations() []destination {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/gateway/peers/ttft_sample.go
+++ b/internal/gateway/peers/ttft_sample.go
@@ -6,8 +6,8 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// ttftSample is the encoded form of policy.FirstToken: the time to the first token at a server,
-// with the number of prompt tokens queued ahead of it.
+// ttftSample is the encoded form of policy.TTFTSample: the time to first token of a request at a
+// server, and the number of prompt tokens that had to be prefilled before that token.
 type ttftSample struct {
 	_             struct{} `cbor:",toarray"`
 	Service       uint32
@@ -17,7 +17,7 @@
 	LatencyMillis uint32
 }
 
-// packTTFTSamples encodes first-token samples.
+// packTTFTSamples encodes samples of the time to first token.
 func packTTFTSamples(samples []policy.TTFTSample) []ttftSample {
 	packed := make([]ttftSample, len(samples))
 	for i, sample := range samples {
@@ -29,8 +29,8 @@
 	return packed
 }
 
-// unpackTTFTSamples decodes first-token samples. An unknown urgency level is mapped to the
-// least urgent one.
+// unpackTTFTSamples decodes samples of the time to first token. An unknown urgency level is mapped
+// to the least urgent one.
 func unpackTTFTSamples(packed []ttftSample) []policy.TTFTSample {
 	samples := make([]policy.TTFTSample, len(packed))
 	for i, sample := range packed {
--- a/internal/gateway/peers/updates_test.go
+++ b/internal/gateway/peers/updates_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// A suspicion reaches the peers with its times unchanged, however far apart the gateways'
-// clocks are: times are sent as ages.
+// Guards against times in suspicions that depend on the sender's clock: they are sent as ages, since
+// the clocks of gateways may differ.
 func TestSuspicionsReachPeers(t *testing.T) {
 	a, b, _ := newMeshPair(t)
 	now := time.Now()
@@ -69,8 +69,8 @@
 	checkTime(merged[0].Seen, sent[0].Seen)
 }
 
-// Requests sent to a limited server count until the sender falls silent. A limit that is not a
-// number is ignored.
+// The requests that a peer sent to a limited server count until it sends no more datagrams. A limit
+// that is not a number is ignored, and one that the peer has only from others isn't merged.
 func TestServerLimitsReachPeers(t *testing.T) {
 	a, b, _ := newMeshPair(t)
 	now := time.Now()
--- a/internal/gateway/peers/usage.go
+++ b/internal/gateway/peers/usage.go
@@ -10,14 +10,13 @@
 )
 
 const (
-	// usageEveryRounds is the number of broadcast rounds between two usage updates to a
-	// receiver. Counts that a killed gateway has not sent yet are lost.
+	// usageEveryRounds is the number of broadcast rounds between two usage updates to a receiver.
+	// It is small because the counts that a killed gateway has not sent yet are lost.
 	usageEveryRounds = 2
 	// clockEveryRounds is the number of broadcast rounds between two messages with the time of
-	// day and the reporter flag to gateways that get no usage updates. From
-	// clockEveryRounds*clockMessagesPerRound gateways on, the interval is the number of listed
-	// gateways divided by clockMessagesPerRound, so that a gateway's traffic doesn't grow with
-	// their number.
+	// day and the reporter flag to gateways that get no usage updates. With more than
+	// clockEveryRounds*clockMessagesPerRound listed gateways, it is their number divided by
+	// clockMessagesPerRound instead, so that a gateway's traffic doesn't grow with their number.
 	clockEveryRounds      = 10
 	clockMessagesPerRound = 8
 	// usageSuccessors is the number of gateways that receive usage updates in addition to the
@@ -29,11 +28,11 @@
 type UsageExchange struct {
 	// IsReporter reports whether this gateway currently reports usage to the platform.
 	IsReporter func() bool
-	// UpdateSince returns the counts that have changed after the change that a receiver has
-	// acknowledged.
+	// UpdateSince returns the counts that changed after the change whose sequence number a receiver
+	// has acknowledged.
 	UpdateSince func(acknowledged uint64) usage.Update
-	// Merge merges another gateway's update. MergedSequence returns the last change merged from
-	// a gateway, which is then acknowledged to it.
+	// Merge merges another gateway's update. MergedSequence returns the sequence number of the last
+	// change merged from a gateway, which is then acknowledged to it.
 	Merge          func(now time.Time, from usage.Source, u usage.Update)
 	MergedSequence func(from usage.Source) uint64
 }
@@ -42,22 +41,25 @@
 type usageMessage struct {
 	// WallClock is the sender's time of day, in Unix milliseconds.
 	WallClock int64 `cbor:"1,keyasint"`
-	Reporter  bool  `cbor:"2,keyasint,omitempty"`
-	// Acked is the receiver's last change that the sender has merged.
+	// Reporter is whether the sender reports usage to the platform.
+	Reporter bool `cbor:"2,keyasint,omitempty"`
+	// Acked is the sequence number of the receiver's last change that the sender has merged.
 	Acked uint64 `cbor:"3,keyasint,omitempty"`
 	// Update is nil for a receiver that is sent no usage update.
 	Update *usage.Update `cbor:"4,keyasint,omitempty"`
 }
 
-// peerUsage is the known usage state of another gateway.
+// peerUsage is what is known from the usage parts of another gateway's datagrams.
 type peerUsage struct {
-	reporter    bool
+	// reporter is whether the peer reports usage to the platform.
+	reporter bool
+	// ackReceived is the sequence number of this gateway's last change that the peer has merged.
 	ackReceived uint64
 	// clockOffset is the peer's time of day minus this VM's boottime clock, in milliseconds; it
 	// is valid if clockKnown is set.
 	clockOffset int64
 	clockKnown  bool
-	// ackSent is the last sequence that was acknowledged to the peer.
+	// ackSent is the sequence number of the peer's last change that was acknowledged to it.
 	ackSent uint64
 }
 
@@ -73,6 +75,8 @@
 	}
 }
 
+// receiveUsage records the usage part of a datagram. clockOffset is the sender's time of day minus
+// this VM's boottime clock, in milliseconds.
 func (t *table) receiveUsage(from string, msg *usageMessage, clockOffset int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -100,8 +104,8 @@
 	return msg
 }
 
-// recordAckSent records the sequence that has been acknowledged to a gateway. If that datagram
-// is lost, the next one with the time of day repeats the acknowledgement.
+// recordAckSent records the sequence number that has been acknowledged to a gateway. If that datagram
+// is lost, the next one with a usage part repeats the acknowledgement.
 func (t *table) recordAckSent(name string, sequence uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,9 +114,9 @@
 	}
 }
 
-// selectUsageReceivers marks the receivers of usage updates: the reporters, and usageSuccessors
-// other gateways, first those that can reach the store. If no gateway can reach it, the
-// successors still preserve the counts of gateways that end in the meantime.
+// selectUsageReceivers marks the receivers of usage updates among the live peers: the reporters, and
+// usageSuccessors others, of which those that can reach the store come first. If no gateway can reach
+// it, the successors still preserve the counts of gateways that exit in the meantime.
 func (t *table) selectUsageReceivers(now time.Time, destinations []destination) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -154,8 +158,8 @@
 	return false
 }
 
-// MedianTime returns the best estimate of true time: the median of the live gateways' times of
-// day. Neither a wrong clock on one VM nor wrong clocks on a third of them move it.
+// MedianTime estimates the true time by the median of the live gateways' times of day, this one's
+// included. With wrong clocks on up to a third of the VMs, it still lies within the others' times.
 func (m *Mesh) MedianTime() time.Time {
 	now, bootMillis := time.Now(), boottime.Now().Milliseconds()
 	offsets := append(m.table.clockOffsets(now), now.UnixMilli()-bootMillis)
--- a/internal/gateway/peers/usage_test.go
+++ b/internal/gateway/peers/usage_test.go
@@ -43,7 +43,8 @@
 	return destinations
 }
 
-// Usage updates go to the reporter and two successors, not to all gateways.
+// Guards against usage traffic that grows with the number of gateways: updates go to the reporter and
+// two successors only.
 func TestUsageGoesToReporterAndSuccessors(t *testing.T) {
 	for _, peerCount := range []int{1, 2, 30, 409} {
 		m := newUsageMesh(t, peerCount, "gateway-0")
@@ -61,7 +62,7 @@
 	}
 }
 
-// Acknowledged changes are not sent again until the receiver restarts.
+// Acknowledged changes are not sent again unless the receiver restarts, which loses what it merged.
 func TestUsageResumesAfterTheAcknowledgedChange(t *testing.T) {
 	m := newUsageMesh(t, 1, "gateway-0")
 	nextSequence := func() uint64 {
@@ -81,7 +82,8 @@
 	}
 }
 
-// A third of the VMs may have a wrong time of day, possibly including this one.
+// Guards against a reporter that acts at the wrong time because clocks are wrong: a third of the VMs
+// may have a wrong time of day.
 func TestClockMedianToleratesAThirdOfWrongClocks(t *testing.T) {
 	m := newUsageMesh(t, 0, "")
 	const gateways = 30
@@ -107,6 +109,7 @@
 	}
 }
 
+// Guards against treating a gateway as the reporter after it has stopped reporting.
 func TestCurrentReporterIsKnown(t *testing.T) {
 	m := newUsageMesh(t, 3, "gateway-1")
 	if !m.HasUsageReporter() {
@@ -118,12 +121,13 @@
 	}
 }
 
-// A gateway of another deployment or an earlier release sends no usage.
+// A gateway with usage reporting disabled sends no usage, and ignores that of gateways with other
+// settings.
 func TestNoUsageIsSentIfUsageReportingIsDisabled(t *testing.T) {
 	m, _, _ := newMeshPair(t)
 	m.handle("127.0.0.1:9", &decodedMessage{message: message{From: "x", BootID: 1, Sequence: 1, Usage: &usageMessage{Reporter: true}}})
 	if d := m.usageDestinations(); m.usageMessageFor(&d[0]) != nil || m.HasUsageReporter() {
-		t.Error("usage is exchanged although none is reported")
+		t.Error("usage is exchanged although usage reporting is disabled")
 	}
 }
 
@@ -141,8 +145,8 @@
 }
 
 // Usage traffic must fit into its part of the three kilobytes per second of control traffic
-// that a gateway may send, whatever the number of gateways and customers. (The reporter
-// acknowledges updates to all gateways.)
+// that a gateway may send, whatever the number of gateways and customers. Not measured is the
+// reporter itself, which acknowledges updates to all gateways.
 func TestUsageTrafficStaysWithinBudget(t *testing.T) {
 	const seconds, maxBytesPerSecond = 10, 3000
 	for _, c := range []struct{ gateways, customers, perSecond int }{{31, 24, 18}, {68, 40, 12}, {410, 400, 9}} {
@@ -190,8 +194,7 @@
 	}
 }
 
-// While no gateway can reach the store, the counts of gateways that end must still be
-// preserved.
+// While no gateway can reach the store, the counts of gateways that exit must still be preserved.
 func TestUsageIsSentWhileTheStoreIsUnreachable(t *testing.T) {
 	m := newUsageMesh(t, 5, "")
 	for i := range 5 {
