--- a/internal/gateway/exchange/conn.go
+++ b/internal/gateway/exchange/conn.go
@@ -13,10 +13,11 @@
 
 // conn is a connection to a backend server. It carries one request at a time.
 type conn struct {
-	netConn  net.Conn
-	reader   *bufio.Reader
+	netConn net.Conn
+	reader  *bufio.Reader
+	// instance is the instance of the backend server that the connection leads to.
 	instance Peer
-	// keepAlive is how long the connection may be reused after it became idle.
+	// keepAlive is how long the connection may be idle and still be reused.
 	keepAlive time.Duration
 	// idleSince is when the last exchange ended.
 	idleSince time.Time
--- a/internal/gateway/exchange/errors.go
+++ b/internal/gateway/exchange/errors.go
@@ -2,8 +2,8 @@
 
 import "github.com/go-faster/errors"
 
-// Errors of an exchange. Each one says what is known about whether the request ran, which is what
-// may be reported to the caller.
+// Errors of an exchange. Each one states whether the request may have run, which determines the
+// response to the caller.
 var (
 	// ErrNotSent means that no byte of the request left this process, so it didn't run.
 	ErrNotSent = errors.New("request not sent")
--- a/internal/gateway/exchange/exchange.go
+++ b/internal/gateway/exchange/exchange.go
@@ -41,9 +41,11 @@
 
 // exchange is one request and its response on a connection.
 type exchange struct {
-	pool       *Pool
-	conn       *conn
-	ctx        context.Context
+	pool *Pool
+	conn *conn
+	ctx  context.Context
+	// stopCancel stops the closing of the connection when ctx ends. It returns false if the
+	// connection is already being closed.
 	stopCancel func() bool
 	// writeDone receives the result of writing a large request; nil if the request was written
 	// before the response is read.
@@ -51,11 +53,13 @@
 	writer    conc.WaitGroup
 	// keepConn is set while the connection may be reused after this exchange.
 	keepConn bool
-	ended    bool
+	// ended is set once the connection has been closed or returned to the pool.
+	ended bool
 }
 
-// Do sends a request and reads the response header. It returns early when ctx ends. Errors wrap one
-// of ErrNotSent, ErrIncomplete, ErrTimeout and ErrCancelled.
+// Do sends a request and reads the response header. If ctx ends, also while the body is being read,
+// the connection is closed and the exchange fails. Errors wrap one of ErrNotSent, ErrIncomplete,
+// ErrTimeout and ErrCancelled.
 func (p *Pool) Do(ctx context.Context, instance Peer, r *Request) (*Response, error) {
 	c, err := p.acquire(ctx, instance, r.MaxIdle)
 	if err != nil {
@@ -80,7 +84,9 @@
 	return response, nil
 }
 
-// write sends the request. A large request is still being sent when write returns.
+// write sends the request. A request larger than maxSyncWrite may still be in transmission when write
+// returns. The error wraps ErrNotSent if no byte was written for another reason than the end of ctx or
+// a timeout.
 func (e *exchange) write(data []byte) error {
 	if len(data) > maxSyncWrite {
 		e.writeDone = make(chan error, 1)
@@ -97,7 +103,8 @@
 	return err
 }
 
-// readHead reads the header of the response that belongs to the request.
+// readHead reads the header of the response that belongs to the request. It skips informational (1xx)
+// responses and responses to other requests, at most maxMismatchedResponses in total.
 func (e *exchange) readHead(r *Request) (*Response, error) {
 	for range maxMismatchedResponses + 1 {
 		httpResp, err := http.ReadResponse(e.conn.reader, &http.Request{Method: r.Method})
@@ -110,7 +117,7 @@
 		if r.Matches(httpResp.Header) {
 			return e.newResponse(httpResp), nil
 		}
-		// Whatever the cause, this connection can't be trusted any more.
+		// A connection that delivered a response to another request is not reused.
 		e.keepConn = false
 		if httpResp.ContentLength < 0 && len(httpResp.TransferEncoding) == 0 {
 			return nil, errors.Wrap(ErrIncomplete, "response to another request without a body length")
@@ -159,11 +166,12 @@
 // Incomplete reports whether reading the body ended in ErrIncomplete.
 func (r *Response) Incomplete() bool { return r.incomplete }
 
-// Abort ends the exchange by closing its connection, which tells the backend server to stop. After
-// the complete body was read it does nothing.
+// Abort ends the exchange by closing its connection, so that the backend server stops working on the
+// request. After the complete body was read it does nothing.
 func (r *Response) Abort() { r.exchange.end(false) }
 
-// end returns the connection to the pool or closes it.
+// end ends the exchange. It returns the connection to the pool if the exchange is complete and no data
+// is left unread or unwritten; otherwise it closes the connection.
 func (e *exchange) end(complete bool) {
 	if e.ended {
 		return
@@ -184,8 +192,8 @@
 	e.pool.release(e.conn)
 }
 
-// requestWritten reports whether the complete request was written before the response ended.
-// Otherwise the backend server would read the next request as the rest of this one.
+// requestWritten reports whether the complete request was written before the response ended. If it
+// wasn't, the backend server would read the next request on the connection as the rest of this one.
 func (e *exchange) requestWritten() bool {
 	if e.writeDone == nil {
 		return true
@@ -198,7 +206,8 @@
 	}
 }
 
-// classify wraps an error of the connection in one of this package's errors.
+// classify wraps an error of the connection in one of this package's errors. Errors that already wrap
+// ErrNotSent or ErrIncomplete are returned unchanged.
 func (e *exchange) classify(err error) error {
 	var netErr net.Error
 	switch {
--- a/internal/gateway/exchange/exchange_test.go
+++ b/internal/gateway/exchange/exchange_test.go
@@ -50,7 +50,8 @@
 	return req.Header.Get("Id"), true
 }
 
-// A cancelled request must not reach a server, including on a pooled connection.
+// Guards against sending a request whose caller has already left on a pooled connection. The
+// connection must stay usable.
 func TestCancelledRequestIsNotSent(t *testing.T) {
 	var received atomic.Int32
 	addr, accepted := newScriptedServer(t, func(c net.Conn, reader *bufio.Reader) {
@@ -114,6 +115,7 @@
 	}
 }
 
+// Sequential requests share one connection until Sweep removes it.
 func TestConnectionsAreReused(t *testing.T) {
 	addr, accepted := newScriptedServer(t, func(c net.Conn, reader *bufio.Reader) {
 		for id, ok := readRequest(reader); ok; id, ok = readRequest(reader) {
@@ -130,10 +132,11 @@
 	pool.Sweep(time.Now(), func(Peer) bool { return false })
 	mustSend(t, pool, addr, "after")
 	if accepted.Load() != 2 {
-		t.Errorf("a connection to an unwanted peer was reused")
+		t.Errorf("a connection to an unwanted instance was reused")
 	}
 }
 
+// Guards against taking a duplicate response that arrives late for the response to the next request.
 func TestConnectionWithExtraBytesIsNotReused(t *testing.T) {
 	sent := make(chan struct{}, 10)
 	addr, accepted := newScriptedServer(t, func(c net.Conn, reader *bufio.Reader) {
@@ -153,6 +156,7 @@
 	}
 }
 
+// Guards against passing a response to an earlier request on to the caller.
 func TestMismatchedResponsesAreSkipped(t *testing.T) {
 	addr, accepted := newScriptedServer(t, func(c net.Conn, reader *bufio.Reader) {
 		for id, ok := readRequest(reader); ok; id, ok = readRequest(reader) {
@@ -167,6 +171,7 @@
 	}
 }
 
+// Guards against reporting a request as not sent although the server may have run it, and the reverse.
 func TestErrorClassification(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -200,6 +205,7 @@
 	}
 }
 
+// Guards against a backend server that keeps working on a request after its caller has left.
 func TestCancelClosesConnection(t *testing.T) {
 	closed := make(chan struct{})
 	addr, _ := newScriptedServer(t, func(c net.Conn, reader *bufio.Reader) {
@@ -244,6 +250,8 @@
 	}
 }
 
+// A body without a length ends when the server closes the connection. A reset must not count as such
+// an end.
 func TestResponseDelimitedByConnectionClose(t *testing.T) {
 	addr, accepted := newScriptedServer(t, func(c net.Conn, reader *bufio.Reader) {
 		id, _ := readRequest(reader)
@@ -280,6 +288,7 @@
 	}
 }
 
+// Guards against normalizing the path or query, as net/url does, or changing the header or body.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	post := Request{Method: "POST", Target: "/a%2Fb//c/../d?x=%20", Host: "h.example", Header: http.Header{"A": {"1", "2"}}, Body: []byte("body")}
 	want := "POST /a%2Fb//c/../d?x=%20 HTTP/1.1\r\nHost: h.example\r\nA: 1\r\nA: 2\r\nContent-Length: 4\r\n\r\nbody"
--- a/internal/gateway/exchange/pool.go
+++ b/internal/gateway/exchange/pool.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// defaultKeepAlive is how long an idle connection is kept if the backend server doesn't say how
-	// long it keeps it.
+	// defaultKeepAlive is how long an idle connection is kept if the backend server announces no
+	// timeout of its own.
 	defaultKeepAlive = 4 * time.Second
-	// keepAliveMargin is how long before the backend server's own limit a connection is no longer
-	// used, so that a request doesn't cross the server's close. It covers a round trip with a lost
-	// packet, and the second by which the Keep-Alive header is rounded.
+	// keepAliveMargin is how long before the backend server's own timeout a connection is no longer
+	// used, so that no request is in transit when the server closes the connection. It covers a
+	// round trip with a lost packet, and the rounding of the Keep-Alive header to whole seconds.
 	keepAliveMargin = 1200 * time.Millisecond
 	// dialTimeout bounds opening a connection, which normally takes a round trip of a few
-	// milliseconds. A lost SYN is retransmitted only after a second; trying another backend server
-	// is faster.
+	// milliseconds. A lost SYN is retransmitted only after a second, so trying another backend
+	// server is faster.
 	dialTimeout = 250 * time.Millisecond
 	// maxUnacknowledged is how long sent data may stay unacknowledged before the connection counts
 	// as broken. A lost packet is retransmitted after 0.2, 0.6 and 1.4 seconds, so that the first
@@ -32,23 +32,26 @@
 	// refusalCheckTimeout bounds RefusesConnections. It allows for a round trip to any availability
 	// zone, while a caller waits for its response.
 	refusalCheckTimeout = 100 * time.Millisecond
-	// processExitTime is the delay before the second connection of RefusesConnections. A process
-	// that is exiting has closed all its sockets by then.
+	// processExitTime is the delay between the two connections of RefusesConnections. A process that
+	// is exiting when it accepts the first one has closed all its sockets by the second.
 	processExitTime = 20 * time.Millisecond
 	// probeDialTimeout bounds one connection attempt of RefusesConnections; it allows for a few
-	// round trips between availability zones. A SYN that arrives just as the listener is closed is
-	// lost.
+	// round trips between availability zones. It is short because a SYN that arrives just as the
+	// listener is closed is lost, and the next attempt is refused.
 	probeDialTimeout = 30 * time.Millisecond
-	// redialDelay is the pause before another connection attempt to a peer that reset one.
+	// redialDelay is the pause of RefusesConnections after an attempt that failed, but not because
+	// the connection was refused: it was reset or timed out.
 	redialDelay = 5 * time.Millisecond
-	// maxIdlePerInstance bounds the idle connections to one backend server.
+	// maxIdlePerInstance bounds the idle connections to one instance of a backend server.
 	maxIdlePerInstance = 32
 )
 
-// Peer identifies an instance of a backend server: one run of the process at its address.
+// ServerInstance identifies an instance of a backend server: one run of the process at its address.
 // Connections to an earlier instance are never used for a later one.
 type Peer struct {
-	Addr     string
+	// Addr is the host:port at which the instance accepts connections.
+	Addr string
+	// ServerID is the ID of the backend server, shared by its instances.
 	ServerID string
 	// StartTime distinguishes instances with the same ServerID; larger is later, and 0
 	// means that the backend server reports none.
@@ -92,11 +95,11 @@
 	return newConn(netConn, instance), nil
 }
 
-// RefusesConnections reports whether a peer's host refuses connections to its address, as it does
-// when nothing listens there any more. One successful connection proves nothing, since a host also
-// accepts connections for a process that is about to exit. A peer therefore counts as running only
-// if a second connection opens processExitTime later; both connections then go to the pool. It
-// returns false if the result isn't known within refusalCheckTimeout.
+// RefusesConnections reports whether connections to an instance's address are refused, which means
+// that no process listens there any more. One successful connection doesn't show that the instance is
+// running, since the host also accepts connections for a process that is about to exit. It therefore
+// counts as running only if a second connection opens processExitTime later; both connections then go
+// to the pool. RefusesConnections returns false if the result isn't known within refusalCheckTimeout.
 func (p *Pool) RefusesConnections(ctx context.Context, instance Peer) bool {
 	ctx, cancel := context.WithTimeout(ctx, refusalCheckTimeout)
 	defer cancel()
@@ -127,7 +130,8 @@
 	}
 }
 
-// dialProbe opens a connection, or gives up before a lost SYN would be retransmitted.
+// dialProbe opens a connection within probeDialTimeout, so that it fails before a lost SYN would be
+// retransmitted.
 func (p *Pool) dialProbe(ctx context.Context, instance Peer) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeDialTimeout)
 	defer cancel()
@@ -138,8 +142,8 @@
 	return newConn(netConn, instance), nil
 }
 
-// popIdle removes and returns the most recently used connection, so that surplus ones expire. It
-// returns nil if there is none.
+// popIdle removes the most recently used idle connection and returns it, so that surplus ones expire.
+// It returns nil if there is none.
 func (p *Pool) popIdle(instance Peer) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -153,7 +157,8 @@
 	return c
 }
 
-// release returns a connection to the pool after a complete exchange.
+// release returns an unused connection, or one whose exchange is complete, to the pool. It closes the
+// connection if the pool already holds maxIdlePerInstance to the same instance.
 func (p *Pool) release(c *conn) {
 	c.idleSince = time.Now()
 	p.mu.Lock()
@@ -165,8 +170,8 @@
 	p.idle[c.instance] = append(p.idle[c.instance], c)
 }
 
-// Sweep closes expired idle connections, and all connections to peers that aren't wanted any more.
-// Call it about once a second.
+// Sweep closes expired idle connections, and all idle connections to instances that aren't wanted any
+// more. Call it about once a second.
 func (p *Pool) Sweep(now time.Time, wanted func(Peer) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gateway/exchange/pool_test.go
+++ b/internal/gateway/exchange/pool_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// newExitingServer starts a listener that closes after delay, counted from the first accepted
-// connection if accepts is set, like a process that is killed. The returned channel receives the
-// time when the listener was closed.
+// newExitingServer starts a listener that closes after delay, like that of a process that is killed.
+// If accepts is set, it accepts one connection, from which the delay is counted, and resets it after
+// the listener has closed. The returned channel receives the time when the listener was closed.
 func newExitingServer(t *testing.T, accepts bool, delay time.Duration) (Peer, <-chan time.Time) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,8 +41,8 @@
 	return Peer{Addr: listener.Addr().String(), ServerID: "i"}, closed
 }
 
-// Guards against mistaking an exiting server for a running one when the probe crosses its exit: the
-// connection opens and is then reset.
+// Guards against mistaking an exiting server for a running one if it exits while RefusesConnections
+// opens its first connection, which succeeds and is then reset.
 func TestPeerEndingDuringDialRefuses(t *testing.T) {
 	for _, accepts := range []bool{true, false} {
 		for _, delay := range []time.Duration{0, 200 * time.Microsecond, time.Millisecond, 3 * time.Millisecond} {
--- a/internal/gateway/exchange/request.go
+++ b/internal/gateway/exchange/request.go
@@ -15,15 +15,15 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// MaxIdle bounds how long a pooled connection may have been idle. Requests that may run at most
-	// once are safer on a recently used connection.
+	// MaxIdle bounds how long a pooled connection may have been idle. It is short for requests that
+	// must not run twice, since a recently used connection is less likely to be closed meanwhile.
 	MaxIdle time.Duration
-	// Matches reports whether a response header belongs to this request. Other responses are late
-	// ones to earlier requests and are skipped.
+	// Matches reports whether a response header belongs to this request. Responses to other requests,
+	// such as late ones to earlier requests, are skipped.
 	Matches func(http.Header) bool
 }
 
-// encode returns the request as written to the connection.
+// encode returns the request in the HTTP/1.1 wire format.
 func (r *Request) encode() []byte {
 	var buf bytes.Buffer
 	buf.Grow(512 + len(r.Body))
--- a/internal/gateway/protocol/headers.go
+++ b/internal/gateway/protocol/headers.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// hopByHopHeaders apply to one connection only (RFC 9110, 7.6.1), or are written anew with the
-// message body.
+// hopByHopHeaders are the headers that apply to one connection only (RFC 9110, 7.6.1), and those that
+// are written again with the message body, such as Content-Length.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
--- a/internal/gateway/protocol/protocol.go
+++ b/internal/gateway/protocol/protocol.go
@@ -1,6 +1,6 @@
-// Package protocol defines what a gateway reads from and writes to the HTTP headers of callers and
-// backend servers, independent of their names. An adapter implements the header names. Start
-// reading at Dialect.
+// Package protocol defines the information that a gateway reads from and writes to the HTTP headers
+// of callers and backend servers. The header names are those of a Dialect, which an adapter
+// implements. Start reading at Dialect.
 package protocol
 
 import (
@@ -21,7 +21,7 @@
 	Tokens int
 }
 
-// RequestInfo is what a caller's request says about itself.
+// RequestInfo is the information in the header of a caller's request.
 type RequestInfo struct {
 	// ID identifies the request; empty if it has none.
 	ID string
@@ -39,7 +39,8 @@
 	PromptSegments []PromptSegment
 }
 
-// AttemptInfo is what a gateway tells a backend server about one attempt.
+// AttemptInfo is the information that a gateway sends to a backend server with one attempt to run a
+// request.
 type AttemptInfo struct {
 	// ServerID identifies the backend server that the attempt is meant for.
 	ServerID string
@@ -51,26 +52,26 @@
 	Timeout time.Duration
 	// LastEventID is the ID of the last event that the caller has received.
 	LastEventID string
-	// FetchFrom is the address of the backend server from which this one should fetch the prompt
-	// data that it has already processed; empty for none.
+	// FetchFrom is the address of the backend server from which this one should fetch the KV cache
+	// of the part of the prompt that has already been prefilled there; empty for none.
 	FetchFrom string
 }
 
-// ResponseInfo is what the header of a backend server's response says.
+// ResponseInfo is the information in the header of a backend server's response.
 type ResponseInfo struct {
 	// ID identifies the request that the response belongs to.
 	ID string
-	// Signed is set if the response bears the signature that callers need.
+	// Signed is set if the response has the signature that callers need.
 	Signed bool
 	// NotExecuted is set if the request didn't run and won't.
 	NotExecuted bool
-	// OtherInstance is set if the response comes from another instance at the address than the
-	// attempt was meant for.
+	// OtherInstance is set if the response comes from another instance than the one that the attempt
+	// was meant for, at the same address.
 	OtherInstance bool
 	// Limit is the backend server's request rate limit.
 	Limit RateLimit
-	// ContentEncoded is set if the body has a content encoding, so that it isn't the backend
-	// server's own bytes.
+	// ContentEncoded is set if the body has a content encoding, so that its bytes aren't those that
+	// the backend server produced.
 	ContentEncoded bool
 }
 
@@ -79,7 +80,7 @@
 	// Rate is in requests per second; it is valid only if Present is set.
 	Rate    float64
 	Present bool
-	// Invalid is set if the header holds a limit that isn't such a number.
+	// Invalid is set if the header holds a limit that isn't a valid rate.
 	Invalid bool
 }
 
