--- a/internal/gateway/exchange/conn.go
+++ b/internal/gateway/exchange/conn.go
@@ -15,15 +15,16 @@
 type conn struct {
 	netConn net.Conn
 	reader  *bufio.Reader
-	peer    Peer
-	// keepAlive is how long the connection may be reused after it became idle.
+	// instance is the instance of the backend server that the connection leads to.
+	instance Peer
+	// keepAlive is how long the connection may be idle and still be reused.
 	keepAlive time.Duration
 	// idleSince is when the last exchange ended.
 	idleSince time.Time
 }
 
-func newConn(netConn net.Conn, peer Peer) *conn {
-	return &conn{netConn: netConn, reader: bufio.NewReaderSize(netConn, readBufferSize), peer: peer, keepAlive: defaultKeepAlive}
+func newConn(netConn net.Conn, instance Peer) *conn {
+	return &conn{netConn: netConn, reader: bufio.NewReaderSize(netConn, readBufferSize), instance: instance, keepAlive: defaultKeepAlive}
 }
 
 // reusable reports whether an idle connection is open and has no unread data. Unread data belongs
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
 // Package gateway implements the gateway process of an entry VM, which sends caller requests
-// straight to the backend servers. Start reading at Serve.
+// directly to the backend servers. Start reading at Serve.
 package gateway
 
 import (
@@ -35,22 +35,24 @@
 )
 
 const (
-	// sweepInterval is how often expired state and idle connections are removed.
+	// sweepInterval is the time between two calls of the sweep methods, which remove expired state
+	// and idle connections.
 	sweepInterval = 500 * time.Millisecond
 	// headerTimeout bounds the time to read a caller's request header.
 	headerTimeout = 10 * time.Second
 	// handoverTimeout bounds the time to read another gateway's handover request. It is also added
-	// to handover.Longest to bound the writing of the response.
+	// to handover.MaxDuration to bound the writing of the response.
 	handoverTimeout = 2 * time.Second
 	// defaultIdleTimeout is how long an idle caller connection is kept open where operators set no
 	// limit.
 	defaultIdleTimeout = 2 * time.Minute
 	// maxHeaderBytes bounds the size of a caller's request header; operators' limits are lower.
 	maxHeaderBytes = 64 << 10
-	// heapMemoryShare is the share of the memory given to the garbage collector as its limit. The
-	// rest is for memory that it doesn't account for, such as socket buffers and stacks.
+	// heapMemoryShare is the share of the process's memory limit that is set as the Go runtime's
+	// limit. The rest is for memory that the runtime doesn't account for, such as socket buffers.
 	heapMemoryShare = 0.6
-	// requestMemoryShare is the share of the memory that requests in progress may use.
+	// requestMemoryShare is the share of the process's memory limit that requests in progress may
+	// use.
 	requestMemoryShare = 0.4
 	// gcPercent is the heap growth, in percent, that triggers a garbage collection.
 	gcPercent = 60
@@ -63,19 +65,19 @@
 	platform Platform
 	log      *zap.Logger
 
-	holder      *routes.Holder
-	desiredSink *desiredStateSink
-	registry    *backend.Registry
-	pool        *exchange.Pool
-	router      *router.Router
+	holder           *routes.Holder
+	desiredStateSink *desiredStateSink
+	registry         *backend.Registry
+	pool             *exchange.Pool
+	router           *router.Router
 	// usage is nil if usage reporting is disabled.
 	usage *usage.Reporter
 	mesh  *peers.Mesh
-	// servers follows the list of backend servers, targets the desired state.
-	servers *follow.Follower[backend.Info]
-	targets *follow.Follower[*routes.Snapshot]
-	// serversBehind and stateBehind track since when other gateways have had changes of the server
-	// list, or a newer desired state, that this gateway hasn't got from them.
+	// servers follows the list of backend servers, desiredState the desired state.
+	servers      *follow.Follower[backend.Info]
+	desiredState *follow.Follower[*routes.Snapshot]
+	// serversBehind holds while other gateways have changes of the server list that this gateway
+	// doesn't have, stateBehind while they have a newer desired state.
 	serversBehind, stateBehind timedCondition
 	draining                   atomic.Bool
 	// pendingQuarantine holds newly quarantined requests until they are written to the store.
@@ -116,16 +118,16 @@
 		holder: &routes.Holder{}, registry: backend.NewRegistry(), pool: exchange.NewPool(),
 		pendingQuarantine: make(chan policy.Suspicion, maxPendingQuarantine),
 	}
-	g.desiredSink = &desiredStateSink{holder: g.holder, registry: g.registry, log: log}
+	g.desiredStateSink = &desiredStateSink{holder: g.holder, registry: g.registry, log: log}
 	var err error
 	g.mesh, err = peers.Listen(peers.Config{
 		Self:  peers.Entry{Name: s.Process, Addr: s.PeerListen},
 		Loads: g.loads, OwnOfferCounts: func() map[string]policy.OfferCounts { return g.router.OfferCounts() },
-		TakeUpdates: func() policy.PeerUpdate { return g.router.TakeUpdates() }, MergeUpdates: func(n policy.PeerUpdate) { g.router.MergeUpdates(n) },
+		TakeUpdates: func() policy.PeerUpdate { return g.router.TakeUpdates() }, MergeUpdates: func(u policy.PeerUpdate) { g.router.MergeUpdates(u) },
 		Confirmation: func() peers.Confirmation {
 			return peers.Confirmation{Version: g.holder.Version(), At: g.holder.ConfirmedAt()}
 		},
-		Confirm: func(p peers.Confirmation) { g.holder.Confirm(p.Version, p.At) }, StoreStatus: g.pollStatus,
+		Confirm: func(c peers.Confirmation) { g.holder.Confirm(c.Version, c.At) }, StoreStatus: g.pollStatus,
 		Usage: g.peerUsage(), Log: log,
 	})
 	if err != nil {
@@ -141,15 +143,15 @@
 		Observer: requestObserver{p.Metrics, log, g.enqueueQuarantined, counter},
 	}, routerBounds(s), g.sheddingCallers)
 	g.registry.OnRemove = g.router.ForgetServer
-	g.servers, g.targets = g.newServersFollower(), g.newDesiredStateFollower()
+	g.servers, g.desiredState = g.newServersFollower(), g.newDesiredStateFollower()
 	p.Metrics.CollectGateway(g.metricsSnapshot)
 	return g, nil
 }
 
-// idleLimit returns how long a caller connection may stay idle.
-func (g *gateway) idleLimit() time.Duration {
-	if s := g.holder.Current(); s != nil && s.Limits.IdleTimeout > 0 {
-		return s.Limits.IdleTimeout
+// idleTimeout returns how long a caller connection may stay idle.
+func (g *gateway) idleTimeout() time.Duration {
+	if snapshot := g.holder.Current(); snapshot != nil && snapshot.Limits.IdleTimeout > 0 {
+		return snapshot.Limits.IdleTimeout
 	}
 	return defaultIdleTimeout
 }
@@ -181,7 +183,7 @@
 func (g *gateway) serve(ctx context.Context, callerListener, adminListener, peerListener net.Listener, reload func() (settings.Gateway, error)) {
 	workCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var wg conc.WaitGroup
-	wg.Go(func() { g.targets.Run(workCtx) })
+	wg.Go(func() { g.desiredState.Run(workCtx) })
 	wg.Go(func() { g.servers.Run(workCtx) })
 	wg.Go(func() { g.mesh.Run(workCtx) })
 	wg.Go(func() { g.followGatewayList(workCtx) })
@@ -192,7 +194,7 @@
 	wg.Go(func() { g.syncServersFromPeers(workCtx) })
 	wg.Go(func() { g.watchSettings(workCtx, reload) })
 
-	callerServer := newCallerServer(callerListener, g.router, g.idleLimit, g.log)
+	callerServer := newCallerServer(callerListener, g.router, g.idleTimeout, g.log)
 	wg.Go(func() { g.sweep(workCtx, callerServer) })
 	adminServer := &http.Server{Handler: g.adminRoutes(), ReadHeaderTimeout: headerTimeout, IdleTimeout: defaultIdleTimeout}
 	handoverServer := &http.Server{Handler: handover.NewHandler(g.handoverState, g.servers.DeltasSince), ReadTimeout: handoverTimeout, WriteTimeout: handoverTimeout + handover.MaxDuration, ErrorLog: zap.NewStdLog(zap.NewNop())}
@@ -209,24 +211,25 @@
 	wg.Wait()
 }
 
-// sweep removes expired state and closes unused connections until ctx ends.
+// sweep periodically removes expired state, closes connections to backend servers that are expired
+// or no longer wanted, and applies a shortened idle timeout to caller connections, until ctx ends.
 func (g *gateway) sweep(ctx context.Context, server *callers.Server) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
-	limit := g.idleLimit()
+	timeout := g.idleTimeout()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			previous := limit
-			if limit = g.idleLimit(); limit < previous {
+			previous := timeout
+			if timeout = g.idleTimeout(); timeout < previous {
 				server.ApplyIdleTimeout()
 			}
 			g.registry.Sweep(now)
-			g.pool.Sweep(now, func(p exchange.Peer) bool {
-				s := g.registry.Server(p.ServerID)
-				return s != nil && !s.Info().Draining && s.Info().StartUnixMilli == p.StartTime
+			g.pool.Sweep(now, func(instance exchange.Peer) bool {
+				s := g.registry.Server(instance.ServerID)
+				return s != nil && !s.Info().Draining && s.Info().StartUnixMilli == instance.StartTime
 			})
 		}
 	}
@@ -244,7 +247,7 @@
 	return mux
 }
 
-// limitMemory sets the garbage collector's target and memory limit, given the memory of the process
+// limitMemory sets the garbage collector's target and memory limit, given the process's memory limit
 // in megabytes; 0 means no limit.
 func limitMemory(megabytes float64) {
 	debug.SetGCPercent(gcPercent)
--- a/internal/gateway/peers/shortage.go
+++ b/internal/gateway/peers/offer_counts.go
@@ -6,8 +6,8 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// minOffered is the number of requests below which an urgency level is omitted: the count has
-// decayed to almost nothing.
+// minOffered is the number of offered requests below which an urgency level is omitted, because the
+// count has decayed to almost zero.
 const minOffered = 0.05
 
 // offerCounts is the encoded form of policy.OfferCounts for one service.
@@ -18,8 +18,8 @@
 	Levels  []levelOffers
 }
 
-// levelOffers counts the requests offered at one urgency level, and those that found no slot. Both
-// counts decay with time.
+// levelOffers counts the requests offered at one urgency level, and those of them that were refused
+// for lack of a slot. Both counts decay exponentially.
 type levelOffers struct {
 	_       struct{} `cbor:",toarray"`
 	Urgency uint8
@@ -40,9 +40,9 @@
 
 // unpack decodes the counts; invalid counts are ignored. An unknown urgency level is mapped to
 // the least urgent one.
-func (s *offerCounts) unpack() policy.OfferCounts {
+func (c *offerCounts) unpack() policy.OfferCounts {
 	var sum policy.OfferCounts
-	for _, packed := range s.Levels {
+	for _, packed := range c.Levels {
 		if !validCount(packed.Offered) || !validCount(packed.Lacked) {
 			continue
 		}
