--- a/internal/gateway/follow/as_of_test.go
+++ b/internal/gateway/follow/as_of_test.go
@@ -25,7 +25,7 @@
 
 // A response without changes that the store sent only after the complete wait is as of the end of the
 // wait. Every other response is only as of the start of the call.
-func TestAsOfTimeOfHeldAnswers(t *testing.T) {
+func TestAsOfTimeOfHeldResponses(t *testing.T) {
 	const wait = 200 * time.Millisecond
 	src := &scriptedSource{calls: []scriptedCall{
 		{batch: Batch[string]{Position: 1}},
--- a/internal/gateway/follow/follower.go
+++ b/internal/gateway/follow/follower.go
@@ -189,7 +189,7 @@
 }
 
 // callOnce reads the complete table or polls once for changes, and applies the result.
-func (f *Follower[T]) callOnce(ctx context.Context, tableRead bool) error {
+func (f *Follower[T]) callOnce(ctx context.Context, canPoll bool) error {
 	if f.Receiving != nil {
 		ctx = withResponseStarted(ctx, func() { f.Receiving.Store(true) })
 		defer f.Receiving.Store(false)
@@ -198,7 +198,7 @@
 		f.OnCall()
 	}
 	asOf := boottime.Now()
-	if !tableRead {
+	if !canPoll {
 		if err := f.fullRead.read(ctx, f.Source); err != nil {
 			return err
 		}
--- a/internal/gateway/follow/follower_test.go
+++ b/internal/gateway/follow/follower_test.go
@@ -225,7 +225,7 @@
 			Name: "t", Source: src, Sink: sink, MaxWait: FixedWait(8 * time.Second), Log: zap.NewNop(),
 			ShouldCancelPoll: func() bool { return time.Since(confirmed) > 3*time.Second },
 		}
-		src.onAnswer = func() { confirmed = time.Now() }
+		src.onResponse = func() { confirmed = time.Now() }
 		f.Run(ctx)
 		if sink.failures != 0 {
 			t.Errorf("sink got %d failures, want none", sink.failures)
@@ -243,9 +243,9 @@
 
 // slowSource holds each response back for the whole wait.
 type slowSource struct {
-	waits    []time.Duration
-	longest  time.Duration
-	onAnswer func()
+	waits      []time.Duration
+	longest    time.Duration
+	onResponse func()
 }
 
 func (*slowSource) Read(context.Context, string) (Batch[string], error) {
@@ -261,7 +261,7 @@
 		return Batch[string]{}, ctx.Err()
 	case <-time.After(wait):
 		s.longest = max(s.longest, time.Since(started))
-		s.onAnswer()
+		s.onResponse()
 		return Batch[string]{Position: 1}, nil
 	}
 }
--- a/internal/gateway/follow/sharing_test.go
+++ b/internal/gateway/follow/sharing_test.go
@@ -112,7 +112,7 @@
 
 // Other gateways may share later changes during a call. The response to that call is then outdated
 // and must be dropped.
-func TestOutdatedAnswerIsDropped(t *testing.T) {
+func TestOutdatedResponseIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sink := &recordingSink{}
 		var idle atomic.Bool
--- a/internal/gateway/handover/client.go
+++ b/internal/gateway/handover/client.go
@@ -61,14 +61,14 @@
 // at addr. It returns ErrHistoryGap if that gateway doesn't know all of them, and otherwise
 // ErrUnreachable or ErrMalformed on failure.
 func (c *Client) Changes(ctx context.Context, addr string, after follow.Position) ([]follow.Delta[backend.Info], error) {
-	var steps []follow.Delta[backend.Info]
-	err := c.get(ctx, addr, serverChangesPath+after.String(), &steps)
-	return steps, err
+	var deltas []follow.Delta[backend.Info]
+	err := c.get(ctx, addr, serverChangesPath+after.String(), &deltas)
+	return deltas, err
 }
 
 func (c *Client) get(ctx context.Context, addr, path string, result any) error {
-	ctx, guard := stall.WithWatchdog(ctx, progressTimeout, MaxDuration)
-	defer guard.Stop()
+	ctx, watchdog := stall.WithWatchdog(ctx, progressTimeout, MaxDuration)
+	defer watchdog.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
 		return errors.Wrap(ErrUnreachable, err.Error())
@@ -78,7 +78,7 @@
 		return errors.Wrap(ErrUnreachable, err.Error())
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(guard.Reader(io.LimitReader(resp.Body, maxStateBytes), progressTimeout))
+	body, err := io.ReadAll(watchdog.Reader(io.LimitReader(resp.Body, maxStateBytes), progressTimeout))
 	switch {
 	case err != nil:
 		return errors.Wrap(ErrUnreachable, err.Error())
--- a/internal/gateway/handover/handler.go
+++ b/internal/gateway/handover/handler.go
@@ -53,12 +53,12 @@
 			http.Error(w, "position: "+err.Error(), http.StatusBadRequest)
 			return
 		}
-		steps, complete := changesSince(after)
+		deltas, complete := changesSince(after)
 		if !complete {
 			http.Error(w, "not all changes after the position are known", http.StatusGone)
 			return
 		}
-		writeCBOR(w, steps)
+		writeCBOR(w, deltas)
 	})
 	return router
 }
--- a/internal/gateway/handover/handover_test.go
+++ b/internal/gateway/handover/handover_test.go
@@ -67,7 +67,7 @@
 
 // If dozens of gateways fetched a large state from the few that know it first, responses to
 // callers would be delayed.
-func TestLargeDesiredStateIsLeftToTheStore(t *testing.T) {
+func TestTooLargeDesiredStateIsRejected(t *testing.T) {
 	state := State{Version: 7, Document: make([]byte, maxDesiredStateBytes), Servers: []backend.Info{{ID: "i-1"}}}
 	server := httptest.NewServer(NewHandler(func() State { return state }, nil))
 	defer server.Close()
--- a/internal/gateway/usage/aggregator.go
+++ b/internal/gateway/usage/aggregator.go
@@ -40,7 +40,7 @@
 // Merge merges an update that was received at the given time. It discards counts of windows that
 // are too old to be reported or lie more than one window ahead: they come from a gateway whose
 // clock is wrong.
-func (a *Aggregator) Merge(now time.Time, source Source, update Update) {
+func (a *Aggregator) Merge(receivedAt time.Time, source Source, update Update) {
 	current := a.windows.Number(a.clock())
 	oldest := current - min(current, maxRetainedWindows+1)
 	update.Counts = slices.DeleteFunc(slices.Clone(update.Counts), func(c Count) bool { return c.Window <= oldest || c.Window > current+1 })
@@ -48,11 +48,11 @@
 	defer a.mu.Unlock()
 	if current != a.currentWindow {
 		a.currentWindow = current
-		a.expireLocked(now, oldest)
+		a.expireLocked(receivedAt, oldest)
 	}
 	counts := a.sourceLocked(source)
 	counts.merge(update.Counts)
-	counts.sequence, counts.completeUntil, counts.lastReceived = max(counts.sequence, update.Sequence), max(counts.completeUntil, update.CompleteUntil), now
+	counts.sequence, counts.completeUntil, counts.lastReceived = max(counts.sequence, update.Sequence), max(counts.completeUntil, update.CompleteUntil), receivedAt
 	a.latestBootIDs[source.Gateway] = source.BootID
 }
 
--- a/internal/gateway/usage/cluster_test.go
+++ b/internal/gateway/usage/cluster_test.go
@@ -47,10 +47,10 @@
 	return c
 }
 
-func (c *cluster) start(t *testing.T, name string, start uint64) *node {
+func (c *cluster) start(t *testing.T, name string, bootID uint64) *node {
 	n := &node{cluster: c}
 	n.Reporter = NewReporter(Config{
-		Name: name, BootID: start, Windows: fiveSeconds, Delay: 10 * time.Second, LeaseTime: 3 * time.Second,
+		Name: name, BootID: bootID, Windows: fiveSeconds, Delay: 10 * time.Second, LeaseTime: 3 * time.Second,
 		Table: nodeTable{n}, Platform: c.platform, Now: time.Now, Peers: n, Eligible: func() bool { return !n.flag(&n.storeUnreachable) }, Observer: nopObserver{}, Log: zap.NewNop(),
 	})
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/gateway/usage/counter.go
+++ b/internal/gateway/usage/counter.go
@@ -18,7 +18,7 @@
 // Counter counts the requests of this gateway. All methods may be called concurrently.
 type Counter struct {
 	windows Windows
-	now     func() time.Time
+	clock   func() time.Time
 
 	// mu guards the fields below; no other lock is taken while it is held.
 	mu       sync.Mutex
@@ -38,13 +38,13 @@
 }
 
 // NewCounter returns an empty Counter. The clock returns the gateways' common time of day.
-func NewCounter(w Windows, now func() time.Time) *Counter {
-	return &Counter{windows: w, now: now, counts: map[countKey]*requestCount{}}
+func NewCounter(w Windows, clock func() time.Time) *Counter {
+	return &Counter{windows: w, clock: clock, counts: map[countKey]*requestCount{}}
 }
 
 // Add counts a request that a backend server starts to run now.
 func (c *Counter) Add(customer string) {
-	window := c.windows.Number(c.now())
+	window := c.windows.Number(c.clock())
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	key := countKey{window, customer}
@@ -71,7 +71,7 @@
 // UpdateSince returns the counts that changed after a sequence number. If there are more than
 // maxUpdateCounts, the update is truncated to the oldest changes and its CompleteUntil is 0.
 func (c *Counter) UpdateSince(after uint64) Update {
-	completeUntil := c.now().UnixMilli()
+	completeUntil := c.clock().UnixMilli()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	type change struct {
--- a/internal/gateway/usage/counter_test.go
+++ b/internal/gateway/usage/counter_test.go
@@ -97,7 +97,7 @@
 
 // Counts of a gateway's earlier process are added to those of its current one, and only the current
 // process can be incomplete.
-func TestOnlyLatestStartIsIncomplete(t *testing.T) {
+func TestOnlyLatestInstanceCanBeIncomplete(t *testing.T) {
 	aggregate := NewAggregator(fiveSeconds, clockInWindow(7))
 	counts := []Count{{Window: 7, Customer: "a", Requests: 3}}
 	aggregate.Merge(noon, Source{Gateway: "x", BootID: 1}, Update{Sequence: 3, CompleteUntil: 100, Counts: counts})
--- a/internal/gateway/usage/ledger_test.go
+++ b/internal/gateway/usage/ledger_test.go
@@ -25,7 +25,7 @@
 	cases := map[string]struct {
 		stored    Ledger
 		found     bool
-		memory    LocalState
+		local     LocalState
 		finalized uint64
 		pending   []uint64
 	}{
@@ -39,8 +39,8 @@
 		"all zero":                                       {Ledger{}, false, LocalState{}, 0, nil},
 	}
 	for name, c := range cases {
-		got := RecoverLedger(c.stored, c.found, c.memory)
-		if got.Finalized != c.finalized || got.Era != c.memory.Era || !slices.Equal(pendingWindows(got), c.pending) {
+		got := RecoverLedger(c.stored, c.found, c.local)
+		if got.Finalized != c.finalized || got.Era != c.local.Era || !slices.Equal(pendingWindows(got), c.pending) {
 			t.Errorf("%s: finalized %d, pending %v, want %d, %v", name, got.Finalized, pendingWindows(got), c.finalized, c.pending)
 		}
 	}
--- a/internal/gateway/usage/reporter.go
+++ b/internal/gateway/usage/reporter.go
@@ -66,9 +66,9 @@
 
 // Run campaigns for the lease and sends reports while this gateway holds it, until ctx ends.
 func (r *Reporter) Run(ctx context.Context) {
-	keeper := lease.NewElector(r.lease, r.Log)
-	keeper.ShouldCampaign, keeper.RenewalWrites = r.shouldCampaign, r.checkpointWrites
-	keeper.Run(ctx, r.runAsHolder)
+	elector := lease.NewElector(r.lease, r.Log)
+	elector.ShouldCampaign, elector.RenewalWrites = r.shouldCampaign, r.checkpointWrites
+	elector.Run(ctx, r.runAsHolder)
 }
 
 // shouldCampaign reports whether this gateway should campaign: it is eligible, no live peer holds
--- a/internal/gateway/usage/reporter_test.go
+++ b/internal/gateway/usage/reporter_test.go
@@ -111,7 +111,7 @@
 }
 
 // The store's responses get lost and writes take effect late.
-func TestLostAndLateWrites(t *testing.T) {
+func TestWindowsAreReportedDespiteStoreFaults(t *testing.T) {
 	for _, fault := range []storagetest.Fault{storagetest.FaultResponseLost, storagetest.FaultRequestLost, storagetest.FaultDelayed, storagetest.FaultUnavailable, storagetest.FaultTimeout} {
 		runCluster(t, func(t *testing.T, c *cluster, _ *node) {
 			first := currentWindow()
--- a/internal/lease/elector_test.go
+++ b/internal/lease/elector_test.go
@@ -41,7 +41,7 @@
 	return r.running, r.maxRunning, r.started
 }
 
-func TestOnlyOneElectorWorksThroughAnOutage(t *testing.T) {
+func TestWorkStopsDuringOutageAndResumesInOneElector(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/lease/era.go
+++ b/internal/lease/era.go
@@ -11,9 +11,9 @@
 // those were lost.
 const eraShift = 40
 
-// closedEras is the number of earlier eras whose rows the first holder of an
+// overwrittenEras is the number of earlier eras whose rows the first holder of an
 // era overwrites, since a transaction sent in one of them may still be applied.
-const closedEras = 3
+const overwrittenEras = 3
 
 // NextFencingToken returns the fencing token that follows previous, for a lease
 // acquired in the given era.
@@ -42,10 +42,10 @@
 	return fmt.Sprintf("%s@%d", baseKey, era)
 }
 
-// closeEarlierRows returns the writes that mark the rows of earlier eras as released.
-func (l *Lease) closeEarlierRows(era uint64) ([]storage.Write, error) {
+// earlierRowWrites returns the writes that mark the rows of earlier eras as released.
+func (l *Lease) earlierRowWrites(era uint64) ([]storage.Write, error) {
 	var writes []storage.Write
-	for back := uint64(1); back <= min(era, closedEras); back++ {
+	for back := uint64(1); back <= min(era, overwrittenEras); back++ {
 		write, err := record{Holder: l.holder, Released: true}.rowWrite(l.rowKeyIn(era-back), storage.AnyVersion)
 		if err != nil {
 			return nil, err
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -104,13 +104,13 @@
 		return &HeldError{Holder: current.record.Holder, Wait: wait}
 	}
 	next := record{WriteID: uuid.NewString(), Holder: l.holder, FencingToken: NextFencingToken(current.record.FencingToken, current.era)}
-	var closing []storage.Write
+	var earlierRows []storage.Write
 	if current.version == 0 {
-		if closing, err = l.closeEarlierRows(current.era); err != nil {
+		if earlierRows, err = l.earlierRowWrites(current.era); err != nil {
 			return err
 		}
 	}
-	if err := l.writeRow(ctx, current, next, closing); err != nil {
+	if err := l.writeRow(ctx, current, next, earlierRows); err != nil {
 		return err
 	}
 	l.markHeld(next.FencingToken, sentAt)
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestLostResponses(t *testing.T) {
+func TestAcquireAndRenewSucceedDespiteStoreFaults(t *testing.T) {
 	for _, fault := range []storagetest.Fault{storagetest.FaultResponseLost, storagetest.FaultRequestLost, storagetest.FaultDelayed, storagetest.FaultTimeout} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storagetest.NewTable()
@@ -117,7 +117,7 @@
 }
 
 // The holder is suspended, as by SIGSTOP, until its lease has expired, and resumes.
-func TestPausedHolderFindsLeaseExpiredAndWritesNothing(t *testing.T) {
+func TestSuspendedHolderWritesNothingAfterExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
 		a, b := New(table, leaseName, "a"), New(table, leaseName, "b")
