--- a/internal/gateway/follow/as_of_test.go
+++ b/internal/gateway/follow/as_of_test.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// Stores count waits in milliseconds.
+// Stores count waits in whole milliseconds. They would round any other wait down and respond before it
+// is over, so that a response without changes would only be as of the start of the call.
 func TestWaitsAreWholeMilliseconds(t *testing.T) {
 	f := Follower[string]{MaxWait: FixedWait(777777777 * time.Nanosecond)}
 	for range 100 {
--- a/internal/gateway/follow/convergence_property_test.go
+++ b/internal/gateway/follow/convergence_property_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// restorableStore is a store that can be restored from an older copy. An item is a row's key and
-// value.
+// restorableStore is a store that can be restored from an older copy. An item is a row in the form
+// key=value.
 type restorableStore struct {
 	snapshot
 	era    uint64
@@ -110,7 +110,7 @@
 	return item, "", false
 }
 
-// mapSink is a Sink that holds the table as its follower knows it.
+// mapSink is a Sink that keeps the rows of the table by key.
 type mapSink map[string]string
 
 func (s mapSink) Reset(_ time.Duration, all Batch[string]) {
@@ -152,7 +152,7 @@
 	}
 }
 
-// share applies the changes that this follower knows to another one.
+// share applies this follower's changes to another follower, as a gateway does for a peer.
 func (f *testFollower) share(to *testFollower) {
 	if to.Position() == 0 {
 		return
@@ -163,8 +163,9 @@
 	}
 }
 
-// Rows are written, copied, restored, compacted, lost and shared in random order. After each
-// follower has polled again, it must know what the store holds.
+// The store is written to, backed up, restored and compacted, its responses get lost, and followers
+// share changes, all in random order. A follower must then have the store's rows after at most three
+// more calls.
 func TestFollowersConvergeToStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &restorableStore{snapshot: snapshot{rows: map[string]string{}}, backup: snapshot{rows: map[string]string{}}}
--- a/internal/gateway/follow/follower.go
+++ b/internal/gateway/follow/follower.go
@@ -33,10 +33,11 @@
 	// effect.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
-	// immediateWait is the maximum wait of a long poll that is to be responded to at once.
+	// immediateWait is the wait of a long poll whose response is needed at once.
 	immediateWait = 50 * time.Millisecond
 	// cancelCheckInterval is how often ShouldCancelPoll is called during a long poll. It is short
-	// compared with the second or more that remains when it first returns true.
+	// compared with the second or more that remains for the repeated poll when ShouldCancelPoll
+	// first returns true.
 	cancelCheckInterval = 200 * time.Millisecond
 	// maxProbeWait is how long a follower that doesn't probe the store waits for the one that does.
 	// The limit is needed because a store may respond to calls for one table and not for another.
@@ -48,9 +49,11 @@
 
 // Batch is the response to a call: a page of the complete table, or changes.
 type Batch[T any] struct {
-	Items   []T
+	// Items are rows that were added or changed; in a page of the complete table, all its rows.
+	Items []T
+	// Removed names the rows that were removed.
 	Removed []string
-	// Unreadable names the rows that couldn't be decoded. The Sink decides what becomes of their
+	// Unreadable names the rows that couldn't be decoded. The Sink decides whether to keep their
 	// earlier values.
 	Unreadable []string
 	// Position is the position after which to continue.
@@ -78,10 +81,11 @@
 // was made. If the store sent a response without changes only after the complete wait, it is the time at
 // which the wait ended.
 type Sink[T any] interface {
+	// Reset replaces the table, and Change applies changes to it.
 	Reset(asOf time.Duration, table Batch[T])
 	Change(asOf time.Duration, changes Batch[T])
-	// Unavailable is called after each failed call. Available is called after a response without
-	// rows: the store responds, but doesn't have the requested history.
+	// Unavailable is called after each failed call. Available is called if the store responds that
+	// it no longer has the requested history.
 	Unavailable(err error)
 	Available()
 }
@@ -101,9 +105,9 @@
 	// single call, which matters because each call is paid for.
 	CoalesceDelay time.Duration
 	// ConfirmChanges reports whether the first call after a change uses a short wait. Only a
-	// response without changes confirms that the known state is the newest, and with a full wait it
-	// would come later by the time that the call with the change took. May be nil, which means
-	// never.
+	// response without changes confirms that the known state is the newest. With a full wait after
+	// a change that came at the end of a wait, the last confirmation would get as old as two waits.
+	// May be nil, which means never.
 	ConfirmChanges func() bool
 	// ShouldCancelPoll is called during a long poll. If it returns true, the poll is cancelled and
 	// repeated with a short wait. May be nil.
@@ -119,8 +123,9 @@
 	// Idle reports whether other gateways poll the table and share its changes, so that this
 	// follower needn't call the store. May be nil, which means never.
 	Idle func() bool
-	// DefersFullRead reports whether other followers poll the table; after a loss of the history
-	// they read it first. May be nil, which means never.
+	// DefersFullRead reports whether this follower delays a full read after a loss of the history,
+	// so that the gateways that poll the table read it first and share it. May be nil, which means
+	// never.
 	DefersFullRead func() bool
 	// OnCall is called before each call; may be nil.
 	OnCall func()
@@ -128,15 +133,17 @@
 	OnRestore func()
 	Log       *zap.Logger
 
-	// mu guards position, up to which the table is known, and serializes calls of the Sink with its
-	// changes. It is locked before the Sink's locks.
-	mu       sync.Mutex
+	// mu guards position and is held during calls of the Sink that change the table, so that the
+	// Sink has the table as of position. It is locked before the Sink's locks.
+	mu sync.Mutex
+	// position is the position up to which the table is known; 0 before it has been read.
 	position Position
-	// history holds the latest changes. live is set while this follower polls the store and the
-	// store responds.
+	// history holds the latest changes.
 	history history[T]
-	live    atomic.Bool
+	// live is set while this follower polls the store and the store responds.
+	live atomic.Bool
 
+	// failing is set from a failed call until the next call that succeeds.
 	failing bool
 	// pollCancelled is set if the last long poll was cancelled.
 	pollCancelled bool
@@ -188,7 +195,8 @@
 	}
 }
 
-// callOnce reads the complete table or polls once for changes, and applies the result.
+// callOnce polls once for changes if canPoll is set, reads the complete table otherwise, and applies
+// the result. Errors: ErrHistoryGone, errPollCancelled and those of the Source.
 func (f *Follower[T]) callOnce(ctx context.Context, canPoll bool) error {
 	if f.Receiving != nil {
 		ctx = withResponseStarted(ctx, func() { f.Receiving.Store(true) })
@@ -268,7 +276,7 @@
 	return (longest - rand.N(longest/4+1)).Truncate(time.Millisecond)
 }
 
-// FixedWait returns a MaxWait function that always returns the same time.
+// FixedWait returns a function for MaxWait that always returns the given wait.
 func FixedWait(wait time.Duration) func() time.Duration {
 	return func() time.Duration { return wait }
 }
--- a/internal/gateway/follow/follower_test.go
+++ b/internal/gateway/follow/follower_test.go
@@ -116,7 +116,8 @@
 	})
 }
 
-// Without confirmation, a change at the end of a wait would leave the last confirmation as old as
+// Only a response without changes confirms that the known state is the newest. Unless a change is
+// followed by a short poll, one that comes at the end of a wait makes the last confirmation as old as
 // two waits.
 func TestChangesAreConfirmedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -169,7 +170,7 @@
 }
 
 // Servers that start together change the table one by one. The follower has to get these changes
-// with few calls.
+// with few calls, since each call is paid for.
 func TestCloseChangesAreCoalesced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &growingSource{started: time.Now(), interval: 20 * time.Millisecond}
--- a/internal/gateway/follow/history.go
+++ b/internal/gateway/follow/history.go
@@ -6,7 +6,8 @@
 // replaced one after the other; a gateway that lacks more reads from the store.
 const maxHistoryDeltas = 256
 
-// Delta is the change of a table between two positions.
+// Delta is the change of a table between two positions. Items, Removed and
+// Unreadable are as in Batch.
 type Delta[T any] struct {
 	_          struct{} `cbor:",toarray"`
 	From       Position
