--- a/internal/gateway/handover/client.go
+++ b/internal/gateway/handover/client.go
@@ -17,7 +17,7 @@
 
 const (
 	// progressTimeout bounds the wait for the first byte of a response and each pause within
-	// it. A gateway that doesn't respond in time is given up, and another one is asked.
+	// it. If it expires, callers try another gateway.
 	progressTimeout = time.Second
 	// MaxDuration bounds a complete transfer that makes progress. The largest state takes seven
 	// seconds on an otherwise idle link of 10 Mbit/s.
--- a/internal/gateway/handover/errors.go
+++ b/internal/gateway/handover/errors.go
@@ -9,7 +9,8 @@
 	ErrUnreachable = errors.New("gateway did not return its state")
 	// ErrHistoryGap means that the other gateway doesn't know all changes after the position.
 	ErrHistoryGap = errors.New("gateway doesn't know all changes after the position")
-	// ErrTooLarge means that the desired state has to be read from the store instead.
+	// ErrTooLarge means that the desired state is too large to transfer between gateways. It
+	// has to be read from the store.
 	ErrTooLarge = errors.New("desired state is too large to transfer between gateways")
 	// ErrMalformed means that the response can't be decoded.
 	ErrMalformed = errors.New("malformed response")
--- a/internal/gateway/handover/handler.go
+++ b/internal/gateway/handover/handler.go
@@ -18,10 +18,10 @@
 	desiredStatePath  = "/targets"
 	serverChangesPath = "/changes/"
 	positionParam     = "position"
-	// maxDesiredStateBytes bounds the document served at desiredStatePath, in bytes. The
-	// gateways that ask for it can also read the store. Dozens of them ask the few gateways that first know a
-	// new version, over links shared with responses to callers; the store's link is sized for
-	// such transfers.
+	// maxDesiredStateBytes bounds the document served at desiredStatePath, in bytes. Dozens of
+	// gateways request a new version from the few that received it first, over links shared
+	// with responses to callers. The store's link is sized for such transfers, and the
+	// gateways that request the document can also read it from the store.
 	maxDesiredStateBytes = 128 << 10
 )
 
@@ -70,6 +70,6 @@
 		return
 	}
 	w.Header().Set("Content-Type", cborContentType)
-	// A write error is ignored: a gateway that disconnects asks again.
+	// A write error is ignored: a gateway that was disconnected repeats its request.
 	_, _ = w.Write(body)
 }
--- a/internal/gateway/handover/handover_test.go
+++ b/internal/gateway/handover/handover_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// If dozens of gateways fetched a large state from the few that know it first, responses to
-// callers would be delayed.
+// Dozens of gateways that fetch a large desired state from the few that received it first would
+// delay the responses to callers. DesiredState must refuse it; Get has no such limit.
 func TestTooLargeDesiredStateIsRejected(t *testing.T) {
 	state := State{Version: 7, Document: make([]byte, maxDesiredStateBytes), Servers: []backend.Info{{ID: "i-1"}}}
 	server := httptest.NewServer(NewHandler(func() State { return state }, nil))
