--- a/internal/gateway/usage/aggregator.go
+++ b/internal/gateway/usage/aggregator.go
@@ -26,10 +26,12 @@
 
 // sourceCounts holds the counts of one gateway instance.
 type sourceCounts struct {
+	// sequence and completeUntil are the highest Update.Sequence and Update.CompleteUntil received.
 	sequence      uint64
 	completeUntil int64
-	lastReceived  time.Time
-	counts        map[countKey]int64
+	// lastReceived is the local time at which the last update was received.
+	lastReceived time.Time
+	counts       map[countKey]int64
 }
 
 // NewAggregator returns an empty Aggregator. The clock returns the gateways' common time of day.
@@ -37,8 +39,8 @@
 	return &Aggregator{windows: w, clock: clock, sources: map[Source]*sourceCounts{}, latestBootIDs: map[string]uint64{}}
 }
 
-// Merge merges an update that was received at the given time. It discards counts of windows that
-// are too old to be reported or lie more than one window ahead: they come from a gateway whose
+// Merge merges an update that was received at the given local time. It discards counts of windows
+// that are too old to be reported or lie more than one window ahead: they come from a gateway whose
 // clock is wrong.
 func (a *Aggregator) Merge(receivedAt time.Time, source Source, update Update) {
 	current := a.windows.Number(a.clock())
@@ -75,8 +77,8 @@
 	}
 }
 
-// LastSequence returns the sequence number of the last change received from a gateway instance, to
-// be acknowledged to it; 0 if none was received.
+// MergedSequence returns the sequence number of the last change that was merged from a gateway
+// instance, to be acknowledged to it; 0 if there is none.
 func (a *Aggregator) LastSequence(source Source) uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/gateway/usage/checkpoint.go
+++ b/internal/gateway/usage/checkpoint.go
@@ -10,22 +10,24 @@
 )
 
 const (
-	// ledgerKey is the key of the row that holds the Ledger. countsPrefix begins the keys of the
-	// rows that hold the counts that aren't finalized yet.
+	// ledgerKey is the key of the row that holds the Ledger.
 	ledgerKey = "usage/ledger"
 	// acceptedKey is the key of the row that lists the windows whose reports the platform has
 	// accepted. It is separate from the ledger's row because that row must never be overwritten
 	// with an older ledger.
-	acceptedKey  = "usage/accepted"
+	acceptedKey = "usage/accepted"
+	// countsPrefix is the prefix of the keys of the rows that hold a checkpoint: the counts of
+	// windows that aren't finalized yet.
 	countsPrefix = "usage/counts/"
-	// maxRowBytes limits a row of counts; the store accepts 64 KB.
+	// maxRowBytes is the size, in bytes, up to which entries are added to a row of counts; the
+	// store accepts 64 KB.
 	maxRowBytes = 48 << 10
 )
 
 // ErrCorrupt is returned if a stored row can't be decoded by this version of the program.
 var ErrCorrupt = errors.New("cannot decode stored usage")
 
-// checkpointEntry holds the counts of one gateway instance.
+// checkpointEntry holds the counts of one gateway instance in a checkpoint.
 type checkpointEntry struct {
 	_      struct{} `cbor:",toarray"`
 	From   Source
--- a/internal/gateway/usage/config.go
+++ b/internal/gateway/usage/config.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// renewDivisor, campaignDivisor and marginDivisor divide the lease's duration into the
-	// intervals of its timing. Renewing every third of the duration leaves a holder two more
-	// attempts after a renewal that failed.
+	// renewDivisor, campaignDivisor and marginDivisor set the lease's renew interval, campaign
+	// interval and safety margin as fractions of its duration. Renewing every third of the duration
+	// leaves a holder two more attempts after a failed renewal.
 	renewDivisor    = 3
 	campaignDivisor = 4
 	marginDivisor   = 5
 	// leaseDurationFraction is the lease's duration as a fraction of LeaseTime. A successor waits
 	// for the lease to expire, so two changes of holder take longer than LeaseTime.
 	leaseDurationFraction = 0.7
-	// backoffFactor is the time, in units of LeaseTime, for which a holder that was fenced off
-	// doesn't campaign, so that holders never act in the order A, B, A within one LeaseTime.
+	// backoffFactor is the time, in units of LeaseTime, for which a superseded holder and a process
+	// that has just started don't campaign, so that holders never act in the order A, B, A within
+	// one LeaseTime.
 	backoffFactor = 1.5
 )
 
@@ -32,13 +33,14 @@
 	// Windows are the windows to report, each within Delay after its end.
 	Windows Windows
 	Delay   time.Duration
-	// LeaseTime is the interval within which two holders must not act in alternation.
+	// LeaseTime is the time within which the lease must not change from one holder to another and
+	// back. The lease's own duration is leaseDurationFraction of it.
 	LeaseTime time.Duration
 	Table     storage.Table
 	Platform  Platform
-	// Now returns the gateways' common time of day, which doesn't depend on this VM's clock alone.
+	// Now returns the gateways' common time of day, which a wrong clock of this VM doesn't change.
 	Now func() time.Time
-	// Peers reports what the other gateways have sent.
+	// Peers provides the state of the other gateways.
 	Peers Peers
 	// Eligible reports whether this gateway may hold the lease: the store responds to it and it
 	// isn't shutting down.
@@ -48,7 +50,7 @@
 	Log      *zap.Logger
 }
 
-// Peers is what a Reporter knows of the other gateways.
+// Peers provides what the other gateways have announced to this one.
 type Peers interface {
 	// HasUsageReporter reports whether a live peer holds the lease.
 	HasUsageReporter() bool
--- a/internal/gateway/usage/counter.go
+++ b/internal/gateway/usage/counter.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxUpdateCounts limits the counts of an update, which is part of a datagram.
+	// maxUpdateCounts limits the counts of an update, which must fit into a datagram.
 	maxUpdateCounts = 400
 	// maxRetainedWindows limits the windows whose counts are kept. It covers a minute or more in
 	// which no gateway could send reports.
@@ -21,7 +21,8 @@
 	clock   func() time.Time
 
 	// mu guards the fields below; no other lock is taken while it is held.
-	mu       sync.Mutex
+	mu sync.Mutex
+	// sequence is the sequence number of the last change.
 	sequence uint64
 	counts   map[countKey]*requestCount
 }
--- a/internal/gateway/usage/counter_test.go
+++ b/internal/gateway/usage/counter_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Counts of a gateway's earlier process are added to those of its current one, and only the current
-// process can be incomplete.
+// After a gateway restarts, the counts of its earlier instance are added to those of the current one.
+// The earlier instance sends no more updates, so only the current one can be incomplete.
 func TestOnlyLatestInstanceCanBeIncomplete(t *testing.T) {
 	aggregate := NewAggregator(fiveSeconds, clockInWindow(7))
 	counts := []Count{{Window: 7, Customer: "a", Requests: 3}}
@@ -175,8 +175,8 @@
 	}
 }
 
-// The clock of a gateway may be hours off until it has received from the others. Its updates must not
-// displace the counts of the other gateways.
+// The clock of a gateway may be hours off until it has received the time of the others. Its updates
+// must not displace the counts of the other gateways.
 func TestWrongClockDropsNoValidCounts(t *testing.T) {
 	aggregate := NewAggregator(fiveSeconds, clockInWindow(5000))
 	aggregate.Merge(noon, Source{Gateway: "right", BootID: 1}, Update{Counts: []Count{{Window: 5000, Customer: "a", Requests: 3}}})
--- a/internal/gateway/usage/finalize.go
+++ b/internal/gateway/usage/finalize.go
@@ -14,8 +14,9 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// finalizeLoop finalizes the reports of windows as they become due. It returns an error if the
-// lease is lost, and nil when ctx ends while no report is being stored.
+// finalizeLoop finalizes the reports of windows as they become due. It returns lease.ErrLost
+// if the lease is lost, ctx.Err() if ctx ends while a report is being stored, and nil if ctx ends
+// otherwise.
 func (r *Reporter) finalizeLoop(ctx context.Context, heldLease *lease.Lease) error {
 	for ctx.Err() == nil {
 		window, due := r.nextDueWindow()
--- a/internal/gateway/usage/ledger.go
+++ b/internal/gateway/usage/ledger.go
@@ -6,22 +6,22 @@
 // minute.
 const maxPendingReports = 12
 
-// Ledger is the state of reporting that is stored under the lease. Its methods decide which windows
-// may be reported and return a modified copy. Its fields are encoded with integer keys so that
-// different releases can read each other's rows.
+// Ledger is the reporting state that is stored under the lease. Its methods decide which windows may
+// be reported; those that change it return a modified copy. Its fields are encoded with integer keys
+// so that different releases can read each other's rows.
 type Ledger struct {
 	// Era is the era of the store in which the ledger was written: the number of times that the
 	// store has been restored from an older copy.
 	Era uint64 `cbor:"1,keyasint,omitempty"`
-	// Finalized is the last window with a final report. Each earlier window has one too or is never
-	// reported.
+	// Finalized is the last window with a final report. Every earlier window either has a final
+	// report too or is never reported.
 	Finalized uint64 `cbor:"2,keyasint,omitempty"`
 	// Pending holds the final reports that the platform isn't known to have accepted, oldest first.
 	Pending []Report `cbor:"3,keyasint,omitempty"`
 }
 
-// NextWindow returns the next window to finalize, and whether it has closed; lastClosed is the last
-// window that has.
+// NextWindow returns the next window to finalize, and whether it has closed, given the last window
+// that has closed.
 func (l Ledger) NextWindow(lastClosed uint64) (uint64, bool) {
 	return l.Finalized + 1, l.Finalized < lastClosed
 }
--- a/internal/gateway/usage/reporter.go
+++ b/internal/gateway/usage/reporter.go
@@ -21,7 +21,8 @@
 	leaseName = "usage"
 	// pollInterval is how often the holder checks for reports that are due.
 	pollInterval = 50 * time.Millisecond
-	// settleDelay is the minimum time after a window's end before its counts can be complete.
+	// settleDelay is the minimum time between a window's end and the finalizing of its report; its
+	// counts can't be complete before.
 	settleDelay = 300 * time.Millisecond
 	// maxWaitFraction is the part of Delay for which the holder waits for gateways whose counts are
 	// incomplete. Most gateways that are suspended resume within that time; the rest of Delay is
@@ -29,7 +30,7 @@
 	maxWaitFraction = 0.4
 	// maxCandidates is the number of gateways that campaign for the lease at the same time.
 	maxCandidates = 2
-	// maxOwnReports limits the finalized reports that a process remembers.
+	// maxOwnReports limits the reports that a process keeps after it has finalized them.
 	maxOwnReports = 2 * maxPendingReports
 )
 
--- a/internal/gateway/usage/reporter_test.go
+++ b/internal/gateway/usage/reporter_test.go
@@ -42,7 +42,8 @@
 	}
 }
 
-// Counts that were sent survive the end of all gateways, from the stored checkpoint.
+// All gateways are killed. The counts that they had sent to the holder are restored from the
+// stored checkpoint when gateways start again.
 func TestCountsSurviveRestartOfAllGateways(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster, holder *node) {
 		for time.Until(fiveSeconds.End(currentWindow())) > time.Second {
@@ -81,7 +82,8 @@
 	})
 }
 
-// When the network is partitioned, the store decides which side has the only holder.
+// The holder is cut off from the other gateways but not from the store. The others see no holder and
+// campaign, but must not acquire the lease while the holder renews it.
 func TestPartitionHasOneHolder(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster, holder *node) {
 		c.setFlag(&holder.partitioned, true)
@@ -92,7 +94,8 @@
 	})
 }
 
-// Reports wait while the store is unavailable, and all are sent once it is back.
+// While the store is unavailable no report can be finalized. Once it is back, all windows of the
+// outage are reported.
 func TestReportsResumeAfterStoreOutage(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster, _ *node) {
 		first := currentWindow()
@@ -110,7 +113,8 @@
 	})
 }
 
-// The store's responses get lost and writes take effect late.
+// Requests to the store or its responses get lost, calls fail or time out, and writes take effect
+// late. Windows must still be reported with at least 95 % of their requests.
 func TestWindowsAreReportedDespiteStoreFaults(t *testing.T) {
 	for _, fault := range []storagetest.Fault{storagetest.FaultResponseLost, storagetest.FaultRequestLost, storagetest.FaultDelayed, storagetest.FaultUnavailable, storagetest.FaultTimeout} {
 		runCluster(t, func(t *testing.T, c *cluster, _ *node) {
