--- a/internal/lease/elector_test.go
+++ b/internal/lease/elector_test.go
@@ -41,6 +41,7 @@
 	return r.running, r.maxRunning, r.started
 }
 
+// Work must stop when the lease can't be renewed, and run in a single elector after the outage.
 func TestWorkStopsDuringOutageAndResumesInOneElector(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
--- a/internal/lease/era.go
+++ b/internal/lease/era.go
@@ -6,21 +6,21 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// eraShift is the position of the era in a fencing token. A token of a later
-// era is higher than all tokens of earlier eras, even if the rows that recorded
-// those were lost.
+// eraShift is the number of low bits of a fencing token that count within an era; the
+// era is in the bits above. A token of a later era is therefore higher than all tokens
+// of earlier eras, even if the rows that recorded those were lost.
 const eraShift = 40
 
-// overwrittenEras is the number of earlier eras whose rows the first holder of an
-// era overwrites, since a transaction sent in one of them may still be applied.
+// overwrittenEras is the number of earlier eras whose rows the first holder of an era
+// overwrites, so that transactions that were sent in one of them fail if they arrive late.
 const overwrittenEras = 3
 
 // NextFencingToken returns the fencing token that follows previous, for a lease
 // acquired in the given era.
 func NextFencingToken(previous, era uint64) uint64 { return max(previous, era<<eraShift) + 1 }
 
-// currentEra returns the newest era of the table service that this process
-// knows of; zero if the table has no eras. A new era begins when the service is
+// currentEra returns the newest era of the table service that this process has
+// seen; zero if the table has no eras. A new era begins when the service is
 // restored from an older copy of its data.
 func currentEra(table storage.Table) uint64 {
 	if t, ok := table.(storage.EraReporter); ok {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -69,10 +69,10 @@
 	// it was first read.
 	observedWrite string
 	observedAt    time.Time
-	// everHeld is set once this process has held the lease. supersededAt is when
-	// it then first saw another holder or a higher fencing token; zero if it has
-	// not since it last acquired the lease.
-	everHeld     bool
+	// everHeld is set once this process has held the lease.
+	everHeld bool
+	// supersededAt is when this process, after it last acquired the lease, first
+	// saw another holder or a higher fencing token; zero if it has seen neither.
 	supersededAt time.Time
 }
 
@@ -88,8 +88,8 @@
 	return &Lease{table: table, rowKey: rowKey(name), holder: holder + "/" + uuid.NewString(), timing: timing, writeSem: make(chan struct{}, 1)}
 }
 
-// Acquire tries once to acquire the lease. Errors: HeldError, ErrUnavailable, or
-// ErrLost if another candidate acquired it first.
+// Acquire tries once to acquire the lease. Errors: HeldError; ErrLost if another
+// candidate acquired it first; ErrUnavailable; ErrCorrupt.
 func (l *Lease) Acquire(ctx context.Context) error {
 	if err := l.beginWrite(ctx); err != nil {
 		return err
@@ -117,17 +117,16 @@
 	return nil
 }
 
-// Renew extends the lease. Errors: ErrLost, after which the lease is no longer
-// held; ErrUnavailable, after which it remains held until it expires.
+// Renew extends the lease, so that it expires Duration from now. Errors: those of Commit.
 func (l *Lease) Renew(ctx context.Context) error {
 	return l.Commit(ctx, nil)
 }
 
 // Commit renews the lease and applies the writes in one transaction, so that
 // none of them takes effect once another process holds the lease, however late
-// they arrive. Errors: ErrLost; ErrConflict if one of the rows was not at the
-// expected version; ErrUnavailable, after which the lease remains held until it
-// expires and the writes may have taken effect.
+// they arrive. Errors: ErrLost, after which the lease is no longer held; ErrConflict
+// if one of the rows was not at the expected version; ErrUnavailable, after which the
+// lease remains held until it expires and the writes may have taken effect; ErrCorrupt.
 func (l *Lease) Commit(ctx context.Context, writes []storage.Write) error {
 	if err := l.beginWrite(ctx); err != nil {
 		return err
@@ -155,7 +154,9 @@
 }
 
 // Release gives up the lease, so that a candidate need not wait for it to
-// expire. The caller must have stopped acting under it.
+// expire. The caller must have stopped acting under it. Errors: ErrUnavailable,
+// ErrLost, ErrCorrupt, after which the row may not be marked as released and candidates
+// wait for the lease to expire.
 func (l *Lease) Release(ctx context.Context) error {
 	if err := l.beginWrite(ctx); err != nil {
 		return err
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -85,6 +85,8 @@
 	}
 }
 
+// A single request or response that is lost, delayed or times out must neither fail an
+// acquisition or a renewal nor apply a write twice.
 func TestAcquireAndRenewSucceedDespiteStoreFaults(t *testing.T) {
 	for _, fault := range []storagetest.Fault{storagetest.FaultResponseLost, storagetest.FaultRequestLost, storagetest.FaultDelayed, storagetest.FaultTimeout} {
 		synctest.Test(t, func(t *testing.T) {
@@ -103,7 +105,8 @@
 	}
 }
 
-// The duration of a slow write must count towards the holder's lease.
+// A holder that measured its lease from the response to a slow write could hold it for
+// longer than candidates wait.
 func TestRemainingCountsFromBeforeTheWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
@@ -116,7 +119,8 @@
 	})
 }
 
-// The holder is suspended, as by SIGSTOP, until its lease has expired, and resumes.
+// The holder is suspended, as by SIGSTOP, and resumes after another process has acquired
+// the lease. It must not write anything.
 func TestSuspendedHolderWritesNothingAfterExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
--- a/internal/lease/orders/backoff.go
+++ b/internal/lease/orders/backoff.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Backoff of an order that failed: the delay starts at minRetryDelay and doubles up
-// to maxRetryDelay. Each attempt drains the engine, which serves no requests
-// meanwhile, so an order that can never succeed must take little of its time, while
-// one that failed temporarily must be retried soon.
+// The delay before a failed order is retried starts at minRetryDelay and doubles up to
+// maxRetryDelay. The engine is drained for each attempt and serves no requests
+// meanwhile. An order that failed temporarily must be retried soon, but one that can
+// never succeed must not keep the engine from serving.
 const (
 	minRetryDelay = time.Minute
 	maxRetryDelay = 30 * time.Minute
--- a/internal/lease/orders/errors.go
+++ b/internal/lease/orders/errors.go
@@ -6,9 +6,9 @@
 	"github.com/go-faster/errors"
 )
 
-// Errors of orders.
+// Errors returned by this package.
 var (
-	// ErrNone: no order was issued to the VM.
+	// ErrNone: no order was issued to the VM's agent.
 	ErrNone = errors.New("no order was issued")
 	// ErrUnavailable: the table service did not respond. Whether an order was
 	// written may be unknown; issuing the same order again is harmless.
--- a/internal/lease/orders/executor.go
+++ b/internal/lease/orders/executor.go
@@ -49,7 +49,7 @@
 }
 
 // Run polls for orders and executes them until ctx ends. A failed order is retried
-// with the backoff of minRetryDelay and maxRetryDelay; a different order is executed
+// after a delay between minRetryDelay and maxRetryDelay; a different order is executed
 // at the next poll.
 func (e *Executor) Run(ctx context.Context) {
 	for ctx.Err() == nil {
@@ -80,7 +80,9 @@
 	return nil
 }
 
-// nextOrder reads the order to execute, or returns ErrNone.
+// nextOrder returns the order to execute. It returns ErrNone if the newest order was
+// executed already or may not be retried yet, or if none was issued. Other errors:
+// those of Store.Read, Guard.Refresh and Guard.Admit.
 func (e *Executor) nextOrder(ctx context.Context) (Order, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
--- a/internal/lease/orders/orders_test.go
+++ b/internal/lease/orders/orders_test.go
@@ -52,6 +52,8 @@
 	return NewExecutor(NewGuard(table, testLease, testVM), apply, nil), &loaded
 }
 
+// An order that is issued again, by the same or by a new holder of the lease, must not make
+// the engine load its model again.
 func TestOrderIsExecutedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
--- a/internal/lease/orders/store.go
+++ b/internal/lease/orders/store.go
@@ -23,7 +23,7 @@
 
 // Issue orders a VM's agent to load a model, under the lease. After a change of
 // holder the new holder must issue all orders that remain in force again, since
-// agents reject those with an old fencing token; the order keeps its ID and is not
+// agents reject those with a stale fencing token; the order keeps its ID and is not
 // executed twice. Issuing an unchanged order with the same fencing token writes nothing.
 // Errors: those of lease.Lease.Commit, ErrUnavailable, ErrCorrupt, FencedError.
 func (s *Store) Issue(ctx context.Context, held *lease.Lease, vm, model string) error {
--- a/internal/lease/state.go
+++ b/internal/lease/state.go
@@ -22,8 +22,8 @@
 	return max(0, l.timing.Duration-l.timing.SafetyMargin-elapsed(l.renewedAt))
 }
 
-// FencingToken returns the fencing token of the lease last held; zero after it
-// was lost or released.
+// FencingToken returns the lease's fencing token; zero before the lease is acquired and
+// after it was released or is known to be lost. Expiry alone doesn't reset it.
 func (l *Lease) FencingToken() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
