--- a/internal/gateway/follow/follower_test.go
+++ b/internal/gateway/follow/follower_test.go
@@ -171,7 +171,7 @@
 
 // Servers that start together change the table one by one. The follower has to get these changes
 // with few calls, since each call is paid for.
-func TestCloseChangesAreCoalesced(t *testing.T) {
+func TestSuccessiveChangesAreCoalesced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &growingSource{started: time.Now(), interval: 20 * time.Millisecond}
 		sink := &recordingSink{}
--- a/internal/lease/orders/executor.go
+++ b/internal/lease/orders/executor.go
@@ -23,29 +23,29 @@
 	readTimeout = 5 * time.Second
 )
 
-// Apply executes an order. It must be idempotent: after a restart the last order
+// ExecuteFunc executes an order. It must be idempotent: after a restart the last order
 // is executed again.
-type Apply func(ctx context.Context, order Order) error
+type ExecuteFunc func(ctx context.Context, order Order) error
 
 // Executor polls for the orders to a VM's agent and executes them.
 type Executor struct {
-	store *Store
-	guard *Guard
-	apply Apply
-	log   *zap.Logger
-	// appliedID is the ID of the last order that was executed.
-	appliedID string
+	store   *Store
+	guard   *Guard
+	execute ExecuteFunc
+	log     *zap.Logger
+	// executedID is the ID of the last order that was executed.
+	executedID string
 	// backoff limits the retries of the last order that failed.
 	backoff retryBackoff
 }
 
 // NewExecutor returns an Executor of the orders that the guard admits; Run starts
 // it. A nil log discards all events.
-func NewExecutor(guard *Guard, apply Apply, log *zap.Logger) *Executor {
+func NewExecutor(guard *Guard, execute ExecuteFunc, log *zap.Logger) *Executor {
 	if log == nil {
 		log = zap.NewNop()
 	}
-	return &Executor{store: guard.store, guard: guard, apply: apply, log: log}
+	return &Executor{store: guard.store, guard: guard, execute: execute, log: log}
 }
 
 // Run polls for orders and executes them until ctx ends. A failed order is retried
@@ -71,11 +71,11 @@
 	if err != nil {
 		return err
 	}
-	if err := e.apply(ctx, order); err != nil {
+	if err := e.execute(ctx, order); err != nil {
 		e.backoff.recordFailure(order.ID, time.Now())
 		return errors.Wrap(err, "execute order")
 	}
-	e.appliedID = order.ID
+	e.executedID = order.ID
 	e.log.Info(logging.EventOrderCompleted, zap.String("order", order.ID), zap.Uint64("fence", order.FencingToken), zap.String("model", order.Model))
 	return nil
 }
@@ -90,7 +90,7 @@
 	if err != nil {
 		return Order{}, err
 	}
-	if order.ID == e.appliedID || !e.backoff.due(order.ID, time.Now()) {
+	if order.ID == e.executedID || !e.backoff.due(order.ID, time.Now()) {
 		return Order{}, ErrNone
 	}
 	if err := e.guard.Refresh(ctx); err != nil {
--- a/internal/lease/orders/orders_test.go
+++ b/internal/lease/orders/orders_test.go
@@ -45,11 +45,11 @@
 // list of the models that it loads.
 func newTestExecutor(table *storagetest.Table) (*Executor, *[]string) {
 	var loaded []string
-	apply := func(_ context.Context, o Order) error {
+	load := func(_ context.Context, o Order) error {
 		loaded = append(loaded, o.Model)
 		return nil
 	}
-	return NewExecutor(NewGuard(table, testLease, testVM), apply, nil), &loaded
+	return NewExecutor(NewGuard(table, testLease, testVM), load, nil), &loaded
 }
 
 // An order that is issued again, by the same or by a new holder of the lease, must not make
