--- a/internal/gateway/follow/follower.go
+++ b/internal/gateway/follow/follower.go
@@ -263,9 +263,9 @@
 	return batch, err
 }
 
-// nextWait returns the wait of the next call. The wait is short after a failure, to learn when the
-// store was back; after a cancelled poll; after an idle period, so that peers soon learn that this
-// follower polls; and after changes that have to be confirmed.
+// nextWait returns the wait of the next call. The wait is short after a failure, so that the response
+// shows at once that the store is back; after a cancelled poll; after an idle period, so that this
+// follower soon announces to its peers that it polls; and after changes that have to be confirmed.
 func (f *Follower[T]) nextWait() time.Duration {
 	longest := f.MaxWait()
 	if f.failing || f.pollCancelled || f.wasIdle || f.changed && f.ConfirmChanges != nil && f.ConfirmChanges() {
--- a/internal/gateway/follow/history.go
+++ b/internal/gateway/follow/history.go
@@ -32,7 +32,7 @@
 	snapshot *Delta[T]
 }
 
-// reset restarts the history at a position. A follower that knows the table as of an earlier era
+// reset restarts the history at a position. Other gateways that have the table as of an earlier era
 // can continue from the snapshot, which is nil if there is none.
 func (h *history[T]) reset(position Position, snapshot *Delta[T]) {
 	h.mu.Lock()
@@ -75,7 +75,7 @@
 	return h.start
 }
 
-// since returns the deltas after a position; false if not all of them are known.
+// since returns the deltas after a position; false if the history doesn't hold all of them.
 func (h *history[T]) since(after Position) ([]Delta[T], bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/gateway/follow/idle.go
+++ b/internal/gateway/follow/idle.go
@@ -14,8 +14,8 @@
 	// idleCheckInterval is how often an idle follower checks whether other gateways still poll the
 	// table.
 	idleCheckInterval = 50 * time.Millisecond
-	// gossipDelay is how long gateways take to tell each other that the store responds to them,
-	// which decides which of them reads first.
+	// gossipDelay is how long gateways take to announce to each other that the store responds to
+	// them. The announcements decide which gateway reads first.
 	gossipDelay = 150 * time.Millisecond
 	// maxFullReadDelay is how long a follower delays a full read to let others read first.
 	maxFullReadDelay = 500 * time.Millisecond
--- a/internal/gateway/follow/sharing.go
+++ b/internal/gateway/follow/sharing.go
@@ -20,7 +20,7 @@
 // The table includes the changes before that position, but the single changes aren't known.
 func (f *Follower[T]) LastKnown() Position { return f.history.lastKnown() }
 
-// DeltasSince returns the changes after a position; false if not all of them are known.
+// DeltasSince returns the changes after a position; false if the history doesn't hold all of them.
 func (f *Follower[T]) DeltasSince(after Position) ([]Delta[T], bool) { return f.history.since(after) }
 
 // Position returns the position up to which the table is known; 0 before it has been read.
--- a/internal/gateway/usage/ledger.go
+++ b/internal/gateway/usage/ledger.go
@@ -38,7 +38,7 @@
 	return Ledger{Era: l.Era, Finalized: l.Finalized, Pending: pending}
 }
 
-// LocalState is what a process knows in addition to the stored ledger.
+// LocalState is the state of a process that RecoverLedger uses in addition to the stored ledger.
 type LocalState struct {
 	// Era is the store's current era.
 	Era uint64
--- a/internal/gateway/usage/send.go
+++ b/internal/gateway/usage/send.go
@@ -48,8 +48,8 @@
 			r.Observer.ReportFailed(err)
 			return err
 		case errors.Is(err, ErrBusy):
-			// The platform's limit applies to all lease holders' calls together, so this pauses all
-			// reports.
+			// The platform limits the calls of all lease holders together, so no other report is
+			// sent during the pause either.
 			r.Observer.ReportFailed(err)
 			pause.Sleep(ctx, minRetryDelay)
 		case ctx.Err() == nil:
--- a/internal/gateway/usage/usage.go
+++ b/internal/gateway/usage/usage.go
@@ -4,9 +4,9 @@
 // reported.
 //
 // Counts are cumulative per gateway, instance, window and customer, so updates may be lost,
-// repeated or reordered. A report is stored under the reporter's lease before it is sent for the
-// first time. After that every lease holder sends it as stored, so the platform never receives two
-// different reports of one window.
+// repeated or reordered. A report is finalized (stored under the reporter's lease) before it is sent
+// for the first time. After that every lease holder sends it as stored, so the platform never receives
+// two different reports of one window.
 package usage
 
 import (
--- a/internal/lease/orders/store.go
+++ b/internal/lease/orders/store.go
@@ -22,7 +22,7 @@
 }
 
 // Issue orders a VM's agent to load a model, under the lease. After a change of
-// holder the new holder must issue all orders that remain in force again, since
+// holder the new holder must issue again all orders that remain in force, since
 // agents reject those with a stale fencing token; the order keeps its ID and is not
 // executed twice. Issuing an unchanged order with the same fencing token writes nothing.
 // Errors: those of lease.Lease.Commit, ErrUnavailable, ErrCorrupt, FencedError.
