--- a/internal/gateway/follow/follower_test.go
+++ b/internal/gateway/follow/follower_test.go
@@ -116,7 +116,8 @@
 	})
 }
 
-// Without confirmation, a change at the end of a wait would leave the last confirmation as old as
+// Only a response without changes confirms that the known state is the newest. Unless a change is
+// followed by a short poll, one that comes at the end of a wait makes the last confirmation as old as
 // two waits.
 func TestChangesAreConfirmedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -169,8 +170,8 @@
 }
 
 // Servers that start together change the table one by one. The follower has to get these changes
-// with few calls.
-func TestCloseChangesAreCoalesced(t *testing.T) {
+// with few calls, since each call is paid for.
+func TestSuccessiveChangesAreCoalesced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &growingSource{started: time.Now(), interval: 20 * time.Millisecond}
 		sink := &recordingSink{}
@@ -225,7 +226,7 @@
 			Name: "t", Source: src, Sink: sink, MaxWait: FixedWait(8 * time.Second), Log: zap.NewNop(),
 			ShouldCancelPoll: func() bool { return time.Since(confirmed) > 3*time.Second },
 		}
-		src.onAnswer = func() { confirmed = time.Now() }
+		src.onResponse = func() { confirmed = time.Now() }
 		f.Run(ctx)
 		if sink.failures != 0 {
 			t.Errorf("sink got %d failures, want none", sink.failures)
@@ -243,9 +244,9 @@
 
 // slowSource holds each response back for the whole wait.
 type slowSource struct {
-	waits    []time.Duration
-	longest  time.Duration
-	onAnswer func()
+	waits      []time.Duration
+	longest    time.Duration
+	onResponse func()
 }
 
 func (*slowSource) Read(context.Context, string) (Batch[string], error) {
@@ -261,7 +262,7 @@
 		return Batch[string]{}, ctx.Err()
 	case <-time.After(wait):
 		s.longest = max(s.longest, time.Since(started))
-		s.onAnswer()
+		s.onResponse()
 		return Batch[string]{Position: 1}, nil
 	}
 }
--- a/internal/gateway/usage/aggregator.go
+++ b/internal/gateway/usage/aggregator.go
@@ -26,10 +26,12 @@
 
 // sourceCounts holds the counts of one gateway instance.
 type sourceCounts struct {
+	// sequence and completeUntil are the highest Update.Sequence and Update.CompleteUntil received.
 	sequence      uint64
 	completeUntil int64
-	lastReceived  time.Time
-	counts        map[countKey]int64
+	// lastReceived is the local time at which the last update was received.
+	lastReceived time.Time
+	counts       map[countKey]int64
 }
 
 // NewAggregator returns an empty Aggregator. The clock returns the gateways' common time of day.
@@ -37,10 +39,10 @@
 	return &Aggregator{windows: w, clock: clock, sources: map[Source]*sourceCounts{}, latestBootIDs: map[string]uint64{}}
 }
 
-// Merge merges an update that was received at the given time. It discards counts of windows that
-// are too old to be reported or lie more than one window ahead: they come from a gateway whose
+// Merge merges an update that was received at the given local time. It discards counts of windows
+// that are too old to be reported or lie more than one window ahead: they come from a gateway whose
 // clock is wrong.
-func (a *Aggregator) Merge(now time.Time, source Source, update Update) {
+func (a *Aggregator) Merge(receivedAt time.Time, source Source, update Update) {
 	current := a.windows.Number(a.clock())
 	oldest := current - min(current, maxRetainedWindows+1)
 	update.Counts = slices.DeleteFunc(slices.Clone(update.Counts), func(c Count) bool { return c.Window <= oldest || c.Window > current+1 })
@@ -48,11 +50,11 @@
 	defer a.mu.Unlock()
 	if current != a.currentWindow {
 		a.currentWindow = current
-		a.expireLocked(now, oldest)
+		a.expireLocked(receivedAt, oldest)
 	}
 	counts := a.sourceLocked(source)
 	counts.merge(update.Counts)
-	counts.sequence, counts.completeUntil, counts.lastReceived = max(counts.sequence, update.Sequence), max(counts.completeUntil, update.CompleteUntil), now
+	counts.sequence, counts.completeUntil, counts.lastReceived = max(counts.sequence, update.Sequence), max(counts.completeUntil, update.CompleteUntil), receivedAt
 	a.latestBootIDs[source.Gateway] = source.BootID
 }
 
@@ -75,8 +77,8 @@
 	}
 }
 
-// LastSequence returns the sequence number of the last change received from a gateway instance, to
-// be acknowledged to it; 0 if none was received.
+// MergedSequence returns the sequence number of the last change that was merged from a gateway
+// instance, to be acknowledged to it; 0 if there is none.
 func (a *Aggregator) LastSequence(source Source) uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/lease/era.go
+++ b/internal/lease/era.go
@@ -6,21 +6,21 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// eraShift is the position of the era in a fencing token. A token of a later
-// era is higher than all tokens of earlier eras, even if the rows that recorded
-// those were lost.
+// eraShift is the number of low bits of a fencing token that count within an era; the
+// era is in the bits above. A token of a later era is therefore higher than all tokens
+// of earlier eras, even if the rows that recorded those were lost.
 const eraShift = 40
 
-// closedEras is the number of earlier eras whose rows the first holder of an
-// era overwrites, since a transaction sent in one of them may still be applied.
-const closedEras = 3
+// overwrittenEras is the number of earlier eras whose rows the first holder of an era
+// overwrites, so that transactions that were sent in one of them fail if they arrive late.
+const overwrittenEras = 3
 
 // NextFencingToken returns the fencing token that follows previous, for a lease
 // acquired in the given era.
 func NextFencingToken(previous, era uint64) uint64 { return max(previous, era<<eraShift) + 1 }
 
-// currentEra returns the newest era of the table service that this process
-// knows of; zero if the table has no eras. A new era begins when the service is
+// currentEra returns the newest era of the table service that this process has
+// seen; zero if the table has no eras. A new era begins when the service is
 // restored from an older copy of its data.
 func currentEra(table storage.Table) uint64 {
 	if t, ok := table.(storage.EraReporter); ok {
@@ -42,10 +42,10 @@
 	return fmt.Sprintf("%s@%d", baseKey, era)
 }
 
-// closeEarlierRows returns the writes that mark the rows of earlier eras as released.
-func (l *Lease) closeEarlierRows(era uint64) ([]storage.Write, error) {
+// earlierRowWrites returns the writes that mark the rows of earlier eras as released.
+func (l *Lease) earlierRowWrites(era uint64) ([]storage.Write, error) {
 	var writes []storage.Write
-	for back := uint64(1); back <= min(era, closedEras); back++ {
+	for back := uint64(1); back <= min(era, overwrittenEras); back++ {
 		write, err := record{Holder: l.holder, Released: true}.rowWrite(l.rowKeyIn(era-back), storage.AnyVersion)
 		if err != nil {
 			return nil, err
