--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -201,8 +201,8 @@
 			t.Fatalf("%s: the response contains the key or its hash: %s", path, body)
 		}
 	}
-	given := decodeResponse[changeResponse](t, api.send(http.MethodPut, "/customers/kaivonkansi", "1", `{"key_hash":"`+auth.HashKey("k")+`"}`), http.StatusOK)
-	if given.APIKey != "" {
+	withKeyHash := decodeResponse[changeResponse](t, api.send(http.MethodPut, "/customers/kaivonkansi", "1", `{"key_hash":"`+auth.HashKey("k")+`"}`), http.StatusOK)
+	if withKeyHash.APIKey != "" {
 		t.Fatal("a key was generated although a hash was given")
 	}
 	decodeResponse[changeResponse](t, api.send(http.MethodDelete, "/customers/ledger", "2", ""), http.StatusOK)
--- a/internal/admin/change.go
+++ b/internal/admin/change.go
@@ -156,9 +156,9 @@
 		writeProblems(w, invalid.Problems)
 		return
 	}
-	if unsettled, ok := errors.Into[*store.OutcomeUnknownError](err); ok {
+	if unknown, ok := errors.Into[*store.OutcomeUnknownError](err); ok {
 		response := newErrorResponse(codeOutcomeUnknown, "the change may or may not have taken effect, or may yet; read the targets again once the table service answers")
-		response.Version = unsettled.Version
+		response.Version = unknown.Version
 		writeJSON(w, http.StatusGatewayTimeout, response)
 		return
 	}
--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -36,17 +36,17 @@
 func (a *API) listBackendServers(w http.ResponseWriter, _ *http.Request) {
 	version := a.targets.Current().Version
 	response := backendServersResponse{Version: version, BackendServers: []backendServerView{}}
-	for _, e := range a.fleet.BackendServers() {
+	for _, server := range a.fleet.BackendServers() {
 		response.BackendServers = append(response.BackendServers, backendServerView{
-			VM:        e.VM,
-			Zone:      e.Zone,
-			Serves:    e.Serves,
-			Running:   e.Running,
-			Waiting:   e.Waiting,
-			Limit:     e.Limit,
-			Draining:  e.Draining,
-			Down:      e.Down,
-			StatusAge: optionalAge(e.HasStatus, e.StatusAge),
+			VM:        server.VM,
+			Zone:      server.Zone,
+			Serves:    server.Serves,
+			Running:   server.Running,
+			Waiting:   server.Waiting,
+			Limit:     server.Limit,
+			Draining:  server.Draining,
+			Down:      server.Down,
+			StatusAge: optionalAge(server.HasStatus, server.StatusAge),
 		})
 	}
 	setETag(w, version)
--- a/internal/agentcli/agentcli.go
+++ b/internal/agentcli/agentcli.go
@@ -23,11 +23,11 @@
 		Usage:        "the process of applepier beside a backend server",
 		ExampleFile:  "examples/agent.yaml",
 		Load:         settings.LoadAgent,
-		LoggerConfig: processIdentity,
+		LoggerConfig: loggerConfig,
 		Serve:        serve,
 	}.Run(ctx, args, out, errOut)
 }
 
-func processIdentity(agent settings.Agent) program.LoggerConfig {
+func loggerConfig(agent settings.Agent) program.LoggerConfig {
 	return program.LoggerConfig{Process: agent.Process, LogLevel: agent.Log.Level}
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -26,12 +26,12 @@
 		Usage:        "a router for language-model traffic with latency targets and tiers",
 		ExampleFile:  "examples/entry.yaml",
 		Load:         settings.LoadEntry,
-		LoggerConfig: processIdentity,
+		LoggerConfig: loggerConfig,
 		Serve:        serve,
 		Commands:     append([]*cli.Command{newClassCommand(), newStatusCommand(), newTimelineCommand()}, extraCommands...),
 	}.Run(ctx, args, out, errOut)
 }
 
-func processIdentity(entry settings.Entry) program.LoggerConfig {
+func loggerConfig(entry settings.Entry) program.LoggerConfig {
 	return program.LoggerConfig{Process: entry.Process, LogLevel: entry.Log.Level}
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -170,7 +170,7 @@
 func TestOperatorKeyErrors(t *testing.T) {
 	api := newTestAPI(t)
 	t.Setenv(envKey, "another long enough key")
-	goldie.New(t).Assert(t, "key_refused", []byte(run(t, api.url, "class", "list")))
+	goldie.New(t).Assert(t, "key_rejected", []byte(run(t, api.url, "class", "list")))
 	t.Setenv(envKey, "short")
 	goldie.New(t).Assert(t, "key_short", []byte(run(t, api.url, "class", "list")))
 	goldie.New(t).Assert(t, "key_no_file", []byte(run(t, api.url, "class", "list", "--key-file", "testdata/none")))
--- a/internal/cli/transport_test.go
+++ b/internal/cli/transport_test.go
@@ -37,7 +37,7 @@
 		panic(http.ErrAbortHandler)
 	}))
 	defer server.Close()
-	goldie.New(t).Assert(t, "answer_lost", []byte(run(t, server.URL, "class", "set", "flag", "--tier", "1")))
+	goldie.New(t).Assert(t, "change_response_lost", []byte(run(t, server.URL, "class", "set", "flag", "--tier", "1")))
 }
 
 func TestUnexpectedResponses(t *testing.T) {
@@ -47,8 +47,8 @@
 		status int
 		body   string
 	}{
-		{"strange_page", http.StatusOK, "<html>"},
-		{"strange_error", http.StatusBadGateway, "<html>"},
+		{"response_not_json", http.StatusOK, "<html>"},
+		{"error_not_json", http.StatusBadGateway, "<html>"},
 		{"outcome_unknown", http.StatusGatewayTimeout, `{"error": {"code": "outcome_unknown", "message": "the change may or may not have taken effect"}}`},
 	}
 	for _, test := range tests {
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -51,8 +51,8 @@
 	if err != nil {
 		return err
 	}
-	identity := p.LoggerConfig(settings)
-	log, err := logging.New(identity.LogLevel, identity.Process)
+	loggerConfig := p.LoggerConfig(settings)
+	log, err := logging.New(loggerConfig.LogLevel, loggerConfig.Process)
 	if err != nil {
 		return errors.Wrap(err, "logging")
 	}
