--- a/internal/agentcli/agentcli.go
+++ b/internal/agentcli/agentcli.go
@@ -1,5 +1,5 @@
 // Package agentcli implements the command line of applepier-agent, the process
-// that runs next to a backend server. The main entry point is Run.
+// that runs next to a backend server. Start reading at Run.
 package agentcli
 
 import (
@@ -20,7 +20,7 @@
 func Run(ctx context.Context, args []string, out, errOut io.Writer, serve Serve) program.ExitCode {
 	return program.Program[settings.Agent]{
 		Name:         "applepier-agent",
-		Usage:        "the process of applepier beside a backend server",
+		Usage:        "the applepier process that runs next to a backend server",
 		ExampleFile:  "examples/agent.yaml",
 		Load:         settings.LoadAgent,
 		LoggerConfig: loggerConfig,
--- a/internal/agentcli/agentcli_test.go
+++ b/internal/agentcli/agentcli_test.go
@@ -13,6 +13,7 @@
 	"github.com/applepier/applepier/internal/settings"
 )
 
+// The output and exit code of each command line match its golden file.
 func TestOutputs(t *testing.T) {
 	tests := []struct {
 		golden string
--- a/internal/auth/auth.go
+++ b/internal/auth/auth.go
@@ -1,6 +1,6 @@
 // Package auth authenticates customers, operators and the system's own processes
 // by their keys. Keys are compared in constant time. Neither keys nor their
-// hashes appear in logs or errors. The main entry point is AuthenticateCustomer.
+// hashes appear in logs or errors. Start reading at AuthenticateCustomer.
 package auth
 
 import (
--- a/internal/auth/auth_test.go
+++ b/internal/auth/auth_test.go
@@ -23,15 +23,15 @@
 		err                         error
 	}{
 		{"key", "Bearer key-l", "", false, "ledger", nil},
-		{"key with another case of the scheme", "bearer key-k", "", false, "kaivonkansi", nil},
-		{"key goes before the header", "Bearer key-l", "kaivonkansi", true, "ledger", nil},
-		{"wrong key is not saved by the header", "Bearer key-x", "kaivonkansi", true, "", ErrUnknownKey},
-		{"hash is not a key", "Bearer " + HashKey("key-l"), "", false, "", ErrUnknownKey},
+		{"lower-case scheme", "bearer key-k", "", false, "kaivonkansi", nil},
+		{"key takes precedence over the trusted header", "Bearer key-l", "kaivonkansi", true, "ledger", nil},
+		{"wrong key with a trusted header", "Bearer key-x", "kaivonkansi", true, "", ErrUnknownKey},
+		{"hash of a key sent as the key", "Bearer " + HashKey("key-l"), "", false, "", ErrUnknownKey},
 		{"another scheme", "Basic key-l", "", false, "", ErrNoKey},
-		{"nothing", "", "", true, "", ErrNoKey},
-		{"header that is not trusted", "", "ledger", false, "", ErrNoKey},
+		{"neither key nor header", "", "", true, "", ErrNoKey},
+		{"untrusted header", "", "ledger", false, "", ErrNoKey},
 		{"trusted header", "", "ledger", true, "ledger", nil},
-		{"trusted header of nobody", "", "nobody", true, "", ErrUnknownCustomer},
+		{"trusted header with an unknown customer", "", "nobody", true, "", ErrUnknownCustomer},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -54,7 +54,7 @@
 		{"right key", "secret", "secret", http.StatusNoContent},
 		{"wrong key", "secret", "guess", http.StatusUnauthorized},
 		{"no key", "secret", "", http.StatusUnauthorized},
-		{"key that is not set lets nothing through", "", "", http.StatusUnauthorized},
+		{"empty operator key rejects every request", "", "", http.StatusUnauthorized},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/cli/change.go
+++ b/internal/cli/change.go
@@ -23,7 +23,7 @@
 func changeFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.Uint64Flag{Name: flagIfVersion, Usage: "change nothing unless the targets are at version `N`"},
-		&cli.DurationFlag{Name: flagWait, Usage: "wait up to `TIME` until the change is in force in all processes"},
+		&cli.DurationFlag{Name: flagWait, Usage: "wait up to `TIME` until all processes have applied the change"},
 	}
 }
 
@@ -59,13 +59,13 @@
 	}
 	propagation := *response.Propagation
 	if len(propagation.Behind)+len(propagation.NotHeardFrom) == 0 {
-		s.printer.notef("in force in all processes")
+		s.printer.notef("applied by all processes")
 		return nil
 	}
 	return &program.Error{
 		Code:    program.ExitPartial,
-		Message: "accepted, but not known to be in force everywhere" + propagation.unconfirmedProcesses(),
-		Hint:    "the change is durable, don't repeat it; applepier status shows how far it has come",
+		Message: "the change was accepted, but some processes have not confirmed it" + propagation.unconfirmedProcesses(),
+		Hint:    "the change is durable, don't repeat it; applepier status shows the version that each process has applied",
 	}
 }
 
--- a/internal/cli/class.go
+++ b/internal/cli/class.go
@@ -17,7 +17,7 @@
 func newClassCommand() *cli.Command {
 	return &cli.Command{
 		Name:     "class",
-		Usage:    "list, show, set and retire classes of work",
+		Usage:    "list, show, set and retire request classes",
 		Commands: []*cli.Command{newClassListCommand(), newClassGetCommand(), newClassSetCommand(), newClassRetireCommand()},
 	}
 }
@@ -99,7 +99,7 @@
 // whether the table service was down.
 func (s *session) noteVersion(version uint64, source string) {
 	if source == sourceMemory {
-		s.printer.notef("the table service is down: this is what is in force in the asked entry")
+		s.printer.notef("the table service is down: these are the targets applied in the queried entry")
 	}
 	if s.printer.format == OutputTable {
 		s.printer.notef("version %d", version)
--- a/internal/cli/class_retire.go
+++ b/internal/cli/class_retire.go
@@ -10,9 +10,9 @@
 func newClassRetireCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "retire",
-		Usage:     "let a class take no new requests",
+		Usage:     "stop accepting new requests of a class",
 		ArgsUsage: "NAME",
-		Description: "Requests that run are ended as usual; class set takes a class into use again.\n\n" +
+		Description: "Running requests complete as usual; class set reactivates a retired class.\n\n" +
 			"Example:\n   applepier class retire summary --wait 14s",
 		Flags:  adminFlags(changeFlags()...),
 		Action: withClass(runClassRetire),
--- a/internal/cli/class_set.go
+++ b/internal/cli/class_set.go
@@ -24,21 +24,21 @@
 func newClassSetCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "set",
-		Usage:     "create a class or change what is given of it",
+		Usage:     "create a class or change some of its settings",
 		ArgsUsage: "NAME",
-		Description: "Flags that are left out keep their value; a target of 0s is removed. A retired class\n" +
-			"is taken into use again. If another operator changes the targets meanwhile, nothing is\n" +
-			"changed and the exit code is 3.\n\n" +
+		Description: "A setting keeps its value if its flag is omitted; a latency target of 0s is removed. A\n" +
+			"retired class is reactivated. If another operator changes the targets meanwhile, nothing\n" +
+			"is changed and the exit code is 3.\n\n" +
 			"Examples:\n" +
 			"   applepier class set hazard-flag --tier 0 --model assistant --first-token 850ms\n" +
 			"   applepier class set summary --completion 2m --repeatable=false --wait 14s",
 		Flags: adminFlags(append([]cli.Flag{
-			&cli.IntFlag{Name: flagTier, Usage: "priority `N`: 0 is the most urgent, 5 the least"},
+			&cli.IntFlag{Name: flagTier, Usage: "tier `N`: 0 is the most urgent, 5 the least"},
 			&cli.StringFlag{Name: flagModel, Usage: "run on the model `NAME`"},
 			&cli.StringFlag{Name: flagService, Usage: "run on the plain service `NAME`"},
 			&cli.DurationFlag{Name: flagFirstToken, Usage: "target `TIME` to the first token"},
 			&cli.DurationFlag{Name: flagBetweenTokens, Usage: "target `TIME` between tokens"},
-			&cli.DurationFlag{Name: flagCompletion, Usage: "target `TIME` to the whole answer"},
+			&cli.DurationFlag{Name: flagCompletion, Usage: "target `TIME` to the complete response"},
 			&cli.BoolFlag{Name: flagRepeatable, Usage: "whether a request may run again when its outcome is unknown"},
 		}, changeFlags()...)...),
 		Action: withClass(runClassSet),
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,6 +1,6 @@
 // Package cli implements the applepier command line. It runs an entry and
-// provides the operator commands that call the administration API. The main
-// entry point is Run.
+// provides the operator commands that call the administration API. Start reading
+// at Run.
 package cli
 
 import (
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -95,6 +95,8 @@
 	return strings.ReplaceAll(text, url, "http://ADMIN")
 }
 
+// The output and exit code of each command line match its golden file. The steps share
+// one server: later steps see the changes of earlier ones.
 func TestOutputs(t *testing.T) {
 	t.Setenv(envKey, testKey)
 	api := newTestAPI(t)
@@ -139,6 +141,8 @@
 	}
 }
 
+// A change that some process has not confirmed must name the process and exit with
+// ExitPartial, so that a script does not take it for applied.
 func TestChangeNotAppliedEverywhere(t *testing.T) {
 	t.Setenv(envKey, testKey)
 	api := newTestAPI(t)
@@ -151,6 +155,8 @@
 	goldie.New(t).Assert(t, "status_partial", []byte(run(t, api.url, "status")))
 }
 
+// While the table service is down, a change must fail as not made, and a read must say
+// that the targets come from the memory of the entry.
 func TestTableServiceDown(t *testing.T) {
 	t.Setenv(envKey, testKey)
 	api := newTestAPI(t)
@@ -159,6 +165,8 @@
 	goldie.New(t).Assert(t, "list_table_down", []byte(run(t, api.url, "class", "list")))
 }
 
+// A timeline without the events of some processes must name them and exit with
+// ExitPartial.
 func TestTimelineListsMissingProcesses(t *testing.T) {
 	t.Setenv(envKey, testKey)
 	api := newTestAPI(t)
--- a/internal/cli/errors.go
+++ b/internal/cli/errors.go
@@ -12,22 +12,21 @@
 	"github.com/applepier/applepier/internal/program"
 )
 
-// transportError returns the operator's error for a request that got no complete
-// response. A change may have been applied unless the connection could not be
-// established.
+// transportError returns the error for a request without a complete response. A
+// change may have taken effect unless the connection could not be established.
 func (c *client) transportError(apiReq apiRequest, err error) error {
 	if apiReq.isChange() && !isDialError(err) {
 		return &program.Error{
 			Code:    program.ExitOutcomeUnknown,
-			Message: "the answer was lost, the change may or may not have been made: " + rootCause(err),
-			Hint:    "look at the present state (applepier class list) before trying again",
+			Message: "the response was lost, the change may or may not have taken effect: " + rootCause(err),
+			Hint:    "check the current state (applepier class list) before trying again",
 			Cause:   err,
 		}
 	}
 	return &program.Error{
 		Code:    program.ExitUnreachable,
-		Message: fmt.Sprintf("%s does not answer: %s", c.base, rootCause(err)),
-		Hint:    "check --admin and that the process runs; any other entry will do as well",
+		Message: fmt.Sprintf("%s does not respond: %s", c.base, rootCause(err)),
+		Hint:    "check --admin and that the entry is running, or use any other entry",
 		Cause:   err,
 	}
 }
@@ -44,7 +43,7 @@
 func rootCause(err error) string {
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
-		return "no answer in time"
+		return "no response in time"
 	}
 	for {
 		inner := errors.Unwrap(err)
@@ -60,7 +59,7 @@
 func (c *client) unexpectedResponse(err error) error {
 	return &program.Error{
 		Code:    program.ExitFailure,
-		Message: fmt.Sprintf("%s did not answer as an administration API does", c.base),
+		Message: fmt.Sprintf("%s did not send a valid administration API response", c.base),
 		Hint:    "check that --admin is the admin_listen address of an entry of this version",
 		Cause:   err,
 	}
@@ -71,7 +70,7 @@
 func (c *client) responseError(apiReq apiRequest, response *http.Response, body []byte) error {
 	var apiError errorResponse
 	if err := json.Unmarshal(body, &apiError); err != nil || apiError.Error.Message == "" {
-		apiError.Error.Message = "answered " + response.Status
+		apiError.Error.Message = c.base.String() + " responded with " + response.Status
 	}
 	problem := apiError.Error.Message
 	for _, p := range apiError.Problems {
@@ -81,10 +80,10 @@
 	switch response.StatusCode {
 	case http.StatusBadRequest:
 		result.Code = program.ExitUsage
-		result.Hint = "correct what is listed; nothing was changed"
+		result.Hint = "correct the problems above; nothing was changed"
 	case http.StatusUnauthorized, http.StatusForbidden:
 		result.Code = program.ExitUnauthorized
-		result.Hint = "use the operator's key of this fleet (" + envKey + " or --" + flagKeyFile + ")"
+		result.Hint = "use the operator key of this fleet (" + envKey + " or --" + flagKeyFile + ")"
 	case http.StatusNotFound:
 		result.Code = program.ExitNotFound
 		result.Hint = "applepier class list shows the names"
@@ -101,7 +100,7 @@
 	}
 	if apiError.Error.Code == codeOutcomeUnknown {
 		result.Code = program.ExitOutcomeUnknown
-		result.Hint = "look at the present state (applepier class list) before trying again"
+		result.Hint = "check the current state (applepier class list) before trying again"
 	}
 	return result
 }
--- a/internal/cli/flags.go
+++ b/internal/cli/flags.go
@@ -50,10 +50,10 @@
 			Value: defaultAdmin, Sources: cli.EnvVars(envAdmin),
 		},
 		&cli.StringFlag{
-			Name: flagKeyFile, Usage: "read the operator's key from `FILE` instead of " + envKey,
+			Name: flagKeyFile, Usage: "read the operator key from `FILE` instead of " + envKey,
 		},
 		&cli.StringFlag{
-			Name: flagOutput, Usage: "print `FORM`: table or json", Value: string(OutputTable),
+			Name: flagOutput, Usage: "output `FORMAT`: table or json", Value: string(OutputTable),
 		},
 		&cli.DurationFlag{
 			Name: flagTimeout, Usage: "give up after `TIME`", Value: defaultTimeout,
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -20,7 +20,7 @@
 func GatewayCommand(serve ServeGateway, settingsEnv string) *cli.Command {
 	return program.Program[settings.Gateway]{
 		Name:        "applepier gateway",
-		Usage:       "run an entry that sends straight to the backend servers",
+		Usage:       "run a gateway, an entry that sends requests directly to the backend servers",
 		ExampleFile: "examples/gateway.yaml",
 		SettingsEnv: settingsEnv,
 		Load:        settings.LoadGateway,
--- a/internal/cli/printer.go
+++ b/internal/cli/printer.go
@@ -62,7 +62,8 @@
 	return writer.Flush()
 }
 
-// notef writes a formatted line to standard error, apart from the result.
+// notef writes a formatted line to standard error, so that standard output holds
+// only the result.
 func (p printer) notef(format string, args ...any) {
 	fmt.Fprintf(p.errOut, format+"\n", args...)
 }
--- a/internal/cli/responses.go
+++ b/internal/cli/responses.go
@@ -56,7 +56,8 @@
 	Accepted bool      `json:"accepted"`
 	Version  uint64    `json:"version"`
 	Class    classInfo `json:"class"`
-	// Propagation is set if the command waited until the change was applied.
+	// Propagation is set if the command waited for all processes to apply the
+	// change.
 	Propagation *propagation `json:"spread,omitempty"`
 }
 
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -19,8 +19,8 @@
 func newStatusCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "status",
-		Usage: "show the processes, the targets' version in force in each, and the backend servers",
-		Description: "AGE is how old the entry's knowledge of a process is.\n\n" +
+		Usage: "show the processes, the targets version that each has applied, and the backend servers",
+		Description: "AGE is the time since the queried entry last received the status of the process or server.\n\n" +
 			"Examples:\n   applepier status\n   applepier status --admin http://10.0.0.5:8081 --output json",
 		Flags:  adminFlags(),
 		Action: runStatus,
--- a/internal/cli/timeline.go
+++ b/internal/cli/timeline.go
@@ -11,6 +11,7 @@
 	"github.com/applepier/applepier/internal/timeline"
 )
 
+// Flags of the timeline command.
 const (
 	flagRequest = "request"
 	flagSince   = "since"
@@ -24,16 +25,16 @@
 func newTimelineCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "timeline",
-		Usage: "show what all processes did, in one order",
-		Description: "An event that another one caused stands after it, whatever the VMs' clocks say.\n" +
-			"Times are in UTC. Processes that did not answer are named, and the exit code is then 7.\n\n" +
+		Usage: "show the events of all processes in causal order",
+		Description: "An event is listed after the event that caused it, even if the VMs' clocks differ.\n" +
+			"Times are in UTC. If some processes do not respond, they are listed and the exit code is 7.\n\n" +
 			"Examples:\n" +
 			"   applepier timeline --since 5m\n" +
 			"   applepier timeline --request AZPx8no7fG2OnwobLD1OXw --output json",
 		Flags: adminFlags(
 			&cli.StringFlag{Name: flagRequest, Usage: "only events of the request `ID`"},
-			&cli.DurationFlag{Name: flagSince, Usage: "go back `TIME`", Value: timeline.DefaultSince},
-			&cli.IntFlag{Name: flagLimit, Usage: "take at most `N` events of each process, the newest", Value: timeline.DefaultLimit},
+			&cli.DurationFlag{Name: flagSince, Usage: "only events of the last `TIME`", Value: timeline.DefaultSince},
+			&cli.IntFlag{Name: flagLimit, Usage: "only the newest `N` events of each process", Value: timeline.DefaultLimit},
 		),
 		Action: runTimeline,
 	}
@@ -62,7 +63,7 @@
 		return err
 	}
 	if view.Truncated {
-		session.printer.notef("older events were left out; ask for less with --%s or --%s", flagSince, flagRequest)
+		session.printer.notef("older events were omitted; narrow the query with --%s or --%s", flagSince, flagRequest)
 	}
 	return missingError(view)
 }
@@ -82,7 +83,7 @@
 	if len(view.Missing) == 0 {
 		return nil
 	}
-	problem := "these processes did not answer, their events are missing:"
+	problem := "these processes did not respond, their events are missing:"
 	for _, missing := range view.Missing {
 		problem += "\n  " + missing.Process + " (" + missing.Addr + "): " + missing.Reason
 	}
--- a/internal/cli/transport_test.go
+++ b/internal/cli/transport_test.go
@@ -12,8 +12,7 @@
 	"github.com/applepier/applepier/internal/program"
 )
 
-// TestConnectionRefused checks the error when no connection can be established:
-// nothing can have changed.
+// TestConnectionRefused checks the error when no connection can be established.
 func TestConnectionRefused(t *testing.T) {
 	t.Setenv(envKey, testKey)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,6 +39,8 @@
 	goldie.New(t).Assert(t, "change_response_lost", []byte(run(t, server.URL, "class", "set", "flag", "--tier", "1")))
 }
 
+// A response that is not valid JSON, such as the page of a proxy, must yield an error that
+// names the address. An unknown outcome must exit with ExitOutcomeUnknown.
 func TestUnexpectedResponses(t *testing.T) {
 	t.Setenv(envKey, testKey)
 	tests := []struct {
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -19,8 +19,8 @@
 	return &cli.Command{
 		Name:  "serve",
 		Usage: "run the process until SIGTERM or SIGINT",
-		Description: "The first signal begins a graceful shutdown: no new work is taken and what runs is ended.\n" +
-			"A SIGINT after it ends the process at once.\n\n" +
+		Description: "The first signal begins a graceful shutdown: new work is refused and running work is completed.\n" +
+			"A later SIGINT terminates the process immediately.\n\n" +
 			"Example:\n   " + p.Name + " serve --settings " + p.ExampleFile,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: flagSettings, Usage: "read the settings from `FILE`", Required: true, Sources: p.settingsSources()},
@@ -54,7 +54,7 @@
 	loggerConfig := p.LoggerConfig(settings)
 	log, err := logging.New(loggerConfig.LogLevel, loggerConfig.Process)
 	if err != nil {
-		return errors.Wrap(err, "logging")
+		return errors.Wrap(err, "create logger")
 	}
 	return serveUntilSignal(ctx, log, func(ctx context.Context) error {
 		if p.ServeWithReload != nil {
--- a/internal/program/signal_test.go
+++ b/internal/program/signal_test.go
@@ -40,7 +40,7 @@
 	sendSignalToSelf(t, syscall.SIGTERM)
 	for deadline := time.Now().Add(10 * time.Second); lines.Len() < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the second signal wasn't seen")
+			t.Fatal("the second SIGTERM was not logged")
 		}
 	}
 	release()
