--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
 // Package admin implements the administration API of an entry: JSON over HTTP
 // for reading and changing classes and customers and for inspecting the fleet.
-// The main entry points are Config and API.Register.
+// Start reading at Config and API.Register.
 //
 // Each response about targets carries their version, both in the "version"
 // field and as the ETag. A change must send the version it is based on in
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -115,6 +115,8 @@
 	decodeResponse[errorResponse](t, api.send(http.MethodDelete, "/classes/other", "4", ""), http.StatusNotFound)
 }
 
+// An invalid request must list the problems of all its fields, not only the
+// first, and change nothing.
 func TestAllProblemsAreReported(t *testing.T) {
 	tests := []struct {
 		name, method, path, version, body string
@@ -160,6 +162,10 @@
 	}
 }
 
+// A change whose commit response is lost must be read back and reported as
+// accepted. While the table service is down, changes fail and reads return the
+// targets in memory. If the service goes down after a commit whose outcome is
+// unknown, the response must say so.
 func TestChangeWithTableFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		api := newTestAPI()
@@ -187,6 +193,8 @@
 	})
 }
 
+// A generated key must appear only in the response that creates the customer,
+// and must stop working when the customer is removed.
 func TestGeneratedKeyIsReturnedOnce(t *testing.T) {
 	api := newTestAPI()
 	created := decodeResponse[changeResponse](t, api.send(http.MethodPut, "/customers/ledger", "0", ""), http.StatusOK)
@@ -211,6 +219,9 @@
 	}
 }
 
+// A request with ?wait must not report a change as applied while a process with
+// a recent status has an older version, and must not wait for processes without
+// a recent status.
 func TestWaitForPropagation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		api := newTestAPI()
--- a/internal/admin/fleet.go
+++ b/internal/admin/fleet.go
@@ -4,7 +4,8 @@
 
 // maxStatusAge is the maximum age of a status that counts as recent. The
 // status of connected processes is refreshed far more often. 10 seconds are
-// short enough to report a silent process within the 14 seconds of a change.
+// short enough to report a silent process within the 14 seconds in which a
+// change must reach all processes.
 const maxStatusAge = 10 * time.Second
 
 // Fleet reports the status of all processes, including this one, as known to
