--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,6 +1,6 @@
 // Package boottime reads CLOCK_BOOTTIME, the monotonic clock that also advances while
-// the VM is suspended. It measures ages across a suspension, which Go's monotonic
-// clock does not, as it stops, and the wall clock does not, as it jumps.
+// the VM is suspended. Use it for ages that may span a suspension: Go's monotonic clock
+// stops then, and the wall clock can jump.
 package boottime
 
 import (
@@ -18,7 +18,8 @@
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		// A kernel without this clock does not report suspensions either, so the
-		// monotonic clock serves instead.
+		// monotonic clock serves instead. With the added hour, a value is never 0, which
+		// callers use for "never", and exceeds the ages that they subtract from it.
 		return time.Since(processStart) + time.Hour
 	}
 	return time.Duration(ts.Nano())
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -17,7 +17,7 @@
 
 // ErrUnreachable means that no peer returned the requested data: the request
 // failed, was rejected, or its response could not be decoded.
-var ErrUnreachable = errors.New("no peer answered with what was asked for")
+var ErrUnreachable = errors.New("no peer returned the requested data")
 
 // StatePath is the URL path at which a process serves its State.
 const StatePath = "/internal/v1/state"
@@ -57,7 +57,7 @@
 	return s, err
 }
 
-// FetchFromAny reads the State of all peers, one after the other, and offers their
+// FetchFromAll reads the State of all peers, one after the other, and offers their
 // targets to cache, which keeps the newest. It returns the first VM list that is
 // not empty, or ErrUnreachable if no peer has one.
 func FetchFromAny(ctx context.Context, addrs []string, systemKey string, cache *targets.Cache) ([]storage.VM, error) {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -23,7 +23,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestFetchFromAnyAdoptsNewestTargets(t *testing.T) {
+func TestFetchFromAllAdoptsNewestTargets(t *testing.T) {
 	addrs := []string{
 		"127.0.0.1:1",
 		startPeer(t, State{Process: "old", Targets: &targets.Set{Version: 3}}),
@@ -40,6 +40,7 @@
 	}
 }
 
+// A peer that has no VM list yet must not be skipped: its targets may be the newest.
 func TestPeersWithoutVMListStillProvideTargets(t *testing.T) {
 	cache := targets.NewCache()
 	_, err := FetchFromAny(t.Context(), []string{startPeer(t, State{Targets: &targets.Set{Version: 2}})}, testKey, cache)
@@ -51,6 +52,6 @@
 func TestStateRequiresSystemKey(t *testing.T) {
 	addr := startPeer(t, State{Targets: &targets.Set{Version: 2}})
 	if _, err := FetchState(t.Context(), addr, "another-key"); !errors.Is(err, ErrUnreachable) {
-		t.Fatalf("got %v, want a refusal", err)
+		t.Fatalf("got %v, want ErrUnreachable", err)
 	}
 }
--- a/internal/peer/version.go
+++ b/internal/peer/version.go
@@ -18,7 +18,7 @@
 // milliseconds, also from another region.
 const versionTimeout = time.Second
 
-// Version reports the version of the targets that a process has in force.
+// Version holds the version of the targets that a process has applied.
 type Version struct {
 	Process string `json:"process"`
 	Targets uint64 `json:"targets"`
--- a/internal/unread/unread.go
+++ b/internal/unread/unread.go
@@ -30,8 +30,7 @@
 // rest of the body is shorter than maxDrainBytes and arrives within drainTimeout;
 // otherwise it is closed. bodyTimedOut reports that the server has already waited for
 // the body in vain; the connection is then closed without another wait before the
-// response. Respond may set the read deadline; one remains set only on a connection
-// that is closed.
+// response. Respond may set read deadlines; it clears them if the connection stays open.
 func Respond(w http.ResponseWriter, r *http.Request, bodyTimedOut bool, writeResponse func()) {
 	if !bodyTimedOut && drainBody(w, r.Body) {
 		writeResponse()
@@ -60,8 +59,8 @@
 	return n < maxDrainBytes && errors.Is(err, io.EOF) && !clearDeadline()
 }
 
-// discardBody reads up to maxDrainBytes of a body. The error is nil only if it read
-// that many.
+// discardBody reads up to maxDrainBytes of a body and returns how many bytes it read.
+// The error is nil if it read maxDrainBytes, and io.EOF if the body ended before.
 func discardBody(body io.Reader) (int64, error) {
 	return io.CopyN(io.Discard, body, maxDrainBytes)
 }
--- a/internal/unread/unread_test.go
+++ b/internal/unread/unread_test.go
@@ -78,6 +78,8 @@
 	}
 }
 
+// A connection must be closed if the end of the body was not read: the rest of the body
+// would be parsed as the next request.
 func TestIncompleteBodyClosesConnection(t *testing.T) {
 	for _, bodyTimedOut := range []bool{false, true} {
 		conn, reader := dialServer(t, func(w http.ResponseWriter, r *http.Request) {
