--- a/internal/admin/fleet.go
+++ b/internal/admin/fleet.go
@@ -49,8 +49,8 @@
 	Zone string
 	// Serves is the name of the model or plain service that it runs.
 	Serves string
-	// Running is the number of runs, Waiting the number of tickets, and Limit
-	// the maximum number of concurrent runs.
+	// Running is the number of requests that run, Waiting the number of requests
+	// that wait at the agent, and Limit the maximum of Running.
 	Running int
 	Waiting int
 	Limit   int
