--- a/internal/cli/transport_test.go
+++ b/internal/cli/transport_test.go
@@ -12,8 +12,7 @@
 	"github.com/applepier/applepier/internal/program"
 )
 
-// TestConnectionRefused checks the error when no connection can be established:
-// nothing can have changed.
+// TestConnectionRefused checks the error when no connection can be established.
 func TestConnectionRefused(t *testing.T) {
 	t.Setenv(envKey, testKey)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,9 +36,11 @@
 		panic(http.ErrAbortHandler)
 	}))
 	defer server.Close()
-	goldie.New(t).Assert(t, "answer_lost", []byte(run(t, server.URL, "class", "set", "flag", "--tier", "1")))
+	goldie.New(t).Assert(t, "change_response_lost", []byte(run(t, server.URL, "class", "set", "flag", "--tier", "1")))
 }
 
+// A response that is not valid JSON, such as the page of a proxy, must yield an error that
+// names the address. An unknown outcome must exit with ExitOutcomeUnknown.
 func TestUnexpectedResponses(t *testing.T) {
 	t.Setenv(envKey, testKey)
 	tests := []struct {
@@ -47,8 +48,8 @@
 		status int
 		body   string
 	}{
-		{"strange_page", http.StatusOK, "<html>"},
-		{"strange_error", http.StatusBadGateway, "<html>"},
+		{"response_not_json", http.StatusOK, "<html>"},
+		{"error_not_json", http.StatusBadGateway, "<html>"},
 		{"outcome_unknown", http.StatusGatewayTimeout, `{"error": {"code": "outcome_unknown", "message": "the change may or may not have taken effect"}}`},
 	}
 	for _, test := range tests {
