--- a/internal/admin/change.go
+++ b/internal/admin/change.go
@@ -71,7 +71,7 @@
 	text := strings.Trim(strings.Join(values, ","), `" `)
 	version, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		c.addProblem("If-Match", `must be one version, such as "7", from the ETag of a response`)
+		c.addProblem("If-Match", `must be one version, as "7", from the ETag of an answer`)
 	}
 	c.baseVersion = version
 }
@@ -83,7 +83,7 @@
 	}
 	wait, err := time.ParseDuration(text)
 	if err != nil || wait < 0 || wait > maxWait {
-		c.addProblem("wait", "must be a duration from 0s to "+maxWait.String()+", such as 14s")
+		c.addProblem("wait", "must be a duration from 0s to "+maxWait.String()+", as 14s")
 	}
 	c.wait = wait
 }
@@ -96,7 +96,7 @@
 // has problems, and reports whether it did.
 func (c *changeRequest) rejectInvalid(w http.ResponseWriter) bool {
 	if !c.hasBaseVersion {
-		response := newErrorResponse(codeVersionRequired, "If-Match is required: send the version that the change is based on, from the ETag of a response")
+		response := newErrorResponse(codeVersionRequired, "a change needs If-Match with the version it was made upon, from the ETag of an answer")
 		response.Problems = c.problems
 		writeJSON(w, http.StatusPreconditionRequired, response)
 		return true
@@ -158,7 +158,7 @@
 		return
 	}
 	if unknown, ok := errors.Into[*store.OutcomeUnknownError](err); ok {
-		response := newErrorResponse(codeOutcomeUnknown, "the change may or may not have taken effect, or may still take effect; read the targets again once the table service responds")
+		response := newErrorResponse(codeOutcomeUnknown, "the change may or may not have taken effect, or may yet; read the targets again once the table service answers")
 		response.Version = unknown.Version
 		writeJSON(w, http.StatusGatewayTimeout, response)
 		return
--- a/internal/admin/object_decoder.go
+++ b/internal/admin/object_decoder.go
@@ -57,7 +57,7 @@
 func (d *objectDecoder) durationField(name string, dest *time.Duration) {
 	value := dest.String()
 	problemsBefore := len(d.problems)
-	decodeField(d, name, `must be a string with a unit, such as "850ms"`, &value)
+	decodeField(d, name, `must be a string with a unit, as "850ms"`, &value)
 	if len(d.problems) > problemsBefore {
 		return
 	}
@@ -67,7 +67,7 @@
 	}
 	parsed, err := time.ParseDuration(value)
 	if err != nil {
-		d.addProblem(name, fmt.Sprintf("%q is not a duration with a unit, such as \"850ms\"", value))
+		d.addProblem(name, fmt.Sprintf("%q is not a duration with a unit, as \"850ms\"", value))
 		return
 	}
 	*dest = parsed
--- a/internal/auth/middleware.go
+++ b/internal/auth/middleware.go
@@ -14,14 +14,14 @@
 // operator key and responds with 401 to all others. An empty key rejects every
 // request.
 func RequireOperatorKey(key string) Middleware {
-	return requireKey(key, "the operator key is required: send it as Authorization: Bearer KEY")
+	return requireKey(key, "the operators' key is required: send it as Authorization: Bearer KEY")
 }
 
 // RequireSystemKey returns a middleware that accepts only requests with the key
 // of the system's own processes and responds with 401 to all others. An empty
 // key rejects every request.
 func RequireSystemKey(key string) Middleware {
-	return requireKey(key, "the system key is required: this address is only for the system's own processes")
+	return requireKey(key, "this address is for the system's own processes")
 }
 
 // requireKey returns a middleware that responds with 401 and the message to
