--- a/internal/entry/api/bench_test.go
+++ b/internal/entry/api/bench_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// BenchmarkHeldRequest measures the live memory of a request in flight with a body of 100
+// BenchmarkRequestInFlight measures the live memory of a request in flight with a body of 100
 // KB. heap-B is the total; body-B is the part taken by the body.
-func BenchmarkHeldRequest(b *testing.B) {
+func BenchmarkRequestInFlight(b *testing.B) {
 	const bodyBytes = 100_000
 	f := newBlockingFixture(b, nil)
 	before := liveHeap()
--- a/internal/entry/api/body_budget_test.go
+++ b/internal/entry/api/body_budget_test.go
@@ -35,7 +35,7 @@
 	f.releaseAll()
 }
 
-func TestBodyOfUnknownLength(t *testing.T) {
+func TestBodyOfUnknownLengthIsBounded(t *testing.T) {
 	f := newBlockingFixture(t, nil)
 	unknownLength := func(bytes int) *http.Request {
 		r := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", io.NopCloser(strings.NewReader(chatBody("n", bytes))))
@@ -55,7 +55,7 @@
 	f.releaseAll()
 }
 
-func TestBodyTooLarge(t *testing.T) {
+func TestTooLargeBodyIsRefused(t *testing.T) {
 	f := newBlockingFixture(t, nil)
 	w := httptest.NewRecorder()
 	f.router.ServeHTTP(w, chatCall("lower", "m", maxBodyBytes+1))
--- /dev/null
+++ b/internal/entry/api/claim_grant_recorder.go
@@ -0,0 +1,24 @@
+package api
+
+import (
+	"context"
+
+	"github.com/applepier/applepier/internal/claim"
+)
+
+// claimGrantRecorder records in the claim which grant is used, before the request body is sent.
+// It is not safe for concurrent use.
+type claimGrantRecorder struct {
+	claims ClaimStore
+	claim  claim.Claim
+}
+
+// Take durably records the grant in the claim.
+func (r *claimGrantRecorder) RecordGrant(ctx context.Context, agent, grant string) error {
+	c, err := r.claims.Grant(ctx, r.claim, agent, grant)
+	if err != nil {
+		return err
+	}
+	r.claim = c
+	return nil
+}
--- a/internal/entry/api/claims.go
+++ b/internal/entry/api/claims.go
@@ -44,7 +44,7 @@
 
 // claimIdempotencyKey claims the request's idempotency key. It returns the claim, or
 // writes the final response and returns false.
-func (a *API) claimIdempotencyKey(w http.ResponseWriter, r *http.Request, req *dispatch.Request) (*claimGuard, bool) {
+func (a *API) claimIdempotencyKey(w http.ResponseWriter, r *http.Request, req *dispatch.Request) (*claimGrantRecorder, bool) {
 	key := r.Header.Get(HeaderIdempotencyKey)
 	if len(key) > maxIdempotencyKeyBytes {
 		a.endWithoutDispatch(w, req, badRequestError("key_too_long", HeaderIdempotencyKey, "an idempotency key has at most 256 bytes"))
@@ -61,7 +61,7 @@
 			return nil, false
 		}
 	}
-	return &claimGuard{claims: a.config.Claims, claim: c}, true
+	return &claimGrantRecorder{claims: a.config.Claims, claim: c}, true
 }
 
 // errResponseWritten is returned when the final response has already been written.
@@ -136,7 +136,7 @@
 }
 
 func claimError(err error) apiError {
-	var lost *claim.ConflictError
+	var conflict *claim.ConflictError
 	switch {
 	case errors.Is(err, claim.ErrKeyReused):
 		return apiError{
@@ -145,7 +145,7 @@
 			message: "the idempotency key was used for a different request",
 			outcome: dispatch.NotRun,
 		}
-	case errors.As(err, &lost):
+	case errors.As(err, &conflict):
 		return inProgressError()
 	default:
 		return notRunError("claim_unavailable", busyRetryAfter)
@@ -155,17 +155,17 @@
 // settleClaim records the outcome of a claimed request after the response was sent: it
 // stores a complete response, and releases the claim of a request that did not run. In
 // all other cases the claim stays, and a repeated call resolves it.
-func (a *API) settleClaim(ctx context.Context, guard *claimGuard, result dispatch.Result, recorder *responseRecorder) {
+func (a *API) settleClaim(ctx context.Context, grantRecorder *claimGrantRecorder, result dispatch.Result, recorder *responseRecorder) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 	defer cancel()
 	var err error
 	switch {
 	case result.Outcome == dispatch.Completed:
-		_, err = a.config.Claims.Finish(ctx, guard.claim, claim.Outcome{Complete: true, Status: recorder.status, ContentType: recorder.Header().Get("Content-Type"), Response: recorder.recordedBody()})
+		_, err = a.config.Claims.Finish(ctx, grantRecorder.claim, claim.Outcome{Complete: true, Status: recorder.status, ContentType: recorder.Header().Get("Content-Type"), Response: recorder.recordedBody()})
 	case result.Outcome == dispatch.NotRun, result.Outcome == dispatch.Rejected, !result.BodySent:
-		err = a.config.Claims.Release(ctx, guard.claim)
+		err = a.config.Claims.Release(ctx, grantRecorder.claim)
 	}
 	if err != nil {
-		a.config.Log.Warn(logging.EventClaimNotSettled, logging.Request(guard.claim.Attempt), logging.Reason(err.Error()))
+		a.config.Log.Warn(logging.EventClaimNotSettled, logging.Request(grantRecorder.claim.Attempt), logging.Reason(err.Error()))
 	}
 }
--- a/internal/entry/api/dispatch.go
+++ b/internal/entry/api/dispatch.go
@@ -36,15 +36,15 @@
 // dispatchClaimed dispatches a request with an idempotency key. The request runs at most
 // once, even if its class is repeatable.
 func (a *API) dispatchClaimed(w http.ResponseWriter, r *http.Request, req *dispatch.Request, newResponse func(http.ResponseWriter) response) {
-	guard, ok := a.claimIdempotencyKey(w, r, req)
+	grantRecorder, ok := a.claimIdempotencyKey(w, r, req)
 	if !ok {
 		return
 	}
-	req.GrantRecorder = guard
+	req.GrantRecorder = grantRecorder
 	req.Repeatable = false
 	recorder := newResponseRecorder(w)
 	result := a.dispatchAndRespond(r.Context(), recorder, req, newResponse)
-	a.settleClaim(r.Context(), guard, result, recorder)
+	a.settleClaim(r.Context(), grantRecorder, result, recorder)
 }
 
 func (a *API) dispatchAndRespond(ctx context.Context, w http.ResponseWriter, req *dispatch.Request, newResponse func(http.ResponseWriter) response) dispatch.Result {
--- a/internal/entry/api/request_body.go
+++ b/internal/entry/api/request_body.go
@@ -53,8 +53,8 @@
 		return body, true
 	}
 	body.release()
-	timedOut := !errors.Is(err, errBodyBudgetExceeded) && !isTooLarge(err)
-	unread.Respond(w, r, timedOut, func() {
+	readFailed := !errors.Is(err, errBodyBudgetExceeded) && !isTooLarge(err)
+	unread.Respond(w, r, readFailed, func() {
 		if errors.Is(err, errBodyBudgetExceeded) {
 			a.refuseAtCapacity(w, r, reasonBodiesFull)
 		} else {
--- a/internal/entry/dispatch/attempt_result.go
+++ b/internal/entry/dispatch/attempt_result.go
@@ -8,9 +8,9 @@
 	attemptCompleted attemptOutcome = iota
 	// attemptNotRun: the request was not run.
 	attemptNotRun
-	// attemptBlocked: the request was not sent and must not be sent to another
+	// attemptGrantNotRecorded: the request was not sent and must not be sent to another
 	// agent.
-	attemptBlocked
+	attemptGrantNotRecorded
 	// attemptRejected: the backend server rejected the request.
 	attemptRejected
 	// attemptInterrupted: the request ran or may have run, and did not
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -14,10 +14,10 @@
 
 // streamTokens returns a script that streams the tokens after ResumeFrom and
 // cuts the stream after cutAfter of them.
-func streamTokens(tokens []string, cutAfter int) func(*wire.FrameWriter, wire.RunRequest) {
+func streamTokens(tokens []string, interruptAfter int) func(*wire.FrameWriter, wire.RunRequest) {
 	return func(w *wire.FrameWriter, r wire.RunRequest) {
 		for i, text := range tokens[r.ResumeFrom:] {
-			if i == cutAfter {
+			if i == interruptAfter {
 				return
 			}
 			writeToken(w, text)
@@ -26,10 +26,10 @@
 	}
 }
 
-const neverCut = -1
+const noInterruption = -1
 
 func TestOnlyFirstGrantRuns(t *testing.T) {
-	text := streamTokens([]string{"a", "b"}, neverCut)
+	text := streamTokens([]string{"a", "b"}, noInterruption)
 	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", text), newFakeAgent(t, "two", text)}}
 	sink := &fakeSink{}
 	result := newTestDispatcher(agents).Do(t.Context(), testRequest(true), sink)
@@ -172,7 +172,7 @@
 	}
 }
 
-func TestNonRepeatableRequestEndsUnknown(t *testing.T) {
+func TestInterruptedNonRepeatableRequestEndsUnknown(t *testing.T) {
 	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", streamTokens([]string{"a", "b"}, 1))}}
 	result := newTestDispatcher(agents).Do(t.Context(), testRequest(false), &fakeSink{})
 	if result.Outcome != Unknown {
@@ -214,7 +214,7 @@
 	}
 }
 
-func TestLeavingAgentsAreNotAskedForever(t *testing.T) {
+func TestDrainingAgentsAreNotAskedForever(t *testing.T) {
 	agent := newFakeAgent(t, "one", nil)
 	agent.refusalReason = wire.ReasonDraining
 	result := newTestDispatcher(&fakeAgents{agents: []*fakeAgent{agent}}).Do(t.Context(), testRequest(true), &fakeSink{})
--- a/internal/entry/dispatch/dispatcher.go
+++ b/internal/entry/dispatch/dispatcher.go
@@ -23,7 +23,7 @@
 	// Candidates lists the agents of a model or service that can take a ticket.
 	Candidates(serves string) []policy.Candidate
 	// Place sends a ticket; it returns false if the agent is not connected.
-	Place(agent string, t *wire.Ticket, l TicketHandler) bool
+	Place(agent string, t *wire.Ticket, handler TicketHandler) bool
 	// Withdraw cancels a ticket.
 	Withdraw(agent, request string, attempt int)
 	// Void asks an agent to make an unused grant unusable.
--- a/internal/entry/dispatch/fake_test.go
+++ b/internal/entry/dispatch/fake_test.go
@@ -87,14 +87,14 @@
 	return all
 }
 
-func (f *fakeAgents) Place(agent string, t *wire.Ticket, l TicketHandler) bool {
+func (f *fakeAgents) Place(agent string, t *wire.Ticket, handler TicketHandler) bool {
 	a := f.find(agent)
 	if a.refusalReason != "" {
-		go l.Refused(agent, a.refusalReason, 3*time.Second)
+		go handler.Refused(agent, a.refusalReason, 3*time.Second)
 		return true
 	}
 	go func() {
-		if !l.Granted(agent, agent+"-grant") {
+		if !handler.Granted(agent, agent+"-grant") {
 			f.Withdraw(agent, t.RequestID, t.Attempt)
 		}
 	}()
--- a/internal/entry/dispatch/head_test.go
+++ b/internal/entry/dispatch/header_timeout_test.go
@@ -40,7 +40,7 @@
 	return nil
 }
 
-func requestWithDelayedHead(t *testing.T, delay time.Duration) (*delayedTransport, *http.Response, error) {
+func sendWithDelayedHeaders(t *testing.T, delay time.Duration) (*delayedTransport, *http.Response, error) {
 	t.Helper()
 	d := newTestDispatcher(&fakeAgents{})
 	transport := &delayedTransport{delay: delay}
@@ -49,16 +49,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	response, err := d.doWithHeadTimeout(req)
+	response, err := d.doWithHeaderTimeout(req)
 	return transport, response, err
 }
 
 // Guards against returning a response whose context the head timeout has
 // already cancelled: no byte of its body could be read.
-func TestReturnedResponseIsNotCancelledByHeadTimeout(t *testing.T) {
+func TestReturnedResponseIsNotCancelledByHeaderTimeout(t *testing.T) {
 	for _, delay := range []time.Duration{0, wire.HeartbeatTimeout - 1, wire.HeartbeatTimeout, wire.HeartbeatTimeout + 1} {
 		synctest.Test(t, func(t *testing.T) {
-			transport, response, err := requestWithDelayedHead(t, delay)
+			transport, response, err := sendWithDelayedHeaders(t, delay)
 			time.Sleep(2 * wire.HeartbeatTimeout)
 			synctest.Wait()
 			if delay < wire.HeartbeatTimeout && err != nil {
--- a/internal/entry/dispatch/job.go
+++ b/internal/entry/dispatch/job.go
@@ -70,7 +70,7 @@
 		return Result{Outcome: Rejected, Reason: "rejected", Status: attempted.httpStatus, Body: attempted.body}, true
 	case attemptCancelled:
 		return Result{Outcome: Cancelled, Reason: "caller_gone"}, true
-	case attemptBlocked:
+	case attemptGrantNotRecorded:
 		return Result{Outcome: NotRun, Reason: attempted.reason, RetryAfter: noAgentTimeout}, true
 	case attemptNotRun:
 		return j.retryOrReturn(Result{Outcome: NotRun, Reason: attempted.reason, RetryAfter: noAgentTimeout})
@@ -102,7 +102,7 @@
 	if j.attempt-j.preemptions >= maxAttempts {
 		return j.refusalResult(last), true
 	}
-	if j.resumesOutsideBudget() {
+	if j.allowResumeOutsideBudget() {
 		return Result{}, false
 	}
 	if !j.dispatcher.policies.allowRetry(time.Now()) {
@@ -112,14 +112,14 @@
 	return Result{}, false
 }
 
-// resumesOutsideBudget reports whether an interrupted stream is resumed without
+// allowResumeOutsideBudget reports whether an interrupted stream is resumed without
 // using the retry budget. That is so the first time a stream is interrupted
 // after it has delivered tokens in the attempt. Losing an availability zone
 // interrupts many streams at once; giving one up wastes the tokens that its
 // caller already has, and the rest of it is work that was already admitted.
 // Further interruptions use the budget, so that servers that break every stream
 // do not get their load back as retries.
-func (j *job) resumesOutsideBudget() bool {
+func (j *job) allowResumeOutsideBudget() bool {
 	if j.resumedOutsideBudget || !j.request.resumable() || j.tokensDelivered == j.tokensBeforeAttempt {
 		return false
 	}
@@ -133,7 +133,7 @@
 // admission control (Retry).
 func (j *job) ticket() *wire.Ticket {
 	r := j.request
-	timeLimit, due := r.Class.Deadline()
+	timeLimit, milestone := r.Class.Deadline()
 	slack := timeLimit - time.Since(r.Arrived)
 	return &wire.Ticket{
 		RequestID:         r.ID,
@@ -142,7 +142,7 @@
 		Tier:              r.Class.Tier,
 		Customer:          r.Customer,
 		SlackMS:           slack.Milliseconds(),
-		DeadlineMilestone: due,
+		DeadlineMilestone: milestone,
 		Size:              r.EstimatedTokens,
 		PrefixHash:        r.PrefixHash,
 		Copies:            policy.Copies(j.tier()),
--- a/internal/entry/dispatch/run.go
+++ b/internal/entry/dispatch/run.go
@@ -16,16 +16,16 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// errCallerGone is returned when the sink fails, which means that the caller
+// errCallerDisconnected is returned when the sink fails, which means that the caller
 // disconnected.
-var errCallerGone = errors.New("caller disconnected")
+var errCallerDisconnected = errors.New("caller disconnected")
 
 // runAttempt sends the body with a grant and relays the response.
 func (j *job) runAttempt(ctx context.Context, grant acceptedGrant) attemptResult {
 	if recorder := j.request.GrantRecorder; recorder != nil {
 		if err := recorder.RecordGrant(ctx, grant.agent, grant.id); err != nil {
 			j.voidBestEffort(ctx, grant)
-			return attemptResult{outcome: attemptBlocked, reason: "claim_unavailable"}
+			return attemptResult{outcome: attemptGrantNotRecorded, reason: "claim_unavailable"}
 		}
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -71,7 +71,7 @@
 	}
 	req.ContentLength = int64(len(body))
 	req.Header.Set("Authorization", "Bearer "+j.dispatcher.config.SystemKey)
-	return j.dispatcher.doWithHeadTimeout(req)
+	return j.dispatcher.doWithHeaderTimeout(req)
 }
 
 func (j *job) newRunRequest(grant acceptedGrant) *wire.RunRequest {
@@ -90,12 +90,12 @@
 	return r
 }
 
-// doWithHeadTimeout sends a request and bounds the wait for the response
+// doWithHeaderTimeout sends a request and bounds the wait for the response
 // headers. The agent sends them with its first heartbeat at the latest. A
 // returned response is no longer subject to the timeout. If the headers arrive
 // while the timeout expires, the context is already cancelled and the body
 // cannot be read, so wire.ErrHeartbeatTimeout is returned.
-func (d *Dispatcher) doWithHeadTimeout(req *http.Request) (*http.Response, error) {
+func (d *Dispatcher) doWithHeaderTimeout(req *http.Request) (*http.Response, error) {
 	ctx, cancel := context.WithCancelCause(req.Context())
 	watchdog := wire.NewWatchdog(func() { cancel(wire.ErrHeartbeatTimeout) })
 	watchdog.Start()
@@ -149,7 +149,7 @@
 		outcome = policy.OutcomeFailed
 	case attemptNotRun:
 		outcome = policy.OutcomeLapsed
-	case attemptCancelled, attemptRejected, attemptBlocked, attemptPreempted:
+	case attemptCancelled, attemptRejected, attemptGrantNotRecorded, attemptPreempted:
 		outcome = policy.OutcomeCancelled
 	}
 	j.dispatcher.policies.recordOutcome(time.Now(), grant.agent, outcome)
@@ -195,7 +195,7 @@
 		j.dispatcher.config.Timeline.Record(timeline.KindFirstToken, j.request.ID, j.request.Class.Name, "")
 	}
 	if err := j.sink.WriteFrame(f); err != nil {
-		return errors.Wrap(errCallerGone, err.Error())
+		return errors.Wrap(errCallerDisconnected, err.Error())
 	}
 	j.tokensDelivered += f.Tokens
 	return nil
--- a/internal/entry/fleet/agent_info.go
+++ b/internal/entry/fleet/agent_info.go
@@ -18,8 +18,8 @@
 	// Waiting and Running count requests and Limit bounds Running, as of the
 	// last Status.
 	Waiting, Running, Limit int
-	// LastHeard is when the last message was received; zero if none was.
-	LastHeard time.Time
+	// LastMessageAt is when the last message was received; zero if none was.
+	LastMessageAt time.Time
 	// TargetsVersion is the version of the targets in force there then.
 	TargetsVersion uint64
 	// Serves is the model or plain HTTP service as reported by the agent. The
@@ -50,7 +50,7 @@
 		Waiting:           l.status.Waiting,
 		Running:           l.status.Running,
 		Limit:             l.status.Limit,
-		LastHeard:         l.lastHeard,
+		LastMessageAt:     l.lastMessageAt,
 		TargetsVersion:    l.targetsVersion,
 		Serves:            l.hello.Serves,
 		CanLoadModels:     l.hello.LoadsModels,
@@ -70,7 +70,7 @@
 		Waiting:    info.Waiting,
 		Running:    info.Running,
 		Limit:      info.Limit,
-		ReportedAt: info.LastHeard,
+		ReportedAt: info.LastMessageAt,
 	}, true
 }
 
--- a/internal/entry/fleet/bench_test.go
+++ b/internal/entry/fleet/bench_test.go
@@ -63,11 +63,11 @@
 	return wire.Config{Clock: &timeline.Clock{}, TargetsVersion: func() uint64 { return 0 }, Traffic: t}
 }
 
-// BenchmarkWatching measures the traffic of an entry that monitors 192
+// BenchmarkLivenessTraffic measures the traffic of an entry that monitors 192
 // connections, each with a ticket waiting the whole time: bytes per second sent
 // and received at the entry, without the tickets. Run it with -benchtime 1x; it
 // takes half a minute per tier.
-func BenchmarkWatching(b *testing.B) {
+func BenchmarkLivenessTraffic(b *testing.B) {
 	web := httptest.NewServer(pingOnlyAgent(testLocal(&trafficCounter{})))
 	b.Cleanup(web.Close)
 	var vms []storage.VM
--- a/internal/entry/fleet/fleet_test.go
+++ b/internal/entry/fleet/fleet_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestUnlistedAgentsAreRemoved(t *testing.T) {
-	var gone []string
+	var removed []string
 	clock := &timeline.Clock{}
 	f := New(Config{
 		Process:        "entry",
@@ -22,14 +22,14 @@
 		Targets:        targets.NewCache(),
 		Timeline:       timeline.NewRing("entry", clock, 16),
 		Log:            zap.NewNop(),
-		OnAgentRemoved: func(agent string) { gone = append(gone, agent) },
+		OnAgentRemoved: func(agent string) { removed = append(removed, agent) },
 	})
 	stays := storage.VM{Name: "stays", Addr: "127.0.0.1:1", Role: storage.RoleBackend, Serves: "m"}
 	leaves := storage.VM{Name: "leaves", Addr: "127.0.0.1:1", Role: storage.RoleBackend, Serves: "m"}
 	f.applyVMList(t.Context(), []storage.VM{stays, leaves})
 	f.applyVMList(t.Context(), []storage.VM{stays})
-	if !slices.Equal(gone, []string{"leaves"}) {
-		t.Fatalf("gone: %q", gone)
+	if !slices.Equal(removed, []string{"leaves"}) {
+		t.Fatalf("gone: %q", removed)
 	}
 	if _, ok := f.findLink("stays"); !ok {
 		t.Fatal("an agent that is still listed was removed")
--- a/internal/entry/fleet/link.go
+++ b/internal/entry/fleet/link.go
@@ -21,7 +21,7 @@
 	conn           *wire.Conn
 	status         wire.Status
 	hello          wire.Hello
-	lastHeard      time.Time
+	lastMessageAt  time.Time
 	targetsVersion uint64
 	pending        pendingTickets
 	pendingVoids   map[string]chan wire.VoidResult
@@ -58,8 +58,8 @@
 // handle processes a message from the agent.
 func (l *link) handle(m wire.Message) {
 	l.mu.Lock()
-	l.lastHeard = time.Now()
-	l.liveness.messageReceived(l.lastHeard)
+	l.lastMessageAt = time.Now()
+	l.liveness.messageReceived(l.lastMessageAt)
 	l.targetsVersion = m.TargetsVersion
 	if m.Status != nil {
 		l.storeStatus(*m.Status)
--- a/internal/entry/fleet/link_conn.go
+++ b/internal/entry/fleet/link_conn.go
@@ -78,8 +78,8 @@
 	l.conn = nil
 	lost := l.pending.byAttempt
 	l.pending = newPendingTickets()
-	for _, result := range l.pendingVoids {
-		close(result)
+	for _, response := range l.pendingVoids {
+		close(response)
 	}
 	l.pendingVoids = make(map[string]chan wire.VoidResult)
 	l.mu.Unlock()
--- a/internal/entry/fleet/link_void.go
+++ b/internal/entry/fleet/link_void.go
@@ -19,23 +19,23 @@
 func (l *link) handleVoided(v *wire.Voided) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if result, ok := l.pendingVoids[v.GrantID]; ok {
+	if response, ok := l.pendingVoids[v.GrantID]; ok {
 		delete(l.pendingVoids, v.GrantID)
-		result <- v.Result
+		response <- v.Result
 	}
 }
 
 // void asks the agent to make a grant unusable and waits for its response.
 func (l *link) void(ctx context.Context, grant string) (wire.VoidResult, error) {
-	voidResult := make(chan wire.VoidResult, 1)
+	response := make(chan wire.VoidResult, 1)
 	defer l.removeVoid(grant)
-	if !l.sendVoid(grant, voidResult) {
+	if !l.sendVoid(grant, response) {
 		return "", ErrNoResponse
 	}
 	ctx, cancel := context.WithTimeout(ctx, voidTimeout)
 	defer cancel()
 	select {
-	case result, ok := <-voidResult:
+	case result, ok := <-response:
 		if !ok {
 			return "", ErrNoResponse
 		}
@@ -47,13 +47,13 @@
 
 // sendVoid sends a Void and registers result for its result; false if it could
 // not be sent.
-func (l *link) sendVoid(grant string, result chan wire.VoidResult) bool {
+func (l *link) sendVoid(grant string, response chan wire.VoidResult) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn == nil {
 		return false
 	}
-	l.pendingVoids[grant] = result
+	l.pendingVoids[grant] = response
 	return l.conn.Send(wire.Message{Void: &wire.Void{GrantID: grant}}) == nil
 }
 
--- a/internal/entry/fleet/liveness_test.go
+++ b/internal/entry/fleet/liveness_test.go
@@ -59,39 +59,39 @@
 }
 
 func TestLivenessSendsNoPingsWhenIdle(t *testing.T) {
-	p := newLivenessSimulation(false)
-	if p.run(100*time.Second, watchIdle) {
+	sim := newLivenessSimulation(false)
+	if sim.run(100*time.Second, watchIdle) {
 		t.Fatal("an idle connection counts as dead")
 	}
-	p.wantPings(t, 0)
+	sim.wantPings(t, 0)
 }
 
 func TestLivenessSendsNoPingsToActiveAgent(t *testing.T) {
-	p := newLivenessSimulation(true)
-	p.ticketPlaced(p.now)
+	sim := newLivenessSimulation(true)
+	sim.ticketPlaced(sim.now)
 	for range 100 {
-		p.messageReceived(p.now)
-		p.run(minPingInterval-time.Millisecond, watchUrgent)
+		sim.messageReceived(sim.now)
+		sim.run(minPingInterval-time.Millisecond, watchUrgent)
 	}
-	p.wantPings(t, 0)
+	sim.wantPings(t, 0)
 }
 
 func TestLivenessPingsUrgentAtMinInterval(t *testing.T) {
-	p := newLivenessSimulation(true)
-	p.ticketPlaced(p.now)
-	p.run(30*time.Second, watchUrgent)
-	p.wantPings(t, 99)
-	if got := p.detectionDelay(t, watchUrgent); got > minPingInterval+pongTimeout {
+	sim := newLivenessSimulation(true)
+	sim.ticketPlaced(sim.now)
+	sim.run(30*time.Second, watchUrgent)
+	sim.wantPings(t, 99)
+	if got := sim.detectionDelay(t, watchUrgent); got > minPingInterval+pongTimeout {
 		t.Fatalf("detected after %v", got)
 	}
 }
 
 func TestLivenessBacksOffWhileTicketsPending(t *testing.T) {
-	p := newLivenessSimulation(true)
-	p.ticketPlaced(p.now)
-	p.run(30*time.Second, watchWaiting)
-	p.wantPings(t, 7)
-	if got := p.detectionDelay(t, watchWaiting); got > maxPingInterval+pongTimeout {
+	sim := newLivenessSimulation(true)
+	sim.ticketPlaced(sim.now)
+	sim.run(30*time.Second, watchWaiting)
+	sim.wantPings(t, 7)
+	if got := sim.detectionDelay(t, watchWaiting); got > maxPingInterval+pongTimeout {
 		t.Fatalf("detected after %v", got)
 	}
 }
@@ -99,21 +99,21 @@
 // A connection that went silent before a new ticket is detected as fast as with
 // an urgent ticket, even if the ping interval had grown.
 func TestLivenessNewTicketResetsBackoff(t *testing.T) {
-	p := newLivenessSimulation(true)
-	p.ticketPlaced(p.now)
-	p.run(30*time.Second, watchWaiting)
-	p.ticketPlaced(p.now)
-	if got := p.detectionDelay(t, watchWaiting); got != minPingInterval+pongTimeout {
+	sim := newLivenessSimulation(true)
+	sim.ticketPlaced(sim.now)
+	sim.run(30*time.Second, watchWaiting)
+	sim.ticketPlaced(sim.now)
+	if got := sim.detectionDelay(t, watchWaiting); got != minPingInterval+pongTimeout {
 		t.Fatalf("detected after %v", got)
 	}
 }
 
 // An urgent ticket among others is monitored at minPingInterval.
 func TestLivenessUrgentIgnoresBackoff(t *testing.T) {
-	p := newLivenessSimulation(true)
-	p.ticketPlaced(p.now)
-	p.run(30*time.Second, watchWaiting)
-	if got := p.detectionDelay(t, watchUrgent); got > minPingInterval+pongTimeout {
+	sim := newLivenessSimulation(true)
+	sim.ticketPlaced(sim.now)
+	sim.run(30*time.Second, watchWaiting)
+	if got := sim.detectionDelay(t, watchUrgent); got > minPingInterval+pongTimeout {
 		t.Fatalf("detected after %v", got)
 	}
 }
@@ -122,11 +122,11 @@
 // watch level.
 func TestLivenessUnansweredMessage(t *testing.T) {
 	for _, level := range []watchLevel{watchIdle, watchWaiting} {
-		p := newLivenessSimulation(true)
-		p.ticketPlaced(p.now)
-		p.run(30*time.Second, watchWaiting)
-		p.messageSent(p.now)
-		if got := p.detectionDelay(t, level); got > unansweredPingDelay+pongTimeout {
+		sim := newLivenessSimulation(true)
+		sim.ticketPlaced(sim.now)
+		sim.run(30*time.Second, watchWaiting)
+		sim.messageSent(sim.now)
+		if got := sim.detectionDelay(t, level); got > unansweredPingDelay+pongTimeout {
 			t.Errorf("watch level %d: detected after %v", level, got)
 		}
 	}
@@ -135,12 +135,12 @@
 // A message that was answered does not cause a ping when a new ticket is
 // placed.
 func TestLivenessAnsweredMessageDoesNotTriggerPing(t *testing.T) {
-	p := newLivenessSimulation(true)
-	p.messageSent(p.now)
-	p.run(5*time.Second, watchIdle)
-	p.wantPings(t, 1)
-	p.ticketPlaced(p.now)
-	if sendPing, dead := p.check(p.now, watchWaiting); sendPing || dead {
+	sim := newLivenessSimulation(true)
+	sim.messageSent(sim.now)
+	sim.run(5*time.Second, watchIdle)
+	sim.wantPings(t, 1)
+	sim.ticketPlaced(sim.now)
+	if sendPing, dead := sim.check(sim.now, watchWaiting); sendPing || dead {
 		t.Fatalf("immediately: ping %t, dead %t", sendPing, dead)
 	}
 }
--- a/internal/entry/fleet_status.go
+++ b/internal/entry/fleet_status.go
@@ -95,20 +95,20 @@
 // their backend servers. Values of an agent that does not answer are as old as their Age.
 func (s *fleetStatus) BackendServers() []admin.BackendServer {
 	s.fleet.RefreshStatus(context.Background())
-	var engines []admin.BackendServer
-	for _, v := range s.fleet.Agents() {
-		engines = append(engines, admin.BackendServer{
-			VM:        v.VM.Name,
-			Zone:      v.VM.Zone,
-			Serves:    v.VM.Serves,
-			Running:   v.Running,
-			Waiting:   v.Waiting,
-			Limit:     v.Limit,
-			Draining:  v.Draining,
-			Down:      v.BackendServerDown,
-			HasStatus: !v.LastHeard.IsZero(),
-			StatusAge: time.Since(v.LastHeard),
+	var servers []admin.BackendServer
+	for _, agent := range s.fleet.Agents() {
+		servers = append(servers, admin.BackendServer{
+			VM:        agent.VM.Name,
+			Zone:      agent.VM.Zone,
+			Serves:    agent.VM.Serves,
+			Running:   agent.Running,
+			Waiting:   agent.Waiting,
+			Limit:     agent.Limit,
+			Draining:  agent.Draining,
+			Down:      agent.BackendServerDown,
+			HasStatus: !agent.LastMessageAt.IsZero(),
+			StatusAge: time.Since(agent.LastMessageAt),
 		})
 	}
-	return engines
+	return servers
 }
--- a/internal/entry/known_models_test.go
+++ b/internal/entry/known_models_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestKnownModels(t *testing.T) {
+func TestUnknownModelsAreFilteredOut(t *testing.T) {
 	var models knownModels
 	if got := models.filter([]string{"typo"}); len(got) != 0 {
 		t.Fatalf("nothing is known, got %v", got)
--- a/internal/entry/leader_tasks.go
+++ b/internal/entry/leader_tasks.go
@@ -72,7 +72,7 @@
 			return
 		case now := <-ticker.C:
 			t.updateKnownModels()
-			if move, ok := mover.Next(now, t.knownModels.filter(t.configuredModels()), t.availableEngines()); ok {
+			if move, ok := mover.Next(now, t.knownModels.filter(t.configuredModels()), t.availableBackendServers()); ok {
 				t.orderModelLoad(ctx, leaderLease, move)
 			}
 		}
@@ -92,9 +92,9 @@
 // agents serve. It runs only while this process holds the lease.
 func (t *leaderTasks) updateKnownModels() {
 	t.knownModels.add(t.fleet.Serves()...)
-	for _, v := range t.fleet.Agents() {
-		if v.Serves != "" {
-			t.knownModels.add(v.Serves)
+	for _, agent := range t.fleet.Agents() {
+		if agent.Serves != "" {
+			t.knownModels.add(agent.Serves)
 		}
 	}
 }
@@ -112,15 +112,15 @@
 	return slices.Compact(models)
 }
 
-// availableEngines returns the connected engines that can load a model. An entry connects
+// availableBackendServers returns the connected engines that can load a model. An entry connects
 // to at most 24 engines of each model; if none of those is connected, the model counts as
 // not served.
-func (t *leaderTasks) availableEngines() []policy.ModelEngine {
-	var engines []policy.ModelEngine
-	for _, v := range t.fleet.Agents() {
-		if v.Connected && !v.Draining && !v.BackendServerDown && v.CanLoadModels {
-			engines = append(engines, policy.ModelEngine{Name: v.VM.Name, Model: v.Serves, ActiveRequests: v.Waiting + v.Running})
+func (t *leaderTasks) availableBackendServers() []policy.ModelEngine {
+	var servers []policy.ModelEngine
+	for _, agent := range t.fleet.Agents() {
+		if agent.Connected && !agent.Draining && !agent.BackendServerDown && agent.CanLoadModels {
+			servers = append(servers, policy.ModelEngine{Name: agent.VM.Name, Model: agent.Serves, ActiveRequests: agent.Waiting + agent.Running})
 		}
 	}
-	return engines
+	return servers
 }
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -184,6 +184,6 @@
 type dispatchAgents struct{ *fleet.Fleet }
 
 // Place sends a ticket to an agent and reports whether the agent is reachable.
-func (a dispatchAgents) Place(agent string, t *wire.Ticket, l dispatch.TicketHandler) bool {
-	return a.Fleet.Place(agent, t, l)
+func (a dispatchAgents) Place(agent string, t *wire.Ticket, handler dispatch.TicketHandler) bool {
+	return a.Fleet.Place(agent, t, handler)
 }
