--- a/internal/entry/fleet_status.go
+++ b/internal/entry/fleet_status.go
@@ -22,16 +22,17 @@
 	maxParallelQueries = 64
 )
 
-// fleetStatus queries all processes for the targets version that each has applied. It
-// does so only while an operator waits for a change or requests the status: at 1,000
-// changes a day that is 19 small queries a second over the fleet.
+// fleetStatus queries all processes for the targets version that each has applied, and the
+// agents for the status of their backend servers. It does so only while an operator waits
+// for a change or requests the status: at 1,000 changes a day, the fleet answers 19 small
+// queries a second in total.
 type fleetStatus struct {
 	self  func() admin.Process
 	fleet *fleet.Fleet
 	key   string
 
-	// mu is held during a refresh, so that concurrent operator requests share one
-	// refresh.
+	// mu guards the fields below. It is held during a refresh, so that concurrent
+	// operator requests share one refresh.
 	mu          sync.Mutex
 	processes   map[string]admin.Process
 	refreshedAt time.Time
@@ -84,6 +85,7 @@
 	return p
 }
 
+// roleName returns the name of a role in the admin API.
 func roleName(role storage.VMRole) string {
 	if role == storage.RoleBackend {
 		return "agent"
@@ -91,8 +93,9 @@
 	return "entry"
 }
 
-// Engines queries the agents that this entry is connected to and returns the status of
-// their backend servers. Values of an agent that does not answer are as old as their Age.
+// BackendServers queries the agents that this entry connects to and returns the status of
+// their backend servers. For an agent that does not answer, it returns the last known
+// status, with its age in StatusAge.
 func (s *fleetStatus) BackendServers() []admin.BackendServer {
 	s.fleet.RefreshStatus(context.Background())
 	var servers []admin.BackendServer
--- a/internal/entry/keys.go
+++ b/internal/entry/keys.go
@@ -12,6 +12,7 @@
 	system   string
 }
 
+// readKeys reads the configured keys. Its error is ErrKeys with the cause.
 func readKeys(s settings.Keys) (keys, error) {
 	operator, err := s.Operator.Read()
 	if err != nil {
--- a/internal/entry/known_models.go
+++ b/internal/entry/known_models.go
@@ -3,8 +3,8 @@
 import "slices"
 
 // knownModels is the set of models known to exist. A class may name a model that doesn't
-// exist, for example by a typing error; ordering an engine to load it would drain the
-// engine for nothing. It is not safe for concurrent use.
+// exist, for example because of a typing error; ordering a backend server to load it would
+// drain the backend server for nothing. It is not safe for concurrent use.
 type knownModels struct{ names map[string]bool }
 
 // add records models that the VM list names or an agent serves.
--- a/internal/entry/leader_tasks.go
+++ b/internal/entry/leader_tasks.go
@@ -18,12 +18,13 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// orderInterval is how often the leader checks whether an engine should load another
-// model.
+// orderInterval is how often the leader checks whether a backend server should load
+// another model.
 const orderInterval = time.Second
 
 // leaderTasks are the tasks that one entry at a time runs for the whole fleet while it
-// holds a lease: it removes expired idempotency claims and orders engines to load models.
+// holds a lease: it removes expired idempotency claims and orders backend servers to load
+// models.
 type leaderTasks struct {
 	targets  *targets.Cache
 	fleet    *fleet.Fleet
@@ -35,8 +36,8 @@
 	knownModels knownModels
 }
 
-// runLeaderTasks competes for the lease and runs the tasks while it holds it, until ctx
-// is cancelled.
+// runLeaderTasks competes for the lease and runs the tasks while this entry holds it,
+// until ctx is cancelled.
 func (e *entry) runLeaderTasks(ctx context.Context) {
 	t := &leaderTasks{
 		targets:  e.targets,
@@ -62,6 +63,8 @@
 	return ctx.Err()
 }
 
+// runModelMover checks every orderInterval whether a backend server should load another
+// model, and issues the order.
 func (t *leaderTasks) runModelMover(ctx context.Context, leaderLease *lease.Lease) {
 	mover := policy.NewModelMover()
 	ticker := time.NewTicker(orderInterval)
@@ -112,9 +115,9 @@
 	return slices.Compact(models)
 }
 
-// availableBackendServers returns the connected engines that can load a model. An entry connects
-// to at most 24 engines of each model; if none of those is connected, the model counts as
-// not served.
+// availableBackendServers returns the connected backend servers that can load a model. An
+// entry connects to the agents of at most 24 backend servers of each model; if none of
+// those is connected, the model counts as not served.
 func (t *leaderTasks) availableBackendServers() []policy.ModelEngine {
 	var servers []policy.ModelEngine
 	for _, agent := range t.fleet.Agents() {
--- a/internal/entry/metrics_observer.go
+++ b/internal/entry/metrics_observer.go
@@ -14,8 +14,8 @@
 // RequestReceived counts an accepted request.
 func (o metricsObserver) RequestReceived(class string) { o.metrics.ForClass(class).Received() }
 
-// RequestRefused counts a request that was refused before it was accepted. It counts as
-// received, too.
+// RequestRefused counts a request that was refused before it was accepted. The request
+// also counts as received.
 func (o metricsObserver) RequestRefused(class, reason string) {
 	m := o.metrics.ForClass(class)
 	m.Received()
@@ -48,6 +48,7 @@
 	}
 }
 
+// timingOf returns whether a completed request met the latency targets of its class.
 func timingOf(class targets.Class, r dispatch.Result, duration time.Duration) metrics.Timing {
 	if class.MeetsTargets(targets.Measurement{FirstToken: r.FirstToken, Duration: duration, Tokens: r.Tokens}) {
 		return metrics.OnTime
@@ -55,7 +56,8 @@
 	return metrics.Late
 }
 
-// updateGauges sets the gauges whose values are kept elsewhere; it runs on each scrape.
+// updateGauges sets the gauges whose values other components hold; it runs on each scrape.
+// Of the queue metrics, an entry sets only the running requests: those in flight.
 func (e *entry) updateGauges() {
 	e.metrics.SetTargetsVersion(e.targetsVersion())
 	e.metrics.Queue.Set(0, e.api.InFlight(), 0)
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -46,8 +46,8 @@
 	return router
 }
 
-// ready is the readiness check of the platform's load balancer. It returns nil while the
-// entry can serve requests, and an error until it has a VM list and classes and again
+// ready is the readiness check of the platform's load balancer. It returns an error until
+// the entry has a VM list and classes, nil while it serves requests, and an error again
 // once it drains.
 func (e *entry) ready() error {
 	switch {
@@ -90,8 +90,8 @@
 	return peers
 }
 
-// fetchVMsFromSeeds gets the VM list from the seed processes; it is the fallback while
-// the platform is unreachable.
+// fetchVMsFromSeeds returns the VM list of a seed process and adopts the seeds' targets if
+// they are newer. It is the fallback while the platform is unreachable.
 func (e *entry) fetchVMsFromSeeds(ctx context.Context) ([]storage.VM, error) {
 	return peer.FetchFromAny(ctx, e.settings.Seeds, e.keys.system, e.targets)
 }
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -142,6 +142,8 @@
 }
 
 func (e *entry) serve(ctx context.Context, callerListener, adminListener net.Listener) error {
+	// The VM list and the targets are kept up to date until the requests in flight have
+	// finished; the leader tasks stop as soon as the shutdown begins.
 	background, stopBackground := context.WithCancel(context.WithoutCancel(ctx))
 	var wg conc.WaitGroup
 	wg.Go(func() { e.fleet.Run(background) })
@@ -180,10 +182,11 @@
 	return callers.New(listener, callers.Config{Handler: handler, HeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleLimit, Log: e.log})
 }
 
-// dispatchAgents adapts the fleet to dispatch.Agents.
+// dispatchAgents adapts the fleet to dispatch.Agents, whose Place takes its own
+// TicketHandler type.
 type dispatchAgents struct{ *fleet.Fleet }
 
-// Place sends a ticket to an agent and reports whether the agent is reachable.
+// Place sends a ticket; it returns false if the agent is not connected.
 func (a dispatchAgents) Place(agent string, t *wire.Ticket, handler dispatch.TicketHandler) bool {
 	return a.Fleet.Place(agent, t, handler)
 }
