--- a/internal/entry/dispatch/attempt_result.go
+++ b/internal/entry/dispatch/attempt_result.go
@@ -8,8 +8,8 @@
 	attemptCompleted attemptOutcome = iota
 	// attemptNotRun: the request was not run.
 	attemptNotRun
-	// attemptGrantNotRecorded: the request was not sent and must not be sent to another
-	// agent.
+	// attemptGrantNotRecorded: the grant could not be recorded, so the request
+	// was not sent. It must not be sent to another agent either.
 	attemptGrantNotRecorded
 	// attemptRejected: the backend server rejected the request.
 	attemptRejected
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -13,7 +13,7 @@
 )
 
 // streamTokens returns a script that streams the tokens after ResumeFrom and
-// cuts the stream after cutAfter of them.
+// interrupts the stream after interruptAfter of them.
 func streamTokens(tokens []string, interruptAfter int) func(*wire.FrameWriter, wire.RunRequest) {
 	return func(w *wire.FrameWriter, r wire.RunRequest) {
 		for i, text := range tokens[r.ResumeFrom:] {
@@ -96,8 +96,8 @@
 	}
 }
 
-// Guards against servers that break every stream getting their load back as
-// retries: only the first interruption is outside the retry budget.
+// Guards against unlimited retries while backend servers interrupt every stream:
+// only the first interruption is outside the retry budget.
 func TestFurtherInterruptionsUseRetryBudget(t *testing.T) {
 	text := []string{"a", "b", "c", "d", "e"}
 	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", streamTokens(text, 1))}}
@@ -124,14 +124,16 @@
 	}
 }
 
+// Guards against admission control refusing a request that an agent has already
+// admitted and partly run.
 func TestPartlyRunRequestSkipsAdmission(t *testing.T) {
 	cases := map[string]struct {
 		result attemptResult
 		want   bool
 	}{
-		"preempted": {attemptResult{outcome: attemptPreempted}, true},
-		"cut":       {attemptResult{outcome: attemptInterrupted}, true},
-		"not run":   {attemptResult{outcome: attemptNotRun}, false},
+		"preempted":   {attemptResult{outcome: attemptPreempted}, true},
+		"interrupted": {attemptResult{outcome: attemptInterrupted}, true},
+		"not run":     {attemptResult{outcome: attemptNotRun}, false},
 	}
 	for name, c := range cases {
 		j := &job{dispatcher: newTestDispatcher(&fakeAgents{}), request: testRequest(true), attempt: 1}
@@ -167,7 +169,7 @@
 		request.Class.BetweenTokens = 0
 		request.ServiceCall = &ServiceCall{}
 		if j.ticket().Preemptible {
-			t.Error("a call of a plain HTTP service is preemptible")
+			t.Error("a request to a plain HTTP service is preemptible")
 		}
 	}
 }
@@ -214,6 +216,8 @@
 	}
 }
 
+// Guards against a request that keeps asking agents that refuse all work because
+// they drain: it is refused after noAgentTimeout.
 func TestDrainingAgentsAreNotAskedForever(t *testing.T) {
 	agent := newFakeAgent(t, "one", nil)
 	agent.refusalReason = wire.ReasonDraining
--- a/internal/entry/dispatch/dispatcher.go
+++ b/internal/entry/dispatch/dispatcher.go
@@ -26,7 +26,8 @@
 	Place(agent string, t *wire.Ticket, handler TicketHandler) bool
 	// Withdraw cancels a ticket.
 	Withdraw(agent, request string, attempt int)
-	// Void asks an agent to make an unused grant unusable.
+	// Void asks an agent to make an unused grant unusable. It returns an error
+	// if the agent does not respond.
 	Void(ctx context.Context, agent, grant string) (wire.VoidResult, error)
 	// Addr returns an agent's host:port; false if the agent is not known.
 	Addr(agent string) (string, bool)
@@ -40,8 +41,9 @@
 	Lost(agent string)
 }
 
-// Config holds the dependencies of a Dispatcher.
+// Config holds the settings and dependencies of a Dispatcher.
 type Config struct {
+	// Zone is the availability zone of this entry.
 	Zone        string
 	SystemKey   string
 	Agents      Agents
@@ -88,7 +90,7 @@
 }
 
 // Do executes one request, writes its response to sink and returns the final
-// result. It blocks until the request is decided or ctx ends.
+// result. It blocks until the request has a final result or ctx ends.
 func (d *Dispatcher) Do(ctx context.Context, r *Request, sink Sink) Result {
 	d.policies.recordRequest(time.Now())
 	j := &job{dispatcher: d, request: r, sink: sink}
--- a/internal/entry/dispatch/grant_collector.go
+++ b/internal/entry/dispatch/grant_collector.go
@@ -34,7 +34,8 @@
 }
 
 // refusalQueueSize is the capacity of the refusal channel. Each ticket is
-// refused at most once, and an attempt asks at most refusalQueueSize/2 agents.
+// refused at most once, and an attempt has at most refusalQueueSize/2 tickets
+// pending, so queueing a refusal never blocks.
 const refusalQueueSize = 64
 
 func newGrantCollector() *grantCollector {
--- a/internal/entry/dispatch/grant_search.go
+++ b/internal/entry/dispatch/grant_search.go
@@ -10,10 +10,11 @@
 )
 
 const (
-	// maxOverloadRefusals is the number of agents that refuse a request for
-	// overload before it is refused: the two that get a ticket first and two
-	// more. Agents of a model share the load, so asking all of them would send
-	// more messages in a burst than the burst has requests. The top tier asks
+	// maxOverloadRefusals is the number of overload refusals by agents after
+	// which the entry refuses the request: those of the two agents that get a
+	// ticket first and of two more. The agents of a model share its load, so
+	// the others are probably overloaded as well, and asking them all would
+	// send far more messages in a burst than it has requests. The top tier asks
 	// all agents.
 	maxOverloadRefusals = 4
 	// noAgentTimeout is how long a request waits for an agent to connect before
@@ -23,8 +24,8 @@
 	// maxGrantWait bounds the wait for a grant. Agents refuse waiting tickets
 	// sooner; this covers agents that never reply.
 	maxGrantWait = 10 * time.Minute
-	// noAgentPollInterval is how often connected agents are looked for during
-	// that wait.
+	// noAgentPollInterval is how often a request without an agent looks for
+	// connected agents.
 	noAgentPollInterval = 50 * time.Millisecond
 )
 
@@ -39,8 +40,8 @@
 	overloadRefusals []policy.Decision
 	overloadReason   wire.Reason
 	// noAgentSince is the first time that no agent could be asked. It is not
-	// reset when an agent is found later; otherwise agents that refuse all work
-	// would be asked again without end.
+	// reset when an agent is found later: otherwise a request would ask agents
+	// that refuse all work again and again, without end.
 	noAgentSince time.Time
 }
 
@@ -137,8 +138,8 @@
 	}
 }
 
-// maxAgentsAsked returns how many of the available agents a request asks at
-// most before it is refused.
+// maxAgentsAsked returns the maximum number of agents that a request asks before
+// it is refused, of the given number of available agents.
 func maxAgentsAsked(tier policy.Tier, available int) int {
 	if tier == policy.TopTier {
 		return min(available, refusalQueueSize/2)
--- a/internal/entry/dispatch/header_timeout_test.go
+++ b/internal/entry/dispatch/header_timeout_test.go
@@ -53,7 +53,7 @@
 	return transport, response, err
 }
 
-// Guards against returning a response whose context the head timeout has
+// Guards against returning a response whose context the header timeout has
 // already cancelled: no byte of its body could be read.
 func TestReturnedResponseIsNotCancelledByHeaderTimeout(t *testing.T) {
 	for _, delay := range []time.Duration{0, wire.HeartbeatTimeout - 1, wire.HeartbeatTimeout, wire.HeartbeatTimeout + 1} {
@@ -62,16 +62,16 @@
 			time.Sleep(2 * wire.HeartbeatTimeout)
 			synctest.Wait()
 			if delay < wire.HeartbeatTimeout && err != nil {
-				t.Fatalf("head after %v: got %v", delay, err)
+				t.Fatalf("headers after %v: got %v", delay, err)
 			}
 			if err != nil {
 				if response != nil || !transport.bodyClosed || !errors.Is(err, wire.ErrHeartbeatTimeout) {
-					t.Fatalf("head after %v: got %v with %v, body closed: %v", delay, response, err, transport.bodyClosed)
+					t.Fatalf("headers after %v: got %v with %v, body closed: %v", delay, response, err, transport.bodyClosed)
 				}
 				return
 			}
 			if cause := transport.request.Context().Err(); cause != nil {
-				t.Fatalf("head after %v: returned, but its context is cancelled: %v", delay, cause)
+				t.Fatalf("headers after %v: returned, but its context is cancelled: %v", delay, cause)
 			}
 		})
 	}
--- a/internal/entry/dispatch/job.go
+++ b/internal/entry/dispatch/job.go
@@ -13,8 +13,8 @@
 // The retry budget bounds the retries of all requests together.
 const maxAttempts = 5
 
-// job is the state of one request across its attempts. Only the goroutine that
-// called Dispatcher.Do uses it.
+// job is the state of one request across its attempts. It is used only by the
+// goroutine that called Dispatcher.Do.
 type job struct {
 	dispatcher *Dispatcher
 	request    *Request
@@ -61,7 +61,7 @@
 }
 
 // evaluate returns the final result after an attempt, or false if the request
-// is to be retried.
+// must be attempted again.
 func (j *job) evaluate(attempted attemptResult) (Result, bool) {
 	switch attempted.outcome {
 	case attemptCompleted:
@@ -112,13 +112,14 @@
 	return Result{}, false
 }
 
-// allowResumeOutsideBudget reports whether an interrupted stream is resumed without
-// using the retry budget. That is so the first time a stream is interrupted
-// after it has delivered tokens in the attempt. Losing an availability zone
-// interrupts many streams at once; giving one up wastes the tokens that its
-// caller already has, and the rest of it is work that was already admitted.
-// Further interruptions use the budget, so that servers that break every stream
-// do not get their load back as retries.
+// allowResumeOutsideBudget reports whether an interrupted stream may be resumed
+// without using the retry budget, and records that it was. It returns true once
+// per request: for the first attempt that delivered tokens before it was
+// interrupted. The loss of an availability zone interrupts many streams at once
+// and would exhaust the budget. Failing an interrupted stream wastes the tokens
+// that its caller already has, and its remaining work was already admitted.
+// Further interruptions use the budget: otherwise backend servers that interrupt
+// every stream would get all of their load again as retries.
 func (j *job) allowResumeOutsideBudget() bool {
 	if j.resumedOutsideBudget || !j.request.resumable() || j.tokensDelivered == j.tokensBeforeAttempt {
 		return false
--- a/internal/entry/dispatch/request.go
+++ b/internal/entry/dispatch/request.go
@@ -18,9 +18,11 @@
 	// Serves is the name of the model or plain HTTP service that runs the
 	// request.
 	Serves string
-	// Arrived is the time when the entry had read the complete request.
+	// Arrived is the time when the entry had read the request's headers, before
+	// it read the body.
 	Arrived time.Time
-	// EstimatedTokens is the estimated amount of work in tokens.
+	// EstimatedTokens is the estimated size of the request in tokens: prompt and
+	// completion for a model, the body for a plain HTTP service.
 	EstimatedTokens int
 	// PrefixHash is a hash of the beginning of the prompt.
 	PrefixHash uint64
@@ -49,9 +51,9 @@
 // model's token stream can; the bytes of a plain HTTP service cannot.
 func (r *Request) resumable() bool { return r.Repeatable && r.ServiceCall == nil }
 
-// preemptible reports whether a run may be stopped for an urgent one and
-// resumed later without making its response late. A pause would break a target
-// for the time between tokens.
+// preemptible reports whether a run may be stopped for a more urgent one and
+// resumed later. A run whose class has a target for the time between tokens may
+// not: the pause would exceed the target.
 func (r *Request) preemptible() bool {
 	return r.resumable() && r.Class.BetweenTokens == 0
 }
--- a/internal/entry/dispatch/result.go
+++ b/internal/entry/dispatch/result.go
@@ -28,7 +28,7 @@
 	// Reason is a short code for logs, metrics and the caller.
 	Reason string
 	// RetryAfter is the time after which a retry is expected to succeed. It is
-	// set with NotRun.
+	// set with NotRun, and with Failed if a later attempt was refused.
 	RetryAfter time.Duration
 	// Status and Body are the backend server's HTTP status and body. They are
 	// set with Rejected.
--- a/internal/entry/dispatch/run.go
+++ b/internal/entry/dispatch/run.go
@@ -16,11 +16,12 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// errCallerDisconnected is returned when the sink fails, which means that the caller
-// disconnected.
+// errCallerDisconnected is returned when the sink fails, which means that the
+// caller disconnected.
 var errCallerDisconnected = errors.New("caller disconnected")
 
-// runAttempt sends the body with a grant and relays the response.
+// runAttempt records the grant if the request has a GrantRecorder, sends the body
+// with the grant and relays the response.
 func (j *job) runAttempt(ctx context.Context, grant acceptedGrant) attemptResult {
 	if recorder := j.request.GrantRecorder; recorder != nil {
 		if err := recorder.RecordGrant(ctx, grant.agent, grant.id); err != nil {
@@ -112,8 +113,8 @@
 	return response, nil
 }
 
-// classifySendError distinguishes requests that did not run from those that may
-// have run.
+// classifySendError converts an error of send to a result, which tells whether
+// the request may have run.
 func (j *job) classifySendError(ctx context.Context, grant acceptedGrant, err error) attemptResult {
 	if ctx.Err() != nil {
 		return attemptResult{outcome: attemptCancelled}
