--- a/internal/entry/fleet/agent_calls.go
+++ b/internal/entry/fleet/agent_calls.go
@@ -61,7 +61,7 @@
 	return l.void(ctx, grant)
 }
 
-// Addr returns an agent's address; false if this entry does not connect to it.
+// Addr returns an agent's host:port; false if this entry does not connect to it.
 func (f *Fleet) Addr(agent string) (string, bool) {
 	l, ok := f.findLink(agent)
 	if !ok {
--- a/internal/entry/fleet/agent_info.go
+++ b/internal/entry/fleet/agent_info.go
@@ -7,7 +7,8 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// AgentInfo is what is known of one agent, and how old that is.
+// AgentInfo holds the last known state of one agent and the time of its last
+// message.
 type AgentInfo struct {
 	VM        storage.VM
 	Connected bool
@@ -20,17 +21,17 @@
 	Waiting, Running, Limit int
 	// LastMessageAt is when the last message was received; zero if none was.
 	LastMessageAt time.Time
-	// TargetsVersion is the version of the targets in force there then.
+	// TargetsVersion is the agent's targets version as of its last message.
 	TargetsVersion uint64
-	// Serves is the model or plain HTTP service as reported by the agent. The
-	// VM list may be out of date when an address was reassigned to another VM.
+	// Serves is the model or plain HTTP service as reported by the agent. VM.Serves
+	// may be out of date after an address was reassigned to another VM.
 	Serves string
 	// CanLoadModels is set if the backend server accepts orders to load a
 	// model.
 	CanLoadModels bool
 }
 
-// Agents returns what is known of each agent that this entry connects to.
+// Agents returns the last known state of each agent that this entry connects to.
 func (f *Fleet) Agents() []AgentInfo {
 	var agents []AgentInfo
 	for _, l := range f.snapshot() {
@@ -74,7 +75,7 @@
 	}, true
 }
 
-// hasPendingWork reports whether a ticket or a void is unanswered.
+// hasPendingWork reports whether a ticket or a Void is unanswered.
 func (l *link) hasPendingWork() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/entry/fleet/await_targets.go
+++ b/internal/entry/fleet/await_targets.go
@@ -7,10 +7,11 @@
 
 const (
 	// awaitTargetsTimeout bounds the wait for the first agent. A reachable
-	// agent answers within two round trips. A change is accepted without an
-	// answer, too.
+	// agent answers within two round trips. A change is accepted even if no
+	// agent has answered by then.
 	awaitTargetsTimeout = time.Second
-	// awaitTargetsPollInterval is how often the links are checked meanwhile.
+	// awaitTargetsPollInterval is how often the links are checked during the
+	// wait.
 	awaitTargetsPollInterval = 5 * time.Millisecond
 )
 
--- a/internal/entry/fleet/bench_test.go
+++ b/internal/entry/fleet/bench_test.go
@@ -39,7 +39,8 @@
 func (nopTicketHandler) Refused(string, wire.Reason, time.Duration) {}
 func (nopTicketHandler) Lost(string)                                {}
 
-// pingOnlyAgent answers pings and leaves tickets waiting.
+// pingOnlyAgent is the handler of an agent that answers pings and ignores all other
+// messages, so that tickets stay pending.
 func pingOnlyAgent(local wire.Config) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		conn, err := wire.Accept(w, r, local)
@@ -63,10 +64,10 @@
 	return wire.Config{Clock: &timeline.Clock{}, TargetsVersion: func() uint64 { return 0 }, Traffic: t}
 }
 
-// BenchmarkLivenessTraffic measures the traffic of an entry that monitors 192
-// connections, each with a ticket waiting the whole time: bytes per second sent
-// and received at the entry, without the tickets. Run it with -benchtime 1x; it
-// takes half a minute per tier.
+// BenchmarkLivenessTraffic measures the bytes per second that an entry sends and
+// receives to monitor 192 connections, each with a ticket pending the whole time.
+// The tickets themselves are not counted. Run it with -benchtime 1x; it takes half
+// a minute per tier.
 func BenchmarkLivenessTraffic(b *testing.B) {
 	web := httptest.NewServer(pingOnlyAgent(testLocal(&trafficCounter{})))
 	b.Cleanup(web.Close)
--- a/internal/entry/fleet/fleet.go
+++ b/internal/entry/fleet/fleet.go
@@ -1,6 +1,7 @@
 // Package fleet maintains an entry's connections to a subset of the agents and
-// what is known of each agent. Addresses come from the platform's VM list,
-// which lags; what an agent reports about itself is newer and takes precedence.
+// the last known state of each agent. Addresses come from the platform's VM
+// list, which lags; what an agent reports about itself is newer and takes
+// precedence.
 // Start reading at Fleet.
 package fleet
 
@@ -21,13 +22,13 @@
 
 const (
 	// VMListInterval is how often the VM list is read. The list itself lags by
-	// more.
+	// more than that.
 	VMListInterval = 3 * time.Second
 	// subsetSize is the maximum number of agents of one model or plain HTTP
 	// service that an entry connects to. At the target size (100 backend
 	// servers per model) each agent then has connections from about 100
-	// entries, and a request can choose among 24 backend servers. Today's
-	// fleets (at most 18) are covered completely.
+	// entries, and a request can choose among 24 backend servers. Entries connect
+	// to all agents of today's fleets, which have at most 18.
 	subsetSize = 24
 )
 
@@ -43,7 +44,7 @@
 	Timeline  *timeline.Ring
 	Log       *zap.Logger
 	// FallbackVMList returns the VM list while the platform is unavailable. It
-	// is only called until a first list was read.
+	// is called only until a first list has been read.
 	FallbackVMList func(ctx context.Context) ([]storage.VM, error)
 	// OnAgentRemoved is called for each agent that this entry no longer
 	// connects to, with the Fleet's lock held. It must not call the Fleet.
@@ -81,6 +82,8 @@
 	defer ticker.Stop()
 	for {
 		f.refresh(ctx)
+		// The agents announce newer targets again when they receive an older
+		// version from this entry.
 		if f.config.Targets.Behind() {
 			f.announceTargets()
 		}
@@ -111,7 +114,7 @@
 	f.applyVMList(ctx, vms)
 }
 
-// HasVMList reports whether a VM list was ever read.
+// HasVMList reports whether a VM list has ever been read.
 func (f *Fleet) HasVMList() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -137,7 +140,7 @@
 }
 
 // removeLinks ends the links to VMs that are not wanted, except those with
-// pending tickets or voids. The caller must hold f.mu.
+// pending tickets or Voids. The caller must hold f.mu.
 func (f *Fleet) removeLinks(wanted map[string]storage.VM) {
 	for name, m := range f.links {
 		if _, ok := wanted[name]; ok || m.link.hasPendingWork() {
--- a/internal/entry/fleet/fleet_test.go
+++ b/internal/entry/fleet/fleet_test.go
@@ -29,13 +29,15 @@
 	f.applyVMList(t.Context(), []storage.VM{stays, leaves})
 	f.applyVMList(t.Context(), []storage.VM{stays})
 	if !slices.Equal(removed, []string{"leaves"}) {
-		t.Fatalf("gone: %q", removed)
+		t.Fatalf("removed agents: got %q, want only the unlisted one", removed)
 	}
 	if _, ok := f.findLink("stays"); !ok {
 		t.Fatal("an agent that is still listed was removed")
 	}
 }
 
+// Guards against a change of the VM list making entries drop and redial many
+// connections: when one VM is removed, at most one other agent is selected.
 func TestSubsetIsStableAcrossVMChanges(t *testing.T) {
 	f := New(Config{Process: "entry"})
 	var vms []storage.VM
@@ -51,6 +53,6 @@
 		}
 	}
 	if len(before) != subsetSize || len(after) != subsetSize || changed > 1 {
-		t.Fatalf("subset: %d, then %d with %d new ones", len(before), len(after), changed)
+		t.Fatalf("subset: %d agents, then %d with %d new ones", len(before), len(after), changed)
 	}
 }
--- a/internal/entry/fleet/link.go
+++ b/internal/entry/fleet/link.go
@@ -27,8 +27,8 @@
 	pendingVoids   map[string]chan wire.VoidResult
 	liveness       liveness
 	pingSeq        uint64
-	// statusUpdated is closed when the next Status arrives; nil if nobody
-	// waits.
+	// statusUpdated is closed when the next Status arrives; nil if no caller
+	// waits for one.
 	statusUpdated chan struct{}
 }
 
@@ -79,9 +79,10 @@
 	}
 }
 
-// syncTargets compares the agent's targets version with the one held here,
-// requests a newer set and sends or announces the current one if the agent's is
-// older.
+// syncTargets keeps the targets of this entry and the agent in sync. It adopts a
+// received set if it is newer, sends the current set if the agent requests it,
+// requests the agent's set if that is newer, and announces the current version
+// if the agent's is older.
 func (l *link) syncTargets(m wire.Message) {
 	cache := l.fleet.config.Targets
 	if m.TargetSet != nil {
--- a/internal/entry/fleet/link_conn.go
+++ b/internal/entry/fleet/link_conn.go
@@ -14,7 +14,7 @@
 
 const (
 	// minRedialDelay and maxRedialDelay bound the delay between two dials,
-	// which doubles with each failure and has jitter.
+	// which doubles with each failure. Jitter shortens it by up to half.
 	minRedialDelay = 100 * time.Millisecond
 	maxRedialDelay = 2 * time.Second
 )
@@ -88,8 +88,8 @@
 	}
 }
 
-// monitorLiveness sends pings and closes the connection when the agent counts
-// as dead. See liveness.
+// monitorLiveness sends pings and closes the connection when it counts as dead.
+// See liveness.
 func (l *link) monitorLiveness(ctx context.Context, conn *wire.Conn) {
 	timer := time.NewTimer(minPingInterval)
 	defer timer.Stop()
@@ -111,8 +111,8 @@
 	}
 }
 
-// nextPing returns whether to send a ping with seq now, whether the agent counts
-// as dead, and the time until the next check.
+// nextPing returns whether to send a ping with seq now, whether the connection
+// counts as dead, and the time until the next check.
 func (l *link) nextPing() (seq uint64, sendPing, dead bool, untilNextCheck time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/entry/fleet/link_void.go
+++ b/internal/entry/fleet/link_void.go
@@ -12,10 +12,11 @@
 // voidTimeout bounds the wait for the response to a Void message.
 const voidTimeout = 2 * time.Second
 
-// ErrNoResponse is returned if an agent could not be asked or did not respond.
+// ErrNoResponse is returned if a Void could not be sent to the agent or the agent
+// did not respond in time.
 var ErrNoResponse = errors.New("agent did not answer")
 
-// handleVoided passes the response to a Void to its caller.
+// handleVoided passes the response to a Void to the caller that waits for it.
 func (l *link) handleVoided(v *wire.Voided) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -25,7 +26,8 @@
 	}
 }
 
-// void asks the agent to make a grant unusable and waits for its response.
+// void asks the agent to make a grant unusable and waits for its response. It
+// returns ErrNoResponse if there is none within voidTimeout or before ctx ends.
 func (l *link) void(ctx context.Context, grant string) (wire.VoidResult, error) {
 	response := make(chan wire.VoidResult, 1)
 	defer l.removeVoid(grant)
@@ -45,8 +47,8 @@
 	}
 }
 
-// sendVoid sends a Void and registers result for its result; false if it could
-// not be sent.
+// sendVoid sends a Void and registers the channel that receives its response. It
+// returns false if the Void could not be sent.
 func (l *link) sendVoid(grant string, response chan wire.VoidResult) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,8 +59,8 @@
 	return l.conn.Send(wire.Message{Void: &wire.Void{GrantID: grant}}) == nil
 }
 
-// removeVoid ends the wait for a response, also if none arrived: a link with a
-// pending void is monitored at watchUrgent.
+// removeVoid removes a pending Void. An unanswered Void must be removed as well:
+// as long as it is pending, the connection is monitored at watchUrgent.
 func (l *link) removeVoid(grant string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/entry/fleet/liveness.go
+++ b/internal/entry/fleet/liveness.go
@@ -11,19 +11,19 @@
 	// maxPingInterval bounds the ping interval while the same less urgent
 	// tickets wait and the agent answers. The interval doubles with each
 	// answer, so it stays close to the time that the tickets have waited
-	// already. With only such tickets, a silent connection is detected within
-	// maxPingInterval + pongTimeout, 10.6 s; within 1.3 s if it was already
-	// silent when the last ticket was placed. At the target size, an entry with
-	// all of its 288 connections busy sends and receives 1.8 KB/s of pings,
-	// against 58 KB/s at minPingInterval.
+	// already. While only such tickets are pending, a silent connection is
+	// detected within maxPingInterval + pongTimeout, 10.6 s; within 1.3 s if it
+	// was already silent when the last ticket was placed. At the target size,
+	// an entry with all of its 288 connections busy sends and receives 1.8 KB/s
+	// of pings, compared with 58 KB/s at minPingInterval.
 	maxPingInterval = 32 * minPingInterval
 	// pongTimeout is how long after the first unanswered ping a connection
 	// counts as dead. It covers three pings, so that one delayed answer on a
 	// busy machine does not close the connection.
 	pongTimeout = time.Second
 	// unansweredPingDelay is how long the agent may be silent after a message
-	// before it is pinged, when no work is pending. Most messages are answered
-	// or followed by others sooner and need no ping.
+	// to it before it is pinged, even if no work is pending. Usually the agent
+	// sends something sooner and needs no ping.
 	unansweredPingDelay = time.Second
 )
 
@@ -40,11 +40,12 @@
 	watchUrgent
 )
 
-// liveness detects silent connections. A connection without traffic is not
-// pinged: it is monitored while work is pending, and after a message until the
-// agent sends something again. The latter detects a silent connection whose
-// tickets were all granted by other agents; otherwise it would lose
-// announcements of targets indefinitely. It is guarded by the link's lock.
+// liveness detects connections on which the agent has become silent. The agent is
+// pinged only while work is pending, or after a message to it until it sends
+// something again; an idle connection has no traffic. Without the second case, a
+// silent connection whose tickets were all granted by other agents would stay
+// undetected, and announcements of targets would be lost on it indefinitely. The
+// link's lock guards liveness.
 type liveness struct {
 	// silentSince is the time of the last received message or of the last
 	// placed ticket, whichever is later. The agent has minPingInterval to
@@ -85,8 +86,8 @@
 	l.pingedAt = time.Time{}
 }
 
-// check reports whether to ping the agent now, and whether it counts as dead
-// because it left a ping unanswered for pongTimeout.
+// check reports whether to ping the agent now, and whether the connection counts
+// as dead because a ping was not answered for pongTimeout.
 func (l *liveness) check(now time.Time, level watchLevel) (sendPing, dead bool) {
 	if !l.pingedAt.IsZero() {
 		return true, now.Sub(l.pingedAt) >= pongTimeout
--- a/internal/entry/fleet/liveness_test.go
+++ b/internal/entry/fleet/liveness_test.go
@@ -39,8 +39,8 @@
 	return false
 }
 
-// detectionDelay stops the agent's answers and returns the time until the
-// connection counts as dead.
+// detectionDelay makes the agent silent and returns the time until the connection
+// counts as dead.
 func (s *livenessSimulation) detectionDelay(t *testing.T, level watchLevel) time.Duration {
 	t.Helper()
 	s.responsive = false
@@ -96,8 +96,8 @@
 	}
 }
 
-// A connection that went silent before a new ticket is detected as fast as with
-// an urgent ticket, even if the ping interval had grown.
+// Guards against a longer ping interval delaying the detection of a connection
+// that went silent before a new ticket: the ticket resets the interval.
 func TestLivenessNewTicketResetsBackoff(t *testing.T) {
 	sim := newLivenessSimulation(true)
 	sim.ticketPlaced(sim.now)
@@ -108,7 +108,8 @@
 	}
 }
 
-// An urgent ticket among others is monitored at minPingInterval.
+// Guards against the longer ping interval of other tickets delaying the detection
+// while an urgent ticket is pending.
 func TestLivenessUrgentIgnoresBackoff(t *testing.T) {
 	sim := newLivenessSimulation(true)
 	sim.ticketPlaced(sim.now)
--- a/internal/entry/fleet/pending_tickets.go
+++ b/internal/entry/fleet/pending_tickets.go
@@ -18,7 +18,7 @@
 // link's lock.
 type pendingTickets struct {
 	byAttempt map[attemptKey]pendingTicket
-	// urgentCount is the number of tickets of urgent tiers.
+	// urgentCount is the number of pending tickets of urgent tiers.
 	urgentCount int
 }
 
--- a/internal/entry/fleet/refresh_status.go
+++ b/internal/entry/fleet/refresh_status.go
@@ -13,10 +13,10 @@
 const statusTimeout = 500 * time.Millisecond
 
 // RefreshStatus requests the status of all connected agents. It returns when
-// all have answered or statusTimeout has passed. Agents report their status
-// unasked with grants and refusals only, so the last known status of an idle
-// agent is from before its last run ended. It costs 60 B per connection and is
-// meant for operators' requests.
+// all have answered, statusTimeout has passed or ctx ends. Without a request,
+// agents send their status only with grants and refusals, so the last known
+// status of an idle agent is from before its last run ended. A refresh costs
+// 60 B per connection and is meant for operators' requests.
 func (f *Fleet) RefreshStatus(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
--- a/internal/entry/fleet/refresh_status_test.go
+++ b/internal/entry/fleet/refresh_status_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestRefreshStatus guards against showing operators an outdated status of an
-// agent that sends none unasked.
+// agent that does not send its status without a request.
 func TestRefreshStatus(t *testing.T) {
 	f := runWithOneAgent(t)
 	ctx := t.Context()
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestUnansweredVoidIsRemoved guards against an unanswered Void keeping the
-// connection at watchUrgent for as long as it lasts.
+// TestUnansweredVoidIsRemoved guards against an unanswered Void that stays pending
+// and keeps the connection monitored at watchUrgent until it is closed.
 func TestUnansweredVoidIsRemoved(t *testing.T) {
 	f := runWithOneAgent(t)
 	for deadline := time.Now().Add(time.Minute); ; time.Sleep(time.Millisecond) {
--- a/internal/entry/fleet/subset.go
+++ b/internal/entry/fleet/subset.go
@@ -29,7 +29,7 @@
 	return wanted
 }
 
-// compareRendezvous orders VMs by a hash of this entry's and the VM's name.
+// compareRendezvous orders VMs by a hash of this entry's name and the VM's name.
 func (f *Fleet) compareRendezvous(a, b storage.VM) int {
 	hashA := xxhash.Sum64String(f.config.Process + "/" + a.Name)
 	hashB := xxhash.Sum64String(f.config.Process + "/" + b.Name)
