--- a/internal/entry/api/api.go
+++ b/internal/entry/api/api.go
@@ -1,6 +1,6 @@
 // Package api implements the caller-facing HTTP API of an entry: OpenAI-compatible chat
-// completions and model list, and calls to HTTP services. It reads and validates a
-// request, determines its class and customer, hands it to the dispatcher, and writes
+// completions and model list, and calls to plain HTTP services. It reads and validates a
+// request, determines its class and customer, passes it to the dispatcher, and writes
 // exactly one final response. The routes are in API.Register.
 package api
 
@@ -60,7 +60,7 @@
 	Do(ctx context.Context, r *dispatch.Request, sink dispatch.Sink) dispatch.Result
 }
 
-// Catalog lists the available models and services.
+// Catalog lists the available models and plain HTTP services.
 type Catalog interface {
 	Serves() []string
 }
@@ -75,8 +75,9 @@
 type Observer interface {
 	// RequestReceived is called once for each accepted request.
 	RequestReceived(class string)
-	// RequestRefused is called for a request that is refused before its class is
-	// verified. The class is UnknownClass if the request names no existing class.
+	// RequestRefused is called for a request that is refused for lack of capacity
+	// before it is accepted. The class is UnknownClass if the request names no existing
+	// class.
 	RequestRefused(class, reason string)
 	// RequestEnded is called once for each accepted request, with the time since it
 	// arrived.
@@ -120,7 +121,7 @@
 	router.MethodNotAllowed = http.HandlerFunc(handleMethodNotAllowed)
 }
 
-// serviceMethods are the HTTP methods accepted for calls to services.
+// serviceMethods are the HTTP methods accepted for calls to plain HTTP services.
 var serviceMethods = []string{http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete}
 
 func handleNotFound(w http.ResponseWriter, r *http.Request) {
@@ -130,7 +131,7 @@
 // handleMethodNotAllowed responds to a known path with an unsupported method; the router
 // has already set the Allow header.
 func handleMethodNotAllowed(w http.ResponseWriter, r *http.Request) {
-	refuseWithoutBody(w, r, apiError{status: http.StatusMethodNotAllowed, code: "method_not_allowed", message: "the path doesn't take the method; see docs/API.md"})
+	refuseWithoutBody(w, r, apiError{status: http.StatusMethodNotAllowed, code: "method_not_allowed", message: "the path does not support this method; see docs/API.md"})
 }
 
 // refuseWithoutBody writes an error response without waiting for the request body: a
@@ -156,8 +157,8 @@
 // their class was determined. It is not a valid class name.
 const UnknownClass = "(unknown)"
 
-// refuseAtCapacity refuses a request because of a lack of capacity, before its class is
-// verified.
+// refuseAtCapacity refuses a request for lack of capacity. The class of the request has
+// not been determined yet; the metrics count the class that its header names.
 func (a *API) refuseAtCapacity(w http.ResponseWriter, r *http.Request, reason string) {
 	class := UnknownClass
 	if named, ok := a.config.Targets.Current().Class(r.Header.Get(HeaderClass)); ok {
--- a/internal/entry/api/api_error.go
+++ b/internal/entry/api/api_error.go
@@ -19,8 +19,8 @@
 	param      string
 	outcome    dispatch.Outcome
 	retryAfter time.Duration
-	// reason is why the request was not run, for the metrics. If it is empty, code is the
-	// reason.
+	// reason is why the request was not run, for the metrics. If it is empty, the metrics
+	// use code.
 	reason string
 }
 
@@ -105,7 +105,8 @@
 	}
 }
 
-// resultError returns the error for a dispatch result other than Completed, Rejected or Gone.
+// resultError returns the error for a dispatch result other than Completed, Rejected or
+// Cancelled.
 func resultError(r dispatch.Result) apiError {
 	switch r.Outcome {
 	case dispatch.NotRun:
--- a/internal/entry/api/bench_test.go
+++ b/internal/entry/api/bench_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// BenchmarkRequestInFlight measures the live memory of a request in flight with a body of 100
-// KB. heap-B is the total; body-B is the part taken by the body.
+// BenchmarkRequestInFlight measures the live memory of a request in flight with a body of
+// 100 KB. heap-B is the total; body-B is the part taken by the body.
 func BenchmarkRequestInFlight(b *testing.B) {
 	const bodyBytes = 100_000
 	f := newBlockingFixture(b, nil)
--- a/internal/entry/api/body_budget.go
+++ b/internal/entry/api/body_budget.go
@@ -53,8 +53,8 @@
 	return b.reserved <= limit
 }
 
-// bodyMemoryLimit returns the limit in bytes on the memory of all bodies up to which a
-// body of class c is accepted.
+// bodyMemoryLimit returns how many bytes all bodies may take in total when a body of
+// class c is accepted.
 func bodyMemoryLimit(c targets.Class) int64 {
 	if policy.Tier(c.Tier).Urgent() {
 		return maxBodyMemory
--- a/internal/entry/api/body_budget_test.go
+++ b/internal/entry/api/body_budget_test.go
@@ -11,6 +11,8 @@
 // largeBodyBytes is the body size of the requests that fill the budget in these tests.
 const largeBodyBytes = 256 << 10
 
+// Guards against bodies in excess of the memory limits, and against bodies of non-urgent
+// tiers and of unknown classes taking the memory reserved for urgent tiers.
 func TestBodyMemoryIsBounded(t *testing.T) {
 	f := newBlockingFixture(t, nil)
 	f.reserveOtherBytes(maxBodyMemoryNonUrgent - largeBodyBytes)
@@ -27,7 +29,8 @@
 	f.releaseAll()
 }
 
-// Whatever memory other bodies take, a body of the maximum size fits for an urgent tier.
+// Guards against other bodies taking the memory reserved for urgent tiers: a body of the
+// maximum size must still fit.
 func TestUrgentReserveFitsLargestBody(t *testing.T) {
 	f := newBlockingFixture(t, nil)
 	f.reserveOtherBytes(maxBodyMemoryUnknownClass)
@@ -35,6 +38,7 @@
 	f.releaseAll()
 }
 
+// Guards against a body without a Content-Length exceeding the size or memory limit.
 func TestBodyOfUnknownLengthIsBounded(t *testing.T) {
 	f := newBlockingFixture(t, nil)
 	unknownLength := func(bytes int) *http.Request {
--- a/internal/entry/api/buffered_response.go
+++ b/internal/entry/api/buffered_response.go
@@ -51,7 +51,7 @@
 
 func (b *bufferedResponse) started() bool { return false }
 
-// Frame adds one chunk to the response. It returns an error for a chunk that can't be
+// WriteFrame adds one chunk to the response. It returns an error for a chunk that can't be
 // decoded or has a choice index out of range.
 func (b *bufferedResponse) WriteFrame(f wire.Frame) error {
 	var c chunk
@@ -66,7 +66,7 @@
 	}
 	for _, choice := range c.Choices {
 		if choice.Index < 0 || choice.Index >= maxChoices {
-			return errors.New("choice index is out of range")
+			return errors.Errorf("choice index %d is out of range [0, %d)", choice.Index, maxChoices)
 		}
 		b.addChoice(choice)
 	}
@@ -112,7 +112,7 @@
 	}
 	data, err := json.Marshal(b.completion)
 	if err != nil {
-		writeError(b.w, apiError{status: http.StatusInternalServerError, code: "internal", message: "the answer could not be encoded"})
+		writeError(b.w, apiError{status: http.StatusInternalServerError, code: "internal", message: "the response could not be encoded"})
 		return
 	}
 	_ = http.NewResponseController(b.w).SetWriteDeadline(time.Now().Add(writeTimeout))
--- a/internal/entry/api/chat.go
+++ b/internal/entry/api/chat.go
@@ -19,13 +19,14 @@
 	// defaultCompletionTokens is the estimated completion length of a request without a
 	// token limit. The real length isn't known in advance.
 	defaultCompletionTokens = 256
-	// prefixHashBytes is how much of the messages the prefix hash covers: enough to
-	// distinguish system prompts, and little enough that requests share the prefix.
+	// prefixHashBytes is the length of the beginning of the messages that the prefix hash
+	// covers: enough to distinguish system prompts, and little enough that requests with
+	// the same system prompt have the same hash.
 	prefixHashBytes = 1024
 )
 
 // chatRequest holds the fields of a chat completion request that the entry reads. The
-// request is forwarded to the engine unchanged.
+// request is forwarded to the backend server unchanged.
 type chatRequest struct {
 	Model               string          `json:"model"`
 	Messages            json.RawMessage `json:"messages"`
@@ -63,6 +64,8 @@
 		writeError(w, *apiErr)
 		return
 	}
+	// The class was not known when the body was read; its memory limit may be lower than
+	// the one that was applied then.
 	if memoryLimit > bodyMemoryLimit(class) && !a.bodyBudget.within(bodyMemoryLimit(class)) {
 		a.config.Observer.RequestRefused(class.Name, reasonBodiesFull)
 		writeError(w, notRunError(reasonBodiesFull, busyRetryAfter))
@@ -82,6 +85,7 @@
 	})
 }
 
+// newRequest returns a request with a new ID and records that it was received.
 func (a *API) newRequest(class targets.Class, customer string, arrived time.Time) *dispatch.Request {
 	req := &dispatch.Request{
 		ID:         ids.New(),
--- a/internal/entry/api/claims.go
+++ b/internal/entry/api/claims.go
@@ -14,7 +14,7 @@
 )
 
 // ClaimStore stores claims on idempotency keys, so that calls with the same key run at
-// most once.
+// most once. See claim.Claimer for its methods.
 type ClaimStore interface {
 	Claim(ctx context.Context, customer, key, fingerprint, attempt string) (claim.Claim, error)
 	Grant(ctx context.Context, c claim.Claim, agent, grant string) (claim.Claim, error)
@@ -24,8 +24,8 @@
 	Response(ctx context.Context, c claim.Claim) ([]byte, error)
 }
 
-// GrantVoider voids a grant that another entry has recorded, so that it can no longer be
-// used.
+// GrantVoider voids the grant that an earlier call with the same idempotency key has
+// recorded, possibly at another entry, so that it can no longer be used.
 type GrantVoider interface {
 	Void(ctx context.Context, agent, grant string) (wire.VoidResult, error)
 }
@@ -35,8 +35,8 @@
 	maxIdempotencyKeyBytes = 256
 	// settleTimeout limits recording the outcome after the response has been sent.
 	settleTimeout = 5 * time.Second
-	// inProgressRetryAfter is the Retry-After for a repeated call while the first one is
-	// still running.
+	// inProgressRetryAfter is the Retry-After for a repeated call while an earlier one may
+	// still be running.
 	inProgressRetryAfter = 2 * time.Second
 	// headerIdempotencyReplayed marks a stored response of an earlier call.
 	headerIdempotencyReplayed = "Idempotency-Replayed"
@@ -67,10 +67,11 @@
 // errResponseWritten is returned when the final response has already been written.
 var errResponseWritten = errors.New("response already written")
 
-// resolveExistingClaim handles a claim that an earlier call has made. It replays the
-// stored response of a finished call; or it voids the grant and returns the claim for
-// this call; or it reports that the earlier call may have run. If it has written the
-// response, it returns errResponseWritten.
+// resolveExistingClaim handles a claim that an earlier call has made. If that call has
+// finished, it replays the stored response. Otherwise it voids the grant, if one was
+// recorded, takes over the claim and returns it. If the earlier call may have run, it
+// responds with an error. It returns errResponseWritten whenever it has written the
+// response.
 func (a *API) resolveExistingClaim(w http.ResponseWriter, r *http.Request, c claim.Claim, req *dispatch.Request) (claim.Claim, error) {
 	if c.State == claim.StateFinished {
 		a.replayResponse(w, r, c, req)
@@ -95,14 +96,15 @@
 	return claimed, nil
 }
 
-// replayResponse writes the stored response of the call that ran.
+// replayResponse writes the stored response of the call that ran, or an error if the
+// response was not stored or cannot be read.
 func (a *API) replayResponse(w http.ResponseWriter, r *http.Request, c claim.Claim, req *dispatch.Request) {
 	body, err := a.config.Claims.Response(r.Context(), c)
 	if err != nil || !c.Outcome.Complete {
 		a.endWithoutDispatch(w, req, apiError{
 			status:  http.StatusConflict,
 			code:    "already_run",
-			message: "a call with this idempotency key has run; its answer is no longer there",
+			message: "a call with this idempotency key has run; its response is not available",
 			outcome: dispatch.Unknown,
 		})
 		return
@@ -129,7 +131,7 @@
 	return apiError{
 		status:     http.StatusConflict,
 		code:       "in_progress",
-		message:    "a call with this idempotency key has started and was not ended yet, as far as is known",
+		message:    "a call with this idempotency key has started and may still be running",
 		outcome:    dispatch.Unknown,
 		retryAfter: inProgressRetryAfter,
 	}
--- a/internal/entry/api/claims_test.go
+++ b/internal/entry/api/claims_test.go
@@ -27,6 +27,8 @@
 	}
 }
 
+// Guards against a second run of a call whose first run may have happened: the retry runs
+// only if the recorded grant was voided.
 func TestRetryOfCallWithUnknownOutcome(t *testing.T) {
 	cases := []struct {
 		name    string
--- a/internal/entry/api/class.go
+++ b/internal/entry/api/class.go
@@ -10,7 +10,8 @@
 )
 
 // findClass returns the class that a chat request names, or the only class of its model
-// if it names none. The error for an unknown class or model lists the existing names.
+// if it names none. The error for an unknown class or model lists the existing classes or
+// models.
 func (a *API) findClass(set *targets.Set, name, model string) (targets.Class, *apiError) {
 	if !slices.Contains(a.config.Catalog.Serves(), model) && !hasClassForModel(set, model) {
 		return targets.Class{}, a.unknownModelError(set, model)
--- a/internal/entry/api/dispatch.go
+++ b/internal/entry/api/dispatch.go
@@ -55,6 +55,8 @@
 	return result
 }
 
+// writeResult completes the response, or writes or sends the error for the result. It
+// writes nothing for a cancelled request, whose caller has disconnected.
 func (a *API) writeResult(w http.ResponseWriter, result dispatch.Result, resp response) {
 	switch {
 	case result.Outcome == dispatch.Cancelled:
@@ -77,6 +79,8 @@
 	_, _ = w.Write(result.Body)
 }
 
+// authenticate returns the name of the customer that sent the request. If there is none,
+// it writes the error response and returns false.
 func (a *API) authenticate(w http.ResponseWriter, r *http.Request, set *targets.Set) (string, bool) {
 	customer, err := a.config.Auth.Customer(set, r)
 	if err != nil {
--- a/internal/entry/api/fake_test.go
+++ b/internal/entry/api/fake_test.go
@@ -20,7 +20,7 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// fakeDispatcher produces the results of script and counts the runs.
+// fakeDispatcher returns the results of script and counts the runs.
 type fakeDispatcher struct {
 	script func(r *dispatch.Request, sink dispatch.Sink) dispatch.Result
 	runs   int
--- a/internal/entry/api/observer_test.go
+++ b/internal/entry/api/observer_test.go
@@ -9,7 +9,7 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// unavailableClaims is a ClaimStore whose table service is down.
+// unavailableClaims is a ClaimStore whose table service is unavailable.
 type unavailableClaims struct{ ClaimStore }
 
 func (unavailableClaims) Claim(context.Context, string, string, string, string) (claim.Claim, error) {
--- a/internal/entry/api/refusal_test.go
+++ b/internal/entry/api/refusal_test.go
@@ -61,7 +61,7 @@
 	return response
 }
 
-// Regression test: the response to a body that did not fit into memory was sent only
+// Regression test: a request whose body did not fit into the body memory was refused only
 // after the body had arrived.
 func TestRefusalDoesNotWaitForBody(t *testing.T) {
 	conn, reader := dialFullServer(t)
@@ -133,9 +133,9 @@
 		"full":               {"POST /v1/chat/completions HTTP/1.1\r\nHost: entry\r\n", true, http.StatusServiceUnavailable},
 		"no such path":       {"POST /v2/chat HTTP/1.1\r\nHost: entry\r\n", false, http.StatusNotFound},
 		"no such method":     {"PUT /v1/chat/completions HTTP/1.1\r\nHost: entry\r\n", false, http.StatusMethodNotAllowed},
-		"no key":             {"POST /v1/chat/completions HTTP/1.1\r\nHost: entry\r\nAuthorization: Bearer wrong\r\n", false, http.StatusUnauthorized},
+		"wrong key":          {"POST /v1/chat/completions HTTP/1.1\r\nHost: entry\r\nAuthorization: Bearer wrong\r\n", false, http.StatusUnauthorized},
 		"no such service":    {"POST /services/none/x HTTP/1.1\r\nHost: entry\r\n", false, http.StatusNotFound},
-		"full, by a service": {"POST /services/none/x HTTP/1.1\r\nHost: entry\r\n", true, http.StatusServiceUnavailable},
+		"full, service call": {"POST /services/none/x HTTP/1.1\r\nHost: entry\r\n", true, http.StatusServiceUnavailable},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/entry/api/service.go
+++ b/internal/entry/api/service.go
@@ -14,8 +14,8 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// forwardedHeaders are the request headers that an HTTP service receives. Hop-by-hop
-// headers (RFC 9110, 7.6.1) and the caller's API key are not forwarded.
+// forwardedHeaders are the request headers that are forwarded to a plain HTTP service.
+// Hop-by-hop headers (RFC 9110, 7.6.1) and the caller's API key are not forwarded.
 var forwardedHeaders = []string{"Accept", "Accept-Language", "Content-Type", "If-Match", "If-None-Match", HeaderIdempotencyKey}
 
 // service handles /services/{name}/...
--- a/internal/entry/api/service_response.go
+++ b/internal/entry/api/service_response.go
@@ -9,7 +9,7 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// serviceResponse streams the response of an HTTP service to the caller.
+// serviceResponse streams the response of a plain HTTP service to the caller.
 type serviceResponse struct {
 	w          http.ResponseWriter
 	control    *http.ResponseController
@@ -18,7 +18,7 @@
 
 func (s *serviceResponse) started() bool { return s.headerSent }
 
-// Frame forwards the status and headers, then each part of the body.
+// WriteFrame forwards the status and headers, then each part of the body.
 func (s *serviceResponse) WriteFrame(f wire.Frame) error {
 	_ = s.control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if f.Kind == wire.FrameHeaders {
@@ -26,10 +26,10 @@
 		return nil
 	}
 	if _, err := s.w.Write(f.Data); err != nil {
-		return errors.Wrap(err, "write piece")
+		return errors.Wrap(err, "write response body")
 	}
 	if err := s.control.Flush(); err != nil {
-		return errors.Wrap(err, "flush piece")
+		return errors.Wrap(err, "flush response body")
 	}
 	return nil
 }
--- a/internal/entry/api/stream_response.go
+++ b/internal/entry/api/stream_response.go
@@ -29,7 +29,7 @@
 
 func (s *streamResponse) started() bool { return s.headerSent }
 
-// Frame forwards one chunk.
+// WriteFrame forwards one chunk.
 func (s *streamResponse) WriteFrame(f wire.Frame) error {
 	var c chunk
 	if err := json.Unmarshal(f.Data, &c); err != nil {
