--- a/internal/entry/api/claims.go
+++ b/internal/entry/api/claims.go
@@ -14,7 +14,7 @@
 )
 
 // ClaimStore stores claims on idempotency keys, so that calls with the same key run at
-// most once.
+// most once. See claim.Claimer for its methods.
 type ClaimStore interface {
 	Claim(ctx context.Context, customer, key, fingerprint, attempt string) (claim.Claim, error)
 	Grant(ctx context.Context, c claim.Claim, agent, grant string) (claim.Claim, error)
@@ -24,8 +24,8 @@
 	Response(ctx context.Context, c claim.Claim) ([]byte, error)
 }
 
-// GrantVoider voids a grant that another entry has recorded, so that it can no longer be
-// used.
+// GrantVoider voids the grant that an earlier call with the same idempotency key has
+// recorded, possibly at another entry, so that it can no longer be used.
 type GrantVoider interface {
 	Void(ctx context.Context, agent, grant string) (wire.VoidResult, error)
 }
@@ -35,8 +35,8 @@
 	maxIdempotencyKeyBytes = 256
 	// settleTimeout limits recording the outcome after the response has been sent.
 	settleTimeout = 5 * time.Second
-	// inProgressRetryAfter is the Retry-After for a repeated call while the first one is
-	// still running.
+	// inProgressRetryAfter is the Retry-After for a repeated call while an earlier one may
+	// still be running.
 	inProgressRetryAfter = 2 * time.Second
 	// headerIdempotencyReplayed marks a stored response of an earlier call.
 	headerIdempotencyReplayed = "Idempotency-Replayed"
@@ -44,7 +44,7 @@
 
 // claimIdempotencyKey claims the request's idempotency key. It returns the claim, or
 // writes the final response and returns false.
-func (a *API) claimIdempotencyKey(w http.ResponseWriter, r *http.Request, req *dispatch.Request) (*claimGuard, bool) {
+func (a *API) claimIdempotencyKey(w http.ResponseWriter, r *http.Request, req *dispatch.Request) (*claimGrantRecorder, bool) {
 	key := r.Header.Get(HeaderIdempotencyKey)
 	if len(key) > maxIdempotencyKeyBytes {
 		a.endWithoutDispatch(w, req, badRequestError("key_too_long", HeaderIdempotencyKey, "an idempotency key has at most 256 bytes"))
@@ -61,16 +61,17 @@
 			return nil, false
 		}
 	}
-	return &claimGuard{claims: a.config.Claims, claim: c}, true
+	return &claimGrantRecorder{claims: a.config.Claims, claim: c}, true
 }
 
 // errResponseWritten is returned when the final response has already been written.
 var errResponseWritten = errors.New("response already written")
 
-// resolveExistingClaim handles a claim that an earlier call has made. It replays the
-// stored response of a finished call; or it voids the grant and returns the claim for
-// this call; or it reports that the earlier call may have run. If it has written the
-// response, it returns errResponseWritten.
+// resolveExistingClaim handles a claim that an earlier call has made. If that call has
+// finished, it replays the stored response. Otherwise it voids the grant, if one was
+// recorded, takes over the claim and returns it. If the earlier call may have run, it
+// responds with an error. It returns errResponseWritten whenever it has written the
+// response.
 func (a *API) resolveExistingClaim(w http.ResponseWriter, r *http.Request, c claim.Claim, req *dispatch.Request) (claim.Claim, error) {
 	if c.State == claim.StateFinished {
 		a.replayResponse(w, r, c, req)
@@ -95,14 +96,15 @@
 	return claimed, nil
 }
 
-// replayResponse writes the stored response of the call that ran.
+// replayResponse writes the stored response of the call that ran, or an error if the
+// response was not stored or cannot be read.
 func (a *API) replayResponse(w http.ResponseWriter, r *http.Request, c claim.Claim, req *dispatch.Request) {
 	body, err := a.config.Claims.Response(r.Context(), c)
 	if err != nil || !c.Outcome.Complete {
 		a.endWithoutDispatch(w, req, apiError{
 			status:  http.StatusConflict,
 			code:    "already_run",
-			message: "a call with this idempotency key has run; its answer is no longer there",
+			message: "a call with this idempotency key has run; its response is not available",
 			outcome: dispatch.Unknown,
 		})
 		return
@@ -129,14 +131,14 @@
 	return apiError{
 		status:     http.StatusConflict,
 		code:       "in_progress",
-		message:    "a call with this idempotency key has started and was not ended yet, as far as is known",
+		message:    "a call with this idempotency key has started and may still be running",
 		outcome:    dispatch.Unknown,
 		retryAfter: inProgressRetryAfter,
 	}
 }
 
 func claimError(err error) apiError {
-	var lost *claim.ConflictError
+	var conflict *claim.ConflictError
 	switch {
 	case errors.Is(err, claim.ErrKeyReused):
 		return apiError{
@@ -145,7 +147,7 @@
 			message: "the idempotency key was used for a different request",
 			outcome: dispatch.NotRun,
 		}
-	case errors.As(err, &lost):
+	case errors.As(err, &conflict):
 		return inProgressError()
 	default:
 		return notRunError("claim_unavailable", busyRetryAfter)
@@ -155,17 +157,17 @@
 // settleClaim records the outcome of a claimed request after the response was sent: it
 // stores a complete response, and releases the claim of a request that did not run. In
 // all other cases the claim stays, and a repeated call resolves it.
-func (a *API) settleClaim(ctx context.Context, guard *claimGuard, result dispatch.Result, recorder *responseRecorder) {
+func (a *API) settleClaim(ctx context.Context, grantRecorder *claimGrantRecorder, result dispatch.Result, recorder *responseRecorder) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 	defer cancel()
 	var err error
 	switch {
 	case result.Outcome == dispatch.Completed:
-		_, err = a.config.Claims.Finish(ctx, guard.claim, claim.Outcome{Complete: true, Status: recorder.status, ContentType: recorder.Header().Get("Content-Type"), Response: recorder.recordedBody()})
+		_, err = a.config.Claims.Finish(ctx, grantRecorder.claim, claim.Outcome{Complete: true, Status: recorder.status, ContentType: recorder.Header().Get("Content-Type"), Response: recorder.recordedBody()})
 	case result.Outcome == dispatch.NotRun, result.Outcome == dispatch.Rejected, !result.BodySent:
-		err = a.config.Claims.Release(ctx, guard.claim)
+		err = a.config.Claims.Release(ctx, grantRecorder.claim)
 	}
 	if err != nil {
-		a.config.Log.Warn(logging.EventClaimNotSettled, logging.Request(guard.claim.Attempt), logging.Reason(err.Error()))
+		a.config.Log.Warn(logging.EventClaimNotSettled, logging.Request(grantRecorder.claim.Attempt), logging.Reason(err.Error()))
 	}
 }
--- a/internal/entry/api/dispatch.go
+++ b/internal/entry/api/dispatch.go
@@ -36,15 +36,15 @@
 // dispatchClaimed dispatches a request with an idempotency key. The request runs at most
 // once, even if its class is repeatable.
 func (a *API) dispatchClaimed(w http.ResponseWriter, r *http.Request, req *dispatch.Request, newResponse func(http.ResponseWriter) response) {
-	guard, ok := a.claimIdempotencyKey(w, r, req)
+	grantRecorder, ok := a.claimIdempotencyKey(w, r, req)
 	if !ok {
 		return
 	}
-	req.GrantRecorder = guard
+	req.GrantRecorder = grantRecorder
 	req.Repeatable = false
 	recorder := newResponseRecorder(w)
 	result := a.dispatchAndRespond(r.Context(), recorder, req, newResponse)
-	a.settleClaim(r.Context(), guard, result, recorder)
+	a.settleClaim(r.Context(), grantRecorder, result, recorder)
 }
 
 func (a *API) dispatchAndRespond(ctx context.Context, w http.ResponseWriter, req *dispatch.Request, newResponse func(http.ResponseWriter) response) dispatch.Result {
@@ -55,6 +55,8 @@
 	return result
 }
 
+// writeResult completes the response, or writes or sends the error for the result. It
+// writes nothing for a cancelled request, whose caller has disconnected.
 func (a *API) writeResult(w http.ResponseWriter, result dispatch.Result, resp response) {
 	switch {
 	case result.Outcome == dispatch.Cancelled:
@@ -77,6 +79,8 @@
 	_, _ = w.Write(result.Body)
 }
 
+// authenticate returns the name of the customer that sent the request. If there is none,
+// it writes the error response and returns false.
 func (a *API) authenticate(w http.ResponseWriter, r *http.Request, set *targets.Set) (string, bool) {
 	customer, err := a.config.Auth.Customer(set, r)
 	if err != nil {
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -13,11 +13,11 @@
 )
 
 // streamTokens returns a script that streams the tokens after ResumeFrom and
-// cuts the stream after cutAfter of them.
-func streamTokens(tokens []string, cutAfter int) func(*wire.FrameWriter, wire.RunRequest) {
+// interrupts the stream after interruptAfter of them.
+func streamTokens(tokens []string, interruptAfter int) func(*wire.FrameWriter, wire.RunRequest) {
 	return func(w *wire.FrameWriter, r wire.RunRequest) {
 		for i, text := range tokens[r.ResumeFrom:] {
-			if i == cutAfter {
+			if i == interruptAfter {
 				return
 			}
 			writeToken(w, text)
@@ -26,10 +26,10 @@
 	}
 }
 
-const neverCut = -1
+const noInterruption = -1
 
 func TestOnlyFirstGrantRuns(t *testing.T) {
-	text := streamTokens([]string{"a", "b"}, neverCut)
+	text := streamTokens([]string{"a", "b"}, noInterruption)
 	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", text), newFakeAgent(t, "two", text)}}
 	sink := &fakeSink{}
 	result := newTestDispatcher(agents).Do(t.Context(), testRequest(true), sink)
@@ -96,8 +96,8 @@
 	}
 }
 
-// Guards against servers that break every stream getting their load back as
-// retries: only the first interruption is outside the retry budget.
+// Guards against unlimited retries while backend servers interrupt every stream:
+// only the first interruption is outside the retry budget.
 func TestFurtherInterruptionsUseRetryBudget(t *testing.T) {
 	text := []string{"a", "b", "c", "d", "e"}
 	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", streamTokens(text, 1))}}
@@ -124,14 +124,16 @@
 	}
 }
 
+// Guards against admission control refusing a request that an agent has already
+// admitted and partly run.
 func TestPartlyRunRequestSkipsAdmission(t *testing.T) {
 	cases := map[string]struct {
 		result attemptResult
 		want   bool
 	}{
-		"preempted": {attemptResult{outcome: attemptPreempted}, true},
-		"cut":       {attemptResult{outcome: attemptInterrupted}, true},
-		"not run":   {attemptResult{outcome: attemptNotRun}, false},
+		"preempted":   {attemptResult{outcome: attemptPreempted}, true},
+		"interrupted": {attemptResult{outcome: attemptInterrupted}, true},
+		"not run":     {attemptResult{outcome: attemptNotRun}, false},
 	}
 	for name, c := range cases {
 		j := &job{dispatcher: newTestDispatcher(&fakeAgents{}), request: testRequest(true), attempt: 1}
@@ -167,12 +169,12 @@
 		request.Class.BetweenTokens = 0
 		request.ServiceCall = &ServiceCall{}
 		if j.ticket().Preemptible {
-			t.Error("a call of a plain HTTP service is preemptible")
+			t.Error("a request to a plain HTTP service is preemptible")
 		}
 	}
 }
 
-func TestNonRepeatableRequestEndsUnknown(t *testing.T) {
+func TestInterruptedNonRepeatableRequestEndsUnknown(t *testing.T) {
 	agents := &fakeAgents{agents: []*fakeAgent{newFakeAgent(t, "one", streamTokens([]string{"a", "b"}, 1))}}
 	result := newTestDispatcher(agents).Do(t.Context(), testRequest(false), &fakeSink{})
 	if result.Outcome != Unknown {
@@ -214,7 +216,9 @@
 	}
 }
 
-func TestLeavingAgentsAreNotAskedForever(t *testing.T) {
+// Guards against a request that keeps asking agents that refuse all work because
+// they drain: it is refused after noAgentTimeout.
+func TestDrainingAgentsAreNotAskedForever(t *testing.T) {
 	agent := newFakeAgent(t, "one", nil)
 	agent.refusalReason = wire.ReasonDraining
 	result := newTestDispatcher(&fakeAgents{agents: []*fakeAgent{agent}}).Do(t.Context(), testRequest(true), &fakeSink{})
--- a/internal/entry/fleet/link_void.go
+++ b/internal/entry/fleet/link_void.go
@@ -12,30 +12,32 @@
 // voidTimeout bounds the wait for the response to a Void message.
 const voidTimeout = 2 * time.Second
 
-// ErrNoResponse is returned if an agent could not be asked or did not respond.
+// ErrNoResponse is returned if a Void could not be sent to the agent or the agent
+// did not respond in time.
 var ErrNoResponse = errors.New("agent did not answer")
 
-// handleVoided passes the response to a Void to its caller.
+// handleVoided passes the response to a Void to the caller that waits for it.
 func (l *link) handleVoided(v *wire.Voided) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if result, ok := l.pendingVoids[v.GrantID]; ok {
+	if response, ok := l.pendingVoids[v.GrantID]; ok {
 		delete(l.pendingVoids, v.GrantID)
-		result <- v.Result
+		response <- v.Result
 	}
 }
 
-// void asks the agent to make a grant unusable and waits for its response.
+// void asks the agent to make a grant unusable and waits for its response. It
+// returns ErrNoResponse if there is none within voidTimeout or before ctx ends.
 func (l *link) void(ctx context.Context, grant string) (wire.VoidResult, error) {
-	voidResult := make(chan wire.VoidResult, 1)
+	response := make(chan wire.VoidResult, 1)
 	defer l.removeVoid(grant)
-	if !l.sendVoid(grant, voidResult) {
+	if !l.sendVoid(grant, response) {
 		return "", ErrNoResponse
 	}
 	ctx, cancel := context.WithTimeout(ctx, voidTimeout)
 	defer cancel()
 	select {
-	case result, ok := <-voidResult:
+	case result, ok := <-response:
 		if !ok {
 			return "", ErrNoResponse
 		}
@@ -45,20 +47,20 @@
 	}
 }
 
-// sendVoid sends a Void and registers result for its result; false if it could
-// not be sent.
-func (l *link) sendVoid(grant string, result chan wire.VoidResult) bool {
+// sendVoid sends a Void and registers the channel that receives its response. It
+// returns false if the Void could not be sent.
+func (l *link) sendVoid(grant string, response chan wire.VoidResult) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn == nil {
 		return false
 	}
-	l.pendingVoids[grant] = result
+	l.pendingVoids[grant] = response
 	return l.conn.Send(wire.Message{Void: &wire.Void{GrantID: grant}}) == nil
 }
 
-// removeVoid ends the wait for a response, also if none arrived: a link with a
-// pending void is monitored at watchUrgent.
+// removeVoid removes a pending Void. An unanswered Void must be removed as well:
+// as long as it is pending, the connection is monitored at watchUrgent.
 func (l *link) removeVoid(grant string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/entry/leader_tasks.go
+++ b/internal/entry/leader_tasks.go
@@ -18,12 +18,13 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// orderInterval is how often the leader checks whether an engine should load another
-// model.
+// orderInterval is how often the leader checks whether a backend server should load
+// another model.
 const orderInterval = time.Second
 
 // leaderTasks are the tasks that one entry at a time runs for the whole fleet while it
-// holds a lease: it removes expired idempotency claims and orders engines to load models.
+// holds a lease: it removes expired idempotency claims and orders backend servers to load
+// models.
 type leaderTasks struct {
 	targets  *targets.Cache
 	fleet    *fleet.Fleet
@@ -35,8 +36,8 @@
 	knownModels knownModels
 }
 
-// runLeaderTasks competes for the lease and runs the tasks while it holds it, until ctx
-// is cancelled.
+// runLeaderTasks competes for the lease and runs the tasks while this entry holds it,
+// until ctx is cancelled.
 func (e *entry) runLeaderTasks(ctx context.Context) {
 	t := &leaderTasks{
 		targets:  e.targets,
@@ -62,6 +63,8 @@
 	return ctx.Err()
 }
 
+// runModelMover checks every orderInterval whether a backend server should load another
+// model, and issues the order.
 func (t *leaderTasks) runModelMover(ctx context.Context, leaderLease *lease.Lease) {
 	mover := policy.NewModelMover()
 	ticker := time.NewTicker(orderInterval)
@@ -72,7 +75,7 @@
 			return
 		case now := <-ticker.C:
 			t.updateKnownModels()
-			if move, ok := mover.Next(now, t.knownModels.filter(t.configuredModels()), t.availableEngines()); ok {
+			if move, ok := mover.Next(now, t.knownModels.filter(t.configuredModels()), t.availableBackendServers()); ok {
 				t.orderModelLoad(ctx, leaderLease, move)
 			}
 		}
@@ -92,9 +95,9 @@
 // agents serve. It runs only while this process holds the lease.
 func (t *leaderTasks) updateKnownModels() {
 	t.knownModels.add(t.fleet.Serves()...)
-	for _, v := range t.fleet.Agents() {
-		if v.Serves != "" {
-			t.knownModels.add(v.Serves)
+	for _, agent := range t.fleet.Agents() {
+		if agent.Serves != "" {
+			t.knownModels.add(agent.Serves)
 		}
 	}
 }
@@ -112,15 +115,15 @@
 	return slices.Compact(models)
 }
 
-// availableEngines returns the connected engines that can load a model. An entry connects
-// to at most 24 engines of each model; if none of those is connected, the model counts as
-// not served.
-func (t *leaderTasks) availableEngines() []policy.ModelEngine {
-	var engines []policy.ModelEngine
-	for _, v := range t.fleet.Agents() {
-		if v.Connected && !v.Draining && !v.BackendServerDown && v.CanLoadModels {
-			engines = append(engines, policy.ModelEngine{Name: v.VM.Name, Model: v.Serves, ActiveRequests: v.Waiting + v.Running})
+// availableBackendServers returns the connected backend servers that can load a model. An
+// entry connects to the agents of at most 24 backend servers of each model; if none of
+// those is connected, the model counts as not served.
+func (t *leaderTasks) availableBackendServers() []policy.ModelEngine {
+	var servers []policy.ModelEngine
+	for _, agent := range t.fleet.Agents() {
+		if agent.Connected && !agent.Draining && !agent.BackendServerDown && agent.CanLoadModels {
+			servers = append(servers, policy.ModelEngine{Name: agent.VM.Name, Model: agent.Serves, ActiveRequests: agent.Waiting + agent.Running})
 		}
 	}
-	return engines
+	return servers
 }
