--- a/internal/entry/api/api.go
+++ b/internal/entry/api/api.go
@@ -131,7 +131,7 @@
 // handleMethodNotAllowed responds to a known path with an unsupported method; the router
 // has already set the Allow header.
 func handleMethodNotAllowed(w http.ResponseWriter, r *http.Request) {
-	refuseWithoutBody(w, r, apiError{status: http.StatusMethodNotAllowed, code: "method_not_allowed", message: "the path does not support this method; see docs/API.md"})
+	refuseWithoutBody(w, r, apiError{status: http.StatusMethodNotAllowed, code: "method_not_allowed", message: "the path doesn't take the method; see docs/API.md"})
 }
 
 // refuseWithoutBody writes an error response without waiting for the request body: a
--- a/internal/entry/api/buffered_response.go
+++ b/internal/entry/api/buffered_response.go
@@ -112,7 +112,7 @@
 	}
 	data, err := json.Marshal(b.completion)
 	if err != nil {
-		writeError(b.w, apiError{status: http.StatusInternalServerError, code: "internal", message: "the response could not be encoded"})
+		writeError(b.w, apiError{status: http.StatusInternalServerError, code: "internal", message: "the answer could not be encoded"})
 		return
 	}
 	_ = http.NewResponseController(b.w).SetWriteDeadline(time.Now().Add(writeTimeout))
--- a/internal/entry/api/claims.go
+++ b/internal/entry/api/claims.go
@@ -104,7 +104,7 @@
 		a.endWithoutDispatch(w, req, apiError{
 			status:  http.StatusConflict,
 			code:    "already_run",
-			message: "a call with this idempotency key has run; its response is not available",
+			message: "a call with this idempotency key has run; its answer is no longer there",
 			outcome: dispatch.Unknown,
 		})
 		return
@@ -131,7 +131,7 @@
 	return apiError{
 		status:     http.StatusConflict,
 		code:       "in_progress",
-		message:    "a call with this idempotency key has started and may still be running",
+		message:    "a call with this idempotency key has started and was not ended yet, as far as is known",
 		outcome:    dispatch.Unknown,
 		retryAfter: inProgressRetryAfter,
 	}
