--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -131,7 +131,7 @@
 			failures = 0
 		}
 		up := cancelled && failures < maxProbeFailures
-		a.dispatcher.setEngineUp(up)
+		a.dispatcher.setBackendUp(up)
 		a.logBackendState(wasUp, up, err)
 		wasUp = up
 		select {
@@ -219,7 +219,7 @@
 	}
 }
 
-func (a *Agent) connOptions() wire.Config {
+func (a *Agent) connConfig() wire.Config {
 	version := func() uint64 { return a.targets.Current().Version }
 	return wire.Config{Clock: &a.clock, TargetsVersion: version, Traffic: a.metrics.Control}
 }
--- a/internal/agent/dispatcher.go
+++ b/internal/agent/dispatcher.go
@@ -41,7 +41,7 @@
 	sessionSeq uint64
 	grantSeq   uint64
 	draining   bool
-	engineUp   bool
+	backendUp  bool
 	// served is the model or service that is served now; switching is set
 	// while the engine loads another model.
 	served    string
--- a/internal/agent/dispatcher_grants.go
+++ b/internal/agent/dispatcher_grants.go
@@ -58,7 +58,7 @@
 		tier:      int(t.policy.Tier),
 		issuedAt:  now,
 		state:     grantIssued,
-		cancel:    make(chan struct{}),
+		preempted: make(chan struct{}),
 	}
 	d.grants.addIssued(g)
 	d.events.Record(timeline.KindGrant, t.requestID, t.policy.Class, "")
@@ -70,7 +70,7 @@
 
 func (d *dispatcher) preemptRun(ticketID string) {
 	if g, ok := d.grants.running[ticketID]; ok {
-		g.cancelOnce.Do(func() { close(g.cancel) })
+		g.preemptOnce.Do(func() { close(g.preempted) })
 		d.events.Record(timeline.KindPreempt, g.requestID, g.class, "")
 	}
 }
--- a/internal/agent/dispatcher_state.go
+++ b/internal/agent/dispatcher_state.go
@@ -17,7 +17,7 @@
 	if d.draining {
 		return wire.ReasonDraining, true
 	}
-	if !d.engineUp {
+	if !d.backendUp {
 		return wire.ReasonEngineDown, true
 	}
 	if d.switching {
@@ -40,15 +40,15 @@
 	d.signalIfDrained()
 }
 
-// setEngineUp records whether the backend server is reachable. When it goes
+// setBackendUp records whether the backend server is reachable. When it goes
 // down, all waiting tickets are refused.
-func (d *dispatcher) setEngineUp(up bool) {
+func (d *dispatcher) setBackendUp(up bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if up == d.engineUp {
+	if up == d.backendUp {
 		return
 	}
-	d.engineUp = up
+	d.backendUp = up
 	if !up {
 		d.refuseWaiting(wire.ReasonEngineDown)
 	}
@@ -88,6 +88,6 @@
 		Running:    load.Running,
 		Limit:      load.Limit,
 		Draining:   d.draining,
-		EngineDown: !d.engineUp || d.switching,
+		EngineDown: !d.backendUp || d.switching,
 	}
 }
--- a/internal/agent/dispatcher_test.go
+++ b/internal/agent/dispatcher_test.go
@@ -44,7 +44,7 @@
 
 func newTestDispatcher() (*dispatcher, *session, *recordingSender) {
 	d := newDispatcher("incarnation", "model", timeline.NewRing("agent", &timeline.Clock{}, 64), targets.NewCache(), metrics.New().Queue)
-	d.setEngineUp(true)
+	d.setBackendUp(true)
 	sender := &recordingSender{}
 	s := &session{conn: sender}
 	d.addSession(s, testHello)
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestGrantOfEarlierIncarnationIsUnknown(t *testing.T) {
+func TestGrantOfEarlierInstanceIsUnknown(t *testing.T) {
 	d, _, _ := newTestDispatcher()
 	if result := d.voidGrant("earlier-1"); result != wire.VoidUnknown {
 		t.Fatalf("void: got %q", result)
--- a/internal/agent/grant.go
+++ b/internal/agent/grant.go
@@ -33,7 +33,7 @@
 	// streaming is set when the first token has been received.
 	streaming bool
 
-	// cancel is closed to preempt the run.
-	cancel     chan struct{}
-	cancelOnce sync.Once
+	// preempted is closed to preempt the run.
+	preempted   chan struct{}
+	preemptOnce sync.Once
 }
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -113,7 +113,7 @@
 		case result = <-results:
 		case <-heartbeat.C:
 			result, received = pollResult(results)
-		case <-r.grant.cancel:
+		case <-r.grant.preempted:
 			_ = r.out.Write(wire.Frame{Kind: wire.FrameFail, Fail: wire.FailPreempted})
 			return policy.OutcomeCancelled
 		case <-ctx.Done():
--- a/internal/agent/run_test.go
+++ b/internal/agent/run_test.go
@@ -47,7 +47,7 @@
 		Backend:  settings.Backend{Kind: settings.BackendEngine, ServedName: "model", URL: "http://127.0.0.1:1"},
 	}, "key", zap.NewNop())
 	a.engine = e
-	a.dispatcher.setEngineUp(true)
+	a.dispatcher.setBackendUp(true)
 	sender := &recordingSender{}
 	s := &session{agent: a, conn: sender}
 	a.dispatcher.addSession(s, a.newHello)
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -25,10 +25,10 @@
 const (
 	// headerTimeout bounds the reading of a request's header.
 	headerTimeout = 10 * time.Second
-	// idleTimeout is the time after which an idle connection for run requests
+	// connIdleTimeout is the time after which an idle connection for run requests
 	// is closed. It is longer than the entry's own idle timeout, so that the
 	// entry closes the connection first.
-	idleTimeout = time.Minute
+	connIdleTimeout = time.Minute
 )
 
 // Serve runs an agent until ctx ends and then shuts it down gracefully: it
@@ -48,7 +48,7 @@
 
 func (a *Agent) serve(ctx context.Context, listener net.Listener) error {
 	workCtx, cancelWork := context.WithCancel(context.WithoutCancel(ctx))
-	server := &http.Server{Handler: a.routes(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+	server := &http.Server{Handler: a.routes(), ReadHeaderTimeout: headerTimeout, IdleTimeout: connIdleTimeout}
 	var wg conc.WaitGroup
 	wg.Go(func() { a.Run(workCtx) })
 	wg.Go(func() { _ = server.Serve(listener) })
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -28,7 +28,7 @@
 
 // serveConnect handles the control connection of an entry until it ends.
 func (a *Agent) serveConnect(w http.ResponseWriter, r *http.Request) {
-	conn, err := wire.Accept(w, r, a.connOptions())
+	conn, err := wire.Accept(w, r, a.connConfig())
 	if err != nil {
 		return
 	}
--- a/internal/agent/ticket.go
+++ b/internal/agent/ticket.go
@@ -24,7 +24,7 @@
 // newTicket returns the ticket for the message m. The tier and the latency
 // targets come from desired, the newest targets known to the agent, so that a
 // change applies even if the entry has not yet received it.
-func newTicket(now time.Time, s *session, m *wire.Ticket, desired *targets.Set) *ticket {
+func newTicket(now time.Time, s *session, m *wire.Ticket, current *targets.Set) *ticket {
 	t := policy.Ticket{
 		ID:                ticketID(m.RequestID, m.Attempt),
 		Class:             m.Class,
@@ -39,7 +39,7 @@
 
 		Preemptible: m.Preemptible,
 	}
-	if c, ok := desired.Class(m.Class); ok {
+	if c, ok := current.Class(m.Class); ok {
 		t.Tier = policy.Tier(c.Tier)
 		t.FirstToken = c.FirstToken
 		t.BetweenTokens = c.BetweenTokens
--- a/internal/claim/claimer.go
+++ b/internal/claim/claimer.go
@@ -10,9 +10,9 @@
 	"github.com/applepier/applepier/internal/storage"
 )
 
-// maxClaimAttempts bounds how often Claim tries a key that others claim and release
+// maxClaimTries bounds how often Claim tries a key that others claim and release
 // concurrently.
-const maxClaimAttempts = 4
+const maxClaimTries = 4
 
 // errContended is the cause of ErrUnavailable after maxClaimAttempts conflicts on a
 // key.
@@ -43,7 +43,7 @@
 func (c *Claimer) Claim(ctx context.Context, customer, key, fingerprint, attempt string) (Claim, error) {
 	row := rowKey(customer, key)
 	t := &transition{row: row, next: newRecord(fingerprint, attempt)}
-	for range maxClaimAttempts {
+	for range maxClaimTries {
 		claim, err := c.advance(ctx, t)
 		conflict, isConflict := errors.Into[*ConflictError](err)
 		if !isConflict {
--- a/internal/claim/claimer_test.go
+++ b/internal/claim/claimer_test.go
@@ -254,7 +254,7 @@
 
 // A write whose reply was lost just before an outage may have been applied, so the
 // error must not be ErrUnavailable, which means that nothing was written.
-func TestOutageAfterLostReplyReportsOutcomeUnknown(t *testing.T) {
+func TestOutageAfterLostResponseReportsOutcomeUnknown(t *testing.T) {
 	for _, fault := range []storagetest.Fault{storagetest.FaultResponseLost, storagetest.FaultDelayed} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storagetest.NewTable()
--- a/internal/claim/sweeper_test.go
+++ b/internal/claim/sweeper_test.go
@@ -53,16 +53,16 @@
 
 func TestSweepStopsWhenLeaseIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asked := 0
+		checks := 0
 		err := NewSweeper(storagetest.NewTable(), nil).Run(context.Background(), func() error {
-			asked++
-			if asked > 3 {
+			checks++
+			if checks > 3 {
 				return errNotHeld
 			}
 			return nil
 		})
-		if !errors.Is(err, errNotHeld) || asked != 4 {
-			t.Fatalf("got %v after %d checks", err, asked)
+		if !errors.Is(err, errNotHeld) || checks != 4 {
+			t.Fatalf("got %v after %d checks", err, checks)
 		}
 	})
 }
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestStreamWithoutDoneMarkerIsTruncated(t *testing.T) {
+func TestIncompleteStreamReturnsErrTruncated(t *testing.T) {
 	const token = `data: {"choices":[{"delta":{"content":"x"}}]}` + "\n\n"
 	streams := map[string]string{
 		"connection closed":     token,
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestConnEndsForBothSides(t *testing.T) {
+func TestConnClosedByPeerReturnsErrClosed(t *testing.T) {
 	entry, agent := connectPair(t)
 	agent.CloseNow()
 	if _, err := entry.Receive(context.Background()); !errors.Is(err, ErrClosed) {
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestFrameReaderReportsMissingEndFrame(t *testing.T) {
+func TestFrameReaderReturnsErrTruncatedAtEndOfStream(t *testing.T) {
 	var stream bytes.Buffer
 	enc := cbor.NewEncoder(&stream)
 	for _, f := range []Frame{{Kind: FrameData, Data: []byte("a"), Tokens: 1}, {Kind: FrameEnd}} {
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestFrameReaderReportsPartialFrame(t *testing.T) {
+func TestFrameReaderReturnsErrTruncatedForPartialFrame(t *testing.T) {
 	data, err := cbor.Marshal(Frame{Kind: FrameData, Data: []byte("some text")})
 	if err != nil {
 		t.Fatal(err)
