--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -155,6 +155,9 @@
 	}
 }
 
+// probe checks whether the backend server responds. As long as *cancelled is
+// false, it first cancels the engine's runs from an earlier instance and sets
+// *cancelled on success; a plain service has no such runs.
 func (a *Agent) probe(ctx context.Context, cancelled *bool) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -206,7 +209,8 @@
 }
 
 // broadcastTargetChanges sends all entries a message with the new version
-// whenever the agent's targets change. Each message carries the version.
+// whenever the agent's targets change. The message is empty, because every
+// message carries the version.
 func (a *Agent) broadcastTargetChanges(ctx context.Context) {
 	for {
 		changed := a.targets.Changed()
--- a/internal/agent/dispatcher.go
+++ b/internal/agent/dispatcher.go
@@ -48,7 +48,9 @@
 	switching bool
 
 	// wake tells runTimers that the next decision may be due earlier.
-	wake      chan struct{}
+	wake chan struct{}
+	// drained is closed, by drainOnce, when the agent is draining and no grant is
+	// issued or running.
 	drainOnce sync.Once
 	drained   chan struct{}
 }
--- a/internal/agent/dispatcher_grants.go
+++ b/internal/agent/dispatcher_grants.go
@@ -33,7 +33,7 @@
 	d.wakeTimer()
 }
 
-// wakeTimer makes runTimers compute again when the next decision is due.
+// wakeTimer makes runTimers recompute the time of the next tick.
 func (d *dispatcher) wakeTimer() {
 	select {
 	case d.wake <- struct{}{}:
@@ -41,6 +41,8 @@
 	}
 }
 
+// issueGrant issues the grant for a ticket that the scheduler selected and sends
+// it to the ticket's session. Called with mu held.
 func (d *dispatcher) issueGrant(now time.Time, next policy.Ticket) {
 	t, ok := d.tickets[next.ID]
 	if !ok {
@@ -68,6 +70,8 @@
 	})
 }
 
+// preemptRun stops the run of a ticket, if it is still running. Called with mu
+// held.
 func (d *dispatcher) preemptRun(ticketID string) {
 	if g, ok := d.grants.running[ticketID]; ok {
 		g.preemptOnce.Do(func() { close(g.preempted) })
@@ -84,9 +88,9 @@
 	d.signalIfDrained()
 }
 
-// voidGrant makes an issued grant unusable. It returns VoidStarted if the grant
-// was used, and VoidUnknown for a grant that is no longer kept or was issued by
-// another instance.
+// voidGrant makes an issued grant unusable. It returns VoidDone if the grant can
+// no longer be used, VoidStarted if it was used, and VoidUnknown if it was
+// issued by another instance or ended more than grantRetention ago.
 func (d *dispatcher) voidGrant(grantID string) wire.VoidResult {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/agent/dispatcher_state.go
+++ b/internal/agent/dispatcher_state.go
@@ -78,8 +78,8 @@
 	return d.statusLocked(seq)
 }
 
-// statusLocked returns the status; seq is zero when it answers no Ping. Called
-// with mu held.
+// statusLocked returns the status with the number of the Ping that it answers, or
+// zero if it answers none. Called with mu held.
 func (d *dispatcher) statusLocked(seq uint64) *wire.Status {
 	load := d.scheduler.Load()
 	return &wire.Status{
--- a/internal/agent/dispatcher_test.go
+++ b/internal/agent/dispatcher_test.go
@@ -43,7 +43,7 @@
 }
 
 func newTestDispatcher() (*dispatcher, *session, *recordingSender) {
-	d := newDispatcher("incarnation", "model", timeline.NewRing("agent", &timeline.Clock{}, 64), targets.NewCache(), metrics.New().Queue)
+	d := newDispatcher("instance", "model", timeline.NewRing("agent", &timeline.Clock{}, 64), targets.NewCache(), metrics.New().Queue)
 	d.setBackendUp(true)
 	sender := &recordingSender{}
 	s := &session{conn: sender}
--- a/internal/agent/dispatcher_tickets.go
+++ b/internal/agent/dispatcher_tickets.go
@@ -55,6 +55,7 @@
 
 // admit offers the ticket to the scheduler and reports whether it was admitted.
 // It refuses the ticket otherwise, and evicts the tickets that it displaces.
+// Called with mu held.
 func (d *dispatcher) admit(now time.Time, s *session, t *ticket) bool {
 	decision := d.scheduler.Offer(now, t.policy)
 	for _, id := range decision.Displaced {
@@ -71,7 +72,8 @@
 	return false
 }
 
-// evict refuses a waiting ticket that was displaced by a more urgent one.
+// evict refuses a waiting ticket that was displaced by a more urgent one. Called
+// with mu held.
 func (d *dispatcher) evict(now time.Time, id string) {
 	t, ok := d.tickets[id]
 	if !ok {
@@ -81,6 +83,8 @@
 	d.refuse(t.session, t.requestID, t.attempt, wire.ReasonQueueFull, d.scheduler.RetryAfter(now, t.policy.Tier))
 }
 
+// refuse sends a refusal and the status to the ticket's session. Called with mu
+// held.
 func (d *dispatcher) refuse(s *session, requestID string, attempt int, reason wire.Reason, retryAfter time.Duration) {
 	d.events.Record(timeline.KindRefusal, requestID, "", string(reason))
 	s.send(wire.Message{
@@ -119,6 +123,7 @@
 }
 
 // expireTickets refuses the tickets that waited longer than the policy allows.
+// Called with mu held.
 func (d *dispatcher) expireTickets(now time.Time) {
 	for _, id := range d.scheduler.Expire(now) {
 		t, ok := d.tickets[id]
--- a/internal/agent/grant.go
+++ b/internal/agent/grant.go
@@ -9,12 +9,12 @@
 type grantState int
 
 const (
-	// grantIssued means sent to the entry and not yet used.
+	// grantIssued means that the grant was sent to the entry and not yet used.
 	grantIssued grantState = iota
 	// grantUsed means that the run has started and may have ended.
 	grantUsed
-	// grantExpired means not used in time, declined or voided. The grant can
-	// never be used.
+	// grantExpired means that the grant was not used in time, was declined or
+	// was voided. It can never be used.
 	grantExpired
 )
 
@@ -33,7 +33,7 @@
 	// streaming is set when the first token has been received.
 	streaming bool
 
-	// preempted is closed to preempt the run.
+	// preempted is closed, by preemptOnce, to preempt the run.
 	preempted   chan struct{}
 	preemptOnce sync.Once
 }
--- a/internal/agent/idle_timeouts.go
+++ b/internal/agent/idle_timeouts.go
@@ -10,9 +10,9 @@
 	next  time.Duration
 }
 
-// engineIdleTimeouts are the timeouts of an engine. The slowest engine that a
-// target would allow prefills a long prompt within half a minute. Five seconds
-// is a hundred times the slowest interval between tokens.
+// engineIdleTimeouts are the timeouts of an engine. The slowest engine that can
+// meet a latency target prefills a long prompt within half a minute. Five
+// seconds is a hundred times the longest interval between two tokens.
 var engineIdleTimeouts = idleTimeouts{first: 30 * time.Second, next: 5 * time.Second}
 
 // serviceIdleTimeouts are the timeouts of a plain service. They are longer
--- a/internal/agent/model_switch.go
+++ b/internal/agent/model_switch.go
@@ -20,7 +20,8 @@
 )
 
 // executeOrders executes the orders for this VM's agent until ctx ends. The
-// guard rejects stale fencing tokens, also for an engine that ignores them.
+// guard rejects orders with a stale fencing token, because an engine may ignore
+// the token.
 func (a *Agent) executeOrders(ctx context.Context) {
 	if a.engine == nil {
 		return
@@ -86,7 +87,8 @@
 	d.broadcastLocked(wire.Message{Status: d.statusLocked(0)})
 }
 
-// endModelSwitch resumes grants and tells all entries what is served now.
+// endModelSwitch allows grants again and notifies all entries of the model that is
+// served now.
 func (d *dispatcher) endModelSwitch(served string, newHello func(served string) *wire.Hello) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/agent/routes.go
+++ b/internal/agent/routes.go
@@ -44,9 +44,9 @@
 }
 
 // pollVMList reads the VM list periodically until ctx ends. While the platform
-// is down, the agent keeps the last list. If the agent's targets are outdated
-// because a peer has not responded to a request for newer ones, pollVMList asks all
-// entries again.
+// is down, the agent keeps the last list. If an entry has announced newer
+// targets that the agent has not received, pollVMList sends the agent's version to
+// all entries, so that one of them announces the newer version again.
 func (a *Agent) pollVMList(ctx context.Context) {
 	ticker := time.NewTicker(vmListInterval)
 	defer ticker.Stop()
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -164,6 +164,8 @@
 	}
 }
 
+// finish writes FrameEnd if err is io.EOF, and reports the failure err otherwise.
+// It returns the outcome of the run.
 func (r *run) finish(ctx context.Context, err error) policy.Outcome {
 	if !errors.Is(err, io.EOF) {
 		return r.fail(ctx, wire.FailInterrupted, err)
@@ -182,6 +184,8 @@
 	return engineIdleTimeouts
 }
 
+// startFailKind returns the failure kind for the error of a run that could not be
+// started.
 func startFailKind(err error) wire.FailKind {
 	var rejected *engine.RejectedError
 	switch {
@@ -194,6 +198,9 @@
 	}
 }
 
+// fail writes a FrameFail of the given kind, unless ctx has ended because the
+// entry disconnected, and returns the outcome of the run. A run that the engine
+// rejected counts as cancelled, not as failed.
 func (r *run) fail(ctx context.Context, kind wire.FailKind, err error) policy.Outcome {
 	if ctx.Err() != nil {
 		return policy.OutcomeCancelled
--- a/internal/agent/run_test.go
+++ b/internal/agent/run_test.go
@@ -37,8 +37,8 @@
 
 func (emptyStream) Close() error { return nil }
 
-// newTestAgent returns a server for run requests to an agent of the engine e,
-// and an issued grant.
+// newTestAgent returns a server for run requests to an agent with the engine e,
+// and a grant that the agent has issued.
 func newTestAgent(t testing.TB, e engine.Engine) (*httptest.Server, *wire.Grant) {
 	t.Helper()
 	a := New(settings.Agent{
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -22,7 +22,7 @@
 type sender interface {
 	// Send queues a message without blocking.
 	Send(m wire.Message) error
-	// End closes the connection.
+	// CloseNow closes the connection without a closing handshake.
 	CloseNow()
 }
 
--- a/internal/agent/ticket.go
+++ b/internal/agent/ticket.go
@@ -17,12 +17,14 @@
 	attempt   int
 }
 
+// ticketID returns the ID of one attempt to run a request. It identifies both
+// the ticket and the run.
 func ticketID(requestID string, attempt int) string {
 	return fmt.Sprintf("%s#%d", requestID, attempt)
 }
 
 // newTicket returns the ticket for the message m. The tier and the latency
-// targets come from desired, the newest targets known to the agent, so that a
+// targets come from current, the newest targets known to the agent, so that a
 // change applies even if the entry has not yet received it.
 func newTicket(now time.Time, s *session, m *wire.Ticket, current *targets.Set) *ticket {
 	t := policy.Ticket{
