--- a/internal/engine/body.go
+++ b/internal/engine/body.go
@@ -10,7 +10,7 @@
 
 // streamingBody returns the request body with streaming and the usage chunk
 // enabled, whatever the caller set. For a body that is not a JSON object it
-// returns the RejectedError that the engine would cause.
+// returns a RejectedError with status 400, as an engine would.
 func streamingBody(body []byte) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil || fields == nil {
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -79,7 +79,7 @@
 	return c.call(ctx, c.controlClient, http.MethodPost, path, nil, nil)
 }
 
-// Running implements Engine.
+// RunIDs implements Engine.
 func (c *Client) RunIDs(ctx context.Context) ([]string, error) {
 	var list RunList
 	if err := c.call(ctx, c.controlClient, http.MethodGet, pathRuns, nil, &list); err != nil {
@@ -95,7 +95,7 @@
 	return load, err
 }
 
-// Order implements Engine.
+// SendOrder implements Engine.
 func (c *Client) SendOrder(ctx context.Context, order Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -105,7 +105,8 @@
 }
 
 // call makes one control call and decodes the response into result unless it is
-// nil. Status 409 is ErrStaleFencingToken.
+// nil. It returns ErrStaleFencingToken for status 409, and otherwise the errors of
+// startError and statusError.
 func (c *Client) call(ctx context.Context, client *http.Client, method, path string, body []byte, result any) error {
 	var trace connectTrace
 	req, err := http.NewRequestWithContext(trace.attach(ctx), method, c.baseURL+path, bytes.NewReader(body))
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -64,6 +64,8 @@
 	}
 }
 
+// A stream that breaks off or contains an error or malformed event must not be taken
+// for a complete response, even if the done marker follows.
 func TestIncompleteStreamReturnsErrTruncated(t *testing.T) {
 	const token = `data: {"choices":[{"delta":{"content":"x"}}]}` + "\n\n"
 	streams := map[string]string{
@@ -128,8 +130,9 @@
 	}
 }
 
-// The service answers the first call and aborts the connection of each further
-// one. On a reused connection net/http would resend the idempotent second call.
+// Guards against a service call that runs twice: if the client reused the first
+// call's connection and the service aborted it, net/http would resend the second
+// call, because it is idempotent. The service here aborts each call after the first.
 func TestServiceCallIsNeverResent(t *testing.T) {
 	var requests atomic.Int32
 	url := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -11,11 +11,11 @@
 	"github.com/go-faster/errors"
 )
 
-// Errors of an engine.
+// Errors of calls to a backend server.
 var (
 	// ErrUnreachable means that the backend server did not receive the call,
 	// so the run has not started.
-	ErrUnreachable = errors.New("engine is unreachable")
+	ErrUnreachable = errors.New("backend server is unreachable")
 	// ErrTruncated means that the stream ended without the engine's done marker.
 	ErrTruncated = errors.New("engine stream ended without its done marker")
 	// ErrStaleFencingToken means that the engine refused an order because it
--- a/internal/engine/errors.go
+++ b/internal/engine/errors.go
@@ -8,8 +8,8 @@
 )
 
 // startError converts a transport error. It returns ErrUnreachable when no
-// connection was made, and otherwise an error that leaves open whether the call
-// took effect.
+// connection was made. After any other error it is unknown whether the call took
+// effect.
 func startError(trace *connectTrace, err error) error {
 	if !trace.connected.Load() {
 		return errors.Wrap(ErrUnreachable, err.Error())
