--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -16,7 +16,7 @@
 // request header has been read.
 //
 // Only the reading goroutine ends an idle period: the end is a read deadline, and after
-// it has passed the connection is read for idleGrace more before it counts as expired.
+// it has passed the connection is read for another idleGrace before it is closed.
 // If another goroutine closed the connection, it could do so under a request that has
 // just been read and passed to the handler.
 type Conn struct {
@@ -29,7 +29,7 @@
 	// last one.
 	idleSince time.Time
 	idleTime  time.Duration
-	// inGrace is set while the connection is read once more after its idle deadline.
+	// inGrace is set during the grace period, idleGrace, after the idle deadline.
 	inGrace bool
 	// draining is set when the process stops: idle periods end at once.
 	draining bool
--- a/internal/callers/partial_read_test.go
+++ b/internal/callers/partial_read_test.go
@@ -11,8 +11,8 @@
 	"go.uber.org/zap"
 )
 
-// A request header may arrive in pieces of any size, including sizes after which
-// net/http reads a single byte, as it does in its background read.
+// A request header may arrive in pieces of any size. After some sizes net/http reads a
+// single byte of the header, which must not be taken for its background read.
 func TestFragmentedHeaderIsServed(t *testing.T) {
 	long := "GET /" + strings.Repeat("a", 4200) + " HTTP/1.1\r\nHost: h.example\r\n\r\n"
 	for _, first := range []int{1, 3, 4, 4094, 4095, 4096, 4097} {
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -21,14 +21,14 @@
 	// idleMargin is how much longer than the idle timeout a connection stays open, so
 	// that the request of a caller that keeps to the timeout doesn't cross the close.
 	idleMargin = time.Second
-	// idleGrace is how long a connection is read once more after its idle deadline.
-	// Bytes that have arrived are read at once; the time is for a process that is not
-	// scheduled between setting the deadline and reading: a VM with a small share of a
-	// core gets none for up to 100 ms.
+	// idleGrace is the grace period during which a connection is still read after its
+	// idle deadline. Bytes that have arrived are read at once. The period allows for a
+	// process that is not scheduled between setting the deadline and reading; a VM with
+	// a small share of a core may get no CPU time for up to 100 ms.
 	idleGrace = 250 * time.Millisecond
 	// firstRequestTimeout bounds the wait for the first byte on a connection that was
-	// opened just before a drain. Requests accepted later would be aborted at the end
-	// of a short grace period.
+	// opened just before a drain. A request accepted later could still be in progress
+	// when a short drain times out, and would then be aborted.
 	firstRequestTimeout = 250 * time.Millisecond
 )
 
--- a/internal/callers/server_test.go
+++ b/internal/callers/server_test.go
@@ -233,6 +233,8 @@
 	})
 }
 
+// A drain closes idle connections, waits for requests in progress, and serves the first
+// request on a connection that was opened just before.
 func TestDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, delayHandler, zap.NewNop())
@@ -272,7 +274,7 @@
 }
 
 // A request in progress at a drain finishes, and no further request is accepted on its
-// connection: one accepted late would be aborted at the end of the grace period.
+// connection: one accepted late would be aborted when the drain times out.
 func TestDrainServesNoFurtherRequests(t *testing.T) {
 	for name, pipelined := range map[string]string{"sent after the response": "", "pipelined with the request": simpleGet} {
 		t.Run(name, func(t *testing.T) {
