--- a/internal/claim/batch.go
+++ b/internal/claim/batch.go
@@ -84,8 +84,8 @@
 }
 
 // retryAfterConflict completes the conflicting transitions and commits the rest
-// without backoff, because their callers did not cause the conflict. Without progress
-// it returns conflict.
+// without backoff, because their callers did not cause the conflict. If no
+// transition could be completed, it returns conflict.
 func (b *batch) retryAfterConflict(ctx context.Context, conflict error) error {
 	previous := len(b.transitions)
 	err := b.readBack(ctx, conflict)
--- a/internal/claim/claimer.go
+++ b/internal/claim/claimer.go
@@ -30,7 +30,8 @@
 	return &Claimer{table: table, committer: committer{table: table}}
 }
 
-// Close waits for the writes in flight. The Claimer must not be used afterwards.
+// Close waits until the outcome of every queued transition is reported. The Claimer
+// must not be used afterwards.
 func (c *Claimer) Close() {
 	c.committer.wait()
 }
--- a/internal/claim/claimer_test.go
+++ b/internal/claim/claimer_test.go
@@ -115,12 +115,12 @@
 // Exactly one of many concurrent attempts claims the key, under every commit fault.
 func TestExactlyOneConcurrentAttemptClaimsKey(t *testing.T) {
 	faults := map[string][]storagetest.Fault{
-		"none":    nil,
-		"lost":    {storagetest.FaultResponseLost},
-		"dropped": {storagetest.FaultRequestLost},
-		"late":    {storagetest.FaultDelayed},
-		"outage":  {storagetest.FaultRequestLost, storagetest.FaultRequestLost, storagetest.FaultResponseLost},
-		"several": {storagetest.FaultResponseLost, storagetest.FaultDelayed, storagetest.FaultRequestLost, storagetest.FaultResponseLost},
+		"none":          nil,
+		"response lost": {storagetest.FaultResponseLost},
+		"request lost":  {storagetest.FaultRequestLost},
+		"delayed":       {storagetest.FaultDelayed},
+		"outage":        {storagetest.FaultRequestLost, storagetest.FaultRequestLost, storagetest.FaultResponseLost},
+		"several":       {storagetest.FaultResponseLost, storagetest.FaultDelayed, storagetest.FaultRequestLost, storagetest.FaultResponseLost},
 	}
 	for name, faults := range faults {
 		t.Run(name, func(t *testing.T) {
@@ -252,7 +252,7 @@
 	})
 }
 
-// A write whose reply was lost just before an outage may have been applied, so the
+// A write whose response was lost just before an outage may have been applied, so the
 // error must not be ErrUnavailable, which means that nothing was written.
 func TestOutageAfterLostResponseReportsOutcomeUnknown(t *testing.T) {
 	for _, fault := range []storagetest.Fault{storagetest.FaultResponseLost, storagetest.FaultDelayed} {
--- a/internal/claim/committer.go
+++ b/internal/claim/committer.go
@@ -30,6 +30,8 @@
 	table   storage.Table
 	workers conc.WaitGroup
 
+	// mu guards pending, the queue, and inFlight, the number of running workers. Each
+	// worker has at most one transaction in flight.
 	mu       sync.Mutex
 	pending  []*transition
 	inFlight int
--- a/internal/claim/sweeper_test.go
+++ b/internal/claim/sweeper_test.go
@@ -37,11 +37,11 @@
 		}
 		time.Sleep(Retention + MaxClockSkew)
 		if n := sweepAllShards(t, table); n != 0 {
-			t.Fatalf("removed %d claims within retention and margin", n)
+			t.Fatalf("removed %d claims before Retention and MaxClockSkew had passed", n)
 		}
 		time.Sleep(time.Second)
 		if n := sweepAllShards(t, table); n != 1 {
-			t.Fatalf("removed %d claims after retention and margin, want 1", n)
+			t.Fatalf("removed %d claims after Retention and MaxClockSkew, want 1", n)
 		}
 		rows, err := table.List(t.Context(), "")
 		if err != nil || len(rows) != 0 {
--- a/internal/claim/transition.go
+++ b/internal/claim/transition.go
@@ -19,7 +19,7 @@
 	// response is written in the same transaction if next.Outcome.ResponseStored.
 	response []byte
 	// result receives exactly one value. Its buffer of one keeps a batch from
-	// blocking on a caller that has left.
+	// blocking on a caller that no longer waits.
 	result chan result
 }
 
@@ -32,7 +32,7 @@
 }
 
 // errConflict means that the row does not have the expected WriteID.
-var errConflict = errors.New("row holds another write")
+var errConflict = errors.New("row was changed by another writer")
 
 // writes returns the writes of this transition for the transaction of a batch.
 func (t *transition) writes() ([]storage.Write, error) {
@@ -73,9 +73,9 @@
 	return true
 }
 
-// resolveAbsent is resolve for a row that does not exist. The first transition of a
-// claim has not been written yet; a later one conflicts with the Sweeper, which removed
-// the row.
+// resolveAbsent is resolve for a row that does not exist. A transition that
+// creates the row has not been written and stays in the batch. Any other one conflicts
+// with the Sweeper, which removed the row.
 func (t *transition) resolveAbsent() bool {
 	if t.expectedWriteID == "" {
 		return false
