--- a/internal/wire/bench_test.go
+++ b/internal/wire/bench_test.go
@@ -37,14 +37,14 @@
 			RequestID: benchRequestID, Attempt: 1, Class: "hazard-flag", Tier: 0, Customer: "customer-042",
 			SlackMS: 850, Size: 1200, PrefixHash: 0x9e3779b97f4a7c15, Copies: 2, Serves: "model-07",
 		}},
-		"withdraw": {Withdraw: &Withdraw{RequestID: benchRequestID, Attempt: 1}},
-		"grant":    {Grant: &Grant{RequestID: benchRequestID, Attempt: 1, ID: benchGrantID}, Status: status},
-		"refuse":   {Refuse: &Refuse{RequestID: benchRequestID, Attempt: 1, Reason: ReasonOverload, RetryAfterMS: 2500}, Status: status},
-		"ping":     {Ping: &Ping{Seq: 100_000}},
-		"status":   {Status: &Status{Seq: 100_000, Waiting: 12, Running: 8, Limit: 16}},
-		"version":  {},
-		"want_set": {GetTargets: &GetTargets{}},
-		"set":      {TargetSet: benchTargetSet()},
+		"withdraw":    {Withdraw: &Withdraw{RequestID: benchRequestID, Attempt: 1}},
+		"grant":       {Grant: &Grant{RequestID: benchRequestID, Attempt: 1, ID: benchGrantID}, Status: status},
+		"refuse":      {Refuse: &Refuse{RequestID: benchRequestID, Attempt: 1, Reason: ReasonOverload, RetryAfterMS: 2500}, Status: status},
+		"ping":        {Ping: &Ping{Seq: 100_000}},
+		"status":      {Status: &Status{Seq: 100_000, Waiting: 12, Running: 8, Limit: 16}},
+		"version":     {},
+		"get_targets": {GetTargets: &GetTargets{}},
+		"target_set":  {TargetSet: benchTargetSet()},
 	}
 	for name, m := range messages {
 		m.Stamp = stamp
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -30,11 +30,12 @@
 	GetTargets *GetTargets  `cbor:"20,keyasint,omitempty"`
 }
 
-// Hello is the first message on a connection, in both directions.
+// Hello is the first message on a connection, in both directions. An agent sends it
+// again at the end of a model switch.
 type Hello struct {
 	// Process is the name of the sender's VM.
 	Process string `cbor:"1,keyasint"`
-	// Instance identifies one run of the process.
+	// Instance is unique to each start of the process.
 	Instance string `cbor:"2,keyasint"`
 	// Zone is the sender's availability zone.
 	Zone string `cbor:"3,keyasint"`
@@ -86,8 +87,8 @@
 	Attempt   int    `cbor:"2,keyasint"`
 }
 
-// Grant offers a slot of the agent's engine to a ticket. It can be used once and
-// expires.
+// Grant permits the run of a ticket's request on the agent's backend server. It can be
+// used once and expires.
 type Grant struct {
 	RequestID string `cbor:"1,keyasint"`
 	Attempt   int    `cbor:"2,keyasint"`
@@ -108,7 +109,7 @@
 	ReasonQueueFull Reason = "queue_full"
 	// ReasonSwitching: the engine is loading another model or has done so.
 	ReasonSwitching Reason = "switching"
-	// ReasonEngineDown: the engine can't be reached.
+	// ReasonBackendServerDown: the backend server can't be reached.
 	ReasonEngineDown Reason = "engine_down"
 )
 
@@ -138,7 +139,8 @@
 	VoidDone VoidResult = "voided"
 	// VoidStarted: the grant was used, and the request has started.
 	VoidStarted VoidResult = "started"
-	// VoidUnknown: an earlier instance of the agent issued the grant.
+	// VoidUnknown: the agent doesn't know the grant, because an earlier instance issued
+	// it or the agent no longer keeps it.
 	VoidUnknown VoidResult = "unknown"
 )
 
@@ -165,7 +167,7 @@
 	Limit   int `cbor:"4,keyasint"`
 	// Draining is set when the agent accepts no new work.
 	Draining bool `cbor:"5,keyasint,omitempty"`
-	// EngineDown is set when the engine can't be reached or is loading a model.
+	// BackendServerDown is set when the backend server can't be reached or is loading a model.
 	EngineDown bool `cbor:"6,keyasint,omitempty"`
 }
 
--- a/internal/wire/stream.go
+++ b/internal/wire/stream.go
@@ -71,7 +71,8 @@
 }
 
 // Next returns the next frame, heartbeats included. It returns ErrTruncated when the
-// stream ends, and ErrHeartbeatTimeout when it timed out.
+// stream has no further whole frame, also after FrameEnd or FrameFail, and
+// ErrHeartbeatTimeout when it timed out.
 func (r *FrameReader) Next() (Frame, error) {
 	var f Frame
 	if err := r.dec.Decode(&f); err != nil {
--- a/internal/wire/suspended_test.go
+++ b/internal/wire/suspended_test.go
@@ -15,7 +15,7 @@
 
 // envSuspendedReader makes a child process of this test binary the reader of
 // TestSuspendedReaderResumes.
-const envSuspendedReader = "WIRE_TEST_STOPPED_READER"
+const envSuspendedReader = "WIRE_TEST_SUSPENDED_READER"
 
 // readFramesFromStdin reads frames from standard input up to FrameEnd and writes one
 // byte to standard error for each.
--- a/internal/wire/watchdog.go
+++ b/internal/wire/watchdog.go
@@ -50,7 +50,7 @@
 	w.startTick()
 }
 
-// Stop ends a wait and reports whether the watchdog hasn't expired; if so, it can't
+// Stop ends a wait. It returns true if the watchdog has not expired; it then can't
 // expire before the next Start.
 func (w *Watchdog) Stop() bool {
 	w.mu.Lock()
