--- a/internal/claim/batch.go
+++ b/internal/claim/batch.go
@@ -100,7 +100,7 @@
 func (b *batch) readBack(ctx context.Context, cause error) error {
 	remaining := b.transitions[:0:0]
 	for _, t := range b.transitions {
-		row, err := b.get(ctx, t.row)
+		row, err := b.get(ctx, t.rowKey)
 		exists := err == nil
 		known := exists || errors.Is(err, storage.ErrNotFound)
 		if known && t.resolve(row, exists) {
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -81,9 +81,9 @@
 	// StartedAt is when the attempt started, by the wall clock of its entry.
 	StartedAt time.Time
 
-	// row is the row key of the claim, writeID the id of the latest write of the row
-	// and version the row version.
-	row     string
+	// rowKey is the key of the claim's row, writeID the id of the latest write of the
+	// row and version the row version.
+	rowKey  string
 	writeID string
 	version uint64
 }
--- a/internal/claim/claimer.go
+++ b/internal/claim/claimer.go
@@ -42,8 +42,8 @@
 // ErrKeyReused, ErrUnavailable, ErrOutcomeUnknown, ErrCorrupt. After an error the caller
 // must not send the request.
 func (c *Claimer) Claim(ctx context.Context, customer, key, fingerprint, attempt string) (Claim, error) {
-	row := rowKey(customer, key)
-	t := &transition{row: row, next: newRecord(fingerprint, attempt)}
+	claimKey := rowKey(customer, key)
+	t := &transition{rowKey: claimKey, next: newRecord(fingerprint, attempt)}
 	for range maxClaimTries {
 		claim, err := c.advance(ctx, t)
 		conflict, isConflict := errors.Into[*ConflictError](err)
@@ -52,7 +52,7 @@
 		}
 		switch current := conflict.Current; {
 		case current.State == "":
-			t = &transition{row: row, next: newRecord(fingerprint, attempt)}
+			t = &transition{rowKey: claimKey, next: newRecord(fingerprint, attempt)}
 		case current.Fingerprint != fingerprint:
 			return current, ErrKeyReused
 		case current.State == StateReleased:
@@ -122,7 +122,7 @@
 	if !claim.Outcome.ResponseStored {
 		return nil, ErrResponseNotStored
 	}
-	row, err := c.table.Get(ctx, responseKey(claim.row))
+	row, err := c.table.Get(ctx, responseKey(claim.rowKey))
 	if errors.Is(err, storage.ErrNotFound) {
 		return nil, ErrResponseNotStored
 	}
@@ -136,12 +136,12 @@
 func (c *Claimer) advance(ctx context.Context, t *transition) (Claim, error) {
 	r := c.committer.submit(ctx, t)
 	if errors.Is(r.err, errConflict) {
-		return Claim{}, &ConflictError{Current: r.current.claim(t.row, r.version, t.next.Attempt)}
+		return Claim{}, &ConflictError{Current: r.current.claim(t.rowKey, r.version, t.next.Attempt)}
 	}
 	if r.err != nil {
 		return Claim{}, r.err
 	}
-	return t.next.claim(t.row, r.version, t.next.Attempt), nil
+	return t.next.claim(t.rowKey, r.version, t.next.Attempt), nil
 }
 
 // newRecord returns the initial record of a claim by attempt.
@@ -157,7 +157,7 @@
 
 // transition returns the transition of the claim to state, for its owner.
 func (c Claim) transition(state State) *transition {
-	return &transition{row: c.row, expectedWriteID: c.writeID, version: c.version, next: record{
+	return &transition{rowKey: c.rowKey, expectedWriteID: c.writeID, version: c.version, next: record{
 		WriteID:     uuid.NewString(),
 		Attempt:     c.Attempt,
 		Fingerprint: c.Fingerprint,
@@ -170,5 +170,5 @@
 
 // replacement returns the transition that replaces the claim by one of another attempt.
 func (c Claim) replacement(fingerprint, attempt string) *transition {
-	return &transition{row: c.row, expectedWriteID: c.writeID, version: c.version, next: newRecord(fingerprint, attempt)}
+	return &transition{rowKey: c.rowKey, expectedWriteID: c.writeID, version: c.version, next: newRecord(fingerprint, attempt)}
 }
--- a/internal/claim/committer.go
+++ b/internal/claim/committer.go
@@ -112,11 +112,11 @@
 	var batched, remaining []*transition
 	rows := map[string]bool{}
 	for _, t := range c.pending {
-		if len(batched) == maxBatchSize || rows[t.row] {
+		if len(batched) == maxBatchSize || rows[t.rowKey] {
 			remaining = append(remaining, t)
 			continue
 		}
-		rows[t.row] = true
+		rows[t.rowKey] = true
 		batched = append(batched, t)
 	}
 	c.pending = remaining
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -43,8 +43,8 @@
 
 // responseKey returns the key of the row with the response, given the row key of the
 // claim.
-func responseKey(row string) string {
-	return responsePrefix + row[len(claimPrefix):]
+func responseKey(claimKey string) string {
+	return responsePrefix + claimKey[len(claimPrefix):]
 }
 
 // Fingerprint returns a hash that identifies a request by its method, path, class and
@@ -69,7 +69,7 @@
 
 // claim returns the record as a Claim. It is owned if attempt is the attempt in the
 // record.
-func (r record) claim(row string, version uint64, attempt string) Claim {
+func (r record) claim(rowKey string, version uint64, attempt string) Claim {
 	return Claim{
 		Attempt:     r.Attempt,
 		Fingerprint: r.Fingerprint,
@@ -79,7 +79,7 @@
 		Grant:       r.Grant,
 		Outcome:     r.Outcome,
 		StartedAt:   r.StartedAt,
-		row:         row,
+		rowKey:      rowKey,
 		writeID:     r.WriteID,
 		version:     version,
 	}
--- a/internal/claim/transition.go
+++ b/internal/claim/transition.go
@@ -10,7 +10,7 @@
 
 // transition is a pending conditional write of the row of a claim.
 type transition struct {
-	row string
+	rowKey string
 	// expectedWriteID is the WriteID that the row must have, empty if the row must
 	// not exist. version is the corresponding row version.
 	expectedWriteID string
@@ -40,9 +40,9 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "encode the claim")
 	}
-	writes := []storage.Write{{Key: t.row, Value: value, Expect: t.version}}
+	writes := []storage.Write{{Key: t.rowKey, Value: value, Expect: t.version}}
 	if t.next.Outcome.ResponseStored {
-		writes = append(writes, storage.Write{Key: responseKey(t.row), Value: t.response, Expect: storage.AnyVersion})
+		writes = append(writes, storage.Write{Key: responseKey(t.rowKey), Value: t.response, Expect: storage.AnyVersion})
 	}
 	return writes, nil
 }
