--- a/internal/callers/read_ahead.go
+++ b/internal/callers/read_ahead.go
@@ -41,6 +41,7 @@
 		switch {
 		case err == nil:
 		case errors.Is(err, os.ErrDeadlineExceeded):
+			// During a request this only records that the deadline has passed.
 			c.extendDeadline()
 			if len(c.readAhead) > 0 {
 				return c.takeReadAhead(p), nil
--- a/internal/claim/sweeper.go
+++ b/internal/claim/sweeper.go
@@ -60,8 +60,8 @@
 }
 
 // sweepShard removes the claims of one shard whose retention is over and returns their
-// number. If another writer changes one of the rows concurrently, the transaction fails
-// and its claims stay until the next pass.
+// number. If another writer changes one of the rows concurrently, the transaction fails,
+// and its claims and the rest of the shard stay until the next pass.
 func (s *Sweeper) sweepShard(ctx context.Context, shard int) (int, error) {
 	rows, err := s.table.List(ctx, fmt.Sprintf("%s%03x", claimPrefix, shard))
 	if err != nil {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -6,6 +6,7 @@
 
 import (
 	"context"
+	"fmt"
 	"time"
 
 	"github.com/go-faster/errors"
@@ -32,7 +33,9 @@
 	Body []byte
 }
 
-func (e *RejectedError) Error() string { return "engine rejected the request" }
+func (e *RejectedError) Error() string {
+	return fmt.Sprintf("engine rejected the request with status %d", e.Status)
+}
 
 // Run describes one execution of a request on an engine.
 type Run struct {
