--- a/internal/agent/dispatcher.go
+++ b/internal/agent/dispatcher.go
@@ -41,14 +41,16 @@
 	sessionSeq uint64
 	grantSeq   uint64
 	draining   bool
-	engineUp   bool
+	backendUp  bool
 	// served is the model or service that is served now; switching is set
 	// while the engine loads another model.
 	served    string
 	switching bool
 
 	// wake tells runTimers that the next decision may be due earlier.
-	wake      chan struct{}
+	wake chan struct{}
+	// drained is closed, by drainOnce, when the agent is draining and no grant is
+	// issued or running.
 	drainOnce sync.Once
 	drained   chan struct{}
 }
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -22,13 +22,13 @@
 type sender interface {
 	// Send queues a message without blocking.
 	Send(m wire.Message) error
-	// End closes the connection.
+	// CloseNow closes the connection without a closing handshake.
 	CloseNow()
 }
 
 // serveConnect handles the control connection of an entry until it ends.
 func (a *Agent) serveConnect(w http.ResponseWriter, r *http.Request) {
-	conn, err := wire.Accept(w, r, a.connOptions())
+	conn, err := wire.Accept(w, r, a.connConfig())
 	if err != nil {
 		return
 	}
--- a/internal/claim/batch.go
+++ b/internal/claim/batch.go
@@ -84,8 +84,8 @@
 }
 
 // retryAfterConflict completes the conflicting transitions and commits the rest
-// without backoff, because their callers did not cause the conflict. Without progress
-// it returns conflict.
+// without backoff, because their callers did not cause the conflict. If no
+// transition could be completed, it returns conflict.
 func (b *batch) retryAfterConflict(ctx context.Context, conflict error) error {
 	previous := len(b.transitions)
 	err := b.readBack(ctx, conflict)
@@ -100,7 +100,7 @@
 func (b *batch) readBack(ctx context.Context, cause error) error {
 	remaining := b.transitions[:0:0]
 	for _, t := range b.transitions {
-		row, err := b.get(ctx, t.row)
+		row, err := b.get(ctx, t.rowKey)
 		exists := err == nil
 		known := exists || errors.Is(err, storage.ErrNotFound)
 		if known && t.resolve(row, exists) {
--- a/internal/claim/committer.go
+++ b/internal/claim/committer.go
@@ -30,6 +30,8 @@
 	table   storage.Table
 	workers conc.WaitGroup
 
+	// mu guards pending, the queue, and inFlight, the number of running workers. Each
+	// worker has at most one transaction in flight.
 	mu       sync.Mutex
 	pending  []*transition
 	inFlight int
@@ -110,11 +112,11 @@
 	var batched, remaining []*transition
 	rows := map[string]bool{}
 	for _, t := range c.pending {
-		if len(batched) == maxBatchSize || rows[t.row] {
+		if len(batched) == maxBatchSize || rows[t.rowKey] {
 			remaining = append(remaining, t)
 			continue
 		}
-		rows[t.row] = true
+		rows[t.rowKey] = true
 		batched = append(batched, t)
 	}
 	c.pending = remaining
--- a/internal/claim/transition.go
+++ b/internal/claim/transition.go
@@ -10,7 +10,7 @@
 
 // transition is a pending conditional write of the row of a claim.
 type transition struct {
-	row string
+	rowKey string
 	// expectedWriteID is the WriteID that the row must have, empty if the row must
 	// not exist. version is the corresponding row version.
 	expectedWriteID string
@@ -19,7 +19,7 @@
 	// response is written in the same transaction if next.Outcome.ResponseStored.
 	response []byte
 	// result receives exactly one value. Its buffer of one keeps a batch from
-	// blocking on a caller that has left.
+	// blocking on a caller that no longer waits.
 	result chan result
 }
 
@@ -32,7 +32,7 @@
 }
 
 // errConflict means that the row does not have the expected WriteID.
-var errConflict = errors.New("row holds another write")
+var errConflict = errors.New("row was changed by another writer")
 
 // writes returns the writes of this transition for the transaction of a batch.
 func (t *transition) writes() ([]storage.Write, error) {
@@ -40,9 +40,9 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "encode the claim")
 	}
-	writes := []storage.Write{{Key: t.row, Value: value, Expect: t.version}}
+	writes := []storage.Write{{Key: t.rowKey, Value: value, Expect: t.version}}
 	if t.next.Outcome.ResponseStored {
-		writes = append(writes, storage.Write{Key: responseKey(t.row), Value: t.response, Expect: storage.AnyVersion})
+		writes = append(writes, storage.Write{Key: responseKey(t.rowKey), Value: t.response, Expect: storage.AnyVersion})
 	}
 	return writes, nil
 }
@@ -73,9 +73,9 @@
 	return true
 }
 
-// resolveAbsent is resolve for a row that does not exist. The first transition of a
-// claim has not been written yet; a later one conflicts with the Sweeper, which removed
-// the row.
+// resolveAbsent is resolve for a row that does not exist. A transition that
+// creates the row has not been written and stays in the batch. Any other one conflicts
+// with the Sweeper, which removed the row.
 func (t *transition) resolveAbsent() bool {
 	if t.expectedWriteID == "" {
 		return false
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -6,16 +6,17 @@
 
 import (
 	"context"
+	"fmt"
 	"time"
 
 	"github.com/go-faster/errors"
 )
 
-// Errors of an engine.
+// Errors of calls to a backend server.
 var (
 	// ErrUnreachable means that the backend server did not receive the call,
 	// so the run has not started.
-	ErrUnreachable = errors.New("engine is unreachable")
+	ErrUnreachable = errors.New("backend server is unreachable")
 	// ErrTruncated means that the stream ended without the engine's done marker.
 	ErrTruncated = errors.New("engine stream ended without its done marker")
 	// ErrStaleFencingToken means that the engine refused an order because it
@@ -32,7 +33,9 @@
 	Body []byte
 }
 
-func (e *RejectedError) Error() string { return "engine rejected the request" }
+func (e *RejectedError) Error() string {
+	return fmt.Sprintf("engine rejected the request with status %d", e.Status)
+}
 
 // Run describes one execution of a request on an engine.
 type Run struct {
