--- a/internal/metrics/bench_test.go
+++ b/internal/metrics/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// targetClasses is the number of classes at the system's target size.
-const targetClasses = 60
+// classCount is the number of classes at the system's target size.
+const classCount = 60
 
 // BenchmarkRequest measures the cost of counting one request from arrival to
 // completion.
@@ -26,7 +26,7 @@
 // BenchmarkText measures the cost of one scrape of all series at the target size.
 func BenchmarkText(b *testing.B) {
 	m := New()
-	for i := range targetClasses {
+	for i := range classCount {
 		class := m.ForClass(fmt.Sprintf("class-%d", i))
 		class.Refused("overload")
 		for range sampleSize {
--- a/internal/metrics/docs_test.go
+++ b/internal/metrics/docs_test.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	served, renamed, _ := strings.Cut(string(page), "\n## Renamed\n")
+	current, renamed, _ := strings.Cut(string(page), "\n## Renamed\n")
 	// Each row of the table of renamed families holds the old name, which must no
 	// longer be exposed, and the new one, which must be.
 	for _, names := range regexp.MustCompile("`(applepier_[a-z_]+)` \\| `(applepier_[a-z_]+)`").FindAllStringSubmatch(renamed, -1) {
@@ -26,7 +26,7 @@
 		}
 	}
 	listed := map[family]bool{}
-	for _, name := range regexp.MustCompile("applepier_[a-z_]+").FindAllString(served, -1) {
+	for _, name := range regexp.MustCompile("applepier_[a-z_]+").FindAllString(current, -1) {
 		listed[family(name)] = true
 		if _, ok := helpTexts[family(name)]; !ok {
 			t.Errorf("the page lists %s, which isn't served", name)
--- a/internal/storage/bench_test.go
+++ b/internal/storage/bench_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// targetVMs is the length of the VM list at the target size: 410 entries and
+// vmCount is the length of the VM list at the target size: 410 entries and
 // 1,200 engines.
-const targetVMs = 1610
+const vmCount = 1610
 
 // BenchmarkVMList measures decoding the whole VM list. The metric json-B is its
 // encoded size in bytes.
 func BenchmarkVMList(b *testing.B) {
 	var vms []VM
-	for i := range targetVMs {
+	for i := range vmCount {
 		vms = append(vms, VM{
 			Name: fmt.Sprintf("backend-%04d", i), Addr: fmt.Sprintf("10.0.%d.%d:8090", i/256, i%256),
 			Zone: fmt.Sprintf("zone-%02d", i%12), Role: RoleBackend, Serves: fmt.Sprintf("model-%02d", i%12),
--- a/internal/targets/bench_test.go
+++ b/internal/targets/bench_test.go
@@ -9,19 +9,19 @@
 
 // Numbers of classes and customers at the size the system is designed for.
 const (
-	targetClasses   = 60
-	targetCustomers = 400
+	classCount    = 60
+	customerCount = 400
 )
 
 func benchSet() *Set {
 	set := &Set{Version: 1000}
-	for i := range targetClasses {
+	for i := range classCount {
 		set.Classes = append(set.Classes, Class{
 			Name: fmt.Sprintf("class-%02d", i), Tier: i % (MaxTier + 1), Model: fmt.Sprintf("model-%02d", i%12),
 			FirstToken: 850 * time.Millisecond, BetweenTokens: 26 * time.Millisecond, Completion: time.Minute,
 		})
 	}
-	for i := range targetCustomers {
+	for i := range customerCount {
 		set.Customers = append(set.Customers, Customer{Name: fmt.Sprintf("customer-%03d", i), KeyHash: fmt.Sprintf("%064x", i)})
 	}
 	return set
@@ -47,7 +47,7 @@
 // BenchmarkClass measures the lookup of the last class, the worst case for a request.
 func BenchmarkClass(b *testing.B) {
 	set := benchSet()
-	last := set.Classes[targetClasses-1].Name
+	last := set.Classes[classCount-1].Name
 	for b.Loop() {
 		set.Class(last)
 	}
