--- a/internal/storage/bench_test.go
+++ b/internal/storage/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// vmCount is the length of the VM list at the target size: 410 entries and
-// 1,200 engines.
+// vmCount is the length of the VM list at the system's target size: 410 entry
+// VMs and 1,200 backend server VMs.
 const vmCount = 1610
 
 // BenchmarkVMList measures decoding the whole VM list. The metric json-B is its
--- a/internal/storage/confirm/confirm.go
+++ b/internal/storage/confirm/confirm.go
@@ -63,8 +63,8 @@
 // returns nil, ErrUnavailable, ErrConflict or ErrOutcomeUnknown.
 //
 // While the outcome is unknown, it reads the rows back and, if they are
-// unchanged, commits the same writes again. At most one of the two commits can take
-// effect, because they expect the same version. Reporting failure as soon as the
+// unchanged, commits the same writes again. At most one of these commits can take
+// effect, because they all expect the same version. Reporting failure as soon as the
 // rows are found unchanged would be wrong, because a delayed request could still
 // be applied.
 func Commit(ctx context.Context, table storage.Table, writes []storage.Write, readBack ReadBack) error {
--- a/internal/storage/confirm/confirm_test.go
+++ b/internal/storage/confirm/confirm_test.go
@@ -32,6 +32,8 @@
 	})
 }
 
+// Whatever happens to a request or its response, Commit must return the true
+// outcome, and no copy of the request may take effect after that.
 func TestCommitWithFaults(t *testing.T) {
 	const (
 		responseLost = storagetest.FaultResponseLost
@@ -69,6 +71,8 @@
 	}
 }
 
+// If another writer has changed the row, Commit must report a conflict, also when
+// the request was lost and only the read-back shows the other writer's content.
 func TestCommitAfterAnotherWriter(t *testing.T) {
 	for _, fault := range []storagetest.Fault{storagetest.FaultNone, storagetest.FaultRequestLost} {
 		synctest.Test(t, func(t *testing.T) {
@@ -84,6 +88,8 @@
 	}
 }
 
+// If the service becomes unavailable while a first request is delayed, Commit must
+// not return ErrUnavailable: the delayed request may still be applied.
 func TestCommitWithUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
@@ -99,6 +105,8 @@
 	})
 }
 
+// If the caller's context ends during a call that never returns, the write may
+// have been applied.
 func TestCommitTimeoutWithUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
@@ -111,6 +119,7 @@
 	})
 }
 
+// A call that never returns must leave time to read back and commit again.
 func TestCommitAfterOneSlowCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
--- a/internal/storage/counted/counted_test.go
+++ b/internal/storage/counted/counted_test.go
@@ -18,6 +18,8 @@
 	*storagetest.VMList
 }
 
+// Every call must be counted, but a missing row and a conflict are not failures of
+// the platform.
 func TestCallsAndFailuresAreCounted(t *testing.T) {
 	table := storagetest.NewTable()
 	registry := metrics.New()
--- a/internal/storage/httpclient.go
+++ b/internal/storage/httpclient.go
@@ -33,13 +33,14 @@
 )
 
 // HTTPClient is a client of the platform's HTTP API. It implements Table,
-// ObjectStore and VMList.
+// ObjectStore and VMList. It is safe for concurrent use.
 type HTTPClient struct {
 	baseURL string
 	reads   *http.Client
-	// writes opens a new connection for each call. On a reused connection
-	// that has been closed, net/http may resend a request; a write must be
-	// sent at most once, otherwise its response doesn't show its outcome.
+	// writes opens a new connection for each call, because net/http may
+	// resend a request if a reused connection turns out to be closed. A write
+	// must be sent only once: the response to a second copy doesn't show
+	// whether the first was applied.
 	writes *http.Client
 
 	vmCache vmListCache
--- a/internal/storage/platform.go
+++ b/internal/storage/platform.go
@@ -11,11 +11,12 @@
 
 // Errors returned by the platform's services.
 var (
-	// ErrUnavailable means that the service did not accept the call; nothing
-	// was written.
+	// ErrUnavailable means that the service did not accept the call, or that a
+	// read got no usable response; nothing was written.
 	ErrUnavailable = errors.New("platform service is unavailable")
-	// ErrOutcomeUnknown means that the response was lost; a write may have
-	// taken effect. The caller determines the outcome by reading back.
+	// ErrOutcomeUnknown means that a write got no response, or one that doesn't
+	// show whether it was applied. It may still take effect. The caller
+	// determines the outcome by reading back.
 	ErrOutcomeUnknown = errors.New("outcome of the write is unknown")
 	// ErrConflict means that a row did not have the version that a write
 	// expected; no write of the transaction was applied.
@@ -30,7 +31,7 @@
 	Key string `json:"key"`
 	// Value is opaque to the service.
 	Value []byte `json:"value"`
-	// Version increases with each write of the row; the first is 1.
+	// Version increases with each write of the row; the first version is 1.
 	Version uint64 `json:"version"`
 }
 
--- a/internal/storage/status.go
+++ b/internal/storage/status.go
@@ -19,8 +19,8 @@
 }
 
 // writeStatus maps the HTTP status of a write to one of this package's errors.
-// After a 4xx status or 503 Service Unavailable nothing was written. After any
-// other error status the outcome is unknown.
+// Nothing was written if the status is 3xx, 4xx or 503 Service Unavailable.
+// After any other 5xx status the outcome is unknown.
 func writeStatus(status int) error {
 	switch {
 	case status < http.StatusMultipleChoices:
--- a/internal/storage/storagetest/table.go
+++ b/internal/storage/storagetest/table.go
@@ -41,6 +41,7 @@
 }
 
 // InjectFaults assigns one fault to each of the following commits, in order.
+// Commits after those have no fault.
 func (t *Table) InjectFaults(faults ...Fault) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/storage/vms_test.go
+++ b/internal/storage/vms_test.go
@@ -28,6 +28,9 @@
 	_, _ = fmt.Fprintf(w, `[{"name":%q}]`, s.name)
 }
 
+// An unchanged list must be returned from the cache, without a transfer of the
+// whole list. A changed list, or one without an ETag, must be read, and a caller
+// that modifies its list must not modify the cached one.
 func TestVMsConditionalRead(t *testing.T) {
 	server := &vmListServer{name: "a", etag: `"1"`}
 	httpServer := httptest.NewServer(server)
