--- a/internal/targets/bench_test.go
+++ b/internal/targets/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Numbers of classes and customers at the size the system is designed for.
+// Numbers of classes and customers at the system's target size.
 const (
 	classCount    = 60
 	customerCount = 400
@@ -44,7 +44,7 @@
 	b.ReportMetric(float64(len(data)), "json-B")
 }
 
-// BenchmarkClass measures the lookup of the last class, the worst case for a request.
+// BenchmarkClass measures the lookup of the last class, which takes the longest.
 func BenchmarkClass(b *testing.B) {
 	set := benchSet()
 	last := set.Classes[classCount-1].Name
--- a/internal/targets/class.go
+++ b/internal/targets/class.go
@@ -26,7 +26,7 @@
 	BetweenTokens time.Duration `json:"between_tokens,omitempty"`
 	// Completion is the target for the complete response; zero means no target.
 	Completion time.Duration `json:"completion,omitempty"`
-	// Repeatable reports whether a request may be executed again after a
+	// Repeatable says whether a request may be executed again after a
 	// failure that leaves its outcome unknown.
 	Repeatable bool `json:"repeatable"`
 	// Retired classes accept no new requests.
--- a/internal/targets/fetch.go
+++ b/internal/targets/fetch.go
@@ -3,8 +3,8 @@
 import "time"
 
 // fetchRetryInterval is the time after which a Set is requested from another
-// peer if the first one hasn't sent it. Transferring a Set of the target size
-// takes a few milliseconds. A shorter interval would fetch the same Set several
+// peer if the first one hasn't sent it. Transferring a Set at the system's target
+// size takes a few milliseconds. A shorter interval would fetch the same Set several
 // times, because many peers announce a change at almost the same moment.
 const fetchRetryInterval = 200 * time.Millisecond
 
--- a/internal/targets/fetch_test.go
+++ b/internal/targets/fetch_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// Many peers announce a new version at almost the same moment. It must be fetched
+// from one of them, and from another only if the first doesn't send it.
 func TestShouldFetchFromOnePeerAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cache := NewCache()
--- a/internal/targets/measurement.go
+++ b/internal/targets/measurement.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Measurement holds the measured latencies of one complete response.
+// Measurement holds the latencies and the token count of one complete response.
 type Measurement struct {
 	// FirstToken is the time from arrival to the first token or byte.
 	FirstToken time.Duration
--- a/internal/targets/store/errors.go
+++ b/internal/targets/store/errors.go
@@ -10,8 +10,8 @@
 
 // Errors returned by Store and Poller.
 var (
-	// ErrUnavailable means that the table service did not respond; nothing
-	// was changed.
+	// ErrUnavailable means that the table service could not be read or did not
+	// accept a write; nothing was changed.
 	ErrUnavailable = errors.New("table service for targets is unavailable, nothing was changed")
 	// ErrCorrupt means that a stored row is not in the format that this
 	// version of the program writes.
@@ -37,7 +37,7 @@
 type OutcomeUnknownError struct {
 	// Change is the ID of the change.
 	Change string
-	// Version is the version of the targets if the change took effect.
+	// Version is the version that the change creates if it takes effect.
 	Version uint64
 	// Cause is the last error returned by the table service.
 	Cause error
--- a/internal/targets/store/poller.go
+++ b/internal/targets/store/poller.go
@@ -14,10 +14,10 @@
 
 // Timing of a Poller.
 const (
-	// PollInterval is the mean time between two reads of the head row.
-	// Polling plus propagation to the agents must take at most 14 seconds.
-	// With 410 entries, 3 seconds cause 137 reads per second; a longer
-	// interval would cause fewer.
+	// PollInterval is the mean time between two reads of the head row. It
+	// must be short enough for a change to reach the agents within 14
+	// seconds, and no shorter than needed: with 410 entries, 3 seconds cause
+	// 137 reads per second.
 	PollInterval = 3 * time.Second
 	// pollJitter is the maximum random deviation of an interval from
 	// PollInterval. It spreads out the reads of entries that started at the
--- a/internal/targets/store/record.go
+++ b/internal/targets/store/record.go
@@ -59,8 +59,8 @@
 }
 
 // transaction returns the writes that replace the stored Set by next. Only the
-// write of the set row is conditional; it protects both rows, because the head
-// row is never written without it.
+// write of the set row is conditional. That suffices for both rows, because the
+// head row is only written in the same transaction.
 func (s storedSet) transaction(next *targets.Set, changeID string) ([]storage.Write, error) {
 	changeIDs := append(slices.Clone(s.changeIDs), changeID)
 	if len(changeIDs) > maxChangeIDs {
--- a/internal/targets/store/size_test.go
+++ b/internal/targets/store/size_test.go
@@ -9,7 +9,8 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-// At the target size the set row must stay small enough for one read.
+// At the system's target size the set row must be small enough to be read as a
+// whole.
 func TestSetRowSizeAtTargetSize(t *testing.T) {
 	table := storagetest.NewTable()
 	_, err := New(table).Change(t.Context(), 0, func(set *targets.Set) error {
--- a/internal/targets/store/store.go
+++ b/internal/targets/store/store.go
@@ -9,12 +9,13 @@
 // process reads the head row, a few tens of bytes, and reads the set row only
 // when the head has a newer version than its own.
 //
-// At the target size, 410 entries poll the head row every PollInterval, which
-// is 137 reads per second. 1,000 changes per day add 5 reads per second on
-// average, and at most another 137 per second in the seconds after a change.
-// Agents don't poll; they receive the targets from the entries they are
-// connected to. If the 1,200 agents polled as well, the head row alone would
-// take 537 reads per second, a quarter of the table service's total capacity.
+// At the system's target size, 410 entries poll the head row every
+// PollInterval, which is 137 reads per second. 1,000 changes per day add 5
+// reads per second on average, and at most another 137 per second in the
+// seconds after a change. Agents don't poll; they receive the targets from the
+// entries they are connected to. If the 1,200 agents polled as well, the head
+// row alone would take 537 reads per second, a quarter of the table service's
+// total capacity.
 //
 // The whole Set is in one row, not one row per class, so that a reader gets a
 // consistent version with one read and never sees a mixture of two versions.
@@ -121,7 +122,8 @@
 }
 
 // checkOutcome determines whether a change took effect, even if later changes
-// were based on it.
+// were based on it. rowVersion is the version of the set row that the change
+// replaces.
 func (s *Store) checkOutcome(ctx context.Context, rowVersion uint64, changeID string) (confirm.Outcome, error) {
 	stored, err := s.read(ctx)
 	switch {
--- a/internal/targets/store/store_test.go
+++ b/internal/targets/store/store_test.go
@@ -80,6 +80,8 @@
 	}
 }
 
+// If another operator's change is committed first, the later change must be
+// rejected as a whole, with the newer Set.
 func TestConcurrentChangeReturnsNewerSet(t *testing.T) {
 	table := storagetest.NewTable()
 	s := New(table)
@@ -133,6 +135,8 @@
 	return err
 }
 
+// If the response to a change is lost and the table can't be read after that, the
+// change must be reported neither as accepted nor as failed.
 func TestChangeWithUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storagetest.NewTable()
@@ -192,6 +196,8 @@
 	})
 }
 
+// Reading the whole set row in each poll would multiply the load on the table
+// service.
 func TestIdlePollReadsOnlyHead(t *testing.T) {
 	table := storagetest.NewTable()
 	s := New(table)
--- a/internal/targets/validate.go
+++ b/internal/targets/validate.go
@@ -6,7 +6,7 @@
 )
 
 // Limits of a Set. They keep it below one megabyte in every process, and allow
-// ten times the number of customers of the target size.
+// ten times as many customers as the system's target size has.
 const (
 	// MaxClasses is the maximum number of classes, retired ones included.
 	MaxClasses = 256
--- a/internal/targets/validate_test.go
+++ b/internal/targets/validate_test.go
@@ -47,6 +47,8 @@
 	}
 }
 
+// An operator must see every invalid field after one attempt, including names and
+// key hashes that are used twice.
 func TestValidateReportsAllProblems(t *testing.T) {
 	hash := strings.Repeat("0a", 32)
 	duplicate := validClass()
