--- a/internal/settings/decoder.go
+++ b/internal/settings/decoder.go
@@ -35,6 +35,8 @@
 	}
 }
 
+// decodeNode decodes node, which is at path, into target. A null leaves target
+// unchanged, like a missing key.
 func (d *decoder) decodeNode(node ast.Node, target reflect.Value, path string) {
 	node = stripAnchorsAndTags(node)
 	if _, ok := node.(*ast.NullNode); ok {
@@ -116,7 +118,7 @@
 }
 
 // positionOf returns the position of path or, if the file doesn't contain it, of
-// its nearest ancestor.
+// the nearest enclosing key.
 func (d *decoder) positionOf(path string) position {
 	for path != "" {
 		if pos, ok := d.positions[path]; ok {
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -74,8 +74,8 @@
 	MaxDelay time.Duration `yaml:"within" validate:"gte=0"`
 }
 
-// RetryBudget limits retries: in each window they may not exceed Ratio times the
-// number of requests plus ExtraPerWindow.
+// RetryBudget limits retries: the retries in each window may not exceed Ratio
+// times the number of requests in it plus ExtraPerWindow.
 type RetryBudget struct {
 	// Ratio is the number of retries that each request adds to the budget.
 	Ratio float64 `yaml:"ratio" validate:"gte=0"`
--- a/internal/settings/load_test.go
+++ b/internal/settings/load_test.go
@@ -10,6 +10,8 @@
 	"github.com/sebdah/goldie/v2"
 )
 
+// The example files must be valid, and decoder must read from them the same values
+// as the YAML library.
 func TestExamplesAreValid(t *testing.T) {
 	entry, err := LoadEntry("../../examples/entry.yaml")
 	if err != nil {
@@ -58,6 +60,7 @@
 	}
 }
 
+// One run must report all problems of a file, not only the first.
 func TestReportsAllProblems(t *testing.T) {
 	_, err := LoadEntry("testdata/bad.yaml")
 	var invalid *InvalidError
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -8,8 +8,8 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// tagOneSource is the validation tag for a SecretSource that doesn't set exactly
-// one of its fields.
+// tagOneSource is the tag under which validateSecret reports a SecretSource that
+// doesn't set exactly one of its fields.
 const tagOneSource = "one_source"
 
 var validate = newValidator()
@@ -43,7 +43,7 @@
 }
 
 // validate appends a problem for each value of target, a pointer to a struct,
-// that fails its validation tags. Fields that already have a type problem
+// that fails its validation tags. Fields that already have a decoding problem
 // aren't reported again.
 func (d *decoder) validate(target any) {
 	var failures validator.ValidationErrors
@@ -60,6 +60,7 @@
 	}
 }
 
+// hasProblem reports whether path or a key that encloses it has a decoding problem.
 func (d *decoder) hasProblem(path string) bool {
 	for ; path != ""; path = parentPath(path) {
 		if d.invalidPaths[path] {
--- a/internal/settings/yamlkeys.go
+++ b/internal/settings/yamlkeys.go
@@ -12,6 +12,7 @@
 	return name
 }
 
+// yamlKeys returns the YAML keys of a struct type's fields in their order.
 func yamlKeys(t reflect.Type) []string {
 	keys := make([]string, 0, t.NumField())
 	for i := range t.NumField() {
@@ -20,6 +21,8 @@
 	return keys
 }
 
+// fieldByKey returns the field of the struct target that has the YAML key, and
+// false if there is none.
 func fieldByKey(target reflect.Value, key string) (reflect.Value, bool) {
 	for i := range target.NumField() {
 		if yamlKey(target.Type().Field(i)) == key {
@@ -53,6 +56,8 @@
 	return path + "." + key
 }
 
+// parentPath returns the path without its last key or list index; it is empty for
+// a path of one key.
 func parentPath(path string) string {
 	end := strings.LastIndexAny(path, ".[")
 	if end < 0 {
