--- a/internal/logging/async_writer_test.go
+++ b/internal/logging/async_writer_test.go
@@ -32,6 +32,8 @@
 	return w.out.String()
 }
 
+// If the reader of the log is stuck, logging must not block requests: lines past the
+// queue's capacity must be dropped, counted and reported.
 func TestSlowReaderDoesNotBlock(t *testing.T) {
 	out := &blockedWriter{gate: make(chan struct{})}
 	log := zap.New(newCore(out, zap.InfoLevel))
@@ -57,6 +59,8 @@
 	}
 }
 
+// A burst of one event must not cost a system call per line or suppress other events,
+// and every dropped line must be counted.
 func TestRepeatedEventIsSampled(t *testing.T) {
 	out := &blockedWriter{gate: make(chan struct{})}
 	close(out.gate)
@@ -85,8 +89,8 @@
 // mostly dropped by sampling.
 func BenchmarkLine(b *testing.B) {
 	for name, core := range map[string]zapcore.Core{
-		"written":  newUnsampledCore(io.Discard, zap.InfoLevel),
-		"left out": newCore(io.Discard, zap.InfoLevel),
+		"written": newUnsampledCore(io.Discard, zap.InfoLevel),
+		"dropped": newCore(io.Discard, zap.InfoLevel),
 	} {
 		b.Run(name, func(b *testing.B) {
 			log := zap.New(core)
--- a/internal/logging/docs_test.go
+++ b/internal/logging/docs_test.go
@@ -42,7 +42,7 @@
 			continue
 		}
 		if inCode[names[1]] || !inCode[names[2]] {
-			t.Errorf("%s is said to be %s now: logged %v and %v", names[1], names[2], inCode[names[1]], inCode[names[2]])
+			t.Errorf("the page lists %s as renamed to %s: old name logged: %v, new name logged: %v", names[1], names[2], inCode[names[1]], inCode[names[2]])
 		}
 	}
 }
--- a/internal/logging/event.go
+++ b/internal/logging/event.go
@@ -13,7 +13,8 @@
 	EventStopped = "stopped"
 	// EventFailed: the process terminates because of an error.
 	EventFailed = "failed"
-	// EventLinesDropped: log lines were dropped because the log's reader is slow.
+	// EventLinesDropped: log lines were dropped because the queue for the log's
+	// reader was full.
 	EventLinesDropped = "lines_dropped"
 	// EventSettingsChanged: a changed settings file was applied.
 	EventSettingsChanged = "settings_changed"
@@ -22,7 +23,7 @@
 	EventSettingsRejected = "settings_refused"
 	// EventConnected: a connection to another process was opened.
 	EventConnected = "connected"
-	// EventDisconnected: a connection was closed, or timed out.
+	// EventDisconnected: a connection to another process was closed or timed out.
 	EventDisconnected = "disconnected"
 	// EventPlatformDown: a platform service doesn't respond.
 	EventPlatformDown = "platform_down"
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -8,6 +8,7 @@
 	"github.com/go-faster/errors"
 )
 
+// A value with a line break or quotes must not forge a second line or another field.
 func TestWritesOneLinePerEvent(t *testing.T) {
 	var out bytes.Buffer
 	log, err := newLogger(&out, "", "entry-1")
--- a/internal/metrics/class.go
+++ b/internal/metrics/class.go
@@ -85,7 +85,8 @@
 	c.metrics.goodput.tokens.Inc(int64(tokens))
 }
 
-// Refused counts a request that was refused and certainly not run.
+// Refused counts a request that was refused and certainly not run. Reasons past
+// MaxReasons are counted as "other".
 func (c *Class) Refused(reason Reason) {
 	reasonLabel := label{name: labelReason, value: string(c.metrics.limitReason(reason))}
 	counter(c.metrics.registry, familyRefused, c.label, reasonLabel).Inc(1)
--- a/internal/metrics/docs_test.go
+++ b/internal/metrics/docs_test.go
@@ -19,17 +19,17 @@
 	// longer be exposed, and the new one, which must be.
 	for _, names := range regexp.MustCompile("`(applepier_[a-z_]+)` \\| `(applepier_[a-z_]+)`").FindAllStringSubmatch(renamed, -1) {
 		if _, ok := helpTexts[family(names[1])]; ok {
-			t.Errorf("%s is said to be renamed, and is served", names[1])
+			t.Errorf("the page lists %s as renamed, but it is still exposed", names[1])
 		}
 		if _, ok := helpTexts[family(names[2])]; !ok {
-			t.Errorf("%s is said to be %s, which isn't served", names[1], names[2])
+			t.Errorf("the page lists %s as renamed to %s, which isn't exposed", names[1], names[2])
 		}
 	}
 	listed := map[family]bool{}
 	for _, name := range regexp.MustCompile("applepier_[a-z_]+").FindAllString(current, -1) {
 		listed[family(name)] = true
 		if _, ok := helpTexts[family(name)]; !ok {
-			t.Errorf("the page lists %s, which isn't served", name)
+			t.Errorf("the page lists %s, which isn't exposed", name)
 		}
 	}
 	for name := range helpTexts {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -12,12 +12,14 @@
 //
 //   - by class: requests received, finished on time or late (attainment),
 //     refused by reason, with an unknown outcome, failed, cancelled and retried;
-//     generated tokens that were discarded; time to the first token;
+//     prompt tokens received and refused; generated tokens that were discarded;
+//     time to the first token; longest pause within a stream;
 //   - over all classes: goodput, which is the number of requests with a complete
 //     response on time, and their tokens;
 //   - for the process: waiting and running requests and the concurrency limit,
-//     control messages and bytes, calls to the platform, CPU time, memory and the
-//     version of the targets.
+//     control messages and bytes, calls to the platform, CPU time, memory,
+//     goroutines and the version of the targets;
+//   - for a gateway: see GatewayStats and UsageReports.
 //
 // Request series are labelled by class and reason only, and the number of values
 // of both is bounded: values past MaxClasses or MaxReasons are counted together
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -80,6 +80,7 @@
 	}
 }
 
+// Updates and scrapes by several goroutines must not lose counts.
 func TestConcurrentUpdates(t *testing.T) {
 	const workers, rounds = 8, 200
 	m := New()
@@ -102,6 +103,8 @@
 	}
 }
 
+// Each path must return the current state, and scrape hooks must run before the
+// metrics are written.
 func TestPaths(t *testing.T) {
 	m := New()
 	m.ForClass("flag").Received()
--- a/internal/metrics/queue.go
+++ b/internal/metrics/queue.go
@@ -2,8 +2,8 @@
 
 import gometrics "github.com/rcrowley/go-metrics"
 
-// Queue exposes the work of a process: its tickets and runs at an agent, its
-// requests at an entry process.
+// Queue holds the numbers of waiting and running items of a process: tickets and
+// runs at an agent, requests at an entry process.
 type Queue struct {
 	waiting gometrics.Gauge
 	running gometrics.Gauge
--- a/internal/storage/platform.go
+++ b/internal/storage/platform.go
@@ -61,8 +61,8 @@
 }
 
 // EraReporter is implemented by a Table whose service may be restored from an older
-// backup. Writes made after the backup are then lost, and their row versions are assigned
-// again. Each restore begins a new era.
+// copy of its data. Writes made after the copy are then lost, and their row versions are
+// assigned again. Each restore begins a new era.
 type EraReporter interface {
 	// Era returns the number of restores detected so far. If the era changes during a
 	// call, Get returns ErrUnavailable and Commit returns ErrOutcomeUnknown.
