--- a/internal/timeline/event.go
+++ b/internal/timeline/event.go
@@ -10,22 +10,42 @@
 
 // Kinds of events.
 const (
-	KindReceived     Kind = "received"
-	KindTicket       Kind = "ticket"
-	KindGrant        Kind = "grant"
-	KindSent         Kind = "sent"
-	KindStart        Kind = "start"
-	KindFirstToken   Kind = "first_token"
-	KindFinish       Kind = "finish"
-	KindPreempt      Kind = "preempt"
-	KindRefusal      Kind = "refusal"
-	KindUnknown      Kind = "unknown"
-	KindRetry        Kind = "retry"
+	// KindReceived: an entry process received a request.
+	KindReceived Kind = "received"
+	// KindTicket: an entry process sent a ticket to an agent, or an agent
+	// received it.
+	KindTicket Kind = "ticket"
+	// KindGrant: an agent issued a grant for a ticket.
+	KindGrant Kind = "grant"
+	// KindSent: an entry process sent a request to the agent whose grant it uses.
+	KindSent Kind = "sent"
+	// KindStart: an agent accepted a request and started a run.
+	KindStart Kind = "start"
+	// KindFirstToken: an entry process received the first token of a response.
+	KindFirstToken Kind = "first_token"
+	// KindFinish: a run ended at an agent, or a request ended at an entry process.
+	KindFinish Kind = "finish"
+	// KindPreempt: an agent cancelled a run to free its slot.
+	KindPreempt Kind = "preempt"
+	// KindRefusal: an agent refused a ticket, or an entry process a request.
+	KindRefusal Kind = "refusal"
+	// KindUnknown: a request ended at an entry process with an unknown outcome.
+	KindUnknown Kind = "unknown"
+	// KindRetry: an entry process makes a further attempt at a request.
+	KindRetry Kind = "retry"
+	// KindTargetChange: an agent applied newer targets.
 	KindTargetChange Kind = "target_change"
-	KindLease        Kind = "lease"
-	KindOrder        Kind = "order"
-	KindJoin         Kind = "join"
-	KindLeave        Kind = "leave"
+	// KindLease: an entry process acquired the leader's lease, or no longer holds
+	// it.
+	KindLease Kind = "lease"
+	// KindOrder: the leader issued an order, or an agent executed it.
+	KindOrder Kind = "order"
+	// KindJoin: an entry process added an agent to those that it connects to, or
+	// an agent received the hello of an entry process.
+	KindJoin Kind = "join"
+	// KindLeave: an entry process removed an agent, or a process stopped taking
+	// new work.
+	KindLeave Kind = "leave"
 )
 
 // Timestamp is a reading of a hybrid logical clock.
@@ -52,6 +72,7 @@
 	// Request and Class are empty for events that concern no request.
 	Request string `json:"request,omitempty"`
 	Class   string `json:"class,omitempty"`
-	// Detail is a short reason or count; never a prompt, response body or key.
+	// Detail is a short text that depends on Kind, such as a reason, an outcome or
+	// the name of a process; never a prompt, response body or key.
 	Detail string `json:"detail,omitempty"`
 }
--- a/internal/timeline/filter.go
+++ b/internal/timeline/filter.go
@@ -62,7 +62,8 @@
 	return filter, nil
 }
 
-// Query encodes the Filter as a URL query for ParseFilter.
+// Query encodes the Filter as a URL query for ParseFilter. It omits fields that are
+// zero, for which ParseFilter takes the defaults.
 func (f Filter) Query() url.Values {
 	query := make(url.Values)
 	if f.Since > 0 {
--- a/internal/timeline/gather.go
+++ b/internal/timeline/gather.go
@@ -17,9 +17,10 @@
 
 // Limits of Gather.
 const (
-	// maxParallelFetches is the number of processes queried at once. With 120 of
-	// 1,610 processes unreachable, their timeouts add up to eight seconds; a higher
-	// number would need more memory, since each response is decoded as a whole.
+	// maxParallelFetches is the number of processes queried at once. If 120 of
+	// 1,610 processes are unreachable, their timeouts delay Gather by eight seconds;
+	// a higher number would need more memory, since each response is decoded as a
+	// whole.
 	maxParallelFetches = 32
 	// peerTimeout is the timeout of the request to one process.
 	peerTimeout = 2 * time.Second
@@ -116,6 +117,8 @@
 	}
 }
 
+// view returns the events added so far, at most the newest MaxGathered, and the peers
+// that are missing, sorted by name.
 func (c *collector) view() View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/timeline/gather_test.go
+++ b/internal/timeline/gather_test.go
@@ -38,6 +38,9 @@
 	return Peer{Process: "gone", Addr: listener.Addr().String()}
 }
 
+// An operator's query for one request must return its events from all processes in
+// causal order, although the agent's clock is an hour behind, and must list a process
+// that can't be reached as missing.
 func TestViewMergesAllProcesses(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	entry := newSkewedProcess("entry-1", &now, 0)
@@ -70,6 +73,8 @@
 	}
 }
 
+// A peer that rejects the key must be listed as missing, not treated as one without
+// events.
 func TestGatherListsRefusingPeers(t *testing.T) {
 	ring := NewRing("engine-1", &Clock{}, 10)
 	view := Gather(t.Context(), []Peer{serveRing(t, ring)}, "another key here", Filter{})
@@ -78,6 +83,7 @@
 	}
 }
 
+// The events of many processes must not exceed MaxGathered; the newest are kept.
 func TestCollectorIsBounded(t *testing.T) {
 	const pages = 2*MaxGathered/MaxLimit + 2
 	var gathered collector
--- a/internal/timeline/handler.go
+++ b/internal/timeline/handler.go
@@ -26,9 +26,10 @@
 	})
 }
 
-// ViewHandler serves GET PathView, with the parameters of Handler, with a View of
-// the local ring and of the peers, which it queries with the system key. It
-// doesn't authenticate operators; the caller must do so.
+// ViewHandler serves GET PathView with a View of the events of the local ring and of
+// all peers. It takes the same query parameters as Handler, and authenticates to the
+// peers with key, the system key. It doesn't authenticate operators; the caller must
+// do so.
 func ViewHandler(local *Ring, peers func() []Peer, key string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		filter, err := ParseFilter(r.URL.Query())
--- a/internal/timeline/merge_test.go
+++ b/internal/timeline/merge_test.go
@@ -69,6 +69,8 @@
 	}
 }
 
+// Filter.Since is compared with the process's own clock, so that a clock that is off
+// must not change which events are selected.
 func TestSinceUsesOwnClock(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	for _, skew := range []time.Duration{-time.Hour, 0, time.Hour} {
