--- a/internal/metrics/control.go
+++ b/internal/metrics/control.go
@@ -20,7 +20,7 @@
 	bytes    gometrics.Counter
 }
 
-func newControl(registry gometrics.Registry) *Control {
+func newControlTraffic(registry gometrics.Registry) *Control {
 	return &Control{
 		sent:     newMessageCounters(registry, directionSent),
 		received: newMessageCounters(registry, directionReceived),
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -81,8 +81,8 @@
 			tokens:   counter(registry, familyGoodputTokens),
 		},
 		Queue:    newQueue(registry),
-		Control:  newControl(registry),
-		Platform: newPlatform(registry),
+		Control:  newControlTraffic(registry),
+		Platform: newPlatformCalls(registry),
 		classes:  make(map[string]*Class),
 		reasons:  make(map[Reason]bool),
 	}
--- a/internal/metrics/platform.go
+++ b/internal/metrics/platform.go
@@ -19,7 +19,7 @@
 	failed gometrics.Counter
 }
 
-func newPlatform(registry gometrics.Registry) *Platform {
+func newPlatformCalls(registry gometrics.Registry) *Platform {
 	return &Platform{
 		reads:  newCallCounters(registry, operationRead),
 		writes: newCallCounters(registry, operationWrite),
--- a/internal/targets/validate_class.go
+++ b/internal/targets/validate_class.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// MaxTarget is the longest latency target that is accepted. A longer one is
+// MaxLatencyTarget is the longest latency target that is accepted. A longer one is
 // most likely given in the wrong unit.
-const MaxTarget = 24 * time.Hour
+const MaxLatencyTarget = 24 * time.Hour
 
 // Problems returns the invalid fields of the class, without comparing it with
 // other classes. Fields have their JSON names.
@@ -20,7 +20,7 @@
 		problems = append(problems, Problem{Field: "tier", Reason: fmt.Sprintf("must be 0 (most urgent) to %d (least urgent)", MaxTier)})
 	}
 	problems = append(problems, c.backendProblems()...)
-	return append(problems, c.targetProblems()...)
+	return append(problems, c.latencyTargetProblems()...)
 }
 
 func (c Class) backendProblems() []Problem {
@@ -37,7 +37,7 @@
 	return nil
 }
 
-func (c Class) targetProblems() []Problem {
+func (c Class) latencyTargetProblems() []Problem {
 	var problems []Problem
 	problems = append(problems, durationProblems("first_token", c.FirstToken)...)
 	problems = append(problems, durationProblems("between_tokens", c.BetweenTokens)...)
@@ -58,8 +58,8 @@
 	switch {
 	case d < 0:
 		return []Problem{{Field: field, Reason: "must not be negative"}}
-	case d > MaxTarget:
-		return []Problem{{Field: field, Reason: fmt.Sprintf("must be at most %v", MaxTarget)}}
+	case d > MaxLatencyTarget:
+		return []Problem{{Field: field, Reason: fmt.Sprintf("must be at most %v", MaxLatencyTarget)}}
 	}
 	return nil
 }
--- a/internal/targets/validate_test.go
+++ b/internal/targets/validate_test.go
@@ -28,7 +28,7 @@
 		{"model and service", func(c *Class) { c.Service = "weighbridge" }, []string{"service"}},
 		{"no target", func(c *Class) { c.FirstToken = 0 }, []string{"first_token"}},
 		{"negative target", func(c *Class) { c.Completion = -1 }, []string{"completion"}},
-		{"target too long", func(c *Class) { c.Completion = MaxTarget + 1 }, []string{"completion"}},
+		{"target too long", func(c *Class) { c.Completion = MaxLatencyTarget + 1 }, []string{"completion"}},
 		{"first token after completion", func(c *Class) { c.Completion = time.Millisecond }, []string{"first_token"}},
 		{"all at once", func(c *Class) { *c = Class{Tier: 9} }, []string{"name", "tier", "model", "first_token"}},
 	}
