--- a/internal/logging/event.go
+++ b/internal/logging/event.go
@@ -96,7 +96,8 @@
 	EventEngineUp = "engine_up"
 )
 
-// Names of request events. Each request is logged once, when it ends.
+// Names of events of requests and of claims on idempotency keys. Each request is
+// logged once, when it ends.
 const (
 	// EventRequestFinished: the complete response was sent, or the request failed.
 	EventRequestFinished = "request_finished"
--- a/internal/logging/sampler.go
+++ b/internal/logging/sampler.go
@@ -9,8 +9,8 @@
 
 // sampler is a zapcore.Core that limits the rate of lines with the same event and
 // reason before passing them to another Core; see sampleInitial. Dropped lines are
-// counted. zap's own sampler goes by the event alone, so that many lines for one
-// reason would suppress those for another.
+// counted. zap's own sampler counts lines by event only, so that many lines with one
+// reason would suppress those with another.
 type sampler struct {
 	zapcore.Core
 	counter *lineCounter
--- a/internal/metrics/class.go
+++ b/internal/metrics/class.go
@@ -103,7 +103,7 @@
 	counter(c.metrics.registry, familyRefusedPromptTokens, c.label, reasonLabel).Inc(int64(tokens))
 }
 
-// OutcomeUnknown counts a request whose caller was told that it may have run.
+// OutcomeUnknown counts a request whose response reported that it may have run.
 func (c *Class) OutcomeUnknown() { c.outcomeUnknown.Inc(1) }
 
 // Failed counts a request that ended with any other error.
--- a/internal/settings/common.go
+++ b/internal/settings/common.go
@@ -24,8 +24,9 @@
 
 // CallerAuth configures how the customer of a request is determined.
 type CallerAuth struct {
-	// TrustCustomerHeader takes the customer from X-Applepier-Customer if the
-	// caller sends no API key; for entry processes behind a proxy that sets it.
+	// TrustCustomerHeader says whether the header X-Applepier-Customer names the
+	// customer if the caller sends no API key. Set it only for entry processes
+	// behind a proxy that sets the header.
 	TrustCustomerHeader bool `yaml:"trust_customer_header"`
 }
 
@@ -43,7 +44,7 @@
 const (
 	// BackendEngine is an inference engine that serves a model.
 	BackendEngine BackendKind = "engine"
-	// BackendService is a service without a model.
+	// BackendService is a plain service, which has no model.
 	BackendService BackendKind = "service"
 )
 
@@ -51,7 +52,7 @@
 type Backend struct {
 	// Kind is engine or service.
 	Kind BackendKind `yaml:"kind" validate:"required,oneof=engine service"`
-	// ServedName is the name of the model or of the service.
+	// ServedName is the name of the model or of the plain service.
 	ServedName string `yaml:"serves" validate:"required"`
 	// URL is the base URL of the server, on the same VM.
 	URL string `yaml:"url" validate:"required,http_url"`
--- a/internal/targets/fetch.go
+++ b/internal/targets/fetch.go
@@ -18,7 +18,8 @@
 
 // ShouldFetch records that a peer announced version and reports whether to
 // request the Set from that peer. It returns true if version is newer than the
-// current Set and no other peer was asked for it within fetchRetryInterval.
+// current Set, and either newer than all versions announced before or no Set was
+// requested within fetchRetryInterval.
 func (c *Cache) ShouldFetch(version uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
