--- a/internal/metrics/class.go
+++ b/internal/metrics/class.go
@@ -85,7 +85,8 @@
 	c.metrics.goodput.tokens.Inc(int64(tokens))
 }
 
-// Refused counts a request that was refused and certainly not run.
+// Refused counts a request that was refused and certainly not run. Reasons past
+// MaxReasons are counted as "other".
 func (c *Class) Refused(reason Reason) {
 	reasonLabel := label{name: labelReason, value: string(c.metrics.limitReason(reason))}
 	counter(c.metrics.registry, familyRefused, c.label, reasonLabel).Inc(1)
@@ -102,7 +103,7 @@
 	counter(c.metrics.registry, familyRefusedPromptTokens, c.label, reasonLabel).Inc(int64(tokens))
 }
 
-// OutcomeUnknown counts a request whose caller was told that it may have run.
+// OutcomeUnknown counts a request whose response reported that it may have run.
 func (c *Class) OutcomeUnknown() { c.outcomeUnknown.Inc(1) }
 
 // Failed counts a request that ended with any other error.
--- a/internal/targets/fetch.go
+++ b/internal/targets/fetch.go
@@ -3,8 +3,8 @@
 import "time"
 
 // fetchRetryInterval is the time after which a Set is requested from another
-// peer if the first one hasn't sent it. Transferring a Set of the target size
-// takes a few milliseconds. A shorter interval would fetch the same Set several
+// peer if the first one hasn't sent it. Transferring a Set at the system's target
+// size takes a few milliseconds. A shorter interval would fetch the same Set several
 // times, because many peers announce a change at almost the same moment.
 const fetchRetryInterval = 200 * time.Millisecond
 
@@ -18,7 +18,8 @@
 
 // ShouldFetch records that a peer announced version and reports whether to
 // request the Set from that peer. It returns true if version is newer than the
-// current Set and no other peer was asked for it within fetchRetryInterval.
+// current Set, and either newer than all versions announced before or no Set was
+// requested within fetchRetryInterval.
 func (c *Cache) ShouldFetch(version uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
