--- a/testbed/cloud/cloud.go
+++ b/testbed/cloud/cloud.go
@@ -60,15 +60,15 @@
 // availability zone.
 type taskState struct {
 	highestToken uint64
-	// machines maps each fencing token to the last machine that used it; calls lists the
+	// processes maps each fencing token to the last machine that used it; calls lists the
 	// accepted calls in order.
-	machines map[uint64]string
-	calls    []acceptedCall
+	processes map[uint64]string
+	calls     []acceptedCall
 }
 
 // acceptedCall is an accepted call.
 type acceptedCall struct {
-	machine string
+	process string
 	at      time.Time
 }
 
@@ -130,7 +130,7 @@
 	return routes
 }
 
-func (c *Cloud) handleUsage(w http.ResponseWriter, r *http.Request, machine string) {
+func (c *Cloud) handleUsage(w http.ResponseWriter, r *http.Request, process string) {
 	var body struct {
 		Window *uint64          `json:"window-id"`
 		Counts map[string]int64 `json:"counts"`
@@ -142,7 +142,7 @@
 	}
 	report := Report{Window: *body.Window, Counts: body.Counts, Owner: r.Header.Get("X-Owner"), FencingToken: token}
 	c.handleCall(w, func() int {
-		if !c.checkToken("usage", token, machine) {
+		if !c.checkToken("usage", token, process) {
 			return http.StatusConflict
 		}
 		c.storeReport(report)
@@ -164,7 +164,7 @@
 	}
 }
 
-func (c *Cloud) handleScale(w http.ResponseWriter, r *http.Request, machine string) {
+func (c *Cloud) handleScale(w http.ResponseWriter, r *http.Request, process string) {
 	var body struct {
 		Service string `json:"service"`
 		Zone    string `json:"zone"`
@@ -176,7 +176,7 @@
 		return
 	}
 	c.handleCall(w, func() int {
-		if !c.checkToken("scale "+body.Service+" "+body.Zone, token, machine) {
+		if !c.checkToken("scale "+body.Service+" "+body.Zone, token, process) {
 			return http.StatusConflict
 		}
 		return http.StatusOK
@@ -207,35 +207,35 @@
 
 // checkToken records a call and reports whether its fencing token is at least the highest one
 // seen for the task. The caller holds c.mu.
-func (c *Cloud) checkToken(name string, token uint64, machine string) bool {
-	task := c.tasks[name]
+func (c *Cloud) checkToken(taskName string, token uint64, process string) bool {
+	task := c.tasks[taskName]
 	if task == nil {
-		task = &taskState{machines: map[uint64]string{}}
-		c.tasks[name] = task
+		task = &taskState{processes: map[uint64]string{}}
+		c.tasks[taskName] = task
 	}
-	if other, ok := task.machines[token]; ok && other != machine {
-		c.addViolation("%s: %s and %s both used fencing token %d", name, other, machine, token)
+	if other, ok := task.processes[token]; ok && other != process {
+		c.addViolation("%s: %s and %s both used fencing token %d", taskName, other, process, token)
 	}
-	task.machines[token] = machine
+	task.processes[token] = process
 	if token < task.highestToken {
 		return false
 	}
 	task.highestToken = token
-	task.calls = append(task.calls, acceptedCall{machine, time.Now()})
-	c.checkAlternation(name, task)
+	task.calls = append(task.calls, acceptedCall{process, time.Now()})
+	c.checkAlternation(taskName, task)
 	return true
 }
 
 // checkAlternation checks for holders that alternate within leaseDuration. The caller holds c.mu.
-func (c *Cloud) checkAlternation(name string, task *taskState) {
+func (c *Cloud) checkAlternation(taskName string, task *taskState) {
 	last := task.calls[len(task.calls)-1]
-	other := false
+	otherCalled := false
 	for i := len(task.calls) - 2; i >= 0 && last.at.Sub(task.calls[i].at) < c.leaseDuration; i-- {
 		switch {
-		case task.calls[i].machine != last.machine:
-			other = true
-		case other:
-			c.addViolation("%s: %s acted, then another machine, then %s again within %v", name, last.machine, last.machine, last.at.Sub(task.calls[i].at))
+		case task.calls[i].process != last.process:
+			otherCalled = true
+		case otherCalled:
+			c.addViolation("%s: %s acted, then another machine, then %s again within %v", taskName, last.process, last.process, last.at.Sub(task.calls[i].at))
 			return
 		}
 	}
--- a/testbed/cloud/cloud_test.go
+++ b/testbed/cloud/cloud_test.go
@@ -10,7 +10,7 @@
 )
 
 // post sends a call as a machine and returns the status, or 0 if there is no response.
-func post(c *Cloud, machine, path string, token uint64, body string) (status int) {
+func post(c *Cloud, process, path string, token uint64, body string) (status int) {
 	defer func() {
 		if recover() != nil {
 			status = 0
@@ -20,7 +20,7 @@
 	req.Header.Set("X-Owner", "any")
 	req.Header.Set("X-Fence-Token", strconv.FormatUint(token, 10))
 	recorder := httptest.NewRecorder()
-	c.Machine(machine).ServeHTTP(recorder, req)
+	c.Machine(process).ServeHTTP(recorder, req)
 	return recorder.Code
 }
 
--- a/testbed/cmd/load/measure.go
+++ b/testbed/cmd/load/measure.go
@@ -59,13 +59,13 @@
 	results, err := measure.Run(ctx, options)
 	measure.WriteTables(out, options, results)
 	if path := cmd.String("json"); path != "" {
-		err = errors.Join(err, writeRounds(path, results))
+		err = errors.Join(err, writeResults(path, results))
 	}
 	return err
 }
 
-func writeRounds(path string, rounds []measure.Result) error {
-	text, err := json.Marshal(rounds)
+func writeResults(path string, results []measure.Result) error {
+	text, err := json.Marshal(results)
 	if err != nil {
 		return errors.Wrap(err, "encode rounds")
 	}
--- a/testbed/demo/demo.go
+++ b/testbed/demo/demo.go
@@ -81,13 +81,13 @@
 func runLoad(ctx context.Context, running *fleet.Fleet, scenario load.Scenario, options Options) error {
 	_, _ = fmt.Fprintf(options.Out, "%d processes: platform, %d entries, %d backend servers with an agent each\n",
 		len(running.Processes()), len(running.Entries), len(running.Backends))
-	target := loadfleet.LoadOptions(running, scenario)
-	target.Seed = options.Seed
-	target.Target = "applepier"
-	target.RetryRefused = true
-	target.MaxRetryAfter = maxRetryAfter
-	target.Progress = func(p load.Progress) { writeProgress(options.Progress, p) }
-	report, err := load.Run(ctx, target)
+	loadOptions := loadfleet.LoadOptions(running, scenario)
+	loadOptions.Seed = options.Seed
+	loadOptions.Target = "applepier"
+	loadOptions.RetryRefused = true
+	loadOptions.MaxRetryAfter = maxRetryAfter
+	loadOptions.Progress = func(p load.Progress) { writeProgress(options.Progress, p) }
+	report, err := load.Run(ctx, loadOptions)
 	_, _ = fmt.Fprintln(options.Progress)
 	if err != nil {
 		return err
--- a/testbed/demo/demo_test.go
+++ b/testbed/demo/demo_test.go
@@ -10,7 +10,7 @@
 	"github.com/applepier/applepier/testbed/demo"
 )
 
-func TestShortDemo(t *testing.T) {
+func TestDemoReportsLoadAndShutsDown(t *testing.T) {
 	var out bytes.Buffer
 	err := demo.Run(t.Context(), demo.Options{Seed: 1, Duration: 2 * time.Second, Out: &out, Progress: io.Discard})
 	if err != nil {
--- a/testbed/faultproxy/event.go
+++ b/testbed/faultproxy/event.go
@@ -43,10 +43,10 @@
 }
 
 // IsTicket matches messages with a ticket.
-func IsTicket(s Event) bool { return s.Message != nil && s.Message.Ticket != nil }
+func IsTicket(event Event) bool { return event.Message != nil && event.Message.Ticket != nil }
 
 // IsGrant matches messages with a grant.
-func IsGrant(s Event) bool { return s.Message != nil && s.Message.Grant != nil }
+func IsGrant(event Event) bool { return event.Message != nil && event.Message.Grant != nil }
 
 // IsTargetSet matches messages that carry a new set of targets.
-func IsTargetSet(s Event) bool { return s.Message != nil && s.Message.TargetSet != nil }
+func IsTargetSet(event Event) bool { return event.Message != nil && event.Message.TargetSet != nil }
--- a/testbed/faultproxy/hold.go
+++ b/testbed/faultproxy/hold.go
@@ -13,8 +13,8 @@
 // Nth returns a Matcher for the n-th event, counted from 1, that match accepts.
 func Nth(n int, match Matcher) Matcher {
 	count := 0
-	return func(s Event) bool {
-		if !match(s) {
+	return func(event Event) bool {
+		if !match(event) {
 			return false
 		}
 		count++
--- a/testbed/faultproxy/proxy.go
+++ b/testbed/faultproxy/proxy.go
@@ -113,8 +113,8 @@
 // Observe calls observe with every event in a direction, before its data is
 // forwarded. observe must not block.
 func (p *Proxy) Observe(direction Direction, observe func(Event)) {
-	p.tap(direction).hold(func(s Event) bool {
-		observe(s)
+	p.tap(direction).hold(func(event Event) bool {
+		observe(event)
 		return false
 	})
 }
--- a/testbed/faultproxy/proxy_test.go
+++ b/testbed/faultproxy/proxy_test.go
@@ -198,7 +198,7 @@
 }
 
 func TestResponseFramesAreParsed(t *testing.T) {
-	r := eventParser{direction: Downstream}
+	parser := eventParser{direction: Downstream}
 	frames := []wire.Frame{
 		{Kind: wire.FrameData, Data: []byte("{}"), Tokens: 1},
 		{Kind: wire.FrameHeartbeat},
@@ -206,13 +206,13 @@
 		{Kind: wire.FrameFail, Fail: wire.FailInterrupted},
 	}
 	kinds := []EventKind{EventData, 0, EventEnd, EventFail}
-	r.parse([]byte("HTTP/1.1 200 OK\r\n\r\n"))
+	parser.parse([]byte("HTTP/1.1 200 OK\r\n\r\n"))
 	for i, frame := range frames {
 		data, err := cbor.Marshal(frame)
 		if err != nil {
 			t.Fatal(err)
 		}
-		events := r.parse(data)
+		events := parser.parse(data)
 		if (kinds[i] == 0) != (len(events) == 0) || (len(events) > 0 && events[0].Kind != kinds[i]) {
 			t.Fatalf("frame %d: got events %+v", i, events)
 		}
--- a/testbed/fleet/options.go
+++ b/testbed/fleet/options.go
@@ -50,9 +50,9 @@
 	Serves string
 	// Capacity is the number of concurrent streams an engine runs at full speed.
 	Capacity int
-	// Interval is the time between an engine's tokens at full speed, in
+	// TokenInterval is the time between an engine's tokens at full speed, in
 	// whole milliseconds.
-	Interval time.Duration
+	TokenInterval time.Duration
 	// PrefillPerToken is the engine's prefill time per uncached prompt token,
 	// in whole microseconds; zero selects the engine's default.
 	PrefillPerToken time.Duration
@@ -69,10 +69,10 @@
 	specs := make([]BackendSpec, 0, count)
 	for range count {
 		specs = append(specs, BackendSpec{
-			Kind:     settings.BackendEngine,
-			Serves:   model,
-			Capacity: capacity,
-			Interval: interval,
+			Kind:          settings.BackendEngine,
+			Serves:        model,
+			Capacity:      capacity,
+			TokenInterval: interval,
 		})
 	}
 	return specs
--- a/testbed/fleet/server.go
+++ b/testbed/fleet/server.go
@@ -55,7 +55,7 @@
 	args := []string{
 		"engine", "--listen", s.Addr, "--model", s.Spec.Serves, "--record-file", record,
 		"--capacity", strconv.Itoa(s.Spec.Capacity),
-		"--interval-ms", strconv.FormatInt(s.Spec.Interval.Milliseconds(), 10),
+		"--interval-ms", strconv.FormatInt(s.Spec.TokenInterval.Milliseconds(), 10),
 	}
 	if s.Spec.PrefillPerToken > 0 {
 		args = append(args, "--prefill-us-per-token", strconv.FormatInt(s.Spec.PrefillPerToken.Microseconds(), 10))
--- a/testbed/load/summary.go
+++ b/testbed/load/summary.go
@@ -156,12 +156,12 @@
 	if duration > 0 {
 		report.Goodput = float64(report.OnTime) / duration.Seconds()
 	}
-	report.FirstTokenP50MS = quantile(s.firstToken, p50)
-	report.FirstTokenP95MS = quantile(s.firstToken, p95)
+	report.FirstTokenP50MS = percentileMillis(s.firstToken, p50)
+	report.FirstTokenP95MS = percentileMillis(s.firstToken, p95)
 	report.FirstTokenMaxMS = toMillis(s.firstToken.Max())
-	report.BetweenTokensP50MS = quantile(s.betweenTokens, p50)
-	report.BetweenTokensP95MS = quantile(s.betweenTokens, p95)
-	report.RetryAfterMedianS = quantile(s.retryAfter, p50) / millisPerSecond
+	report.BetweenTokensP50MS = percentileMillis(s.betweenTokens, p50)
+	report.BetweenTokensP95MS = percentileMillis(s.betweenTokens, p95)
+	report.RetryAfterMedianS = percentileMillis(s.retryAfter, p50) / millisPerSecond
 	report.RetryAfterMaxS = toMillis(s.retryAfter.Max()) / millisPerSecond
 	return report
 }
@@ -171,7 +171,7 @@
 	_ = histogram.RecordValue(micros)
 }
 
-func quantile(histogram *hdrhistogram.Histogram, percentile float64) float64 {
+func percentileMillis(histogram *hdrhistogram.Histogram, percentile float64) float64 {
 	return toMillis(histogram.ValueAtPercentile(percentile))
 }
 
--- a/testbed/plain/server_test.go
+++ b/testbed/plain/server_test.go
@@ -13,7 +13,7 @@
 	"github.com/applepier/applepier/testbed/plain"
 )
 
-func TestCallsAreAnsweredAndRecorded(t *testing.T) {
+func TestOnlyExecutedCallsAreRecorded(t *testing.T) {
 	server := httptest.NewServer(plain.New())
 	defer server.Close()
 	service := engine.NewServiceClient(server.URL)
--- a/testbed/platform/bench_test.go
+++ b/testbed/platform/bench_test.go
@@ -54,8 +54,8 @@
 	b.Cleanup(httpServer.Close)
 	f := &fixture{t: b, httpServer: httpServer}
 	for i := range targetVMs {
-		name := fmt.Sprintf("/vms/backend-%04d", i)
-		f.sendControl(http.MethodPut, name, fmt.Sprintf(`{"addr":"10.0.%d.%d:8090","zone":"zone-%02d","role":"backend","serves":"model-%02d"}`, i/256, i%256, i%12, i%12))
+		path := fmt.Sprintf("/vms/backend-%04d", i)
+		f.sendControl(http.MethodPut, path, fmt.Sprintf(`{"addr":"10.0.%d.%d:8090","zone":"zone-%02d","role":"backend","serves":"model-%02d"}`, i/256, i%256, i%12, i%12))
 	}
 	client := storage.NewHTTPClient(httpServer.URL)
 	read := func() {
--- a/testbed/platform/server_test.go
+++ b/testbed/platform/server_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestOutage(t *testing.T) {
+func TestOutageReturnsErrUnavailable(t *testing.T) {
 	f := newFixture(t)
 	ctx := context.Background()
 	f.wantError(f.client.PutObject(ctx, "w/ 1?", []byte("v")), nil)
@@ -139,7 +139,7 @@
 	t.Fatal("the write did not take effect")
 }
 
-func TestVMListDelay(t *testing.T) {
+func TestVMListLagHidesRecentChanges(t *testing.T) {
 	f := newFixture(t)
 	ctx := context.Background()
 	f.sendControl(http.MethodPut, "/vms/e1", `{"addr":"127.0.0.1:1","zone":"malaga","role":"entry"}`)
--- a/testbed/ports/ports.go
+++ b/testbed/ports/ports.go
@@ -48,7 +48,7 @@
 func Free() (string, error) {
 	processBlock.mu.Lock()
 	defer processBlock.mu.Unlock()
-	if err := processBlock.reserve(); err != nil {
+	if err := processBlock.acquire(); err != nil {
 		return "", err
 	}
 	for range blockSize {
@@ -85,8 +85,8 @@
 	}
 }
 
-// reserve reserves a block unless the process has one. The caller holds mu.
-func (p *portBlock) reserve() error {
+// acquire reserves a block unless the process has one. The caller holds mu.
+func (p *portBlock) acquire() error {
 	for i := 0; p.owner == nil && i < blockCount; i++ {
 		first := firstPort + (os.Getpid()+i)%blockCount*blockSize
 		if owner, err := net.Listen("tcp", loopbackAddr(first)); err == nil {
--- a/testbed/rowstore/store.go
+++ b/testbed/rowstore/store.go
@@ -154,10 +154,10 @@
 }
 
 // tableRows returns a table's rows in no particular order. The caller holds s.mu.
-func (s *Store) tableRows(name string) []Row {
+func (s *Store) tableRows(table string) []Row {
 	var rows []Row
 	for _, r := range s.rows {
-		if r.Table == name && !r.Deleted {
+		if r.Table == table && !r.Deleted {
 			rows = append(rows, *r)
 		}
 	}
@@ -165,10 +165,10 @@
 }
 
 // historyAfter returns a table's changes after a version, in order. The caller holds s.mu.
-func (s *Store) historyAfter(name string, after uint64) []Row {
+func (s *Store) historyAfter(table string, after uint64) []Row {
 	var rows []Row
 	for _, r := range s.history {
-		if r.Table == name && r.Version > after {
+		if r.Table == table && r.Version > after {
 			rows = append(rows, r)
 		}
 	}
