--- a/testbed/cmd/load/command.go
+++ b/testbed/cmd/load/command.go
@@ -20,8 +20,8 @@
 const (
 	// targetApplepier sends to the entries of a running system.
 	targetApplepier = "applepier"
-	// targetDirect sends to the engines directly, round robin. The difference
-	// to it is the overhead of a router.
+	// targetDirect sends to the engines directly, round robin. Compared with
+	// it, the other targets show the overhead of a router.
 	targetDirect = "direct"
 )
 
@@ -45,7 +45,7 @@
 			&cli.FloatFlag{Name: "scale", Value: 1, Usage: "factor for the durations of the phases"},
 			&cli.StringFlag{Name: "target", Value: targetApplepier, Usage: strings.Join(targetNames(), ", ")},
 			&cli.StringSliceFlag{Name: "entry", Usage: "base URL of an entry; repeat for several"},
-			&cli.StringSliceFlag{Name: "engine", Usage: "base URL of a fake engine; repeat for several"},
+			&cli.StringSliceFlag{Name: "engine", Usage: "base URL of a stand-in engine; repeat for several"},
 			&cli.DurationFlag{Name: "patience", Value: load.DefaultRequestTimeout, Usage: "timeout of a request, including its response"},
 			&cli.BoolFlag{Name: "retry-after-check", Usage: "retry each refused request once after its Retry-After"},
 			&cli.StringFlag{Name: "json", Usage: "file to which the report is written as JSON"},
--- a/testbed/cmd/load/measure.go
+++ b/testbed/cmd/load/measure.go
@@ -42,7 +42,7 @@
 }
 
 // runMeasure runs the measurements. If they fail or are interrupted, it still
-// writes the tables of the completed rounds.
+// writes the tables of the completed runs.
 func runMeasure(ctx context.Context, cmd *cli.Command, out, progress io.Writer) error {
 	options := measure.Options{
 		Mixes:         cmd.StringSlice("mix"),
@@ -52,7 +52,6 @@
 		Scale:         cmd.Float("scale"),
 		Parallel:      cmd.Int("parallel"),
 		CallerTimeout: cmd.Duration("patience"),
-
 		MaxRetryAfter: cmd.Duration("return-within"),
 		Progress:      progress,
 	}
@@ -67,7 +66,10 @@
 func writeResults(path string, results []measure.Result) error {
 	text, err := json.Marshal(results)
 	if err != nil {
-		return errors.Wrap(err, "encode rounds")
+		return errors.Wrap(err, "encode results")
+	}
+	if err := os.WriteFile(path, append(text, '\n'), 0o644); err != nil {
+		return errors.Wrap(err, "write results")
 	}
-	return os.WriteFile(path, append(text, '\n'), 0o644)
+	return nil
 }
--- a/testbed/load/class.go
+++ b/testbed/load/class.go
@@ -11,22 +11,23 @@
 	Name string `yaml:"name" json:"name"`
 	// Tier is the priority of the class; 0 is the most urgent.
 	Tier int `yaml:"tier" json:"tier"`
-	// Model is the model it runs on; Mix.Model if empty.
+	// Model is the model that runs the requests; Mix.Model if empty.
 	Model string `yaml:"model" json:"model,omitempty"`
-	// Service is the plain service it runs on instead of a model. Requests of
-	// such a class are sent only at the rates in Phase.Rates and have no
-	// lengths.
+	// Service is the plain service that runs the requests instead of a
+	// model. Such requests are sent only at the rates in Phase.Rates and
+	// have no lengths in tokens.
 	Service string `yaml:"service" json:"service,omitempty"`
 	// FirstToken, BetweenTokens and Completion are the latency targets; zero
 	// means no target. The time between tokens is the mean over a response.
 	FirstToken    time.Duration `yaml:"first_token" json:"first_token,omitempty"`
 	BetweenTokens time.Duration `yaml:"between_tokens" json:"between_tokens,omitempty"`
 	Completion    time.Duration `yaml:"completion" json:"completion,omitempty"`
-	// PromptTokens and ResponseTokens are median lengths.
+	// PromptTokens and ResponseTokens are the median lengths in tokens.
+	// PromptTokens excludes the shared prefix.
 	PromptTokens   int `yaml:"prompt_tokens" json:"prompt_tokens"`
 	ResponseTokens int `yaml:"answer_tokens" json:"answer_tokens"`
-	// SharedTokens is the length of the prompt prefix that all requests of
-	// one customer in the class share.
+	// SharedTokens is the length in tokens of the prompt prefix that all
+	// requests of one customer in the class share.
 	SharedTokens int `yaml:"shared_tokens" json:"shared_tokens,omitempty"`
 	// LengthLogStdDev is the standard deviation of the logarithm of the
 	// prompt and response lengths.
--- a/testbed/load/engine_client.go
+++ b/testbed/load/engine_client.go
@@ -21,7 +21,7 @@
 	runEndPollInterval = 100 * time.Millisecond
 )
 
-// engineClient calls the test API of the fake engines: fault injection and the
+// engineClient calls the test API of the stand-in engines: fault injection and the
 // records of runs.
 type engineClient struct {
 	urls   []string
@@ -38,9 +38,9 @@
 	ExternalStreams int     `json:"foreign"`
 }
 
-// setFaults sets the slowdown and the external streams of every engine as the
-// phase's faults say, and resets them on engines without a fault. If an engine
-// has several faults, the last one applies. Other knobs stay as they are.
+// setFaults sets the slowdown and the external streams of every engine to those
+// of its fault, and resets them on engines without a fault. If an engine has
+// several faults, the last one applies. Other knobs stay as they are.
 func (e *engineClient) setFaults(ctx context.Context, faults []Fault) error {
 	all := make([]faultSettings, len(e.urls))
 	for _, fault := range faults {
@@ -94,6 +94,8 @@
 	return true
 }
 
+// call sends a request with a JSON body, which may be nil, and decodes the JSON
+// response into result unless that is nil. A status other than 200 is an error.
 func (e *engineClient) call(ctx context.Context, method, url string, body []byte, result any) error {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
--- a/testbed/load/options.go
+++ b/testbed/load/options.go
@@ -17,7 +17,7 @@
 	// Entries are the base URLs to which requests are sent, round robin. At
 	// least one is required.
 	Entries []string
-	// Engines are the base URLs of the fake engines. Without them no faults
+	// Engines are the base URLs of the stand-in engines. Without them no faults
 	// are injected, and the report has no figures from the records of runs.
 	Engines []string
 	// RequestTimeout is the timeout of a request, including its response;
--- a/testbed/load/prompt.go
+++ b/testbed/load/prompt.go
@@ -10,10 +10,11 @@
 )
 
 const (
-	// wordBytes is the length of a filler word with its space. The fake
-	// engines count it as one token.
+	// wordBytes is the length of a filler word with its space, in bytes. The
+	// stand-in engines count it as one token.
 	wordBytes = 4
-	// maxPromptTokens is the maximum length of a prompt's own part.
+	// maxPromptTokens is the maximum length of a prompt without its shared
+	// prefix.
 	maxPromptTokens = 32_000
 )
 
@@ -30,7 +31,7 @@
 	Content string `json:"content"`
 }
 
-// chatMetadata tells the fake engine the length of the response. The router does
+// chatMetadata tells the stand-in engine the length of the response. The router does
 // not read it, because real response lengths are not known in advance either.
 type chatMetadata struct {
 	ResponseTokens string `json:"answer_tokens"`
--- a/testbed/load/report.go
+++ b/testbed/load/report.go
@@ -81,7 +81,8 @@
 	return work
 }
 
-// phaseSummary accumulates the requests of a phase, in total and by class.
+// phaseSummary accumulates the requests of a phase or of the complete run, in total
+// and by class.
 type phaseSummary struct {
 	total   *summary
 	classes []*summary
--- a/testbed/load/sender.go
+++ b/testbed/load/sender.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// maxErrorBodyBytes is the part of an error response's body that is read.
+	// maxErrorBodyBytes limits how much of an error response's body is read.
 	maxErrorBodyBytes = 64 << 10
 	// maxIdleConnections is the maximum number of idle connections per entry.
 	maxIdleConnections = 4096
--- a/testbed/load/service_response.go
+++ b/testbed/load/service_response.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// maxServiceResponseBytes is the part of a plain service's response that is read.
+// maxServiceResponseBytes limits how much of a plain service's response is read.
 const maxServiceResponseBytes = 1 << 20
 
 // readServiceResponse reads a plain service's response to its end and compares it
@@ -15,7 +15,7 @@
 	var text bytes.Buffer
 	first := make([]byte, 1)
 	if _, err := io.ReadFull(body, first); err != nil {
-		return Result{Outcome: OutcomeBroken, Detail: "response body is empty"}
+		return Result{Outcome: OutcomeBroken, Detail: "response body is empty or was cut off before its first byte"}
 	}
 	firstByteLatency := time.Since(scheduledAt)
 	text.Write(first)
--- a/testbed/load/stream_response.go
+++ b/testbed/load/stream_response.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// maxEventBytes is the maximum length of one line of a stream.
+// maxEventBytes is the maximum length of one line of a stream, in bytes.
 const maxEventBytes = 1 << 20
 
 // responseChunk holds the fields of a chat.completion.chunk that are read.
--- a/testbed/load/summary.go
+++ b/testbed/load/summary.go
@@ -166,11 +166,14 @@
 	return report
 }
 
+// recordTime records d in microseconds, clamped to the histogram's range.
 func recordTime(histogram *hdrhistogram.Histogram, d time.Duration) {
 	micros := min(max(d.Microseconds(), minMicros), maxMicros)
 	_ = histogram.RecordValue(micros)
 }
 
+// percentileMillis returns a percentile, from 0 to 100, of a histogram of
+// microseconds, in milliseconds.
 func percentileMillis(histogram *hdrhistogram.Histogram, percentile float64) float64 {
 	return toMillis(histogram.ValueAtPercentile(percentile))
 }
