--- a/testbed/fleet/backend.go
+++ b/testbed/fleet/backend.go
@@ -10,7 +10,7 @@
 
 // Backend is a backend server VM, which runs a server and its agent.
 type Backend struct {
-	// VM is the VM's entry in the platform's VM list.
+	// VM is the VM as the platform's VM list describes it.
 	VM storage.VM
 	// Server is the engine or plain service; Agent is the agent process on the same VM.
 	Server *Server
--- a/testbed/fleet/client.go
+++ b/testbed/fleet/client.go
@@ -38,7 +38,8 @@
 	method string
 	url    string
 	header http.Header
-	// body is sent as JSON and the response body is decoded into response; nil skips either.
+	// body is sent as JSON, and the response body is decoded into response.
+	// Both may be nil.
 	body     any
 	response any
 }
@@ -57,7 +58,7 @@
 	defer httpResponse.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(httpResponse.Body, maxResponseBytes))
 	if err != nil {
-		return nil, errors.Wrapf(err, "response of %s", c.url)
+		return nil, errors.Wrapf(err, "read response of %s", c.url)
 	}
 	if httpResponse.StatusCode >= http.StatusMultipleChoices {
 		return httpResponse.Header, &StatusError{Method: c.method, URL: c.url, StatusCode: httpResponse.StatusCode, Body: string(body)}
@@ -66,7 +67,7 @@
 		return httpResponse.Header, nil
 	}
 	if err := json.Unmarshal(body, c.response); err != nil {
-		return nil, errors.Wrapf(err, "response of %s", c.url)
+		return nil, errors.Wrapf(err, "decode response of %s", c.url)
 	}
 	return httpResponse.Header, nil
 }
--- a/testbed/fleet/entry.go
+++ b/testbed/fleet/entry.go
@@ -17,7 +17,7 @@
 // Entry is the process of an entry VM.
 type Entry struct {
 	*Process
-	// VM is the VM's entry in the platform's VM list.
+	// VM is the VM as the platform's VM list describes it.
 	VM storage.VM
 	// URL is the base URL for callers; AdminURL is the base URL of the administration API.
 	URL      string
@@ -106,8 +106,9 @@
 	Completion string `json:"completion"`
 }
 
-// SetCompletionTarget sets a class's completion latency target, conditional on the
-// current targets version being baseVersion, and returns the new version.
+// SetCompletionTarget sets a class's completion latency target and returns the new
+// version of the targets. If their current version isn't baseVersion, nothing
+// changes and the error is a *StatusError.
 func (e *Entry) SetCompletionTarget(ctx context.Context, class string, baseVersion uint64, completion time.Duration) (uint64, error) {
 	header := http.Header{"If-Match": {strconv.Quote(strconv.FormatUint(baseVersion, 10))}}
 	var response changeResponse
--- a/testbed/fleet/fleet_test.go
+++ b/testbed/fleet/fleet_test.go
@@ -60,6 +60,8 @@
 	return nil
 }
 
+// Covers what the fault matrix does to processes: restart, pause, resume, terminate, kill and
+// replace. The record of a run must survive the restart of its engine.
 func TestProcessLifecycle(t *testing.T) {
 	ctx, f := startFleet(t, testOptions())
 	if err := sendChatCompletion(ctx, f.Entries[0]); err != nil {
@@ -101,6 +103,8 @@
 	}
 }
 
+// Guards against processes that outlive their fleet, among them a paused one, which handles no
+// signal but SIGKILL and SIGCONT.
 func TestCloseKillsEveryProcess(t *testing.T) {
 	_, f := startFleet(t, testOptions())
 	if err := f.Entries[0].Pause(); err != nil {
--- a/testbed/fleet/launcher.go
+++ b/testbed/fleet/launcher.go
@@ -7,7 +7,7 @@
 )
 
 // launcher starts child processes from one operating system thread that lives
-// as long as the fleet. Linux sends the parent death signal when the thread that
+// until close. Linux sends the parent death signal when the thread that
 // started the child exits, and the Go runtime may end idle threads.
 type launcher struct {
 	jobs  chan launchJob
--- a/testbed/fleet/options.go
+++ b/testbed/fleet/options.go
@@ -56,8 +56,8 @@
 	// PrefillPerToken is the engine's prefill time per uncached prompt token,
 	// in whole microseconds; zero selects the engine's default.
 	PrefillPerToken time.Duration
-	// LoadLag is the maximum age of an engine's load report, in whole
-	// milliseconds; zero selects the engine's default.
+	// LoadReportInterval is the time between updates of an engine's load
+	// report, in whole milliseconds; zero selects the engine's default.
 	LoadLag time.Duration
 	// IgnoreFencingTokens makes an engine accept orders with stale fencing tokens.
 	IgnoreFencingTokens bool
@@ -91,7 +91,7 @@
 	LinkPlatform
 )
 
-// Link describes a connection between processes whose address is about to be configured.
+// Link describes a connection for which Options.Route returns the address.
 type Link struct {
 	Kind LinkKind
 	// From is the name of the connecting process; empty for LinkAgent.
--- a/testbed/fleet/platform.go
+++ b/testbed/fleet/platform.go
@@ -21,7 +21,7 @@
 	URL string
 }
 
-// PutVM adds a VM to the VM list or replaces its entry.
+// PutVM adds a VM to the VM list or replaces the listed VM of the same name.
 func (p *Platform) PutVM(ctx context.Context, vm storage.VM) error {
 	_, err := call{method: http.MethodPut, url: p.vmURL(vm.Name), body: vm}.do(ctx)
 	return err
--- a/testbed/fleet/process.go
+++ b/testbed/fleet/process.go
@@ -57,7 +57,7 @@
 	}
 	log, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return errors.Wrapf(err, "log of %s", p.Name)
+		return errors.Wrapf(err, "open log of %s", p.Name)
 	}
 	defer log.Close()
 	if p.argsForInstance != nil {
--- a/testbed/fleet/server.go
+++ b/testbed/fleet/server.go
@@ -78,7 +78,7 @@
 	for _, file := range files {
 		records, err := standin.ReadRecordFile(file)
 		if err != nil {
-			return nil, errors.Wrapf(err, "record of %s", s.Name)
+			return nil, errors.Wrapf(err, "read records of runs of %s", s.Name)
 		}
 		all = append(all, records...)
 	}
@@ -92,7 +92,7 @@
 	for _, file := range s.recordFiles {
 		calls, err := plain.ReadRecordFile(file)
 		if err != nil {
-			return nil, errors.Wrapf(err, "record of %s", s.Name)
+			return nil, errors.Wrapf(err, "read records of calls of %s", s.Name)
 		}
 		all = append(all, calls...)
 	}
--- a/testbed/fleet/settings.go
+++ b/testbed/fleet/settings.go
@@ -41,11 +41,11 @@
 func (f *Fleet) writeSettings(name string, value any) (string, error) {
 	content, err := yaml.Marshal(value)
 	if err != nil {
-		return "", errors.Wrapf(err, "settings of %s", name)
+		return "", errors.Wrapf(err, "encode settings of %s", name)
 	}
 	path := filepath.Join(f.dir, name+".yaml")
 	if err := os.WriteFile(path, content, secretFileMode); err != nil {
-		return "", errors.Wrapf(err, "settings of %s", name)
+		return "", errors.Wrapf(err, "write settings of %s", name)
 	}
 	return path, nil
 }
