--- a/testbed/faultproxy/event.go
+++ b/testbed/faultproxy/event.go
@@ -13,14 +13,14 @@
 	Downstream
 )
 
-// EventKind is the kind of data that an event stands for.
+// EventKind is the kind of data that an event reports.
 type EventKind int
 
 // Event kinds between an entry and an agent.
 const (
 	// EventMessage is a message of the control connection.
 	EventMessage EventKind = iota + 1
-	// EventBody is a chunk of a granted request, headers or body.
+	// EventBody is a chunk of the headers or body of a granted request.
 	EventBody
 	// EventData is a data frame of a response, EventEnd its end frame and
 	// EventFail its failure frame.
--- a/testbed/faultproxy/eventparser.go
+++ b/testbed/faultproxy/eventparser.go
@@ -73,6 +73,8 @@
 	return events
 }
 
+// parseResponse finds the frames in one chunk of a response. It misses frames whose
+// identifying bytes are split between two chunks.
 func (p *eventParser) parseResponse(data []byte) []Event {
 	var events []Event
 	for range bytes.Count(data, dataFramePattern) {
--- a/testbed/faultproxy/proxy.go
+++ b/testbed/faultproxy/proxy.go
@@ -166,10 +166,10 @@
 func (p *Proxy) addToxic(name, direction string) error {
 	encoded, err := json.Marshal(toxicSettings{Name: name, Type: tapType, Stream: direction, Toxicity: fullToxicity})
 	if err != nil {
-		return errors.Wrapf(err, "toxic %s", name)
+		return errors.Wrapf(err, "encode toxic %s", name)
 	}
 	if _, err := p.proxy.Toxics.AddToxicJson(bytes.NewReader(encoded)); err != nil {
-		return errors.Wrapf(err, "toxic %s", name)
+		return errors.Wrapf(err, "add toxic %s", name)
 	}
 	return nil
 }
--- a/testbed/faultproxy/tap.go
+++ b/testbed/faultproxy/tap.go
@@ -30,6 +30,8 @@
 
 // connState is a tap's state for one connection.
 type connState struct {
+	// blackholesBefore is the tap's blackholeCount when the connection
+	// opened. The connection is blackholed once the count is higher.
 	blackholesBefore int
 	closed           <-chan struct{}
 	parser           eventParser
--- a/testbed/plain/server.go
+++ b/testbed/plain/server.go
@@ -87,6 +87,8 @@
 	return s.file.Write(call)
 }
 
+// takeDroppedResponse reports whether to drop this call's response, and if so counts
+// Knobs.DropResponses down.
 func (s *Server) takeDroppedResponse() bool {
 	drop := false
 	s.knobs.Update(func(k *Knobs) {
--- a/testbed/platform/faults.go
+++ b/testbed/platform/faults.go
@@ -8,7 +8,7 @@
 // writeFunc applies a write and returns the HTTP status.
 type writeFunc func(body []byte, r *http.Request) int
 
-// limitRead wraps a read request with the configured faults and rate limits.
+// limitRead wraps the handler of a read with the configured faults and rate limits.
 func (s *Server) limitRead(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !s.admit(w, false) {
@@ -18,7 +18,8 @@
 	}
 }
 
-// limitWrite wraps a write request with the configured faults and rate limits.
+// limitWrite returns a handler that applies a write within the configured faults and
+// rate limits.
 func (s *Server) limitWrite(apply writeFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := readBody(r)
@@ -72,7 +73,8 @@
 	return true
 }
 
-// takeDroppedResponse reports whether to drop this write's response, and counts the drop.
+// takeDroppedResponse reports whether to drop this write's response, and if so counts
+// Knobs.DropResponses down and Stats.DroppedResponses up.
 func (s *Server) takeDroppedResponse() bool {
 	drop := false
 	s.knobs.Update(func(k *Knobs) {
--- a/testbed/platform/server.go
+++ b/testbed/platform/server.go
@@ -18,7 +18,8 @@
 
 const (
 	// defaultWritesPerSecond and defaultReadsPerSecond are the default
-	// rate limits. The platform's stated rates are "several hundred" writes and "about two thousand" reads.
+	// rate limits. The platform's stated limits are "several hundred" writes
+	// and "about two thousand" reads per second.
 	defaultWritesPerSecond = 400
 	defaultReadsPerSecond  = 2000
 	// maxBodyBytes is the maximum request body size in bytes.
--- a/testbed/platform/server_test.go
+++ b/testbed/platform/server_test.go
@@ -150,7 +150,7 @@
 		var names []string
 		for _, vm := range vms {
 			if vm.Draining {
-				vm.Name += " leaving"
+				vm.Name += " draining"
 			}
 			names = append(names, vm.Name)
 		}
@@ -166,7 +166,7 @@
 		t.Fatalf("list one hour ago: %v", got)
 	}
 	f.sendControl(http.MethodPut, "/knobs", `{"list_lag_ms":0}`)
-	if got := names(); !slices.Equal(got, []string{"b1 leaving"}) {
+	if got := names(); !slices.Equal(got, []string{"b1 draining"}) {
 		t.Fatalf("current list: %v", got)
 	}
 }
--- a/testbed/rowstore/handlers.go
+++ b/testbed/rowstore/handlers.go
@@ -111,7 +111,7 @@
 }
 
 // transact applies a transaction atomically. It responds with status 412 if a row's
-// version isn't the expected one.
+// version isn't the expected one; a row that doesn't exist has version 0.
 func (s *Store) transact(w http.ResponseWriter, r *http.Request) {
 	var tx struct {
 		Conditions []Row `json:"expect-rev"`
--- a/testbed/rowstore/store.go
+++ b/testbed/rowstore/store.go
@@ -71,12 +71,13 @@
 	return &Store{rows: map[string]*Row{}, changed: make(chan struct{}), readCount: map[string]int{}}
 }
 
-// Put writes a row and returns its new version.
+// Put writes a row of the partition "" and returns its new version.
 func (s *Store) Put(table, key string, value []byte) uint64 {
 	return s.write(Row{Table: table, Key: key, Value: value})
 }
 
-// PutJSON writes a row whose value is document as JSON and returns its new version.
+// PutJSON writes a row like Put, with document as JSON for its value, and returns its
+// new version. It panics if document can't be encoded.
 func (s *Store) PutJSON(table, key string, document any) uint64 {
 	value, err := json.Marshal(document)
 	if err != nil {
@@ -85,7 +86,7 @@
 	return s.Put(table, key, value)
 }
 
-// Delete deletes a row.
+// Delete deletes a row of the partition "".
 func (s *Store) Delete(table, key string) { s.write(Row{Table: table, Key: key, Deleted: true}) }
 
 // SetFault sets how requests are handled, including feeds that are waiting.
@@ -119,7 +120,7 @@
 	return s.readCount[table]
 }
 
-// Keys returns the keys of a table, sorted.
+// Keys returns the keys of a table in all partitions, sorted.
 func (s *Store) Keys(table string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
