--- a/testbed/cloud/cloud.go
+++ b/testbed/cloud/cloud.go
@@ -1,8 +1,8 @@
 // Package cloud is a stand-in for the platform's endpoints that only one process at a time,
 // the holder of a lease, may call: usage reports and scaling of servers. It checks fencing
 // tokens when it executes a call, can drop responses and execute calls late, and records
-// violations by the machines that call. It identifies a machine by the handler through which it calls
-// (Cloud.Machine), not by the name in the request. Cloud is the main type.
+// violations by the calling processes. It identifies a process by the handler that it calls
+// (Cloud.HandlerFor), not by the name in the request. Cloud is the main type.
 package cloud
 
 import (
@@ -34,16 +34,19 @@
 
 // Report is an accepted usage report.
 type Report struct {
-	Window       uint64
-	Counts       map[string]int64
-	At           time.Time
+	Window uint64
+	Counts map[string]int64
+	// At is the time at which the report was accepted.
+	At time.Time
+	// Owner is the X-Owner header, and FencingToken the X-Fence-Token header.
 	Owner        string
 	FencingToken uint64
 }
 
 // Cloud is the stand-in; it implements http.Handler.
 type Cloud struct {
-	// leaseDuration is the period within which holders must not alternate; 0 disables the check.
+	// leaseDuration is the period within which two holders must not alternate; 0 disables the
+	// check.
 	leaseDuration time.Duration
 	// mu guards the fields below; no other lock is taken while it is held.
 	mu        sync.Mutex
@@ -60,7 +63,7 @@
 // availability zone.
 type taskState struct {
 	highestToken uint64
-	// processes maps each fencing token to the last machine that used it; calls lists the
+	// processes maps each fencing token to the last process that used it; calls lists the
 	// accepted calls in order.
 	processes map[uint64]string
 	calls     []acceptedCall
@@ -72,8 +75,8 @@
 	at      time.Time
 }
 
-// New returns a Cloud that has seen no calls. Violations describes the use of
-// leaseDuration.
+// New returns a Cloud that has received no calls. Holders that alternate within leaseDuration
+// are reported as a violation; 0 disables this check.
 func New(leaseDuration time.Duration) *Cloud {
 	return &Cloud{leaseDuration: leaseDuration, reports: map[uint64]Report{}, tasks: map[string]*taskState{}}
 }
@@ -110,19 +113,19 @@
 }
 
 // Violations describes the violations seen: different counts for one window, one fencing
-// token used by two machines, and holders that alternate within leaseDuration.
+// token used by two processes, and holders that alternate within New's leaseDuration.
 func (c *Cloud) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.violations...)
 }
 
-// ServeHTTP handles a call of the machine named in the X-Owner header.
+// ServeHTTP handles a call of the process named in the X-Owner header.
 func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.Machine(r.Header.Get("X-Owner")).ServeHTTP(w, r)
 }
 
-// Machine returns the handler for the calls of one machine.
+// HandlerFor returns the handler for the calls of one process.
 func (c *Cloud) Machine(name string) http.Handler {
 	routes := http.NewServeMux()
 	routes.HandleFunc("POST /usage", func(w http.ResponseWriter, r *http.Request) { c.handleUsage(w, r, name) })
@@ -235,7 +238,7 @@
 		case task.calls[i].process != last.process:
 			otherCalled = true
 		case otherCalled:
-			c.addViolation("%s: %s acted, then another machine, then %s again within %v", taskName, last.process, last.process, last.at.Sub(task.calls[i].at))
+			c.addViolation("%s: %s acted, then another process, then %s again within %v", taskName, last.process, last.process, last.at.Sub(task.calls[i].at))
 			return
 		}
 	}
--- a/testbed/cloud/cloud_test.go
+++ b/testbed/cloud/cloud_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// post sends a call as a machine and returns the status, or 0 if there is no response.
+// post sends a call as a process and returns the status, or 0 if there is no response.
 func post(c *Cloud, process, path string, token uint64, body string) (status int) {
 	defer func() {
 		if recover() != nil {
@@ -37,7 +37,7 @@
 	}{
 		"identical report repeated":             {func(c *Cloud) { post(c, "m", "/usage", 1, reportOf4); post(c, "m", "/usage", 1, reportOf4) }, 0},
 		"different counts":                      {func(c *Cloud) { post(c, "m", "/usage", 1, reportOf4); post(c, "m", "/usage", 1, reportOf5) }, 1},
-		"token used by two machines":            {func(c *Cloud) { post(c, "m", "/usage", 1, reportOf4); post(c, "n", "/usage", 1, reportOf4) }, 1},
+		"token used by two processes":           {func(c *Cloud) { post(c, "m", "/usage", 1, reportOf4); post(c, "n", "/usage", 1, reportOf4) }, 1},
 		"report repeated by the next holder":    {func(c *Cloud) { post(c, "m", "/usage", 1, reportOf4); post(c, "n", "/usage", 2, reportOf4) }, 0},
 		"different counts from a former holder": {func(c *Cloud) { post(c, "n", "/usage", 2, reportOf4); post(c, "m", "/usage", 1, reportOf5) }, 0},
 		"alternating holders": {func(c *Cloud) {
--- a/testbed/e2e/client_test.go
+++ b/testbed/e2e/client_test.go
@@ -70,6 +70,7 @@
 	}
 }
 
+// wantText returns the text that a stand-in engine generates for a request.
 func wantText(t *testing.T, p openai.ChatCompletionNewParams) string {
 	t.Helper()
 	body, err := p.MarshalJSON()
--- a/testbed/ports/ports.go
+++ b/testbed/ports/ports.go
@@ -1,5 +1,5 @@
 // Package ports allocates addresses on 127.0.0.1 for processes and servers that
-// tests start. Free and For are the main functions.
+// tests start. Reserve and ReserveForTest are the main functions.
 package ports
 
 import (
@@ -42,7 +42,7 @@
 	reserved   map[string]bool
 }
 
-// Free returns a host:port on 127.0.0.1 that nothing listens on. The address
+// Reserve returns a host:port on 127.0.0.1 that nothing listens on. The address
 // stays reserved until Release, so that a killed process finds its port free
 // when it restarts. It returns an error if no port is free.
 func Free() (string, error) {
@@ -65,7 +65,8 @@
 	return "", errors.New("no free port on 127.0.0.1")
 }
 
-// For returns an address reserved until the test ends. It fails the test if none is free.
+// ReserveForTest returns an address that is reserved until the test ends. It fails the
+// test if none is free.
 func For(t testing.TB) string {
 	t.Helper()
 	addr, err := Free()
@@ -76,7 +77,7 @@
 	return addr
 }
 
-// Release makes addresses available to Free again.
+// Release makes addresses available to Reserve again.
 func Release(addrs ...string) {
 	processBlock.mu.Lock()
 	defer processBlock.mu.Unlock()
