--- a/testbed/cmd/rounds/main.go
+++ b/testbed/cmd/rounds/main.go
@@ -9,6 +9,7 @@
 	"os"
 	"strconv"
 
+	"github.com/go-faster/errors"
 	"github.com/urfave/cli/v3"
 
 	"github.com/applepier/applepier/testbed/rounds"
@@ -77,13 +78,13 @@
 	}
 }
 
-// parseWeights parses the weights of classes.
+// parseWeights parses the weights of classes, given by class name.
 func parseWeights(texts map[string]string) (map[string]float64, error) {
 	weights := map[string]float64{}
 	for class, text := range texts {
 		weight, err := strconv.ParseFloat(text, 64)
 		if err != nil {
-			return nil, err
+			return nil, errors.Wrapf(err, "weight of class %q", class)
 		}
 		weights[class] = weight
 	}
--- a/testbed/cmd/soak/command.go
+++ b/testbed/cmd/soak/command.go
@@ -15,8 +15,8 @@
 	"github.com/applepier/applepier/testbed/soak"
 )
 
-// errSeedsFailed is returned if a seed broke a check or could not be run.
-var errSeedsFailed = errors.New("seeds failed")
+// errSeedsFailed reports that at least one seed failed a check or could not be run.
+var errSeedsFailed = errors.New("some seeds failed")
 
 func newCommand() *cli.Command {
 	required := func(name string) cli.Flag { return &cli.StringFlag{Name: name, Required: true} }
@@ -78,7 +78,7 @@
 				fmt.Println(" ", v)
 			}
 			if err != nil {
-				fmt.Println("  the soak itself:", err, result.Evidence)
+				fmt.Println("  the run of the seed failed:", err, result.Evidence)
 			}
 			if err != nil || len(result.Violations) > 0 {
 				failed++
--- a/testbed/cmd/standin/engine.go
+++ b/testbed/cmd/standin/engine.go
@@ -25,7 +25,7 @@
 			&cli.FloatFlag{Name: "interval-ms", Value: milliseconds(engine.DefaultTokenInterval), Usage: "time between tokens at full speed, in ms"},
 			&cli.FloatFlag{Name: "prefill-us-per-token", Value: 20, Usage: "prefill time per uncached prompt token, in µs"},
 			&cli.IntFlag{Name: "cache-blocks", Value: engine.DefaultCacheBlocks, Usage: "size of the prompt cache, in blocks of 16 tokens"},
-			&cli.FloatFlag{Name: "load-lag-ms", Value: milliseconds(engine.DefaultLoadReportInterval), Usage: "maximum age of the load report, in ms"},
+			&cli.FloatFlag{Name: "load-lag-ms", Value: milliseconds(engine.DefaultLoadReportInterval), Usage: "time between updates of the load report, in ms"},
 			&cli.BoolFlag{Name: "ignore-fences", Usage: "accept orders with an outdated fencing token"},
 			&cli.StringFlag{Name: "record-file", Usage: "file to which runs are recorded as JSON lines"},
 		},
