--- a/testbed/faultproxy/event.go
+++ b/testbed/faultproxy/event.go
@@ -13,14 +13,14 @@
 	Downstream
 )
 
-// EventKind is the kind of data that an event stands for.
+// EventKind is the kind of data that an event reports.
 type EventKind int
 
 // Event kinds between an entry and an agent.
 const (
 	// EventMessage is a message of the control connection.
 	EventMessage EventKind = iota + 1
-	// EventBody is a chunk of a granted request, headers or body.
+	// EventBody is a chunk of the headers or body of a granted request.
 	EventBody
 	// EventData is a data frame of a response, EventEnd its end frame and
 	// EventFail its failure frame.
@@ -43,10 +43,10 @@
 }
 
 // IsTicket matches messages with a ticket.
-func IsTicket(s Event) bool { return s.Message != nil && s.Message.Ticket != nil }
+func IsTicket(event Event) bool { return event.Message != nil && event.Message.Ticket != nil }
 
 // IsGrant matches messages with a grant.
-func IsGrant(s Event) bool { return s.Message != nil && s.Message.Grant != nil }
+func IsGrant(event Event) bool { return event.Message != nil && event.Message.Grant != nil }
 
 // IsTargetSet matches messages that carry a new set of targets.
-func IsTargetSet(s Event) bool { return s.Message != nil && s.Message.TargetSet != nil }
+func IsTargetSet(event Event) bool { return event.Message != nil && event.Message.TargetSet != nil }
--- a/testbed/faultproxy/proxy.go
+++ b/testbed/faultproxy/proxy.go
@@ -113,8 +113,8 @@
 // Observe calls observe with every event in a direction, before its data is
 // forwarded. observe must not block.
 func (p *Proxy) Observe(direction Direction, observe func(Event)) {
-	p.tap(direction).hold(func(s Event) bool {
-		observe(s)
+	p.tap(direction).hold(func(event Event) bool {
+		observe(event)
 		return false
 	})
 }
@@ -166,10 +166,10 @@
 func (p *Proxy) addToxic(name, direction string) error {
 	encoded, err := json.Marshal(toxicSettings{Name: name, Type: tapType, Stream: direction, Toxicity: fullToxicity})
 	if err != nil {
-		return errors.Wrapf(err, "toxic %s", name)
+		return errors.Wrapf(err, "encode toxic %s", name)
 	}
 	if _, err := p.proxy.Toxics.AddToxicJson(bytes.NewReader(encoded)); err != nil {
-		return errors.Wrapf(err, "toxic %s", name)
+		return errors.Wrapf(err, "add toxic %s", name)
 	}
 	return nil
 }
--- a/testbed/fleet/options.go
+++ b/testbed/fleet/options.go
@@ -50,14 +50,14 @@
 	Serves string
 	// Capacity is the number of concurrent streams an engine runs at full speed.
 	Capacity int
-	// Interval is the time between an engine's tokens at full speed, in
+	// TokenInterval is the time between an engine's tokens at full speed, in
 	// whole milliseconds.
-	Interval time.Duration
+	TokenInterval time.Duration
 	// PrefillPerToken is the engine's prefill time per uncached prompt token,
 	// in whole microseconds; zero selects the engine's default.
 	PrefillPerToken time.Duration
-	// LoadLag is the maximum age of an engine's load report, in whole
-	// milliseconds; zero selects the engine's default.
+	// LoadReportInterval is the time between updates of an engine's load
+	// report, in whole milliseconds; zero selects the engine's default.
 	LoadLag time.Duration
 	// IgnoreFencingTokens makes an engine accept orders with stale fencing tokens.
 	IgnoreFencingTokens bool
@@ -69,10 +69,10 @@
 	specs := make([]BackendSpec, 0, count)
 	for range count {
 		specs = append(specs, BackendSpec{
-			Kind:     settings.BackendEngine,
-			Serves:   model,
-			Capacity: capacity,
-			Interval: interval,
+			Kind:          settings.BackendEngine,
+			Serves:        model,
+			Capacity:      capacity,
+			TokenInterval: interval,
 		})
 	}
 	return specs
@@ -91,7 +91,7 @@
 	LinkPlatform
 )
 
-// Link describes a connection between processes whose address is about to be configured.
+// Link describes a connection for which Options.Route returns the address.
 type Link struct {
 	Kind LinkKind
 	// From is the name of the connecting process; empty for LinkAgent.
--- a/testbed/fleet/server.go
+++ b/testbed/fleet/server.go
@@ -55,7 +55,7 @@
 	args := []string{
 		"engine", "--listen", s.Addr, "--model", s.Spec.Serves, "--record-file", record,
 		"--capacity", strconv.Itoa(s.Spec.Capacity),
-		"--interval-ms", strconv.FormatInt(s.Spec.Interval.Milliseconds(), 10),
+		"--interval-ms", strconv.FormatInt(s.Spec.TokenInterval.Milliseconds(), 10),
 	}
 	if s.Spec.PrefillPerToken > 0 {
 		args = append(args, "--prefill-us-per-token", strconv.FormatInt(s.Spec.PrefillPerToken.Microseconds(), 10))
@@ -78,7 +78,7 @@
 	for _, file := range files {
 		records, err := standin.ReadRecordFile(file)
 		if err != nil {
-			return nil, errors.Wrapf(err, "record of %s", s.Name)
+			return nil, errors.Wrapf(err, "read records of runs of %s", s.Name)
 		}
 		all = append(all, records...)
 	}
@@ -92,7 +92,7 @@
 	for _, file := range s.recordFiles {
 		calls, err := plain.ReadRecordFile(file)
 		if err != nil {
-			return nil, errors.Wrapf(err, "record of %s", s.Name)
+			return nil, errors.Wrapf(err, "read records of calls of %s", s.Name)
 		}
 		all = append(all, calls...)
 	}
--- a/testbed/platform/server_test.go
+++ b/testbed/platform/server_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestOutage(t *testing.T) {
+func TestOutageReturnsErrUnavailable(t *testing.T) {
 	f := newFixture(t)
 	ctx := context.Background()
 	f.wantError(f.client.PutObject(ctx, "w/ 1?", []byte("v")), nil)
@@ -139,7 +139,7 @@
 	t.Fatal("the write did not take effect")
 }
 
-func TestVMListDelay(t *testing.T) {
+func TestVMListLagHidesRecentChanges(t *testing.T) {
 	f := newFixture(t)
 	ctx := context.Background()
 	f.sendControl(http.MethodPut, "/vms/e1", `{"addr":"127.0.0.1:1","zone":"malaga","role":"entry"}`)
@@ -150,7 +150,7 @@
 		var names []string
 		for _, vm := range vms {
 			if vm.Draining {
-				vm.Name += " leaving"
+				vm.Name += " draining"
 			}
 			names = append(names, vm.Name)
 		}
@@ -166,7 +166,7 @@
 		t.Fatalf("list one hour ago: %v", got)
 	}
 	f.sendControl(http.MethodPut, "/knobs", `{"list_lag_ms":0}`)
-	if got := names(); !slices.Equal(got, []string{"b1 leaving"}) {
+	if got := names(); !slices.Equal(got, []string{"b1 draining"}) {
 		t.Fatalf("current list: %v", got)
 	}
 }
