--- a/testbed/dutymodel/explore.go
+++ b/testbed/dutymodel/explore.go
@@ -30,32 +30,32 @@
 func Explore(guards Guards, bounds Bounds) Result {
 	e := &explorer{guards: guards, bounds: bounds}
 	frontier := []state{{store: store{copied: bounds.CopiedAtStart}}}
-	first := 0
+	frontierStart := 0
 	visits := []visit{{parent: -1}}
 	// Visited states are stored as hashes only. The probability that any two of millions of
 	// states collide is about one in ten million.
 	seed := maphash.MakeSeed()
-	known := map[uint64]struct{}{maphash.Comparable(seed, frontier[0]): {}}
+	visited := map[uint64]struct{}{maphash.Comparable(seed, frontier[0]): {}}
 	for len(frontier) > 0 {
 		var next []state
 		for i := range frontier {
 			for _, st := range e.successors(&frontier[i]) {
 				hash := maphash.Comparable(seed, st.to)
-				if _, ok := known[hash]; ok || !st.to.withinSize() {
+				if _, ok := visited[hash]; ok || !st.to.withinSize() {
 					continue
 				}
-				visits = append(visits, visit{parent: first + i, depth: visits[first+i].depth + 1, action: st.action})
+				visits = append(visits, visit{parent: frontierStart + i, depth: visits[frontierStart+i].depth + 1, action: st.action})
 				if st.to.violation != "" {
 					return Result{States: len(visits), Depth: visits[len(visits)-1].depth, Violation: st.to.violation, Steps: stepsToLast(visits)}
 				}
-				known[hash] = struct{}{}
+				visited[hash] = struct{}{}
 				next = append(next, st.to)
 				if bounds.States > 0 && len(visits) >= bounds.States {
 					return Result{States: len(visits), Depth: visits[len(visits)-1].depth}
 				}
 			}
 		}
-		first += len(frontier)
+		frontierStart += len(frontier)
 		frontier = next
 	}
 	return Result{States: len(visits), Depth: visits[len(visits)-1].depth, Complete: true}
--- a/testbed/dutymodel/platform.go
+++ b/testbed/dutymodel/platform.go
@@ -4,8 +4,8 @@
 
 // A fencing token has the era above its lowest 40 bits, which hold the counter.
 const (
-	eraBits     = 40
-	counterMask = 1<<eraBits - 1
+	eraShift    = 40
+	counterMask = 1<<eraShift - 1
 )
 
 // send adds the steps of sending a report: the response arrives, the response is lost, or
@@ -49,7 +49,7 @@
 // deliver makes the platform process a report. It returns false if the platform has seen
 // a higher fencing token and refuses the report.
 func (s *state) deliver(c reportCall) bool {
-	era, count := c.token>>eraBits, c.token&counterMask
+	era, count := c.token>>eraShift, c.token&counterMask
 	if holder := &s.firstUsers[era][count]; *holder == 0 {
 		*holder = c.gateway + 1
 	} else if *holder != c.gateway+1 {
--- a/testbed/dutymodel/product.go
+++ b/testbed/dutymodel/product.go
@@ -38,14 +38,14 @@
 	if !guards.AdoptLedger {
 		stored = ledger{}
 	}
-	m := usage.LocalState{Era: s.store.era, StartWindow: 1, LastClosedWindow: uint64(s.endedWindows)}
+	local := usage.LocalState{Era: s.store.era, StartWindow: 1, LastClosedWindow: uint64(s.endedWindows)}
 	if !guards.EraInLedger {
-		m.Era = stored.era
+		local.Era = stored.era
 	}
 	for i, content := range g.ownReports {
 		if content != 0 {
-			m.OwnReports = append(m.OwnReports, newReport(uint64(i+1), content))
+			local.OwnReports = append(local.OwnReports, newReport(uint64(i+1), content))
 		}
 	}
-	return fromProduct(usage.RecoverLedger(stored.toProduct(), stored.found, m))
+	return fromProduct(usage.RecoverLedger(stored.toProduct(), stored.found, local))
 }
--- a/testbed/history/check.go
+++ b/testbed/history/check.go
@@ -52,7 +52,7 @@
 	for _, check := range []func(*indexedHistory) []Violation{
 		checkTopTier,
 		checkServed,
-		checkBound,
+		checkMaxDuration,
 		checkComplete,
 		checkNotRun,
 		checkAtMostOnce,
--- a/testbed/history/check_test.go
+++ b/testbed/history/check_test.go
@@ -37,19 +37,19 @@
 	docket = 1
 )
 
-func setFailed(c *Call, told Outcome) { c.Outcome, c.Text = told, "" }
+func setFailed(c *Call, outcome Outcome) { c.Outcome, c.Text = outcome, "" }
 
-func TestGoodHistoryPasses(t *testing.T) {
+func TestValidHistoryPasses(t *testing.T) {
 	if found := Check(validHistory()); len(found) > 0 {
 		t.Fatal(found)
 	}
 }
 
-func TestEachBrokenPromiseIsFound(t *testing.T) {
+func TestEachBrokenGuaranteeIsReported(t *testing.T) {
 	cases := []struct {
-		name  string
-		point Guarantee
-		spoil func(*History)
+		name      string
+		guarantee Guarantee
+		corrupt   func(*History)
 	}{
 		{"top tier shed for lower work", GuaranteeTopTier, func(h *History) {
 			setFailed(&h.Calls[flag], OutcomeNotRun)
@@ -73,10 +73,10 @@
 			h.Runs = h.Runs[:1]
 		}},
 		{"not run, ran before in a run of no other call", GuaranteeNotRun, func(h *History) {
-			repeat := h.Calls[docket]
-			repeat.RequestID, repeat.Sent, repeat.Done = "r-repeat", at(10), at(14)
-			setFailed(&repeat, OutcomeNotRun)
-			h.Calls = append(h.Calls, repeat)
+			retry := h.Calls[docket]
+			retry.RequestID, retry.Sent, retry.Done = "r-repeat", at(10), at(14)
+			setFailed(&retry, OutcomeNotRun)
+			h.Calls = append(h.Calls, retry)
 			h.Runs[docket].Request = "r-nobody"
 		}},
 		{"another's answer", GuaranteeComplete, func(h *History) { h.Calls[docket].Text = h.Calls[flag].Text }},
@@ -93,10 +93,10 @@
 			h.Runs[docket].Started = at(30)
 		}},
 		{"not run, ran afterwards under its own id beside a repeat", GuaranteeNotRun, func(h *History) {
-			repeat := h.Calls[docket]
-			repeat.RequestID = "r-repeat"
-			repeat.Sent, repeat.Done = at(10), at(14)
-			h.Calls = append(h.Calls, repeat)
+			retry := h.Calls[docket]
+			retry.RequestID = "r-repeat"
+			retry.Sent, retry.Done = at(10), at(14)
+			h.Calls = append(h.Calls, retry)
 			setFailed(&h.Calls[docket], OutcomeNotRun)
 			h.Runs[docket].Started = at(11)
 		}},
@@ -109,7 +109,7 @@
 		{"unknown without a fault", GuaranteeAtMostOnce, func(h *History) { setFailed(&h.Calls[docket], OutcomeUnknown) }},
 		{"unknown after the fault was lifted", GuaranteeAtMostOnce, func(h *History) {
 			setFailed(&h.Calls[docket], OutcomeUnknown)
-			h.Faults = []Fault{{At: at(-5), Lifted: at(-1)}}
+			h.Faults = []Fault{{At: at(-5), Cleared: at(-1)}}
 		}},
 		{"new work on a leaving server", GuaranteeDraining, func(h *History) { h.Runs[docket].Started = at(4) }},
 		{"planned stop cut an answer", GuaranteeStop, func(h *History) { setFailed(&h.Calls[docket], OutcomeFailed) }},
@@ -138,18 +138,18 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			h := validHistory()
-			c.spoil(&h)
+			c.corrupt(&h)
 			for _, violation := range Check(h) {
-				if violation.Guarantee == c.point {
+				if violation.Guarantee == c.guarantee {
 					return
 				}
 			}
-			t.Fatalf("point %d was broken and not found: %v", c.point, Check(h))
+			t.Fatalf("point %d was broken and not found: %v", c.guarantee, Check(h))
 		})
 	}
 }
 
-func TestWhatIsAllowedPasses(t *testing.T) {
+func TestAllowedDeviationsPass(t *testing.T) {
 	cases := []struct {
 		name  string
 		allow func(*History)
@@ -159,20 +159,20 @@
 			h.Faults = []Fault{{Kind: "kill", Process: "vm0", At: at(2)}}
 		}},
 		{"refused, then run by the caller's own retry", func(h *History) {
-			repeat := h.Calls[docket]
-			repeat.RequestID, repeat.IdempotencyKey = "r-repeat", "k"
-			repeat.Sent, repeat.Done = at(10), at(14)
-			h.Calls = append(h.Calls, repeat)
+			retry := h.Calls[docket]
+			retry.RequestID, retry.IdempotencyKey = "r-repeat", "k"
+			retry.Sent, retry.Done = at(10), at(14)
+			h.Calls = append(h.Calls, retry)
 			setFailed(&h.Calls[docket], OutcomeNotRun)
 			h.Calls[docket].Done = at(1)
 			h.Runs[docket].Request, h.Runs[docket].Started = "r-repeat", at(11)
 			h.Drains = nil
 		}},
 		{"without a key: ran and failed, then refused", func(h *History) {
-			repeat := h.Calls[docket]
-			repeat.RequestID, repeat.Sent, repeat.Done = "r-repeat", at(10), at(14)
-			setFailed(&repeat, OutcomeNotRun)
-			h.Calls = append(h.Calls, repeat)
+			retry := h.Calls[docket]
+			retry.RequestID, retry.Sent, retry.Done = "r-repeat", at(10), at(14)
+			setFailed(&retry, OutcomeNotRun)
+			h.Calls = append(h.Calls, retry)
 		}},
 		{"refused, then served within the bound", func(h *History) {
 			h.Calls[docket].MaxDuration = time.Minute
@@ -189,7 +189,7 @@
 		}},
 		{"beginning of an answer with a visible failure", func(h *History) {
 			h.Calls[docket].Outcome, h.Calls[docket].Text = OutcomeFailed, "answ"
-			h.Faults = []Fault{{Kind: "cut", Process: "vm0", At: at(2), Lifted: at(3)}}
+			h.Faults = []Fault{{Kind: "cut", Process: "vm0", At: at(2), Cleared: at(3)}}
 		}},
 	}
 	for _, c := range cases {
--- a/testbed/history/leaving.go
+++ b/testbed/history/draining.go
@@ -6,9 +6,9 @@
 func checkDraining(h *indexedHistory) []Violation {
 	var found []Violation
 	for _, drain := range h.Drains {
-		last := drain.At.Add(drain.Limit)
+		deadline := drain.At.Add(drain.Limit)
 		for _, run := range h.Runs {
-			if run.Server == drain.Server && run.Started.After(last) {
+			if run.Server == drain.Server && run.Started.After(deadline) {
 				found = append(found, Violation{GuaranteeDraining, drain.Server,
 					fmt.Sprintf("%s started %s after it was told to take no new work", run.ID, run.Started.Sub(drain.At))})
 			}
--- a/testbed/history/event.go
+++ b/testbed/history/event.go
@@ -8,8 +8,8 @@
 	// Process is the affected process, or the remote end of the affected connection.
 	Process string    `json:"process"`
 	At      time.Time `json:"at"`
-	// Lifted is when the fault ended; zero if it lasts.
-	Lifted time.Time `json:"lifted"`
+	// Cleared is when the fault ended; zero if it lasts.
+	Cleared time.Time `json:"lifted"`
 }
 
 // Drain records that a VM was ordered to drain.
--- a/testbed/history/history.go
+++ b/testbed/history/history.go
@@ -51,7 +51,7 @@
 // faultDuring reports whether any fault was in effect between two times.
 func (h *indexedHistory) faultDuring(from, to time.Time) bool {
 	for _, fault := range h.Faults {
-		if fault.At.Before(to) && (fault.Lifted.IsZero() || fault.Lifted.After(from)) {
+		if fault.At.Before(to) && (fault.Cleared.IsZero() || fault.Cleared.After(from)) {
 			return true
 		}
 	}
--- a/testbed/history/duration.go
+++ b/testbed/history/maxduration.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// checkBound reports served calls that took longer than MaxDuration, and work with
+// checkMaxDuration reports served calls that took longer than MaxDuration, and work with
 // such a bound that was never served although its caller retried.
-func checkBound(h *indexedHistory) []Violation {
+func checkMaxDuration(h *indexedHistory) []Violation {
 	var found []Violation
 	served, lastCalls := map[string]bool{}, map[string]Call{}
 	for _, call := range h.Calls {
--- a/testbed/history/recorder.go
+++ b/testbed/history/recorder.go
@@ -30,10 +30,10 @@
 }
 
 // Drain records that a VM was ordered to drain.
-func (r *Recorder) Drain(l Drain) {
+func (r *Recorder) Drain(d Drain) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.history.Drains = append(r.history.Drains, l)
+	r.history.Drains = append(r.history.Drains, d)
 }
 
 // Stop records a planned stop.
--- a/testbed/history/toptier.go
+++ b/testbed/history/toptier.go
@@ -11,7 +11,7 @@
 		if call.Tier != 0 || call.Outcome == OutcomeComplete {
 			continue
 		}
-		if lower, ok := h.lowerStartedDuring(call); ok && call.Code == CodeOverloaded {
+		if lower, ok := h.lowerTierRunDuring(call); ok && call.Code == CodeOverloaded {
 			found = append(found, Violation{GuaranteeTopTier, call.Marker,
 				fmt.Sprintf("refused while lower work %s was started", lower.ID)})
 		}
@@ -22,7 +22,7 @@
 	return found
 }
 
-func (h *indexedHistory) lowerStartedDuring(top Call) (Run, bool) {
+func (h *indexedHistory) lowerTierRunDuring(top Call) (Run, bool) {
 	for _, lower := range h.Calls {
 		if lower.Tier == 0 || lower.Service != top.Service {
 			continue
--- a/testbed/matrix/breakpoint.go
+++ b/testbed/matrix/breakpoint.go
@@ -41,14 +41,14 @@
 }
 
 // recordRequestID takes the request's ID from its first ticket.
-func (b *breakpoint) recordRequestID(s faultproxy.Event) {
-	if !faultproxy.IsTicket(s) || s.Message.Ticket.Class != b.class {
+func (b *breakpoint) recordRequestID(e faultproxy.Event) {
+	if !faultproxy.IsTicket(e) || e.Message.Ticket.Class != b.class {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.recordedID == "" {
-		b.recordedID = s.Message.Ticket.RequestID
+		b.recordedID = e.Message.Ticket.RequestID
 	}
 }
 
@@ -57,23 +57,23 @@
 func (b *breakpoint) matcher(step Step, agent int) (faultproxy.Direction, faultproxy.Matcher) {
 	switch step {
 	case StepBeforeTicket:
-		return faultproxy.Upstream, func(s faultproxy.Event) bool {
-			return faultproxy.IsTicket(s) && s.Message.Ticket.Class == b.class
+		return faultproxy.Upstream, func(e faultproxy.Event) bool {
+			return faultproxy.IsTicket(e) && e.Message.Ticket.Class == b.class
 		}
 	case StepGranted:
-		return faultproxy.Downstream, func(s faultproxy.Event) bool {
-			return faultproxy.IsGrant(s) && s.Message.Grant.RequestID == b.requestID()
+		return faultproxy.Downstream, func(e faultproxy.Event) bool {
+			return faultproxy.IsGrant(e) && e.Message.Grant.RequestID == b.requestID()
 		}
 	case StepBodySent:
-		return faultproxy.Upstream, func(s faultproxy.Event) bool {
-			return s.Kind == faultproxy.EventBody && b.containsRequestID(s.Data)
+		return faultproxy.Upstream, func(e faultproxy.Event) bool {
+			return e.Kind == faultproxy.EventBody && b.containsRequestID(e.Data)
 		}
 	case StepStarted:
-		return faultproxy.Downstream, func(s faultproxy.Event) bool { return b.countChunk(agent, s) >= 1 }
+		return faultproxy.Downstream, func(e faultproxy.Event) bool { return b.countChunk(agent, e) >= 1 }
 	case StepMidStream:
-		return faultproxy.Downstream, func(s faultproxy.Event) bool { return b.countChunk(agent, s) >= midStreamChunks }
+		return faultproxy.Downstream, func(e faultproxy.Event) bool { return b.countChunk(agent, e) >= midStreamChunks }
 	case StepLastFrame:
-		return faultproxy.Downstream, func(s faultproxy.Event) bool { return b.isLastFrame(agent, s) }
+		return faultproxy.Downstream, func(e faultproxy.Event) bool { return b.isLastFrame(agent, e) }
 	}
 	return 0, nil
 }
@@ -91,25 +91,25 @@
 
 // countChunk returns the number of response chunks seen so far, including s; it
 // returns 0 if s is not a chunk of the request's response.
-func (b *breakpoint) countChunk(agent int, s faultproxy.Event) int {
-	if s.Kind != faultproxy.EventData || !b.containsRequestID(s.Data) {
+func (b *breakpoint) countChunk(agent int, e faultproxy.Event) int {
+	if e.Kind != faultproxy.EventData || !b.containsRequestID(e.Data) {
 		return 0
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.chunks++
-	b.connections[agent] = s.Connection
+	b.connections[agent] = e.Connection
 	return b.chunks
 }
 
 // isLastFrame reports whether s is the end marker on the connection that carries
 // the response.
-func (b *breakpoint) isLastFrame(agent int, s faultproxy.Event) bool {
-	b.countChunk(agent, s)
+func (b *breakpoint) isLastFrame(agent int, e faultproxy.Event) bool {
+	b.countChunk(agent, e)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	link, ok := b.connections[agent]
-	return ok && s.Kind == faultproxy.EventEnd && s.Connection == link
+	connection, ok := b.connections[agent]
+	return ok && e.Kind == faultproxy.EventEnd && e.Connection == connection
 }
 
 // wait waits until the step is reached at some agent and returns the agent's
--- a/testbed/matrix/burst_test.go
+++ b/testbed/matrix/burst_test.go
@@ -8,7 +8,7 @@
 
 // Guards against a burst below the engines' capacity: a test process that was not scheduled for
 // a moment sent too few calls, so no ticket ever waited.
-func TestBurstKeepsToItsSchedule(t *testing.T) {
+func TestOnScheduleCatchesUpAfterDelay(t *testing.T) {
 	const count, interval = 40, 25 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
--- a/testbed/matrix/cells.go
+++ b/testbed/matrix/cells.go
@@ -24,7 +24,7 @@
 	for i := range count {
 		first := RequestFaults[rng.IntN(len(RequestFaults))]
 		second := RequestFaults[rng.IntN(len(RequestFaults))]
-		if i%sameEvery == 0 {
+		if i%sameFaultInterval == 0 {
 			second = first
 		}
 		subject := SubjectDocket
@@ -37,8 +37,8 @@
 	return cells
 }
 
-// sameEvery is the interval, in pairs, at which a pair has the same fault twice.
-const sameEvery = 3
+// sameFaultInterval is the interval, in pairs, at which a pair has the same fault twice.
+const sameFaultInterval = 3
 
 // AllCells returns the complete matrix for one seed, with the given number of
 // fault pairs.
--- a/testbed/matrix/classes.go
+++ b/testbed/matrix/classes.go
@@ -39,8 +39,8 @@
 	return targets.Class{Name: classLost, Tier: 4, Model: lostModel, FirstToken: 60 * time.Second, Repeatable: true}
 }
 
-// classOf returns the class of a name, or an empty class if there is none.
-func classOf(name string) targets.Class {
+// classByName returns the class of a name, or an empty class if there is none.
+func classByName(name string) targets.Class {
 	for _, class := range append(classes(), lostClass(), burstClass()) {
 		if class.Name == name {
 			return class
--- a/testbed/matrix/client_request.go
+++ b/testbed/matrix/client_request.go
@@ -87,7 +87,7 @@
 
 // send sends the request to an entry and returns the call as the caller saw it.
 func (c callerRequest) send(ctx context.Context, entry *fleet.Entry) history.Call {
-	class := classOf(c.class)
+	class := classByName(c.class)
 	call := history.Call{
 		Marker:         c.marker,
 		Entry:          entry.Name,
--- a/testbed/matrix/fault.go
+++ b/testbed/matrix/fault.go
@@ -90,7 +90,7 @@
 		return f.finishStop(ctx)
 	}
 	err := f.end(ctx)
-	f.record.Lifted = time.Now().Add(faultAftermath)
+	f.record.Cleared = time.Now().Add(faultAftermath)
 	f.location.harness.recorder.Fault(f.record)
 	if err != nil {
 		return errors.Wrapf(err, "clear %s at %s", f.kind, f.record.Process)
--- a/testbed/matrix/harness.go
+++ b/testbed/matrix/harness.go
@@ -92,18 +92,18 @@
 	}
 	agent := len(h.proxies)
 	h.proxies = append(h.proxies, proxy)
-	proxy.Observe(faultproxy.Downstream, func(s faultproxy.Event) { h.recordStatus(agent, s) })
+	proxy.Observe(faultproxy.Downstream, func(e faultproxy.Event) { h.recordStatus(agent, e) })
 	return proxy.Addr(), nil
 }
 
 // recordStatus records the number of waiting tickets that an agent reports.
-func (h *harness) recordStatus(agent int, s faultproxy.Event) {
-	if s.Message == nil || s.Message.Status == nil || agent >= engineCount {
+func (h *harness) recordStatus(agent int, e faultproxy.Event) {
+	if e.Message == nil || e.Message.Status == nil || agent >= engineCount {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.waitingTickets[agent] = s.Message.Status.Waiting
+	h.waitingTickets[agent] = e.Message.Status.Waiting
 }
 
 // allAgentsWaiting reports whether every agent has waiting tickets by its last
--- a/testbed/matrix/matrix_test.go
+++ b/testbed/matrix/matrix_test.go
@@ -46,7 +46,7 @@
 // parallelCells is the number of fleets that run in parallel.
 const parallelCells = 4
 
-func TestPairsAreDrawnBySeed(t *testing.T) {
+func TestPairCellsAreReproducible(t *testing.T) {
 	first, again, other := PairCells(1, 30), PairCells(1, 30), PairCells(2, 30)
 	same := 0
 	for i := range first {
--- a/testbed/matrix/report.go
+++ b/testbed/matrix/report.go
@@ -19,10 +19,10 @@
 // reportData holds the data of the report's template.
 type reportData struct {
 	Results []Result
-	Held    int
-	Broken  int
-	// Spread is the longest propagation time of a change of targets in any cell.
-	Spread        time.Duration
+	Passed  int
+	Failed  int
+	// Propagation is the longest propagation time of a change of targets in any cell.
+	Propagation   time.Duration
 	DrainingLimit time.Duration
 	ChangeLimit   time.Duration
 }
@@ -35,11 +35,11 @@
 	}
 	data := reportData{Results: results, DrainingLimit: drainingLimit, ChangeLimit: changeLimit}
 	for _, result := range results {
-		data.Spread = max(data.Spread, result.Spread)
+		data.Propagation = max(data.Propagation, result.Propagation)
 		if result.Holds() {
-			data.Held++
+			data.Passed++
 		} else {
-			data.Broken++
+			data.Failed++
 		}
 	}
 	var text bytes.Buffer
--- a/testbed/matrix/run.go
+++ b/testbed/matrix/run.go
@@ -27,20 +27,20 @@
 	Violations []history.Violation
 	// Err is the reason why the cell was not completed, if it was not.
 	Err error
-	// Told lists the outcomes that the subject's caller saw, in order, or their
+	// Outcomes lists the outcomes that the subject's caller saw, in order, or their
 	// numbers if there are many.
-	Told string
+	Outcomes string
 	// Logs holds the last log lines of each process if the cell failed.
 	Logs string
-	// Spread is the longest time until a change of targets was in force at a
+	// Propagation is the longest time until a change of targets was in force at a
 	// process.
-	Spread time.Duration
+	Propagation time.Duration
 	// Took is the duration of the complete cell.
 	Took time.Duration
 }
 
-// First returns the first broken guarantee, or "" if there is none.
-func (r Result) First() string {
+// FirstViolation returns the first broken guarantee, or "" if there is none.
+func (r Result) FirstViolation() string {
 	if len(r.Violations) == 0 {
 		return ""
 	}
@@ -113,8 +113,8 @@
 		return
 	}
 	r.Violations = history.Check(recorded)
-	r.Told = subjectOutcomes(recorded, r.Cell)
-	r.Spread = longestPropagation(recorded)
+	r.Outcomes = subjectOutcomes(recorded, r.Cell)
+	r.Propagation = longestPropagation(recorded)
 	if !r.Holds() {
 		var logs strings.Builder
 		h.fleet.WriteLogs(&logs, logTailLines)
@@ -128,12 +128,12 @@
 // countOutcomes returns how often each outcome occurred, sorted by outcome.
 func countOutcomes(outcomes []string) string {
 	counts := map[string]int{}
-	for _, t := range outcomes {
-		counts[t]++
+	for _, outcome := range outcomes {
+		counts[outcome]++
 	}
 	var parts []string
-	for _, t := range slices.Sorted(maps.Keys(counts)) {
-		parts = append(parts, fmt.Sprintf("%d %s", counts[t], t))
+	for _, outcome := range slices.Sorted(maps.Keys(counts)) {
+		parts = append(parts, fmt.Sprintf("%d %s", counts[outcome], outcome))
 	}
 	return strings.Join(parts, ", ")
 }
@@ -156,9 +156,9 @@
 // String returns the cell with its seed, outcomes, duration and violations.
 func (r Result) String() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "%s seed %d: outcomes %s, %s", r.Cell.Name(), r.Cell.Seed, r.Told, r.Took.Round(time.Millisecond))
-	if r.Spread > 0 {
-		fmt.Fprintf(&text, ", in force after %s", r.Spread.Round(time.Millisecond))
+	fmt.Fprintf(&text, "%s seed %d: outcomes %s, %s", r.Cell.Name(), r.Cell.Seed, r.Outcomes, r.Took.Round(time.Millisecond))
+	if r.Propagation > 0 {
+		fmt.Fprintf(&text, ", in force after %s", r.Propagation.Round(time.Millisecond))
 	}
 	if r.Err != nil {
 		fmt.Fprintf(&text, "\n  not completed: %v", r.Err)
--- a/testbed/matrix/targets.go
+++ b/testbed/matrix/targets.go
@@ -31,10 +31,10 @@
 	changeLimit = 14 * time.Second
 	// changesPerOperator is the number of changes that each of two operators makes.
 	changesPerOperator = 4
-	// versionMarker is added to a version to form a completion target, in seconds,
+	// versionOffset is added to a version to form a completion target, in seconds,
 	// from which a reader recognizes the change. It is far above the duration of
 	// any request.
-	versionMarker = 10000
+	versionOffset = 10000
 	// operatorTimeout bounds an operator's attempts.
 	operatorTimeout = 40 * time.Second
 )
@@ -157,8 +157,8 @@
 	for n := 0; ctx.Err() == nil; n++ {
 		base, err := h.fleet.Platform.Targets(ctx)
 		if err == nil {
-			marker := time.Duration(versionMarker+base.Version+1)*time.Second + time.Duration(operator)*time.Millisecond
-			version, err := entry.SetCompletionTarget(ctx, class, base.Version, marker)
+			completion := time.Duration(versionOffset+base.Version+1)*time.Second + time.Duration(operator)*time.Millisecond
+			version, err := entry.SetCompletionTarget(ctx, class, base.Version, completion)
 			if err == nil {
 				h.recorder.Change(history.Change{Version: version, Class: class, Accepted: time.Now(), Limit: changeLimit})
 				return nil
@@ -178,8 +178,8 @@
 func changesIn(set *targets.Set) map[string]uint64 {
 	versions := map[string]uint64{}
 	for _, class := range set.Classes {
-		if marker := uint64(class.Completion / time.Second); marker > versionMarker {
-			versions[class.Name] = marker - versionMarker
+		if seconds := uint64(class.Completion / time.Second); seconds > versionOffset {
+			versions[class.Name] = seconds - versionOffset
 		}
 	}
 	return versions
--- a/testbed/matrix/versions.go
+++ b/testbed/matrix/versions.go
@@ -56,7 +56,7 @@
 func (h *harness) watchVersion(ctx context.Context, s targetsSource) {
 	lastUnreadable := time.Time{}
 	for ctx.Err() == nil {
-		asked := time.Now()
+		readAt := time.Now()
 		readCtx, cancel := context.WithTimeout(ctx, readTimeout)
 		set, err := s.read(readCtx)
 		cancel()
@@ -68,10 +68,10 @@
 		default:
 			h.recorder.Version(history.VersionReading{
 				Process:       s.name,
-				At:            asked,
+				At:            readAt,
 				Version:       set.Version,
 				ClassVersions: changesIn(set),
-				Excused:       asked.Sub(lastUnreadable) < changeLimit,
+				Excused:       readAt.Sub(lastUnreadable) < changeLimit,
 			})
 		}
 		pause.Sleep(ctx, readInterval)
@@ -86,8 +86,8 @@
 	defer cancel()
 	pollUntil(waitCtx, func() bool {
 		for _, s := range h.sources() {
-			one, cancel := context.WithTimeout(waitCtx, readTimeout)
-			set, err := s.read(one)
+			readCtx, cancel := context.WithTimeout(waitCtx, readTimeout)
+			set, err := s.read(readCtx)
 			cancel()
 			if err == nil && set.Version < newest.Version {
 				return false
--- a/testbed/scenarios/scenarios_test.go
+++ b/testbed/scenarios/scenarios_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestUnknownScenarioNamesThoseThereAre(t *testing.T) {
+func TestUnknownNameErrorListsAvailableNames(t *testing.T) {
 	if _, err := scenarios.Load("tampere", "noisy"); err == nil || !strings.Contains(err.Error(), "burst-2x") {
 		t.Errorf("got %v", err)
 	}
