--- a/testbed/matrix/breakpoint.go
+++ b/testbed/matrix/breakpoint.go
@@ -8,8 +8,7 @@
 	"github.com/applepier/applepier/testbed/faultproxy"
 )
 
-// midStreamChunks is the number of response chunks after which a stream counts as in
-// its middle.
+// midStreamChunks is the number of response chunks at which StepMidStream is reached.
 const midStreamChunks = 10
 
 // breakpoint detects on the wire that a request has reached a step, and holds the
@@ -25,8 +24,8 @@
 }
 
 // setBreakpoint sets the breakpoint for a request of a class and must be called
-// before the request is sent. Steps that no message marks have no holds; callers
-// detect them in other ways.
+// before the request is sent. A step without a message of its own, such as
+// StepWaiting, gets no holds; the caller detects it in another way.
 func (h *harness) setBreakpoint(step Step, class string) *breakpoint {
 	b := &breakpoint{class: class, connections: map[int]int64{}}
 	for agent, proxy := range h.proxies {
--- a/testbed/matrix/burst.go
+++ b/testbed/matrix/burst.go
@@ -146,9 +146,9 @@
 }
 
 // callWithRetry retries a call, through the entries in turn, until it is served.
-// A refused call is sent again after its Retry-After. Only the cell's timeout
-// ends the retries, because the Retry-After hints cover the work of the complete
-// burst and more.
+// A refused call is sent again after its Retry-After. The retries have no limit
+// other than the cell's timeout, because a Retry-After can be longer than the work
+// of the complete burst takes.
 func (h *harness) callWithRetry(ctx context.Context, request callerRequest, n int) {
 	for ctx.Err() == nil {
 		call := h.call(ctx, request, h.pickEntry(n))
--- a/testbed/matrix/burst_test.go
+++ b/testbed/matrix/burst_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against a burst below the engines' capacity: a test process that was not scheduled for
-// a moment sent too few calls, so no ticket ever waited.
+// Guards against a burst whose rate falls below the engines' capacity: when the test process was
+// not scheduled for a moment, it sent too few calls, and no ticket ever waited.
 func TestOnScheduleCatchesUpAfterDelay(t *testing.T) {
 	const count, interval = 40, 25 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
--- a/testbed/matrix/cell.go
+++ b/testbed/matrix/cell.go
@@ -1,6 +1,7 @@
-// Package matrix injects every fault at every step of a request, a change of
-// targets and a planned stop, on a fleet of real processes, and checks the
-// recorded history with package history. A cell is plain data: a subject, the
+// Package matrix injects faults at each step of a request, a plain service's call,
+// a change of targets and a lease, and during planned stops, the draining of a VM
+// and bursts. Each cell runs on its own fleet of real processes, and its recorded
+// history is checked with package history. A cell is plain data: a subject, the
 // step that it has reached, and one or two faults. Start reading at Run.
 package matrix
 
@@ -33,14 +34,25 @@
 
 // Steps of a request.
 const (
+	// StepBeforeTicket is reached when the entry has sent a ticket and the agent has
+	// not received it.
 	StepBeforeTicket Step = "before-ticket"
-	StepWaiting      Step = "ticket-waiting"
-	StepGranted      Step = "granted"
-	StepBodySent     Step = "body-sent"
-	StepStarted      Step = "started"
-	StepMidStream    Step = "mid-stream"
-	StepLastFrame    Step = "last-frame"
-	StepAfterEnd     Step = "after-end"
+	// StepWaiting is reached when the ticket waits for a grant.
+	StepWaiting Step = "ticket-waiting"
+	// StepGranted is reached when the agent has sent the grant.
+	StepGranted Step = "granted"
+	// StepBodySent is reached when the entry has sent the first chunk of the granted
+	// request.
+	StepBodySent Step = "body-sent"
+	// StepStarted is reached when the agent has sent the first chunk of the response,
+	// or when a plain service has recorded the call.
+	StepStarted Step = "started"
+	// StepMidStream is reached when the agent has sent midStreamChunks chunks.
+	StepMidStream Step = "mid-stream"
+	// StepLastFrame is reached when the agent has sent the response's end marker.
+	StepLastFrame Step = "last-frame"
+	// StepAfterEnd is reached when the call has ended.
+	StepAfterEnd Step = "after-end"
 )
 
 // RequestSteps lists the steps of a request in order.
--- a/testbed/matrix/cells.go
+++ b/testbed/matrix/cells.go
@@ -37,7 +37,7 @@
 	return cells
 }
 
-// sameFaultInterval is the interval, in pairs, at which a pair has the same fault twice.
+// sameFaultInterval makes every third pair consist of the same fault twice.
 const sameFaultInterval = 3
 
 // AllCells returns the complete matrix for one seed, with the given number of
--- a/testbed/matrix/classes.go
+++ b/testbed/matrix/classes.go
@@ -6,7 +6,7 @@
 	"github.com/applepier/applepier/internal/targets"
 )
 
-// model is the default model; all engines serve it, except that of lostModel.
+// model is the default model; all engines serve it except the one that serves lostModel.
 const model = "apple-avustaja"
 
 // Names of the classes. Their latency targets are long, because cells check
@@ -39,7 +39,7 @@
 	return targets.Class{Name: classLost, Tier: 4, Model: lostModel, FirstToken: 60 * time.Second, Repeatable: true}
 }
 
-// classByName returns the class of a name, or an empty class if there is none.
+// classByName returns the class with the given name, or an empty class if there is none.
 func classByName(name string) targets.Class {
 	for _, class := range append(classes(), lostClass(), burstClass()) {
 		if class.Name == name {
--- a/testbed/matrix/client_request.go
+++ b/testbed/matrix/client_request.go
@@ -17,7 +17,7 @@
 )
 
 // callTimeout is how long a caller waits for a call to end. It is far above
-// every timeout of the product, so a call that reaches it is a fault.
+// every timeout of the product, so a call that reaches it violates GuaranteeServed.
 const callTimeout = 60 * time.Second
 
 // Headers of the public API.
@@ -34,10 +34,10 @@
 type callerRequest struct {
 	class       string
 	model       string // the default model if empty
-	marker      string
-	key         string
+	marker      string // see history.Call
+	key         string // idempotency key; none if empty
 	customer    string
-	tokens      int
+	tokens      int // length of the response
 	unstreamed  bool
 	probe       bool
 	maxDuration time.Duration // longest allowed duration, see history.Call
@@ -110,8 +110,9 @@
 	return call
 }
 
-// outcomeOfError returns what a caller knows about a call whose connection
-// failed.
+// outcomeOfError returns the outcome of a call that failed with err: OutcomeNone if
+// ctx has ended, OutcomeNotRun if no connection could be opened, and OutcomeFailed
+// otherwise.
 func outcomeOfError(ctx context.Context, err error) history.Outcome {
 	var opErr *net.OpError
 	switch {
--- a/testbed/matrix/fault.go
+++ b/testbed/matrix/fault.go
@@ -84,7 +84,8 @@
 	return nil
 }
 
-// clear ends the fault and records it in the history.
+// clear ends the fault and records it in the history, with faultAftermath added to
+// its end. For a planned stop it waits for the end of the stop and records that.
 func (f *fault) clear(ctx context.Context) error {
 	if f.kind.isPlannedStop() {
 		return f.finishStop(ctx)
--- a/testbed/matrix/fixed_cells.go
+++ b/testbed/matrix/fixed_cells.go
@@ -2,10 +2,10 @@
 
 // FixedCells returns the part of the matrix that CI runs: a crash, a pause and a
 // broken connection at each step of non-repeatable work, every fault in the
-// middle of a stream, and every cell that once exposed a fault of the product,
-// with its seed. VMs that are draining by the platform's list alone are covered only by
-// the complete matrix, because their limit of a few seconds cannot be met
-// reliably on a busy machine.
+// middle of a stream, a selection of cells of the other subjects, and every cell
+// that once exposed a bug in the product, with its seed. Cells with DrainListed
+// are run only with the complete matrix, because drainingLimit, a few seconds,
+// can't be met reliably on a busy machine.
 func FixedCells() []Cell {
 	var cells []Cell
 	for _, step := range RequestSteps {
@@ -35,8 +35,8 @@
 	return append(cells, regressionCells()...)
 }
 
-// regressionCells returns the cells that exposed faults of the product. They
-// must not be changed.
+// regressionCells returns the cells that exposed bugs in the product. They must
+// not be changed.
 func regressionCells() []Cell {
 	return []Cell{
 		// An agent got no updates because its idle connection had gone silent.
--- a/testbed/matrix/harness.go
+++ b/testbed/matrix/harness.go
@@ -60,7 +60,8 @@
 	}
 	for i := range backends {
 		backends[i].LoadLag = c.loadReportAge()
-		// The agents alone must refuse orders with a stale fencing token.
+		// The engines accept any fencing token, so that only the agents can refuse
+		// orders with a stale one.
 		backends[i].IgnoreFencingTokens = true
 	}
 	var err error
--- a/testbed/matrix/lease.go
+++ b/testbed/matrix/lease.go
@@ -41,7 +41,8 @@
 	successorTimeout = 40 * time.Second
 	// modelLoadTimeout is how long it may take until the model is served again.
 	modelLoadTimeout = 2 * time.Minute
-	// minRenewedVersion is the version of the lease's row from which it counts as renewed.
+	// minRenewedVersion is the lowest version of the lease's row at which the lease
+	// counts as renewed.
 	minRenewedVersion = 3
 )
 
--- a/testbed/matrix/matrix_test.go
+++ b/testbed/matrix/matrix_test.go
@@ -46,6 +46,8 @@
 // parallelCells is the number of fleets that run in parallel.
 const parallelCells = 4
 
+// Guards against random cells that can't be run again from a failure's seed, and against seeds that
+// all draw the same cells.
 func TestPairCellsAreReproducible(t *testing.T) {
 	first, again, other := PairCells(1, 30), PairCells(1, 30), PairCells(2, 30)
 	same := 0
--- a/testbed/matrix/planned_stops.go
+++ b/testbed/matrix/planned_stops.go
@@ -121,7 +121,7 @@
 }
 
 // reversed returns the kinds in reverse order, so that a fault that delays the
-// news is injected before the VM is marked as draining.
+// notification is injected before the VM is marked as draining.
 func reversed(kinds []FaultKind) []FaultKind {
 	result := make([]FaultKind, 0, len(kinds))
 	for i := range kinds {
--- a/testbed/matrix/probe.go
+++ b/testbed/matrix/probe.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// recoveryTimeout is how long after the faults a class may still not be
-	// served. Connections are redialed at least every 2 s and an ejected agent
-	// returns within seconds; the rest is margin for a busy machine.
+	// recoveryTimeout is the time after the end of the faults within which every
+	// class must be served again. Connections are redialed at least every 2 s and
+	// an ejected agent returns within seconds; the rest is margin for a busy machine.
 	recoveryTimeout = 30 * time.Second
 	probeTokens     = 5
 )
--- a/testbed/matrix/request.go
+++ b/testbed/matrix/request.go
@@ -50,7 +50,7 @@
 }
 
 // awaitStep waits until the subject has reached the step and returns the index of
-// the agent that handles it. While the ticket waits, any agent is chosen.
+// the agent that handles it, or of a random agent for StepWaiting.
 func (h *harness) awaitStep(ctx context.Context, step Step, b *breakpoint, done chan history.Call) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
--- a/testbed/matrix/run.go
+++ b/testbed/matrix/run.go
@@ -25,15 +25,15 @@
 	Cell Cell
 	// Violations are the guarantees that were broken.
 	Violations []history.Violation
-	// Err is the reason why the cell was not completed, if it was not.
+	// Err is why the cell was not completed; nil if it was.
 	Err error
-	// Outcomes lists the outcomes that the subject's caller saw, in order, or their
-	// numbers if there are many.
+	// Outcomes lists the outcomes that the subject's caller saw, in order; if there
+	// are more than maxListedOutcomes, it counts them by outcome.
 	Outcomes string
 	// Logs holds the last log lines of each process if the cell failed.
 	Logs string
-	// Propagation is the longest time until a change of targets was in force at a
-	// process.
+	// Propagation is the longest time from the acceptance of a change of targets
+	// until it was in force at a process.
 	Propagation time.Duration
 	// Took is the duration of the complete cell.
 	Took time.Duration
--- a/testbed/matrix/target_faults.go
+++ b/testbed/matrix/target_faults.go
@@ -23,7 +23,7 @@
 }
 
 // injectAll injects the faults of a change of targets and returns those that must
-// be cleared, also with an error.
+// be cleared. If it returns an error, it also returns the faults injected before.
 func (h *harness) injectAll(ctx context.Context, kinds []FaultKind, loc location) ([]*fault, error) {
 	var faults []*fault
 	for _, kind := range kinds {
@@ -33,6 +33,7 @@
 				return faults, err
 			}
 		case FreshEntry:
+			// startFreshEntry starts the entry after the change.
 		default:
 			f, err := inject(ctx, kind, loc)
 			if err != nil {
--- a/testbed/matrix/targets.go
+++ b/testbed/matrix/targets.go
@@ -31,11 +31,11 @@
 	changeLimit = 14 * time.Second
 	// changesPerOperator is the number of changes that each of two operators makes.
 	changesPerOperator = 4
-	// versionOffset is added to a version to form a completion target, in seconds,
-	// from which a reader recognizes the change. It is far above the duration of
-	// any request.
+	// versionOffset plus the version of a change is the completion target, in
+	// seconds, that the change sets; changesIn reads the version from it. The
+	// offset is far above the duration of any request.
 	versionOffset = 10000
-	// operatorTimeout bounds an operator's attempts.
+	// operatorTimeout bounds an operator's attempts to make one change.
 	operatorTimeout = 40 * time.Second
 )
 
@@ -150,7 +150,8 @@
 // an unknown outcome it reads the targets again and retries until its change is
 // accepted, through the entries in turn. It returns nil also if nothing was
 // accepted within operatorTimeout, as during an outage; no change is recorded then.
-// A 400 response is returned as an error.
+// A 400 response is returned as an error. The operator's number makes its changes
+// differ from those of other operators.
 func (h *harness) changeClass(ctx context.Context, class string, operator int, entry *fleet.Entry) error {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
