--- a/testbed/history/atmostonce.go
+++ b/testbed/history/atmostonce.go
@@ -31,7 +31,7 @@
 		if h.faultDuring(call.Sent, call.Done) || h.earlierAttempt(call) {
 			continue
 		}
-		found = append(found, Violation{GuaranteeAtMostOnce, call.Marker, fmt.Sprintf("told %s, but nothing had failed: %s", call.Outcome, call.Detail)})
+		found = append(found, Violation{GuaranteeAtMostOnce, call.Marker, fmt.Sprintf("outcome %s without a fault: %s", call.Outcome, call.Detail)})
 	}
 	return found
 }
--- a/testbed/history/check.go
+++ b/testbed/history/check.go
@@ -42,7 +42,7 @@
 }
 
 func (v Violation) String() string {
-	return fmt.Sprintf("point %d: %s: %s", v.Guarantee, v.Subject, v.Detail)
+	return fmt.Sprintf("guarantee %d: %s: %s", v.Guarantee, v.Subject, v.Detail)
 }
 
 // Check returns all violations in a history; nil if every guarantee was kept.
--- a/testbed/history/check_test.go
+++ b/testbed/history/check_test.go
@@ -39,19 +39,21 @@
 
 func setFailed(c *Call, outcome Outcome) { c.Outcome, c.Text = outcome, "" }
 
+// Guards against a checker that reports violations in a valid history.
 func TestValidHistoryPasses(t *testing.T) {
 	if found := Check(validHistory()); len(found) > 0 {
 		t.Fatal(found)
 	}
 }
 
+// Guards against a checker that misses a violation, so that a cell with a broken guarantee passes.
 func TestEachBrokenGuaranteeIsReported(t *testing.T) {
 	cases := []struct {
 		name      string
 		guarantee Guarantee
 		corrupt   func(*History)
 	}{
-		{"top tier shed for lower work", GuaranteeTopTier, func(h *History) {
+		{"top tier refused while lower-tier work starts", GuaranteeTopTier, func(h *History) {
 			setFailed(&h.Calls[flag], OutcomeNotRun)
 			h.Calls[flag].Code = CodeOverloaded
 			h.Runs = h.Runs[1:]
@@ -66,33 +68,33 @@
 			h.Calls[docket].Probe = true
 			h.Runs = h.Runs[:1]
 		}},
-		{"served after its bound", GuaranteeServed, func(h *History) { h.Calls[docket].MaxDuration = time.Second }},
-		{"never served although its caller came back", GuaranteeServed, func(h *History) {
+		{"served after its maximum duration", GuaranteeServed, func(h *History) { h.Calls[docket].MaxDuration = time.Second }},
+		{"never served although its caller retried", GuaranteeServed, func(h *History) {
 			setFailed(&h.Calls[docket], OutcomeNotRun)
 			h.Calls[docket].MaxDuration = time.Minute
 			h.Runs = h.Runs[:1]
 		}},
-		{"not run, ran before in a run of no other call", GuaranteeNotRun, func(h *History) {
+		{"not run, but ran before in a run of no other call", GuaranteeNotRun, func(h *History) {
 			retry := h.Calls[docket]
 			retry.RequestID, retry.Sent, retry.Done = "r-repeat", at(10), at(14)
 			setFailed(&retry, OutcomeNotRun)
 			h.Calls = append(h.Calls, retry)
 			h.Runs[docket].Request = "r-nobody"
 		}},
-		{"another's answer", GuaranteeComplete, func(h *History) { h.Calls[docket].Text = h.Calls[flag].Text }},
-		{"shorter answer that looks whole", GuaranteeComplete, func(h *History) { h.Calls[docket].Text = "answer" }},
-		{"answer twice", GuaranteeComplete, func(h *History) { h.Calls[docket].Text += h.Calls[docket].Text }},
-		{"foreign text in a failed answer", GuaranteeComplete, func(h *History) {
+		{"response of another call", GuaranteeComplete, func(h *History) { h.Calls[docket].Text = h.Calls[flag].Text }},
+		{"truncated response reported as complete", GuaranteeComplete, func(h *History) { h.Calls[docket].Text = "answer" }},
+		{"response sent twice", GuaranteeComplete, func(h *History) { h.Calls[docket].Text += h.Calls[docket].Text }},
+		{"another call's text in a failed response", GuaranteeComplete, func(h *History) {
 			h.Calls[docket].Outcome = OutcomeFailed
 			h.Calls[docket].Text = "answer flag"
 		}},
-		{"answer without a run", GuaranteeComplete, func(h *History) { h.Runs = h.Runs[:1] }},
+		{"response without a run", GuaranteeComplete, func(h *History) { h.Runs = h.Runs[:1] }},
 		{"not run, but it ran", GuaranteeNotRun, func(h *History) { setFailed(&h.Calls[docket], OutcomeNotRun) }},
-		{"not run, ran afterwards", GuaranteeNotRun, func(h *History) {
+		{"not run, but ran afterwards", GuaranteeNotRun, func(h *History) {
 			setFailed(&h.Calls[docket], OutcomeNotRun)
 			h.Runs[docket].Started = at(30)
 		}},
-		{"not run, ran afterwards under its own id beside a repeat", GuaranteeNotRun, func(h *History) {
+		{"not run, but ran afterwards with its own request ID while a retry ran", GuaranteeNotRun, func(h *History) {
 			retry := h.Calls[docket]
 			retry.RequestID = "r-repeat"
 			retry.Sent, retry.Done = at(10), at(14)
@@ -101,36 +103,36 @@
 			h.Runs[docket].Started = at(11)
 		}},
 		{"ran twice", GuaranteeAtMostOnce, func(h *History) { h.Runs = append(h.Runs, h.Runs[docket]) }},
-		{"ran twice under two requests of one key", GuaranteeAtMostOnce, func(h *History) {
+		{"ran twice in two requests with one key", GuaranteeAtMostOnce, func(h *History) {
 			again := h.Runs[docket]
 			again.ID, again.Request = "r-other/1", "r-other"
 			h.Runs = append(h.Runs, again)
 		}},
 		{"unknown without a fault", GuaranteeAtMostOnce, func(h *History) { setFailed(&h.Calls[docket], OutcomeUnknown) }},
-		{"unknown after the fault was lifted", GuaranteeAtMostOnce, func(h *History) {
+		{"unknown after the fault was cleared", GuaranteeAtMostOnce, func(h *History) {
 			setFailed(&h.Calls[docket], OutcomeUnknown)
 			h.Faults = []Fault{{At: at(-5), Cleared: at(-1)}}
 		}},
-		{"new work on a leaving server", GuaranteeDraining, func(h *History) { h.Runs[docket].Started = at(4) }},
-		{"planned stop cut an answer", GuaranteeStop, func(h *History) { setFailed(&h.Calls[docket], OutcomeFailed) }},
-		{"planned stop refused what waited", GuaranteeStop, func(h *History) {
+		{"new work on a draining server", GuaranteeDraining, func(h *History) { h.Runs[docket].Started = at(4) }},
+		{"planned stop interrupted a response", GuaranteeStop, func(h *History) { setFailed(&h.Calls[docket], OutcomeFailed) }},
+		{"planned stop refused a waiting call", GuaranteeStop, func(h *History) {
 			setFailed(&h.Calls[docket], OutcomeNotRun)
 			h.Runs = h.Runs[:1]
 		}},
-		{"planned stop did not end", GuaranteeStop, func(h *History) { h.Stops[0].Clean = false }},
-		{"targets went back", GuaranteeTargets, func(h *History) {
+		{"process did not end cleanly at a planned stop", GuaranteeStop, func(h *History) { h.Stops[0].Clean = false }},
+		{"targets went back to an older version", GuaranteeTargets, func(h *History) {
 			h.Versions = append(h.Versions, VersionReading{Process: "e0", At: at(8), Version: 1})
 		}},
-		{"change late", GuaranteeTargets, func(h *History) {
+		{"change in force too late", GuaranteeTargets, func(h *History) {
 			h.Versions = append(h.Versions, VersionReading{Process: "e1", At: at(9), Version: 1})
 		}},
-		{"two changes under one version", GuaranteeTargets, func(h *History) {
+		{"two changes with one version", GuaranteeTargets, func(h *History) {
 			h.Changes = append(h.Changes, Change{Version: 2, Class: "docket", Accepted: at(1), Limit: time.Minute})
 		}},
-		{"act under an old lease", GuaranteeLease, func(h *History) {
+		{"action with a stale fencing token", GuaranteeLease, func(h *History) {
 			h.FencingTokens = []FencingTokenReading{{Resource: "vm0", FencingToken: 2}, {Resource: "vm0", FencingToken: 1}}
 		}},
-		{"change lost under a newer version", GuaranteeTargets, func(h *History) {
+		{"change missing from a newer version", GuaranteeTargets, func(h *History) {
 			h.Versions[1].Version = 3
 			h.Versions[1].ClassVersions = map[string]uint64{"flag": 1}
 		}},
@@ -144,11 +146,12 @@
 					return
 				}
 			}
-			t.Fatalf("point %d was broken and not found: %v", c.guarantee, Check(h))
+			t.Fatalf("violation of guarantee %d is not reported; got %v", c.guarantee, Check(h))
 		})
 	}
 }
 
+// Guards against a checker that reports outcomes that the guarantees allow.
 func TestAllowedDeviationsPass(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -174,20 +177,20 @@
 			setFailed(&retry, OutcomeNotRun)
 			h.Calls = append(h.Calls, retry)
 		}},
-		{"refused, then served within the bound", func(h *History) {
+		{"refused, then served within the maximum duration", func(h *History) {
 			h.Calls[docket].MaxDuration = time.Minute
 			refused := h.Calls[docket]
 			refused.RequestID, refused.Sent, refused.Done = "r-first", at(-9), at(-8)
 			setFailed(&refused, OutcomeNotRun)
 			h.Calls = append(h.Calls, refused)
 		}},
-		{"top tier refused while nothing lower is let in", func(h *History) {
+		{"top tier refused while no lower-tier work starts", func(h *History) {
 			setFailed(&h.Calls[flag], OutcomeNotRun)
 			h.Calls[flag].Code = CodeOverloaded
 			h.Calls[flag].Sent = at(2)
 			h.Runs = h.Runs[1:]
 		}},
-		{"beginning of an answer with a visible failure", func(h *History) {
+		{"partial response with a visible failure", func(h *History) {
 			h.Calls[docket].Outcome, h.Calls[docket].Text = OutcomeFailed, "answ"
 			h.Faults = []Fault{{Kind: "cut", Process: "vm0", At: at(2), Cleared: at(3)}}
 		}},
--- a/testbed/history/complete.go
+++ b/testbed/history/complete.go
@@ -17,7 +17,7 @@
 			found = append(found, Violation{GuaranteeComplete, call.Marker, "complete response is wrong: " + difference(call)})
 		}
 		if call.Outcome != OutcomeComplete && !strings.HasPrefix(call.Expected, call.Text) {
-			found = append(found, Violation{GuaranteeComplete, call.Marker, "part of a response is wrong: " + difference(call)})
+			found = append(found, Violation{GuaranteeComplete, call.Marker, "partial response is wrong: " + difference(call)})
 		}
 		if call.Outcome == OutcomeComplete && len(h.runsOf(call.Marker)) == 0 {
 			found = append(found, Violation{GuaranteeComplete, call.Marker, "response without a run"})
@@ -26,6 +26,8 @@
 	return found
 }
 
+// difference describes the lengths of the received and the expected response and the first byte
+// that differs.
 func difference(call Call) string {
 	offset := 0
 	for offset < len(call.Text) && offset < len(call.Expected) && call.Text[offset] == call.Expected[offset] {
--- a/testbed/history/draining.go
+++ b/testbed/history/draining.go
@@ -10,7 +10,7 @@
 		for _, run := range h.Runs {
 			if run.Server == drain.Server && run.Started.After(deadline) {
 				found = append(found, Violation{GuaranteeDraining, drain.Server,
-					fmt.Sprintf("%s started %s after it was told to take no new work", run.ID, run.Started.Sub(drain.At))})
+					fmt.Sprintf("run %s started %s after the VM was ordered to drain", run.ID, run.Started.Sub(drain.At))})
 			}
 		}
 	}
--- a/testbed/history/event.go
+++ b/testbed/history/event.go
@@ -8,7 +8,7 @@
 	// Process is the affected process, or the remote end of the affected connection.
 	Process string    `json:"process"`
 	At      time.Time `json:"at"`
-	// Cleared is when the fault ended; zero if it lasts.
+	// Cleared is when the fault's effects ended; zero if they last.
 	Cleared time.Time `json:"lifted"`
 }
 
@@ -16,7 +16,7 @@
 type Drain struct {
 	Server string    `json:"server"`
 	At     time.Time `json:"at"`
-	// Limit is for how long after At new work may still start on the VM.
+	// Limit is the time after At during which new work may still start on the VM.
 	Limit time.Duration `json:"limit"`
 }
 
@@ -26,7 +26,7 @@
 	At      time.Time `json:"at"`
 	// Clean reports whether the process exited by itself with code 0.
 	Clean bool `json:"clean"`
-	// Detail describes what was observed otherwise.
+	// Detail describes an exit that was not clean.
 	Detail string `json:"detail,omitempty"`
 }
 
@@ -46,7 +46,7 @@
 	At      time.Time `json:"at"`
 	Version uint64    `json:"version"`
 	// ClassVersions maps a class to the version of the last accepted change to
-	// it that the reading contains. Classes that the test can't tell are missing.
+	// it that the reading contains. Classes whose version can't be determined are missing.
 	ClassVersions map[string]uint64 `json:"held,omitempty"`
 	// Excused marks a reading of a process that was recently paused, disconnected
 	// or not running: its version may be late, but must not decrease.
--- a/testbed/history/history.go
+++ b/testbed/history/history.go
@@ -1,7 +1,7 @@
 // Package history records what callers, backend servers and processes observed
-// during a test and checks it. All tests share one checker: Check compares the
-// outcomes that callers observed with the backend servers' own record of runs. All
-// times are read from one machine's clock. Start reading at History.
+// during a test. Check compares the outcomes that callers observed with the backend
+// servers' own record of runs and reports each violated guarantee. All times are
+// read from one machine's clock. Start reading at History.
 package history
 
 import "time"
@@ -31,7 +31,7 @@
 type indexedHistory struct {
 	History
 	runs  map[string][]Run // by marker
-	calls map[string]int   // by marker, how many there are
+	calls map[string]int   // number of calls, by marker
 }
 
 func newIndexedHistory(h History) *indexedHistory {
--- a/testbed/history/maxduration.go
+++ b/testbed/history/maxduration.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// checkMaxDuration reports served calls that took longer than MaxDuration, and work with
-// such a bound that was never served although its caller retried.
+// checkMaxDuration reports served calls that took longer than MaxDuration, and work with a
+// MaxDuration of which no call was served.
 func checkMaxDuration(h *indexedHistory) []Violation {
 	var found []Violation
 	served, lastCalls := map[string]bool{}, map[string]Call{}
@@ -18,7 +18,7 @@
 		served[call.Marker] = true
 		if took := call.Done.Sub(call.Sent); took > call.MaxDuration {
 			found = append(found, Violation{GuaranteeServed, call.Marker,
-				fmt.Sprintf("class %s was served after %s, bound %s", call.Class, took, call.MaxDuration)})
+				fmt.Sprintf("class %s was served after %s, at most %s is allowed", call.Class, took, call.MaxDuration)})
 		}
 	}
 	for marker, last := range lastCalls {
--- a/testbed/history/notrun.go
+++ b/testbed/history/notrun.go
@@ -2,11 +2,11 @@
 
 // checkNotRun reports runs of calls whose outcome was "not run".
 //
-// If several calls share a marker, a run counts against a call if it has the call's
-// request ID or started before the call ended: a later call may have run the work
-// since. Without an idempotency key each call is a separate request, and an earlier
-// one may have run and failed; a run is then attributed to another call that has its
-// request ID, or that didn't receive one.
+// A run with the call's marker is reported if it has the call's request ID, if no other
+// call has the marker, or if it started before the call ended. A run that started later
+// may belong to a later call with the same marker. Without an idempotency key each call
+// is a separate request, so a run that ranByOtherCall attributes to another call is not
+// reported.
 func checkNotRun(h *indexedHistory) []Violation {
 	var found []Violation
 	for _, call := range h.Calls {
@@ -20,7 +20,7 @@
 				continue
 			}
 			if own || !shared || run.Started.Before(call.Done) {
-				found = append(found, Violation{GuaranteeNotRun, call.Marker, "told not run, but " + run.ID + " ran on " + run.Server})
+				found = append(found, Violation{GuaranteeNotRun, call.Marker, "reported as not run, but run " + run.ID + " started on " + run.Server})
 			}
 		}
 	}
@@ -30,7 +30,8 @@
 func (h *indexedHistory) hasSharedMarker(call Call) bool { return h.calls[call.Marker] > 1 }
 
 // ranByOtherCall reports whether a run can be attributed to another call with the
-// same marker.
+// same marker: one with the run's request ID, or one that received no request ID, was
+// sent before the run started and was not reported as not run.
 func (h *indexedHistory) ranByOtherCall(call Call, run Run) bool {
 	for _, other := range h.Calls {
 		if other.Marker != call.Marker || other.Sent.Equal(call.Sent) {
--- a/testbed/history/served.go
+++ b/testbed/history/served.go
@@ -8,7 +8,7 @@
 	var found []Violation
 	for _, call := range h.Calls {
 		if call.Outcome == OutcomeNone {
-			found = append(found, Violation{GuaranteeServed, call.Marker, "the caller had no end: " + call.Detail})
+			found = append(found, Violation{GuaranteeServed, call.Marker, "the call did not end: " + call.Detail})
 			continue
 		}
 		if call.Probe && call.Outcome != OutcomeComplete {
--- a/testbed/history/stops.go
+++ b/testbed/history/stops.go
@@ -20,7 +20,7 @@
 				continue
 			}
 			found = append(found, Violation{GuaranteeStop, stop.Process,
-				fmt.Sprintf("%s was under way and was told %s: %s", call.Marker, call.Outcome, call.Detail)})
+				fmt.Sprintf("call %s was in progress and ended with outcome %s: %s", call.Marker, call.Outcome, call.Detail)})
 		}
 	}
 	return found
--- a/testbed/history/targets.go
+++ b/testbed/history/targets.go
@@ -32,7 +32,7 @@
 	for _, change := range h.Changes {
 		if other, ok := byVersion[change.Version]; ok {
 			found = append(found, Violation{GuaranteeTargets, change.Class,
-				fmt.Sprintf("accepted as version %d like the change of %s", change.Version, other.Class)})
+				fmt.Sprintf("accepted as version %d, the same as the change of class %s", change.Version, other.Class)})
 		}
 		byVersion[change.Version] = change
 		found = append(found, checkReadings(h, change)...)
@@ -50,7 +50,7 @@
 		}
 		held, known := v.ClassVersions[change.Class]
 		if known && v.Version >= change.Version && held < change.Version {
-			found = append(found, Violation{GuaranteeTargets, v.Process, fmt.Sprintf("version %d holds %s as of version %d, not %d",
+			found = append(found, Violation{GuaranteeTargets, v.Process, fmt.Sprintf("version %d contains class %s as of version %d, not %d",
 				v.Version, change.Class, held, change.Version)})
 		}
 	}
--- a/testbed/history/toptier.go
+++ b/testbed/history/toptier.go
@@ -13,7 +13,7 @@
 		}
 		if lower, ok := h.lowerTierRunDuring(call); ok && call.Code == CodeOverloaded {
 			found = append(found, Violation{GuaranteeTopTier, call.Marker,
-				fmt.Sprintf("refused while lower work %s was started", lower.ID)})
+				fmt.Sprintf("refused while lower-tier run %s was started", lower.ID)})
 		}
 		if run, ok := h.cancelledRun(call); ok && !h.faultDuring(call.Sent, call.Done) {
 			found = append(found, Violation{GuaranteeTopTier, call.Marker, "run " + run.ID + " was cancelled"})
@@ -22,6 +22,8 @@
 	return found
 }
 
+// lowerTierRunDuring returns a run of a lower tier's call to the same model or service
+// that started while the call was in progress.
 func (h *indexedHistory) lowerTierRunDuring(top Call) (Run, bool) {
 	for _, lower := range h.Calls {
 		if lower.Tier == 0 || lower.Service != top.Service {
