--- a/testbed/dutymodel/explore.go
+++ b/testbed/dutymodel/explore.go
@@ -30,10 +30,11 @@
 func Explore(guards Guards, bounds Bounds) Result {
 	e := &explorer{guards: guards, bounds: bounds}
 	frontier := []state{{store: store{copied: bounds.CopiedAtStart}}}
-	frontierStart := 0
+	frontierStart := 0 // frontier[i] is recorded in visits[frontierStart+i]
 	visits := []visit{{parent: -1}}
-	// Visited states are stored as hashes only. The probability that any two of millions of
-	// states collide is about one in ten million.
+	// Visited states are stored as 64-bit hashes only. The probability that any two of two
+	// million states collide is about one in ten million, and of six million states one in a
+	// million.
 	seed := maphash.MakeSeed()
 	visited := map[uint64]struct{}{maphash.Comparable(seed, frontier[0]): {}}
 	for len(frontier) > 0 {
--- a/testbed/dutymodel/explore_test.go
+++ b/testbed/dutymodel/explore_test.go
@@ -21,11 +21,11 @@
 	smallBounds     = Bounds{Gateways: 2, Windows: 1, Kills: 1, Writes: 5, States: 3_000_000}
 )
 
-// inDepthStates is the number of states of two gateways that are explored in CI. The longest
-// path to a violation without one of the guards lies within it.
+// inDepthStates is the number of states of two gateways that are explored in CI. It is enough to
+// reach a violation after the removal of any one guard.
 const inDepthStates = 500_000
 
-// All invariants hold in each visited state of three gateways and two windows.
+// Guards against a protocol that violates an invariant with three gateways and two windows.
 func TestProtocolHolds(t *testing.T) {
 	bounds := shortBounds
 	if *wholeFlag {
@@ -39,7 +39,8 @@
 	t.Logf("%d states to depth %d in %v, complete: %v", r.States, r.Depth, time.Since(start), r.Complete)
 }
 
-// All invariants hold in each visited state of two gateways and one window, to a greater depth.
+// Guards against violations that only longer sequences of steps reach: two gateways and one window
+// are explored to a greater depth.
 func TestProtocolHoldsInDepth(t *testing.T) {
 	for name, bounds := range map[string]Bounds{"all": smallBounds, "late writes": lateWriteBounds} {
 		if !*wholeFlag {
@@ -53,17 +54,18 @@
 	}
 }
 
-// Without any one of the guards, some reachable state violates an invariant.
+// Guards against invariants or steps that are too weak to detect a missing guard: without any one
+// of the guards, some reachable state must violate an invariant.
 func TestEachGuardIsNeeded(t *testing.T) {
 	cases := map[string]func(*Guards){
-		"condition":     func(g *Guards) { g.ConditionalWrites = false },
-		"write ahead":   func(g *Guards) { g.WriteAhead = false },
-		"step down":     func(g *Guards) { g.StepDown = false },
-		"era in fence":  func(g *Guards) { g.EraInToken = false },
-		"era in ledger": func(g *Guards) { g.EraInLedger = false },
-		"era of answer": func(g *Guards) { g.EraOfResponse = false },
-		"era rows":      func(g *Guards) { g.RowPerEra = false },
-		"adopt":         func(g *Guards) { g.AdoptLedger = false },
+		"conditional writes": func(g *Guards) { g.ConditionalWrites = false },
+		"write ahead":        func(g *Guards) { g.WriteAhead = false },
+		"step down":          func(g *Guards) { g.StepDown = false },
+		"era in token":       func(g *Guards) { g.EraInToken = false },
+		"era in ledger":      func(g *Guards) { g.EraInLedger = false },
+		"era of response":    func(g *Guards) { g.EraOfResponse = false },
+		"row per era":        func(g *Guards) { g.RowPerEra = false },
+		"adopt ledger":       func(g *Guards) { g.AdoptLedger = false },
 	}
 	for name, remove := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/testbed/dutymodel/platform.go
+++ b/testbed/dutymodel/platform.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// A fencing token has the era above its lowest 40 bits, which hold the counter.
+// A fencing token holds a counter in its lowest 40 bits and the store's era in the bits above.
 const (
 	eraShift    = 40
 	counterMask = 1<<eraShift - 1
@@ -35,7 +35,7 @@
 	e.add(lost, "gateway %d reports window %d with token %d, the response is lost", c.gateway, c.window+1, c.token)
 	for i := range s.lateReports {
 		if s.lateReports[i] == c {
-			break
+			break // the same report is late at most once
 		}
 		if s.lateReports[i].content == 0 {
 			late := to
--- a/testbed/dutymodel/product.go
+++ b/testbed/dutymodel/product.go
@@ -7,7 +7,7 @@
 // customer is the customer whose request count stands for a report's content number.
 const customer = "c"
 
-// newReport returns a report whose contents are a number. Windows are numbered from 1.
+// newReport returns a report of a window, numbered from 1, with the content number as its counts.
 func newReport(window uint64, content uint8) usage.Report {
 	return usage.Report{Window: window, Counts: map[string]int64{customer: int64(content)}}
 }
--- a/testbed/dutymodel/state.go
+++ b/testbed/dutymodel/state.go
@@ -3,7 +3,7 @@
 // the report itself. Calls may be lost, late or duplicated, gateways may be killed, and the
 // store may be restored from an older copy. Explore visits the states within given bounds
 // and checks the invariants in each. The decisions are made by the product's own code
-// (usage.Ledger, usage.Recover, lease.NextFencingToken). Start reading at Explore.
+// (usage.Ledger, usage.RecoverLedger, lease.NextFencingToken). Start reading at Explore.
 package dutymodel
 
 // Size of the model.
@@ -41,7 +41,8 @@
 	ledger  ledger
 }
 
-// store is the store with its copy. The era grows when it is restored from the copy.
+// store is the store with a copy of its data. Its era increases when the store is restored from
+// the copy.
 type store struct {
 	storeData
 	era      uint64
@@ -77,7 +78,7 @@
 	ownReports [windows]uint8
 	// unresolved is a write with an unknown outcome; its writeID is 0 if there is none.
 	unresolved transaction
-	// refusedToken is the fencing token with which the platform refused it.
+	// refusedToken is the fencing token of the last report that the platform refused.
 	refusedToken uint64
 }
 
--- a/testbed/dutymodel/steps.go
+++ b/testbed/dutymodel/steps.go
@@ -19,8 +19,8 @@
 	// Kills and Writes bound the number of kills of gateways and of writes to the store.
 	Kills  uint8
 	Writes uint16
-	// CopiedAtStart makes the store keep its copy before the first step. NoLostResponses
-	// excludes lost responses and late reports. Both allow a greater depth.
+	// CopiedAtStart makes the copy of the store be taken before the first step.
+	// NoLostResponses excludes lost responses and late reports. Both allow a greater depth.
 	CopiedAtStart, NoLostResponses bool
 	// States bounds the number of visited states; 0 means no bound.
 	States int
