--- a/testbed/dutymodel/product.go
+++ b/testbed/dutymodel/product.go
@@ -7,7 +7,7 @@
 // customer is the customer whose request count stands for a report's content number.
 const customer = "c"
 
-// newReport returns a report whose contents are a number. Windows are numbered from 1.
+// newReport returns a report of a window, numbered from 1, with the content number as its counts.
 func newReport(window uint64, content uint8) usage.Report {
 	return usage.Report{Window: window, Counts: map[string]int64{customer: int64(content)}}
 }
@@ -38,14 +38,14 @@
 	if !guards.AdoptLedger {
 		stored = ledger{}
 	}
-	m := usage.LocalState{Era: s.store.era, StartWindow: 1, LastClosedWindow: uint64(s.endedWindows)}
+	local := usage.LocalState{Era: s.store.era, StartWindow: 1, LastClosedWindow: uint64(s.endedWindows)}
 	if !guards.EraInLedger {
-		m.Era = stored.era
+		local.Era = stored.era
 	}
 	for i, content := range g.ownReports {
 		if content != 0 {
-			m.OwnReports = append(m.OwnReports, newReport(uint64(i+1), content))
+			local.OwnReports = append(local.OwnReports, newReport(uint64(i+1), content))
 		}
 	}
-	return fromProduct(usage.RecoverLedger(stored.toProduct(), stored.found, m))
+	return fromProduct(usage.RecoverLedger(stored.toProduct(), stored.found, local))
 }
--- a/testbed/matrix/fault.go
+++ b/testbed/matrix/fault.go
@@ -84,13 +84,14 @@
 	return nil
 }
 
-// clear ends the fault and records it in the history.
+// clear ends the fault and records it in the history, with faultAftermath added to
+// its end. For a planned stop it waits for the end of the stop and records that.
 func (f *fault) clear(ctx context.Context) error {
 	if f.kind.isPlannedStop() {
 		return f.finishStop(ctx)
 	}
 	err := f.end(ctx)
-	f.record.Lifted = time.Now().Add(faultAftermath)
+	f.record.Cleared = time.Now().Add(faultAftermath)
 	f.location.harness.recorder.Fault(f.record)
 	if err != nil {
 		return errors.Wrapf(err, "clear %s at %s", f.kind, f.record.Process)
--- a/testbed/matrix/harness.go
+++ b/testbed/matrix/harness.go
@@ -60,7 +60,8 @@
 	}
 	for i := range backends {
 		backends[i].LoadLag = c.loadReportAge()
-		// The agents alone must refuse orders with a stale fencing token.
+		// The engines accept any fencing token, so that only the agents can refuse
+		// orders with a stale one.
 		backends[i].IgnoreFencingTokens = true
 	}
 	var err error
@@ -92,18 +93,18 @@
 	}
 	agent := len(h.proxies)
 	h.proxies = append(h.proxies, proxy)
-	proxy.Observe(faultproxy.Downstream, func(s faultproxy.Event) { h.recordStatus(agent, s) })
+	proxy.Observe(faultproxy.Downstream, func(e faultproxy.Event) { h.recordStatus(agent, e) })
 	return proxy.Addr(), nil
 }
 
 // recordStatus records the number of waiting tickets that an agent reports.
-func (h *harness) recordStatus(agent int, s faultproxy.Event) {
-	if s.Message == nil || s.Message.Status == nil || agent >= engineCount {
+func (h *harness) recordStatus(agent int, e faultproxy.Event) {
+	if e.Message == nil || e.Message.Status == nil || agent >= engineCount {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.waitingTickets[agent] = s.Message.Status.Waiting
+	h.waitingTickets[agent] = e.Message.Status.Waiting
 }
 
 // allAgentsWaiting reports whether every agent has waiting tickets by its last
--- a/testbed/matrix/targets.go
+++ b/testbed/matrix/targets.go
@@ -31,11 +31,11 @@
 	changeLimit = 14 * time.Second
 	// changesPerOperator is the number of changes that each of two operators makes.
 	changesPerOperator = 4
-	// versionMarker is added to a version to form a completion target, in seconds,
-	// from which a reader recognizes the change. It is far above the duration of
-	// any request.
-	versionMarker = 10000
-	// operatorTimeout bounds an operator's attempts.
+	// versionOffset plus the version of a change is the completion target, in
+	// seconds, that the change sets; changesIn reads the version from it. The
+	// offset is far above the duration of any request.
+	versionOffset = 10000
+	// operatorTimeout bounds an operator's attempts to make one change.
 	operatorTimeout = 40 * time.Second
 )
 
@@ -150,15 +150,16 @@
 // an unknown outcome it reads the targets again and retries until its change is
 // accepted, through the entries in turn. It returns nil also if nothing was
 // accepted within operatorTimeout, as during an outage; no change is recorded then.
-// A 400 response is returned as an error.
+// A 400 response is returned as an error. The operator's number makes its changes
+// differ from those of other operators.
 func (h *harness) changeClass(ctx context.Context, class string, operator int, entry *fleet.Entry) error {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	for n := 0; ctx.Err() == nil; n++ {
 		base, err := h.fleet.Platform.Targets(ctx)
 		if err == nil {
-			marker := time.Duration(versionMarker+base.Version+1)*time.Second + time.Duration(operator)*time.Millisecond
-			version, err := entry.SetCompletionTarget(ctx, class, base.Version, marker)
+			completion := time.Duration(versionOffset+base.Version+1)*time.Second + time.Duration(operator)*time.Millisecond
+			version, err := entry.SetCompletionTarget(ctx, class, base.Version, completion)
 			if err == nil {
 				h.recorder.Change(history.Change{Version: version, Class: class, Accepted: time.Now(), Limit: changeLimit})
 				return nil
@@ -178,8 +179,8 @@
 func changesIn(set *targets.Set) map[string]uint64 {
 	versions := map[string]uint64{}
 	for _, class := range set.Classes {
-		if marker := uint64(class.Completion / time.Second); marker > versionMarker {
-			versions[class.Name] = marker - versionMarker
+		if seconds := uint64(class.Completion / time.Second); seconds > versionOffset {
+			versions[class.Name] = seconds - versionOffset
 		}
 	}
 	return versions
