--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -147,11 +147,11 @@
 func (a *Agent) logBackendState(wasUp, up bool, err error) {
 	switch {
 	case up && !wasUp:
-		a.log.Info(logging.EventEngineUp)
+		a.log.Info(logging.EventBackendServerUp)
 	case wasUp && !up:
-		a.log.Warn(logging.EventEngineDown, zap.Error(err))
+		a.log.Warn(logging.EventBackendServerDown, zap.Error(err))
 	case err != nil:
-		a.log.Debug(logging.EventEngineDown, zap.Error(err))
+		a.log.Debug(logging.EventBackendServerDown, zap.Error(err))
 	}
 }
 
--- a/internal/agent/dispatcher_state.go
+++ b/internal/agent/dispatcher_state.go
@@ -18,7 +18,7 @@
 		return wire.ReasonDraining, true
 	}
 	if !d.backendUp {
-		return wire.ReasonEngineDown, true
+		return wire.ReasonBackendServerDown, true
 	}
 	if d.switching {
 		return wire.ReasonSwitching, true
@@ -50,7 +50,7 @@
 	}
 	d.backendUp = up
 	if !up {
-		d.refuseWaiting(wire.ReasonEngineDown)
+		d.refuseWaiting(wire.ReasonBackendServerDown)
 	}
 	d.broadcastLocked(wire.Message{Status: d.statusLocked(0)})
 }
@@ -88,6 +88,6 @@
 		Running:    load.Running,
 		Limit:      load.Limit,
 		Draining:   d.draining,
-		EngineDown: !d.backendUp || d.switching,
+		BackendServerDown: !d.backendUp || d.switching,
 	}
 }
--- a/internal/entry/fleet/agent_info.go
+++ b/internal/entry/fleet/agent_info.go
@@ -47,7 +47,7 @@
 		VM:                l.vm,
 		Connected:         l.conn != nil,
 		Draining:          l.vm.Draining || l.status.Draining,
-		BackendServerDown: l.status.EngineDown,
+		BackendServerDown: l.status.BackendServerDown,
 		Waiting:           l.status.Waiting,
 		Running:           l.status.Running,
 		Limit:             l.status.Limit,
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -93,7 +93,7 @@
 // fetchVMsFromSeeds returns the VM list of a seed process and adopts the seeds' targets if
 // they are newer. It is the fallback while the platform is unreachable.
 func (e *entry) fetchVMsFromSeeds(ctx context.Context) ([]storage.VM, error) {
-	return peer.FetchFromAny(ctx, e.settings.Seeds, e.keys.system, e.targets)
+	return peer.FetchFromAll(ctx, e.settings.Seeds, e.keys.system, e.targets)
 }
 
 // pollTargets polls the table service for newer targets until ctx is cancelled.
--- a/internal/gateway/backend/server.go
+++ b/internal/gateway/backend/server.go
@@ -71,10 +71,10 @@
 // Info returns the server's current list entry. The caller must not modify it.
 func (s *Server) Info() *Info { return s.info.Load() }
 
-// Peer returns the identity of the server for the connection pool.
-func (s *Server) Peer() exchange.Peer {
+// Instance returns the identity of the server for the connection pool.
+func (s *Server) Instance() exchange.ServerInstance {
 	info := s.Info()
-	return exchange.Peer{Addr: info.Addr, ServerID: info.ID, StartTime: info.StartUnixMilli}
+	return exchange.ServerInstance{Addr: info.Addr, ServerID: info.ID, StartTime: info.StartUnixMilli}
 }
 
 // MarkEnded records that the instance has ended. It reports whether this was the first call.
--- a/internal/gateway/exchange/conn.go
+++ b/internal/gateway/exchange/conn.go
@@ -16,14 +16,14 @@
 	netConn net.Conn
 	reader  *bufio.Reader
 	// instance is the instance of the backend server that the connection leads to.
-	instance Peer
+	instance ServerInstance
 	// keepAlive is how long the connection may be idle and still be reused.
 	keepAlive time.Duration
 	// idleSince is when the last exchange ended.
 	idleSince time.Time
 }
 
-func newConn(netConn net.Conn, instance Peer) *conn {
+func newConn(netConn net.Conn, instance ServerInstance) *conn {
 	return &conn{netConn: netConn, reader: bufio.NewReaderSize(netConn, readBufferSize), instance: instance, keepAlive: defaultKeepAlive}
 }
 
--- a/internal/gateway/exchange/exchange.go
+++ b/internal/gateway/exchange/exchange.go
@@ -60,7 +60,7 @@
 // Do sends a request and reads the response header. If ctx ends, also while the body is being read,
 // the connection is closed and the exchange fails. Errors wrap one of ErrNotSent, ErrIncomplete,
 // ErrTimeout and ErrCancelled.
-func (p *Pool) Do(ctx context.Context, instance Peer, r *Request) (*Response, error) {
+func (p *Pool) Do(ctx context.Context, instance ServerInstance, r *Request) (*Response, error) {
 	c, err := p.acquire(ctx, instance, r.MaxIdle)
 	if err != nil {
 		return nil, err
--- a/internal/gateway/exchange/exchange_test.go
+++ b/internal/gateway/exchange/exchange_test.go
@@ -71,7 +71,7 @@
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 100 {
-		_, err := pool.Do(cancelled, Peer{Addr: addr, ServerID: "i"}, &Request{Method: http.MethodPost, Target: "/", Header: http.Header{"Id": {"2"}}, MaxIdle: time.Hour, Matches: func(http.Header) bool { return true }})
+		_, err := pool.Do(cancelled, ServerInstance{Addr: addr, ServerID: "i"}, &Request{Method: http.MethodPost, Target: "/", Header: http.Header{"Id": {"2"}}, MaxIdle: time.Hour, Matches: func(http.Header) bool { return true }})
 		if !errors.Is(err, ErrNotSent) {
 			t.Fatalf("got %v", err)
 		}
@@ -94,7 +94,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	response, err := p.Do(ctx, Peer{Addr: addr, ServerID: "i"}, &Request{
+	response, err := p.Do(ctx, ServerInstance{Addr: addr, ServerID: "i"}, &Request{
 		Method: "POST", Target: "/a%2Fb?x=1", Host: "h", Header: http.Header{"Id": {id}}, Body: body, MaxIdle: time.Hour,
 		Matches: func(h http.Header) bool { return h.Get("Id") == id },
 	})
@@ -129,7 +129,7 @@
 	if accepted.Load() != 1 {
 		t.Errorf("%d connections for 5 sequential requests, want 1", accepted.Load())
 	}
-	pool.Sweep(time.Now(), func(Peer) bool { return false })
+	pool.Sweep(time.Now(), func(ServerInstance) bool { return false })
 	mustSend(t, pool, addr, "after")
 	if accepted.Load() != 2 {
 		t.Errorf("a connection to an unwanted instance was reused")
@@ -215,7 +215,7 @@
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, cancel)
-	_, err := NewPool().Do(ctx, Peer{Addr: addr}, &Request{Method: "GET", Target: "/", Host: "h", MaxIdle: time.Hour, Matches: func(http.Header) bool { return true }})
+	_, err := NewPool().Do(ctx, ServerInstance{Addr: addr}, &Request{Method: "GET", Target: "/", Host: "h", MaxIdle: time.Hour, Matches: func(http.Header) bool { return true }})
 	if !errors.Is(err, ErrCancelled) {
 		t.Errorf("got %v", err)
 	}
--- a/internal/gateway/exchange/pool.go
+++ b/internal/gateway/exchange/pool.go
@@ -48,7 +48,7 @@
 
 // ServerInstance identifies an instance of a backend server: one run of the process at its address.
 // Connections to an earlier instance are never used for a later one.
-type Peer struct {
+type ServerInstance struct {
 	// Addr is the host:port at which the instance accepts connections.
 	Addr string
 	// ServerID is the ID of the backend server, shared by its instances.
@@ -63,20 +63,20 @@
 	dialer net.Dialer
 	// mu guards idle. No other lock is taken while it is held.
 	mu   sync.Mutex
-	idle map[Peer][]*conn
+	idle map[ServerInstance][]*conn
 }
 
 // NewPool returns an empty Pool.
 func NewPool() *Pool {
 	return &Pool{
-		idle:   map[Peer][]*conn{},
+		idle:   map[ServerInstance][]*conn{},
 		dialer: dial.NewDialer(dialTimeout, maxUnacknowledged),
 	}
 }
 
 // acquire returns a pooled connection that has been idle for less than maxIdle, or opens one. The
 // error wraps ErrNotSent.
-func (p *Pool) acquire(ctx context.Context, instance Peer, maxIdle time.Duration) (*conn, error) {
+func (p *Pool) acquire(ctx context.Context, instance ServerInstance, maxIdle time.Duration) (*conn, error) {
 	for {
 		c := p.popIdle(instance)
 		if c == nil {
@@ -100,7 +100,7 @@
 // running, since the host also accepts connections for a process that is about to exit. It therefore
 // counts as running only if a second connection opens processExitTime later; both connections then go
 // to the pool. RefusesConnections returns false if the result isn't known within refusalCheckTimeout.
-func (p *Pool) RefusesConnections(ctx context.Context, instance Peer) bool {
+func (p *Pool) RefusesConnections(ctx context.Context, instance ServerInstance) bool {
 	ctx, cancel := context.WithTimeout(ctx, refusalCheckTimeout)
 	defer cancel()
 	var first *conn
@@ -132,7 +132,7 @@
 
 // dialProbe opens a connection within probeDialTimeout, so that it fails before a lost SYN would be
 // retransmitted.
-func (p *Pool) dialProbe(ctx context.Context, instance Peer) (*conn, error) {
+func (p *Pool) dialProbe(ctx context.Context, instance ServerInstance) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeDialTimeout)
 	defer cancel()
 	netConn, err := p.dialer.DialContext(ctx, "tcp", instance.Addr)
@@ -144,7 +144,7 @@
 
 // popIdle removes the most recently used idle connection and returns it, so that surplus ones expire.
 // It returns nil if there is none.
-func (p *Pool) popIdle(instance Peer) *conn {
+func (p *Pool) popIdle(instance ServerInstance) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conns := p.idle[instance]
@@ -172,7 +172,7 @@
 
 // Sweep closes expired idle connections, and all idle connections to instances that aren't wanted any
 // more. Call it about once a second.
-func (p *Pool) Sweep(now time.Time, wanted func(Peer) bool) {
+func (p *Pool) Sweep(now time.Time, wanted func(ServerInstance) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for instance, conns := range p.idle {
--- a/internal/gateway/exchange/pool_test.go
+++ b/internal/gateway/exchange/pool_test.go
@@ -11,7 +11,7 @@
 // newExitingServer starts a listener at host that closes after delay, like that of a process that is
 // killed. If accepts is set, it accepts one connection, from which the delay is counted, and resets it
 // after the listener has closed. The returned channel receives the time when the listener was closed.
-func newExitingServer(t *testing.T, host string, accepts bool, delay time.Duration) (Peer, <-chan time.Time) {
+func newExitingServer(t *testing.T, host string, accepts bool, delay time.Duration) (ServerInstance, <-chan time.Time) {
 	t.Helper()
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -38,7 +38,7 @@
 		_ = c.(*net.TCPConn).SetLinger(0)
 		_ = c.Close()
 	}()
-	return Peer{Addr: listener.Addr().String(), ServerID: "i"}, closed
+	return ServerInstance{Addr: listener.Addr().String(), ServerID: "i"}, closed
 }
 
 // Guards against mistaking an exiting server for a running one if it exits while RefusesConnections
@@ -101,7 +101,7 @@
 				}
 			}()
 			start := time.Now()
-			if NewPool().RefusesConnections(t.Context(), Peer{Addr: listener.Addr().String(), ServerID: "i"}) {
+			if NewPool().RefusesConnections(t.Context(), ServerInstance{Addr: listener.Addr().String(), ServerID: "i"}) {
 				t.Error("a running server counts as exited")
 			}
 			if took := time.Since(start); took > 5*refusalCheckTimeout {
@@ -131,7 +131,7 @@
 		t.Fatal(err)
 	}
 	port := sockaddr.(*syscall.SockaddrInet4).Port
-	instance, pool := Peer{Addr: fmt.Sprintf("127.0.0.1:%d", port), ServerID: "i"}, NewPool()
+	instance, pool := ServerInstance{Addr: fmt.Sprintf("127.0.0.1:%d", port), ServerID: "i"}, NewPool()
 	if pool.RefusesConnections(t.Context(), instance) {
 		t.Error("counts as exited, though no connection was refused")
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -227,7 +227,7 @@
 				server.ApplyIdleTimeout()
 			}
 			g.registry.Sweep(now)
-			g.pool.Sweep(now, func(instance exchange.Peer) bool {
+			g.pool.Sweep(now, func(instance exchange.ServerInstance) bool {
 				s := g.registry.Server(instance.ServerID)
 				return s != nil && !s.Info().Draining && s.Info().StartUnixMilli == instance.StartTime
 			})
--- a/internal/gateway/request_observer.go
+++ b/internal/gateway/request_observer.go
@@ -44,7 +44,7 @@
 		class.ObserveFirstToken(result.FirstByteLatency)
 	}
 	if result.LongestPause > 0 {
-		class.ObservePause(result.LongestPause)
+		class.ObserveLongestPause(result.LongestPause)
 	}
 	o.count(class, result)
 	if result.Reason != router.ReasonServed {
@@ -116,7 +116,7 @@
 // finished.
 func eventName(result router.RequestResult) string {
 	switch {
-	case result.Reason == router.ReasonCallerLeft:
+	case result.Reason == router.ReasonCallerDisconnected:
 		return logging.EventRequestCancelled
 	case result.Status == http.StatusServiceUnavailable, result.Reason == router.ReasonNoRoute, result.Reason == router.ReasonUnknownKey,
 		result.Reason == router.ReasonNoRequestID, result.Reason == router.ReasonBodyTooLarge, result.Reason == router.ReasonHeaderTooLarge:
--- a/internal/gateway/router/attempt.go
+++ b/internal/gateway/router/attempt.go
@@ -46,7 +46,7 @@
 	tracked := &trackedRequest{InFlight: server.Load.Track(c.urgency, c.router.planPrefill(c, choice)), call: c, tokensAhead: choice.TokensAhead, sentAt: time.Now()}
 	defer tracked.Finish()
 	defer c.trackSuspectRun(info.ID)()
-	response, err := c.router.Pool.Do(ctx, server.Peer(), c.buildRequest(info, remaining))
+	response, err := c.router.Pool.Do(ctx, server.Instance(), c.buildRequest(info, remaining))
 	if errors.Is(err, exchange.ErrNotSent) {
 		if ctx.Err() == nil {
 			c.recordUnreachable(info.ID)
--- a/internal/gateway/router/buffered_response.go
+++ b/internal/gateway/router/buffered_response.go
@@ -81,7 +81,7 @@
 		return false
 	}
 	c.callerDisconnected = true
-	c.reportEnd(0, ReasonCallerLeft)
+	c.reportEnd(0, ReasonCallerDisconnected)
 	return true
 }
 
--- a/internal/gateway/router/config.go
+++ b/internal/gateway/router/config.go
@@ -142,12 +142,12 @@
 // Reason is why a request ended as it did. It appears in error responses, logs and metrics.
 type Reason string
 
-// Reasons. Apart from ReasonServed, ReasonServerFailure, ReasonCallerLeft, ReasonBodyIncomplete and
+// Reasons. Apart from ReasonServed, ReasonServerFailure, ReasonCallerDisconnected, ReasonBodyIncomplete and
 // ReasonStreamBroken, each is the body of an error response.
 const (
 	ReasonServed             Reason = "served"
 	ReasonServerFailure      Reason = "backend_failure"
-	ReasonCallerLeft         Reason = "caller_left"
+	ReasonCallerDisconnected         Reason = "caller_left"
 	ReasonNoState            Reason = "no_desired_state"
 	ReasonStateNotFresh      Reason = "state_not_proved_fresh"
 	ReasonNoRoute            Reason = "no_route"
--- a/internal/gateway/router/server_ended.go
+++ b/internal/gateway/router/server_ended.go
@@ -14,7 +14,7 @@
 		return true
 	}
 	// Probe even if the caller has disconnected, because the result matters to other requests.
-	if !c.router.Pool.RefusesConnections(context.WithoutCancel(c.req.Context()), server.Peer()) {
+	if !c.router.Pool.RefusesConnections(context.WithoutCancel(c.req.Context()), server.Instance()) {
 		return false
 	}
 	if server.MarkEnded() {
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -18,7 +18,7 @@
 		IsReporter:     func() bool { return g.usage.HoldsLease() },
 		UpdateSince:    func(acknowledged uint64) usage.Update { return g.usage.Counter.UpdateSince(acknowledged) },
 		Merge:          func(now time.Time, from usage.Source, u usage.Update) { g.usage.Aggregator.Merge(now, from, u) },
-		MergedSequence: func(from usage.Source) uint64 { return g.usage.Aggregator.LastSequence(from) },
+		MergedSequence: func(from usage.Source) uint64 { return g.usage.Aggregator.MergedSequence(from) },
 	}
 }
 
--- a/internal/gateway/usage/aggregator.go
+++ b/internal/gateway/usage/aggregator.go
@@ -79,7 +79,7 @@
 
 // MergedSequence returns the sequence number of the last change that was merged from a gateway
 // instance, to be acknowledged to it; 0 if there is none.
-func (a *Aggregator) LastSequence(source Source) uint64 {
+func (a *Aggregator) MergedSequence(source Source) uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if counts := a.sources[source]; counts != nil {
--- a/internal/gateway/usage/cluster_test.go
+++ b/internal/gateway/usage/cluster_test.go
@@ -100,7 +100,7 @@
 			for _, from := range nodes {
 				if to != from && !to.flag(&to.partitioned) && !from.flag(&from.partitioned) {
 					source := Source{Gateway: from.Name, BootID: from.BootID}
-					to.Aggregator.Merge(time.Now(), source, from.Counter.UpdateSince(to.Aggregator.LastSequence(source)))
+					to.Aggregator.Merge(time.Now(), source, from.Counter.UpdateSince(to.Aggregator.MergedSequence(source)))
 				}
 			}
 		}
--- a/internal/gateway/usage/counter_test.go
+++ b/internal/gateway/usage/counter_test.go
@@ -48,14 +48,14 @@
 			case 2:
 				now = now.Add(time.Duration(rapid.IntRange(0, 7000).Draw(t, "ms")) * time.Millisecond)
 			case 3:
-				sent = append(sent, counter.UpdateSince(aggregate.LastSequence(source)))
+				sent = append(sent, counter.UpdateSince(aggregate.MergedSequence(source)))
 			case 4:
 				if len(sent) > 0 {
 					aggregate.Merge(now, source, sent[rapid.IntRange(0, len(sent)-1).Draw(t, "which")])
 				}
 			}
 		}
-		aggregate.Merge(now, source, counter.UpdateSince(aggregate.LastSequence(source)))
+		aggregate.Merge(now, source, counter.UpdateSince(aggregate.MergedSequence(source)))
 		newest := fiveSeconds.Number(now)
 		maps.DeleteFunc(want, func(k countKey, _ int64) bool { return k.window+maxRetainedWindows < newest })
 		for key, requests := range want {
@@ -78,7 +78,7 @@
 	}
 	aggregate, source := NewAggregator(fiveSeconds, func() time.Time { return noon }), Source{Gateway: "a", BootID: 1}
 	for parts := 1; ; parts++ {
-		update := counter.UpdateSince(aggregate.LastSequence(source))
+		update := counter.UpdateSince(aggregate.MergedSequence(source))
 		aggregate.Merge(noon, source, update)
 		if update.CompleteUntil != 0 {
 			if parts != 3 {
--- a/internal/gateway/usage/reporter.go
+++ b/internal/gateway/usage/reporter.go
@@ -193,7 +193,7 @@
 // mergeOwnCounts merges this gateway's own counts into the Aggregator.
 func (r *Reporter) mergeOwnCounts() {
 	source := Source{Gateway: r.Name, BootID: r.BootID}
-	r.Aggregator.Merge(time.Now(), source, r.Counter.UpdateSince(r.Aggregator.LastSequence(source)))
+	r.Aggregator.Merge(time.Now(), source, r.Counter.UpdateSince(r.Aggregator.MergedSequence(source)))
 }
 
 // checkpointWrites returns the writes from which the next holder restores the counts; nil if this
--- a/internal/logging/event.go
+++ b/internal/logging/event.go
@@ -90,10 +90,10 @@
 	// EventServerError: the HTTP server reported an internal error, such as a
 	// panic in a request handler.
 	EventServerError = "server_error"
-	// EventEngineDown: the backend server is unreachable.
-	EventEngineDown = "engine_down"
-	// EventEngineUp: the backend server is reachable for the first time or again.
-	EventEngineUp = "engine_up"
+	// EventBackendServerDown: the backend server is unreachable.
+	EventBackendServerDown = "engine_down"
+	// EventBackendServerUp: the backend server is reachable for the first time or again.
+	EventBackendServerUp = "engine_up"
 )
 
 // Names of events of requests and of claims on idempotency keys. Each request is
--- a/internal/metrics/class.go
+++ b/internal/metrics/class.go
@@ -119,8 +119,8 @@
 // of a complete response.
 func (c *Class) WastedTokens(tokens int) { c.wastedTokens.Inc(int64(tokens)) }
 
-// ObservePause records the longest pause between two events of a stream.
-func (c *Class) ObservePause(longest time.Duration) { c.longestPause.Update(longest.Microseconds()) }
+// ObserveLongestPause records the longest pause between two events of a stream.
+func (c *Class) ObserveLongestPause(longest time.Duration) { c.longestPause.Update(longest.Microseconds()) }
 
 // ObserveFirstToken records the time from a request's arrival to its first token.
 func (c *Class) ObserveFirstToken(wait time.Duration) { c.firstToken.Update(wait.Microseconds()) }
--- a/internal/metrics/control.go
+++ b/internal/metrics/control.go
@@ -8,9 +8,9 @@
 	directionReceived = "received"
 )
 
-// Control counts the messages between the system's processes, excluding the
+// ControlTraffic counts the messages between the system's processes, excluding the
 // bodies of requests and responses.
-type Control struct {
+type ControlTraffic struct {
 	sent     messageCounters
 	received messageCounters
 }
@@ -20,8 +20,8 @@
 	bytes    gometrics.Counter
 }
 
-func newControlTraffic(registry gometrics.Registry) *Control {
-	return &Control{
+func newControlTraffic(registry gometrics.Registry) *ControlTraffic {
+	return &ControlTraffic{
 		sent:     newMessageCounters(registry, directionSent),
 		received: newMessageCounters(registry, directionReceived),
 	}
@@ -36,10 +36,10 @@
 }
 
 // Sent counts a message to another process and its size in bytes.
-func (c *Control) Sent(bytes int) { c.sent.count(bytes) }
+func (c *ControlTraffic) Sent(bytes int) { c.sent.count(bytes) }
 
 // Received counts a message from another process and its size in bytes.
-func (c *Control) Received(bytes int) { c.received.count(bytes) }
+func (c *ControlTraffic) Received(bytes int) { c.received.count(bytes) }
 
 func (c messageCounters) count(bytes int) {
 	c.messages.Inc(1)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -60,8 +60,8 @@
 	goodput  goodput
 
 	Queue    *Queue
-	Control  *Control
-	Platform *Platform
+	Control  *ControlTraffic
+	Platform *PlatformCalls
 
 	// mu guards classes, reasons and scrapeHooks. No lock other than the registry's
 	// is acquired while it is held.
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -31,7 +31,7 @@
 		flag.Received()
 	}
 	flag.ObserveFirstToken(320 * time.Millisecond)
-	flag.ObservePause(150 * time.Millisecond)
+	flag.ObserveLongestPause(150 * time.Millisecond)
 	flag.Finished(OnTime, 40)
 	flag.Finished(Late, 50)
 	flag.Refused("overload")
--- a/internal/metrics/platform.go
+++ b/internal/metrics/platform.go
@@ -8,8 +8,8 @@
 	operationWrite = "write"
 )
 
-// Platform counts the calls to the platform's services.
-type Platform struct {
+// PlatformCalls counts the calls to the platform's services.
+type PlatformCalls struct {
 	reads  callCounters
 	writes callCounters
 }
@@ -19,8 +19,8 @@
 	failed gometrics.Counter
 }
 
-func newPlatformCalls(registry gometrics.Registry) *Platform {
-	return &Platform{
+func newPlatformCalls(registry gometrics.Registry) *PlatformCalls {
+	return &PlatformCalls{
 		reads:  newCallCounters(registry, operationRead),
 		writes: newCallCounters(registry, operationWrite),
 	}
@@ -35,10 +35,10 @@
 }
 
 // Read counts a read, and a failure if err isn't nil.
-func (p *Platform) Read(err error) { p.reads.count(err) }
+func (p *PlatformCalls) Read(err error) { p.reads.count(err) }
 
 // Write counts a write, and a failure if err isn't nil.
-func (p *Platform) Write(err error) { p.writes.count(err) }
+func (p *PlatformCalls) Write(err error) { p.writes.count(err) }
 
 // StoreCallCounter returns a function that counts a call to the platform's store for the
 // table.
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -60,7 +60,7 @@
 // FetchFromAll reads the State of all peers, one after the other, and offers their
 // targets to cache, which keeps the newest. It returns the first VM list that is
 // not empty, or ErrUnreachable if no peer has one.
-func FetchFromAny(ctx context.Context, addrs []string, systemKey string, cache *targets.Cache) ([]storage.VM, error) {
+func FetchFromAll(ctx context.Context, addrs []string, systemKey string, cache *targets.Cache) ([]storage.VM, error) {
 	var vms []storage.VM
 	for _, addr := range addrs {
 		s, err := FetchState(ctx, addr, systemKey)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -31,7 +31,7 @@
 		startPeer(t, State{Process: "older", Targets: &targets.Set{Version: 4}, VMs: []storage.VM{{Name: "vm-2"}}}),
 	}
 	cache := targets.NewCache()
-	vms, err := FetchFromAny(t.Context(), addrs, testKey, cache)
+	vms, err := FetchFromAll(t.Context(), addrs, testKey, cache)
 	if err != nil || len(vms) != 1 || vms[0].Name != "vm-1" {
 		t.Fatalf("VMs: got %+v, %v", vms, err)
 	}
@@ -43,7 +43,7 @@
 // A peer that has no VM list yet must not be skipped: its targets may be the newest.
 func TestPeersWithoutVMListStillProvideTargets(t *testing.T) {
 	cache := targets.NewCache()
-	_, err := FetchFromAny(t.Context(), []string{startPeer(t, State{Targets: &targets.Set{Version: 2}})}, testKey, cache)
+	_, err := FetchFromAll(t.Context(), []string{startPeer(t, State{Targets: &targets.Set{Version: 2}})}, testKey, cache)
 	if !errors.Is(err, ErrUnreachable) || cache.Current().Version != 2 {
 		t.Fatalf("got %v with version %d", err, cache.Current().Version)
 	}
--- a/internal/storage/counted/counted.go
+++ b/internal/storage/counted/counted.go
@@ -22,13 +22,13 @@
 // and counts it.
 type Platform struct {
 	services Services
-	calls    *metrics.Platform
+	calls    *metrics.PlatformCalls
 }
 
 var _ Services = (*Platform)(nil)
 
 // New returns a Platform that forwards to services and counts in calls.
-func New(services Services, calls *metrics.Platform) *Platform {
+func New(services Services, calls *metrics.PlatformCalls) *Platform {
 	return &Platform{services: services, calls: calls}
 }
 
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -110,7 +110,7 @@
 	// ReasonSwitching: the engine is loading another model or has done so.
 	ReasonSwitching Reason = "switching"
 	// ReasonBackendServerDown: the backend server can't be reached.
-	ReasonEngineDown Reason = "engine_down"
+	ReasonBackendServerDown Reason = "engine_down"
 )
 
 // Refuse rejects a ticket.
@@ -168,7 +168,7 @@
 	// Draining is set when the agent accepts no new work.
 	Draining bool `cbor:"5,keyasint,omitempty"`
 	// BackendServerDown is set when the backend server can't be reached or is loading a model.
-	EngineDown bool `cbor:"6,keyasint,omitempty"`
+	BackendServerDown bool `cbor:"6,keyasint,omitempty"`
 }
 
 // GetTargets requests the peer's target set.
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -41,7 +41,7 @@
 
 // ticket returns the ticket that the request offers to an engine.
 func (r *request) ticket(copies, maxEngines int) Ticket {
-	due, target := r.workload.due()
+	due, target := r.workload.deadlineTarget()
 	return Ticket{
 		ID: r.id, Class: r.workload.class, Customer: r.customer, Tier: r.workload.tier,
 		Deadline: r.arrived.Add(target), DeadlineMilestone: due,
--- a/policy/workload_test.go
+++ b/policy/workload_test.go
@@ -57,7 +57,7 @@
 }
 
 // deadlineTarget returns the milestone of the tickets' deadline and the target for it.
-func (w workload) due() (Milestone, time.Duration) {
+func (w workload) deadlineTarget() (Milestone, time.Duration) {
 	if w.firstToken > 0 {
 		return MilestoneFirstToken, w.firstToken
 	}
--- a/testbed/cloud/cloud.go
+++ b/testbed/cloud/cloud.go
@@ -122,11 +122,11 @@
 
 // ServeHTTP handles a call of the process named in the X-Owner header.
 func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c.Machine(r.Header.Get("X-Owner")).ServeHTTP(w, r)
+	c.HandlerFor(r.Header.Get("X-Owner")).ServeHTTP(w, r)
 }
 
 // HandlerFor returns the handler for the calls of one process.
-func (c *Cloud) Machine(name string) http.Handler {
+func (c *Cloud) HandlerFor(name string) http.Handler {
 	routes := http.NewServeMux()
 	routes.HandleFunc("POST /usage", func(w http.ResponseWriter, r *http.Request) { c.handleUsage(w, r, name) })
 	routes.HandleFunc("POST /scale", func(w http.ResponseWriter, r *http.Request) { c.handleScale(w, r, name) })
--- a/testbed/cloud/cloud_test.go
+++ b/testbed/cloud/cloud_test.go
@@ -20,7 +20,7 @@
 	req.Header.Set("X-Owner", "any")
 	req.Header.Set("X-Fence-Token", strconv.FormatUint(token, 10))
 	recorder := httptest.NewRecorder()
-	c.Machine(process).ServeHTTP(recorder, req)
+	c.HandlerFor(process).ServeHTTP(recorder, req)
 	return recorder.Code
 }
 
--- a/testbed/cmd/standin/main_test.go
+++ b/testbed/cmd/standin/main_test.go
@@ -13,7 +13,7 @@
 	paths := map[string]string{"engine": "/v1/models", "platform": "/vms", "service": "/record"}
 	for name, path := range paths {
 		t.Run(name, func(t *testing.T) {
-			addr := ports.For(t)
+			addr := ports.ReserveForTest(t)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			done := make(chan error, 1)
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -153,7 +153,7 @@
 
 // newAddr reserves an address until Close.
 func (f *Fleet) newAddr() (string, error) {
-	addr, err := ports.Free()
+	addr, err := ports.Reserve()
 	if err != nil {
 		return "", err
 	}
--- a/testbed/fleet/options.go
+++ b/testbed/fleet/options.go
@@ -58,7 +58,7 @@
 	PrefillPerToken time.Duration
 	// LoadReportInterval is the time between updates of an engine's load
 	// report, in whole milliseconds; zero selects the engine's default.
-	LoadLag time.Duration
+	LoadReportInterval time.Duration
 	// IgnoreFencingTokens makes an engine accept orders with stale fencing tokens.
 	IgnoreFencingTokens bool
 }
--- a/testbed/fleet/server.go
+++ b/testbed/fleet/server.go
@@ -60,8 +60,8 @@
 	if s.Spec.PrefillPerToken > 0 {
 		args = append(args, "--prefill-us-per-token", strconv.FormatInt(s.Spec.PrefillPerToken.Microseconds(), 10))
 	}
-	if s.Spec.LoadLag > 0 {
-		args = append(args, "--load-lag-ms", strconv.FormatInt(s.Spec.LoadLag.Milliseconds(), 10))
+	if s.Spec.LoadReportInterval > 0 {
+		args = append(args, "--load-lag-ms", strconv.FormatInt(s.Spec.LoadReportInterval.Milliseconds(), 10))
 	}
 	if s.Spec.IgnoreFencingTokens {
 		args = append(args, "--ignore-fences")
--- a/testbed/gateway/fixture.go
+++ b/testbed/gateway/fixture.go
@@ -122,12 +122,12 @@
 		storeServer.CloseClientConnections()
 		storeServer.Close()
 	})
-	f.GatewayAddr, f.AdminAddr = ports.For(t), ports.For(t)
+	f.GatewayAddr, f.AdminAddr = ports.ReserveForTest(t), ports.ReserveForTest(t)
 	if o.Name == "" {
 		o.Name = "gateway-1"
 	}
 	if o.PeerListen == "" {
-		o.PeerListen = ports.For(t)
+		o.PeerListen = ports.ReserveForTest(t)
 	}
 	f.settings = settings.Gateway{
 		Process: o.Name, Zone: "z", Listen: f.GatewayAddr, AdminListen: f.AdminAddr, ReadyPath: "/ready",
--- a/testbed/gateway/state_test.go
+++ b/testbed/gateway/state_test.go
@@ -142,7 +142,7 @@
 // servers, later changes and the confirmations of its state from another gateway.
 func TestGatewayGetsStateFromOthers(t *testing.T) {
 	const within = 2500 * time.Millisecond
-	addr := ports.For(t)
+	addr := ports.ReserveForTest(t)
 	starting := gateway.NewFixture(t, gateway.Options{Name: "gateway-2", PeerListen: addr, Revoke: within, WithoutState: true, StoreFault: rowstore.Unavailable})
 	connected := gateway.NewFixture(t, gateway.Options{Revoke: within, ListedGateways: map[string]string{"gateway-2": addr}})
 	connected.StartServer("i-1", gateway.Respond("whole"))
--- a/testbed/gateway/usage_test.go
+++ b/testbed/gateway/usage_test.go
@@ -35,11 +35,11 @@
 	r := &usageFixture{t: t, cloud: cloud.New(usageLease)}
 	listed := map[string]string{}
 	for i := range n {
-		listed[fmt.Sprintf("gateway-%d", i)] = ports.For(t)
+		listed[fmt.Sprintf("gateway-%d", i)] = ports.ReserveForTest(t)
 	}
 	for i := range n {
 		name := fmt.Sprintf("gateway-%d", i)
-		web := httptest.NewServer(r.cloud.Machine(name))
+		web := httptest.NewServer(r.cloud.HandlerFor(name))
 		t.Cleanup(web.Close)
 		o := gateway.Options{Name: name, PeerListen: listed[name], ListedGateways: listed, Store: r.store, Revoke: 5 * time.Second, Usage: settings.UsageReporting{
 			Addr: strings.TrimPrefix(web.URL, "http://"), Duties: "autoscale,metering", Window: usageWindow, Delay: usageDelay, Lease: usageLease,
@@ -141,7 +141,7 @@
 func TestNoReportsWithoutMeteringDuty(t *testing.T) {
 	t.Parallel()
 	c := cloud.New(0)
-	web := httptest.NewServer(c.Machine("gateway-1"))
+	web := httptest.NewServer(c.HandlerFor("gateway-1"))
 	t.Cleanup(web.Close)
 	f := gateway.NewFixture(t, gateway.Options{Usage: settings.UsageReporting{Addr: strings.TrimPrefix(web.URL, "http://"), Duties: "autoscale"}})
 	f.StartServer("i-1", gateway.Respond("whole"))
--- a/testbed/matrix/harness.go
+++ b/testbed/matrix/harness.go
@@ -59,7 +59,7 @@
 		served = append(served, serviceClass())
 	}
 	for i := range backends {
-		backends[i].LoadLag = c.loadReportAge()
+		backends[i].LoadReportInterval = c.loadReportAge()
 		// The engines accept any fencing token, so that only the agents can refuse
 		// orders with a stale one.
 		backends[i].IgnoreFencingTokens = true
--- a/testbed/ports/ports.go
+++ b/testbed/ports/ports.go
@@ -45,7 +45,7 @@
 // Reserve returns a host:port on 127.0.0.1 that nothing listens on. The address
 // stays reserved until Release, so that a killed process finds its port free
 // when it restarts. It returns an error if no port is free.
-func Free() (string, error) {
+func Reserve() (string, error) {
 	processBlock.mu.Lock()
 	defer processBlock.mu.Unlock()
 	if err := processBlock.acquire(); err != nil {
@@ -67,9 +67,9 @@
 
 // ReserveForTest returns an address that is reserved until the test ends. It fails the
 // test if none is free.
-func For(t testing.TB) string {
+func ReserveForTest(t testing.TB) string {
 	t.Helper()
-	addr, err := Free()
+	addr, err := Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/testbed/readme/readme_test.go
+++ b/testbed/readme/readme_test.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	replaced := portPattern.ReplaceAllStringFunc(string(content), func(string) string { return ports.For(t) })
+	replaced := portPattern.ReplaceAllStringFunc(string(content), func(string) string { return ports.ReserveForTest(t) })
 	path := filepath.Join(t.TempDir(), filepath.Base(example))
 	if err := os.WriteFile(path, []byte(replaced), 0o600); err != nil {
 		t.Fatal(err)
--- a/testbed/soak/gatewayprocess.go
+++ b/testbed/soak/gatewayprocess.go
@@ -52,7 +52,7 @@
 func newGateway(programs *fleet.ProcessGroup, dir, program, name string, platform *storeProcess, bandwidth float64) (*gatewayProcess, error) {
 	var addrs [3]string
 	for i := range addrs {
-		addr, err := ports.Free()
+		addr, err := ports.Reserve()
 		if err != nil {
 			return nil, err
 		}
@@ -106,7 +106,7 @@
 
 // changeListenAddr makes the next start listen on another address.
 func (g *gatewayProcess) changeListenAddr() error {
-	addr, err := ports.Free()
+	addr, err := ports.Reserve()
 	if err != nil {
 		return err
 	}
--- a/testbed/soak/serverprocess.go
+++ b/testbed/soak/serverprocess.go
@@ -36,7 +36,7 @@
 	s := &serverProcess{name: name, dir: dir, program: program, programs: programs, store: store, arrivalsFile: filepath.Join(dir, name+".arrivals")}
 	for _, addr := range []*string{&s.listenAddr, &s.controlAddr} {
 		var err error
-		if *addr, err = ports.Free(); err != nil {
+		if *addr, err = ports.Reserve(); err != nil {
 			return nil, err
 		}
 	}
--- a/testbed/soak/storeprocess.go
+++ b/testbed/soak/storeprocess.go
@@ -26,7 +26,7 @@
 	s := &storeProcess{}
 	for _, addr := range []*string{&s.listenAddr, &s.dutiesAddr, &s.controlAddr} {
 		var err error
-		if *addr, err = ports.Free(); err != nil {
+		if *addr, err = ports.Reserve(); err != nil {
 			return nil, err
 		}
 	}
