--- a/internal/gateway/peers/compatibility_test.go
+++ b/internal/gateway/peers/compatibility_test.go
@@ -78,7 +78,7 @@
 func TestInvalidOfferCountsAreIgnored(t *testing.T) {
 	packed := offerCounts{Levels: []levelOffers{{Urgency: 1, Offered: float32(math.NaN())}, {Urgency: 1, Offered: float32(math.Inf(1))}, {Urgency: 1, Offered: -1}, {Urgency: 200, Offered: 3, Lacked: 2}}}
 	counts := packed.unpack()
-	if last := counts[len(counts)-1]; counts[1].Offered != 0 || last.Offered != 3 || last.Lacked != 2 {
+	if last := counts[len(counts)-1]; counts[1].Offered != 0 || last.Offered != 3 || last.NoSlot != 2 {
 		t.Errorf("got %+v", counts)
 	}
 }
--- a/internal/gateway/peers/offer_counts.go
+++ b/internal/gateway/peers/offer_counts.go
@@ -32,7 +32,7 @@
 	packed := offerCounts{Service: hashName(service)}
 	for urgency, level := range counts {
 		if level.Offered >= minOffered {
-			packed.Levels = append(packed.Levels, levelOffers{Urgency: uint8(urgency), Offered: float32(level.Offered), Lacked: float32(level.Lacked)})
+			packed.Levels = append(packed.Levels, levelOffers{Urgency: uint8(urgency), Offered: float32(level.Offered), Lacked: float32(level.NoSlot)})
 		}
 	}
 	return packed
@@ -48,7 +48,7 @@
 		}
 		level := &sum[min(int(packed.Urgency), len(sum)-1)]
 		level.Offered += float64(packed.Offered)
-		level.Lacked += float64(packed.Lacked)
+		level.NoSlot += float64(packed.Lacked)
 	}
 	return sum
 }
--- a/policy/adaptive_headroom.go
+++ b/policy/adaptive_headroom.go
@@ -90,7 +90,7 @@
 	total, admitted, offered, refused := 0.0, 0.0, 0.0, 0.0
 	for _, level := range offers {
 		total += level.Offered
-		admitted += level.Offered - level.Lacked
+		admitted += level.Offered - level.NoSlot
 	}
 	for urgency := range h.headroom {
 		h.headroom[urgency] *= decay
@@ -98,7 +98,7 @@
 			h.headroom[urgency] = min(h.headroom[urgency]+maxGrowth, limit)
 		}
 		offered += offers[urgency].Offered
-		refused += offers[urgency].Lacked
+		refused += offers[urgency].NoSlot
 	}
 	h.detectSurge(offers)
 }
--- a/policy/adaptive_headroom_test.go
+++ b/policy/adaptive_headroom_test.go
@@ -113,9 +113,9 @@
 func TestHeadroomIsBoundedByOffersAbove(t *testing.T) {
 	var headroom AdaptiveHeadroom
 	var offers OfferCounts
-	offers[0].Offered, offers[0].Lacked = 8, 4
-	offers[3].Offered, offers[3].Lacked = 392, 150
-	offers[4].Offered, offers[4].Lacked = 130, 130
+	offers[0].Offered, offers[0].NoSlot = 8, 4
+	offers[3].Offered, offers[3].NoSlot = 392, 150
+	offers[4].Offered, offers[4].NoSlot = 130, 130
 	for step := range 60 {
 		now := testStart.Add(time.Duration(step) * 50 * time.Millisecond)
 		if share := headroom.Share(now, &offers, 0.9, 3); share > 0.04 {
@@ -132,9 +132,9 @@
 func TestHeadroomIsBoundedByRefusalsAbove(t *testing.T) {
 	var headroom AdaptiveHeadroom
 	var offers OfferCounts
-	offers[0].Offered, offers[0].Lacked = 182, 3
-	offers[1].Offered, offers[1].Lacked = 44, 3
-	offers[3].Offered, offers[3].Lacked = 470, 200
+	offers[0].Offered, offers[0].NoSlot = 182, 3
+	offers[1].Offered, offers[1].NoSlot = 44, 3
+	offers[3].Offered, offers[3].NoSlot = 470, 200
 	for step := range 60 {
 		now := testStart.Add(time.Duration(step) * 50 * time.Millisecond)
 		// 6 requests, beside 490 that are admitted, would occupy a hundredth of the slots in
--- a/policy/offer_counts.go
+++ b/policy/offer_counts.go
@@ -14,14 +14,14 @@
 // exponentially and aren't integers.
 type OfferCounts [UrgencyLevels]struct {
 	Offered float64
-	Lacked  float64
+	NoSlot  float64
 }
 
 // Add adds other counts to c, or subtracts them if sign is -1.
 func (c *OfferCounts) Add(other *OfferCounts, sign float64) {
 	for i := range c {
 		c[i].Offered += sign * other[i].Offered
-		c[i].Lacked += sign * other[i].Lacked
+		c[i].NoSlot += sign * other[i].NoSlot
 	}
 }
 
@@ -48,7 +48,7 @@
 	c.decay(now)
 	c.counts[urgency].Offered++
 	if noSlot {
-		c.counts[urgency].Lacked++
+		c.counts[urgency].NoSlot++
 	}
 }
 
@@ -63,7 +63,7 @@
 		factor := math.Exp(-float64(now.Sub(c.updated)) / float64(offerTimeConstant))
 		for i := range c.counts {
 			c.counts[i].Offered *= factor
-			c.counts[i].Lacked *= factor
+			c.counts[i].NoSlot *= factor
 		}
 	}
 	c.updated = now
