--- a/testbed/gateway/admission_test.go
+++ b/testbed/gateway/admission_test.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// Requests without a valid key, route or ID are rejected and reach no backend server.
+// Requests without a valid key, route or ID are rejected and reach no backend server. A request
+// body over the size limit is rejected with 413.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	f := gateway.NewFixture(t, gateway.Options{})
 	f.StartServer("i-1", gateway.Respond("whole"))
@@ -86,7 +87,7 @@
 		t.Error("a request without a key was forwarded with a customer")
 	}
 	if got := f.Do(f.Request(t.Context(), http.MethodPost, "/safe/x", "8", strings.NewReader(strings.Repeat("x", 100001)))); got.Status != 413 {
-		t.Errorf("a body over the limit: %d", got.Status)
+		t.Errorf("status %d for a body over the limit, want 413", got.Status)
 	}
 }
 
@@ -130,7 +131,7 @@
 	req := f.Request(t.Context(), http.MethodPost, "/safe/x", "1", nil)
 	req.Header.Set("X-Long", strings.Repeat("x", 17000))
 	if got := f.Do(req); got.Status != http.StatusRequestHeaderFieldsTooLarge {
-		t.Errorf("status %d for a header over the limit", got.Status)
+		t.Errorf("status %d for a header over the limit, want 431", got.Status)
 	}
 }
 
@@ -158,6 +159,6 @@
 	_ = c.SetReadDeadline(time.Now().Add(2 * time.Second))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != http.StatusUnauthorized {
-		t.Fatalf("%+v, %v", resp, err)
+		t.Fatalf("rejection: got %+v, %v, want status 401", resp, err)
 	}
 }
--- a/testbed/gateway/blockable_handler.go
+++ b/testbed/gateway/blockable_handler.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 )
 
-// blockableHandler holds back responses while it is blocked.
+// blockableHandler is an HTTP handler that sends no responses while it is blocked.
 type blockableHandler struct {
 	http.Handler
 	blocked atomic.Bool
@@ -16,8 +16,8 @@
 	h.Handler.ServeHTTP(blockableWriter{w, r, &h.blocked}, r)
 }
 
-// blockableWriter holds back a response whose header is written while the handler is blocked,
-// until the HTTP client gives up.
+// blockableWriter is the response writer of a blockableHandler. While the handler is blocked,
+// WriteHeader waits until the HTTP client gives up and then aborts the response.
 type blockableWriter struct {
 	http.ResponseWriter
 	request *http.Request
--- a/testbed/gateway/child_gateway_test.go
+++ b/testbed/gateway/child_gateway_test.go
@@ -19,6 +19,7 @@
 // its value is the gateway's settings as JSON.
 const gatewaySettingsEnv = "APPLEPIER_TEST_GATEWAY"
 
+// TestMain runs a gateway instead of the tests if gatewaySettingsEnv is set.
 func TestMain(m *testing.M) {
 	if encoded := os.Getenv(gatewaySettingsEnv); encoded != "" {
 		if err := runChildGateway(encoded); err != nil {
@@ -47,13 +48,14 @@
 
 // childGateway runs a gateway in a child process, so that tests can suspend and resume it.
 type childGateway struct {
+	// started receives the child process when it has started.
 	started chan *os.Process
 }
 
 // newChildGateway returns a child gateway that hasn't been started.
 func newChildGateway() *childGateway { return &childGateway{started: make(chan *os.Process, 1)} }
 
-// run runs the child process until ctx ends.
+// run runs the child process until ctx ends and returns the error with which it exited, if any.
 func (g *childGateway) run(ctx context.Context, s settings.Gateway) error {
 	encoded, err := json.Marshal(s)
 	if err != nil {
--- a/testbed/gateway/config_changes_test.go
+++ b/testbed/gateway/config_changes_test.go
@@ -12,7 +12,7 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// changeRounds is how often the 1,400 routes are added and removed.
+// changeRounds is the number of times that the 1,400 routes are added and removed.
 const changeRounds = 10
 
 // Changes of the settings and of the desired state don't interrupt requests in flight.
--- a/testbed/gateway/dial_timeout_test.go
+++ b/testbed/gateway/dial_timeout_test.go
@@ -58,11 +58,12 @@
 	return c, err
 }
 
-// stall prevents new connections for a time. The returned channel receives how long that
-// lasted, which is longer if this process wasn't scheduled.
+// stall prevents new connections for the duration d. The returned channel receives the actual
+// duration, which is longer than d if this process wasn't scheduled.
 func (l *stallableListener) stall(t *testing.T, d time.Duration) <-chan time.Duration {
 	t.Helper()
 	l.stalled.Store(true)
+	// These connections fill the accept queue until the kernel drops further attempts.
 	var queued []net.Conn
 	for {
 		c, err := net.DialTimeout("tcp", l.Addr().String(), 20*time.Millisecond)
@@ -100,8 +101,8 @@
 // dialTimeout is the gateway's timeout for a connection attempt to a server.
 const dialTimeout = 250 * time.Millisecond
 
-// Guards against rejecting a request because of one server's limit while another server is
-// available and merely one connection attempt to it timed out.
+// Guards against rejecting a request although a server without a limit is available: one
+// connection attempt to that server timed out, and the only other server is at its limit.
 func TestServerIsRetriedAfterDialTimeout(t *testing.T) {
 	for _, stall := range []time.Duration{50 * time.Millisecond, 150 * time.Millisecond, 220 * time.Millisecond} {
 		t.Run(stall.String(), func(t *testing.T) {
@@ -112,7 +113,8 @@
 			serveListener(t, f, "free", l)
 			f.WaitFor("the limit to be known", func() bool { f.Post("/safe/x", "warm"); return reachedServer(f, "warm", "limited") })
 			for i := range 6 {
-				// A server that fails often is ejected for a while.
+				// Successful requests between the stalls: a server that fails often is ejected
+				// for a while.
 				for range 20 {
 					if got := f.Post("/safe/x", "between"); got.Status != http.StatusOK {
 						t.Fatalf("got %+v while a server without a limit is available", got)
--- a/testbed/gateway/fixture.go
+++ b/testbed/gateway/fixture.go
@@ -46,8 +46,8 @@
 type Fixture struct {
 	t     testing.TB
 	Store *rowstore.Store
-	// GatewayAddr is the address for callers, AdminAddr the one for the load balancer's
-	// readiness checks.
+	// GatewayAddr is the host:port for callers, AdminAddr the one for the load balancer's
+	// readiness checks and for metrics.
 	GatewayAddr string
 	AdminAddr   string
 	// Stop starts the gateway's shutdown; Stopped is closed once the gateway has ended.
@@ -63,7 +63,7 @@
 	reloaded chan struct{}
 }
 
-// minGrace is the minimum grace period; a gateway ends soon after its test.
+// minGrace is the minimum grace period. It is short, so that gateways end soon after their tests.
 const minGrace = 500 * time.Millisecond
 
 // Options configures a Fixture.
@@ -86,7 +86,7 @@
 	// Store is the store of another Fixture, for several gateways that share one; nil creates
 	// a new store.
 	Store *rowstore.Store
-	// StoreFault is the store's fault mode from the start.
+	// StoreFault is the store's fault mode from the start; it is ignored if Store is set.
 	StoreFault rowstore.Fault
 	// Run runs the gateway until the context ends; nil runs it in this process. ChangeSettings
 	// must not be called with Run set, as it would block forever.
@@ -224,7 +224,7 @@
 	return s
 }
 
-// ListServer writes a server's row with a state.
+// ListServer writes a server's row to the store, with a state such as ready or draining.
 func (f *Fixture) ListServer(s *Server, state string) {
 	f.Store.PutJSON("servers", s.Instance, map[string]any{
 		"service": "plain", "addr": s.Addr, "zone": "z", "version": "v1", "slots": 8, "state": state, "seq": 1, "warmup-left-ms": 0,
@@ -249,7 +249,7 @@
 			return
 		}
 	}
-	f.t.Fatalf("timed out waiting: %s", what)
+	f.t.Fatalf("timed out waiting for %s", what)
 }
 
 // ReceivedRequests returns the requests with an ID that backend servers received.
--- a/testbed/gateway/half_close_test.go
+++ b/testbed/gateway/half_close_test.go
@@ -7,8 +7,8 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// closeDetectionTime is the time within which a gateway detects that a caller closed its
-// connection, if it detects that at all.
+// closeDetectionTime is how long a test waits for a gateway to detect that a caller closed its
+// connection. Gateways need not detect a half-close.
 const closeDetectionTime = 500 * time.Millisecond
 
 // A caller that half-closes its connection after its request may still read. It gets its
--- a/testbed/gateway/helpers_test.go
+++ b/testbed/gateway/helpers_test.go
@@ -6,8 +6,9 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// callUntilSentTo sends requests until one is sent to the named server first. It returns the
-// response and how often that request was sent, 0 if none of 50 was.
+// callUntilSentTo sends up to 50 requests until the first attempt of one goes to the named
+// server. It returns that request's response and number of attempts, or 0 attempts if none went
+// there.
 func callUntilSentTo(f *gateway.Fixture, path, server string) (resp gateway.Response, sends int) {
 	for i := range 50 {
 		id := fmt.Sprintf("try-%d", i)
--- a/testbed/gateway/http10_caller_test.go
+++ b/testbed/gateway/http10_caller_test.go
@@ -33,7 +33,7 @@
 			}
 			body, err := io.ReadAll(resp.Body)
 			if err == nil {
-				t.Errorf("status %d and %d bytes look complete, the server broke off", resp.StatusCode, len(body))
+				t.Errorf("a response with status %d and %d bytes looks complete, but the server closed the connection early", resp.StatusCode, len(body))
 			}
 		})
 	}
--- a/testbed/gateway/idle_close_race_test.go
+++ b/testbed/gateway/idle_close_race_test.go
@@ -29,11 +29,12 @@
 }
 
 const (
-	// idleCallers is the number of connections that stay idle until the gateway is about to
-	// close them, and idleRounds how often each does.
+	// idleCallers is the number of connections in each of idleRounds rounds that stay idle
+	// until the gateway is about to close them.
 	idleCallers = 150
 	idleRounds  = 8
-	// sendJitter is the range over which the times of their requests are spread.
+	// sendJitter is the maximum time before the expected close at which a caller sends its
+	// request.
 	sendJitter = 4 * time.Millisecond
 )
 
@@ -44,7 +45,7 @@
 	c := dialRaw(t, f)
 	c.send(requestHead("POST", "/unsafe/x", "kept"))
 	if got := c.receive("POST"); got.Status != 200 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("first request: got %+v", got)
 	}
 	idleSince := time.Now()
 	_ = c.SetReadDeadline(idleSince.Add(readTimeout))
@@ -66,7 +67,7 @@
 	sendAtClose := func(c *rawConn, id string) {
 		_, _ = c.Write([]byte(requestHead("POST", "/unsafe/x", "before-"+id)))
 		if got := c.receive("POST"); got.Status != 200 {
-			t.Errorf("before %s: %+v", id, got)
+			t.Errorf("first request on the connection of %s: got %+v", id, got)
 			return
 		}
 		time.Sleep(idleTime - rand.N(sendJitter))
--- a/testbed/gateway/idle_timeout_change_test.go
+++ b/testbed/gateway/idle_timeout_change_test.go
@@ -41,7 +41,7 @@
 	c := dialRaw(t, f)
 	c.send(requestHead("POST", "/unsafe/x", "first"))
 	if got := c.receive("POST"); got.Status != 200 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("first request: got %+v", got)
 	}
 	applyIdleTimeout(f, 3, time.Minute)
 	// The gateway sends nothing on a connection that it keeps; reading from one that it closes
@@ -52,7 +52,7 @@
 	}
 	c.send(requestHead("POST", "/unsafe/x", "next"))
 	if got := c.receive("POST"); got.Status != 200 {
-		t.Errorf("%+v", got)
+		t.Errorf("next request: got %+v", got)
 	}
 }
 
@@ -64,7 +64,7 @@
 	c := dialRaw(t, f)
 	c.send(requestHead("POST", "/unsafe/x", "first"))
 	if got := c.receive("POST"); got.Status != 200 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("first request: got %+v", got)
 	}
 	applyIdleTimeout(f, 3, time.Millisecond)
 	_ = c.SetReadDeadline(time.Now().Add(readTimeout))
--- a/testbed/gateway/idle_timeout_test.go
+++ b/testbed/gateway/idle_timeout_test.go
@@ -57,8 +57,7 @@
 // when it resumes. Whichever it handles first, a request that it forwards to a backend server
 // gets its response.
 func TestForwardedRequestIsAnsweredAfterSuspend(t *testing.T) {
-	// rounds is the number of attempts, as the scheduler decides which of the two is handled
-	// first.
+	// There are several rounds because the scheduler decides which of the two is handled first.
 	const rounds = 3
 	child := newChildGateway()
 	f := gateway.NewFixture(t, gateway.Options{Run: child.run})
--- a/testbed/gateway/incomplete_body_test.go
+++ b/testbed/gateway/incomplete_body_test.go
@@ -20,7 +20,7 @@
 			got := caller.receive("POST")
 			// The route's timeout is 200 ms; the requirement allows 500 ms more.
 			if took := time.Since(began); got.Status == 0 || took > 700*time.Millisecond {
-				t.Errorf("after %v: %+v", took, got)
+				t.Errorf("got %+v after %v, want a response within 700 ms", got, took)
 			}
 		})
 	}
--- a/testbed/gateway/large_state_test.go
+++ b/testbed/gateway/large_state_test.go
@@ -4,13 +4,14 @@
 	"fmt"
 	"strings"
 	"testing"
+	"time"
 
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// Guards against a large desired state that never takes effect over a slow link: a response
-// that is being received must not be abandoned, regardless of the age of the call and of the
-// last confirmation that the previous state is current.
+// Guards against a large desired state that never takes effect over a slow link: the gateway
+// must not abandon a response that is still arriving, however long the call has taken and
+// however long ago the previous state was last confirmed as current.
 func TestLargeStateOverSlowLink(t *testing.T) {
 	t.Parallel()
 	const (
@@ -21,7 +22,7 @@
 	)
 	for name, o := range map[string]gateway.Options{
 		"no strict revocation": {StoreBytesPerSecond: bytesPerSecond},
-		"strict revocation":    {StoreBytesPerSecond: bytesPerSecond, Revoke: 5e9},
+		"strict revocation":    {StoreBytesPerSecond: bytesPerSecond, Revoke: 5 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/testbed/gateway/long_error_response_test.go
+++ b/testbed/gateway/long_error_response_test.go
@@ -8,8 +8,8 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// A status that implies that a request wasn't executed is forwarded only if the server says
-// so, also with a body that exceeds the gateway's buffer.
+// A status that implies that a request wasn't executed is forwarded only if the server marks the
+// response as not executed, even if the body exceeds the gateway's buffer.
 func TestLongErrorResponseDoesNotImplyNotExecuted(t *testing.T) {
 	for _, status := range []int{408, 421, 429, 503} {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
--- a/testbed/gateway/options_test.go
+++ b/testbed/gateway/options_test.go
@@ -6,8 +6,8 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// Only backend servers report success; this includes OPTIONS *, which concerns the gateway
-// itself.
+// Only a backend server's response may report success, even to OPTIONS *, which addresses the
+// gateway itself.
 func TestOptionsAsteriskIsNoSuccess(t *testing.T) {
 	f, _ := newServingFixture(t, gateway.Options{})
 	c := dialRaw(t, f)
--- a/testbed/gateway/quarantine_test.go
+++ b/testbed/gateway/quarantine_test.go
@@ -23,8 +23,8 @@
 	return gateway.Respond("whole")(c, r)
 }
 
-// Guards against a request that crashes every server it runs on: retries took one server after
-// another away from all other callers.
+// Guards against a request that crashes every server it runs on: its retries crash one server
+// after another, until none is left for other callers.
 func TestRequestThatCrashesServersIsQuarantined(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/unsafe/x", "/stream/x", "/resume/x"} {
 		t.Run(path, func(t *testing.T) {
@@ -119,9 +119,9 @@
 	}
 }
 
-// Guards against a fourth crash where a harmless request ran on the same server as the
-// crashing one each time. After the second crash the two aren't sent to the same server again,
-// even if the other server is in another zone.
+// Guards against a fourth crash when a harmless request ran on the same server as the crashing
+// one each time, so that both are suspects. After the second crash the two are sent to different
+// servers, even if one of these is in another zone, so that the next crash distinguishes them.
 func TestSuspectsOfTheSameCrashesRunOnSeparateServers(t *testing.T) {
 	t.Parallel()
 	f := gateway.NewFixture(t, gateway.Options{})
@@ -154,15 +154,15 @@
 	f.WaitFor("the gateway to know both servers", func() bool { return strings.Contains(readMetrics(t, f), "applepier_backend_servers 2\n") })
 	postBody(f, "/unsafe/x", "deadly-last", crashBody)
 	if sent := f.ReceivedRequests("deadly-last"); len(sent) != 1 || sent[0].Server == occupied {
-		t.Errorf("sent to %v, the other suspect runs on %s", sent, occupied)
+		t.Errorf("sent %d times, want once and not to %s, where the other suspect runs", len(sent), occupied)
 	}
 	if servers.crashes() != maxCrashes-1 {
-		t.Errorf("%d servers crashed", servers.crashes())
+		t.Errorf("%d servers crashed, want %d", servers.crashes(), maxCrashes-1)
 	}
 }
 
-// A server that breaks off responses but keeps running hasn't crashed: its requests failed and
-// may succeed on a later attempt, so none is quarantined.
+// A server that closes connections without a response but keeps running hasn't crashed: its
+// requests failed and may succeed on a later attempt, so none is quarantined.
 func TestInterruptedResponsesOfRunningServersQuarantineNothing(t *testing.T) {
 	t.Parallel()
 	f := gateway.NewFixture(t, gateway.Options{})
--- a/testbed/gateway/raw_conn_test.go
+++ b/testbed/gateway/raw_conn_test.go
@@ -12,10 +12,10 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// readTimeout bounds each read of a caller; it is far longer than any route's timeout.
+// readTimeout bounds the wait for each response; it is longer than any route's timeout.
 const readTimeout = 6 * time.Second
 
-// rawConn is a caller's connection for requests written byte by byte.
+// rawConn is a caller's connection on which tests write their requests as raw bytes.
 type rawConn struct {
 	*net.TCPConn
 	t      testing.TB
--- a/testbed/gateway/rejection_without_body_test.go
+++ b/testbed/gateway/rejection_without_body_test.go
@@ -28,7 +28,7 @@
 					got = caller.receive("POST")
 				}
 				if got.Status != c.status {
-					t.Errorf("after %v: %+v", time.Since(began), got)
+					t.Errorf("got %+v after %v, want status %d", got, time.Since(began), c.status)
 				}
 			})
 		}
--- a/testbed/gateway/server.go
+++ b/testbed/gateway/server.go
@@ -15,13 +15,17 @@
 
 // ReceivedRequest is a request as a backend server received it.
 type ReceivedRequest struct {
+	// Server is the server's instance ID.
 	Server string
+	// ID is the value of X-Request-Id.
 	ID     string
 	Header http.Header
+	// Target is the request target as it was sent, without any decoding.
 	Target string
 	Method string
 	Body   string
-	At     time.Time
+	// At is when the body was complete.
+	At time.Time
 	// Closed is closed when the gateway closes the connection.
 	Closed <-chan struct{}
 }
@@ -34,7 +38,8 @@
 type Server struct {
 	// Instance is the ID of the instance; a restarted server has a new one.
 	Instance string
-	Addr     string
+	// Addr is the server's host:port.
+	Addr string
 	// onRequest is called for each request.
 	onRequest func(*ReceivedRequest)
 	listener  net.Listener
@@ -46,7 +51,7 @@
 }
 
 // Listen starts a server at a host:port that responds as script does. onRequest is called for
-// each request before the script runs.
+// each request before the script runs. It fails if the address can't be listened on.
 func Listen(addr, instance string, script Script, onRequest func(*ReceivedRequest)) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -171,6 +176,7 @@
 	}
 }
 
+// accept serves new connections until the listener is closed.
 func (s *Server) accept() {
 	for {
 		c, err := s.listener.Accept()
@@ -184,6 +190,7 @@
 	}
 }
 
+// serve runs the script for each request on a connection, until either side closes it.
 func (s *Server) serve(c net.Conn) {
 	defer func() {
 		_ = c.Close()
@@ -237,7 +244,7 @@
 	}
 }
 
-// prefixedConn is a connection that returns bytes read earlier before it reads on.
+// prefixedConn is a connection whose Read first returns bytes that were already read from it.
 type prefixedConn struct {
 	net.Conn
 	prefix *bytes.Reader
--- a/testbed/gateway/servers_test.go
+++ b/testbed/gateway/servers_test.go
@@ -106,8 +106,9 @@
 }
 
 // Rows that disappeared while the store was unavailable are trusted for two seconds after it
-// recovers. The store may hold the call that shows the recovery for longer, until there is a
-// change. A server that leaves after the recovery must receive no more requests.
+// recovers. The gateway detects the recovery by the response to a long poll, which the store may
+// hold for more than these two seconds, until the next change. If that change is the removal of
+// a server, the server must receive no more requests.
 func TestServerRemovedAfterStoreRecovery(t *testing.T) {
 	f := gateway.NewFixture(t, gateway.Options{})
 	leaves := f.StartServer("i-1", gateway.Respond("whole"))
--- a/testbed/gateway/shutdown_test.go
+++ b/testbed/gateway/shutdown_test.go
@@ -105,7 +105,7 @@
 func TestPartialRequestDuringShutdown(t *testing.T) {
 	request := postHead("/unsafe/x", "half", 4) + "body"
 	for name, split := range map[string]int{"nothing": 0, "a byte": 1, "a part of the header": 20, "the header": strings.Index(request, "body"), "a part of the body": len(request) - 2} {
-		for connKind, keepAlive := range map[string]bool{"a new connection": false, "a kept connection": true} {
+		for connKind, keepAlive := range map[string]bool{"a new connection": false, "a keep-alive connection": true} {
 			t.Run(name+" on "+connKind, func(t *testing.T) {
 				t.Parallel()
 				f, _ := newServingFixture(t, gateway.Options{Grace: 4 * time.Second})
@@ -113,7 +113,7 @@
 				if keepAlive {
 					c.send(requestHead("POST", "/safe/x", "first"))
 					if got := c.receive("POST"); got.Status != 200 {
-						t.Fatalf("%+v", got)
+						t.Fatalf("first request: got %+v", got)
 					}
 				}
 				began := time.Now()
--- a/testbed/gateway/soak_test.go
+++ b/testbed/gateway/soak_test.go
@@ -120,7 +120,7 @@
 		fullBody = streamBody(id, 0)
 	}
 	if got.Status == http.StatusOK && got.Err == nil && got.Body != fullBody {
-		s.t.Errorf("%s %s has an unexpected body: %q", kind, id, got.Body)
+		s.t.Errorf("%s %s has the body %q, want %q", kind, id, got.Body, fullBody)
 	}
 	if got.Status == http.StatusOK && !strings.HasPrefix(fullBody, got.Body) {
 		s.t.Errorf("%s %s received another request's bytes: %q", kind, id, got.Body)
--- a/testbed/gateway/state_test.go
+++ b/testbed/gateway/state_test.go
@@ -45,7 +45,7 @@
 // rejected once the state may be stale. Public routes are still served.
 func TestRevokedKeysStopWorkingWithoutStore(t *testing.T) {
 	for name, fault := range map[string]rowstore.Fault{
-		"rejects": rowstore.Unavailable, "throttles": rowstore.Throttled, "is silent": rowstore.Unresponsive, "resets": rowstore.Reset,
+		"rejects": rowstore.Unavailable, "throttles": rowstore.Throttled, "doesn't respond": rowstore.Unresponsive, "resets": rowstore.Reset,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -109,8 +109,9 @@
 	f.WaitFor("the gateway to be listed again", listed)
 }
 
-// A gateway that alone has lost the store reports that it isn't ready, so that its callers go
-// to others. If all gateways have lost it, each keeps serving what it may.
+// A gateway that can't reach the store while others may reports that it isn't ready, so that its
+// callers use the others. If no gateway can reach it, here because there is only one, it stays
+// ready and serves what it may.
 func TestGatewayWithoutStoreIsNotReady(t *testing.T) {
 	const within = 2500 * time.Millisecond
 	alone := gateway.NewFixture(t, gateway.Options{Revoke: within})
@@ -151,7 +152,7 @@
 	connected.PutState(2, `,{"name":"new","host":"h.example","prefix":"/new/","type":"safe","timeout-ms":2000,"service":"plain","attempts":1}`, "")
 	starting.WaitFor("the new gateway to have the new route", func() bool { return starting.Post("/new/x", "b").Status == 200 })
 	if starting.Ready() {
-		t.Error("the gateway is ready though only others reach the store")
+		t.Error("the gateway is ready though it can't reach the store and another gateway can")
 	}
 	starting.WaitFor("the gateway's state to be confirmed", func() bool { return starting.Post("/safe/x", "p").Status == 200 })
 	for end := time.Now().Add(2 * within); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
--- a/testbed/gateway/store_polling_test.go
+++ b/testbed/gateway/store_polling_test.go
@@ -15,8 +15,8 @@
 const storePollers = 3
 
 // startGateways starts n gateways that share a store, ordered so that the pollers come first,
-// and waits until the others have stopped polling. It also lists silent gateways that don't
-// run.
+// and waits until the others have stopped polling. It also lists further gateways that don't run;
+// notRunning is their number.
 func startGateways(t *testing.T, n, notRunning int) []*gateway.Fixture {
 	t.Helper()
 	names := make([]string, n)
@@ -74,8 +74,8 @@
 	}
 }
 
-// Guards against a missed change when all polling gateways are lost at once, just before a
-// server leaves.
+// Guards against a missed change when all polling gateways stop at once, just before a server
+// starts to drain.
 func TestOthersPollWhenThePollersAreLost(t *testing.T) {
 	fixtures := startGateways(t, 6, 0)
 	first := fixtures[0]
@@ -108,9 +108,9 @@
 	}
 }
 
-// A gateway that receives from few others may be partitioned together with them, also from the
-// store. Only its own calls show that; it then reports that it isn't ready, so that callers go
-// elsewhere.
+// A gateway that receives messages from less than half of the others may be in a partition that
+// is cut off from the store too. Only its own calls to the store show that, so it polls; if the
+// calls fail, it reports that it isn't ready, so that callers use other gateways.
 func TestPartitionedGatewaysPollTheStore(t *testing.T) {
 	const gateways, changes = 8, 8
 	fixtures := startGateways(t, gateways, gateways+1)
@@ -120,12 +120,12 @@
 		time.Sleep(400 * time.Millisecond)
 	}
 	if calls := fixtures[0].Store.RequestCount() - before; calls < gateways*changes {
-		t.Errorf("%d calls for %d changes by %d gateways that hear from less than half", calls, changes, gateways)
+		t.Errorf("%d calls for %d changes by %d gateways, want at least one call per change and gateway, as each receives messages from less than half", calls, changes, gateways)
 	}
 }
 
-// Guards against a starting gateway making all others call the store with what it has read: a
-// rolling restart of the gateways would multiply the calls.
+// Guards against a new gateway causing calls by all others: if they called the store whenever it
+// sends them what it has read, a rolling restart of the gateways would multiply the calls.
 func TestNewGatewayCausesNoCallsByOthers(t *testing.T) {
 	const gateways, startCalls, watchSeconds = 12, 8, 2
 	fixtures := startGateways(t, gateways, 0)
@@ -172,6 +172,6 @@
 	acknowledged := time.Now()
 	last.WaitFor("the new route to take effect", func() bool { return last.Post("/new/x", "new").Status == 200 })
 	if took := time.Since(acknowledged); took > within {
-		t.Errorf("in effect after %v", took)
+		t.Errorf("the new route took effect after %v, want at most %v", took, within)
 	}
 }
--- a/testbed/gateway/stream_failure_test.go
+++ b/testbed/gateway/stream_failure_test.go
@@ -8,7 +8,7 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// A stream that has begun continues with events or breaks off; an error response of the next
+// A stream that has begun continues with events or is interrupted; an error response of the next
 // server isn't inserted into it.
 func TestErrorResponseIsNotInsertedIntoStream(t *testing.T) {
 	for name, body := range map[string]string{"short": "fail", "long": longBody} {
@@ -17,7 +17,8 @@
 			f := gateway.NewFixture(t, gateway.Options{})
 			failure := rawResponse(true, []string{fmt.Sprintf("Content-Length: %d", len(body))}, 500, body)
 			for _, id := range []string{"i-1", "i-2"} {
-				// The first server to receive a request breaks off, whichever it is.
+				// Whichever server receives a request first closes the connection in the middle
+				// of the stream.
 				f.StartServer(id, func(c net.Conn, r *gateway.ReceivedRequest) bool {
 					if r.Header.Get("Last-Event-Id") != "" {
 						return failure(c, r)
--- a/testbed/gateway/throttled_handler.go
+++ b/testbed/gateway/throttled_handler.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// throttledHandler limits the rate of responses, to simulate a slow link.
+// throttledHandler is an HTTP handler that limits the rate of responses, to simulate a slow link.
 type throttledHandler struct {
 	http.Handler
-	// rate is in bytes per second; 0 means no limit.
+	// bytesPerSecond limits each response; 0 means no limit.
 	bytesPerSecond int
 }
 
--- a/testbed/gateway/unread_response_test.go
+++ b/testbed/gateway/unread_response_test.go
@@ -9,8 +9,8 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// A caller that doesn't read its response must not delay a graceful shutdown: the gateway
-// drops it soon after the response was due.
+// A caller that doesn't read its response must not delay a graceful shutdown: the gateway closes
+// the connection soon after the request's deadline.
 func TestUnreadResponseDoesNotDelayShutdown(t *testing.T) {
 	t.Parallel()
 	const (
@@ -20,7 +20,7 @@
 		stopTimeout = 10 * time.Second
 	)
 	f, server := newServingFixture(t, gateway.Options{Grace: grace})
-	// The body exceeds the socket buffers between the two.
+	// The body exceeds the socket buffers between gateway and caller.
 	body := strings.Repeat("x", 32<<20)
 	server.SetScript(gateway.Respond(body))
 	caller := dialRaw(t, f)
--- a/testbed/gateway/unusual_requests_test.go
+++ b/testbed/gateway/unusual_requests_test.go
@@ -38,7 +38,7 @@
 		c.send(text)
 		method, _, _ := strings.Cut(text, " ")
 		if got := c.receive(method); got.Status == 0 || got.Err != nil || unsignedSuccess(got) {
-			t.Errorf("%.60q: %+v", text, got)
+			t.Errorf("%.60q: got %+v", text, got)
 		}
 		_ = c.Close()
 	}
@@ -55,7 +55,7 @@
 				c := dialRaw(t, f)
 				c.send(requestHead("POST", path, fmt.Sprintf("%s-%d", label, n), "X-Token-Count: 2000,10", "X-Prefix-Hash: 1:900,2:900,3:200"))
 				if got := c.receive("POST"); got.Status == 0 || got.Err != nil || unsignedSuccess(got) {
-					t.Errorf("%s, %s: %+v", label, path, got)
+					t.Errorf("%s, %s: got %+v", label, path, got)
 				}
 				_ = c.Close()
 			}
--- a/testbed/gateway/unusual_responses_test.go
+++ b/testbed/gateway/unusual_responses_test.go
@@ -67,7 +67,7 @@
 				ok = ok || got.Status == want
 			}
 			if !ok || unsignedSuccess(got) {
-				t.Errorf("got %d, %v, want %v; signed %v", got.Status, got.Err, c.want, got.Header.Get("X-Signature"))
+				t.Errorf("got %d, %v, want %v; X-Signature %q", got.Status, got.Err, c.want, got.Header.Get("X-Signature"))
 			}
 			if got.Err != nil {
 				return
@@ -100,7 +100,7 @@
 				caller := dialRaw(t, f)
 				caller.send(requestHead("POST", path, "1", lines...))
 				if got := caller.receive("POST"); got.Status == 0 || got.Err != nil || unsignedSuccess(got) {
-					t.Errorf("%s, %q: %+v", path, lines, got)
+					t.Errorf("%s, %q: got %+v", path, lines, got)
 				}
 				_ = caller.Close()
 			}
--- a/testbed/gateway/usage_test.go
+++ b/testbed/gateway/usage_test.go
@@ -15,6 +15,8 @@
 )
 
 const (
+	// usageWindow is the period that one usage report covers, usageDelay the time after its end
+	// within which the report is due, and usageLease the duration of the reporter's lease.
 	usageWindow = time.Second
 	usageDelay  = 4 * time.Second
 	usageLease  = time.Second
@@ -26,7 +28,8 @@
 	cloud    *cloud.Cloud
 	store    *rowstore.Store
 	fixtures []*gateway.Fixture
-	calls    int
+	// calls is the number of requests sent; it is part of their IDs.
+	calls int
 }
 
 // startUsageFixture starts n gateways that know each other, and a server.
@@ -52,8 +55,8 @@
 	return u
 }
 
-// load sends the customer's requests to all of the given gateways for a time and returns how
-// many succeeded.
+// load sends the customer's requests to all of the given gateways for the duration d and returns
+// how many succeeded.
 func (u *usageFixture) load(d time.Duration, fixtures []*gateway.Fixture) int64 {
 	var served int64
 	for deadline := time.Now().Add(d); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
@@ -123,7 +126,8 @@
 	}
 }
 
-// Calls to the platform are executed late, lost, or rejected for a time.
+// While calls to the platform are executed late, lost or rejected, each request is still reported
+// exactly once.
 func TestUsageDuringPlatformFaults(t *testing.T) {
 	t.Parallel()
 	u := startUsageFixture(t, 2)
@@ -148,6 +152,6 @@
 	f.WaitFor("the gateway to serve", func() bool { return f.Post("/safe/x", "a").Status == 200 })
 	time.Sleep(2 * usageWindow)
 	if c.CallCount() != 0 || len(f.Store.Keys("duties")) != 0 {
-		t.Errorf("%d calls, rows %v", c.CallCount(), f.Store.Keys("duties"))
+		t.Errorf("%d calls to the platform and duty rows %v, want none", c.CallCount(), f.Store.Keys("duties"))
 	}
 }
