--- a/testbed/engine/chunk.go
+++ b/testbed/engine/chunk.go
@@ -19,17 +19,20 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
+// choice is an element of a chunk's choices. FinishReason is nil until the response is complete.
 type choice struct {
 	Index        int     `json:"index"`
 	Delta        delta   `json:"delta"`
 	FinishReason *string `json:"finish_reason"`
 }
 
+// delta is the part of the response that a chunk adds.
 type delta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content,omitempty"`
 }
 
+// usage holds the token counts of a request and its response.
 type usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
@@ -93,6 +96,7 @@
 	return c.writeEvent(data)
 }
 
+// writeEvent writes one server-sent event and flushes it.
 func (c *chunkWriter) writeEvent(data []byte) error {
 	c.event.Reset()
 	c.event.WriteString("data: ")
--- a/testbed/engine/completion.go
+++ b/testbed/engine/completion.go
@@ -12,7 +12,7 @@
 	"github.com/applepier/applepier/internal/engine"
 )
 
-// maxBodyBytes is the largest request body that is read.
+// maxBodyBytes is the maximum size of a request body.
 const maxBodyBytes = 16 << 20
 
 // serveCompletion streams the response to one chat completion request. When the
@@ -66,6 +66,8 @@
 	}
 }
 
+// readRequest reads and decodes the request body. It returns an error if the body
+// is too large, can't be decoded or doesn't ask for a stream.
 func (s *Server) readRequest(w http.ResponseWriter, r *http.Request) (*request, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
--- a/testbed/engine/config.go
+++ b/testbed/engine/config.go
@@ -12,7 +12,7 @@
 	// more streams slow each other down.
 	Capacity int
 	// MaxStreams is the maximum number of concurrent streams; further ones
-	// are queued. The default is a multiple of Capacity.
+	// are queued. The default is four times Capacity.
 	MaxStreams int
 	// TokenInterval is the time between tokens of a stream at full speed.
 	TokenInterval time.Duration
--- a/testbed/engine/faults.go
+++ b/testbed/engine/faults.go
@@ -12,8 +12,8 @@
 
 // streamFaults are the faults that are injected into one stream.
 type streamFaults struct {
-	// stallAfter and cutAfter are token counts from the start of the
-	// complete response, also when the stream resumes later.
+	// stallAfter and cutAfter are token counts from the start of the complete
+	// response, even if the stream resumes at a later token.
 	stallAfter int
 	cutAfter   int
 }
@@ -49,8 +49,8 @@
 	return faults
 }
 
-// countDownToCrash counts one token and crashes the engine when
-// CrashAfterTokens reaches zero.
+// countDownToCrash decrements CrashAfterTokens for one token that was written and
+// crashes the engine when it reaches zero.
 func (s *Server) countDownToCrash() {
 	crash := false
 	s.knobs.Update(func(k *Knobs) {
@@ -77,7 +77,8 @@
 	return time.Duration(float64(delay) * k.delayFactor() * max(1, streamsPerSlot))
 }
 
-// sleep waits for a duration and then for as long as the engine is frozen.
+// sleep waits for a duration and then until the engine is not frozen. It returns
+// the error of ctx if ctx ends first.
 func (s *Server) sleep(ctx context.Context, d time.Duration) error {
 	if !pause.Sleep(ctx, d) {
 		return ctx.Err()
@@ -85,7 +86,8 @@
 	return s.waitWhileFrozen(ctx)
 }
 
-// waitWhileFrozen blocks until the engine is not frozen or ctx ends.
+// waitWhileFrozen waits until the engine is not frozen. It returns the error of
+// ctx if ctx ends first.
 func (s *Server) waitWhileFrozen(ctx context.Context) error {
 	for s.knobs.Get().Frozen {
 		if !pause.Sleep(ctx, frozenPollInterval) {
--- a/testbed/engine/request.go
+++ b/testbed/engine/request.go
@@ -37,6 +37,8 @@
 	Marker string `json:"marker"`
 }
 
+// decodeRequest decodes a request body. It returns an error if the body is not
+// valid JSON or has no messages.
 func decodeRequest(body []byte) (*request, error) {
 	var req request
 	if err := json.Unmarshal(body, &req); err != nil {
@@ -60,6 +62,7 @@
 	return text.String()
 }
 
+// text returns the content; a list of content parts is returned as JSON.
 func (m message) text() string {
 	if text, ok := m.Content.(string); ok {
 		return text
--- a/testbed/engine/response.go
+++ b/testbed/engine/response.go
@@ -49,6 +49,7 @@
 	return req.fingerprint()
 }
 
+// fingerprint returns the hash of the messages in hexadecimal.
 func (r *request) fingerprint() string {
 	return fmt.Sprintf("%016x", r.messageHash())
 }
--- a/testbed/engine/run_log.go
+++ b/testbed/engine/run_log.go
@@ -121,6 +121,7 @@
 	return records
 }
 
+// close closes the record file; later records are kept in memory only.
 func (l *runLog) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,4 +129,5 @@
 	l.file = nil
 }
 
+// write appends a record to the record file, if there is one; l.mu must be held.
 func (l *runLog) write(r *RunRecord) { _ = l.file.Write(r) }
--- a/testbed/engine/run_record.go
+++ b/testbed/engine/run_record.go
@@ -27,8 +27,8 @@
 	OutcomeCut Outcome = "cut"
 )
 
-// RunRecord is what the engine did for one run. Tests compare callers'
-// observations with it.
+// RunRecord is the engine's record of one run. Tests compare it with what the
+// callers received.
 type RunRecord struct {
 	// Seq is the run's sequence number on this engine, starting at 1.
 	Seq int `json:"seq"`
--- a/testbed/engine/server.go
+++ b/testbed/engine/server.go
@@ -180,6 +180,7 @@
 	s.runs.cancel("", errCrashed)
 }
 
+// measureLoad returns the current load, including the external streams.
 func (s *Server) measureLoad() engine.Load {
 	running, waiting := s.slots.counts()
 	return engine.Load{Running: running + s.knobs.Get().ExternalStreams, Waiting: waiting, ReportedAt: time.Now()}
--- a/testbed/engine/server_test.go
+++ b/testbed/engine/server_test.go
@@ -104,6 +104,8 @@
 	return func(r fakeengine.RunRecord) bool { return r.Outcome == outcome }
 }
 
+// A response has the requested length and is the one that ResponseTokens predicts. A resumed
+// stream continues it after the tokens that the caller already has.
 func TestResponseIsCompleteAndResumes(t *testing.T) {
 	f := newFixture(t, fakeengine.Config{})
 	body := chatBody("well 7", 20)
@@ -176,7 +178,7 @@
 	}
 	runs, err := f.client.RunIDs(context.Background())
 	if err != nil || !slices.Equal(runs, []string{"r/1#1"}) {
-		t.Fatalf("running: %v, %v", runs, err)
+		t.Fatalf("IDs of active runs: got %v, %v", runs, err)
 	}
 	if err := f.client.Cancel(context.Background(), "r/1#1"); err != nil {
 		t.Fatal(err)
@@ -192,6 +194,7 @@
 	}
 }
 
+// A stream that is cut after its last token but before [DONE] counts as truncated.
 func TestStreamCutBeforeDoneEvent(t *testing.T) {
 	f := newFixture(t, fakeengine.Config{})
 	f.server.SetKnobs(func(k *fakeengine.Knobs) { k.CutStreams, k.CutAfter = 1, 99 })
@@ -216,7 +219,7 @@
 	}
 	f.server.SetKnobs(func(k *fakeengine.Knobs) { k.Crashed = false })
 	if _, err := readTokens(f.startRun(engine.Run{ID: "x#3", Body: chatBody("x", 5)}), 100); err != io.EOF {
-		t.Fatalf("after the crash: %v", err)
+		t.Fatalf("stream after the end of the crash: got %v, want EOF", err)
 	}
 	f.awaitRecord("x#3", hasOutcome(fakeengine.OutcomeCompleted))
 	records, err := fakeengine.ReadRecordFile(file)
@@ -225,6 +228,8 @@
 	}
 }
 
+// A run waits while external streams use all slots. With a slot it starts, but it produces no
+// tokens while the engine is frozen.
 func TestFrozenEngineBlocksRunsAndExternalStreamsUseSlots(t *testing.T) {
 	f := newFixture(t, fakeengine.Config{Capacity: 1, MaxStreams: 2})
 	f.server.SetKnobs(func(k *fakeengine.Knobs) { k.ExternalStreams = 2 })
@@ -280,6 +285,7 @@
 	}
 }
 
+// A request for a model that is not loaded gets status 404 and isn't recorded as a run.
 func TestUnknownModelIsRejected(t *testing.T) {
 	f := newFixture(t, fakeengine.Config{})
 	_, err := f.client.Start(context.Background(), engine.Run{Body: []byte(`{"model":"z","messages":[{"role":"user","content":"x"}]}`)})
--- a/testbed/engine/slots.go
+++ b/testbed/engine/slots.go
@@ -52,6 +52,7 @@
 	return s.running, len(s.waiting)
 }
 
+// enqueue adds a waiter to the queue; it gets a slot immediately if one is free.
 func (s *slots) enqueue(priority int) *waiter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
