--- a/testbed/gateway/half_close_test.go
+++ b/testbed/gateway/half_close_test.go
@@ -7,13 +7,13 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// closeDetectionTime is the time within which a gateway detects that a caller closed its
-// connection, if it detects that at all.
+// closeDetectionTime is how long a test waits for a gateway to detect that a caller closed its
+// connection. Gateways need not detect a half-close.
 const closeDetectionTime = 500 * time.Millisecond
 
 // A caller that half-closes its connection after its request may still read. It gets its
 // response or none, never an unsigned success.
-func TestHalfClosedClientGetsNoFalseSuccess(t *testing.T) {
+func TestHalfClosedCallerGetsNoFalseSuccess(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/unsafe/x", "/stream/x", "/resume/x"} {
 		for when, immediately := range map[string]bool{"with the request": true, "while it runs": false} {
 			t.Run(path+" "+when, func(t *testing.T) {
--- a/testbed/gateway/http10_client_test.go
+++ b/testbed/gateway/http10_caller_test.go
@@ -13,7 +13,7 @@
 
 // For an HTTP/1.0 caller the end of the connection ends a response of unknown length. If such
 // a response is interrupted, the connection must be reset, or the response looks complete.
-func TestInterruptedResponseToHTTP10ClientIsReset(t *testing.T) {
+func TestInterruptedResponseToHTTP10CallerIsReset(t *testing.T) {
 	for name, c := range map[string]struct {
 		path   string
 		script gateway.Script
@@ -33,7 +33,7 @@
 			}
 			body, err := io.ReadAll(resp.Body)
 			if err == nil {
-				t.Errorf("status %d and %d bytes look complete, the server broke off", resp.StatusCode, len(body))
+				t.Errorf("a response with status %d and %d bytes looks complete, but the server closed the connection early", resp.StatusCode, len(body))
 			}
 		})
 	}
--- a/testbed/gateway/raw_conn_test.go
+++ b/testbed/gateway/raw_conn_test.go
@@ -12,10 +12,10 @@
 	"github.com/applepier/applepier/testbed/gateway"
 )
 
-// readTimeout bounds each read of a caller; it is far longer than any route's timeout.
+// readTimeout bounds the wait for each response; it is longer than any route's timeout.
 const readTimeout = 6 * time.Second
 
-// rawConn is a caller's connection for requests written byte by byte.
+// rawConn is a caller's connection on which tests write their requests as raw bytes.
 type rawConn struct {
 	*net.TCPConn
 	t      testing.TB
@@ -85,9 +85,9 @@
 // respondOnRelease returns a script that sends a complete response once release is closed.
 func respondOnRelease(body string) (script gateway.Script, release chan struct{}) {
 	release = make(chan struct{})
-	return func(c net.Conn, a *gateway.ReceivedRequest) bool {
+	return func(c net.Conn, r *gateway.ReceivedRequest) bool {
 		<-release
-		return gateway.Respond(body)(c, a)
+		return gateway.Respond(body)(c, r)
 	}, release
 }
 
