--- a/internal/agent/dispatcher_state.go
+++ b/internal/agent/dispatcher_state.go
@@ -83,11 +83,11 @@
 func (d *dispatcher) statusLocked(seq uint64) *wire.Status {
 	load := d.scheduler.Load()
 	return &wire.Status{
-		Seq:        seq,
-		Waiting:    load.Waiting,
-		Running:    load.Running,
-		Limit:      load.Limit,
-		Draining:   d.draining,
+		Seq:               seq,
+		Waiting:           load.Waiting,
+		Running:           load.Running,
+		Limit:             load.Limit,
+		Draining:          d.draining,
 		BackendServerDown: !d.backendUp || d.switching,
 	}
 }
--- a/internal/gateway/router/config.go
+++ b/internal/gateway/router/config.go
@@ -147,7 +147,7 @@
 const (
 	ReasonServed             Reason = "served"
 	ReasonServerFailure      Reason = "backend_failure"
-	ReasonCallerDisconnected         Reason = "caller_left"
+	ReasonCallerDisconnected Reason = "caller_left"
 	ReasonNoState            Reason = "no_desired_state"
 	ReasonStateNotFresh      Reason = "state_not_proved_fresh"
 	ReasonNoRoute            Reason = "no_route"
--- a/internal/metrics/class.go
+++ b/internal/metrics/class.go
@@ -120,7 +120,9 @@
 func (c *Class) WastedTokens(tokens int) { c.wastedTokens.Inc(int64(tokens)) }
 
 // ObserveLongestPause records the longest pause between two events of a stream.
-func (c *Class) ObserveLongestPause(longest time.Duration) { c.longestPause.Update(longest.Microseconds()) }
+func (c *Class) ObserveLongestPause(longest time.Duration) {
+	c.longestPause.Update(longest.Microseconds())
+}
 
 // ObserveFirstToken records the time from a request's arrival to its first token.
 func (c *Class) ObserveFirstToken(wait time.Duration) { c.firstToken.Update(wait.Microseconds()) }
