--- a/testbed/soak/call.go
+++ b/testbed/soak/call.go
@@ -12,12 +12,15 @@
 	kindSafe   = "safe"
 	kindUnsafe = "unsafe"
 	kindStream = "stream"
+	// kindResume is the kind of requests to a resumable stream, and kindOpen that of
+	// requests to a public route, which need no key.
 	kindResume = "resume"
 	kindOpen   = "open"
 )
 
 // streamEventCount is the number of events in a complete stream. maxBodyBytes
-// bounds a complete body: several reads, but a small share of a link's capacity.
+// bounds the padding of other response bodies: large enough for several reads, but
+// small compared to a link's bandwidth.
 const (
 	streamEventCount = 8
 	maxBodyBytes     = 6000
@@ -34,14 +37,17 @@
 	// Written reports whether the complete request was written.
 	Written bool
 	Done    time.Time
-	// Status is 0 if no response header was received. Whole reports whether the
-	// response appears complete.
-	Status  int
-	Echoed  string
-	Signed  bool
-	Whole   bool
-	Body    string
-	Err     string
+	// Status is 0 if no response header was received. Echoed is the response's
+	// X-Request-Id, Signed reports whether it has a signature, and Whole whether it
+	// appears complete.
+	Status int
+	Echoed string
+	Signed bool
+	Whole  bool
+	Body   string
+	// Err is the error that ended the call; empty if there was none.
+	Err string
+	// Timeout is the timeout of the route.
 	Timeout time.Duration
 	// Stray reports whether unsolicited bytes were received before the request.
 	Stray bool
@@ -51,7 +57,7 @@
 func (c Call) runsAtMostOnce() bool { return c.Kind == kindUnsafe || c.Kind == kindStream }
 
 func (c Call) String() string {
-	return fmt.Sprintf("%s at %s, %d before on its connection, rested %s, sent %s, took %s, status %d, %q",
+	return fmt.Sprintf("%s at %s, %d earlier requests on its connection, idle for %s, sent %s, took %s, status %d, error %q",
 		c.ID, c.Gateway, c.Before, c.Rested.Round(time.Millisecond), c.Sent.Format("15:04:05.000"), c.Done.Sub(c.Sent).Round(time.Millisecond), c.Status, c.Err)
 }
 
--- a/testbed/soak/check.go
+++ b/testbed/soak/check.go
@@ -51,7 +51,7 @@
 		indexed.verifyAtMostOnce(c, report)
 		indexed.verifyNotRun(c, report)
 		if indexed.responseOwed(c) && !c.Whole {
-			report(checkLost, "%s; reached %v", c, indexed.arrivals[c.ID])
+			report(checkLost, "%s: no complete response; arrivals: %v", c, indexed.arrivals[c.ID])
 		}
 		indexed.verifyStreamOrder(c, report)
 	}
@@ -60,7 +60,7 @@
 	indexed.verifyReadings(report)
 	for _, p := range h.Probes {
 		if p.After < 0 || p.After > h.Bounds.Recover {
-			report(checkRecovery, "%s at %s after %s", p.Kind, p.Gateway, p.After)
+			report(checkRecovery, "%s at %s: served after %s (negative: never)", p.Kind, p.Gateway, p.After)
 		}
 	}
 	for _, broken := range h.Duties.Broken {
@@ -79,16 +79,16 @@
 	expected := expectedBody(c.Kind, c.ID, 0)
 	switch {
 	case c.Stray:
-		report(checkIntegrity, "%s: bytes that nothing had asked for", c)
+		report(checkIntegrity, "%s: unsolicited bytes before the request", c)
 	case c.Echoed != "" && c.Echoed != c.ID:
-		report(checkIntegrity, "%s: a response to %s", c, c.Echoed)
+		report(checkIntegrity, "%s: the response has the request ID %s", c, c.Echoed)
 	case !isSuccess(c.Status):
 	case c.Whole && !c.Signed:
-		report(checkIntegrity, "%s: a success that no server signed", c)
+		report(checkIntegrity, "%s: successful response without a server's signature", c)
 	case c.Whole && c.Body != expected:
-		report(checkIntegrity, "%s: looks complete: %q", c, c.Body)
+		report(checkIntegrity, "%s: the response appears complete but has a wrong body: %q", c, c.Body)
 	case !strings.HasPrefix(expected, c.Body):
-		report(checkIntegrity, "%s: another's bytes: %q", c, c.Body)
+		report(checkIntegrity, "%s: the partial body has foreign bytes: %q", c, c.Body)
 	}
 }
 
@@ -104,10 +104,11 @@
 func (h indexedHistory) verifyNotRun(c Call, report reportFunc) {
 	refusals := []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
 	if slices.Contains(refusals, c.Status) && h.runCount(c.ID) > 0 {
-		report(checkNotRun, "%s: ran: %v", c, h.arrivals[c.ID])
+		report(checkNotRun, "%s: ran although it was refused: %v", c, h.arrivals[c.ID])
 	}
 }
 
+// runCount returns how often servers ran a request.
 func (h indexedHistory) runCount(id string) (runs int) {
 	for _, a := range h.arrivals[id] {
 		if a.Ran {
@@ -182,7 +183,7 @@
 		last = n
 	}
 	if c.Whole && last < streamEventCount {
-		report(checkStreamOrder, "%s: looks complete after event %d", c, last)
+		report(checkStreamOrder, "%s: the stream appears complete after event %d", c, last)
 	}
 }
 
@@ -196,7 +197,7 @@
 	}
 	for _, c := range h.Calls {
 		if deadline, removed := deadlines[c.Key]; removed && c.Sent.After(deadline) && h.runCount(c.ID) > 0 {
-			report(checkRevokedKey, "%s: ran %s after the bound", c, c.Sent.Sub(deadline))
+			report(checkRevokedKey, "%s: ran; it was sent %s after the key had to stop working", c, c.Sent.Sub(deadline))
 		}
 	}
 }
@@ -212,7 +213,7 @@
 			}
 		}
 		if took > s.Grace || s.Failed {
-			report(checkGrace, "%s: stop at %s took %s of %s, failed %v", s.Gateway, s.At.Format("15:04:05.000"), took, s.Grace, s.Failed)
+			report(checkGrace, "%s: stop at %s took %s, grace period %s, failed: %v", s.Gateway, s.At.Format("15:04:05.000"), took, s.Grace, s.Failed)
 		}
 	}
 }
@@ -224,14 +225,14 @@
 	for _, r := range h.Readings {
 		where := fmt.Sprintf("%s, process %d, at %s", r.Gateway, r.Process, r.At.Format("15:04:05.000"))
 		if r.Version < highest[r.Process] {
-			report(checkStateRegression, "%s: %d after %d", where, r.Version, highest[r.Process])
+			report(checkStateRegression, "%s: version %d of the desired state after version %d", where, r.Version, highest[r.Process])
 		}
 		highest[r.Process] = max(highest[r.Process], r.Version)
 		if r.MemoryMB > h.Bounds.MemoryMB {
-			report(checkResourceUse, "%s: %.0f MB of %.0f", where, r.MemoryMB, h.Bounds.MemoryMB)
+			report(checkResourceUse, "%s: %.0f MB of memory, limit %.0f MB", where, r.MemoryMB, h.Bounds.MemoryMB)
 		}
 		if r.Descriptors > h.Bounds.Descriptors {
-			report(checkResourceUse, "%s: %d descriptors of %d", where, r.Descriptors, h.Bounds.Descriptors)
+			report(checkResourceUse, "%s: %d file descriptors, limit %d", where, r.Descriptors, h.Bounds.Descriptors)
 		}
 	}
 }
--- a/testbed/soak/check_test.go
+++ b/testbed/soak/check_test.go
@@ -52,8 +52,8 @@
 
 func (h *History) duplicateArrival(call int) { h.Arrivals = append(h.Arrivals, h.Arrivals[call]) }
 
-// TestEachCheckFindsWhatItIsFor breaks one guarantee per case and expects the
-// check that covers it to report it; cases without a check are permitted behavior.
+// TestEachCheckFindsWhatItIsFor guards against a check that misses a violation or
+// reports permitted behavior. Each case changes a valid history in one way.
 func TestEachCheckFindsWhatItIsFor(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -61,62 +61,62 @@
 		// want is the check that must report a violation; empty if none may.
 		want string
 	}{
-		{"all is well", func(*History) {}, ""},
-		{"another's answer", func(h *History) { h.Calls[safeCall].Body = expectedBody(kindSafe, "s2", 0) }, checkIntegrity},
-		{"another's id", func(h *History) { h.Calls[safeCall].Echoed = "s2" }, checkIntegrity},
-		{"short and looks whole", func(h *History) { h.Calls[safeCall].Body = h.Calls[safeCall].Body[:3] }, checkIntegrity},
-		{"unsigned", func(h *History) { h.Calls[safeCall].Signed = false }, checkIntegrity},
-		{"stray bytes", func(h *History) { h.Calls[safeCall].Stray = true }, checkIntegrity},
-		{"another's bytes in part", func(h *History) {
+		{"unchanged", func(*History) {}, ""},
+		{"body of another response", func(h *History) { h.Calls[safeCall].Body = expectedBody(kindSafe, "s2", 0) }, checkIntegrity},
+		{"ID of another request", func(h *History) { h.Calls[safeCall].Echoed = "s2" }, checkIntegrity},
+		{"truncated body that appears complete", func(h *History) { h.Calls[safeCall].Body = h.Calls[safeCall].Body[:3] }, checkIntegrity},
+		{"success without a signature", func(h *History) { h.Calls[safeCall].Signed = false }, checkIntegrity},
+		{"unsolicited bytes", func(h *History) { h.Calls[safeCall].Stray = true }, checkIntegrity},
+		{"foreign bytes in a partial body", func(h *History) {
 			h.Calls[safeCall].Whole, h.Calls[safeCall].Body, h.Arrivals[safeCall].Cut = false, "other", true
 		}, checkIntegrity},
-		{"a part that doesn't look whole", func(h *History) {
+		{"partial body that doesn't appear complete", func(h *History) {
 			h.Calls[safeCall].Whole, h.Calls[safeCall].Body, h.Arrivals[safeCall].Cut = false, h.Calls[safeCall].Body[:3], true
 		}, ""},
-		{"ran twice", func(h *History) { h.duplicateArrival(unsafeCall) }, checkAtMostOnce},
-		{"a stream ran twice", func(h *History) { h.duplicateArrival(streamCall) }, checkAtMostOnce},
-		{"a safe one ran twice", func(h *History) { h.duplicateArrival(safeCall) }, ""},
-		{"sent twice, ran once", func(h *History) { h.duplicateArrival(unsafeCall); h.Arrivals[unsafeCall].Ran = false }, ""},
+		{"unsafe request ran twice", func(h *History) { h.duplicateArrival(unsafeCall) }, checkAtMostOnce},
+		{"stream ran twice", func(h *History) { h.duplicateArrival(streamCall) }, checkAtMostOnce},
+		{"safe request ran twice", func(h *History) { h.duplicateArrival(safeCall) }, ""},
+		{"unsafe request sent twice, ran once", func(h *History) { h.duplicateArrival(unsafeCall); h.Arrivals[unsafeCall].Ran = false }, ""},
 		{"503 and ran", func(h *History) { h.Calls[unsafeCall].Status = 503 }, checkNotRun},
 		{"429 and ran", func(h *History) { h.Calls[safeCall].Status = 429 }, checkNotRun},
 		{"408 and ran", func(h *History) { h.Calls[unsafeCall].Status = 408 }, checkNotRun},
 		{"421 and ran later", func(h *History) { h.Calls[unsafeCall].Status, h.Arrivals[unsafeCall].At = 421, at(29) }, checkNotRun},
 		{"502 and ran", func(h *History) { h.Calls[unsafeCall].Status = 502 }, ""},
 		{"503 and refused", func(h *History) { h.Calls[unsafeCall].Status, h.Arrivals[unsafeCall].Ran = 503, false }, ""},
-		{"cut", func(h *History) { h.closeConn(unsafeCall) }, checkLost},
-		{"cut after a server refused", func(h *History) { h.closeConn(unsafeCall); h.Arrivals[unsafeCall].Ran = false }, checkLost},
-		{"cut where the server dropped it", func(h *History) { h.closeConn(safeCall); h.Arrivals[safeCall].Script = "drop" }, checkLost},
-		{"cut where the server broke off its answer", func(h *History) { h.closeConn(safeCall); h.Arrivals[safeCall].Cut = true }, checkLost},
-		{"cut within the grace period", func(h *History) {
+		{"connection closed without a response", func(h *History) { h.closeConn(unsafeCall) }, checkLost},
+		{"closed after a server refused", func(h *History) { h.closeConn(unsafeCall); h.Arrivals[unsafeCall].Ran = false }, checkLost},
+		{"closed after the server dropped the request", func(h *History) { h.closeConn(safeCall); h.Arrivals[safeCall].Script = "drop" }, checkLost},
+		{"closed without a response after the server broke its response off", func(h *History) { h.closeConn(safeCall); h.Arrivals[safeCall].Cut = true }, checkLost},
+		{"closed within the grace period of a stop", func(h *History) {
 			c := h.closeConn(unsafeCall)
 			c.Sent, c.Done = at(19.5), at(25.9)
 			c.Key = permanentKey
 		}, checkLost},
-		{"cut in the midst", func(h *History) { h.Calls[safeCall].Whole, h.Calls[safeCall].Body = false, "" }, checkLost},
-		{"cut in the midst by the server", func(h *History) {
+		{"response broken off by the gateway", func(h *History) { h.Calls[safeCall].Whole, h.Calls[safeCall].Body = false, "" }, checkLost},
+		{"response broken off by the server", func(h *History) {
 			h.Calls[safeCall].Whole, h.Calls[safeCall].Body, h.Arrivals[safeCall].Cut = false, "", true
 		}, ""},
-		{"cut in the midst when the time is up", func(h *History) {
+		{"response broken off when the timeout expires", func(h *History) {
 			c := &h.Calls[safeCall]
 			c.Whole, c.Body, c.Done = false, "", c.Sent.Add(c.Timeout)
 		}, ""},
-		{"cut soon after a freeze", func(h *History) { h.closeConn(unsafeCall); h.Faults[0].To = at(10.5) }, ""},
-		{"cut beside a freeze elsewhere", func(h *History) { h.closeConn(unsafeCall); h.Faults[0] = Fault{"gateway-1", kindFreeze, at(0), at(50)} }, checkLost},
-		{"cut where the server crashed", func(h *History) { h.closeConn(unsafeCall); h.Faults[1].From = at(14.5) }, ""},
-		{"cut before it reached a server", func(h *History) { h.closeConn(unsafeCall); h.Arrivals[unsafeCall].ID = "none" }, ""},
-		{"cut on a new connection", func(h *History) { h.closeConn(unsafeCall).Before = 0 }, ""},
-		{"not written whole", func(h *History) { h.closeConn(unsafeCall).Written = false }, ""},
-		{"an event is missing", func(h *History) {
+		{"closed soon after a freeze of the gateway", func(h *History) { h.closeConn(unsafeCall); h.Faults[0].To = at(10.5) }, ""},
+		{"closed during a freeze of another gateway", func(h *History) { h.closeConn(unsafeCall); h.Faults[0] = Fault{"gateway-1", kindFreeze, at(0), at(50)} }, checkLost},
+		{"closed after a crash of the server", func(h *History) { h.closeConn(unsafeCall); h.Faults[1].From = at(14.5) }, ""},
+		{"closed before the request reached a server", func(h *History) { h.closeConn(unsafeCall); h.Arrivals[unsafeCall].ID = "none" }, ""},
+		{"closed on a new connection", func(h *History) { h.closeConn(unsafeCall).Before = 0 }, ""},
+		{"request not written completely", func(h *History) { h.closeConn(unsafeCall).Written = false }, ""},
+		{"missing event", func(h *History) {
 			h.Calls[streamCall].Whole, h.Arrivals[streamCall].Cut = false, true
 			h.Calls[streamCall].Body = streamEvent(kindStream, 1) + streamEvent(kindStream, 3)
 		}, checkStreamOrder},
-		{"an event comes twice", func(h *History) { h.Calls[streamCall].Body = streamEvent(kindStream, 1) + h.Calls[streamCall].Body }, checkStreamOrder},
-		{"whole before the last event", func(h *History) { h.Calls[streamCall].Body = streamEvent(kindStream, 1) }, checkStreamOrder},
-		{"a slow stop", func(h *History) { h.Stops[0].End = at(27.1) }, checkGrace},
-		{"a failed stop", func(h *History) { h.Stops[0].Failed = true }, checkGrace},
-		{"a stop that a freeze held up", func(h *History) { h.Stops[0].End, h.Faults[0].From, h.Faults[0].To = at(27.1), at(20), at(22) }, ""},
-		{"a key that was taken away", func(h *History) { h.Calls[unsafeCall].Sent, h.Calls[unsafeCall].Done = at(15.1), at(16) }, checkRevokedKey},
-		{"the state goes back", func(h *History) { h.Readings[1].Process = 7 }, checkStateRegression},
+		{"duplicate event", func(h *History) { h.Calls[streamCall].Body = streamEvent(kindStream, 1) + h.Calls[streamCall].Body }, checkStreamOrder},
+		{"stream that appears complete before the last event", func(h *History) { h.Calls[streamCall].Body = streamEvent(kindStream, 1) }, checkStreamOrder},
+		{"stop longer than the grace period", func(h *History) { h.Stops[0].End = at(27.1) }, checkGrace},
+		{"failed stop", func(h *History) { h.Stops[0].Failed = true }, checkGrace},
+		{"stop prolonged by a freeze", func(h *History) { h.Stops[0].End, h.Faults[0].From, h.Faults[0].To = at(27.1), at(20), at(22) }, ""},
+		{"removed key still works", func(h *History) { h.Calls[unsafeCall].Sent, h.Calls[unsafeCall].Done = at(15.1), at(16) }, checkRevokedKey},
+		{"older desired state in the same process", func(h *History) { h.Readings[1].Process = 7 }, checkStateRegression},
 		{"too much memory", func(h *History) { h.Readings[0].MemoryMB = 185 }, checkResourceUse},
 		{"too many descriptors", func(h *History) { h.Readings[0].Descriptors = 4101 }, checkResourceUse},
 		{"never served again", func(h *History) { h.Probes[0].After = -1 }, checkRecovery},
@@ -128,7 +128,7 @@
 			test.spoil(h)
 			found := Check(*h)
 			if test.want == "" && len(found) > 0 {
-				t.Errorf("found in what is allowed: %v", found)
+				t.Errorf("violations reported for permitted behavior: %v", found)
 			}
 			if test.want == "" {
 				return
@@ -138,7 +138,7 @@
 					return
 				}
 			}
-			t.Errorf("not found: %s; only %v", test.want, found)
+			t.Errorf("no violation of %q reported; got %v", test.want, found)
 		})
 	}
 }
@@ -148,16 +148,16 @@
 func TestASeedDrawsTheSameStepsAgain(t *testing.T) {
 	first, again, other := Plan(3, 3, servers, time.Minute), Plan(3, 3, servers, time.Minute), Plan(4, 3, servers, time.Minute)
 	if len(first) != len(again) || len(first) < 100 {
-		t.Fatalf("%d steps and %d", len(first), len(again))
+		t.Fatalf("plans of one seed have %d and %d steps, want the same number, at least 100", len(first), len(again))
 	}
 	differ := len(first) != len(other)
 	for i := range first {
 		if first[i] != again[i] {
-			t.Fatalf("step %d: %v and %v", i, first[i], again[i])
+			t.Fatalf("step %d of one seed differs: %v and %v", i, first[i], again[i])
 		}
 		differ = differ || first[i] != other[i]
 	}
 	if !differ {
-		t.Error("two seeds draw the same")
+		t.Error("different seeds yield the same steps")
 	}
 }
--- a/testbed/soak/client.go
+++ b/testbed/soak/client.go
@@ -15,12 +15,13 @@
 	// maxIdleFraction is the largest fraction of the idle timeout for which a
 	// caller leaves a connection idle.
 	maxIdleFraction = 0.8
-	// callerTimeout is how long a caller waits for a response: more than twice
-	// the longest route timeout plus the longest path delays.
+	// callerTimeout is how long a caller waits for a response: more than the
+	// longest path delay in each direction plus twice the longest route timeout.
 	callerTimeout = 10 * time.Second
-	// reconnectDelay is the delay between two connection attempts.
+	// reconnectDelay is the delay before a caller connects again.
 	reconnectDelay = 50 * time.Millisecond
-	host           = "h.example"
+	// host is the host of all routes.
+	host = "h.example"
 )
 
 // caller sends requests to one gateway over a persistent connection, which it
@@ -75,6 +76,8 @@
 	}
 }
 
+// connect opens a new connection. If that fails, it waits for reconnectDelay and
+// returns false.
 func (c *caller) connect(ctx context.Context) bool {
 	conn, err := net.DialTimeout("tcp", c.addr, time.Second)
 	if err != nil {
@@ -121,6 +124,8 @@
 	return call
 }
 
+// readResponse reads the response of a call into it, and closes the connection if
+// the response asks for that.
 func (c *caller) readResponse(call *Call) error {
 	resp, err := http.ReadResponse(c.reader, &http.Request{Method: http.MethodPost})
 	if err != nil {
@@ -136,6 +141,7 @@
 	return err
 }
 
+// sleep waits for a duration or until ctx is done.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/testbed/soak/gatewayprocess.go
+++ b/testbed/soak/gatewayprocess.go
@@ -22,7 +22,8 @@
 	// soon a removed key must stop working. Operators set both.
 	gracePeriod   = 8 * time.Second
 	revokeTimeout = 5 * time.Second
-	// usageWindow, usageDelay and usageLease configure usage reporting.
+	// usageWindow, usageDelay and usageLease are the window, delay and lease
+	// settings of usage reporting.
 	usageWindow = time.Second
 	usageDelay  = 4 * time.Second
 	usageLease  = time.Second
@@ -95,8 +96,9 @@
 	return os.Rename(g.settingsFile+".new", g.settingsFile)
 }
 
-// changeSettings changes settings that the process reloads while it runs. The
-// revocation bound never exceeds its initial value.
+// changeSettings changes settings that the process reloads while it runs. The time
+// within which a removed key must stop working never exceeds revokeTimeout, which
+// Check relies on.
 func (g *gatewayProcess) changeSettings(variant int) error {
 	g.mu.Lock()
 	g.retryExtra, g.revokeSeconds = 30+variant%40, int(revokeTimeout/time.Second)-variant%2
@@ -133,7 +135,7 @@
 	}
 }
 
-// sendHangup sends SIGHUP to the process.
+// sendHangup sends SIGHUP to the process, which then reads its settings again.
 func (g *gatewayProcess) sendHangup() {
 	if pid := g.PID(); pid > 0 {
 		_ = syscall.Kill(pid, syscall.SIGHUP)
@@ -141,7 +143,7 @@
 }
 
 // sample reads the process's metrics and resource use. It returns false if the process
-// isn't running or ended meanwhile.
+// isn't running, ends meanwhile or doesn't return its metrics within a second.
 func (g *gatewayProcess) sample(ctx context.Context) (Reading, bool) {
 	r := Reading{Gateway: g.name, Process: g.PID(), At: time.Now()}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
@@ -154,7 +156,7 @@
 	}
 	descriptors, dirErr := os.ReadDir(fmt.Sprintf("/proc/%d/fd", r.Process))
 	status, statusErr := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.Process))
-	// The process ended or was restarted meanwhile.
+	// A different PID means that the process was restarted meanwhile.
 	if err != nil || dirErr != nil || statusErr != nil || r.Process == 0 || r.Process != g.PID() {
 		return r, false
 	}
--- a/testbed/soak/harness.go
+++ b/testbed/soak/harness.go
@@ -15,17 +15,20 @@
 )
 
 const (
-	// servers is the number of backend servers; half of them get faults.
+	// servers is the number of backend servers. Half of them, rounded down, get
+	// faults that excuse a lost request.
 	servers = 5
 	// callersPerGateway is a load that a small VM's fraction of a core can serve.
 	callersPerGateway = 30
 	// sampleInterval is how often a gateway's metrics and descriptors are read.
 	sampleInterval = 150 * time.Millisecond
-	startTimeout   = 20 * time.Second
+	// startTimeout bounds the start of all processes, and the final request for
+	// the platform's record.
+	startTimeout = 20 * time.Second
 )
 
-// Bandwidths in bits per second and fractions of a core of entry VMs, as operators
-// have them.
+// Bandwidths, in bits per second, and CPU quotas, in fractions of a core, of the entry
+// VMs that operators use. Each gateway draws one of each.
 var (
 	bandwidths    = []float64{10e6, 20e6, 50e6}
 	coreFractions = []float64{0.144, 0.3, 0.8}
@@ -107,7 +110,8 @@
 	h.programs.Close()
 }
 
-// writeState creates the next desired state and writes it to the store.
+// writeState creates the next desired state and writes it to the store. The
+// parameters are those of stateGenerator.next.
 func (h *harness) writeState(ctx context.Context, idleTimeout time.Duration, addRoutes int, replaceKey bool) error {
 	document, acknowledged := h.states.next(idleTimeout, addRoutes, replaceKey)
 	if err := h.store.put(ctx, "op", "config", document); err != nil {
@@ -138,7 +142,7 @@
 	}
 }
 
-// fail records the first error of the soak itself.
+// fail records an error of the soak itself; only the first is kept.
 func (h *harness) fail(err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -159,7 +163,7 @@
 }
 
 // probe sends requests over new connections until the gateway serves one or
-// recoveryTimeout has passed.
+// recoveryTimeout has passed, and records how long that took.
 func (h *harness) probe(ctx context.Context, g *gatewayProcess, kind string) {
 	started := time.Now()
 	probe := Probe{Gateway: g.name, Kind: kind, After: -1}
@@ -192,11 +196,11 @@
 	for _, s := range h.servers {
 		arrivals, err := s.arrivals()
 		if err != nil {
-			return h.history, errors.Wrap(err, filepath.Join(dir, s.name))
+			return h.history, errors.Wrap(err, "read arrivals of "+filepath.Join(dir, s.name))
 		}
 		h.history.Arrivals = append(h.history.Arrivals, arrivals...)
 	}
-	// The platform reports on the calls it has received so far.
+	// The record covers the calls that the platform has received so far.
 	limit, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	var err error
--- a/testbed/soak/history.go
+++ b/testbed/soak/history.go
@@ -21,8 +21,9 @@
 	Duties Duties
 }
 
-// Duties is the platform's record of the calls that only one gateway at a time may
-// make: the number of usage windows reported, and the rule violations it saw.
+// Duties is the platform's record of the usage reporting calls, which only one gateway
+// at a time may make. Reports is the number of usage windows that were reported, and
+// Broken lists the violations that the platform detected.
 type Duties struct {
 	Reports int
 	Broken  []string
@@ -72,7 +73,8 @@
 	Failed bool
 }
 
-// State is a desired state. At is when the store acknowledged it, or zero.
+// State is a desired state. At is when the store acknowledged it, or zero. Idle is the
+// idle timeout, and Routes the number of routes beyond the initial ones.
 type State struct {
 	Version uint64
 	At      time.Time
--- a/testbed/soak/proxy.go
+++ b/testbed/soak/proxy.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// chunkBytes is the size of a read, and queuedChunks bounds the chunks in
-	// flight in one direction of a connection: a window of 128 KB. A closed
-	// connection leaves no more than that on the link; with a megabyte each,
-	// closed connections kept a narrow link busy for good.
+	// chunkBytes bounds a read, and queuedChunks the chunks queued in one
+	// direction of a connection. With the chunk being sent, that is a window of
+	// 128 KB, which a closed connection may leave on the link. With a window of
+	// a megabyte, closed connections kept a narrow link busy permanently.
 	chunkBytes   = 16 << 10
 	queuedChunks = 7
 	// blockedPollInterval is how often a blocked direction is polled.
@@ -105,6 +105,7 @@
 	}
 }
 
+// close stops listening and resets all open connections.
 func (p *proxy) close() {
 	_ = p.listener.Close()
 	p.reset()
@@ -196,7 +197,7 @@
 			abort(from)
 		}
 	}
-	// The reader sets end before it closes the channel.
+	// The reader goroutine sets readErr before it closes the channel.
 	if errors.Is(readErr, io.EOF) {
 		if tcp, ok := to.(*net.TCPConn); ok {
 			_ = tcp.CloseWrite()
--- a/testbed/soak/run.go
+++ b/testbed/soak/run.go
@@ -15,6 +15,8 @@
 
 // Limits that the operator documentation guarantees.
 const (
+	// faultMargin and recoveryTimeout are the values of Bounds.Contact and
+	// Bounds.Recover.
 	faultMargin     = 4 * time.Second
 	recoveryTimeout = 15 * time.Second
 	// maxDescriptors is the file descriptor limit of a small entry VM.
@@ -23,8 +25,11 @@
 
 // Config configures the run of one seed.
 type Config struct {
-	Seed     uint64
-	For      time.Duration
+	Seed uint64
+	// For is the duration of the faults; the recovery that follows takes up to
+	// recoveryTimeout longer.
+	For time.Duration
+	// Gateways is the number of gateways.
 	Gateways int
 	// Gateway and Soak are the paths of the gateway program and of the program
 	// whose commands "server" and "store" run the simulated server and store.
@@ -38,9 +43,11 @@
 
 // Result summarizes the run of a seed.
 type Result struct {
-	Seed       uint64
-	Calls      int
-	Served     int
+	Seed   uint64
+	Calls  int
+	Served int
+	// Owed is the number of calls that had to have a complete response; see
+	// CountOwed.
 	Owed       int
 	Steps      int
 	Violations []Violation
@@ -49,11 +56,11 @@
 }
 
 func (r Result) String() string {
-	verdict := "holds"
+	verdict := "passed"
 	if len(r.Violations) > 0 {
 		verdict = fmt.Sprintf("FAILED, %d violations, evidence in %s", len(r.Violations), r.Evidence)
 	}
-	return fmt.Sprintf("seed %d: %d steps, %d calls, %d served, %d judged as owed a response: %s", r.Seed, r.Steps, r.Calls, r.Served, r.Owed, verdict)
+	return fmt.Sprintf("seed %d: %d steps, %d calls, %d served, %d owed a response: %s", r.Seed, r.Steps, r.Calls, r.Served, r.Owed, verdict)
 }
 
 // Run runs a seed and checks its history. An error means that the soak itself
@@ -78,6 +85,7 @@
 	return result, os.RemoveAll(dir)
 }
 
+// writeEvidence writes a value as JSON to a file of the evidence folder.
 func writeEvidence(dir, name string, value any) error {
 	text, err := json.MarshalIndent(value, "", " ")
 	if err != nil {
--- a/testbed/soak/script.go
+++ b/testbed/soak/script.go
@@ -51,7 +51,7 @@
 }
 
 // delayed runs then after a delay derived from the request's ID, below maxMS
-// milliseconds. It gives up if the gateway disconnects meanwhile.
+// milliseconds. It doesn't respond if the gateway disconnects meanwhile.
 func delayed(maxMS uint64, then gateway.Script) gateway.Script {
 	return func(c net.Conn, a *gateway.ReceivedRequest) bool {
 		select {
@@ -92,7 +92,7 @@
 	return err == nil
 }
 
-// respondHalf breaks off its response in the middle.
+// respondHalf sends half of a response and closes the connection.
 func respondHalf(c net.Conn, a *gateway.ReceivedRequest) bool {
 	kind, from := parseRequest(a)
 	complete := expectedBody(kind, a.ID, from)
@@ -100,7 +100,7 @@
 	return false
 }
 
-// respondTwice sends a complete response, then one that no request asked for.
+// respondTwice sends a complete response, then an unsolicited one.
 func respondTwice(c net.Conn, a *gateway.ReceivedRequest) bool {
 	stale := *a
 	stale.ID = "nobody"
--- a/testbed/soak/serverprocess.go
+++ b/testbed/soak/serverprocess.go
@@ -32,6 +32,7 @@
 	lifecycle sync.Mutex
 }
 
+// newServer creates a server's proxy without starting the process.
 func newServer(programs *fleet.ProcessGroup, dir, program, name string, store *storeProcess) (*serverProcess, error) {
 	s := &serverProcess{name: name, dir: dir, program: program, programs: programs, store: store, arrivalsFile: filepath.Join(dir, name+".arrivals")}
 	for _, addr := range []*string{&s.listenAddr, &s.controlAddr} {
@@ -45,6 +46,8 @@
 	return s, err
 }
 
+// instance returns the name of the current instance, which is new after each
+// startInstance.
 func (s *serverProcess) instance() string {
 	return fmt.Sprintf("%s%s%d", s.name, instanceSeparator, s.startCount)
 }
@@ -67,7 +70,7 @@
 	return s.store.put(ctx, "servers", s.instance(), entry)
 }
 
-// setScript changes the server's behavior.
+// setScript changes the server's behavior to one of scriptNames.
 func (s *serverProcess) setScript(ctx context.Context, name string) error {
 	_, err := doRequest(ctx, http.MethodPost, "http://"+s.controlAddr+pathScript+"?name="+name, nil)
 	return err
--- a/testbed/soak/simulators.go
+++ b/testbed/soak/simulators.go
@@ -38,8 +38,8 @@
 const instanceSeparator = "."
 
 // ServeServer runs a simulated backend server until ctx is done. It serves requests
-// at listen, takes its script at control and appends each arrival as a line of JSON
-// to the file record.
+// at listen, accepts script changes at control and appends each arrival as a line of
+// JSON to the file record.
 func ServeServer(ctx context.Context, listen, control, instance, record string) error {
 	file, err := os.OpenFile(record, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -70,7 +70,7 @@
 }
 
 // ServeStore runs the simulated platform until ctx is done or a listener fails. It
-// serves the store at listen and the usage reporting API at duties, and takes rows
+// serves the store at listen and the usage reporting API at duties, and accepts rows
 // and faults at control.
 func ServeStore(ctx context.Context, listen, duties, control string) error {
 	store := rowstore.New()
@@ -107,7 +107,7 @@
 	})
 	mux.HandleFunc(pathLand, func(http.ResponseWriter, *http.Request) { platform.RunDelayed() })
 	mux.HandleFunc(pathDutiesReport, func(w http.ResponseWriter, _ *http.Request) {
-		// An HTTP client that disconnects must ask again.
+		// Encoding fails only if the client has disconnected.
 		_ = json.NewEncoder(w).Encode(Duties{Reports: len(platform.Reports()), Broken: platform.Violations()})
 	})
 	failed := make(chan error, 3)
--- a/testbed/soak/soak_test.go
+++ b/testbed/soak/soak_test.go
@@ -17,8 +17,8 @@
 	soakDuration = 8 * time.Second
 )
 
-// TestShortSoak runs one seed against three gateway processes. A failed run keeps its
-// evidence; the command soak replays its seed.
+// TestShortSoak runs one seed against three gateway processes and fails on any
+// violation. A failed run keeps its evidence; the command soak replays its seed.
 func TestShortSoak(t *testing.T) {
 	dir := t.TempDir()
 	build := exec.CommandContext(t.Context(), "go", "build", "-o", dir+string(filepath.Separator),
@@ -38,6 +38,6 @@
 		t.Error(err)
 	}
 	if result.Served == 0 || result.Owed == 0 {
-		t.Error("nothing was served, or nothing could be judged")
+		t.Error("no call was served, or none was owed a response")
 	}
 }
--- a/testbed/soak/stategenerator.go
+++ b/testbed/soak/stategenerator.go
@@ -16,7 +16,8 @@
 	applyTimeout = 3 * time.Second
 	// initialIdleTimeout is the idle timeout in the first desired state.
 	initialIdleTimeout = time.Second
-	permanentKey       = "lasting"
+	// permanentKey is the key that every desired state lists.
+	permanentKey = "lasting"
 )
 
 // routeTimeout returns the route timeout for a kind of request.
@@ -46,7 +47,9 @@
 }
 
 // next creates the next desired state and returns its document, with a function
-// that the caller must call when the store has acknowledged it.
+// that the caller must call when the store has acknowledged it. An idleTimeout of 0
+// keeps the previous one, a negative addRoutes removes extra routes, and replaceKey
+// replaces all keys but permanentKey by a new one.
 func (g *stateGenerator) next(idleTimeout time.Duration, addRoutes int, replaceKey bool) (document []byte, acknowledged func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/testbed/soak/steps.go
+++ b/testbed/soak/steps.go
@@ -25,7 +25,8 @@
 	maxCopyAge    = 3 * time.Second
 	restoreOutage = 200 * time.Millisecond
 	rewriteDelay  = 500 * time.Millisecond
-	// routesPerStep routes are added at once, up to maxExtraRoutes.
+	// routesPerStep is the number of routes added by a step. A step that would
+	// exceed maxExtraRoutes removes all extra routes instead.
 	routesPerStep  = 1500
 	maxExtraRoutes = 6000
 )
@@ -155,6 +156,8 @@
 	h.history.Stops = append(h.history.Stops, stop)
 }
 
+// runServerStep runs a step of a server. It does nothing if another step of the
+// server is in progress.
 func (h *harness) runServerStep(ctx context.Context, s Step, server *serverProcess) error {
 	if !server.lifecycle.TryLock() {
 		return nil
@@ -196,8 +199,8 @@
 	return server.startInstance(ctx)
 }
 
-// restoreStore restores the store from an older copy after a short outage. Operators
-// and servers write the lost rows again soon after.
+// restoreStore restores the store from an older copy during a short outage. The lost
+// rows are written again soon after, as by operators and servers.
 func (h *harness) restoreStore(ctx context.Context, s Step) error {
 	if err := h.store.control(ctx, pathCopy); err != nil {
 		return err
@@ -227,6 +230,7 @@
 		}
 		sleep(ctx, s.For)
 		ctx = context.WithoutCancel(ctx)
+		// The platform then runs the calls that it had delayed.
 		return errors.Join(h.store.setDutiesFault(ctx, cloud.NoFault), h.store.control(ctx, pathLand))
 	case kindStoreFault:
 		if err := h.store.setFault(ctx, storeFaults[s.How%len(storeFaults)]); err != nil {
--- a/testbed/soak/storeprocess.go
+++ b/testbed/soak/storeprocess.go
@@ -22,6 +22,7 @@
 	listenAddr, dutiesAddr, controlAddr string
 }
 
+// newStore creates the store's process without starting it.
 func newStore(programs *fleet.ProcessGroup, program string) (*storeProcess, error) {
 	s := &storeProcess{}
 	for _, addr := range []*string{&s.listenAddr, &s.dutiesAddr, &s.controlAddr} {
