--- a/testbed/rounds/draw.go
+++ b/testbed/rounds/draw.go
@@ -23,7 +23,8 @@
 type series struct {
 	name   string
 	colour color.RGBA
-	count  func(Outcome) int
+	// count returns the number of requests with the outcome.
+	count func(Outcome) int
 }
 
 var outcomes = []series{
--- a/testbed/rounds/losses.go
+++ b/testbed/rounds/losses.go
@@ -16,13 +16,15 @@
 // of its rounded figures.
 const maxRoundingError = 0.002
 
-// Part is a weighted part of the score, computed over some of the requests.
+// Part is a weighted part of the score. Value is the fraction of their benefit that
+// some of the requests earned.
 type Part struct {
 	Name          string
 	Weight, Value float64
 }
 
-// Penalty is subtracted from the score.
+// Penalty is a deduction from the score. Amount is the quantity that is penalized, and
+// Cost the resulting deduction.
 type Penalty struct {
 	Name         string
 	Amount, Cost float64
@@ -49,7 +51,8 @@
 	// Group is the kind of loss, Name identifies it within the group, and Detail
 	// gives the counts behind it.
 	Group, Name, Detail string
-	Score               float64
+	// Score is the lost score.
+	Score float64
 }
 
 // Losses lists where a day lost score; the losses and the day's score add up to 1.
@@ -71,7 +74,7 @@
 	for _, p := range r.Penalties {
 		score -= p.Cost
 		if p.Cost >= maxRoundingError/4 {
-			rows = append(rows, Loss{Group: "prices", Name: p.Name, Score: p.Cost, Detail: fmt.Sprintf("%.0f", p.Amount)})
+			rows = append(rows, Loss{Group: "penalties", Name: p.Name, Score: p.Cost, Detail: fmt.Sprintf("%.0f", p.Amount)})
 		}
 	}
 	if diff := score - r.Score; diff > maxRoundingError || diff < -maxRoundingError {
@@ -108,18 +111,18 @@
 func WriteLosses(out io.Writer, r *Report, rows []Loss) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	// The table buffers its output, so that errors are returned by Flush.
-	_, _ = fmt.Fprintln(table, "of\twhat\tworth lost\tcounts")
+	_, _ = fmt.Fprintln(table, "group\tname\tscore lost\tcounts")
 	for _, l := range rows {
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%.4f\t%s\n", l.Group, l.Name, l.Score, l.Detail)
 	}
-	_, _ = fmt.Fprintf(table, "left\tworth\t%.4f\t\n\n", r.Score)
+	_, _ = fmt.Fprintf(table, "remaining\tscore\t%.4f\t\n\n", r.Score)
 	_, _ = fmt.Fprintln(table, "from second\tbenefit earned\trequests lost\tcounts")
 	for _, w := range r.Windows {
 		lost := float64(w.owed()) * (1 - w.Earned)
 		_, _ = fmt.Fprintf(table, "%s\t%.3f\t%.0f\t%d owed: %d late, %d refused, %d failed; %d not owed\n",
 			w.Name, w.Earned, lost, w.owed(), w.Late, w.Refused, w.Failed, w.NotOwed)
 	}
-	_, _ = fmt.Fprintln(table, "\nnot served, last try\trequests\t\t")
+	_, _ = fmt.Fprintln(table, "\nnot served, last attempt\trequests\t\t")
 	for _, c := range r.Unserved {
 		_, _ = fmt.Fprintf(table, "%s\t%d\t\t\n", c.Name, c.Requests)
 	}
--- a/testbed/rounds/report.go
+++ b/testbed/rounds/report.go
@@ -9,8 +9,8 @@
 // Report is the detailed report of a day; fields that this package doesn't use are
 // left out.
 type Report struct {
-	// Score is the earned benefit divided by the owed benefit, less penalties:
-	// the weighted parts less the penalties.
+	// Score is the earned benefit divided by the owed benefit, less penalties. It is
+	// the weighted sum of Parts minus the costs of Penalties.
 	Score     float64   `json:"G"`
 	Parts     []Part    `json:"parts"`
 	Penalties []Penalty `json:"prices"`
--- a/testbed/rounds/rounds_test.go
+++ b/testbed/rounds/rounds_test.go
@@ -35,13 +35,13 @@
 		}
 		lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 		if len(lines) != 3 {
-			t.Fatalf("%q", lines)
+			t.Fatalf("got %d lines, want a header and two days: %q", len(lines), lines)
 		}
 		if got := strings.Join(strings.Fields(lines[1]), " "); got != "s d 2, 1 0.600, 0.650 0.850, 0.000 0.000, 0.000 0.000, 0.000 TIER" {
-			t.Errorf("day on both sides: %q", got)
+			t.Errorf("day that ran before and after: %q", got)
 		}
 		if got := strings.Join(strings.Fields(lines[2]), " "); !strings.HasPrefix(got, "s e 0, 1 -, 0.100") {
-			t.Errorf("day on one side: %q", got)
+			t.Errorf("day that ran only after: %q", got)
 		}
 	}
 }
@@ -50,10 +50,10 @@
 	dir := t.TempDir()
 	writeFile(t, dir, "1.json", "{")
 	if _, err := ReadJournal(dir); !errors.Is(err, ErrUnreadable) {
-		t.Errorf("a broken journal: %v", err)
+		t.Errorf("invalid JSON in a journal: got error %v", err)
 	}
 	if _, err := ReadReport(filepath.Join(dir, "none")); !errors.Is(err, ErrUnreadable) {
-		t.Errorf("no report: %v", err)
+		t.Errorf("missing report: got error %v", err)
 	}
 }
 
@@ -77,10 +77,10 @@
 		}
 	}
 	if err := Draw(picture, "nothing", Report{}); !errors.Is(err, ErrDraw) {
-		t.Errorf("a day without windows: %v", err)
+		t.Errorf("report without windows: got error %v", err)
 	}
 	if err := Draw(picture+".odd", "a day", r); !errors.Is(err, ErrDraw) {
-		t.Errorf("a file of an unknown kind: %v", err)
+		t.Errorf("unknown file extension: got error %v", err)
 	}
 }
 
@@ -104,7 +104,7 @@
 		sum += l.Score
 	}
 	if sum < 0.999 || sum > 1.001 {
-		t.Errorf("rows and worth make %v: %+v", sum, rows)
+		t.Errorf("the losses and the score add up to %v, want 1: %+v", sum, rows)
 	}
 	// 100 owed "long" requests of weight 2 lost 0.3 of their benefit, and 100
 	// "short" ones of weight 1 lost 0.1: a ratio of 6 to 1.
@@ -117,14 +117,14 @@
 	}
 	for _, part := range []string{"worst windows", "refused again", "100 owed: 20 late, 15 refused, 5 failed", "deadline"} {
 		if !strings.Contains(out.String(), part) {
-			t.Errorf("lacks %q:\n%s", part, out.String())
+			t.Errorf("the tables lack %q:\n%s", part, out.String())
 		}
 	}
 	r.Score += 0.01
 	if _, err := Losses(&r, nil); !errors.Is(err, ErrScoreMismatch) {
-		t.Errorf("a report that doesn't add up: %v", err)
+		t.Errorf("score that the parts don't add up to: got error %v", err)
 	}
 	if _, err := ReadReport(writeFile(t, t.TempDir(), "r.json", `{"parts":[["whole day"]]}`)); !errors.Is(err, ErrUnreadable) {
-		t.Errorf("a part without a value: %v", err)
+		t.Errorf("part without a value: got error %v", err)
 	}
 }
