--- a/testbed/measure/detailtables.go
+++ b/testbed/measure/detailtables.go
@@ -6,7 +6,8 @@
 	"github.com/applepier/applepier/testbed/load"
 )
 
-// writeRetries writes a table of refused callers, their retries and the retry delays.
+// writeRetries writes a table of the system's refused requests, their retries and the
+// Retry-After of the refusals ("hint").
 func (t table) writeRetries() {
 	t.header("shape", "refused", "came back in time", "then on time", "then late", "hint, median s", "longest hint, s")
 	for _, shape := range t.shapes {
--- a/testbed/measure/fleetrun.go
+++ b/testbed/measure/fleetrun.go
@@ -20,7 +20,7 @@
 	quietShape = "quiet"
 )
 
-// Targets besides the baselines.
+// Targets besides the baselines: the system, and the engines without a router.
 const (
 	targetApplepier = "applepier"
 	targetDirect    = "direct"
@@ -34,6 +34,7 @@
 	results *resultList
 }
 
+// run starts the fleet and runs all shapes on it.
 func (s *fleetRun) run(ctx context.Context, binaries *fleet.Binaries) error {
 	first, err := scenarios.Load(s.mix, s.options.Shapes[0])
 	if err != nil {
@@ -80,8 +81,8 @@
 }
 
 // Targets returns the names of all targets in the order in which they run: the
-// system, the engines called directly, and the baselines. "direct" only runs at quiet
-// load.
+// system, the engines called directly, and the baselines. The engines are called
+// directly only in the shape "quiet".
 func Targets() []string {
 	return append([]string{targetApplepier, targetDirect}, baseline.Names()...)
 }
--- a/testbed/measure/measure.go
+++ b/testbed/measure/measure.go
@@ -14,7 +14,7 @@
 )
 
 // Run starts a fleet for each mix and seed, and runs every shape on it against each
-// target in turn. On an error it also returns the results so far.
+// target in turn. If a fleet fails, Run returns its error and the results so far.
 func Run(ctx context.Context, options Options) ([]Result, error) {
 	binaries, err := fleet.Build(ctx)
 	if err != nil {
@@ -40,6 +40,7 @@
 	results []Result
 }
 
+// add appends a result and reports it as progress.
 func (c *resultList) add(options Options, result Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/testbed/measure/measure_test.go
+++ b/testbed/measure/measure_test.go
@@ -9,6 +9,8 @@
 	"github.com/applepier/applepier/testbed/measure"
 )
 
+// TestAShortMeasurement guards against targets that aren't run, wrong responses and
+// incomplete tables, with a short run of one shape against all targets.
 func TestAShortMeasurement(t *testing.T) {
 	options := measure.Options{
 		Mixes:         []string{"tampere"},
@@ -32,7 +34,7 @@
 		}
 	}
 	if got := strings.Join(targets, " "); got != "applepier direct roundrobin leastload" {
-		t.Errorf("targets in turn: %s", got)
+		t.Errorf("ran the targets %q", got)
 	}
 	var text strings.Builder
 	measure.WriteTables(&text, options, rounds)
--- a/testbed/measure/table.go
+++ b/testbed/measure/table.go
@@ -96,11 +96,12 @@
 	return fmt.Sprintf("%.2f", system/baselineGoodput)
 }
 
-// goodput returns the goodput during the shape's peak phase.
+// goodput returns the goodput during the shape's peak phase, in requests per second.
 func goodput(results []Result) sample {
 	return newSample(results, func(r Result) float64 { return peakPhase(r.Report).Total.Goodput })
 }
 
+// topTierMissed formats how many requests of tier 0, the highest, weren't on time.
 func topTierMissed(results []Result) string {
 	missed, sent := 0, 0
 	for _, result := range results {
