--- a/testbed/baseline/leastload.go
+++ b/testbed/baseline/leastload.go
@@ -60,6 +60,8 @@
 	l.polls.Wait()
 }
 
+// poll reads an engine's load until ctx is done. The last load stays in use while the
+// engine can't be reached.
 func (l *leastLoad) poll(ctx context.Context, index int, client engine.Engine) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
--- a/testbed/baseline/router.go
+++ b/testbed/baseline/router.go
@@ -17,6 +17,7 @@
 // maxBodyBytes bounds the body of a request.
 const maxBodyBytes = 16 << 20
 
+// doneMarker is the data of the event that ends a complete stream.
 var doneMarker = []byte("[DONE]")
 
 // picker chooses an engine for each request.
@@ -34,7 +35,10 @@
 	picker picker
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP sends the request to an engine and streams its response. It responds with
+// status 400 to a body that is unreadable or too large, 503 if no engine could be
+// picked, an engine's own status if that rejected the request, and 502 if the engine
+// failed before the stream began. If the stream fails later, the connection is aborted.
 func (r *Router) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxBodyBytes))
 	if err != nil {
@@ -81,6 +85,7 @@
 	}
 }
 
+// writeEvent writes and flushes one server-sent event.
 func writeEvent(w io.Writer, control *http.ResponseController, data []byte) error {
 	event := make([]byte, 0, len("data: \n\n")+len(data))
 	event = append(event, "data: "...)
@@ -92,6 +97,7 @@
 	return control.Flush()
 }
 
+// writeStartError forwards an engine's rejection; for other errors it writes status 502.
 func writeStartError(w http.ResponseWriter, err error) {
 	if rejected, ok := errors.Into[*engine.RejectedError](err); ok {
 		w.WriteHeader(rejected.Status)
--- a/testbed/baseline/router_test.go
+++ b/testbed/baseline/router_test.go
@@ -74,7 +74,7 @@
 			}
 		}
 		if !strings.HasSuffix(text, "data: [DONE]\n\n") {
-			t.Fatal("end mark is missing")
+			t.Fatal("the end marker is missing")
 		}
 	}
 	if a, b := len(first.Records()), len(second.Records()); a != 3 || b != 3 {
@@ -108,6 +108,6 @@
 
 func TestUnknownBaseline(t *testing.T) {
 	if _, err := baseline.Start("random", []string{"http://127.0.0.1:1"}, 1); err == nil || !strings.Contains(err.Error(), "roundrobin, leastload") {
-		t.Errorf("got %v, want an error with the names there are", err)
+		t.Errorf("got %v, want an error that lists the available names", err)
 	}
 }
--- a/testbed/readme/readme_test.go
+++ b/testbed/readme/readme_test.go
@@ -31,6 +31,8 @@
 	return strings.Split(match[1], "\n")
 }
 
+// command returns a command that runs in the repository's root, with the keys that the
+// example settings refer to.
 func command(line string) *exec.Cmd {
 	words := strings.Fields(line)
 	cmd := exec.Command(words[0], words[1:]...)
@@ -39,8 +41,8 @@
 	return cmd
 }
 
-// TestTryItNamesWhatIsThere checks only that the files in the commands exist: the
-// commands run the complete demo and all checks, of which this test is one.
+// TestTryItNamesWhatIsThere guards against commands that name a missing file. It
+// doesn't run them: they run the complete demo and all checks, including this test.
 func TestTryItNamesWhatIsThere(t *testing.T) {
 	for _, line := range readmeCommands(t, "Try it") {
 		words := strings.Fields(line)
@@ -50,8 +52,9 @@
 	}
 }
 
-// TestRunIt runs the commands in order. The last two start servers; they use the
-// example settings with free ports and are stopped by SIGTERM, as by an operator.
+// TestRunIt guards against commands that fail, and runs them in order. Those that
+// start servers use the example settings with free ports and are stopped by SIGTERM,
+// as by an operator.
 func TestRunIt(t *testing.T) {
 	for _, line := range readmeCommands(t, "Run it") {
 		program, settings, serves := strings.Cut(line, " serve --settings ")
@@ -65,8 +68,8 @@
 	}
 }
 
-// startAndStop starts a command, waits until it logs that it has started, and then
-// stops it.
+// startAndStop starts a command, waits until it logs that it has started, stops it by
+// SIGTERM and checks that it exits without an error.
 func startAndStop(t *testing.T, line string) {
 	t.Helper()
 	cmd := command(line)
--- a/testbed/recordfile/recordfile.go
+++ b/testbed/recordfile/recordfile.go
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// Close closes the file.
+// Close closes the file. Closing a nil File does nothing.
 func (f *File) Close() error {
 	if f == nil {
 		return nil
