--- a/testbed/baseline/router_test.go
+++ b/testbed/baseline/router_test.go
@@ -93,15 +93,15 @@
 	defer router.Close()
 	// The router may not have read the first load report yet.
 	deadline := time.Now().Add(testTimeout)
-	for seen := 0; seen < 3; {
+	for consecutive := 0; consecutive < 3; {
 		if time.Now().After(deadline) {
 			t.Fatal("requests still go to the loaded engine")
 		}
 		before := len(idle.Records())
 		sendChat(t, router.URL, "x")
-		seen++
+		consecutive++
 		if len(idle.Records()) == before {
-			seen = 0
+			consecutive = 0
 		}
 	}
 }
--- a/testbed/doc_test.go
+++ b/testbed/doc_test.go
@@ -6,9 +6,9 @@
 	"github.com/applepier/applepier/internal/timeline"
 )
 
-// TestStampOrder guards against an order of timestamps that ignores the logical part
+// TestTimestampOrder guards against an order of timestamps that ignores the logical part
 // when the wall times are equal.
-func TestStampOrder(t *testing.T) {
+func TestTimestampOrder(t *testing.T) {
 	if !(timeline.Timestamp{Wall: 1}).Before(timeline.Timestamp{Wall: 1, Logical: 1}) {
 		t.Fatal("a timestamp with a higher logical part must be later")
 	}
--- a/testbed/knobs/value.go
+++ b/testbed/knobs/value.go
@@ -16,41 +16,41 @@
 }
 
 // Get returns the settings.
-func (b *Value[T]) Get() T {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.value
+func (v *Value[T]) Get() T {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.value
 }
 
 // Update changes the settings atomically. The function must not use the Value.
-func (b *Value[T]) Update(change func(*T)) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	change(&b.value)
+func (v *Value[T]) Update(change func(*T)) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	change(&v.value)
 }
 
 // ServeHTTP returns the settings as JSON. PUT first changes those that its JSON body
 // contains and leaves the others; it fails with status 400 on an unknown field.
-func (b *Value[T]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (v *Value[T]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPut {
-		if err := b.decode(r); err != nil {
+		if err := v.decode(r); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 	}
-	WriteJSON(w, b.Get())
+	WriteJSON(w, v.Get())
 }
 
-func (b *Value[T]) decode(r *http.Request) error {
+func (v *Value[T]) decode(r *http.Request) error {
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	next := b.value
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	next := v.value
 	if err := decoder.Decode(&next); err != nil {
 		return err
 	}
-	b.value = next
+	v.value = next
 	return nil
 }
 
--- a/testbed/measure/fleetrun.go
+++ b/testbed/measure/fleetrun.go
@@ -35,45 +35,45 @@
 }
 
 // run starts the fleet and runs all shapes on it.
-func (s *fleetRun) run(ctx context.Context, binaries *fleet.Binaries) error {
-	first, err := scenarios.Load(s.mix, s.options.Shapes[0])
+func (r *fleetRun) run(ctx context.Context, binaries *fleet.Binaries) error {
+	first, err := scenarios.Load(r.mix, r.options.Shapes[0])
 	if err != nil {
 		return err
 	}
-	running, err := s.start(ctx, first.Mix, binaries)
+	running, err := r.start(ctx, first.Mix, binaries)
 	if err != nil {
 		return err
 	}
 	defer running.Close()
-	for _, shape := range s.options.Shapes {
-		if err := s.runShape(ctx, running, shape); err != nil {
+	for _, shape := range r.options.Shapes {
+		if err := r.runShape(ctx, running, shape); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *fleetRun) start(ctx context.Context, mix load.Mix, binaries *fleet.Binaries) (*fleet.Fleet, error) {
+func (r *fleetRun) start(ctx context.Context, mix load.Mix, binaries *fleet.Binaries) (*fleet.Fleet, error) {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	return loadfleet.Start(ctx, mix, entryCount, binaries)
 }
 
 // runShape runs one shape against each target in turn.
-func (s *fleetRun) runShape(ctx context.Context, running *fleet.Fleet, shape string) error {
-	scenario, err := scenarios.Load(s.mix, shape)
+func (r *fleetRun) runShape(ctx context.Context, running *fleet.Fleet, shape string) error {
+	scenario, err := scenarios.Load(r.mix, shape)
 	if err != nil {
 		return err
 	}
-	target := loadfleet.LoadOptions(running, scenario.Scaled(s.options.Scale))
-	target.Seed = s.seed
-	target.RequestTimeout = s.options.CallerTimeout
-	target.MaxRetryAfter = s.options.MaxRetryAfter
-	for _, name := range s.options.Targets {
+	target := loadfleet.LoadOptions(running, scenario.Scaled(r.options.Scale))
+	target.Seed = r.seed
+	target.RequestTimeout = r.options.CallerTimeout
+	target.MaxRetryAfter = r.options.MaxRetryAfter
+	for _, name := range r.options.Targets {
 		if name == targetDirect && shape != quietShape {
 			continue
 		}
-		if err := s.runTarget(ctx, shape, name, target); err != nil {
+		if err := r.runTarget(ctx, shape, name, target); err != nil {
 			return err
 		}
 	}
@@ -88,7 +88,7 @@
 }
 
 // runTarget runs the load against one target and adds the result.
-func (s *fleetRun) runTarget(ctx context.Context, shape, name string, options load.Options) error {
+func (r *fleetRun) runTarget(ctx context.Context, shape, name string, options load.Options) error {
 	options.Target = name
 	switch name {
 	case targetApplepier:
@@ -107,10 +107,10 @@
 	if err != nil {
 		return err
 	}
-	s.results.add(s.options, Result{
-		Mix:    s.mix,
+	r.results.add(r.options, Result{
+		Mix:    r.mix,
 		Shape:  shape,
-		Seed:   s.seed,
+		Seed:   r.seed,
 		Target: name,
 		Report: report,
 		Useful: options.Scenario.UsefulCapacityShare(peakPhase(report)),
--- a/testbed/measure/measure.go
+++ b/testbed/measure/measure.go
@@ -25,8 +25,8 @@
 	workers := pool.New().WithContext(ctx).WithMaxGoroutines(options.Parallel)
 	for _, mix := range options.Mixes {
 		for seed := range options.Seeds {
-			s := &fleetRun{options: options, mix: mix, seed: uint64(seed) + 1, results: &results}
-			workers.Go(func(ctx context.Context) error { return s.run(ctx, binaries) })
+			r := &fleetRun{options: options, mix: mix, seed: uint64(seed) + 1, results: &results}
+			workers.Go(func(ctx context.Context) error { return r.run(ctx, binaries) })
 		}
 	}
 	err = workers.Wait()
@@ -41,10 +41,10 @@
 }
 
 // add appends a result and reports it as progress.
-func (c *resultList) add(options Options, result Result) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.results = append(c.results, result)
+func (l *resultList) add(options Options, result Result) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.results = append(l.results, result)
 	total := result.Report.Total
 	_, _ = fmt.Fprintf(options.Progress, "%s seed %d %s: %d sent, %.1f%% on time, useful %.0f%%, wasted %.1f%%\n",
 		result.Report.Scenario, result.Seed, result.Target, total.Sent, 100*total.Attainment, 100*result.Useful, 100*total.WastedShare)
--- a/testbed/measure/sample_test.go
+++ b/testbed/measure/sample_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-func TestSampleGivesMedianAndSpread(t *testing.T) {
-	figure := func(r Result) float64 { return r.Useful }
-	for want, rounds := range map[string][]Result{
+func TestSampleFormatted(t *testing.T) {
+	metric := func(r Result) float64 { return r.Useful }
+	for want, results := range map[string][]Result{
 		"2 (1 to 9)": {{Useful: 9}, {Useful: 1}, {Useful: 2}},
 		"2":          {{Useful: 2.1}, {Useful: 1.9}},
 		"not run":    nil,
 	} {
-		if got := newSample(rounds, figure).formatted("%.0f"); got != want {
+		if got := newSample(results, metric).formatted("%.0f"); got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
--- a/testbed/readme/readme_test.go
+++ b/testbed/readme/readme_test.go
@@ -41,9 +41,9 @@
 	return cmd
 }
 
-// TestTryItNamesWhatIsThere guards against commands that name a missing file. It
+// TestTryItFilesExist guards against commands that name a missing file. It
 // doesn't run them: they run the complete demo and all checks, including this test.
-func TestTryItNamesWhatIsThere(t *testing.T) {
+func TestTryItFilesExist(t *testing.T) {
 	for _, line := range readmeCommands(t, "Try it") {
 		words := strings.Fields(line)
 		if _, err := os.Stat(filepath.Join(root, words[len(words)-1])); err != nil {
@@ -52,10 +52,10 @@
 	}
 }
 
-// TestRunIt guards against commands that fail, and runs them in order. Those that
-// start servers use the example settings with free ports and are stopped by SIGTERM,
-// as by an operator.
-func TestRunIt(t *testing.T) {
+// TestRunItCommandsSucceed guards against commands that fail, and runs them in order.
+// Those that start servers use the example settings with free ports and are stopped by
+// SIGTERM, as by an operator.
+func TestRunItCommandsSucceed(t *testing.T) {
 	for _, line := range readmeCommands(t, "Run it") {
 		program, settings, serves := strings.Cut(line, " serve --settings ")
 		if serves {
--- a/testbed/rounds/rounds_test.go
+++ b/testbed/rounds/rounds_test.go
@@ -18,19 +18,19 @@
 	return path
 }
 
-func TestMediansSideBySide(t *testing.T) {
+func TestCompareShowsMedians(t *testing.T) {
 	dir := t.TempDir()
 	writeFile(t, dir, "1.json", `{"head":"aaa1","why":"base","site":"s","days":[{"name":"d","G":0.5,"served":0.8}]}`)
 	writeFile(t, dir, "2.json", `{"head":"aaa1","why":"base","site":"s","days":[{"name":"d","G":0.7,"served":0.9}]}`)
 	writeFile(t, dir, "3.json", `{"head":"bbb2","why":"trial: x","site":"s","days":[{"name":"d","G":0.65,"rules":{"TIER":1}},{"name":"e","G":0.1}]}`)
 	writeFile(t, dir, "4.json", `{"head":"ccc3","why":"other","site":"s","days":[{"name":"d","G":0.9}]}`)
-	all, err := ReadJournal(dir)
+	runs, err := ReadJournal(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, after := range []string{"bbb", "trial: x"} {
 		var out strings.Builder
-		if err := WriteComparisons(&out, Compare(all, "aaa", after)); err != nil {
+		if err := WriteComparisons(&out, Compare(runs, "aaa", after)); err != nil {
 			t.Fatal(err)
 		}
 		lines := strings.Split(strings.TrimSpace(out.String()), "\n")
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestWhatCannotBeRead(t *testing.T) {
+func TestUnreadableFiles(t *testing.T) {
 	dir := t.TempDir()
 	writeFile(t, dir, "1.json", "{")
 	if _, err := ReadJournal(dir); !errors.Is(err, ErrUnreadable) {
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestDayIsDrawn(t *testing.T) {
+func TestDraw(t *testing.T) {
 	path := writeFile(t, t.TempDir(), "r.json", `{"windows":[{"name":"0","in_aim":245,"late":29,"refused":8},{"name":"2","in_aim":231,"failed":2}]}`)
 	r, err := ReadReport(path)
 	if err != nil {
--- a/testbed/soak/call.go
+++ b/testbed/soak/call.go
@@ -18,12 +18,12 @@
 	kindOpen   = "open"
 )
 
-// streamEventCount is the number of events in a complete stream. maxBodyBytes
+// streamEventCount is the number of events in a complete stream. maxPaddingBytes
 // bounds the padding of other response bodies: large enough for several reads, but
 // small compared to a link's bandwidth.
 const (
 	streamEventCount = 8
-	maxBodyBytes     = 6000
+	maxPaddingBytes  = 6000
 )
 
 // Call is one request as its caller observed it.
@@ -68,7 +68,7 @@
 // returns the events that follow event number after.
 func expectedBody(kind, id string, after int) string {
 	if !isStream(kind) {
-		return "for " + id + "\n" + strings.Repeat(id[:1], int(hashID(id)%maxBodyBytes))
+		return "for " + id + "\n" + strings.Repeat(id[:1], int(hashID(id)%maxPaddingBytes))
 	}
 	var text strings.Builder
 	for n := after + 1; n <= streamEventCount; n++ {
--- a/testbed/soak/check_test.go
+++ b/testbed/soak/check_test.go
@@ -52,12 +52,12 @@
 
 func (h *History) duplicateArrival(call int) { h.Arrivals = append(h.Arrivals, h.Arrivals[call]) }
 
-// TestEachCheckFindsWhatItIsFor guards against a check that misses a violation or
+// TestCheckReportsEachViolation guards against a check that misses a violation or
 // reports permitted behavior. Each case changes a valid history in one way.
-func TestEachCheckFindsWhatItIsFor(t *testing.T) {
+func TestCheckReportsEachViolation(t *testing.T) {
 	tests := []struct {
-		name  string
-		spoil func(h *History)
+		name   string
+		change func(h *History)
 		// want is the check that must report a violation; empty if none may.
 		want string
 	}{
@@ -125,7 +125,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			h := validHistory()
-			test.spoil(h)
+			test.change(h)
 			found := Check(*h)
 			if test.want == "" && len(found) > 0 {
 				t.Errorf("violations reported for permitted behavior: %v", found)
@@ -143,10 +143,10 @@
 	}
 }
 
-// TestASeedDrawsTheSameStepsAgain checks that a seed always yields the same steps,
+// TestPlanIsReproducible checks that a seed always yields the same steps,
 // so that a failed seed can be replayed.
-func TestASeedDrawsTheSameStepsAgain(t *testing.T) {
-	first, again, other := Plan(3, 3, servers, time.Minute), Plan(3, 3, servers, time.Minute), Plan(4, 3, servers, time.Minute)
+func TestPlanIsReproducible(t *testing.T) {
+	first, again, other := Plan(3, 3, serverCount, time.Minute), Plan(3, 3, serverCount, time.Minute), Plan(4, 3, serverCount, time.Minute)
 	if len(first) != len(again) || len(first) < 100 {
 		t.Fatalf("plans of one seed have %d and %d steps, want the same number, at least 100", len(first), len(again))
 	}
--- a/testbed/soak/gatewayprocess.go
+++ b/testbed/soak/gatewayprocess.go
@@ -50,7 +50,7 @@
 
 // newGateway creates a gateway's proxies and settings file without starting it.
 // bandwidth is the VM's inbound bandwidth in bits per second.
-func newGateway(programs *fleet.ProcessGroup, dir, program, name string, platform *storeProcess, bandwidth float64) (*gatewayProcess, error) {
+func newGateway(programs *fleet.ProcessGroup, dir, program, name string, store *storeProcess, bandwidth float64) (*gatewayProcess, error) {
 	var addrs [3]string
 	for i := range addrs {
 		addr, err := ports.Free()
@@ -61,14 +61,14 @@
 	}
 	g := &gatewayProcess{
 		name: name, settingsFile: filepath.Join(dir, name+".yaml"), listenAddr: addrs[0], adminAddr: addrs[1], peerAddr: addrs[2],
-		dutiesAddr: platform.dutiesAddr, retryExtra: 50, revokeSeconds: int(revokeTimeout / time.Second),
+		dutiesAddr: store.dutiesAddr, retryExtra: 50, revokeSeconds: int(revokeTimeout / time.Second),
 	}
 	inbound := &link{bitsPerSecond: bandwidth}
 	var err error
 	if g.frontProxy, err = newProxy(g.listenAddr, [directionCount]*link{upstream: inbound}); err != nil {
 		return nil, err
 	}
-	if g.storeProxy, err = newProxy(platform.listenAddr, [directionCount]*link{downstream: inbound}); err != nil {
+	if g.storeProxy, err = newProxy(store.listenAddr, [directionCount]*link{downstream: inbound}); err != nil {
 		return nil, err
 	}
 	// A small VM has one core.
--- a/testbed/soak/harness.go
+++ b/testbed/soak/harness.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// servers is the number of backend servers. Half of them, rounded down, get
+	// serverCount is the number of backend servers. Half of them, rounded down, get
 	// faults that excuse a lost request.
-	servers = 5
+	serverCount = 5
 	// callersPerGateway is a load that a small VM's fraction of a core can serve.
 	callersPerGateway = 30
 	// sampleInterval is how often a gateway's metrics and descriptors are read.
@@ -66,7 +66,7 @@
 	if err := h.writeState(ctx, 0, 0, false); err != nil {
 		return h, err
 	}
-	for n := range servers {
+	for n := range serverCount {
 		s, err := newServer(h.programs, dir, c.Soak, fmt.Sprintf("server-%d", n), h.store)
 		if err != nil {
 			return h, err
@@ -201,9 +201,9 @@
 		h.history.Arrivals = append(h.history.Arrivals, arrivals...)
 	}
 	// The record covers the calls that the platform has received so far.
-	limit, cancel := context.WithTimeout(context.Background(), startTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	var err error
-	h.history.Duties, err = h.store.dutiesReport(limit)
+	h.history.Duties, err = h.store.dutiesReport(ctx)
 	return h.history, err
 }
--- a/testbed/soak/plan.go
+++ b/testbed/soak/plan.go
@@ -70,10 +70,10 @@
 // owed a response at all times.
 func Plan(seed uint64, gateways, servers int, duration time.Duration) []Step {
 	var steps []Step
-	streamID := uint64(0)
+	seriesID := uint64(0)
 	addSeries := func(s stepSeries, target int) {
-		streamID++
-		random := rand.New(rand.NewPCG(seed, streamID))
+		seriesID++
+		random := rand.New(rand.NewPCG(seed, seriesID))
 		drawDuration := func(shortest, longest time.Duration) time.Duration {
 			return shortest + time.Duration(random.Int64N(int64(longest-shortest)+1))
 		}
--- a/testbed/soak/run.go
+++ b/testbed/soak/run.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return Result{}, errors.Wrap(err, "create evidence folder")
 	}
-	steps := Plan(c.Seed, c.Gateways, servers, c.For)
+	steps := Plan(c.Seed, c.Gateways, serverCount, c.For)
 	history, err := runSeed(ctx, c, dir, steps)
 	result := Result{Seed: c.Seed, Calls: len(history.Calls), Owed: CountOwed(history), Steps: len(steps), Violations: Check(history)}
 	for _, call := range history.Calls {
--- a/testbed/soak/simulators.go
+++ b/testbed/soak/simulators.go
@@ -110,11 +110,11 @@
 		// Encoding fails only if the client has disconnected.
 		_ = json.NewEncoder(w).Encode(Duties{Reports: len(platform.Reports()), Broken: platform.Violations()})
 	})
-	failed := make(chan error, 3)
-	go func() { failed <- serve(ctx, duties, platform) }()
-	go func() { failed <- serve(ctx, listen, store) }()
-	go func() { failed <- serve(ctx, control, mux) }()
-	return <-failed
+	done := make(chan error, 3)
+	go func() { done <- serve(ctx, duties, platform) }()
+	go func() { done <- serve(ctx, listen, store) }()
+	go func() { done <- serve(ctx, control, mux) }()
+	return <-done
 }
 
 // serve runs an HTTP server until ctx is done.
--- a/testbed/soak/stategenerator.go
+++ b/testbed/soak/stategenerator.go
@@ -76,12 +76,12 @@
 
 // document encodes the current desired state as JSON. The caller must hold g.mu.
 func (g *stateGenerator) document() []byte {
-	route := func(name, kind string, more map[string]any) map[string]any {
+	route := func(name, routeType string, attributes map[string]any) map[string]any {
 		r := map[string]any{
-			"name": name, "host": host, "prefix": "/" + name + "/", "type": kind,
+			"name": name, "host": host, "prefix": "/" + name + "/", "type": routeType,
 			"timeout-ms": routeTimeout(name).Milliseconds(), "slo-ms": 500, "service": "plain", "attempts": 2,
 		}
-		for k, v := range more {
+		for k, v := range attributes {
 			r[k] = v
 		}
 		return r
--- a/testbed/soak/steps.go
+++ b/testbed/soak/steps.go
@@ -62,11 +62,11 @@
 	case kindServerScript, kindServerCrash, kindServerFreeze, kindServerReset:
 		return h.runServerStep(ctx, s, h.servers[s.Who])
 	case kindRoutes:
-		more := routesPerStep
-		if h.states.extraRouteCount()+more > maxExtraRoutes {
-			more = -h.states.extraRouteCount()
+		routeDelta := routesPerStep
+		if h.states.extraRouteCount()+routeDelta > maxExtraRoutes {
+			routeDelta = -h.states.extraRouteCount()
 		}
-		return h.writeState(ctx, 0, more, false)
+		return h.writeState(ctx, 0, routeDelta, false)
 	case kindIdleTimeout:
 		return h.writeState(ctx, idleTimeouts[s.How%len(idleTimeouts)], 0, false)
 	case kindKeys:
@@ -143,9 +143,9 @@
 // stop terminates a gateway, and kills it if the grace period expires.
 func (h *harness) stop(g *gatewayProcess) {
 	stop := Stop{Gateway: g.name, At: time.Now(), Grace: gracePeriod}
-	limit, cancel := context.WithTimeout(context.Background(), gracePeriod)
+	ctx, cancel := context.WithTimeout(context.Background(), gracePeriod)
 	defer cancel()
-	stop.Failed = g.Terminate(limit) != nil
+	stop.Failed = g.Terminate(ctx) != nil
 	stop.End = time.Now()
 	if stop.Failed {
 		// The process may have exited meanwhile.
