--- a/testbed/baseline/router_test.go
+++ b/testbed/baseline/router_test.go
@@ -57,6 +57,8 @@
 	return fmt.Sprintf(`{"model":"m","messages":[{"role":"user","content":%q}],"max_tokens":3}`, prompt)
 }
 
+// TestRoundRobinTakesEnginesInTurn guards against an uneven distribution and against
+// responses that lack tokens or the end marker.
 func TestRoundRobinTakesEnginesInTurn(t *testing.T) {
 	first, firstURL := startEngine(t)
 	second, secondURL := startEngine(t)
@@ -82,6 +84,8 @@
 	}
 }
 
+// TestLeastLoadAvoidsTheLoadedEngine guards against a router that ignores the reported
+// load: three requests in succession must reach the idle engine.
 func TestLeastLoadAvoidsTheLoadedEngine(t *testing.T) {
 	busy, busyURL := startEngine(t)
 	idle, idleURL := startEngine(t)
@@ -106,6 +110,7 @@
 	}
 }
 
+// TestUnknownBaseline guards against an error that doesn't list the available names.
 func TestUnknownBaseline(t *testing.T) {
 	if _, err := baseline.Start("random", []string{"http://127.0.0.1:1"}, 1); err == nil || !strings.Contains(err.Error(), "roundrobin, leastload") {
 		t.Errorf("got %v, want an error that lists the available names", err)
--- a/testbed/measure/sample_test.go
+++ b/testbed/measure/sample_test.go
@@ -2,6 +2,8 @@
 
 import "testing"
 
+// TestSampleFormatted guards against a wrong median and against a range for values that
+// look equal.
 func TestSampleFormatted(t *testing.T) {
 	metric := func(r Result) float64 { return r.Useful }
 	for want, results := range map[string][]Result{
--- a/testbed/rounds/rounds_test.go
+++ b/testbed/rounds/rounds_test.go
@@ -18,6 +18,8 @@
 	return path
 }
 
+// TestCompareShowsMedians guards against wrong medians, runs of other commits in the
+// table, and days that are dropped because they ran only after the change.
 func TestCompareShowsMedians(t *testing.T) {
 	dir := t.TempDir()
 	writeFile(t, dir, "1.json", `{"head":"aaa1","why":"base","site":"s","days":[{"name":"d","G":0.5,"served":0.8}]}`)
@@ -46,6 +48,7 @@
 	}
 }
 
+// TestUnreadableFiles guards against errors that don't wrap ErrUnreadable.
 func TestUnreadableFiles(t *testing.T) {
 	dir := t.TempDir()
 	writeFile(t, dir, "1.json", "{")
@@ -57,6 +60,8 @@
 	}
 }
 
+// TestDraw guards against a picture without its title or legend, and against errors
+// that don't wrap ErrDraw.
 func TestDraw(t *testing.T) {
 	path := writeFile(t, t.TempDir(), "r.json", `{"windows":[{"name":"0","in_aim":245,"late":29,"refused":8},{"name":"2","in_aim":231,"failed":2}]}`)
 	r, err := ReadReport(path)
@@ -90,6 +95,8 @@
 "windows":[{"name":"0","n":50,"in_aim":40,"refused":10,"worth":0.8}],
 "unserved_by":[["503",15,["an example"]],["deadline",5,[]]]}`
 
+// TestLossesAddUp guards against losses that don't add up to the score that a day lost,
+// a wrong split by class, and reports whose parts contradict their score.
 func TestLossesAddUp(t *testing.T) {
 	r, err := ReadReport(writeFile(t, t.TempDir(), "r.json", dayReport))
 	if err != nil {
