--- a/testbed/baseline/router_test.go
+++ b/testbed/baseline/router_test.go
@@ -57,6 +57,8 @@
 	return fmt.Sprintf(`{"model":"m","messages":[{"role":"user","content":%q}],"max_tokens":3}`, prompt)
 }
 
+// TestRoundRobinTakesEnginesInTurn guards against an uneven distribution and against
+// responses that lack tokens or the end marker.
 func TestRoundRobinTakesEnginesInTurn(t *testing.T) {
 	first, firstURL := startEngine(t)
 	second, secondURL := startEngine(t)
@@ -74,7 +76,7 @@
 			}
 		}
 		if !strings.HasSuffix(text, "data: [DONE]\n\n") {
-			t.Fatal("end mark is missing")
+			t.Fatal("the end marker is missing")
 		}
 	}
 	if a, b := len(first.Records()), len(second.Records()); a != 3 || b != 3 {
@@ -82,6 +84,8 @@
 	}
 }
 
+// TestLeastLoadAvoidsTheLoadedEngine guards against a router that ignores the reported
+// load: three requests in succession must reach the idle engine.
 func TestLeastLoadAvoidsTheLoadedEngine(t *testing.T) {
 	busy, busyURL := startEngine(t)
 	idle, idleURL := startEngine(t)
@@ -93,21 +97,22 @@
 	defer router.Close()
 	// The router may not have read the first load report yet.
 	deadline := time.Now().Add(testTimeout)
-	for seen := 0; seen < 3; {
+	for consecutive := 0; consecutive < 3; {
 		if time.Now().After(deadline) {
 			t.Fatal("requests still go to the loaded engine")
 		}
 		before := len(idle.Records())
 		sendChat(t, router.URL, "x")
-		seen++
+		consecutive++
 		if len(idle.Records()) == before {
-			seen = 0
+			consecutive = 0
 		}
 	}
 }
 
+// TestUnknownBaseline guards against an error that doesn't list the available names.
 func TestUnknownBaseline(t *testing.T) {
 	if _, err := baseline.Start("random", []string{"http://127.0.0.1:1"}, 1); err == nil || !strings.Contains(err.Error(), "roundrobin, leastload") {
-		t.Errorf("got %v, want an error with the names there are", err)
+		t.Errorf("got %v, want an error that lists the available names", err)
 	}
 }
--- a/testbed/measure/measure.go
+++ b/testbed/measure/measure.go
@@ -14,7 +14,7 @@
 )
 
 // Run starts a fleet for each mix and seed, and runs every shape on it against each
-// target in turn. On an error it also returns the results so far.
+// target in turn. If a fleet fails, Run returns its error and the results so far.
 func Run(ctx context.Context, options Options) ([]Result, error) {
 	binaries, err := fleet.Build(ctx)
 	if err != nil {
@@ -25,8 +25,8 @@
 	workers := pool.New().WithContext(ctx).WithMaxGoroutines(options.Parallel)
 	for _, mix := range options.Mixes {
 		for seed := range options.Seeds {
-			s := &fleetRun{options: options, mix: mix, seed: uint64(seed) + 1, results: &results}
-			workers.Go(func(ctx context.Context) error { return s.run(ctx, binaries) })
+			r := &fleetRun{options: options, mix: mix, seed: uint64(seed) + 1, results: &results}
+			workers.Go(func(ctx context.Context) error { return r.run(ctx, binaries) })
 		}
 	}
 	err = workers.Wait()
@@ -40,10 +40,11 @@
 	results []Result
 }
 
-func (c *resultList) add(options Options, result Result) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.results = append(c.results, result)
+// add appends a result and reports it as progress.
+func (l *resultList) add(options Options, result Result) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.results = append(l.results, result)
 	total := result.Report.Total
 	_, _ = fmt.Fprintf(options.Progress, "%s seed %d %s: %d sent, %.1f%% on time, useful %.0f%%, wasted %.1f%%\n",
 		result.Report.Scenario, result.Seed, result.Target, total.Sent, 100*total.Attainment, 100*result.Useful, 100*total.WastedShare)
--- a/testbed/soak/plan.go
+++ b/testbed/soak/plan.go
@@ -16,17 +16,17 @@
 	kindReset        = "reset"
 	kindDelay        = "delay"
 	kindStop         = "stop"
-	kindHangup       = "hang up"
+	kindHangup       = "hang up" // SIGHUP
 	kindSettings     = "settings"
 	kindRoutes       = "routes"
 	kindIdleTimeout  = "idle limit"
 	kindKeys         = "keys"
 	kindStoreFault   = "store fault"
 	kindStoreSlow    = "store slow"
-	kindStoreForget  = "store forgets"
+	kindStoreForget  = "store forgets" // the store drops its change history
 	kindStoreCut     = "store cut"
-	kindStoreRestore = "store returns"
-	kindDutiesFault  = "duties fault"
+	kindStoreRestore = "store returns" // the store is restored from an older copy
+	kindDutiesFault  = "duties fault"  // a fault of the usage reporting API
 	kindServerScript = "server script"
 	kindServerCrash  = "server crash"
 	kindServerFreeze = "server freeze"
@@ -70,10 +70,10 @@
 // owed a response at all times.
 func Plan(seed uint64, gateways, servers int, duration time.Duration) []Step {
 	var steps []Step
-	streamID := uint64(0)
+	seriesID := uint64(0)
 	addSeries := func(s stepSeries, target int) {
-		streamID++
-		random := rand.New(rand.NewPCG(seed, streamID))
+		seriesID++
+		random := rand.New(rand.NewPCG(seed, seriesID))
 		drawDuration := func(shortest, longest time.Duration) time.Duration {
 			return shortest + time.Duration(random.Int64N(int64(longest-shortest)+1))
 		}
