--- a/testbed/rounds/compare.go
+++ b/testbed/rounds/compare.go
@@ -49,7 +49,7 @@
 func WriteComparisons(out io.Writer, rows []Comparison) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	// The table buffers its output, so that errors are returned by Flush.
-	_, _ = fmt.Fprintln(table, "site\tday\truns\tscore\tserved\trefused\tfailed\trules broken")
+	_, _ = fmt.Fprintln(table, "site\tday\truns\tworth\tserved\trefused\tfailed\trules broken")
 	for _, r := range rows {
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%d, %d\t%s\t%s\t%s\t%s\t%s\n", r.Site, r.Day, len(r.Before), len(r.After),
 			r.medians(func(d Day) float64 { return d.Score }), r.medians(func(d Day) float64 { return d.Served }),
--- a/testbed/rounds/losses.go
+++ b/testbed/rounds/losses.go
@@ -74,7 +74,7 @@
 	for _, p := range r.Penalties {
 		score -= p.Cost
 		if p.Cost >= maxRoundingError/4 {
-			rows = append(rows, Loss{Group: "penalties", Name: p.Name, Score: p.Cost, Detail: fmt.Sprintf("%.0f", p.Amount)})
+			rows = append(rows, Loss{Group: "prices", Name: p.Name, Score: p.Cost, Detail: fmt.Sprintf("%.0f", p.Amount)})
 		}
 	}
 	if diff := score - r.Score; diff > maxRoundingError || diff < -maxRoundingError {
@@ -111,11 +111,11 @@
 func WriteLosses(out io.Writer, r *Report, rows []Loss) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	// The table buffers its output, so that errors are returned by Flush.
-	_, _ = fmt.Fprintln(table, "group\tname\tscore lost\tcounts")
+	_, _ = fmt.Fprintln(table, "group\tname\tworth lost\tcounts")
 	for _, l := range rows {
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%.4f\t%s\n", l.Group, l.Name, l.Score, l.Detail)
 	}
-	_, _ = fmt.Fprintf(table, "remaining\tscore\t%.4f\t\n\n", r.Score)
+	_, _ = fmt.Fprintf(table, "remaining\tworth\t%.4f\t\n\n", r.Score)
 	_, _ = fmt.Fprintln(table, "from second\tbenefit earned\trequests lost\tcounts")
 	for _, w := range r.Windows {
 		lost := float64(w.owed()) * (1 - w.Earned)
