--- a/testbed/gateway/server_limit_test.go
+++ b/testbed/gateway/server_limit_test.go
@@ -83,7 +83,7 @@
 	return highest
 }
 
-// waitUntilServing waits until each gateway serves requests and thus knows the servers.
+// waitUntilServing waits until each gateway serves requests and thus knows at least one server.
 func waitUntilServing(fixtures []*gateway.Fixture) {
 	for _, f := range fixtures {
 		f.WaitFor("the gateway to serve", func() bool { return f.Post("/safe/x", "warm").Status == http.StatusOK })
@@ -122,7 +122,11 @@
 	fixtures[0].StartServer("i-1", respondWithLimit(limit))
 	fixtures[0].StartServer("i-2", gateway.Respond("whole"))
 	fixtures[0].WaitFor("both servers to be used", func() bool { fixtures[0].Post("/safe/x", "warm"); return reachedTwoServers(fixtures[0], "warm") })
-	waitUntilServing(fixtures)
+	// A gateway that doesn't know i-2 yet rejects requests beyond the limit of i-1.
+	for i, f := range fixtures {
+		id := fmt.Sprintf("warm-%d", i)
+		f.WaitFor("the server without a limit to be used", func() bool { f.Post("/safe/x", id); return reachedServer(fixtures[0], id, "i-2") })
+	}
 	after := afterLimitKnown()
 	responses := generateLoadFor(t, 6*time.Second, fixtures, perSecond)
 	checkLimit(t, fixtures[0], "i-1", after, limit)
