--- a/internal/entry/api/api.go
+++ b/internal/entry/api/api.go
@@ -1,5 +1,5 @@
 // Package api implements the caller-facing HTTP API of an entry: OpenAI-compatible chat
-// completions and model list, and calls to plain HTTP services. It reads and validates a
+// completions and model list, and calls to plain services. It reads and validates a
 // request, determines its class and customer, passes it to the dispatcher, and writes
 // exactly one final response. The routes are in API.Register.
 package api
@@ -21,7 +21,7 @@
 
 // Request and response headers specific to applepier.
 const (
-	// HeaderClass names the class of work of a request.
+	// HeaderClass names the class of a request.
 	HeaderClass = "X-Applepier-Class"
 	// HeaderOutcome reports the outcome of a request in its response.
 	HeaderOutcome = "X-Applepier-Outcome"
@@ -60,7 +60,7 @@
 	Do(ctx context.Context, r *dispatch.Request, sink dispatch.Sink) dispatch.Result
 }
 
-// Catalog lists the available models and plain HTTP services.
+// Catalog lists the available models and plain services.
 type Catalog interface {
 	Serves() []string
 }
@@ -121,7 +121,7 @@
 	router.MethodNotAllowed = http.HandlerFunc(handleMethodNotAllowed)
 }
 
-// serviceMethods are the HTTP methods accepted for calls to plain HTTP services.
+// serviceMethods are the HTTP methods accepted for calls to plain services.
 var serviceMethods = []string{http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete}
 
 func handleNotFound(w http.ResponseWriter, r *http.Request) {
--- a/internal/entry/api/service.go
+++ b/internal/entry/api/service.go
@@ -14,7 +14,7 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// forwardedHeaders are the request headers that are forwarded to a plain HTTP service.
+// forwardedHeaders are the request headers that are forwarded to a plain service.
 // Hop-by-hop headers (RFC 9110, 7.6.1) and the caller's API key are not forwarded.
 var forwardedHeaders = []string{"Accept", "Accept-Language", "Content-Type", "If-Match", "If-None-Match", HeaderIdempotencyKey}
 
--- a/internal/entry/api/service_response.go
+++ b/internal/entry/api/service_response.go
@@ -9,7 +9,7 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// serviceResponse streams the response of a plain HTTP service to the caller.
+// serviceResponse streams the response of a plain service to the caller.
 type serviceResponse struct {
 	w          http.ResponseWriter
 	control    *http.ResponseController
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -169,7 +169,7 @@
 		request.Class.BetweenTokens = 0
 		request.ServiceCall = &ServiceCall{}
 		if j.ticket().Preemptible {
-			t.Error("a request to a plain HTTP service is preemptible")
+			t.Error("a request to a plain service is preemptible")
 		}
 	}
 }
--- a/internal/entry/dispatch/request.go
+++ b/internal/entry/dispatch/request.go
@@ -15,14 +15,14 @@
 	Class targets.Class
 	// Customer is the name of the customer that the request is accounted to.
 	Customer string
-	// Serves is the name of the model or plain HTTP service that runs the
+	// Serves is the name of the model or plain service that runs the
 	// request.
 	Serves string
 	// Arrived is the time when the entry had read the request's headers, before
 	// it read the body.
 	Arrived time.Time
 	// EstimatedTokens is the estimated size of the request in tokens: prompt and
-	// completion for a model, the body for a plain HTTP service.
+	// completion for a model, the body for a plain service.
 	EstimatedTokens int
 	// PrefixHash is a hash of the beginning of the prompt.
 	PrefixHash uint64
@@ -31,7 +31,7 @@
 	Repeatable bool
 	// Body is the body sent to the backend server.
 	Body []byte
-	// ServiceCall is set for a request to a plain HTTP service, nil for a
+	// ServiceCall is set for a request to a plain service, nil for a
 	// model.
 	ServiceCall *ServiceCall
 	// GrantRecorder is called before a grant is used; nil for a request without
@@ -48,7 +48,7 @@
 }
 
 // resumable reports whether an interrupted response can be continued. Only a
-// model's token stream can; the bytes of a plain HTTP service cannot.
+// model's token stream can; the bytes of a plain service cannot.
 func (r *Request) resumable() bool { return r.Repeatable && r.ServiceCall == nil }
 
 // preemptible reports whether a run may be stopped for a more urgent one and
--- a/internal/entry/fleet/agent_calls.go
+++ b/internal/entry/fleet/agent_calls.go
@@ -9,7 +9,7 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// Candidates returns the connected agents of a model or plain HTTP service that
+// Candidates returns the connected agents of a model or plain service that
 // can take a ticket.
 func (f *Fleet) Candidates(serves string) []policy.Candidate {
 	var candidates []policy.Candidate
@@ -21,7 +21,7 @@
 	return candidates
 }
 
-// Serves returns the sorted names of the models and plain HTTP services that
+// Serves returns the sorted names of the models and plain services that
 // listed VMs serve.
 func (f *Fleet) Serves() []string {
 	vms, _ := f.VMs()
--- a/internal/entry/fleet/agent_info.go
+++ b/internal/entry/fleet/agent_info.go
@@ -23,7 +23,7 @@
 	LastMessageAt time.Time
 	// TargetsVersion is the agent's targets version as of its last message.
 	TargetsVersion uint64
-	// Serves is the model or plain HTTP service as reported by the agent. VM.Serves
+	// Serves is the model or plain service as reported by the agent. VM.Serves
 	// may be out of date after an address was reassigned to another VM.
 	Serves string
 	// CanLoadModels is set if the backend server accepts orders to load a
--- a/internal/entry/fleet/fleet.go
+++ b/internal/entry/fleet/fleet.go
@@ -1,8 +1,7 @@
 // Package fleet maintains an entry's connections to a subset of the agents and
 // the last known state of each agent. Addresses come from the platform's VM
 // list, which lags; what an agent reports about itself is newer and takes
-// precedence.
-// Start reading at Fleet.
+// precedence. Start reading at Fleet.
 package fleet
 
 import (
@@ -24,7 +23,7 @@
 	// VMListInterval is how often the VM list is read. The list itself lags by
 	// more than that.
 	VMListInterval = 3 * time.Second
-	// subsetSize is the maximum number of agents of one model or plain HTTP
+	// subsetSize is the maximum number of agents of one model or plain
 	// service that an entry connects to. At the target size (100 backend
 	// servers per model) each agent then has connections from about 100
 	// entries, and a request can choose among 24 backend servers. Entries connect
--- a/internal/entry/fleet/link.go
+++ b/internal/entry/fleet/link.go
@@ -8,8 +8,8 @@
 	"github.com/applepier/applepier/internal/wire"
 )
 
-// link maintains the connection to one agent and redials when it is lost. Lock
-// order: link.mu is a leaf except for the connection's lock; wire.Conn.Send
+// link maintains the connection to one agent and redials when it is lost. While
+// link.mu is held, no lock other than the connection's is acquired; wire.Conn.Send
 // never blocks. Ticket handlers are called without link.mu.
 type link struct {
 	fleet *Fleet
@@ -27,8 +27,8 @@
 	pendingVoids   map[string]chan wire.VoidResult
 	liveness       liveness
 	pingSeq        uint64
-	// statusUpdated is closed when the next Status arrives; nil if no caller
-	// waits for one.
+	// statusUpdated is closed when the next Status arrives; nil if no
+	// goroutine waits for one.
 	statusUpdated chan struct{}
 }
 
--- a/internal/entry/fleet/link_void.go
+++ b/internal/entry/fleet/link_void.go
@@ -16,7 +16,7 @@
 // did not respond in time.
 var ErrNoResponse = errors.New("agent did not answer")
 
-// handleVoided passes the response to a Void to the caller that waits for it.
+// handleVoided passes the response to a Void to the goroutine that waits for it.
 func (l *link) handleVoided(v *wire.Voided) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/entry/fleet/refresh_status.go
+++ b/internal/entry/fleet/refresh_status.go
@@ -53,7 +53,7 @@
 	return l.statusUpdated
 }
 
-// storeStatus stores a received Status and wakes the callers that wait for one.
+// storeStatus stores a received Status and wakes the goroutines that wait for one.
 // The caller must hold l.mu.
 func (l *link) storeStatus(status wire.Status) {
 	l.status = status
--- a/internal/entry/fleet/subset.go
+++ b/internal/entry/fleet/subset.go
@@ -10,7 +10,7 @@
 )
 
 // subset selects the agents that this entry connects to, up to subsetSize for
-// each model and plain HTTP service. Rendezvous hashing keeps the selection
+// each model and plain service. Rendezvous hashing keeps the selection
 // stable as VMs come and go, and spreads entries evenly over agents.
 func (f *Fleet) subset(vms []storage.VM) map[string]storage.VM {
 	byServes := make(map[string][]storage.VM)
--- a/internal/entry/fleet_status.go
+++ b/internal/entry/fleet_status.go
@@ -85,7 +85,7 @@
 	return p
 }
 
-// roleName returns the name of a role in the admin API.
+// roleName returns the name of a role in the administration API.
 func roleName(role storage.VMRole) string {
 	if role == storage.RoleBackend {
 		return "agent"
--- a/internal/entry/leader_tasks.go
+++ b/internal/entry/leader_tasks.go
@@ -36,7 +36,7 @@
 	knownModels knownModels
 }
 
-// runLeaderTasks competes for the lease and runs the tasks while this entry holds it,
+// runLeaderTasks campaigns for the lease and runs the tasks while this entry holds it,
 // until ctx is cancelled.
 func (e *entry) runLeaderTasks(ctx context.Context) {
 	t := &leaderTasks{
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -1,5 +1,5 @@
 // Package entry implements the entry process: it accepts callers' requests, dispatches them
-// to the agents of the backend servers, and serves the operators' admin API. Serve is the
+// to the agents of the backend servers, and serves the operators' administration API. Serve is the
 // entry point.
 package entry
 
