--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -72,7 +72,7 @@
 	// Owned reports that the attempt of the call that returned this Claim owns it.
 	// Otherwise another attempt does.
 	Owned bool
-	// Agent and Grant are the agent address and the grant id recorded by Grant; they
+	// Agent and Grant are the name of the agent and the grant ID that Grant recorded; they
 	// are set from StateGranted on.
 	Agent string
 	Grant string
@@ -81,7 +81,7 @@
 	// StartedAt is when the attempt started, by the wall clock of its entry.
 	StartedAt time.Time
 
-	// rowKey is the key of the claim's row, writeID the id of the latest write of the
+	// rowKey is the key of the claim's row, writeID the ID of the latest write of the
 	// row and version the row version.
 	rowKey  string
 	writeID string
--- a/internal/claim/claimer.go
+++ b/internal/claim/claimer.go
@@ -14,7 +14,7 @@
 // concurrently.
 const maxClaimTries = 4
 
-// errContended is the cause of ErrUnavailable after maxClaimAttempts conflicts on a
+// errContended is the cause of ErrUnavailable after maxClaimTries conflicts on a
 // key.
 var errContended = errors.New("key is being claimed and released concurrently")
 
@@ -37,7 +37,7 @@
 }
 
 // Claim claims a customer's idempotency key for the request with the given fingerprint.
-// The attempt id must be unique. If the returned Claim is Owned, the caller may
+// The attempt ID must be unique. If the returned Claim is Owned, the caller may
 // proceed; otherwise it is the claim of another attempt, with its State. Errors:
 // ErrKeyReused, ErrUnavailable, ErrOutcomeUnknown, ErrCorrupt. After an error the caller
 // must not send the request.
