--- a/internal/metrics/queue.go
+++ b/internal/metrics/queue.go
@@ -3,7 +3,7 @@
 import gometrics "github.com/rcrowley/go-metrics"
 
 // Queue holds the numbers of waiting and running items of a process: tickets and
-// runs at an agent, requests at an entry process.
+// runs at an agent, requests at an entry.
 type Queue struct {
 	waiting gometrics.Gauge
 	running gometrics.Gauge
--- a/internal/settings/agent.go
+++ b/internal/settings/agent.go
@@ -7,7 +7,7 @@
 	Process string `yaml:"process" validate:"required"`
 	// Zone is the VM's availability zone.
 	Zone string `yaml:"zone" validate:"required"`
-	// Listen is the host:port that serves entry processes, metrics and health
+	// Listen is the host:port that serves entries, metrics and health
 	// checks.
 	Listen string `yaml:"listen" validate:"required,hostname_port"`
 	// Platform locates the platform's services.
--- a/internal/settings/common.go
+++ b/internal/settings/common.go
@@ -25,7 +25,7 @@
 // CallerAuth configures how the customer of a request is determined.
 type CallerAuth struct {
 	// TrustCustomerHeader says whether the header X-Applepier-Customer names the
-	// customer if the caller sends no API key. Set it only for entry processes
+	// customer if the caller sends no API key. Set it only for entries
 	// behind a proxy that sets the header.
 	TrustCustomerHeader bool `yaml:"trust_customer_header"`
 }
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -3,7 +3,7 @@
 // its addresses and availability zone. Start reading at Entry.
 package settings
 
-// Entry holds the settings of an entry VM's process.
+// Entry holds the settings of an entry.
 type Entry struct {
 	// Process is the VM's name, unique in the fleet.
 	Process string `yaml:"process" validate:"required"`
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -14,7 +14,7 @@
 // ErrUnreadable is returned if the settings file can't be read.
 var ErrUnreadable = errors.New("settings file can't be read")
 
-// LoadEntry reads and validates the settings file of an entry process. The error
+// LoadEntry reads and validates the settings file of an entry. The error
 // is an InvalidError that lists every problem in the file, or wraps
 // ErrUnreadable.
 func LoadEntry(path string) (Entry, error) {
--- a/internal/timeline/event.go
+++ b/internal/timeline/event.go
@@ -10,40 +10,40 @@
 
 // Kinds of events.
 const (
-	// KindReceived: an entry process received a request.
+	// KindReceived: an entry received a request.
 	KindReceived Kind = "received"
-	// KindTicket: an entry process sent a ticket to an agent, or an agent
+	// KindTicket: an entry sent a ticket to an agent, or an agent
 	// received it.
 	KindTicket Kind = "ticket"
 	// KindGrant: an agent issued a grant for a ticket.
 	KindGrant Kind = "grant"
-	// KindSent: an entry process sent a request to the agent whose grant it uses.
+	// KindSent: an entry sent a request to the agent whose grant it uses.
 	KindSent Kind = "sent"
 	// KindStart: an agent accepted a request and started a run.
 	KindStart Kind = "start"
-	// KindFirstToken: an entry process received the first token of a response.
+	// KindFirstToken: an entry received the first token of a response.
 	KindFirstToken Kind = "first_token"
-	// KindFinish: a run ended at an agent, or a request ended at an entry process.
+	// KindFinish: a run ended at an agent, or a request ended at an entry.
 	KindFinish Kind = "finish"
 	// KindPreempt: an agent cancelled a run to free its slot.
 	KindPreempt Kind = "preempt"
-	// KindRefusal: an agent refused a ticket, or an entry process a request.
+	// KindRefusal: an agent refused a ticket, or an entry a request.
 	KindRefusal Kind = "refusal"
-	// KindUnknown: a request ended at an entry process with an unknown outcome.
+	// KindUnknown: a request ended at an entry with an unknown outcome.
 	KindUnknown Kind = "unknown"
-	// KindRetry: an entry process makes a further attempt at a request.
+	// KindRetry: an entry makes a further attempt at a request.
 	KindRetry Kind = "retry"
 	// KindTargetChange: an agent applied newer targets.
 	KindTargetChange Kind = "target_change"
-	// KindLease: an entry process acquired the leader's lease, or no longer holds
+	// KindLease: an entry acquired the leader's lease, or no longer holds
 	// it.
 	KindLease Kind = "lease"
 	// KindOrder: the leader issued an order, or an agent executed it.
 	KindOrder Kind = "order"
-	// KindJoin: an entry process added an agent to those that it connects to, or
-	// an agent received the hello of an entry process.
+	// KindJoin: an entry added an agent to those that it connects to, or
+	// an agent received the hello of an entry.
 	KindJoin Kind = "join"
-	// KindLeave: an entry process removed an agent, or a process stopped taking
+	// KindLeave: an entry removed an agent, or a process stopped taking
 	// new work.
 	KindLeave Kind = "leave"
 )
