--- a/internal/agent/dispatcher_state.go
+++ b/internal/agent/dispatcher_state.go
@@ -8,7 +8,7 @@
 )
 
 // unavailableRetryAfter is the delay after which a caller may retry when no
-// engine of the fleet is available. Entries try other engines first.
+// backend server is available. Entries try other agents first.
 const unavailableRetryAfter = 2 * time.Second
 
 // unavailableLocked reports whether new tickets are refused, and why. Called
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -1,8 +1,8 @@
 // Package callers serves callers' HTTP connections: it closes those that stay idle for
-// too long, and drains all of them in a graceful stop. Neither closes a connection on
-// which a request has begun to arrive, except for requests that are still in progress
-// when the drain times out. It also reports why a connection was closed. Start reading
-// at Server and Conn.
+// too long, and drains all of them during a graceful shutdown. Neither closes a
+// connection on which a request has begun to arrive, except for requests that are still
+// in progress when the drain times out. It also reports why a connection was closed.
+// Start reading at Server and Conn.
 package callers
 
 import (
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,7 +1,7 @@
 // Package engine is an agent's client for its backend server, which runs on the
-// same VM and is either an inference engine or a plain HTTP service. Engines
-// stream tokens, honour priorities, resume and cancel streams, report their load
-// with a delay and accept orders. Start reading at Engine.
+// same VM and is either an inference engine or a plain service, that is, any other
+// HTTP server. Engines stream tokens, honor priorities, resume and cancel streams,
+// report their load with a delay and accept orders. Start reading at Engine.
 package engine
 
 import (
@@ -24,7 +24,7 @@
 	ErrStaleFencingToken = errors.New("stale fencing token")
 )
 
-// RejectedError means that the engine refused a request, which did not run.
+// RejectedError means that the engine rejected a request, which did not run.
 type RejectedError struct {
 	// Status is the engine's HTTP status.
 	Status int
--- a/internal/stall/watchdog.go
+++ b/internal/stall/watchdog.go
@@ -15,7 +15,7 @@
 	cancel context.CancelFunc
 }
 
-// WithWatchdog returns a context for a call and its Watchdog. The context is canceled
+// WithWatchdog returns a context for a call and its Watchdog. The context is cancelled
 // if no data arrives within firstByteTimeout, and after callTimeout in any case. The
 // caller must call Stop.
 func WithWatchdog(ctx context.Context, firstByteTimeout, callTimeout time.Duration) (context.Context, *Watchdog) {
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -28,7 +28,7 @@
 	FailRejected FailKind = "rejected"
 	// FailInterrupted: the run started and was interrupted.
 	FailInterrupted FailKind = "cut"
-	// FailPreempted: the run started and was stopped in favour of urgent work.
+	// FailPreempted: the run started and was stopped in favor of urgent work.
 	// It doesn't indicate a fault of the backend server.
 	FailPreempted FailKind = "preempted"
 	// FailUnknown: the run may have been executed.
