--- a/internal/entry/api/refusal_test.go
+++ b/internal/entry/api/refusal_test.go
@@ -75,7 +75,7 @@
 }
 
 // A caller that is still sending its body receives the refusal, not a connection reset.
-func TestRefusalReachesSendingClient(t *testing.T) {
+func TestRefusalReachesSendingCaller(t *testing.T) {
 	conn, reader := dialFullServer(t)
 	const length = 400 << 10
 	sendRequestHead(t, conn, length)
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -87,7 +87,7 @@
 
 // A single request or response that is lost, delayed or times out must neither fail an
 // acquisition or a renewal nor apply a write twice.
-func TestAcquireAndRenewSucceedDespiteStoreFaults(t *testing.T) {
+func TestAcquireAndRenewSucceedDespiteTableFaults(t *testing.T) {
 	for _, fault := range []storagetest.Fault{storagetest.FaultResponseLost, storagetest.FaultRequestLost, storagetest.FaultDelayed, storagetest.FaultTimeout} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storagetest.NewTable()
