--- a/internal/entry/dispatch/job.go
+++ b/internal/entry/dispatch/job.go
@@ -93,7 +93,8 @@
 	return j.retryOrReturn(Result{Outcome: Failed, Reason: attempted.reason})
 }
 
-// responseBegun reports whether the caller has received a part of the body.
+// responseBegun reports whether a token or, from a plain service, a part of the
+// body was passed to the sink.
 func (j *job) responseBegun() bool { return j.timeToFirstToken > 0 }
 
 // retryOrReturn returns false if the request may be retried, otherwise the
