--- a/internal/gateway/backend/registry.go
+++ b/internal/gateway/backend/registry.go
@@ -33,9 +33,9 @@
 	// expiring holds the servers whose entries expired during a store outage, with the time at
 	// which each is removed.
 	expiring map[string]time.Time
-	// storeDown is set while the store does not respond. storeRecoveredAt is when it last responded
-	// again after an outage, or was restored from an older copy.
-	storeDown        bool
+	// storeUnavailable is set while the store does not respond. storeRecoveredAt is when it last
+	// responded again after an outage, or was restored from an older copy.
+	storeUnavailable bool
 	storeRecoveredAt time.Time
 	// restoreGraceEnd is the time until which the list may still show the state of the older copy
 	// from which the store was restored.
@@ -147,7 +147,7 @@
 func (r *Registry) MarkStoreUnavailable() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.storeDown = true
+	r.storeUnavailable = true
 }
 
 // MarkStoreRestored records that the store was restored from an older copy. For expiryGrace after
@@ -182,7 +182,7 @@
 	defer r.mu.Unlock()
 	removed := false
 	for id, removeAt := range r.expiring {
-		if !now.Before(removeAt) && !r.storeDown {
+		if !now.Before(removeAt) && !r.storeUnavailable {
 			r.delete(now, id)
 			removed = true
 		}
@@ -202,8 +202,8 @@
 
 // endStoreOutage records that the store responds again, if there was an outage. r.mu must be held.
 func (r *Registry) endStoreOutage(now time.Time) {
-	if r.storeDown {
-		r.storeDown = false
+	if r.storeUnavailable {
+		r.storeUnavailable = false
 		r.storeRecoveredAt = now
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -127,8 +127,8 @@
 		Confirmation: func() peers.Confirmation {
 			return peers.Confirmation{Version: g.holder.Version(), At: g.holder.ConfirmedAt()}
 		},
-		Confirm: func(c peers.Confirmation) { g.holder.Confirm(c.Version, c.At) }, StoreStatus: g.pollStatus,
-		Usage: g.peerUsage(), Log: log,
+		Confirm: func(c peers.Confirmation) { g.holder.Confirm(c.Version, c.At) }, StoreStatus: g.storeStatus,
+		Usage: g.usageExchange(), Log: log,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/gateway/peers/compatibility_test.go
+++ b/internal/gateway/peers/compatibility_test.go
@@ -76,7 +76,7 @@
 // Guards against a NaN or infinite count in one datagram, which would stay in the sums over all
 // gateways for good. An unknown urgency level counts as the least urgent one.
 func TestInvalidOfferCountsAreIgnored(t *testing.T) {
-	packed := offerCounts{Levels: []levelOffers{{Urgency: 1, Offered: float32(math.NaN())}, {Urgency: 1, Offered: float32(math.Inf(1))}, {Urgency: 1, Offered: -1}, {Urgency: 200, Offered: 3, Lacked: 2}}}
+	packed := offerCounts{Levels: []levelOffers{{Urgency: 1, Offered: float32(math.NaN())}, {Urgency: 1, Offered: float32(math.Inf(1))}, {Urgency: 1, Offered: -1}, {Urgency: 200, Offered: 3, NoSlot: 2}}}
 	counts := packed.unpack()
 	if last := counts[len(counts)-1]; counts[1].Offered != 0 || last.Offered != 3 || last.NoSlot != 2 {
 		t.Errorf("got %+v", counts)
--- a/internal/gateway/peers/offer_counts.go
+++ b/internal/gateway/peers/offer_counts.go
@@ -24,7 +24,7 @@
 	_       struct{} `cbor:",toarray"`
 	Urgency uint8
 	Offered float32
-	Lacked  float32
+	NoSlot  float32
 }
 
 // packOfferCounts encodes the counts of offers for a service.
@@ -32,7 +32,7 @@
 	packed := offerCounts{Service: hashName(service)}
 	for urgency, level := range counts {
 		if level.Offered >= minOffered {
-			packed.Levels = append(packed.Levels, levelOffers{Urgency: uint8(urgency), Offered: float32(level.Offered), Lacked: float32(level.NoSlot)})
+			packed.Levels = append(packed.Levels, levelOffers{Urgency: uint8(urgency), Offered: float32(level.Offered), NoSlot: float32(level.NoSlot)})
 		}
 	}
 	return packed
@@ -43,12 +43,12 @@
 func (c *offerCounts) unpack() policy.OfferCounts {
 	var sum policy.OfferCounts
 	for _, packed := range c.Levels {
-		if !validCount(packed.Offered) || !validCount(packed.Lacked) {
+		if !validCount(packed.Offered) || !validCount(packed.NoSlot) {
 			continue
 		}
 		level := &sum[min(int(packed.Urgency), len(sum)-1)]
 		level.Offered += float64(packed.Offered)
-		level.NoSlot += float64(packed.Lacked)
+		level.NoSlot += float64(packed.NoSlot)
 	}
 	return sum
 }
--- a/internal/gateway/poll_delegation.go
+++ b/internal/gateway/poll_delegation.go
@@ -20,11 +20,11 @@
 // the list by mistake is listed again within this time.
 const gatewayListRefresh = time.Minute
 
-// pollStatus returns what this gateway tells other gateways about the store. Pollers also report
+// storeStatus returns what this gateway tells other gateways about the store. Pollers also report
 // the position up to which they have read the complete server list, since no other running gateway
 // may know of changes made shortly before. If every gateway reported it, each start of a gateway
 // would make all others poll the store.
-func (g *gateway) pollStatus() peers.StoreStatus {
+func (g *gateway) storeStatus() peers.StoreStatus {
 	status := peers.StoreStatus{
 		Reachable: !g.storeHealth.Unavailable(), Polling: g.servers.Live(), ServersPosition: g.servers.LastChange(), QuarantineKnown: g.quarantineLoaded.Load(),
 	}
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -35,8 +35,8 @@
 	Read(ctx context.Context) ([]policy.Suspicion, error)
 	// Write stores a request, replacing a stored one with the same fingerprint.
 	Write(ctx context.Context, s policy.Suspicion) error
-	// Drop deletes the request with the fingerprint.
-	Drop(ctx context.Context, f policy.Fingerprint) error
+	// Delete deletes the request with the fingerprint.
+	Delete(ctx context.Context, f policy.Fingerprint) error
 }
 
 // syncQuarantine loads the requests quarantined before this gateway started, then writes newly
@@ -85,7 +85,7 @@
 			current = append(current, s)
 			continue
 		}
-		if err := g.platform.Quarantine.Drop(ctx, s.Fingerprint); err != nil {
+		if err := g.platform.Quarantine.Delete(ctx, s.Fingerprint); err != nil {
 			// The next gateway that starts deletes it.
 			g.log.Warn(logging.EventQuarantineFailed, zap.Stringer("fingerprint", s.Fingerprint), logging.Reason(err.Error()))
 		}
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -8,9 +8,9 @@
 	"github.com/applepier/applepier/internal/gateway/usage"
 )
 
-// peerUsage returns the functions for exchanging usage with other gateways; nil if usage reporting
-// is disabled.
-func (g *gateway) peerUsage() *peers.UsageExchange {
+// usageExchange returns the functions for exchanging usage with other gateways; nil if usage
+// reporting is disabled.
+func (g *gateway) usageExchange() *peers.UsageExchange {
 	if !g.settings.UsageReporting.Enabled() {
 		return nil
 	}
