--- a/internal/gateway/backend/load.go
+++ b/internal/gateway/backend/load.go
@@ -7,7 +7,7 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// Counts holds how many requests and prompt tokens one or more gateways have in progress at a
+// Counts holds how many requests and prompt tokens one or more gateways have in flight at a
 // backend server.
 type Counts struct {
 	// Running is the number of requests whose first response byte has arrived.
--- a/internal/gateway/backend/registry.go
+++ b/internal/gateway/backend/registry.go
@@ -20,10 +20,10 @@
 // ReplaceAll and ApplyChanges, and reports the store's availability through the MarkStore methods.
 // All methods are safe for concurrent use.
 type Registry struct {
-	// byService is the snapshot: the servers of each service, sorted by id.
+	// byService is the snapshot: the servers of each service, sorted by ID.
 	byService atomic.Pointer[map[string][]*Server]
 	loaded    atomic.Bool
-	// OnRemove, if not nil, is called with the id of each server removed from the list. It runs
+	// OnRemove, if not nil, is called with the ID of each server removed from the list. It runs
 	// with the Registry's lock held, so it must not call the Registry.
 	OnRemove func(id string)
 
@@ -51,7 +51,7 @@
 	return r
 }
 
-// Servers returns the servers of a service, sorted by id. It leaves out those that were replaced, and
+// Servers returns the servers of a service, sorted by ID. It leaves out those that were replaced, and
 // those at whose address a later instance is listed. The caller must not modify the slice.
 func (r *Registry) Servers(service string) []*Server {
 	return (*r.byService.Load())[service]
@@ -60,7 +60,7 @@
 // Loaded reports whether the list has been read at least once.
 func (r *Registry) Loaded() bool { return r.loaded.Load() }
 
-// Server returns a listed server, or nil if the id is not listed.
+// Server returns a listed server, or nil if the ID is not listed.
 func (r *Registry) Server(id string) *Server {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,7 +87,7 @@
 	return n
 }
 
-// ReplaceAll sets the complete list as read from the store. unreadable holds the ids of entries that
+// ReplaceAll sets the complete list as read from the store. unreadable holds the IDs of entries that
 // could not be decoded; their servers are removed.
 func (r *Registry) ReplaceAll(now time.Time, entries []Info, unreadable []string) {
 	r.mu.Lock()
@@ -124,7 +124,7 @@
 	return true
 }
 
-// ApplyChanges applies a change of the list. unreadable holds the ids of entries that can no longer be
+// ApplyChanges applies a change of the list. unreadable holds the IDs of entries that can no longer be
 // decoded; their servers are removed.
 func (r *Registry) ApplyChanges(now time.Time, changed []Info, removed, unreadable []string) {
 	r.mu.Lock()
@@ -220,7 +220,7 @@
 	r.apply(now, info)
 }
 
-// apply sets a server's entry. r.mu must be held. If the server has restarted under the same id, a
+// apply sets a server's entry. r.mu must be held. If the server has restarted under the same ID, a
 // new Server replaces the old one: its counts, and what was learned about it, no longer apply.
 func (r *Registry) apply(now time.Time, info Info) {
 	s := r.servers[info.ID]
@@ -258,7 +258,7 @@
 	r.delete(now, id)
 }
 
-// deleteAll removes the servers with the given ids, ignoring ids that are not listed. r.mu must be
+// deleteAll removes the servers with the given IDs, ignoring IDs that are not listed. r.mu must be
 // held.
 func (r *Registry) deleteAll(now time.Time, ids []string) {
 	for _, id := range ids {
@@ -299,7 +299,7 @@
 
 // newestStartByAddr returns the latest start time at each address, in Unix milliseconds, over the
 // servers that report one and were not replaced. A crashed server restarts at its address under
-// another id while its old entry stays listed until it expires.
+// another ID while its old entry stays listed until it expires.
 func (r *Registry) newestStartByAddr() map[string]int64 {
 	newest := make(map[string]int64, len(r.servers))
 	for _, s := range r.servers {
--- a/internal/gateway/backend/registry_test.go
+++ b/internal/gateway/backend/registry_test.go
@@ -123,7 +123,7 @@
 }
 
 // Guards against carrying counts and learned data over to a server that restarted under the same
-// id, whichever field of its entry shows the restart.
+// ID, whichever field of its entry shows the restart.
 func TestRestartedServerIsNewInstance(t *testing.T) {
 	first := Info{ID: "a", Addr: "127.0.0.1:1", Service: "s", Slots: 4, StartUnixMilli: 1000, Sequence: 7}
 	for name, c := range map[string]struct {
@@ -170,7 +170,7 @@
 	}
 }
 
-// Guards against excluding a replaced server after it has restarted under the same id.
+// Guards against excluding a replaced server after it has restarted under the same ID.
 func TestReplacedServerReturnsAfterRestart(t *testing.T) {
 	r := NewRegistry()
 	before := Info{ID: "a", Addr: "127.0.0.1:1", Service: "s", StartUnixMilli: 1000, Sequence: 7}
--- a/internal/gateway/backend/restored_test.go
+++ b/internal/gateway/backend/restored_test.go
@@ -45,7 +45,7 @@
 	expectListed(t, r, "a")
 }
 
-// Guards against ignoring a new instance under the same id while the list may be an older copy.
+// Guards against ignoring a new instance under the same ID while the list may be an older copy.
 func TestNewInstanceAcceptedAfterRestore(t *testing.T) {
 	r := NewRegistry()
 	first := entryWithSequence("a", 7, false)
--- a/internal/gateway/backend/tombstones.go
+++ b/internal/gateway/backend/tombstones.go
@@ -10,7 +10,7 @@
 	maxTombstones = 4096
 )
 
-// tombstones holds the last entries of removed servers by id, so that a store restored from an
+// tombstones holds the last entries of removed servers by ID, so that a store restored from an
 // older copy does not bring them back.
 type tombstones map[string]tombstone
 
--- a/internal/gateway/desired_state_sink.go
+++ b/internal/gateway/desired_state_sink.go
@@ -14,8 +14,8 @@
 )
 
 // maxFeedSilence is how long after a change the store's feed may still respond without it. A feed
-// response therefore only confirms that the state was the newest maxFeedSilence before the time
-// that follow.Sink calls asOf.
+// response therefore confirms the state only as of maxFeedSilence before the asOf time that
+// follow.Sink receives.
 const maxFeedSilence = time.Second
 
 // desiredStateSink applies the desired state from its follower to the holder.
--- a/internal/gateway/exchange/exchange_test.go
+++ b/internal/gateway/exchange/exchange_test.go
@@ -50,7 +50,7 @@
 	return req.Header.Get("Id"), true
 }
 
-// Guards against sending a request whose caller has already left on a pooled connection. The
+// Guards against sending a request on a pooled connection after its caller has disconnected. The
 // connection must stay usable.
 func TestCancelledRequestIsNotSent(t *testing.T) {
 	var received atomic.Int32
@@ -205,7 +205,7 @@
 	}
 }
 
-// Guards against a backend server that keeps working on a request after its caller has left.
+// Guards against a backend server that keeps working on a request after its caller has disconnected.
 func TestCancelClosesConnection(t *testing.T) {
 	closed := make(chan struct{})
 	addr, _ := newScriptedServer(t, func(c net.Conn, reader *bufio.Reader) {
--- a/internal/gateway/exchange/pool.go
+++ b/internal/gateway/exchange/pool.go
@@ -58,10 +58,10 @@
 	StartTime int64
 }
 
-// Pool holds idle connections to backend servers. Its methods may be called concurrently.
+// Pool holds idle connections to backend servers. Its methods are safe for concurrent use.
 type Pool struct {
 	dialer net.Dialer
-	// mu guards idle. No other lock is taken while it is held.
+	// mu guards idle. No other lock is acquired while it is held.
 	mu   sync.Mutex
 	idle map[ServerInstance][]*conn
 }
--- a/internal/gateway/follow/follower.go
+++ b/internal/gateway/follow/follower.go
@@ -76,10 +76,9 @@
 	Next(ctx context.Context, after Position, wait time.Duration) (Batch[T], error)
 }
 
-// Sink receives the table and its changes from a Follower. The asOf time is on the clock of package
-// boottime: the batch reflects everything that happened before it. It is the time at which the call
-// was made. If the store sent a response without changes only after the complete wait, it is the time at
-// which the wait ended.
+// Sink receives the table and its changes from a Follower. The asOf time is on the boottime
+// clock; the batch reflects all changes made before it. It is the time at which the call was made or,
+// if the store sent a response without changes only after the complete wait, the end of that wait.
 type Sink[T any] interface {
 	// Reset replaces the table, and Change applies changes to it.
 	Reset(asOf time.Duration, table Batch[T])
--- a/internal/gateway/follow/health.go
+++ b/internal/gateway/follow/health.go
@@ -13,7 +13,7 @@
 const availabilityCheckInterval = 50 * time.Millisecond
 
 // Health is the availability of a store as its followers observe it. The zero value means
-// available; a nil Health records nothing. All methods may be called concurrently.
+// available; a nil Health records nothing. All methods are safe for concurrent use.
 type Health struct{ unavailable atomic.Bool }
 
 func (h *Health) markAvailable() {
--- a/internal/gateway/follow/history.go
+++ b/internal/gateway/follow/history.go
@@ -20,9 +20,9 @@
 }
 
 // history holds the newest changes of a table, which are shared with other gateways that follow it.
-// All methods may be called concurrently.
+// All methods are safe for concurrent use.
 type history[T any] struct {
-	// mu guards the fields below; no other lock is taken while it is held.
+	// mu guards the fields below; no other lock is acquired while it is held.
 	mu sync.Mutex
 	// start is the position after which deltas is complete.
 	start  Position
--- a/internal/gateway/follow/paged_read.go
+++ b/internal/gateway/follow/paged_read.go
@@ -17,7 +17,7 @@
 type pagedRead[T any] struct {
 	// batch holds the pages that were read. Its NextPage is empty before the first page.
 	batch Batch[T]
-	// startedAt is the boot time at which the call that returned the first page was made.
+	// startedAt is when the call that returned the first page was made, on the boottime clock.
 	startedAt time.Duration
 }
 
--- a/internal/gateway/followers.go
+++ b/internal/gateway/followers.go
@@ -12,8 +12,8 @@
 const (
 	// desiredStateMaxWait is how long the store may hold a poller's request for the desired state (a
 	// long poll) where operators set no bound on key revocation. Where they set one, the wait is
-	// confirmationWaitShare of the bound less maxFeedSilence, since each response only confirms that
-	// the state in force was the newest one second before. The rest of the bound is how long
+	// confirmationWaitShare of the bound less maxFeedSilence, since each response confirms the state
+	// in force only as of one second before. The rest of the bound is how long
 	// requests with a key can still be served while the store is unavailable.
 	desiredStateMaxWait   = 2500 * time.Millisecond
 	confirmationWaitShare = 0.25
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -76,8 +76,8 @@
 	// servers follows the list of backend servers, desiredState the desired state.
 	servers      *follow.Follower[backend.Info]
 	desiredState *follow.Follower[*routes.Snapshot]
-	// serversBehind holds while other gateways have changes of the server list that this gateway
-	// doesn't have, stateBehind while they have a newer desired state.
+	// serversBehind holds while other gateways have changes of the list of backend servers that this
+	// gateway doesn't have, stateBehind while they have a newer desired state.
 	serversBehind, stateBehind timedCondition
 	draining                   atomic.Bool
 	// pendingQuarantine holds newly quarantined requests until they are written to the store.
--- a/internal/gateway/handover/client.go
+++ b/internal/gateway/handover/client.go
@@ -17,7 +17,7 @@
 
 const (
 	// progressTimeout bounds the wait for the first byte of a response and each pause within
-	// it. If it expires, callers try another gateway.
+	// it. If it expires, the requesting gateway tries another one.
 	progressTimeout = time.Second
 	// MaxDuration bounds a complete transfer that makes progress. The largest state takes seven
 	// seconds on an otherwise idle link of 10 Mbit/s.
--- a/internal/gateway/peers/mesh.go
+++ b/internal/gateway/peers/mesh.go
@@ -27,7 +27,7 @@
 )
 
 // Mesh sends this gateway's datagrams to the other gateways and keeps what it received from them. It
-// implements follow.Sink for the list of gateways. Its exported methods may be called concurrently.
+// implements follow.Sink for the list of gateways. Its exported methods are safe for concurrent use.
 type Mesh struct {
 	Config
 	// Unlisted receives a value when this gateway's own entry was removed from the list.
@@ -90,7 +90,7 @@
 }
 
 // LimitedSends returns how many requests all other gateways have recently sent to an
-// instance of a backend server that has announced a limit.
+// instance of a backend server that has reported a rate limit.
 func (m *Mesh) LimitedSends(instance policy.Key) float64 {
 	return m.table.limitedSends(uint32(instance))
 }
--- a/internal/gateway/peers/table.go
+++ b/internal/gateway/peers/table.go
@@ -49,14 +49,14 @@
 // table holds the state of all other gateways and the sums of their counts. All methods are
 // safe for concurrent use.
 type table struct {
-	// mu guards the fields below. No other lock is taken while it is held.
+	// mu guards the fields below. No other lock is acquired while it is held.
 	mu sync.Mutex
 	// peers holds the other gateways by name, loadSums the sums of their loads by server hash.
 	peers    map[string]*peer
 	loadSums map[uint32]*backend.Counts
 	// offerSums holds the sums of the counts of offers by service hash.
 	offerSums map[uint32]policy.OfferCounts
-	// limitedSendSums holds the sums of requests to servers that have announced a rate limit, by
+	// limitedSendSums holds the sums of requests to servers that have reported a rate limit, by
 	// server instance.
 	limitedSendSums map[uint32]float64
 }
--- a/internal/gateway/poll_delegation.go
+++ b/internal/gateway/poll_delegation.go
@@ -10,19 +10,19 @@
 	"github.com/applepier/applepier/internal/logging"
 )
 
-// maxPeerLag is how long a gateway tries to get newer data, such as changes of the server list, from
-// other gateways before it polls the store. Together with the second after which a silent poller
-// counts as gone, it stays below the two seconds after which draining servers must get no more
-// work.
+// maxPeerLag is how long a gateway tries to get newer data, such as changes of the list of backend
+// servers, from other gateways before it polls the store. Together with the second after which a
+// silent poller counts as gone, it stays below the two seconds after which draining servers must get
+// no more work.
 const maxPeerLag = 400 * time.Millisecond
 
-// gatewayListRefresh is the longest time between reads of the gateway list. A gateway removed from
+// gatewayListRefresh is the longest time between reads of the list of gateways. A gateway removed from
 // the list by mistake is listed again within this time.
 const gatewayListRefresh = time.Minute
 
 // storeStatus returns what this gateway tells other gateways about the store. Pollers also report
-// the position up to which they have read the complete server list, since no other running gateway
-// may know of changes made shortly before. If every gateway reported it, each start of a gateway
+// the position up to which they have read the complete list of backend servers, since no other
+// running gateway may know of changes made shortly before. If every gateway reported it, each start of a gateway
 // would make all others poll the store.
 func (g *gateway) storeStatus() peers.StoreStatus {
 	status := peers.StoreStatus{
@@ -42,8 +42,8 @@
 	return !g.isPoller() && g.mesh.PeerPollsStore() && 2*g.mesh.LiveGateways() > g.mesh.ListedGateways()
 }
 
-// serversFromPeers reports whether changes of the server list come from other gateways, so that
-// this one needn't poll the store for them.
+// serversFromPeers reports whether changes of the list of backend servers come from other gateways,
+// so that this one needn't poll the store for them.
 func (g *gateway) serversFromPeers() bool {
 	return g.pollersAvailable() && !g.serversBehind.heldLongerThan(maxPeerLag)
 }
@@ -55,7 +55,7 @@
 	return g.pollersAvailable() && g.holder.Version() != 0 && !g.confirmationNeedsRenewal() && !g.stateBehind.heldLongerThan(maxPeerLag)
 }
 
-// gatewayListFresh reports whether the gateway list needn't be read again now. It must be read at
+// gatewayListFresh reports whether the list of gateways needn't be read again now. It must be read at
 // least twice, since gateways that started at the same time may have been missing from the first
 // read, and then periodically, since only the list tells of removals.
 func (g *gateway) gatewayListFresh() bool {
@@ -63,7 +63,8 @@
 	return g.pollersAvailable() && reads > 1 && age < gatewayListRefresh
 }
 
-// syncServersFromPeers gets changes of the server list from other gateways until ctx ends.
+// syncServersFromPeers gets changes of the list of backend servers from other gateways until ctx
+// ends.
 func (g *gateway) syncServersFromPeers(ctx context.Context) {
 	client := handover.NewClient()
 	ticker := time.NewTicker(peerCheckInterval)
@@ -78,8 +79,8 @@
 	}
 }
 
-// fetchServerChanges gets the changes of the server list from a gateway that has newer ones, if
-// there is one.
+// fetchServerChanges gets the changes of the list of backend servers from a gateway that has newer
+// ones, if there is one.
 func (g *gateway) fetchServerChanges(ctx context.Context, client *handover.Client) {
 	position := g.servers.Position()
 	addr := g.mesh.PeerWithNewerServers(position)
--- a/internal/gateway/router/call.go
+++ b/internal/gateway/router/call.go
@@ -43,8 +43,8 @@
 	bodyLimit int64
 	// stateVersion is the version of the desired state under which the request is served.
 	stateVersion uint64
-	// serverID is the id of the server that was chosen last, and expectedTTFT the time to its first
-	// token that was expected then.
+	// serverID is the ID of the server that was chosen last, and expectedTTFT the time to first token
+	// that was expected then.
 	serverID     string
 	expectedTTFT time.Duration
 	// prefillTokens is how many tokens of the prompt that server was expected to prefill, and
@@ -69,7 +69,7 @@
 	// empty for none.
 	sharedSegments []policy.PrefixSegment
 	fetchFrom      string
-	// triedServers lists the ids of the servers that were tried. sends counts the attempts in which
+	// triedServers lists the IDs of the servers that were tried. sends counts the attempts in which
 	// the request was sent, failedDials those in which no connection could be opened.
 	triedServers []string
 	sends        int
--- a/internal/gateway/router/config.go
+++ b/internal/gateway/router/config.go
@@ -48,7 +48,7 @@
 
 // Peers provides what the other gateways have reported to this one.
 type Peers interface {
-	// LoadAt returns the requests that the other gateways have in progress at a backend server.
+	// LoadAt returns the requests that the other gateways have in flight at a backend server.
 	LoadAt(server string) backend.Counts
 	// OfferCounts returns the recent counts of the other gateways' offers for a service.
 	OfferCounts(service string) policy.OfferCounts
@@ -107,7 +107,7 @@
 	// ServerEnded is set if that server ended while it had the request. It is not set for served
 	// requests.
 	ServerEnded bool
-	// ExpectedTTFT is the time to the first token that was expected when Server was chosen.
+	// ExpectedTTFT is the time to first token that was expected when Server was chosen.
 	ExpectedTTFT time.Duration
 	// PromptTokens is the length of the prompt in tokens; 0 for services without prompts. Admission
 	// used MeanTokens instead, which is about the mean of the route's prompts. Server was expected
--- a/internal/gateway/router/event_splitter.go
+++ b/internal/gateway/router/event_splitter.go
@@ -56,7 +56,7 @@
 	return p[:end], p[end:]
 }
 
-// eventID returns the id of an event. It reports false if the event has no numeric id.
+// eventID returns the ID of an event. It reports false if the event has no numeric ID.
 func eventID(event []byte) (int64, bool) {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		value, ok := bytes.CutPrefix(line, []byte("id:"))
--- a/internal/gateway/router/policy_state.go
+++ b/internal/gateway/router/policy_state.go
@@ -100,8 +100,8 @@
 	return countsByService
 }
 
-// observeFirstToken records the time to the first token, before which tokensAhead tokens had to be
-// prefilled, the request's own included. From now on the server counts as having the shared segments
+// observeFirstToken records the time to first token. The server had to prefill tokensAhead tokens
+// before that token, the request's own included. From now on it counts as having the shared segments
 // of the prompt cached.
 func (r *Router) observeFirstToken(c *call, tokensAhead float64, elapsed time.Duration) {
 	r.mu.Lock()
--- a/internal/gateway/router/quarantine.go
+++ b/internal/gateway/router/quarantine.go
@@ -14,7 +14,7 @@
 // that crashes servers is not admitted again until it has been absent for a long time.
 const quarantineRetryAfter = time.Minute
 
-// fingerprint returns a hash that identifies requests for the same work. It leaves out the request id
+// fingerprint returns a hash that identifies requests for the same work. It leaves out the request ID
 // and the timeout, which differ when a caller sends the same request again. The hash is cryptographic
 // so that nobody can construct a request with the fingerprint of another customer's.
 func (c *call) fingerprint() policy.Fingerprint {
--- a/internal/gateway/router/stream_state.go
+++ b/internal/gateway/router/stream_state.go
@@ -9,10 +9,10 @@
 type streamState struct {
 	// headerSent is set once the status and headers have been sent.
 	headerSent bool
-	// lastID is the id of the last event that the caller has. It is valid if hasLastID is set.
+	// lastID is the ID of the last event that the caller has. It is valid if hasLastID is set.
 	lastID    int64
 	hasLastID bool
-	// sentWithoutID is set if the caller has received events without an id, other than comments.
+	// sentWithoutID is set if the caller has received events without an ID, other than comments.
 	sentWithoutID bool
 	// lastSentAt is when events were last forwarded, and longestPause the longest time between two
 	// consecutive writes of events.
@@ -22,8 +22,8 @@
 	pauseCount int
 }
 
-// setResumePoint records that the caller already has the events up to the given id. It ignores an
-// id that is not a number.
+// setResumePoint records that the caller already has the events up to the given ID. It ignores an
+// ID that is not a number.
 func (s *streamState) setResumePoint(after string) {
 	if id, err := strconv.ParseInt(after, 10, 64); err == nil {
 		s.lastID, s.hasLastID = id, true
@@ -54,7 +54,7 @@
 }
 
 // resumable reports whether the stream can continue at another server. It cannot after events
-// without an id: it is unknown which of them the caller has, and none may be sent twice.
+// without an ID: it is unknown which of them the caller has, and none may be sent twice.
 func (s *streamState) resumable() bool { return !s.sentWithoutID }
 
 // recordSend records that events were forwarded at the given time.
--- a/internal/gateway/router/tracked_request.go
+++ b/internal/gateway/router/tracked_request.go
@@ -6,7 +6,7 @@
 	"github.com/applepier/applepier/internal/gateway/backend"
 )
 
-// trackedRequest is a request in flight at a server, with the data for recording its time to the
+// trackedRequest is a request in flight at a server, with the data for recording its time to
 // first token.
 type trackedRequest struct {
 	*backend.InFlight
--- a/internal/gateway/router/update_buffer.go
+++ b/internal/gateway/router/update_buffer.go
@@ -8,8 +8,8 @@
 // that the buffer stays small if nothing takes them.
 const maxBufferedSamples = 256
 
-// updateBuffer collects the samples since the last update to other gateways: times to the first
-// token, pauses, and servers that did not respond. Samples in a lost datagram are not sent again;
+// updateBuffer collects the samples since the last update to other gateways: times to first token,
+// pauses, and servers that did not respond. Samples in a lost datagram are not sent again;
 // the other gateways then merely have fewer samples.
 type updateBuffer struct {
 	firstTokens []policy.TTFTSample
@@ -17,7 +17,7 @@
 	unanswered  []policy.Key
 }
 
-// addFirstToken adds a time to the first token.
+// addFirstToken adds a time to first token.
 func (b *updateBuffer) addFirstToken(sample policy.TTFTSample) {
 	if len(b.firstTokens) < maxBufferedSamples {
 		b.firstTokens = append(b.firstTokens, sample)
--- a/internal/gateway/routes/route.go
+++ b/internal/gateway/routes/route.go
@@ -12,7 +12,7 @@
 	KindUnsafe Kind = iota
 	// KindSafe requests may run more than once.
 	KindSafe
-	// KindStream requests get responses of server-sent events that have increasing ids. They run
+	// KindStream requests get responses of server-sent events that have increasing IDs. They run
 	// at most once, unless the route is Resumable.
 	KindStream
 )
--- a/internal/gateway/usage/aggregator.go
+++ b/internal/gateway/usage/aggregator.go
@@ -10,12 +10,12 @@
 // sourceExpiry is how long a source without counts is kept after its last update.
 const sourceExpiry = time.Minute
 
-// Aggregator merges the counts of all gateways. All methods may be called concurrently.
+// Aggregator merges the counts of all gateways. All methods are safe for concurrent use.
 type Aggregator struct {
 	windows Windows
 	clock   func() time.Time
 
-	// mu guards the fields below; no other lock is taken while it is held.
+	// mu guards the fields below; no other lock is acquired while it is held.
 	mu      sync.Mutex
 	sources map[Source]*sourceCounts
 	// latestBootIDs holds, by gateway, the BootID of the instance that sent the most recent update.
--- a/internal/gateway/usage/counter.go
+++ b/internal/gateway/usage/counter.go
@@ -15,12 +15,12 @@
 	maxRetainedWindows = 24
 )
 
-// Counter counts the requests of this gateway. All methods may be called concurrently.
+// Counter counts the requests of this gateway. All methods are safe for concurrent use.
 type Counter struct {
 	windows Windows
 	clock   func() time.Time
 
-	// mu guards the fields below; no other lock is taken while it is held.
+	// mu guards the fields below; no other lock is acquired while it is held.
 	mu sync.Mutex
 	// sequence is the sequence number of the last change.
 	sequence uint64
--- a/internal/gateway/usage/reporter.go
+++ b/internal/gateway/usage/reporter.go
@@ -35,7 +35,7 @@
 )
 
 // Reporter counts this gateway's requests, campaigns for the reporting lease, and sends the reports
-// of all gateways while it holds the lease. All methods may be called concurrently.
+// of all gateways while it holds the lease. All methods are safe for concurrent use.
 //
 // Lock order: mu before the locks of Counter and Aggregator.
 type Reporter struct {
