--- a/internal/gateway/backend/registry_test.go
+++ b/internal/gateway/backend/registry_test.go
@@ -235,7 +235,7 @@
 
 // Guards against an entry with a wrong address excluding the server at that address for good. Once
 // the gateway finds that another instance responds there, the server must be used again.
-func TestFalseAddressClaim(t *testing.T) {
+func TestWrongAddressIsCorrected(t *testing.T) {
 	r := NewRegistry()
 	r.ReplaceAll(testStart, []Info{entryAt("a", "10.0.0.1:1", 1000)}, nil)
 	r.ApplyChanges(testStart, []Info{entryAt("false", "10.0.0.1:1", 2000)}, nil, nil)
--- a/internal/gateway/caller_server_test.go
+++ b/internal/gateway/caller_server_test.go
@@ -120,7 +120,7 @@
 
 // Guards against a graceful shutdown closing a connection on which a request has started to arrive:
 // the connection is no longer idle, even while its header is incomplete.
-func TestRequestStartedBeforeDrainIsAnswered(t *testing.T) {
+func TestRequestStartedBeforeDrainGetsResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		serverConn, callerConn := net.Pipe()
 		server := newCallerServer(newSingleConnListener(serverConn), http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/gateway/exchange/pool_test.go
+++ b/internal/gateway/exchange/pool_test.go
@@ -43,7 +43,7 @@
 
 // Guards against mistaking an exiting server for a running one if it exits while RefusesConnections
 // opens its first connection, which succeeds and is then reset.
-func TestPeerEndingDuringDialRefuses(t *testing.T) {
+func TestServerExitingDuringDialRefuses(t *testing.T) {
 	const servers = 20
 	lastHost := 1
 	for _, accepts := range []bool{true, false} {
--- a/internal/gateway/usage/counter_test.go
+++ b/internal/gateway/usage/counter_test.go
@@ -35,7 +35,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := noon
 		counter := NewCounter(fiveSeconds, func() time.Time { return now })
-		aggregate := NewAggregator(fiveSeconds, func() time.Time { return now })
+		aggregator := NewAggregator(fiveSeconds, func() time.Time { return now })
 		source := Source{Gateway: "a", BootID: 1}
 		want := map[countKey]int64{}
 		var sent []Update
@@ -48,22 +48,22 @@
 			case 2:
 				now = now.Add(time.Duration(rapid.IntRange(0, 7000).Draw(t, "ms")) * time.Millisecond)
 			case 3:
-				sent = append(sent, counter.UpdateSince(aggregate.MergedSequence(source)))
+				sent = append(sent, counter.UpdateSince(aggregator.MergedSequence(source)))
 			case 4:
 				if len(sent) > 0 {
-					aggregate.Merge(now, source, sent[rapid.IntRange(0, len(sent)-1).Draw(t, "which")])
+					aggregator.Merge(now, source, sent[rapid.IntRange(0, len(sent)-1).Draw(t, "which")])
 				}
 			}
 		}
-		aggregate.Merge(now, source, counter.UpdateSince(aggregate.MergedSequence(source)))
+		aggregator.Merge(now, source, counter.UpdateSince(aggregator.MergedSequence(source)))
 		newest := fiveSeconds.Number(now)
 		maps.DeleteFunc(want, func(k countKey, _ int64) bool { return k.window+maxRetainedWindows < newest })
 		for key, requests := range want {
-			if got := aggregate.Sum(key.window)[key.customer]; got != requests {
+			if got := aggregator.Sum(key.window)[key.customer]; got != requests {
 				t.Fatalf("aggregated %d requests of %v, counted %d", got, key, requests)
 			}
 		}
-		if incomplete := aggregate.IncompleteGateways(time.Time{}, now); len(incomplete) > 0 {
+		if incomplete := aggregator.IncompleteGateways(time.Time{}, now); len(incomplete) > 0 {
 			t.Errorf("counts of %v are incomplete", incomplete)
 		}
 	})
@@ -76,21 +76,21 @@
 	for i := range 2*maxUpdateCounts + 7 {
 		counter.Add(fmt.Sprint("customer-", i))
 	}
-	aggregate, source := NewAggregator(fiveSeconds, func() time.Time { return noon }), Source{Gateway: "a", BootID: 1}
+	aggregator, source := NewAggregator(fiveSeconds, func() time.Time { return noon }), Source{Gateway: "a", BootID: 1}
 	for parts := 1; ; parts++ {
-		update := counter.UpdateSince(aggregate.MergedSequence(source))
-		aggregate.Merge(noon, source, update)
+		update := counter.UpdateSince(aggregator.MergedSequence(source))
+		aggregator.Merge(noon, source, update)
 		if update.CompleteUntil != 0 {
 			if parts != 3 {
 				t.Errorf("update was split into %d parts", parts)
 			}
 			break
 		}
-		if len(aggregate.IncompleteGateways(time.Time{}, noon)) != 1 {
+		if len(aggregator.IncompleteGateways(time.Time{}, noon)) != 1 {
 			t.Error("counts are complete after a truncated update")
 		}
 	}
-	if got := len(aggregate.Sum(fiveSeconds.Number(noon))); got != 2*maxUpdateCounts+7 {
+	if got := len(aggregator.Sum(fiveSeconds.Number(noon))); got != 2*maxUpdateCounts+7 {
 		t.Errorf("%d customers", got)
 	}
 }
@@ -98,25 +98,25 @@
 // After a gateway restarts, the counts of its earlier instance are added to those of the current one.
 // The earlier instance sends no more updates, so only the current one can be incomplete.
 func TestOnlyLatestInstanceCanBeIncomplete(t *testing.T) {
-	aggregate := NewAggregator(fiveSeconds, clockInWindow(7))
+	aggregator := NewAggregator(fiveSeconds, clockInWindow(7))
 	counts := []Count{{Window: 7, Customer: "a", Requests: 3}}
-	aggregate.Merge(noon, Source{Gateway: "x", BootID: 1}, Update{Sequence: 3, CompleteUntil: 100, Counts: counts})
-	aggregate.Merge(noon, Source{Gateway: "x", BootID: 2}, Update{Sequence: 3, CompleteUntil: 900, Counts: counts})
-	if got := aggregate.Sum(7)["a"]; got != 6 {
+	aggregator.Merge(noon, Source{Gateway: "x", BootID: 1}, Update{Sequence: 3, CompleteUntil: 100, Counts: counts})
+	aggregator.Merge(noon, Source{Gateway: "x", BootID: 2}, Update{Sequence: 3, CompleteUntil: 900, Counts: counts})
+	if got := aggregator.Sum(7)["a"]; got != 6 {
 		t.Errorf("%d requests", got)
 	}
-	if incomplete := aggregate.IncompleteGateways(time.UnixMilli(0), time.UnixMilli(500)); len(incomplete) != 0 {
+	if incomplete := aggregator.IncompleteGateways(time.UnixMilli(0), time.UnixMilli(500)); len(incomplete) != 0 {
 		t.Errorf("incomplete gateways %v, want none", incomplete)
 	}
-	if incomplete := aggregate.IncompleteGateways(time.UnixMilli(600), time.UnixMilli(1000)); len(incomplete) != 1 {
+	if incomplete := aggregator.IncompleteGateways(time.UnixMilli(600), time.UnixMilli(1000)); len(incomplete) != 1 {
 		t.Errorf("incomplete gateways %v, want the one that has sent a part", incomplete)
 	}
 	// A gateway whose last update ends before the interval has stopped or had no counts in it.
-	if incomplete := aggregate.IncompleteGateways(time.UnixMilli(1000), time.UnixMilli(1500)); len(incomplete) != 0 {
+	if incomplete := aggregator.IncompleteGateways(time.UnixMilli(1000), time.UnixMilli(1500)); len(incomplete) != 0 {
 		t.Errorf("incomplete gateways %v, want none", incomplete)
 	}
-	aggregate.Expire(noon.Add(2*sourceExpiry), 7)
-	if len(aggregate.sources)+len(aggregate.latestBootIDs) != 0 {
+	aggregator.Expire(noon.Add(2*sourceExpiry), 7)
+	if len(aggregator.sources)+len(aggregator.latestBootIDs) != 0 {
 		t.Error("sources without an update are kept after their expiry")
 	}
 }
@@ -124,15 +124,15 @@
 // A checkpoint holds all counts that aren't finalized, in rows that are small enough for the store.
 func TestCheckpointRestoresAllCounts(t *testing.T) {
 	const gateways, customers = 68, 400
-	aggregate := NewAggregator(fiveSeconds, clockInWindow(5))
+	aggregator := NewAggregator(fiveSeconds, clockInWindow(5))
 	for i := range gateways {
 		var counts []Count
 		for c := range customers {
 			counts = append(counts, Count{Window: 5, Customer: fmt.Sprintf("customer-%03d", c), Requests: 1})
 		}
-		aggregate.Merge(noon, Source{Gateway: fmt.Sprint("gateway-", i), BootID: uint64(i) << 50}, Update{Counts: counts})
+		aggregator.Merge(noon, Source{Gateway: fmt.Sprint("gateway-", i), BootID: uint64(i) << 50}, Update{Counts: counts})
 	}
-	rows, err := aggregate.encodeCheckpoint(4)
+	rows, err := aggregator.encodeCheckpoint(4)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,7 +151,7 @@
 	if writes := checkpointWrites(nil, len(rows)); len(writes) != len(rows) || writes[0].Value != nil {
 		t.Error("rows of the previous checkpoint aren't emptied")
 	}
-	if rows, err := aggregate.encodeCheckpoint(5); err != nil || len(rows) != 1 {
+	if rows, err := aggregator.encodeCheckpoint(5); err != nil || len(rows) != 1 {
 		t.Errorf("%d rows after all windows were finalized, error %v", len(rows), err)
 	}
 }
@@ -159,30 +159,30 @@
 // A gateway that only receives updates and never sends reports keeps a bounded number of counts.
 func TestAggregatorIsBounded(t *testing.T) {
 	now := noon
-	aggregate := NewAggregator(fiveSeconds, func() time.Time { return now })
+	aggregator := NewAggregator(fiveSeconds, func() time.Time { return now })
 	first := fiveSeconds.Number(noon)
 	for i := range uint64(500) {
 		now = now.Add(5 * time.Second)
 		source := Source{Gateway: fmt.Sprint("gateway-", i%3), BootID: i / 50}
-		aggregate.Merge(now, source, Update{Sequence: i, CompleteUntil: now.UnixMilli(), Counts: []Count{{Window: first + i, Customer: "a", Requests: 1}}})
+		aggregator.Merge(now, source, Update{Sequence: i, CompleteUntil: now.UnixMilli(), Counts: []Count{{Window: first + i, Customer: "a", Requests: 1}}})
 	}
 	counts := 0
-	for _, source := range aggregate.sources {
+	for _, source := range aggregator.sources {
 		counts += len(source.counts)
 	}
-	if counts == 0 || counts > maxRetainedWindows+1 || len(aggregate.sources) > 6 || len(aggregate.latestBootIDs) != 3 {
-		t.Errorf("%d counts of %d sources, %d gateways", counts, len(aggregate.sources), len(aggregate.latestBootIDs))
+	if counts == 0 || counts > maxRetainedWindows+1 || len(aggregator.sources) > 6 || len(aggregator.latestBootIDs) != 3 {
+		t.Errorf("%d counts of %d sources, %d gateways", counts, len(aggregator.sources), len(aggregator.latestBootIDs))
 	}
 }
 
 // The clock of a gateway may be hours off until it has received the time of the others. Its updates
 // must not displace the counts of the other gateways.
 func TestWrongClockDropsNoValidCounts(t *testing.T) {
-	aggregate := NewAggregator(fiveSeconds, clockInWindow(5000))
-	aggregate.Merge(noon, Source{Gateway: "right", BootID: 1}, Update{Counts: []Count{{Window: 5000, Customer: "a", Requests: 3}}})
-	aggregate.Merge(noon, Source{Gateway: "wrong", BootID: 1}, Update{Counts: []Count{{Window: 9000, Customer: "a", Requests: 1}, {Window: 100, Customer: "a", Requests: 1}}})
-	aggregate.Merge(noon, Source{Gateway: "right", BootID: 1}, Update{Counts: []Count{{Window: 5001, Customer: "a", Requests: 1}}})
-	if aggregate.Sum(5000)["a"] != 3 || aggregate.Sum(5001)["a"] != 1 || len(aggregate.Sum(9000))+len(aggregate.Sum(100)) != 0 {
-		t.Errorf("%v, %v, %v, %v", aggregate.Sum(5000), aggregate.Sum(5001), aggregate.Sum(9000), aggregate.Sum(100))
+	aggregator := NewAggregator(fiveSeconds, clockInWindow(5000))
+	aggregator.Merge(noon, Source{Gateway: "right", BootID: 1}, Update{Counts: []Count{{Window: 5000, Customer: "a", Requests: 3}}})
+	aggregator.Merge(noon, Source{Gateway: "wrong", BootID: 1}, Update{Counts: []Count{{Window: 9000, Customer: "a", Requests: 1}, {Window: 100, Customer: "a", Requests: 1}}})
+	aggregator.Merge(noon, Source{Gateway: "right", BootID: 1}, Update{Counts: []Count{{Window: 5001, Customer: "a", Requests: 1}}})
+	if aggregator.Sum(5000)["a"] != 3 || aggregator.Sum(5001)["a"] != 1 || len(aggregator.Sum(9000))+len(aggregator.Sum(100)) != 0 {
+		t.Errorf("%v, %v, %v, %v", aggregator.Sum(5000), aggregator.Sum(5001), aggregator.Sum(9000), aggregator.Sum(100))
 	}
 }
