--- a/internal/gateway/backend/registry_test.go
+++ b/internal/gateway/backend/registry_test.go
@@ -94,8 +94,8 @@
 	expectListed(t, r, "b")
 }
 
-// Guards against keeping a server that announced its shutdown: when its entry disappears, it is
-// removed at once, even after a store outage.
+// Guards against keeping a draining server: when its entry disappears, it is removed at once, even
+// after a store outage.
 func TestDrainingServersGetNoGracePeriod(t *testing.T) {
 	r := NewRegistry()
 	entries := testEntries("a", "b")
