--- a/internal/gateway/request_observer_test.go
+++ b/internal/gateway/request_observer_test.go
@@ -13,9 +13,9 @@
 	"github.com/applepier/applepier/internal/metrics"
 )
 
-// Guards against rejections that don't report the prompt size: if long prompts were always rejected,
+// Guards against refusals that don't report the prompt size: if long prompts were always refused,
 // that would be indistinguishable from ordinary overload.
-func TestRejectionsReportPromptSize(t *testing.T) {
+func TestRefusalsReportPromptSize(t *testing.T) {
 	core, entries := observer.New(zap.InfoLevel)
 	registry := metrics.New()
 	observed := requestObserver{metrics: registry, log: zap.New(core)}
@@ -25,7 +25,7 @@
 	})
 	observed.RequestEnded(router.RequestResult{Route: "summary", Status: http.StatusOK, Reason: router.ReasonServed, PromptTokens: 8000})
 	if entries.Len() != 1 {
-		t.Fatalf("%d log entries, want 1 for the rejection", entries.Len())
+		t.Fatalf("%d log entries, want 1 for the refusal", entries.Len())
 	}
 	fields := entries.All()[0].ContextMap()
 	for name, want := range map[string]int64{"prompt_tokens": 17_000, "mean_tokens": 9000, "prefill_tokens": 14_000, "tokens_ahead": 1800} {
