--- a/internal/gateway/backend/registry.go
+++ b/internal/gateway/backend/registry.go
@@ -20,10 +20,10 @@
 // ReplaceAll and ApplyChanges, and reports the store's availability through the MarkStore methods.
 // All methods are safe for concurrent use.
 type Registry struct {
-	// byService is the snapshot: the servers of each service, sorted by id.
+	// byService is the snapshot: the servers of each service, sorted by ID.
 	byService atomic.Pointer[map[string][]*Server]
 	loaded    atomic.Bool
-	// OnRemove, if not nil, is called with the id of each server removed from the list. It runs
+	// OnRemove, if not nil, is called with the ID of each server removed from the list. It runs
 	// with the Registry's lock held, so it must not call the Registry.
 	OnRemove func(id string)
 
@@ -33,9 +33,9 @@
 	// expiring holds the servers whose entries expired during a store outage, with the time at
 	// which each is removed.
 	expiring map[string]time.Time
-	// storeDown is set while the store does not respond. storeRecoveredAt is when it last responded
-	// again after an outage, or was restored from an older copy.
-	storeDown        bool
+	// storeUnavailable is set while the store does not respond. storeRecoveredAt is when it last
+	// responded again after an outage, or was restored from an older copy.
+	storeUnavailable bool
 	storeRecoveredAt time.Time
 	// restoreGraceEnd is the time until which the list may still show the state of the older copy
 	// from which the store was restored.
@@ -51,7 +51,7 @@
 	return r
 }
 
-// Servers returns the servers of a service, sorted by id. It leaves out those that were replaced, and
+// Servers returns the servers of a service, sorted by ID. It leaves out those that were replaced, and
 // those at whose address a later instance is listed. The caller must not modify the slice.
 func (r *Registry) Servers(service string) []*Server {
 	return (*r.byService.Load())[service]
@@ -60,7 +60,7 @@
 // Loaded reports whether the list has been read at least once.
 func (r *Registry) Loaded() bool { return r.loaded.Load() }
 
-// Server returns a listed server, or nil if the id is not listed.
+// Server returns a listed server, or nil if the ID is not listed.
 func (r *Registry) Server(id string) *Server {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,7 +87,7 @@
 	return n
 }
 
-// ReplaceAll sets the complete list as read from the store. unreadable holds the ids of entries that
+// ReplaceAll sets the complete list as read from the store. unreadable holds the IDs of entries that
 // could not be decoded; their servers are removed.
 func (r *Registry) ReplaceAll(now time.Time, entries []Info, unreadable []string) {
 	r.mu.Lock()
@@ -124,7 +124,7 @@
 	return true
 }
 
-// ApplyChanges applies a change of the list. unreadable holds the ids of entries that can no longer be
+// ApplyChanges applies a change of the list. unreadable holds the IDs of entries that can no longer be
 // decoded; their servers are removed.
 func (r *Registry) ApplyChanges(now time.Time, changed []Info, removed, unreadable []string) {
 	r.mu.Lock()
@@ -147,7 +147,7 @@
 func (r *Registry) MarkStoreUnavailable() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.storeDown = true
+	r.storeUnavailable = true
 }
 
 // MarkStoreRestored records that the store was restored from an older copy. For expiryGrace after
@@ -182,7 +182,7 @@
 	defer r.mu.Unlock()
 	removed := false
 	for id, removeAt := range r.expiring {
-		if !now.Before(removeAt) && !r.storeDown {
+		if !now.Before(removeAt) && !r.storeUnavailable {
 			r.delete(now, id)
 			removed = true
 		}
@@ -202,8 +202,8 @@
 
 // endStoreOutage records that the store responds again, if there was an outage. r.mu must be held.
 func (r *Registry) endStoreOutage(now time.Time) {
-	if r.storeDown {
-		r.storeDown = false
+	if r.storeUnavailable {
+		r.storeUnavailable = false
 		r.storeRecoveredAt = now
 	}
 }
@@ -220,7 +220,7 @@
 	r.apply(now, info)
 }
 
-// apply sets a server's entry. r.mu must be held. If the server has restarted under the same id, a
+// apply sets a server's entry. r.mu must be held. If the server has restarted under the same ID, a
 // new Server replaces the old one: its counts, and what was learned about it, no longer apply.
 func (r *Registry) apply(now time.Time, info Info) {
 	s := r.servers[info.ID]
@@ -258,7 +258,7 @@
 	r.delete(now, id)
 }
 
-// deleteAll removes the servers with the given ids, ignoring ids that are not listed. r.mu must be
+// deleteAll removes the servers with the given IDs, ignoring IDs that are not listed. r.mu must be
 // held.
 func (r *Registry) deleteAll(now time.Time, ids []string) {
 	for _, id := range ids {
@@ -299,7 +299,7 @@
 
 // newestStartByAddr returns the latest start time at each address, in Unix milliseconds, over the
 // servers that report one and were not replaced. A crashed server restarts at its address under
-// another id while its old entry stays listed until it expires.
+// another ID while its old entry stays listed until it expires.
 func (r *Registry) newestStartByAddr() map[string]int64 {
 	newest := make(map[string]int64, len(r.servers))
 	for _, s := range r.servers {
--- a/internal/gateway/backend/registry_test.go
+++ b/internal/gateway/backend/registry_test.go
@@ -94,8 +94,8 @@
 	expectListed(t, r, "b")
 }
 
-// Guards against keeping a server that announced its shutdown: when its entry disappears, it is
-// removed at once, even after a store outage.
+// Guards against keeping a draining server: when its entry disappears, it is removed at once, even
+// after a store outage.
 func TestDrainingServersGetNoGracePeriod(t *testing.T) {
 	r := NewRegistry()
 	entries := testEntries("a", "b")
@@ -123,7 +123,7 @@
 }
 
 // Guards against carrying counts and learned data over to a server that restarted under the same
-// id, whichever field of its entry shows the restart.
+// ID, whichever field of its entry shows the restart.
 func TestRestartedServerIsNewInstance(t *testing.T) {
 	first := Info{ID: "a", Addr: "127.0.0.1:1", Service: "s", Slots: 4, StartUnixMilli: 1000, Sequence: 7}
 	for name, c := range map[string]struct {
@@ -170,7 +170,7 @@
 	}
 }
 
-// Guards against excluding a replaced server after it has restarted under the same id.
+// Guards against excluding a replaced server after it has restarted under the same ID.
 func TestReplacedServerReturnsAfterRestart(t *testing.T) {
 	r := NewRegistry()
 	before := Info{ID: "a", Addr: "127.0.0.1:1", Service: "s", StartUnixMilli: 1000, Sequence: 7}
@@ -235,7 +235,7 @@
 
 // Guards against an entry with a wrong address excluding the server at that address for good. Once
 // the gateway finds that another instance responds there, the server must be used again.
-func TestFalseAddressClaim(t *testing.T) {
+func TestWrongAddressIsCorrected(t *testing.T) {
 	r := NewRegistry()
 	r.ReplaceAll(testStart, []Info{entryAt("a", "10.0.0.1:1", 1000)}, nil)
 	r.ApplyChanges(testStart, []Info{entryAt("false", "10.0.0.1:1", 2000)}, nil, nil)
