--- a/policy/affinity.go
+++ b/policy/affinity.go
@@ -19,17 +19,17 @@
 
 // choose returns the position in kept of the prefix's engine, and whether that engine
 // has capacity.
-func (affinity) choose(now time.Time, request PlacementRequest, candidates []Candidate, kept []int, mean float64) (int, bool) {
-	if request.Prefix == 0 || len(kept) == 0 {
+func (affinity) choose(now time.Time, request PlacementRequest, candidates []Candidate, eligible []int, mean float64) (int, bool) {
+	if request.Prefix == 0 || len(eligible) == 0 {
 		return 0, false
 	}
 	best, highest := 0, uint64(0)
-	for at, i := range kept {
+	for at, i := range eligible {
 		if h := mix(request.Prefix ^ hashName(candidates[i].Name)); at == 0 || h > highest {
 			best, highest = at, h
 		}
 	}
-	load := candidates[kept[best]].expectedLoad(now, mean)
+	load := candidates[eligible[best]].expectedLoad(now, mean)
 	return best, load <= max(affinityMinLoad, affinityLoadFactor*mean)
 }
 
--- a/policy/chooser.go
+++ b/policy/chooser.go
@@ -97,7 +97,7 @@
 // chooseFrom returns the best of the usable servers.
 func (c *Chooser) chooseFrom(now time.Time, job Job, servers []Server, rate *PrefillRate, usable func(*Server) bool) Choice {
 	lookup := c.lookUpPrefix(now, &job, servers, usable)
-	recomputeCost := job.recomputeCost(servers, usable, rate)
+	recomputeFactor := job.recomputeFactor(servers, usable, rate)
 	preferred := c.preferred(servers, usable, &lookup)
 	c.scored = c.scored[:0]
 	meetingTarget := 0
@@ -105,7 +105,7 @@
 		if !usable(&servers[i]) {
 			continue
 		}
-		scored := c.scoreServer(job, &servers[i], lookup.missAt(i, &job, rate), recomputeCost, rate)
+		scored := c.scoreServer(job, &servers[i], lookup.missAt(i, &job, rate), recomputeFactor, rate)
 		scored.choice.Index = i
 		if scored.choice.meetsTarget {
 			meetingTarget++
@@ -160,14 +160,14 @@
 
 // scoreServer returns the expected result and cost of sending the job to a server. The
 // prefill penalty is kept apart since it counts only if the first token is in time.
-func (c *Chooser) scoreServer(job Job, s *Server, miss cacheMiss, recomputeCost float64, rate *PrefillRate) scoredServer {
+func (c *Chooser) scoreServer(job Job, s *Server, miss cacheMiss, recomputeFactor float64, rate *PrefillRate) scoredServer {
 	ownTokens := job.Tokens - job.sharedPrefix().End
 	choice := Choice{Found: true, PrefillTokens: ownTokens + miss.prefillTokens(), FetchFrom: miss.source, Fetches: miss.fetched > 0}
 	queuedTokens := s.tokensAhead(job.Urgency)
 	choice.TokensAhead = queuedTokens + float64(choice.PrefillTokens)
 	slotsLeft := s.slotsLeft(job)
 	choice.HasCapacity = slotsLeft > 0 && !s.connsExhausted()
-	choice.meetsTarget = job.meetsTarget(rate, queuedTokens, miss, recomputeCost)
+	choice.meetsTarget = job.meetsTarget(rate, queuedTokens, miss, recomputeFactor)
 	choice.ExpectedTTFT = rate.expectedTTFT(choice.TokensAhead)
 	cost := choice.TokensAhead + float64(s.Running*runningRequestTokens)
 	if s.Zone != job.Zone {
--- a/policy/chooser_test.go
+++ b/policy/chooser_test.go
@@ -98,12 +98,12 @@
 	for i := range servers {
 		servers[i].MaxConns, servers[i].Slots, servers[i].Running = 100, 6, 80
 	}
-	call := Job{Zone: "z", Target: 100 * time.Millisecond}
-	if choice := c.Choose(testStart, call, servers, nil); choice.HasCapacity {
+	job := Job{Zone: "z", Target: 100 * time.Millisecond}
+	if choice := c.Choose(testStart, job, servers, nil); choice.HasCapacity {
 		t.Errorf("a call is admitted beyond the usable connections: %+v", choice)
 	}
 	servers[1].Running = 20
-	if choice := c.Choose(testStart, call, servers, nil); choice.Index != 1 || !choice.HasCapacity {
+	if choice := c.Choose(testStart, job, servers, nil); choice.Index != 1 || !choice.HasCapacity {
 		t.Errorf("choice %+v, 1 has connections left and queues beyond its slots", choice)
 	}
 }
--- a/policy/concurrency_limiter.go
+++ b/policy/concurrency_limiter.go
@@ -209,9 +209,9 @@
 // engineQueues reports whether runs persistently queue inside the engine.
 func (l *concurrencyLimiter) engineQueues() bool {
 	if l.ramping || l.probing {
-		return l.firstTokensSinceNonePending >= probeQueuedRuns && l.window.indicatesQueueing(probeDelayedSamples)
+		return l.firstTokensSinceNonePending >= probePendingFirstTokens && l.window.indicatesQueueing(probeDelayedSamples)
 	}
-	return l.firstTokensSinceNonePending >= settledQueuedRuns && l.window.indicatesQueueing(settledDelayedSamples)
+	return l.firstTokensSinceNonePending >= settledPendingFirstTokens && l.window.indicatesQueueing(settledDelayedSamples)
 }
 
 // evaluateProbe ends a successful probe, keeps its slots and starts the next one
--- a/policy/filter.go
+++ b/policy/filter.go
@@ -5,15 +5,15 @@
 // filter is the first stage of placement. It returns those of the kept indices whose
 // candidates may be used.
 type filter interface {
-	keep(now time.Time, request PlacementRequest, candidates []Candidate, kept []int) []int
+	keep(now time.Time, request PlacementRequest, candidates []Candidate, eligible []int) []int
 }
 
 // usableFilter removes engines that are draining, down or have been tried before.
 type usableFilter struct{}
 
-func (usableFilter) keep(now time.Time, request PlacementRequest, candidates []Candidate, kept []int) []int {
-	usable := kept[:0]
-	for _, i := range kept {
+func (usableFilter) keep(now time.Time, request PlacementRequest, candidates []Candidate, eligible []int) []int {
+	usable := eligible[:0]
+	for _, i := range eligible {
 		if !request.excludes(candidates[i]) {
 			usable = append(usable, i)
 		}
@@ -33,18 +33,18 @@
 	ejector *Ejector
 }
 
-func (f ejectionFilter) keep(now time.Time, request PlacementRequest, candidates []Candidate, kept []int) []int {
+func (f ejectionFilter) keep(now time.Time, request PlacementRequest, candidates []Candidate, eligible []int) []int {
 	if len(f.ejector.records) == 0 {
-		return kept
+		return eligible
 	}
-	healthy := make([]int, 0, len(kept))
-	for _, i := range kept {
+	healthy := make([]int, 0, len(eligible))
+	for _, i := range eligible {
 		if !f.ejector.Ejected(now, candidates[i].Name) {
 			healthy = append(healthy, i)
 		}
 	}
-	if float64(len(healthy)) < panicThreshold*float64(len(kept)) {
-		return kept
+	if float64(len(healthy)) < panicThreshold*float64(len(eligible)) {
+		return eligible
 	}
 	return healthy
 }
--- a/policy/job.go
+++ b/policy/job.go
@@ -82,11 +82,11 @@
 	return slices.Contains(j.Tried, name)
 }
 
-// recomputeCost returns the weight of a token of a shared segment that is prefilled
+// recomputeFactor returns the weight of a token of a shared segment that is prefilled
 // again. It is 1 while most servers are idle and grows with the fraction of the
 // target that the queue of the median server takes. The median keeps a single
 // overloaded server among idle ones from raising the cost for all.
-func (j *Job) recomputeCost(servers []Server, usable func(*Server) bool, rate *PrefillRate) float64 {
+func (j *Job) recomputeFactor(servers []Server, usable func(*Server) bool, rate *PrefillRate) float64 {
 	if j.Target == 0 || len(j.SharedSegments) == 0 {
 		return 1
 	}
@@ -110,7 +110,7 @@
 // fraction cached, so that prompts of all lengths find a server equally often; see
 // ClassSizes. A server where almost nothing is queued counts as meeting the target
 // anyway, so that classes are served whose prompts take the whole target.
-func (j *Job) meetsTarget(rate *PrefillRate, queuedTokens float64, miss cacheMiss, recomputeCost float64) bool {
+func (j *Job) meetsTarget(rate *PrefillRate, queuedTokens float64, miss cacheMiss, recomputeFactor float64) bool {
 	if j.Target == 0 {
 		return true
 	}
@@ -124,7 +124,7 @@
 		recomputedTokens += miss.uncached
 	}
 	ownTokens, recomputedTokens = j.scaleToMeanLength(ownTokens), j.scaleToMeanLength(recomputedTokens)
-	return rate.likelyTTFT(queuedTokens+recomputeCost*recomputedTokens, ownTokens) <= j.Target ||
+	return rate.likelyTTFT(queuedTokens+recomputeFactor*recomputedTokens, ownTokens) <= j.Target ||
 		rate.prefillTime(queuedTokens+recomputedTokens) <= scaleDuration(minWaitFraction, j.Target)
 }
 
--- a/policy/limiter_window.go
+++ b/policy/limiter_window.go
@@ -10,17 +10,17 @@
 	// batch.
 	windowSamples = 16
 	// A settled limit is lowered after settledDelayedSamples delayed first tokens, if at each
-	// of the last settledQueuedRuns first tokens another run was still waiting for its own.
+	// of the last settledPendingFirstTokens first tokens another run was still waiting for its own.
 	// Delayed first tokens alone prove little: times differ by a factor of ten between a
 	// prompt that is in the engine's cache and one that isn't. But unless runs queue inside
 	// the engine, there are moments in which none waits for its first token.
-	settledDelayedSamples = 4
-	settledQueuedRuns     = 12
-	// probeDelayedSamples and probeQueuedRuns are the same during ramp-up and while a higher
+	settledDelayedSamples     = 4
+	settledPendingFirstTokens = 12
+	// probeDelayedSamples and probePendingFirstTokens are the same during ramp-up and while a higher
 	// limit is probed. Ending a probe by mistake costs little; continuing a bad one delays
 	// urgent runs.
-	probeDelayedSamples = 2
-	probeQueuedRuns     = 6
+	probeDelayedSamples     = 2
+	probePendingFirstTokens = 6
 	// probeSuccessSamples is the number of timely first tokens at the probe's depth with which
 	// it succeeds.
 	probeSuccessSamples = 8
--- a/policy/quarantine_test.go
+++ b/policy/quarantine_test.go
@@ -51,21 +51,21 @@
 
 // Guards against quarantining a request that ran beside a culprit at some of its crashes, or
 // at the last one of each of several culprits.
-func TestInnocentRequestsBesideCulpritsAreNotQuarantined(t *testing.T) {
+func TestHarmlessRequestsBesideCulpritsAreNotQuarantined(t *testing.T) {
 	q := NewQuarantine()
-	const innocent = 1
+	const harmless = 1
 	for culprit := Fingerprint(10); culprit < 13; culprit++ {
 		for i := range 4 {
 			q.ObserveCrash(testStart, culprit, KeyOf(fmt.Sprint(culprit, i)))
 		}
-		q.ObserveCrash(testStart, innocent, KeyOf(fmt.Sprint(culprit, 3)))
+		q.ObserveCrash(testStart, harmless, KeyOf(fmt.Sprint(culprit, 3)))
 	}
-	if q.Quarantined(testStart, innocent) || q.Len() != 3 {
-		t.Errorf("%d quarantined, the innocent one: %v", q.Len(), q.Quarantined(testStart, innocent))
+	if q.Quarantined(testStart, harmless) || q.Len() != 3 {
+		t.Errorf("%d quarantined, the harmless one: %v", q.Len(), q.Quarantined(testStart, harmless))
 	}
 }
 
-// Guards against refusing an innocent request for good: one that was running at all crashes of
+// Guards against refusing a harmless request for good: one that was running at all crashes of
 // a culprit can't be distinguished from it and may be quarantined in its place. The culprit's
 // next crash must release it.
 func TestWronglyQuarantinedRequestIsReleasedByNextCrash(t *testing.T) {
@@ -113,14 +113,14 @@
 }
 
 // crashSimulation simulates a request that crashes servers and is retried at random gateways,
-// beside innocent requests. Gateways inform each other by datagrams, some of which are lost.
+// beside harmless requests. Gateways inform each other by datagrams, some of which are lost.
 type crashSimulation struct {
 	gateways []*Quarantine
 	random   *rand.Rand
 	// disconnected holds the gateways whose datagrams are lost in both directions.
 	disconnected map[int]bool
 	now          time.Time
-	// sent counts the culprit's runs, each of which ends a server; refused counts the innocent
+	// sent counts the culprit's runs, each of which ends a server; refused counts the harmless
 	// requests that were quarantined.
 	sent, refused int
 }
@@ -152,7 +152,7 @@
 }
 
 // step simulates one gossip interval. The culprit arrives the given number of times at random
-// gateways, and innocent requests, each arriving once, run on the servers that it ends.
+// gateways, and harmless requests, each arriving once, run on the servers that it ends.
 func (sim *crashSimulation) step(lossRate float64, arrivals int) {
 	for range arrivals {
 		gateway := sim.random.IntN(len(sim.gateways))
@@ -164,11 +164,11 @@
 		sim.gateways[gateway].ObserveCrash(sim.now, culprit, instance)
 		for range 5 {
 			other := sim.gateways[sim.random.IntN(len(sim.gateways))]
-			innocent := Fingerprint(100 + sim.random.IntN(40))
-			if other.Quarantined(sim.now, innocent) {
+			harmless := Fingerprint(100 + sim.random.IntN(40))
+			if other.Quarantined(sim.now, harmless) {
 				sim.refused++
 			} else {
-				other.ObserveCrash(sim.now, innocent, instance)
+				other.ObserveCrash(sim.now, harmless, instance)
 			}
 		}
 	}
@@ -194,7 +194,7 @@
 					t.Errorf("the culprit ran %d times in ten seconds", sim.sent)
 				}
 				if sim.refused > 0 {
-					t.Errorf("%d innocent requests were quarantined", sim.refused)
+					t.Errorf("%d harmless requests were quarantined", sim.refused)
 				}
 			})
 		}
--- a/policy/server_limits.go
+++ b/policy/server_limits.go
@@ -39,9 +39,9 @@
 
 // ObserveLimit records that a server's response stated a limit of rate requests per second. It
 // reports whether the limit changed.
-func (l *ServerLimits) ObserveLimit(now time.Time, server Key, rate float64) bool {
+func (l *ServerLimits) ObserveLimit(now time.Time, instance Key, rate float64) bool {
 	l.sweep(now)
-	s := l.server(server)
+	s := l.server(instance)
 	changed := s.Lifted || s.Rate != rate
 	s.own = LimitEvidence{Rate: rate, At: now}
 	s.LimitEvidence = s.own
@@ -50,8 +50,8 @@
 
 // ObserveNoLimit records that a server's response to a request sent at a given time stated no
 // limit. It reports whether that lifts a limit.
-func (l *ServerLimits) ObserveNoLimit(sent time.Time, server Key) bool {
-	s := l.servers[server]
+func (l *ServerLimits) ObserveNoLimit(sent time.Time, instance Key) bool {
+	s := l.servers[instance]
 	if s == nil || s.Lifted || !sent.After(s.At) {
 		return false
 	}
@@ -62,8 +62,8 @@
 }
 
 // CountSent counts a request that is sent to a server.
-func (l *ServerLimits) CountSent(now time.Time, server Key) {
-	if s := l.servers[server]; s != nil && !s.Lifted {
+func (l *ServerLimits) CountSent(now time.Time, instance Key) {
+	if s := l.servers[instance]; s != nil && !s.Lifted {
 		s.decay(now)
 		s.sent++
 	}
@@ -98,8 +98,8 @@
 // Allowance returns what remains of a server's limit, or false if it has none. others is how
 // many requests other gateways sent to it recently, and liveShare the share of all gateways
 // that are live, this one included.
-func (l *ServerLimits) Allowance(now time.Time, server Key, others, liveShare float64) (Allowance, bool) {
-	s := l.servers[server]
+func (l *ServerLimits) Allowance(now time.Time, instance Key, others, liveShare float64) (Allowance, bool) {
+	s := l.servers[instance]
 	if s == nil || s.Lifted {
 		return Allowance{}, false
 	}
--- a/policy/suspect.go
+++ b/policy/suspect.go
@@ -35,7 +35,7 @@
 // addCrash records a crash. It reports whether the crash counts and wasn't known.
 func (s *suspect) addCrash(c Crash) bool {
 	known := slices.ContainsFunc(s.crashes, func(other Crash) bool { return other.Instance == c.Instance })
-	if known || len(s.crashes) >= maxCrashes || s.excused(c) {
+	if known || len(s.crashes) >= maxCrashes || s.withinGracePeriod(c) {
 		return false
 	}
 	s.crashes = append(s.crashes, c)
@@ -50,12 +50,12 @@
 	}
 	s.cleared = at
 	before := len(s.crashes)
-	s.crashes = slices.DeleteFunc(s.crashes, s.excused)
+	s.crashes = slices.DeleteFunc(s.crashes, s.withinGracePeriod)
 	return len(s.crashes) != before
 }
 
-// excused reports whether a crash doesn't count because the request was answered completely.
-func (s *suspect) excused(c Crash) bool {
+// withinGracePeriod reports whether a crash doesn't count because the request was answered completely.
+func (s *suspect) withinGracePeriod(c Crash) bool {
 	return !s.cleared.IsZero() && !c.At.After(s.cleared.Add(crashGracePeriod))
 }
 
--- a/policy/suspect_runs_test.go
+++ b/policy/suspect_runs_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// isolationSimulation runs a culprit that is retried after each crash, beside innocent
+// isolationSimulation runs a culprit that is retried after each crash, beside harmless
 // requests that are never answered completely and are restarted at another server when theirs
 // ends.
 type isolationSimulation struct {
@@ -15,13 +15,13 @@
 	gateways []*Quarantine
 	servers  []string
 	started  int
-	// runsAt is the server at which each innocent request runs, through the gateway of its
+	// runsAt is the server at which each harmless request runs, through the gateway of its
 	// index.
 	runsAt  []string
 	crashes int
 }
 
-func newIsolationSimulation(seed uint64, gateways, servers, innocents int) *isolationSimulation {
+func newIsolationSimulation(seed uint64, gateways, servers, harmlessRequests int) *isolationSimulation {
 	sim := &isolationSimulation{random: rand.New(rand.NewPCG(seed, 1))}
 	for range gateways {
 		sim.gateways = append(sim.gateways, NewQuarantine())
@@ -29,7 +29,7 @@
 	for range servers {
 		sim.startServer()
 	}
-	sim.runsAt = make([]string, innocents)
+	sim.runsAt = make([]string, harmlessRequests)
 	for i := range sim.runsAt {
 		sim.run(i)
 	}
@@ -42,15 +42,15 @@
 	sim.servers = append(sim.servers, fmt.Sprint("server", sim.started))
 }
 
-// innocentFingerprint returns the fingerprint of an innocent request. Half of them are smaller
+// harmlessFingerprint returns the fingerprint of a harmless request. Half of them are smaller
 // than the culprit's: of two indistinguishable suspects the smaller one is quarantined.
-func innocentFingerprint(i int) Fingerprint { return Fingerprint(2*isolatedCulprit*(i%2) + i + 1) }
+func harmlessFingerprint(i int) Fingerprint { return Fingerprint(2*isolatedCulprit*(i%2) + i + 1) }
 
 const isolatedCulprit = 1000
 
 // pick draws a server for a request, without the ones to avoid if there are others.
 func (sim *isolationSimulation) pick(gateway *Quarantine, f Fingerprint) string {
-	avoided := gateway.ServersToAvoid(f, named(sim.servers...))
+	avoided := gateway.ServersToAvoid(f, serversNamed(sim.servers...))
 	candidates := slices.DeleteFunc(slices.Clone(sim.servers), func(s string) bool { return slices.Contains(avoided, s) })
 	if len(candidates) == 0 {
 		candidates = sim.servers
@@ -58,8 +58,8 @@
 	return candidates[sim.random.IntN(len(candidates))]
 }
 
-// named returns servers of which only the names matter.
-func named(names ...string) []Server {
+// serversNamed returns servers of which only the names matter.
+func serversNamed(names ...string) []Server {
 	servers := make([]Server, len(names))
 	for i, name := range names {
 		servers[i].Name = name
@@ -67,11 +67,11 @@
 	return servers
 }
 
-// run starts an innocent request at a server.
+// run starts a harmless request at a server.
 func (sim *isolationSimulation) run(i int) {
 	gateway := sim.gateways[i%len(sim.gateways)]
-	sim.runsAt[i] = sim.pick(gateway, innocentFingerprint(i))
-	gateway.RunStarted(innocentFingerprint(i), sim.runsAt[i])
+	sim.runsAt[i] = sim.pick(gateway, harmlessFingerprint(i))
+	gateway.RunStarted(harmlessFingerprint(i), sim.runsAt[i])
 }
 
 // runCulprit sends the culprit once. It reports whether the culprit is quarantined instead.
@@ -87,8 +87,8 @@
 	for i, at := range sim.runsAt {
 		if at == server {
 			gateway := sim.gateways[i%len(sim.gateways)]
-			gateway.ObserveCrash(testStart, innocentFingerprint(i), KeyOf(server))
-			gateway.RunEnded(innocentFingerprint(i), server)
+			gateway.ObserveCrash(testStart, harmlessFingerprint(i), KeyOf(server))
+			gateway.RunEnded(harmlessFingerprint(i), server)
 			sim.runsAt[i] = ""
 		}
 	}
@@ -114,7 +114,7 @@
 	}
 }
 
-// Guards against an innocent request that runs beside the culprit at each crash: it would be
+// Guards against a harmless request that runs beside the culprit at each crash: it would be
 // quarantined in the culprit's place, and a fourth server would end.
 func TestSuspectsThatShareAllCrashesAreKeptApart(t *testing.T) {
 	for _, gateways := range []int{1, 2, 6} {
@@ -131,13 +131,13 @@
 					excessive++
 				}
 				for i := range sim.runsAt {
-					if sim.gateways[0].Quarantined(testStart, innocentFingerprint(i)) {
+					if sim.gateways[0].Quarantined(testStart, harmlessFingerprint(i)) {
 						refused++
 					}
 				}
 			}
 			if excessive > 0 || refused > 0 {
-				t.Errorf("%d of 500 culprits ended more than %d servers; %d innocent requests were quarantined", excessive, quarantineAfter, refused)
+				t.Errorf("%d of 500 culprits ended more than %d servers; %d harmless requests were quarantined", excessive, quarantineAfter, refused)
 			}
 		})
 	}
@@ -147,7 +147,7 @@
 // others may run anywhere.
 func TestOnlyIndistinguishableSuspectsAvoidServers(t *testing.T) {
 	q := NewQuarantine()
-	servers := named("a", "b", "c", "d")
+	servers := serversNamed("a", "b", "c", "d")
 	q.ObserveCrash(testStart, 1, KeyOf("x"))
 	q.ObserveCrash(testStart, 2, KeyOf("x"))
 	if avoided := q.ServersToAvoid(1, servers); avoided != nil {
