--- a/policy/adaptive_headroom.go
+++ b/policy/adaptive_headroom.go
@@ -26,12 +26,12 @@
 	// requests refused above would occupy. It is above 1 since other requests take some of the
 	// slots that become free.
 	headroomRefusalFactor = 1.5
-	// headroomTimeConstant is the time constant with which a level's headroom decays: two thirds of
-	// it are gone after that time. It spans several turnovers of a batch, so that slots stay
-	// free during a burst and aren't left unused for long after it.
+	// headroomTimeConstant is the time constant with which a level's headroom decays: two
+	// thirds of it are gone after that time. It spans several turnovers of a batch, so that
+	// slots stay free during a burst and aren't left unused for long after it.
 	headroomTimeConstant = 4 * time.Second
-	// offerBaselineTimeConstant is the time constant of the average of offered requests that a surge
-	// is compared with. Streams hold their slots for about as long: 1.5 s to 4 s.
+	// offerBaselineTimeConstant is the time constant of the average of offered requests that
+	// a surge is compared with. Streams hold their slots for about as long: 1.5 s to 4 s.
 	offerBaselineTimeConstant = 3 * time.Second
 	// surgeStdDevs is how many standard deviations above the baseline the number of offered
 	// requests must be to count as a surge. The standard deviation of a Poisson count is the
--- a/policy/affinity.go
+++ b/policy/affinity.go
@@ -17,7 +17,7 @@
 // prefixes of the engines that were added or removed.
 type affinity struct{}
 
-// choose returns the position in kept of the prefix's engine, and whether that engine
+// choose returns the position in eligible of the prefix's engine, and whether that engine
 // has capacity.
 func (affinity) choose(now time.Time, request PlacementRequest, candidates []Candidate, eligible []int, mean float64) (int, bool) {
 	if request.Prefix == 0 || len(eligible) == 0 {
--- a/policy/candidate.go
+++ b/policy/candidate.go
@@ -31,7 +31,7 @@
 }
 
 // expectedLoad estimates the current load per slot. With the age of the report the
-// estimate moves from the reported load to mean, the mean load of all candidates.
+// estimate moves from the reported load to mean, the mean load of the eligible candidates.
 func (c *Candidate) expectedLoad(now time.Time, mean float64) float64 {
 	if c.ReportedAt.IsZero() {
 		return mean
--- a/policy/chooser_test.go
+++ b/policy/chooser_test.go
@@ -100,7 +100,7 @@
 	}
 	job := Job{Zone: "z", Target: 100 * time.Millisecond}
 	if choice := c.Choose(testStart, job, servers, nil); choice.HasCapacity {
-		t.Errorf("a call is admitted beyond the usable connections: %+v", choice)
+		t.Errorf("a request is admitted beyond the usable connections: %+v", choice)
 	}
 	servers[1].Running = 20
 	if choice := c.Choose(testStart, job, servers, nil); choice.Index != 1 || !choice.HasCapacity {
@@ -113,7 +113,7 @@
 	long := summaryJob(5)
 	long.Tokens = 46_000
 	if choice := c.Choose(testStart, long, servers, nil); !choice.InTime {
-		t.Errorf("a prompt of 40,000 tokens is refused by idle servers: %+v", choice)
+		t.Errorf("a prompt of 46,000 tokens is refused by idle servers: %+v", choice)
 	}
 }
 
@@ -171,7 +171,7 @@
 		}
 	}
 	if sent < 1 || sent > 10 {
-		t.Errorf("%d of %d gateways send to the one server with four slots left", sent, gateways)
+		t.Errorf("%d of %d gateways send to the one server with eight slots left", sent, gateways)
 	}
 	// A single gateway uses them.
 	question := Job{Zone: "z", Urgency: 0, Target: 250 * time.Millisecond, Tokens: 800}
--- a/policy/concurrency_limiter.go
+++ b/policy/concurrency_limiter.go
@@ -143,14 +143,14 @@
 	}
 }
 
-// observeOverdue records that the first token of a run is late and hasn't
+// observeOverdue records that the first token of a run is delayed and hasn't
 // arrived.
 func (l *concurrencyLimiter) observeOverdue(now time.Time, r *run) {
 	l.addSample(now, r, true)
 }
 
-// addSample adds a first token, or a late missing one, to the window and adjusts
-// the limit.
+// addSample adds a first token that has arrived or is overdue to the window and
+// adjusts the limit.
 func (l *concurrencyLimiter) addSample(now time.Time, r *run, delayed bool) {
 	if !l.ramping && r.started.Before(l.window.start) {
 		// The run started under a different limit.
--- a/policy/ejector.go
+++ b/policy/ejector.go
@@ -23,8 +23,9 @@
 	healthyAfter = 8
 )
 
-// Ejector excludes engines that fail real requests from placement for a while. It uses
-// outcomes and not probes or load reports, which lag behind.
+// Ejector excludes engines that fail real requests from placement for a while; a gateway's
+// Chooser uses it for backend servers. It uses outcomes and not probes or load reports, which
+// lag behind.
 //
 // It guards against an engine that fails fast: its slots are always free, so it looks best and
 // attracts the whole load. A slow engine needs no ejection, since it grants few tickets.
--- a/policy/filter.go
+++ b/policy/filter.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// filter is the first stage of placement. It returns those of the kept indices whose
-// candidates may be used.
+// filter is the first stage of placement.
 type filter interface {
+	// keep returns those of the eligible indices whose candidates may be used.
 	keep(now time.Time, request PlacementRequest, candidates []Candidate, eligible []int) []int
 }
 
--- a/policy/job.go
+++ b/policy/job.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// maxRecomputePenalty is the additional weight of prefilling a shared segment
-	// again when the wait takes the whole target. Under load, prefilling a segment
+	// maxRecomputePenalty is the largest amount by which recomputeFactor exceeds 1,
+	// reached when the wait takes the whole target. Under load, prefilling a segment
 	// on a server other than the one that caches it delays the requests whose
 	// segments that server caches; these then move elsewhere in turn.
 	maxRecomputePenalty = 15.0
@@ -82,10 +82,10 @@
 	return slices.Contains(j.Tried, name)
 }
 
-// recomputeFactor returns the weight of a token of a shared segment that is prefilled
-// again. It is 1 while most servers are idle and grows with the fraction of the
-// target that the queue of the median server takes. The median keeps a single
-// overloaded server among idle ones from raising the cost for all.
+// recomputeFactor returns how many waiting tokens a token of a shared segment that is
+// prefilled again counts as in meetsTarget. It is 1 while most servers are idle and
+// grows with the fraction of the target that the queue of the median server takes.
+// The median keeps a single overloaded server among idle ones from raising it for all.
 func (j *Job) recomputeFactor(servers []Server, usable func(*Server) bool, rate *PrefillRate) float64 {
 	if j.Target == 0 || len(j.SharedSegments) == 0 {
 		return 1
@@ -104,12 +104,13 @@
 	return 1 + maxRecomputePenalty*min(medianWait/float64(j.Target), 1)
 }
 
-// meetsTarget reports whether the request's first token is likely within the target
-// at a server with queuedTokens of other prompts ahead and the given cache miss. The
-// request is judged as a prompt of the mean length of its class with the same
-// fraction cached, so that prompts of all lengths find a server equally often; see
-// ClassSizes. A server where almost nothing is queued counts as meeting the target
-// anyway, so that classes are served whose prompts take the whole target.
+// meetsTarget reports whether the request's first token is likely within the target at
+// a server with queuedTokens of other prompts ahead and the given cache miss, whose
+// recomputed tokens are weighted by recomputeFactor. The request is judged as a prompt
+// of the mean length of its class with the same fraction cached, so that prompts of all
+// lengths find a server equally often; see ClassSizes. A server where almost nothing is
+// queued counts as meeting the target anyway, so that classes are served whose prompts
+// take the whole target.
 func (j *Job) meetsTarget(rate *PrefillRate, queuedTokens float64, miss cacheMiss, recomputeFactor float64) bool {
 	if j.Target == 0 {
 		return true
--- a/policy/limiter_window.go
+++ b/policy/limiter_window.go
@@ -33,7 +33,7 @@
 type firstTokenSample struct {
 	// depth is the number of runs on the engine when this one started, itself included.
 	depth int
-	// delayed is set if the first token was late compared with the engine's own baseline.
+	// delayed is set if the first token took longer than the limiter's delayBound.
 	delayed bool
 }
 
--- a/policy/peer_update.go
+++ b/policy/peer_update.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Key is a 32-bit hash of the name of a server or service, as gateways exchange it.
+// Key is a 32-bit hash of the name of a server or service, or of a server instance's name and
+// start time, as gateways exchange it.
 type Key uint32
 
 // KeyOf returns the key of a name.
@@ -16,7 +17,7 @@
 	PrefixUses  []PrefixUse
 	FirstTokens []TTFTSample
 	Pauses      []Pause
-	// Unanswered has the server of each request that got no response.
+	// Unanswered has the key of the server of each request that got no response.
 	Unanswered []Key
 	Suspicions []Suspicion
 	Limits     []LimitReport
--- a/policy/preemption.go
+++ b/policy/preemption.go
@@ -57,8 +57,8 @@
 	return false
 }
 
-// urgentTicketAtRisk reports whether a waiting ticket of the urgent tiers is
-// likely to be late.
+// urgentTicketAtRisk reports whether the ticket that is next among those of the
+// urgent tiers has waited for overflowDelay and is likely to be late.
 func (s *Scheduler) urgentTicketAtRisk(now time.Time) bool {
 	if s.running.notPreempted()+s.queue.urgentCount() <= s.limiter.limit {
 		return false
@@ -91,8 +91,8 @@
 // preemptionVictim returns the run whose cancellation loses the least work: the
 // newest of the least urgent tier; nil if none is preemptible. Runs granted under
 // the guarantee are excluded, so that their classes are served. With
-// streamingOnly set, only runs that have produced a token count: the others may
-// wait inside the engine, where cancelling them frees no capacity.
+// streamingOnly set, it considers only runs that have produced a token: the others
+// may wait inside the engine, where cancelling them frees no capacity.
 func (r *activeRuns) preemptionVictim(now time.Time, streamingOnly bool) *run {
 	var best *run
 	for _, candidate := range r.byID {
--- a/policy/prefill_plan_test.go
+++ b/policy/prefill_plan_test.go
@@ -23,7 +23,7 @@
 		}
 	}
 	if got := r.Plan(testStart, 0, 0).Remaining(testStart.Add(time.Second)); got != 0 {
-		t.Errorf("%d tokens remain of a call without a prompt", got)
+		t.Errorf("%d tokens remain of a request without a prompt", got)
 	}
 }
 
--- a/policy/prefill_rate_test.go
+++ b/policy/prefill_rate_test.go
@@ -106,12 +106,12 @@
 	long := summaryJob(5)
 	long.Tokens = 46_000
 	if choice := c.Choose(testStart, long, servers, r); !choice.InTime {
-		t.Errorf("a prompt of 40,000 tokens is refused by idle servers: %+v", choice)
+		t.Errorf("a prompt of 46,000 tokens is refused by idle servers: %+v", choice)
 	}
 	for i := range servers {
 		servers[i].Pending[4].Requests, servers[i].Pending[4].Tokens = 1, 3000
 	}
 	if choice := c.Choose(testStart, long, servers, r); choice.InTime {
-		t.Errorf("a prompt of 40,000 tokens is admitted with other requests ahead: %+v", choice)
+		t.Errorf("a prompt of 46,000 tokens is admitted with other requests ahead: %+v", choice)
 	}
 }
--- a/policy/quarantine_test.go
+++ b/policy/quarantine_test.go
@@ -291,7 +291,7 @@
 	}
 }
 
-// Guards against a complete response that excuses all later crashes: a request that was
+// Guards against a complete response that clears all later crashes: a request that was
 // harmless may crash servers of the next release.
 func TestRequestAnsweredLongAgoIsQuarantined(t *testing.T) {
 	q := NewQuarantine()
--- a/policy/reserve.go
+++ b/policy/reserve.go
@@ -7,10 +7,10 @@
 	lastUrgentTier Tier = 1
 	// reservedShare is the share of the slots that is reserved; at least one slot is.
 	reservedShare = 1.0 / 8
-	// overflowDelay is how long a top-tier ticket waits for a free slot before it exceeds the
-	// limit or has a run cancelled. Another engine that holds a copy of the ticket and has a
-	// free slot answers within that time, which is several round trips between availability
-	// zones.
+	// overflowDelay is how long an urgent ticket waits for a free slot before a run may be
+	// preempted for it or, in the top tier, it may exceed the limit. Another engine that holds
+	// a copy of the ticket and has a free slot answers within that time, which is several round
+	// trips between availability zones.
 	overflowDelay = 20 * time.Millisecond
 )
 
--- a/policy/retry_after.go
+++ b/policy/retry_after.go
@@ -7,9 +7,9 @@
 
 // CombineRetryAfter returns the Retry-After for a caller whose request was refused by several
 // engines: the median of their values, or the larger of the two middle values if their number
-// is even. The earliest value would come from the engine whose estimate of its load is furthest off, and callers may
-// return to any of the engines. The result is at least one second, the least that HTTP can
-// state.
+// is even. The earliest value would come from the engine whose estimate of its load is
+// furthest off, and callers may return to any of the engines. The result is at least one
+// second, the least that HTTP can state.
 func CombineRetryAfter(refusals []Decision) time.Duration {
 	if len(refusals) == 0 {
 		return minRetryAfter
--- a/policy/run.go
+++ b/policy/run.go
@@ -22,7 +22,8 @@
 	preemptionAttempted bool
 	// preempted marks runs that Preempt has returned and that are about to end.
 	preempted bool
-	// overdue is set once the late first token has been reported to the limiter.
+	// overdue is set once the limiter has been told that the first token is delayed
+	// and still missing.
 	overdue bool
 }
 
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -44,7 +44,7 @@
 }
 
 // reportOverdueRuns reports to the limiter, once for each, the runs whose first
-// token is late.
+// token is overdue.
 func (s *Scheduler) reportOverdueRuns(now time.Time) {
 	for _, r := range s.running.awaitingFirstToken {
 		if !r.overdue && s.limiter.delayed(r.ticket, now.Sub(r.started)) {
--- a/policy/scorer.go
+++ b/policy/scorer.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// scorer is the second stage of placement. It returns the cost of a candidate, in units
-// of load per slot.
+// scorer is the second stage of placement.
 type scorer interface {
+	// cost returns the cost of a candidate, in units of load per slot. mean is the mean load
+	// of the eligible candidates.
 	cost(now time.Time, request PlacementRequest, c *Candidate, mean float64) float64
 }
 
--- a/policy/send_rate.go
+++ b/policy/send_rate.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// sendTimeConstant is the time constant for averaging sends. It spans a few gossip intervals, so that
-// the start of a burst counts at once and single requests don't.
+// sendTimeConstant is the time constant for averaging sends. It spans a few gossip intervals,
+// so that the start of a burst counts at once and single requests don't.
 const sendTimeConstant = 300 * time.Millisecond
 
 // SendRate tracks how many requests a gateway sent recently, and how many tokens are prefilled
--- a/policy/server.go
+++ b/policy/server.go
@@ -76,7 +76,7 @@
 }
 
 // tokensAhead returns the number of tokens that the server prefills before a new
-// request of an urgency: servers process more urgent requests first, and requests of
+// request of an urgency level: servers process more urgent requests first, and requests of
 // equal urgency in order of arrival.
 func (s *Server) tokensAhead(urgency int) float64 {
 	tokens := 0
--- a/policy/server_limits.go
+++ b/policy/server_limits.go
@@ -37,8 +37,8 @@
 // NewServerLimits returns ServerLimits without any limit.
 func NewServerLimits() *ServerLimits { return &ServerLimits{servers: map[Key]*serverLimit{}} }
 
-// ObserveLimit records that a server's response stated a limit of rate requests per second. It
-// reports whether the limit changed.
+// ObserveLimit records that a response of a server instance stated a limit of rate requests per
+// second. It reports whether the limit changed.
 func (l *ServerLimits) ObserveLimit(now time.Time, instance Key, rate float64) bool {
 	l.sweep(now)
 	s := l.server(instance)
@@ -48,8 +48,8 @@
 	return changed
 }
 
-// ObserveNoLimit records that a server's response to a request sent at a given time stated no
-// limit. It reports whether that lifts a limit.
+// ObserveNoLimit records that a server instance's response to a request sent at a given time
+// stated no limit. It reports whether that lifts a limit.
 func (l *ServerLimits) ObserveNoLimit(sent time.Time, instance Key) bool {
 	s := l.servers[instance]
 	if s == nil || s.Lifted || !sent.After(s.At) {
@@ -61,7 +61,7 @@
 	return true
 }
 
-// CountSent counts a request that is sent to a server.
+// CountSent counts a request that is sent to a server instance.
 func (l *ServerLimits) CountSent(now time.Time, instance Key) {
 	if s := l.servers[instance]; s != nil && !s.Lifted {
 		s.decay(now)
@@ -95,9 +95,9 @@
 	return reports
 }
 
-// Allowance returns what remains of a server's limit, or false if it has none. others is how
-// many requests other gateways sent to it recently, and liveShare the share of all gateways
-// that are live, this one included.
+// Allowance returns what remains of a server instance's limit, or false if it has none. others
+// is how many requests other gateways sent to it recently, and liveShare the share of all
+// gateways that are live, this one included.
 func (l *ServerLimits) Allowance(now time.Time, instance Key, others, liveShare float64) (Allowance, bool) {
 	s := l.servers[instance]
 	if s == nil || s.Lifted {
--- a/policy/suspect.go
+++ b/policy/suspect.go
@@ -54,7 +54,8 @@
 	return len(s.crashes) != before
 }
 
-// withinGracePeriod reports whether a crash doesn't count because the request was answered completely.
+// withinGracePeriod reports whether a crash doesn't count because it happened before the
+// crashGracePeriod after the last complete response had ended.
 func (s *suspect) withinGracePeriod(c Crash) bool {
 	return !s.cleared.IsZero() && !c.At.After(s.cleared.Add(crashGracePeriod))
 }
--- a/policy/suspect_runs.go
+++ b/policy/suspect_runs.go
@@ -38,12 +38,12 @@
 // ServersToAvoid returns the names of the servers at which a request shouldn't run, so that
 // the next crash distinguishes it from other suspects.
 //
-// It guards against an innocent request that ran beside the culprit at each crash so far: at
-// the third crash an arbitrary one of the two is quarantined, and if it is the wrong one, a
-// fourth server ends. From the second crash on, suspects that share all their crashes don't
-// run at the same server through one gateway. Gateways can't know each other's runs, so the
-// servers are also divided among these suspects. Requests with one crash aren't restricted: a
-// server that crashes for reasons of its own makes suspects of all its requests.
+// It guards against quarantining a harmless request that ran beside the culprit at each crash
+// so far: at the third crash an arbitrary one of the two is quarantined, and if it is the
+// wrong one, a fourth server ends. From the second crash on, suspects that share all their
+// crashes don't run at the same server through one gateway. Gateways can't know each other's
+// runs, so the servers are also divided among these suspects. Requests with one crash aren't
+// restricted: a server that crashes for reasons of its own makes suspects of all its requests.
 func (q *Quarantine) ServersToAvoid(f Fingerprint, servers []Server) []string {
 	indistinguishable := q.indistinguishable(f)
 	if len(indistinguishable) == 0 {
