--- a/policy/chooser_test.go
+++ b/policy/chooser_test.go
@@ -56,9 +56,9 @@
 	}
 	removed := servers[3].Name
 	servers = append(servers[:3:3], servers[4:]...)
-	for p, was := range before {
-		if is := servers[c.Choose(testStart, summaryJob(p*0x9e3779b97f4a7c15), servers, nil).Index].Name; is != was && was != removed {
-			t.Errorf("prefix %d moved from %s to %s when %s was removed", p, was, is, removed)
+	for p, oldServer := range before {
+		if newServer := servers[c.Choose(testStart, summaryJob(p*0x9e3779b97f4a7c15), servers, nil).Index].Name; newServer != oldServer && oldServer != removed {
+			t.Errorf("prefix %d moved from %s to %s when %s was removed", p, oldServer, newServer, removed)
 		}
 	}
 }
