--- a/policy/chooser_test.go
+++ b/policy/chooser_test.go
@@ -56,9 +56,9 @@
 	}
 	removed := servers[3].Name
 	servers = append(servers[:3:3], servers[4:]...)
-	for p, was := range before {
-		if is := servers[c.Choose(testStart, summaryJob(p*0x9e3779b97f4a7c15), servers, nil).Index].Name; is != was && was != removed {
-			t.Errorf("prefix %d moved from %s to %s when %s was removed", p, was, is, removed)
+	for p, oldServer := range before {
+		if newServer := servers[c.Choose(testStart, summaryJob(p*0x9e3779b97f4a7c15), servers, nil).Index].Name; newServer != oldServer && oldServer != removed {
+			t.Errorf("prefix %d moved from %s to %s when %s was removed", p, oldServer, newServer, removed)
 		}
 	}
 }
@@ -98,12 +98,12 @@
 	for i := range servers {
 		servers[i].MaxConns, servers[i].Slots, servers[i].Running = 100, 6, 80
 	}
-	call := Job{Zone: "z", Target: 100 * time.Millisecond}
-	if choice := c.Choose(testStart, call, servers, nil); choice.HasCapacity {
-		t.Errorf("a call is admitted beyond the usable connections: %+v", choice)
+	job := Job{Zone: "z", Target: 100 * time.Millisecond}
+	if choice := c.Choose(testStart, job, servers, nil); choice.HasCapacity {
+		t.Errorf("a request is admitted beyond the usable connections: %+v", choice)
 	}
 	servers[1].Running = 20
-	if choice := c.Choose(testStart, call, servers, nil); choice.Index != 1 || !choice.HasCapacity {
+	if choice := c.Choose(testStart, job, servers, nil); choice.Index != 1 || !choice.HasCapacity {
 		t.Errorf("choice %+v, 1 has connections left and queues beyond its slots", choice)
 	}
 }
@@ -113,7 +113,7 @@
 	long := summaryJob(5)
 	long.Tokens = 46_000
 	if choice := c.Choose(testStart, long, servers, nil); !choice.InTime {
-		t.Errorf("a prompt of 40,000 tokens is refused by idle servers: %+v", choice)
+		t.Errorf("a prompt of 46,000 tokens is refused by idle servers: %+v", choice)
 	}
 }
 
@@ -171,7 +171,7 @@
 		}
 	}
 	if sent < 1 || sent > 10 {
-		t.Errorf("%d of %d gateways send to the one server with four slots left", sent, gateways)
+		t.Errorf("%d of %d gateways send to the one server with eight slots left", sent, gateways)
 	}
 	// A single gateway uses them.
 	question := Job{Zone: "z", Urgency: 0, Target: 250 * time.Millisecond, Tokens: 800}
