--- a/testbed/engine/server.go
+++ b/testbed/engine/server.go
@@ -1,4 +1,4 @@
-// Package engine is a fake LLM inference engine for tests. It simulates
+// Package engine is a stand-in for an LLM inference engine in tests. It simulates
 // continuous batching, priorities, prefix caching, resuming and cancelling
 // streams and delayed load reports, and it injects faults. It keeps a record of
 // every run. Its responses are generated deterministically from the request; see
@@ -26,7 +26,7 @@
 	errCrashed   = errors.New("engine crashed")
 )
 
-// Server is the fake engine. It implements http.Handler and is safe for
+// Server is the stand-in engine. It implements http.Handler and is safe for
 // concurrent use.
 type Server struct {
 	config       Config
--- a/testbed/engine/server_test.go
+++ b/testbed/engine/server_test.go
@@ -14,26 +14,26 @@
 	"github.com/go-faster/errors"
 
 	"github.com/applepier/applepier/internal/engine"
-	fakeengine "github.com/applepier/applepier/testbed/engine"
+	standin "github.com/applepier/applepier/testbed/engine"
 )
 
 // waitTimeout is the maximum time to wait for an expected event.
 const waitTimeout = 20 * time.Second
 
-// fixture is a running fake engine and an engine.Client connected to it.
+// fixture is a running stand-in engine and an engine.Client connected to it.
 type fixture struct {
 	t      *testing.T
-	server *fakeengine.Server
+	server *standin.Server
 	client *engine.Client
 }
 
-func newFixture(t *testing.T, config fakeengine.Config) *fixture {
+func newFixture(t *testing.T, config standin.Config) *fixture {
 	t.Helper()
 	config.Model = "m"
 	if config.TokenInterval == 0 {
 		config.TokenInterval = 100 * time.Microsecond
 	}
-	server, err := fakeengine.New(config)
+	server, err := standin.New(config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 }
 
 // awaitRecord polls until the record of a run satisfies the condition.
-func (f *fixture) awaitRecord(runID string, condition func(fakeengine.RunRecord) bool) fakeengine.RunRecord {
+func (f *fixture) awaitRecord(runID string, condition func(standin.RunRecord) bool) standin.RunRecord {
 	f.t.Helper()
 	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
@@ -97,19 +97,19 @@
 		time.Sleep(time.Millisecond)
 	}
 	f.t.Fatalf("run %s: no record met the condition within the timeout; records: %+v", runID, f.server.Records())
-	return fakeengine.RunRecord{}
+	return standin.RunRecord{}
 }
 
-func hasOutcome(outcome fakeengine.Outcome) func(fakeengine.RunRecord) bool {
-	return func(r fakeengine.RunRecord) bool { return r.Outcome == outcome }
+func hasOutcome(outcome standin.Outcome) func(standin.RunRecord) bool {
+	return func(r standin.RunRecord) bool { return r.Outcome == outcome }
 }
 
 // A response has the requested length and is the one that ResponseTokens predicts. A resumed
 // stream continues it after the tokens that the caller already has.
 func TestResponseIsCompleteAndResumes(t *testing.T) {
-	f := newFixture(t, fakeengine.Config{})
+	f := newFixture(t, standin.Config{})
 	body := chatBody("well 7", 20)
-	want := fakeengine.ResponseTokens(body)
+	want := standin.ResponseTokens(body)
 	got, err := readTokens(f.startRun(engine.Run{ID: "a#1", Body: body}), 100)
 	if err != io.EOF || !slices.Equal(got, want) || len(want) != 20 {
 		t.Fatalf("response: got %v, %v; want %v", got, err, want)
@@ -118,20 +118,20 @@
 	if err != io.EOF || !slices.Equal(got, want[13:]) {
 		t.Fatalf("resumed response: got %v, %v; want %v", got, err, want[13:])
 	}
-	r := f.awaitRecord("a#2", hasOutcome(fakeengine.OutcomeCompleted))
+	r := f.awaitRecord("a#2", hasOutcome(standin.OutcomeCompleted))
 	if r.RequestID != "a" || r.Tokens != 7 || r.ResumedFrom != 13 || r.Started == nil {
 		t.Errorf("record: %+v", r)
 	}
-	if other := fakeengine.ResponseTokens(chatBody("well 8", 20)); slices.Equal(other, want) {
+	if other := standin.ResponseTokens(chatBody("well 8", 20)); slices.Equal(other, want) {
 		t.Error("a different request has the same response")
 	}
 }
 
 func TestHigherPriorityStartsFirst(t *testing.T) {
-	f := newFixture(t, fakeengine.Config{Capacity: 1, MaxStreams: 1, LoadReportInterval: time.Millisecond})
-	f.server.SetKnobs(func(k *fakeengine.Knobs) { k.StallStreams = 1 })
+	f := newFixture(t, standin.Config{Capacity: 1, MaxStreams: 1, LoadReportInterval: time.Millisecond})
+	f.server.SetKnobs(func(k *standin.Knobs) { k.StallStreams = 1 })
 	first := f.startRun(engine.Run{ID: "first#1", Body: chatBody("x", 3)})
-	f.awaitRecord("first#1", hasOutcome(fakeengine.OutcomeRunning))
+	f.awaitRecord("first#1", hasOutcome(standin.OutcomeRunning))
 	low := f.startRun(engine.Run{ID: "low#1", Priority: 4, Body: chatBody("x", 3)})
 	high := f.startRun(engine.Run{ID: "high#1", Priority: 0, Body: chatBody("x", 3)})
 	f.awaitWaiting(2)
@@ -143,12 +143,12 @@
 			t.Fatal(err)
 		}
 	}
-	lowRun := f.awaitRecord("low#1", hasOutcome(fakeengine.OutcomeCompleted))
-	highRun := f.awaitRecord("high#1", hasOutcome(fakeengine.OutcomeCompleted))
+	lowRun := f.awaitRecord("low#1", hasOutcome(standin.OutcomeCompleted))
+	highRun := f.awaitRecord("high#1", hasOutcome(standin.OutcomeCompleted))
 	if !highRun.Started.Before(*lowRun.Started) {
 		t.Errorf("started: high at %v, low at %v", highRun.Started, lowRun.Started)
 	}
-	f.awaitRecord("first#1", hasOutcome(fakeengine.OutcomeDisconnected))
+	f.awaitRecord("first#1", hasOutcome(standin.OutcomeDisconnected))
 }
 
 // awaitWaiting polls the load report, which is updated with a delay, until it
@@ -170,8 +170,8 @@
 }
 
 func TestCancelEndsRun(t *testing.T) {
-	f := newFixture(t, fakeengine.Config{})
-	f.server.SetKnobs(func(k *fakeengine.Knobs) { k.StallStreams, k.StallAfter = 1, 2 })
+	f := newFixture(t, standin.Config{})
+	f.server.SetKnobs(func(k *standin.Knobs) { k.StallStreams, k.StallAfter = 1, 2 })
 	stream := f.startRun(engine.Run{ID: "r/1#1", Body: chatBody("x", 9)})
 	if _, err := readTokens(stream, 2); err != nil {
 		t.Fatal(err)
@@ -186,7 +186,7 @@
 	if _, err := stream.Next(); !errors.Is(err, engine.ErrTruncated) {
 		t.Errorf("cancelled stream: got %v, want ErrTruncated", err)
 	}
-	if r := f.awaitRecord("r/1#1", hasOutcome(fakeengine.OutcomeCancelled)); r.Tokens != 2 {
+	if r := f.awaitRecord("r/1#1", hasOutcome(standin.OutcomeCancelled)); r.Tokens != 2 {
 		t.Errorf("tokens: got %d, want 2", r.Tokens)
 	}
 	if err := f.client.Cancel(context.Background(), "none"); err != nil {
@@ -196,34 +196,34 @@
 
 // A stream that is cut after its last token but before [DONE] counts as truncated.
 func TestStreamCutBeforeDoneEvent(t *testing.T) {
-	f := newFixture(t, fakeengine.Config{})
-	f.server.SetKnobs(func(k *fakeengine.Knobs) { k.CutStreams, k.CutAfter = 1, 99 })
+	f := newFixture(t, standin.Config{})
+	f.server.SetKnobs(func(k *standin.Knobs) { k.CutStreams, k.CutAfter = 1, 99 })
 	got, err := readTokens(f.startRun(engine.Run{ID: "c#1", Body: chatBody("x", 5)}), 100)
 	if len(got) != 5 || !errors.Is(err, engine.ErrTruncated) {
 		t.Fatalf("got %d tokens and %v, want 5 and ErrTruncated", len(got), err)
 	}
-	f.awaitRecord("c#1", hasOutcome(fakeengine.OutcomeCut))
+	f.awaitRecord("c#1", hasOutcome(standin.OutcomeCut))
 }
 
 func TestCrashCutsStreamsAndRejectsRuns(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "record")
-	f := newFixture(t, fakeengine.Config{RecordFile: file})
-	f.server.SetKnobs(func(k *fakeengine.Knobs) { k.CrashAfterTokens = 4 })
+	f := newFixture(t, standin.Config{RecordFile: file})
+	f.server.SetKnobs(func(k *standin.Knobs) { k.CrashAfterTokens = 4 })
 	_, err := readTokens(f.startRun(engine.Run{ID: "x#1", Body: chatBody("x", 50)}), 100)
 	if !errors.Is(err, engine.ErrTruncated) {
 		t.Fatalf("stream: got %v, want ErrTruncated", err)
 	}
-	f.awaitRecord("x#1", hasOutcome(fakeengine.OutcomeCrashed))
+	f.awaitRecord("x#1", hasOutcome(standin.OutcomeCrashed))
 	if _, err := f.client.Start(context.Background(), engine.Run{ID: "x#2", Body: chatBody("x", 5)}); err == nil {
 		t.Fatal("a crashed engine accepted a run")
 	}
-	f.server.SetKnobs(func(k *fakeengine.Knobs) { k.Crashed = false })
+	f.server.SetKnobs(func(k *standin.Knobs) { k.Crashed = false })
 	if _, err := readTokens(f.startRun(engine.Run{ID: "x#3", Body: chatBody("x", 5)}), 100); err != io.EOF {
 		t.Fatalf("stream after the end of the crash: got %v, want EOF", err)
 	}
-	f.awaitRecord("x#3", hasOutcome(fakeengine.OutcomeCompleted))
-	records, err := fakeengine.ReadRecordFile(file)
-	if err != nil || len(records) != 2 || records[0].Outcome != fakeengine.OutcomeCrashed || records[0].Tokens != 4 {
+	f.awaitRecord("x#3", hasOutcome(standin.OutcomeCompleted))
+	records, err := standin.ReadRecordFile(file)
+	if err != nil || len(records) != 2 || records[0].Outcome != standin.OutcomeCrashed || records[0].Tokens != 4 {
 		t.Errorf("record file: %+v, %v", records, err)
 	}
 }
@@ -231,31 +231,31 @@
 // A run waits while external streams use all slots. With a slot it starts, but it produces no
 // tokens while the engine is frozen.
 func TestFrozenEngineBlocksRunsAndExternalStreamsUseSlots(t *testing.T) {
-	f := newFixture(t, fakeengine.Config{Capacity: 1, MaxStreams: 2})
-	f.server.SetKnobs(func(k *fakeengine.Knobs) { k.ExternalStreams = 2 })
+	f := newFixture(t, standin.Config{Capacity: 1, MaxStreams: 2})
+	f.server.SetKnobs(func(k *standin.Knobs) { k.ExternalStreams = 2 })
 	stream := f.startRun(engine.Run{ID: "w#1", Body: chatBody("x", 5)})
-	f.awaitRecord("w#1", hasOutcome(fakeengine.OutcomeWaiting))
-	f.server.SetKnobs(func(k *fakeengine.Knobs) { k.ExternalStreams, k.Frozen = 0, true })
-	r := f.awaitRecord("w#1", hasOutcome(fakeengine.OutcomeRunning))
+	f.awaitRecord("w#1", hasOutcome(standin.OutcomeWaiting))
+	f.server.SetKnobs(func(k *standin.Knobs) { k.ExternalStreams, k.Frozen = 0, true })
+	r := f.awaitRecord("w#1", hasOutcome(standin.OutcomeRunning))
 	if r.Tokens != 0 {
 		t.Errorf("a frozen engine produced %d tokens", r.Tokens)
 	}
-	f.server.SetKnobs(func(k *fakeengine.Knobs) { k.Frozen = false })
+	f.server.SetKnobs(func(k *standin.Knobs) { k.Frozen = false })
 	if _, err := readTokens(stream, 100); err != io.EOF {
 		t.Fatal(err)
 	}
 }
 
 func TestPrefixCacheEvictsLeastRecentlyUsed(t *testing.T) {
-	f := newFixture(t, fakeengine.Config{CacheBlocks: 40})
+	f := newFixture(t, standin.Config{CacheBlocks: 40})
 	longPrompt := func(suffix string) string {
 		return fmt.Sprintf("%0*d%s", 2000-len(suffix), 0, suffix)
 	}
-	run := func(id, prompt string) fakeengine.RunRecord {
+	run := func(id, prompt string) standin.RunRecord {
 		if _, err := readTokens(f.startRun(engine.Run{ID: id, Body: chatBody(prompt, 1)}), 100); err != io.EOF {
 			t.Fatal(err)
 		}
-		return f.awaitRecord(id, hasOutcome(fakeengine.OutcomeCompleted))
+		return f.awaitRecord(id, hasOutcome(standin.OutcomeCompleted))
 	}
 	if r := run("p#1", longPrompt("a")); r.CachedTokens != 0 {
 		t.Errorf("first prompt: %d tokens cached", r.CachedTokens)
@@ -270,7 +270,7 @@
 }
 
 func TestOrderWithStaleFencingTokenIsRejected(t *testing.T) {
-	f := newFixture(t, fakeengine.Config{})
+	f := newFixture(t, standin.Config{})
 	ctx := context.Background()
 	if err := f.client.SendOrder(ctx, engine.Order{FencingToken: 5, LoadModel: "n"}); err != nil {
 		t.Fatal(err)
@@ -279,7 +279,7 @@
 	if err := f.client.SendOrder(ctx, stale); !errors.Is(err, engine.ErrStaleFencingToken) {
 		t.Fatalf("order with stale fencing token: got %v, want ErrStaleFencingToken", err)
 	}
-	f.server.SetKnobs(func(k *fakeengine.Knobs) { k.IgnoreFencingTokens = true })
+	f.server.SetKnobs(func(k *standin.Knobs) { k.IgnoreFencingTokens = true })
 	if err := f.client.SendOrder(ctx, stale); err != nil {
 		t.Fatalf("order with stale fencing token to an engine that ignores them: %v", err)
 	}
@@ -287,7 +287,7 @@
 
 // A request for a model that is not loaded gets status 404 and isn't recorded as a run.
 func TestUnknownModelIsRejected(t *testing.T) {
-	f := newFixture(t, fakeengine.Config{})
+	f := newFixture(t, standin.Config{})
 	_, err := f.client.Start(context.Background(), engine.Run{Body: []byte(`{"model":"z","messages":[{"role":"user","content":"x"}]}`)})
 	if rejected, ok := errors.Into[*engine.RejectedError](err); !ok || rejected.Status != 404 {
 		t.Fatalf("got %v, want a rejection with status 404", err)
--- a/testbed/knobs/value.go
+++ b/testbed/knobs/value.go
@@ -1,5 +1,5 @@
-// Package knobs holds settings of a simulated service that a test changes while the
-// service runs. Start reading at Value.
+// Package knobs holds settings of a stand-in that a test changes while the
+// stand-in runs. Start reading at Value.
 package knobs
 
 import (
--- a/testbed/matrix/breakpoint.go
+++ b/testbed/matrix/breakpoint.go
@@ -88,8 +88,8 @@
 	return id != "" && bytes.Contains(data, []byte(id))
 }
 
-// countChunk returns the number of response chunks seen so far, including s; it
-// returns 0 if s is not a chunk of the request's response.
+// countChunk returns the number of response chunks seen so far, including e; it
+// returns 0 if e is not a chunk of the request's response.
 func (b *breakpoint) countChunk(agent int, e faultproxy.Event) int {
 	if e.Kind != faultproxy.EventData || !b.containsRequestID(e.Data) {
 		return 0
@@ -101,7 +101,7 @@
 	return b.chunks
 }
 
-// isLastFrame reports whether s is the end marker on the connection that carries
+// isLastFrame reports whether e is the end marker on the connection that carries
 // the response.
 func (b *breakpoint) isLastFrame(agent int, e faultproxy.Event) bool {
 	b.countChunk(agent, e)
--- a/testbed/matrix/burst.go
+++ b/testbed/matrix/burst.go
@@ -42,7 +42,7 @@
 	topTierCallers     = 4
 	lowestTierCallers  = 4
 	lowestTierTokens   = 80
-	engineSlowdown     = 4 // slowdown of a full batch, the same as the simulated engine's
+	engineSlowdown     = 4 // slowdown of a full batch, the same as the stand-in engine's
 )
 
 // burstClass returns the class that bursts, of a tier between the top and the
--- a/testbed/matrix/client_request.go
+++ b/testbed/matrix/client_request.go
@@ -17,7 +17,7 @@
 )
 
 // callTimeout is how long a caller waits for a call to end. It is far above
-// every timeout of the product, so a call that reaches it violates GuaranteeServed.
+// every timeout of the system, so a call that reaches it violates GuaranteeServed.
 const callTimeout = 60 * time.Second
 
 // Headers of the public API.
@@ -48,7 +48,7 @@
 	Model    string        `json:"model"`
 	Stream   bool          `json:"stream"`
 	Messages []chatMessage `json:"messages"`
-	// MaxTokens is the length of the simulated engine's response, in tokens.
+	// MaxTokens is the length of the stand-in engine's response, in tokens.
 	MaxTokens int          `json:"max_tokens"`
 	Metadata  chatMetadata `json:"metadata"`
 }
--- a/testbed/matrix/fault.go
+++ b/testbed/matrix/fault.go
@@ -13,7 +13,7 @@
 
 const (
 	// faultDuration is how long a fault lasts unless the subject ends first. It
-	// is longer than every timeout after which the product gives up a connection
+	// is longer than every timeout after which the system gives up a connection
 	// or a grant (3 s for a silent stream).
 	faultDuration = 5 * time.Second
 	// faultAftermath is how long a cleared fault may still have effects, for
--- a/testbed/matrix/fault_settings.go
+++ b/testbed/matrix/fault_settings.go
@@ -27,16 +27,16 @@
 	// longer than a cell, so reports never show what happens during it.
 	staleLoadAge = 10 * time.Minute
 	// platformCallDelay is added to each call of the platform. Two such calls
-	// take longer than the product's timeout for one.
+	// take longer than the system's timeout for one.
 	platformCallDelay = 1800 * time.Millisecond
 	// vmListAge is the age of the VM list; it is longer than a cell.
 	vmListAge = 10 * time.Minute
 )
 
-// healthyEngine is the configuration of an engine without faults.
+// healthyEngine holds the fault settings of an engine without faults.
 var healthyEngine = engine.Knobs{}
 
-// engineFaults returns an engine's configuration for a kind of fault.
+// engineFaults returns the fault settings of an engine for a kind of fault.
 func engineFaults(kind FaultKind) engine.Knobs {
 	switch kind {
 	case Straggler:
@@ -51,7 +51,7 @@
 	return healthyEngine
 }
 
-// platformFaults returns the change of the platform's configuration for a kind of
+// platformFaults returns the change of the platform's fault settings for a kind of
 // fault.
 func platformFaults(kind FaultKind) func(*platform.Knobs) {
 	return func(k *platform.Knobs) {
--- a/testbed/matrix/fixed_cells.go
+++ b/testbed/matrix/fixed_cells.go
@@ -3,7 +3,7 @@
 // FixedCells returns the part of the matrix that CI runs: a crash, a pause and a
 // broken connection at each step of non-repeatable work, every fault in the
 // middle of a stream, a selection of cells of the other subjects, and every cell
-// that once exposed a bug in the product, with its seed. Cells with DrainListed
+// that once exposed a bug in the system, with its seed. Cells with DrainListed
 // are run only with the complete matrix, because drainingLimit, a few seconds,
 // can't be met reliably on a busy machine.
 func FixedCells() []Cell {
@@ -35,7 +35,7 @@
 	return append(cells, regressionCells()...)
 }
 
-// regressionCells returns the cells that exposed bugs in the product. They must
+// regressionCells returns the cells that exposed bugs in the system. They must
 // not be changed.
 func regressionCells() []Cell {
 	return []Cell{
--- a/testbed/matrix/lease.go
+++ b/testbed/matrix/lease.go
@@ -169,7 +169,7 @@
 }
 
 // recordOrders records the fencing tokens of the orders that the engines have
-// carried out.
+// executed.
 func (h *harness) recordOrders(ctx context.Context) error {
 	for _, backend := range h.fleet.Backends[:engineCount] {
 		executed, err := backend.Server.Orders(ctx)
--- a/testbed/matrix/service.go
+++ b/testbed/matrix/service.go
@@ -23,7 +23,7 @@
 // KillService kills the plain service; its record of calls survives.
 const KillService FaultKind = "kill-service"
 
-// CutResponse makes the plain service carry out the call and close the connection
+// CutResponse makes the plain service execute the call and close the connection
 // before the response.
 const CutResponse FaultKind = "cut-answer"
 
@@ -123,7 +123,7 @@
 	return -1
 }
 
-// configureServices configures all plain services.
+// configureServices sets the knobs of all plain services.
 func (h *harness) configureServices(ctx context.Context, knobs plain.Knobs) error {
 	for _, backend := range h.fleet.Backends {
 		if backend.Server.Spec.Kind != settings.BackendService {
--- a/testbed/recordfile/recordfile.go
+++ b/testbed/recordfile/recordfile.go
@@ -1,4 +1,4 @@
-// Package recordfile stores the record of a simulated service as JSON lines in a file,
+// Package recordfile stores the record of a stand-in as JSON lines in a file,
 // so that it survives the process. Start reading at Open and Read.
 package recordfile
 
--- a/testbed/soak/run.go
+++ b/testbed/soak/run.go
@@ -32,7 +32,7 @@
 	// Gateways is the number of gateways.
 	Gateways int
 	// Gateway and Soak are the paths of the gateway program and of the program
-	// whose commands "server" and "store" run the simulated server and store.
+	// whose commands "server" and "store" run the stand-in server and store.
 	Gateway, Soak string
 	// Evidence is the folder under which a failed seed's logs, settings, steps
 	// and history are kept; the system's temporary folder if empty.
--- a/testbed/soak/simulators.go
+++ b/testbed/soak/simulators.go
@@ -19,7 +19,7 @@
 	"github.com/applepier/applepier/testbed/rowstore"
 )
 
-// Paths of the control servers of the simulated server and store.
+// Paths of the control servers of the stand-in server and store.
 const (
 	pathScript       = "/script"
 	pathPut          = "/put"
@@ -37,7 +37,7 @@
 // instanceSeparator separates a server's name from the number of its instance.
 const instanceSeparator = "."
 
-// ServeServer runs a simulated backend server until ctx is done. It serves requests
+// ServeServer runs a stand-in backend server until ctx is done. It serves requests
 // at listen, accepts script changes at control and appends each arrival as a line of
 // JSON to the file record.
 func ServeServer(ctx context.Context, listen, control, instance, record string) error {
@@ -69,7 +69,7 @@
 	return serve(ctx, control, mux)
 }
 
-// ServeStore runs the simulated platform until ctx is done or a listener fails. It
+// ServeStore runs the stand-in platform until ctx is done or a listener fails. It
 // serves the store at listen and the usage reporting API at duties, and accepts rows
 // and faults at control.
 func ServeStore(ctx context.Context, listen, duties, control string) error {
--- a/testbed/soak/storeprocess.go
+++ b/testbed/soak/storeprocess.go
@@ -16,7 +16,7 @@
 	"github.com/applepier/applepier/testbed/rowstore"
 )
 
-// storeProcess is the process of the simulated platform and its store.
+// storeProcess is the process of the stand-in platform and its store.
 type storeProcess struct {
 	*fleet.Process
 	listenAddr, dutiesAddr, controlAddr string
