--- a/testbed/cmd/matrix/command.go
+++ b/testbed/cmd/matrix/command.go
@@ -61,7 +61,7 @@
 	}
 	failed := 0
 	for _, result := range results {
-		if !result.Holds() {
+		if !result.Passed() {
 			failed++
 		}
 	}
--- a/testbed/dutymodel/explore.go
+++ b/testbed/dutymodel/explore.go
@@ -29,7 +29,7 @@
 // until an invariant is violated, bounds.States is reached, or no state is left.
 func Explore(guards Guards, bounds Bounds) Result {
 	e := &explorer{guards: guards, bounds: bounds}
-	frontier := []state{{store: store{copied: bounds.CopiedAtStart}}}
+	frontier := []state{{store: store{hasSnapshot: bounds.SnapshotAtStart}}}
 	frontierStart := 0 // frontier[i] is recorded in visits[frontierStart+i]
 	visits := []visit{{parent: -1}}
 	// Visited states are stored as 64-bit hashes only. The probability that any two of two
--- a/testbed/dutymodel/explore_test.go
+++ b/testbed/dutymodel/explore_test.go
@@ -17,7 +17,7 @@
 	// smallBounds and lateWriteBounds explore two gateways and one window to a greater depth.
 	// lateWriteBounds reaches the greatest depth, because only writes can be late and no gateway
 	// is killed.
-	lateWriteBounds = Bounds{Gateways: 2, Windows: 1, Writes: 6, States: 6_000_000, CopiedAtStart: true, NoLostResponses: true}
+	lateWriteBounds = Bounds{Gateways: 2, Windows: 1, Writes: 6, States: 6_000_000, SnapshotAtStart: true, NoLostResponses: true}
 	smallBounds     = Bounds{Gateways: 2, Windows: 1, Kills: 1, Writes: 5, States: 3_000_000}
 )
 
--- a/testbed/dutymodel/guards.go
+++ b/testbed/dutymodel/guards.go
@@ -21,7 +21,7 @@
 	AdoptLedger bool
 }
 
-// AllGuards returns all guards, as the product has them.
+// AllGuards returns all guards, as the production code has them.
 func AllGuards() Guards {
 	return Guards{
 		ConditionalWrites: true, WriteAhead: true, StepDown: true, EraInToken: true, RowPerEra: true, EraInLedger: true, EraOfResponse: true, AdoptLedger: true,
--- a/testbed/dutymodel/product.go
+++ b/testbed/dutymodel/ledger.go
@@ -12,8 +12,8 @@
 	return usage.Report{Window: window, Counts: map[string]int64{customer: int64(content)}}
 }
 
-// toProduct converts the ledger to the product's type.
-func (l ledger) toProduct() usage.Ledger {
+// toUsageLedger converts the ledger to the production type.
+func (l ledger) toUsageLedger() usage.Ledger {
 	p := usage.Ledger{Era: l.era, Finalized: l.finalized}
 	for i, content := range l.pending {
 		if content != 0 {
@@ -23,8 +23,8 @@
 	return p
 }
 
-// fromProduct converts the product's ledger to the model's type.
-func fromProduct(p usage.Ledger) ledger {
+// fromUsageLedger converts a production ledger to the model's type.
+func fromUsageLedger(p usage.Ledger) ledger {
 	l := ledger{found: true, era: p.Era, finalized: p.Finalized}
 	for _, r := range p.Pending {
 		l.pending[r.Window-1] = uint8(r.Counts[customer])
@@ -47,5 +47,5 @@
 			local.OwnReports = append(local.OwnReports, newReport(uint64(i+1), content))
 		}
 	}
-	return fromProduct(usage.RecoverLedger(stored.toProduct(), stored.found, local))
+	return fromUsageLedger(usage.RecoverLedger(stored.toUsageLedger(), stored.found, local))
 }
--- a/testbed/dutymodel/platform.go
+++ b/testbed/dutymodel/platform.go
@@ -18,7 +18,7 @@
 	responded := to
 	if responded.deliver(c) {
 		g := &responded.gateways[c.gateway]
-		g.ledger = fromProduct(g.ledger.toProduct().Accept(uint64(c.window) + 1))
+		g.ledger = fromUsageLedger(g.ledger.toUsageLedger().Accept(uint64(c.window) + 1))
 	} else {
 		responded.gateways[c.gateway].refusedToken = c.token
 		if e.guards.StepDown {
--- a/testbed/dutymodel/state.go
+++ b/testbed/dutymodel/state.go
@@ -1,8 +1,8 @@
 // Package dutymodel is a model checker for the protocol by which one gateway at a time
 // reports usage: the election, the write of a report to the store before it is sent, and
 // the report itself. Calls may be lost, late or duplicated, gateways may be killed, and the
-// store may be restored from an older copy. Explore visits the states within given bounds
-// and checks the invariants in each. The decisions are made by the product's own code
+// store may be restored from an older snapshot. Explore visits the states within given bounds
+// and checks the invariants in each. The decisions are made by the production code
 // (usage.Ledger, usage.RecoverLedger, lease.NextFencingToken). Start reading at Explore.
 package dutymodel
 
@@ -41,14 +41,14 @@
 	ledger  ledger
 }
 
-// store is the store with a copy of its data. Its era increases when the store is restored from
-// the copy.
+// store is the store with a snapshot of its data. Its era increases when the store is restored from
+// the snapshot.
 type store struct {
 	storeData
-	era      uint64
-	copied   bool
-	snapshot storeData
-	restored bool
+	era         uint64
+	hasSnapshot bool
+	snapshot    storeData
+	restored    bool
 }
 
 // transaction is a write of the lease's row, together with the ledger if it finalizes a
--- a/testbed/dutymodel/steps.go
+++ b/testbed/dutymodel/steps.go
@@ -19,9 +19,9 @@
 	// Kills and Writes bound the number of kills of gateways and of writes to the store.
 	Kills  uint8
 	Writes uint16
-	// CopiedAtStart makes the copy of the store be taken before the first step.
+	// SnapshotAtStart takes the snapshot of the store before the first step.
 	// NoLostResponses excludes lost responses and late reports. Both allow a greater depth.
-	CopiedAtStart, NoLostResponses bool
+	SnapshotAtStart, NoLostResponses bool
 	// States bounds the number of visited states; 0 means no bound.
 	States int
 }
@@ -58,20 +58,20 @@
 	return e.steps
 }
 
-// environmentSteps adds the steps outside the gateways: a window ends, the store is
-// copied, or the store is restored from its copy.
+// environmentSteps adds the steps outside the gateways: a window ends, a snapshot of
+// the store is taken, or the store is restored from it.
 func (e *explorer) environmentSteps(s *state) {
 	if int(s.endedWindows) < e.bounds.Windows {
 		to := *s
 		to.endedWindows++
 		e.add(to, "window %d ends", to.endedWindows)
 	}
-	if !s.store.copied {
+	if !s.store.hasSnapshot {
 		to := *s
-		to.store.copied, to.store.snapshot = true, s.store.storeData
+		to.store.hasSnapshot, to.store.snapshot = true, s.store.storeData
 		e.add(to, "the store is copied")
 	}
-	if s.store.copied && !s.store.restored {
+	if s.store.hasSnapshot && !s.store.restored {
 		to := *s
 		to.store.storeData, to.store.restored = s.store.snapshot, true
 		to.store.era++
@@ -114,10 +114,10 @@
 // finalized one.
 func (e *explorer) holderSteps(s *state, id uint8) {
 	g := &s.gateways[id]
-	if window, due := g.ledger.toProduct().NextWindow(uint64(s.endedWindows)); due && window <= windows {
+	if window, due := g.ledger.toUsageLedger().NextWindow(uint64(s.endedWindows)); due && window <= windows {
 		to := *s
 		to.reportCount++
-		next := fromProduct(g.ledger.toProduct().Finalize(newReport(window, to.reportCount)))
+		next := fromUsageLedger(g.ledger.toUsageLedger().Finalize(newReport(window, to.reportCount)))
 		t := transaction{gateway: id, row: e.rowOf(g.era), expectedVersion: g.version, era: g.era, token: g.token, window: window, content: to.reportCount, ledger: next}
 		if e.guards.WriteAhead {
 			e.write(&to, t, fmt.Sprintf("finalizes window %d", window))
--- a/testbed/matrix/fault.go
+++ b/testbed/matrix/fault.go
@@ -55,7 +55,7 @@
 	case PlatformDown, PlatformSlow, LostResponse, ListLags:
 		return f.location.harness.fleet.Platform.UpdateKnobs(ctx, platformFaults(f.kind))
 	case CutResponse:
-		return f.location.harness.configureServices(ctx, plain.Knobs{SlowMS: int(serviceDelay.Milliseconds()), DropResponses: 1})
+		return f.location.harness.setServiceKnobs(ctx, plain.Knobs{SlowMS: int(serviceDelay.Milliseconds()), DropResponses: 1})
 	}
 	return f.startConnectionFault()
 }
@@ -111,7 +111,7 @@
 	case PlatformDown, PlatformSlow, LostResponse, ListLags:
 		return f.location.harness.fleet.Platform.UpdateKnobs(ctx, clearPlatformFaults)
 	case CutResponse:
-		return f.location.harness.configureServices(ctx, plain.Knobs{})
+		return f.location.harness.setServiceKnobs(ctx, plain.Knobs{})
 	case Refuse:
 		return f.location.proxy().Accept()
 	case Delay, Reorder:
--- a/testbed/matrix/matrix_test.go
+++ b/testbed/matrix/matrix_test.go
@@ -25,7 +25,7 @@
 	t.Helper()
 	result := Run(t.Context(), binaries, c)
 	t.Log(result)
-	if !result.Holds() {
+	if !result.Passed() {
 		t.Errorf("%s\n%s", result, result.Logs)
 	}
 }
--- a/testbed/matrix/report.go
+++ b/testbed/matrix/report.go
@@ -36,7 +36,7 @@
 	data := reportData{Results: results, DrainingLimit: drainingLimit, ChangeLimit: changeLimit}
 	for _, result := range results {
 		data.Propagation = max(data.Propagation, result.Propagation)
-		if result.Holds() {
+		if result.Passed() {
 			data.Passed++
 		} else {
 			data.Failed++
--- a/testbed/matrix/run.go
+++ b/testbed/matrix/run.go
@@ -50,8 +50,8 @@
 // Faults returns the names of the cell's faults, joined by "+".
 func (r Result) Faults() string { return r.Cell.faultNames() }
 
-// Holds reports whether the cell was completed and broke no guarantee.
-func (r Result) Holds() bool { return r.Err == nil && len(r.Violations) == 0 }
+// Passed reports whether the cell was completed and broke no guarantee.
+func (r Result) Passed() bool { return r.Err == nil && len(r.Violations) == 0 }
 
 // Run runs one cell on its own fleet. Errors are reported in Result.Err.
 func Run(ctx context.Context, binaries *fleet.Binaries, c Cell) Result {
@@ -115,7 +115,7 @@
 	r.Violations = history.Check(recorded)
 	r.Outcomes = subjectOutcomes(recorded, r.Cell)
 	r.Propagation = longestPropagation(recorded)
-	if !r.Holds() {
+	if !r.Passed() {
 		var logs strings.Builder
 		h.fleet.WriteLogs(&logs, logTailLines)
 		r.Logs = logs.String()
--- a/testbed/matrix/service.go
+++ b/testbed/matrix/service.go
@@ -58,7 +58,7 @@
 
 // runServiceCell runs a cell whose subject is a plain service's call.
 func (h *harness) runServiceCell(ctx context.Context, c Cell) error {
-	if err := h.configureServices(ctx, plain.Knobs{SlowMS: int(serviceDelay.Milliseconds())}); err != nil {
+	if err := h.setServiceKnobs(ctx, plain.Knobs{SlowMS: int(serviceDelay.Milliseconds())}); err != nil {
 		return err
 	}
 	loc := location{harness: h, entry: h.pickEntry(int(c.Seed))}
@@ -123,8 +123,8 @@
 	return -1
 }
 
-// configureServices sets the knobs of all plain services.
-func (h *harness) configureServices(ctx context.Context, knobs plain.Knobs) error {
+// setServiceKnobs sets the knobs of all plain services.
+func (h *harness) setServiceKnobs(ctx context.Context, knobs plain.Knobs) error {
 	for _, backend := range h.fleet.Backends {
 		if backend.Server.Spec.Kind != settings.BackendService {
 			continue
--- a/testbed/soak/check.go
+++ b/testbed/soak/check.go
@@ -203,12 +203,12 @@
 }
 
 // verifyStops checks that a gateway exits by itself within its grace period after
-// a planned stop. Time for which it was frozen doesn't count.
+// a planned stop. Time for which it was paused doesn't count.
 func (h indexedHistory) verifyStops(report reportFunc) {
 	for _, s := range h.Stops {
 		took := s.End.Sub(s.At)
 		for _, f := range h.Faults {
-			if f.Who == s.Gateway && f.Kind == kindFreeze && f.From.Before(s.End) && f.To.After(s.At) {
+			if f.Who == s.Gateway && f.Kind == kindPause && f.From.Before(s.End) && f.To.After(s.At) {
 				took -= f.To.Sub(f.From)
 			}
 		}
--- a/testbed/soak/check_test.go
+++ b/testbed/soak/check_test.go
@@ -17,7 +17,7 @@
 func validHistory() *History {
 	h := &History{
 		Bounds: Bounds{Contact: 4 * time.Second, Revoke: 5 * time.Second, Recover: 15 * time.Second, MemoryMB: 184, Descriptors: 4100},
-		Faults: []Fault{{"gateway-0", kindFreeze, at(0), at(5)}, {"server-0", kindServerCrash, at(30), at(31)}},
+		Faults: []Fault{{"gateway-0", kindPause, at(0), at(5)}, {"server-0", kindServerCrash, at(30), at(31)}},
 		Stops:  []Stop{{Gateway: "gateway-0", At: at(19), End: at(26), Grace: 8 * time.Second}},
 		States: []State{{Version: 1, At: at(0)}, {Version: 2, At: at(10), Removed: []string{"old"}}},
 		Readings: []Reading{
@@ -100,8 +100,8 @@
 			c := &h.Calls[safeCall]
 			c.Whole, c.Body, c.Done = false, "", c.Sent.Add(c.Timeout)
 		}, ""},
-		{"closed soon after a freeze of the gateway", func(h *History) { h.closeConn(unsafeCall); h.Faults[0].To = at(10.5) }, ""},
-		{"closed during a freeze of another gateway", func(h *History) { h.closeConn(unsafeCall); h.Faults[0] = Fault{"gateway-1", kindFreeze, at(0), at(50)} }, checkLost},
+		{"closed soon after a pause of the gateway", func(h *History) { h.closeConn(unsafeCall); h.Faults[0].To = at(10.5) }, ""},
+		{"closed during a pause of another gateway", func(h *History) { h.closeConn(unsafeCall); h.Faults[0] = Fault{"gateway-1", kindPause, at(0), at(50)} }, checkLost},
 		{"closed after a crash of the server", func(h *History) { h.closeConn(unsafeCall); h.Faults[1].From = at(14.5) }, ""},
 		{"closed before the request reached a server", func(h *History) { h.closeConn(unsafeCall); h.Arrivals[unsafeCall].ID = "none" }, ""},
 		{"closed on a new connection", func(h *History) { h.closeConn(unsafeCall).Before = 0 }, ""},
@@ -114,7 +114,7 @@
 		{"stream that appears complete before the last event", func(h *History) { h.Calls[streamCall].Body = streamEvent(kindStream, 1) }, checkStreamOrder},
 		{"stop longer than the grace period", func(h *History) { h.Stops[0].End = at(27.1) }, checkGrace},
 		{"failed stop", func(h *History) { h.Stops[0].Failed = true }, checkGrace},
-		{"stop prolonged by a freeze", func(h *History) { h.Stops[0].End, h.Faults[0].From, h.Faults[0].To = at(27.1), at(20), at(22) }, ""},
+		{"stop prolonged by a pause", func(h *History) { h.Stops[0].End, h.Faults[0].From, h.Faults[0].To = at(27.1), at(20), at(22) }, ""},
 		{"removed key still works", func(h *History) { h.Calls[unsafeCall].Sent, h.Calls[unsafeCall].Done = at(15.1), at(16) }, checkRevokedKey},
 		{"older desired state in the same process", func(h *History) { h.Readings[1].Process = 7 }, checkStateRegression},
 		{"too much memory", func(h *History) { h.Readings[0].MemoryMB = 185 }, checkResourceUse},
--- a/testbed/soak/gatewayprocess.go
+++ b/testbed/soak/gatewayprocess.go
@@ -43,9 +43,9 @@
 	// before mu.
 	lifecycle sync.Mutex
 	// mu guards the fields below; no other lock is acquired while it is held.
-	mu          sync.Mutex
-	listenAddr  string
-	freezeCount int
+	mu         sync.Mutex
+	listenAddr string
+	pauseCount int
 }
 
 // newGateway creates a gateway's proxies and settings file without starting it.
@@ -120,17 +120,17 @@
 	return g.writeSettings()
 }
 
-// addFreeze changes the number of reasons to keep the process suspended by delta;
-// it is suspended while the number is positive.
-func (g *gatewayProcess) addFreeze(delta int) {
+// addPause changes the number of reasons to keep the process paused by delta;
+// it is paused while the number is positive.
+func (g *gatewayProcess) addPause(delta int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	wasFrozen := g.freezeCount > 0
-	g.freezeCount += delta
+	wasPaused := g.pauseCount > 0
+	g.pauseCount += delta
 	// The signal fails if the process isn't running.
-	if isFrozen := g.freezeCount > 0; isFrozen && !wasFrozen {
+	if isPaused := g.pauseCount > 0; isPaused && !wasPaused {
 		_ = g.Pause()
-	} else if wasFrozen && !isFrozen {
+	} else if wasPaused && !isPaused {
 		_ = g.Resume()
 	}
 }
--- a/testbed/soak/plan.go
+++ b/testbed/soak/plan.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// Kinds of steps. Freezes, kills, cuts, resets and crashes of gateways and servers
+// Kinds of steps. Pauses, kills, cuts, resets and crashes of gateways and servers
 // are faults that excuse a lost request; the other kinds are no excuse.
 const (
-	kindFreeze       = "freeze"
-	kindKill         = "kill"
-	kindCut          = "cut"
-	kindReset        = "reset"
-	kindDelay        = "delay"
-	kindStop         = "stop"
-	kindHangup       = "hang up" // SIGHUP
-	kindSettings     = "settings"
-	kindRoutes       = "routes"
-	kindIdleTimeout  = "idle limit"
-	kindKeys         = "keys"
-	kindStoreFault   = "store fault"
-	kindStoreSlow    = "store slow"
-	kindStoreForget  = "store forgets" // the store drops its change history
-	kindStoreCut     = "store cut"
-	kindStoreRestore = "store returns" // the store is restored from an older copy
-	kindDutiesFault  = "duties fault"  // a fault of the usage reporting API
-	kindServerScript = "server script"
-	kindServerCrash  = "server crash"
-	kindServerFreeze = "server freeze"
-	kindServerReset  = "server reset"
+	kindPause         = "freeze"
+	kindKill          = "kill"
+	kindCut           = "cut"
+	kindReset         = "reset"
+	kindDelay         = "delay"
+	kindStop          = "stop"
+	kindHangup        = "hang up" // SIGHUP
+	kindSettings      = "settings"
+	kindRoutes        = "routes"
+	kindIdleTimeout   = "idle limit"
+	kindKeys          = "keys"
+	kindStoreFault    = "store fault"
+	kindStoreSlow     = "store slow"
+	kindStoreTruncate = "store forgets" // the store discards its change history
+	kindStoreCut      = "store cut"
+	kindStoreRestore  = "store returns" // the store is restored from an older snapshot
+	kindDutiesFault   = "duties fault"  // a fault of the usage reporting API
+	kindServerScript  = "server script"
+	kindServerCrash   = "server crash"
+	kindServerPause   = "server freeze"
+	kindServerReset   = "server reset"
 )
 
 // Step is one fault or planned change. At is its offset from the start, Who the
@@ -44,25 +44,25 @@
 	How  int
 }
 
-// stepSeries describes a sequence of steps and the pauses between them. A kind that
+// stepSeries describes a sequence of steps and the intervals between them. A kind that
 // is listed more than once is drawn more often.
 type stepSeries struct {
-	kinds              []string
-	minPause, maxPause time.Duration
-	maxDuration        time.Duration
+	kinds                    []string
+	minInterval, maxInterval time.Duration
+	maxDuration              time.Duration
 }
 
 // The series run concurrently; each gateway and each server has its own.
 var (
-	faultSeries   = stepSeries{[]string{kindFreeze, kindFreeze, kindKill, kindCut, kindReset}, 3 * time.Second, 8 * time.Second, 2 * time.Second}
+	faultSeries   = stepSeries{[]string{kindPause, kindPause, kindKill, kindCut, kindReset}, 3 * time.Second, 8 * time.Second, 2 * time.Second}
 	plannedSeries = stepSeries{[]string{kindStop, kindHangup, kindSettings}, 2 * time.Second, 6 * time.Second, 0}
 	pathSeries    = stepSeries{[]string{kindDelay}, 500 * time.Millisecond, 3 * time.Second, 2500 * time.Millisecond}
 	stateSeries   = stepSeries{[]string{kindRoutes, kindRoutes, kindIdleTimeout, kindIdleTimeout, kindKeys}, 800 * time.Millisecond, 3 * time.Second, 0}
-	storeSeries   = stepSeries{[]string{kindStoreFault, kindStoreFault, kindStoreSlow, kindStoreForget, kindStoreCut}, 2 * time.Second, 6 * time.Second, 2500 * time.Millisecond}
+	storeSeries   = stepSeries{[]string{kindStoreFault, kindStoreFault, kindStoreSlow, kindStoreTruncate, kindStoreCut}, 2 * time.Second, 6 * time.Second, 2500 * time.Millisecond}
 	restoreSeries = stepSeries{[]string{kindStoreRestore}, 5 * time.Second, 12 * time.Second, 3 * time.Second}
 	dutiesSeries  = stepSeries{[]string{kindDutiesFault}, 2 * time.Second, 6 * time.Second, 3 * time.Second}
 	scriptSeries  = stepSeries{[]string{kindServerScript}, time.Second, 5 * time.Second, 2 * time.Second}
-	serverSeries  = stepSeries{[]string{kindServerCrash, kindServerFreeze, kindServerReset}, time.Second, 6 * time.Second, 2 * time.Second}
+	serverSeries  = stepSeries{[]string{kindServerCrash, kindServerPause, kindServerReset}, time.Second, 6 * time.Second, 2 * time.Second}
 )
 
 // Plan draws the steps of a seed, ordered by time. One gateway and half of the
@@ -77,7 +77,7 @@
 		drawDuration := func(shortest, longest time.Duration) time.Duration {
 			return shortest + time.Duration(random.Int64N(int64(longest-shortest)+1))
 		}
-		for at := drawDuration(0, s.maxPause); at < duration; at += drawDuration(s.minPause, s.maxPause) {
+		for at := drawDuration(0, s.maxInterval); at < duration; at += drawDuration(s.minInterval, s.maxInterval) {
 			length := min(drawDuration(0, s.maxDuration), duration-at)
 			steps = append(steps, Step{At: at, Kind: s.kinds[random.IntN(len(s.kinds))], Who: target, For: length, How: random.IntN(1 << 20)})
 		}
--- a/testbed/soak/quota.go
+++ b/testbed/soak/quota.go
@@ -16,18 +16,18 @@
 )
 
 // enforceCPUQuota limits a gateway to a fraction of a core until ctx is done. The
-// process is suspended for the rest of a period whose quota it has used up, and
+// process is paused for the rest of a period whose quota it has used up, and
 // excess use is charged to the next periods. This models a small VM and isn't
 // recorded as a fault.
 func enforceCPUQuota(ctx context.Context, g *gatewayProcess, coreFraction float64) {
 	quota := time.Duration(coreFraction * float64(quotaPeriod))
 	var allowed time.Duration
-	currentPID, suspended := 0, false
+	currentPID, paused := 0, false
 	ticker := time.NewTicker(quotaPollInterval)
 	defer ticker.Stop()
 	defer func() {
-		if suspended {
-			g.addFreeze(-1)
+		if paused {
+			g.addPause(-1)
 		}
 	}()
 	periodStart := time.Now()
@@ -43,12 +43,12 @@
 			// Unused quota doesn't accumulate.
 			allowed = min(allowed, used) + quota
 		}
-		if overQuota := used > allowed; overQuota != suspended {
-			suspended = overQuota
+		if overQuota := used > allowed; overQuota != paused {
+			paused = overQuota
 			if overQuota {
-				g.addFreeze(1)
+				g.addPause(1)
 			} else {
-				g.addFreeze(-1)
+				g.addPause(-1)
 			}
 		}
 	}
--- a/testbed/soak/simulators.go
+++ b/testbed/soak/standins.go
@@ -25,12 +25,12 @@
 	pathPut          = "/put"
 	pathRemove       = "/remove"
 	pathFault        = "/fault"
-	pathForget       = "/forget"
-	pathCopy         = "/copy"
+	pathTruncate     = "/forget"
+	pathSnapshot     = "/copy"
 	pathRestore      = "/return"
 	pathRewrite      = "/again"
 	pathDutiesFault  = "/cloud"
-	pathLand         = "/land"
+	pathRunDelayed   = "/land"
 	pathDutiesReport = "/broken"
 )
 
@@ -92,10 +92,10 @@
 		}
 		store.SetFault(rowstore.Fault(fault))
 	})
-	mux.HandleFunc(pathForget, func(http.ResponseWriter, *http.Request) { store.TruncateHistory() })
-	backup := store.Snapshot()
-	mux.HandleFunc(pathCopy, func(http.ResponseWriter, *http.Request) { backup = store.Snapshot() })
-	mux.HandleFunc(pathRestore, func(http.ResponseWriter, *http.Request) { store.Restore(backup) })
+	mux.HandleFunc(pathTruncate, func(http.ResponseWriter, *http.Request) { store.TruncateHistory() })
+	snapshot := store.Snapshot()
+	mux.HandleFunc(pathSnapshot, func(http.ResponseWriter, *http.Request) { snapshot = store.Snapshot() })
+	mux.HandleFunc(pathRestore, func(http.ResponseWriter, *http.Request) { store.Restore(snapshot) })
 	mux.HandleFunc(pathRewrite, func(http.ResponseWriter, *http.Request) { store.RewriteLost("op", "servers") })
 	mux.HandleFunc(pathDutiesFault, func(w http.ResponseWriter, r *http.Request) {
 		fault, err := strconv.Atoi(r.FormValue("fault"))
@@ -105,7 +105,7 @@
 		}
 		platform.SetFault(cloud.Fault(fault))
 	})
-	mux.HandleFunc(pathLand, func(http.ResponseWriter, *http.Request) { platform.RunDelayed() })
+	mux.HandleFunc(pathRunDelayed, func(http.ResponseWriter, *http.Request) { platform.RunDelayed() })
 	mux.HandleFunc(pathDutiesReport, func(w http.ResponseWriter, _ *http.Request) {
 		// Encoding fails only if the client has disconnected.
 		_ = json.NewEncoder(w).Encode(Duties{Reports: len(platform.Reports()), Broken: platform.Violations()})
--- a/testbed/soak/steps.go
+++ b/testbed/soak/steps.go
@@ -19,12 +19,12 @@
 	storeDelay   = 1500 * time.Millisecond
 	// maxDowntime bounds how long a stopped process stays down.
 	maxDowntime = 1500 * time.Millisecond
-	// maxCopyAge bounds the age of the copy from which the store is restored,
+	// maxSnapshotAge bounds the age of the snapshot from which the store is restored,
 	// restoreOutage is how long it is unavailable then, and rewriteDelay is the
 	// delay until the lost rows are written again.
-	maxCopyAge    = 3 * time.Second
-	restoreOutage = 200 * time.Millisecond
-	rewriteDelay  = 500 * time.Millisecond
+	maxSnapshotAge = 3 * time.Second
+	restoreOutage  = 200 * time.Millisecond
+	rewriteDelay   = 500 * time.Millisecond
 	// routesPerStep is the number of routes added by a step. A step that would
 	// exceed maxExtraRoutes removes all extra routes instead.
 	routesPerStep  = 1500
@@ -57,9 +57,9 @@
 
 func (h *harness) runStep(ctx context.Context, s Step) error {
 	switch s.Kind {
-	case kindFreeze, kindKill, kindCut, kindReset, kindDelay, kindStop, kindHangup, kindSettings:
+	case kindPause, kindKill, kindCut, kindReset, kindDelay, kindStop, kindHangup, kindSettings:
 		return h.runGatewayStep(ctx, s, h.gateways[s.Who])
-	case kindServerScript, kindServerCrash, kindServerFreeze, kindServerReset:
+	case kindServerScript, kindServerCrash, kindServerPause, kindServerReset:
 		return h.runServerStep(ctx, s, h.servers[s.Who])
 	case kindRoutes:
 		routeDelta := routesPerStep
@@ -78,11 +78,11 @@
 
 func (h *harness) runGatewayStep(ctx context.Context, s Step, g *gatewayProcess) error {
 	switch s.Kind {
-	case kindFreeze:
+	case kindPause:
 		endFault := h.recordFault(g.name, s.Kind)
-		g.addFreeze(1)
+		g.addPause(1)
 		sleep(ctx, s.For)
-		g.addFreeze(-1)
+		g.addPause(-1)
 		endFault()
 	case kindCut:
 		endFault := h.recordFault(g.name, s.Kind)
@@ -170,7 +170,7 @@
 		}
 		sleep(ctx, s.For)
 		return server.setScript(context.WithoutCancel(ctx), scriptNames[0])
-	case kindServerFreeze:
+	case kindServerPause:
 		endFault := h.recordFault(server.name, s.Kind)
 		defer endFault()
 		if err := server.Pause(); err != nil {
@@ -199,13 +199,13 @@
 	return server.startInstance(ctx)
 }
 
-// restoreStore restores the store from an older copy during a short outage. The lost
+// restoreStore restores the store from an older snapshot during a short outage. The lost
 // rows are written again soon after, as by operators and servers.
 func (h *harness) restoreStore(ctx context.Context, s Step) error {
-	if err := h.store.control(ctx, pathCopy); err != nil {
+	if err := h.store.control(ctx, pathSnapshot); err != nil {
 		return err
 	}
-	sleep(ctx, min(s.For, maxCopyAge))
+	sleep(ctx, min(s.For, maxSnapshotAge))
 	ctx = context.WithoutCancel(ctx)
 	if err := errors.Join(h.store.setFault(ctx, rowstore.Unavailable), h.store.control(ctx, pathRestore)); err != nil {
 		return err
@@ -220,8 +220,8 @@
 
 func (h *harness) runStoreStep(ctx context.Context, s Step) error {
 	switch s.Kind {
-	case kindStoreForget:
-		return h.store.forget(ctx)
+	case kindStoreTruncate:
+		return h.store.truncateHistory(ctx)
 	case kindStoreRestore:
 		return h.restoreStore(ctx, s)
 	case kindDutiesFault:
@@ -231,7 +231,7 @@
 		sleep(ctx, s.For)
 		ctx = context.WithoutCancel(ctx)
 		// The platform then runs the calls that it had delayed.
-		return errors.Join(h.store.setDutiesFault(ctx, cloud.NoFault), h.store.control(ctx, pathLand))
+		return errors.Join(h.store.setDutiesFault(ctx, cloud.NoFault), h.store.control(ctx, pathRunDelayed))
 	case kindStoreFault:
 		if err := h.store.setFault(ctx, storeFaults[s.How%len(storeFaults)]); err != nil {
 			return err
--- a/testbed/soak/storeprocess.go
+++ b/testbed/soak/storeprocess.go
@@ -53,9 +53,9 @@
 	return err
 }
 
-// forget drops the store's change history.
-func (s *storeProcess) forget(ctx context.Context) error {
-	_, err := doRequest(ctx, http.MethodPost, "http://"+s.controlAddr+pathForget, nil)
+// truncateHistory discards the store's change history.
+func (s *storeProcess) truncateHistory(ctx context.Context) error {
+	_, err := doRequest(ctx, http.MethodPost, "http://"+s.controlAddr+pathTruncate, nil)
 	return err
 }
 
