--- a/testbed/gateway/state_test.go
+++ b/testbed/gateway/state_test.go
@@ -168,14 +168,14 @@
 	starting.WaitFor("the gateway to serve from the store's state", func() bool { return starting.Ready() && starting.Post("/safe/x", "e").Status != 503 })
 }
 
-// A store restored from an older backup assigns its versions again. A gateway that continues
+// A store restored from an older snapshot assigns its versions again. A gateway that continues
 // from a position that the new history has already passed would miss all earlier changes, such
 // as a new server or a revoked key.
 func TestNoChangeIsMissedAfterStoreRestore(t *testing.T) {
 	t.Parallel()
 	f := gateway.NewFixture(t, gateway.Options{Revoke: 5 * time.Second})
 	f.StartServer("i-1", gateway.Respond("whole"))
-	backup := f.Store.Snapshot()
+	snapshot := f.Store.Snapshot()
 	for i := range 4 {
 		f.Store.Put("other", fmt.Sprintf("row-%d", i), nil)
 	}
@@ -184,7 +184,7 @@
 	// The store is unavailable for a moment, and lost rows are written again along with new
 	// ones.
 	f.Store.SetFault(rowstore.Unavailable)
-	f.Store.Restore(backup)
+	f.Store.Restore(snapshot)
 	f.StartServer("i-3", gateway.Respond("whole"))
 	for i := range 6 {
 		f.Store.Put("other", fmt.Sprintf("row-%d", i), nil)
--- a/testbed/gateway/store_restore_test.go
+++ b/testbed/gateway/store_restore_test.go
@@ -12,10 +12,10 @@
 // outage is how long the store is unavailable before it is restored.
 const outage = 300 * time.Millisecond
 
-// restoreStore restores the store from an older backup after an outage.
-func restoreStore(f *gateway.Fixture, backup rowstore.Snapshot) {
+// restoreStore restores the store from an older snapshot after an outage.
+func restoreStore(f *gateway.Fixture, snapshot rowstore.Snapshot) {
 	f.Store.SetFault(rowstore.Unavailable)
-	f.Store.Restore(backup)
+	f.Store.Restore(snapshot)
 	time.Sleep(outage)
 	f.Store.SetFault(rowstore.NoFault)
 }
@@ -33,10 +33,10 @@
 		return f.Do(req).Status
 	}
 	f.WaitFor("the second key to be valid", func() bool { return withKey("valid") == 200 })
-	backup := f.Store.Snapshot()
+	snapshot := f.Store.Snapshot()
 	f.PutState(3, "", "")
 	f.WaitFor("the key to be revoked", func() bool { return withKey("gone") == 401 })
-	restoreStore(f, backup)
+	restoreStore(f, snapshot)
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if status := withKey("back"); status == 200 {
 			t.Fatalf("status %d for a revoked key", status)
@@ -53,11 +53,11 @@
 	fixtures := startGateways(t, gateways, 0)
 	first := fixtures[0]
 	first.StartServer("i-1", gateway.Respond("whole"))
-	backup := first.Store.Snapshot()
+	snapshot := first.Store.Snapshot()
 	first.StartServer("i-2", gateway.Respond("whole"))
 	time.Sleep(time.Second)
 	before := first.Store.ReadCount("servers")
-	restoreStore(first, backup)
+	restoreStore(first, snapshot)
 	first.StartServer("i-3", gateway.Respond("whole"))
 	began := time.Now()
 	for i, f := range fixtures {
