--- a/testbed/soak/simulators.go
+++ b/testbed/soak/standins.go
@@ -19,25 +19,25 @@
 	"github.com/applepier/applepier/testbed/rowstore"
 )
 
-// Paths of the control servers of the simulated server and store.
+// Paths of the control servers of the stand-in server and store.
 const (
 	pathScript       = "/script"
 	pathPut          = "/put"
 	pathRemove       = "/remove"
 	pathFault        = "/fault"
-	pathForget       = "/forget"
-	pathCopy         = "/copy"
+	pathTruncate     = "/forget"
+	pathSnapshot     = "/copy"
 	pathRestore      = "/return"
 	pathRewrite      = "/again"
 	pathDutiesFault  = "/cloud"
-	pathLand         = "/land"
+	pathRunDelayed   = "/land"
 	pathDutiesReport = "/broken"
 )
 
 // instanceSeparator separates a server's name from the number of its instance.
 const instanceSeparator = "."
 
-// ServeServer runs a simulated backend server until ctx is done. It serves requests
+// ServeServer runs a stand-in backend server until ctx is done. It serves requests
 // at listen, accepts script changes at control and appends each arrival as a line of
 // JSON to the file record.
 func ServeServer(ctx context.Context, listen, control, instance, record string) error {
@@ -69,7 +69,7 @@
 	return serve(ctx, control, mux)
 }
 
-// ServeStore runs the simulated platform until ctx is done or a listener fails. It
+// ServeStore runs the stand-in platform until ctx is done or a listener fails. It
 // serves the store at listen and the usage reporting API at duties, and accepts rows
 // and faults at control.
 func ServeStore(ctx context.Context, listen, duties, control string) error {
@@ -92,10 +92,10 @@
 		}
 		store.SetFault(rowstore.Fault(fault))
 	})
-	mux.HandleFunc(pathForget, func(http.ResponseWriter, *http.Request) { store.TruncateHistory() })
-	backup := store.Snapshot()
-	mux.HandleFunc(pathCopy, func(http.ResponseWriter, *http.Request) { backup = store.Snapshot() })
-	mux.HandleFunc(pathRestore, func(http.ResponseWriter, *http.Request) { store.Restore(backup) })
+	mux.HandleFunc(pathTruncate, func(http.ResponseWriter, *http.Request) { store.TruncateHistory() })
+	snapshot := store.Snapshot()
+	mux.HandleFunc(pathSnapshot, func(http.ResponseWriter, *http.Request) { snapshot = store.Snapshot() })
+	mux.HandleFunc(pathRestore, func(http.ResponseWriter, *http.Request) { store.Restore(snapshot) })
 	mux.HandleFunc(pathRewrite, func(http.ResponseWriter, *http.Request) { store.RewriteLost("op", "servers") })
 	mux.HandleFunc(pathDutiesFault, func(w http.ResponseWriter, r *http.Request) {
 		fault, err := strconv.Atoi(r.FormValue("fault"))
@@ -105,7 +105,7 @@
 		}
 		platform.SetFault(cloud.Fault(fault))
 	})
-	mux.HandleFunc(pathLand, func(http.ResponseWriter, *http.Request) { platform.RunDelayed() })
+	mux.HandleFunc(pathRunDelayed, func(http.ResponseWriter, *http.Request) { platform.RunDelayed() })
 	mux.HandleFunc(pathDutiesReport, func(w http.ResponseWriter, _ *http.Request) {
 		// Encoding fails only if the client has disconnected.
 		_ = json.NewEncoder(w).Encode(Duties{Reports: len(platform.Reports()), Broken: platform.Violations()})
