--- a/internal/entry/dispatch/request.go
+++ b/internal/entry/dispatch/request.go
@@ -39,7 +39,7 @@
 	GrantRecorder GrantRecorder
 }
 
-// ServiceCall holds the method, path and headers of a request to a plain HTTP
+// ServiceCall holds the method, path and headers of a request to a plain
 // service.
 type ServiceCall struct {
 	Method string
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -1,6 +1,6 @@
-// Package entry implements the entry process: it accepts callers' requests, dispatches them
-// to the agents of the backend servers, and serves the operators' administration API. Serve is the
-// entry point.
+// Package entry implements the entry process: it accepts callers' requests,
+// dispatches them to the agents of the backend servers, and serves the operators'
+// administration API. Serve is the entry point.
 package entry
 
 import (
--- a/internal/gateway/backend/server.go
+++ b/internal/gateway/backend/server.go
@@ -9,7 +9,8 @@
 )
 
 // Info is the list entry of one instance of a backend server. An instance is one run of the server
-// process; a restart makes a new one. Gateways exchange it as CBOR under its field names.
+// process; a restart makes a new one. Gateways exchange it as CBOR under its field names, with
+// earlier names where a tag gives one.
 type Info struct {
 	// ID identifies the server. A restarted server may keep it.
 	ID string
--- a/internal/gateway/caller_server_test.go
+++ b/internal/gateway/caller_server_test.go
@@ -76,10 +76,8 @@
 // on. The caller then got neither a response nor a refusal, and the gateway logged that the caller
 // had left.
 //
-// It happened when the gateway stalled just as the timeout expired, because a desired state of
-// thousands of routes saturated a slow link and the gateway's small CPU share. The request log
-// showed a connection closed as idle after 16.018 s under a timeout of 15 s, 0.8 ms after the
-// request had been read.
+// It happens when the gateway stalls just as the timeout expires: both the timer and the request
+// are due when it goes on.
 func TestIdleTimeoutDoesNotAbortRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		requestRead := make(chan struct{})
--- a/internal/gateway/followers.go
+++ b/internal/gateway/followers.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// desiredStateMaxWait is how long the store may hold a poller's request for the desired state (a
-	// long poll) where operators set no bound on key revocation. Where they set one, the wait is
-	// confirmationWaitShare of the bound less maxFeedSilence, since each response confirms the state
-	// in force only as of one second before. The rest of the bound is how long
-	// requests with a key can still be served while the store is unavailable.
+	// desiredStateMaxWait is how long the store may hold a poller's request for the desired state
+	// (a long poll) where operators set no bound on key revocation. Where they set one, the wait is
+	// confirmationWaitShare of the bound less maxFeedSilence, since each response confirms the
+	// state in force only as of one second before. The rest of the bound is how long requests with
+	// a key can still be served while the store is unavailable.
 	desiredStateMaxWait   = 2500 * time.Millisecond
 	confirmationWaitShare = 0.25
 	// pollerCount is the number of gateways that poll the store frequently to confirm that the
--- a/internal/gateway/poll_delegation.go
+++ b/internal/gateway/poll_delegation.go
@@ -22,8 +22,8 @@
 
 // storeStatus returns what this gateway tells other gateways about the store. Pollers also report
 // the position up to which they have read the complete list of backend servers, since no other
-// running gateway may know of changes made shortly before. If every gateway reported it, each start of a gateway
-// would make all others poll the store.
+// running gateway may know of changes made shortly before. If every gateway reported it, each start
+// of a gateway would make all others poll the store.
 func (g *gateway) storeStatus() peers.StoreStatus {
 	status := peers.StoreStatus{
 		Reachable: !g.storeHealth.Unavailable(), Polling: g.servers.Live(), ServersPosition: g.servers.LastChange(), QuarantineKnown: g.quarantineLoaded.Load(),
--- a/internal/gateway/router/config.go
+++ b/internal/gateway/router/config.go
@@ -142,8 +142,8 @@
 // Reason is why a request ended as it did. It appears in error responses, logs and metrics.
 type Reason string
 
-// Reasons. Apart from ReasonServed, ReasonServerFailure, ReasonCallerDisconnected, ReasonBodyIncomplete and
-// ReasonStreamBroken, each is the body of an error response.
+// Reasons. Apart from ReasonServed, ReasonServerFailure, ReasonCallerDisconnected,
+// ReasonBodyIncomplete and ReasonStreamBroken, each is the body of an error response.
 const (
 	ReasonServed             Reason = "served"
 	ReasonServerFailure      Reason = "backend_failure"
--- a/internal/gateway/usage/counter.go
+++ b/internal/gateway/usage/counter.go
@@ -34,7 +34,7 @@
 
 type requestCount struct {
 	requests int64
-	// changeSequence is the sequence number of the last change.
+	// changeSequence is the sequence number of the last change of this count.
 	changeSequence uint64
 }
 
--- a/policy/quarantine.go
+++ b/policy/quarantine.go
@@ -95,7 +95,7 @@
 	return &Quarantine{suspects: map[Fingerprint]*suspect{}, runs: suspectRuns{}}
 }
 
-// Empty reports whether there are no suspects, so that callers needn't compute fingerprints.
+// Empty reports whether there are no suspects; no request is quarantined then.
 func (q *Quarantine) Empty() bool { return len(q.suspects) == 0 }
 
 // ObserveCrash records that a server instance ended while it ran a request. It reports whether
--- a/testbed/scenarios/scenarios.go
+++ b/testbed/scenarios/scenarios.go
@@ -1,5 +1,5 @@
-// Package scenarios contains the load scenarios of the two users as mixes of work and
-// shapes of load, which can be combined freely. Start reading at Load.
+// Package scenarios contains built-in load scenarios as mixes of work and shapes of
+// load, which can be combined freely. Start reading at Load.
 package scenarios
 
 import (
