--- a/internal/callers/blocking_server_test.go
+++ b/internal/callers/blocking_server_test.go
@@ -127,7 +127,7 @@
 // or after it has decided to close.
 type blockingConn struct {
 	net.Conn
-	// mu guards readBlocker and closeBlocker; no other lock is taken while it is held.
+	// mu guards readBlocker and closeBlocker; no other lock is acquired while it is held.
 	mu           sync.Mutex
 	readBlocker  chan struct{}
 	closeBlocker chan struct{}
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -22,7 +22,7 @@
 type Conn struct {
 	net.Conn
 	server *Server
-	// mu guards the fields up to readAhead; no other lock is taken while it is held.
+	// mu guards the fields up to readAhead; no other lock is acquired while it is held.
 	mu    sync.Mutex
 	phase phase
 	// idleSince is when the current idle period began; idleTime is the length of the
--- a/internal/entry/dispatch/grant_collector.go
+++ b/internal/entry/dispatch/grant_collector.go
@@ -23,8 +23,8 @@
 }
 
 // grantCollector implements TicketHandler for one attempt. It accepts the first
-// grant and declines all later ones. Its lock is a leaf: no other lock is taken
-// under it.
+// grant and declines all later ones. Its lock is a leaf: no other lock is
+// acquired under it.
 type grantCollector struct {
 	mu       sync.Mutex
 	accepted bool
--- a/internal/entry/dispatch/shared_policies.go
+++ b/internal/entry/dispatch/shared_policies.go
@@ -7,8 +7,8 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// sharedPolicies serializes access to the policies that all requests of an
-// entry share. Its lock is a leaf: no other lock is taken under it.
+// sharedPolicies serializes access to the policies that all requests of an entry
+// share. Its lock is a leaf: no other lock is acquired under it.
 type sharedPolicies struct {
 	mu      sync.Mutex
 	placer  *policy.Placer
--- a/internal/gateway/peers/mesh.go
+++ b/internal/gateway/peers/mesh.go
@@ -89,8 +89,8 @@
 	return m.table.offerCounts(hashName(service))
 }
 
-// LimitedSends returns how many requests all other gateways have recently sent to an
-// instance of a backend server that has reported a rate limit.
+// LimitedSends returns how many requests all other gateways have recently sent to an instance of a
+// backend server that has stated a rate limit.
 func (m *Mesh) LimitedSends(instance policy.Key) float64 {
 	return m.table.limitedSends(uint32(instance))
 }
--- a/internal/gateway/peers/message.go
+++ b/internal/gateway/peers/message.go
@@ -60,7 +60,7 @@
 	Unanswered []policy.Key `cbor:"10,keyasint,omitempty"`
 	// Suspicions lists requests during which backend servers crashed.
 	Suspicions []suspicion `cbor:"11,keyasint,omitempty"`
-	// Limits lists the rate limits that servers have reported, with the number of requests that the
+	// Limits lists the rate limits that servers have stated, with the number of requests that the
 	// sender recently sent to each.
 	Limits []serverLimit `cbor:"12,keyasint,omitempty"`
 	// QuarantineKnown is whether the sender knows the quarantined requests.
--- a/internal/gateway/peers/server_limit.go
+++ b/internal/gateway/peers/server_limit.go
@@ -8,7 +8,7 @@
 )
 
 // serverLimit is the encoded form of policy.LimitReport: a rate limit that a backend server has
-// reported, and the number of requests that the sender recently sent to it.
+// stated, and the number of requests that the sender recently sent to it.
 type serverLimit struct {
 	_ struct{} `cbor:",toarray"`
 	// Instance is the key of the server's instance.
--- a/internal/gateway/peers/table.go
+++ b/internal/gateway/peers/table.go
@@ -56,7 +56,7 @@
 	loadSums map[uint32]*backend.Counts
 	// offerSums holds the sums of the counts of offers by service hash.
 	offerSums map[uint32]policy.OfferCounts
-	// limitedSendSums holds the sums of requests to servers that have reported a rate limit, by
+	// limitedSendSums holds the sums of requests to servers that have stated a rate limit, by
 	// server instance.
 	limitedSendSums map[uint32]float64
 }
--- a/internal/gateway/router/server_limits.go
+++ b/internal/gateway/router/server_limits.go
@@ -8,7 +8,7 @@
 	"github.com/applepier/applepier/policy"
 )
 
-// updateServerLimit records the rate limit that a response reports, and notifies the Observer of
+// updateServerLimit records the rate limit that a response states, and notifies the Observer of
 // changes and of invalid limits. An invalid limit leaves the known one unchanged, and so does a
 // response from another instance at the address.
 func (c *call) updateServerLimit(server *backend.Server, sent time.Time, info protocol.ResponseInfo) {
@@ -20,7 +20,7 @@
 }
 
 // setLimit records a server's rate limit or, if its response to a request sent at the given time
-// reported none, that it has none. It reports whether the limit has changed.
+// stated none, that it has none. It reports whether the limit has changed.
 func (r *Router) setLimit(server *backend.Server, sent time.Time, limit protocol.RateLimit) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/timed_condition.go
+++ b/internal/gateway/timed_condition.go
@@ -7,8 +7,8 @@
 	"github.com/applepier/applepier/internal/boottime"
 )
 
-// timedCondition is a boolean condition that records since when it has held. Its methods may be
-// called concurrently.
+// timedCondition is a boolean condition that records since when it has held. It is safe for
+// concurrent use.
 type timedCondition struct {
 	// since is a time of the boottime clock in nanoseconds; 0 while the condition doesn't hold.
 	since atomic.Int64
--- a/internal/ids/ids.go
+++ b/internal/ids/ids.go
@@ -1,6 +1,6 @@
 // Package ids generates the identifiers in control messages. An identifier is a
 // version 4 UUID (RFC 9562) in base64url, which is shorter than its usual form; the
-// size matters because each message of a request carries the request id.
+// size matters because each message of a request carries the request ID.
 package ids
 
 import (
--- a/internal/logging/event.go
+++ b/internal/logging/event.go
@@ -73,10 +73,9 @@
 	// EventServerEnded: a backend server instance terminated while it had requests of this
 	// gateway.
 	EventServerEnded = "server_ended"
-	// EventServerLimited: a backend server announced a new or changed limit in a
-	// response.
+	// EventServerLimited: a backend server stated a new or changed limit in a response.
 	EventServerLimited = "server_limited"
-	// EventServerUnlimited: a backend server no longer announces a limit.
+	// EventServerUnlimited: a backend server no longer states a limit.
 	EventServerUnlimited = "server_unlimited"
 	// EventRequestQuarantined: a request will be refused because backend servers
 	// terminated while processing it.
--- a/internal/metrics/class.go
+++ b/internal/metrics/class.go
@@ -21,8 +21,8 @@
 // was refused, for example "overload".
 type Reason string
 
-// Class holds the metrics of one class of requests. All methods may be called
-// concurrently.
+// Class holds the metrics of one class of requests. It is safe for concurrent
+// use.
 type Class struct {
 	metrics *Metrics
 	label   label
--- a/internal/metrics/gateway.go
+++ b/internal/metrics/gateway.go
@@ -15,7 +15,7 @@
 	PollsStore bool
 	// UsableServers is the number of backend servers that may receive requests.
 	UsableServers int
-	// LimitedServers is the number of backend servers that have announced a limit.
+	// LimitedServers is the number of backend servers that have stated a limit.
 	LimitedServers int
 	// LimitedSends is the total number of requests sent to servers while they had a limit.
 	LimitedSends int64
--- a/internal/targets/class.go
+++ b/internal/targets/class.go
@@ -21,8 +21,8 @@
 	// FirstToken is the target for the time to the first token (or the
 	// first byte of a plain service's response); zero means no target.
 	FirstToken time.Duration `json:"first_token,omitempty"`
-	// BetweenTokens is the target for the mean inter-token latency; zero
-	// means no target.
+	// BetweenTokens is the target for the mean time between tokens; zero means no
+	// target.
 	BetweenTokens time.Duration `json:"between_tokens,omitempty"`
 	// Completion is the target for the complete response; zero means no target.
 	Completion time.Duration `json:"completion,omitempty"`
--- a/internal/targets/measurement.go
+++ b/internal/targets/measurement.go
@@ -12,8 +12,8 @@
 	Tokens int
 }
 
-// MeetsTargets reports whether a complete response met every target of its
-// class. BetweenTokens is compared with the mean inter-token latency.
+// MeetsTargets reports whether a complete response met every target of its class.
+// BetweenTokens is compared with the mean time between tokens.
 func (c Class) MeetsTargets(m Measurement) bool {
 	if c.FirstToken > 0 && m.FirstToken > c.FirstToken {
 		return false
--- a/internal/timeline/clock.go
+++ b/internal/timeline/clock.go
@@ -6,7 +6,7 @@
 )
 
 // Clock is a hybrid logical clock. Its zero value is ready for use and takes the
-// physical time from the VM's clock. All methods may be called concurrently.
+// physical time from the VM's clock. It is safe for concurrent use.
 type Clock struct {
 	// wall reads the physical clock; nil means time.Now.
 	wall func() time.Time
--- a/internal/timeline/ring.go
+++ b/internal/timeline/ring.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// Ring is a ring buffer of a process's latest events. All methods may be called
-// concurrently.
+// Ring is a ring buffer of a process's latest events. It is safe for concurrent
+// use.
 type Ring struct {
 	process string
 	clock   *Clock
--- a/policy/scheduler_property_test.go
+++ b/policy/scheduler_property_test.go
@@ -113,7 +113,7 @@
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond)
 }
 
-// runScheduler carries out all due decisions, as an agent does after each event.
+// runScheduler executes all due decisions, as an agent does after each event.
 func (m *schedulerModel) runScheduler(t *rapid.T) {
 	for _, id := range m.Expire(m.now) {
 		m.endWaiting(t, id)
--- a/policy/simulated_engine_test.go
+++ b/policy/simulated_engine_test.go
@@ -39,7 +39,7 @@
 	e.sim.handleRefusal(e, r, Decision{RetryAfter: retryAfter})
 }
 
-// runScheduler carries out all decisions that are due and sets the next wake-up.
+// runScheduler executes all decisions that are due and sets the next wake-up.
 func (e *simulatedEngine) runScheduler() {
 	now := e.sim.clock.now
 	for _, id := range e.scheduler.Expire(now) {
--- a/testbed/cloud/cloud.go
+++ b/testbed/cloud/cloud.go
@@ -48,7 +48,7 @@
 	// leaseDuration is the period within which two holders must not alternate; 0 disables the
 	// check.
 	leaseDuration time.Duration
-	// mu guards the fields below; no other lock is taken while it is held.
+	// mu guards the fields below; no other lock is acquired while it is held.
 	mu        sync.Mutex
 	fault     Fault
 	delayed   []func()
--- a/testbed/gateway/crashable_servers_test.go
+++ b/testbed/gateway/crashable_servers_test.go
@@ -24,7 +24,7 @@
 type crashableServers struct {
 	fixture *gateway.Fixture
 	script  gateway.Script
-	// mu guards the fields below; no other lock is taken while it is held.
+	// mu guards the fields below; no other lock is acquired while it is held.
 	mu      sync.Mutex
 	started int
 	crashed int
--- a/testbed/gateway/fixture.go
+++ b/testbed/gateway/fixture.go
@@ -53,7 +53,7 @@
 	// Stop starts the gateway's shutdown; Stopped is closed once the gateway has ended.
 	Stop    context.CancelFunc
 	Stopped chan struct{}
-	// mu guards the fields below; no other lock is taken while it is held.
+	// mu guards the fields below; no other lock is acquired while it is held.
 	mu       sync.Mutex
 	requests []*ReceivedRequest
 	settings settings.Gateway
--- a/testbed/gateway/server.go
+++ b/testbed/gateway/server.go
@@ -43,8 +43,8 @@
 	// onRequest is called for each request.
 	onRequest func(*ReceivedRequest)
 	listener  net.Listener
-	// mu guards the fields below, and Instance once the server accepts connections; no other
-	// lock is taken while it is held.
+	// mu guards the fields below, and Instance once the server accepts connections; no other lock
+	// is acquired while it is held.
 	mu     sync.Mutex
 	script Script
 	conns  map[net.Conn]bool
--- a/testbed/gateway/server_limit_test.go
+++ b/testbed/gateway/server_limit_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// Guards against gateways that apply a server's limit separately: an overloaded server that
-// announced a limit received as many requests as before from each gateway.
+// Guards against gateways that apply a server's limit separately: an overloaded server that stated
+// a limit received as many requests as before from each gateway.
 func TestGatewaysShareServerLimit(t *testing.T) {
 	t.Parallel()
 	const limit, perSecond = 2.0, 20
@@ -195,7 +195,7 @@
 	checkLimit(t, fixtures[0], "i-1", after, limit)
 }
 
-// A server that no longer announces a limit receives its full share again.
+// A server that no longer states a limit receives its full share again.
 func TestServerIsUsedAgainAfterLimitIsLifted(t *testing.T) {
 	t.Parallel()
 	core, logs := observer.New(zap.DebugLevel)
--- a/testbed/matrix/fault_kind.go
+++ b/testbed/matrix/fault_kind.go
@@ -33,7 +33,7 @@
 	// StaleLoad puts external load on the engine that its load report doesn't show.
 	StaleLoad FaultKind = "stale-load"
 	// Faults of the platform's API: it is unavailable, slow, loses one response
-	// after carrying out the call, or returns an outdated VM list.
+	// after executing the call, or returns an outdated VM list.
 	PlatformDown FaultKind = "platform-down"
 	PlatformSlow FaultKind = "platform-slow"
 	LostResponse FaultKind = "platform-answer-lost"
--- a/testbed/rowstore/store.go
+++ b/testbed/rowstore/store.go
@@ -44,7 +44,7 @@
 
 // Store is the stand-in metadata store; it implements http.Handler.
 type Store struct {
-	// mu guards the fields below; no other lock is taken while it is held.
+	// mu guards the fields below; no other lock is acquired while it is held.
 	mu      sync.Mutex
 	version uint64
 	rows    map[string]*Row
