--- a/internal/gateway/peers/mesh_test.go
+++ b/internal/gateway/peers/mesh_test.go
@@ -98,7 +98,7 @@
 	}
 	b.Change(0, follow.Batch[Entry]{Removed: []string{"a", "b"}})
 	if b.ListedGateways() != 2 || len(b.Unlisted) != 1 {
-		t.Errorf("%d listed, %d signals on Unlisted; want 2 and 1: a is removed, b is signalled", b.ListedGateways(), len(b.Unlisted))
+		t.Errorf("%d listed, %d signals on Unlisted; want 2 and 1: a is removed, b is signaled", b.ListedGateways(), len(b.Unlisted))
 	}
 }
 
@@ -131,20 +131,20 @@
 	}
 	mesh.Reset(boottime.Now(), follow.Batch[Entry]{})
 	if unlisted() {
-		t.Error("signalled before the first registration")
+		t.Error("signaled before the first registration")
 	}
 	before := boottime.Now()
 	mesh.MarkRegistered()
 	mesh.Reset(before, follow.Batch[Entry]{})
 	if unlisted() {
-		t.Error("signalled by a list read before the registration")
+		t.Error("signaled by a list read before the registration")
 	}
 	mesh.Reset(boottime.Now(), follow.Batch[Entry]{Items: []Entry{mesh.Self}})
 	if unlisted() {
-		t.Error("signalled although the gateway is listed")
+		t.Error("signaled although the gateway is listed")
 	}
 	mesh.Reset(boottime.Now(), follow.Batch[Entry]{Items: []Entry{{Name: "other"}}})
 	if !unlisted() {
-		t.Error("not signalled by a list without the gateway's entry")
+		t.Error("not signaled by a list without the gateway's entry")
 	}
 }
--- a/internal/gateway/routes/snapshot_test.go
+++ b/internal/gateway/routes/snapshot_test.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// Guards against requests of an urgent route being preempted, or refused, in favour of a less urgent
-// route whose customer has a more urgent tier. Route tiers are compared first; customer tiers decide
-// between routes of the same tier.
+// Guards against requests of an urgent route being preempted, or refused, in favor of a less urgent
+// route whose customer has a more urgent tier. Route tiers are compared first; customer tiers
+// decide between routes of the same tier.
 func TestUrgencyOrder(t *testing.T) {
 	s := newTestSnapshot(1)
 	first, second, plain := &Customer{Tier: intPtr(0)}, &Customer{Tier: intPtr(1)}, &Customer{}
@@ -119,8 +119,8 @@
 	}
 }
 
-// Guards against levels out of order, skipped or beyond the last when there are more route tiers than
-// levels: neighbouring tiers share a level.
+// Guards against levels out of order, skipped or beyond the last when there are more route tiers
+// than levels: neighboring tiers share a level.
 func TestUrgencyWithMoreTiersThanLevels(t *testing.T) {
 	var allRoutes []*Route
 	for i := range 25 {
--- a/internal/gateway/routes/urgency.go
+++ b/internal/gateway/routes/urgency.go
@@ -32,7 +32,7 @@
 }
 
 // Urgency returns the position of a request's rank among all ranks of this desired state, from 0,
-// the most urgent, to levels-1. If there are more ranks than levels, neighbouring ranks share a
+// the most urgent, to levels-1. If there are more ranks than levels, neighboring ranks share a
 // level: customers of the same route tier first, and route tiers only if there are more tiers than
 // levels. The customer is nil if the request has none.
 func (s *Snapshot) Urgency(r *Route, c *Customer, levels int) int {
--- a/internal/logging/async_writer.go
+++ b/internal/logging/async_writer.go
@@ -36,7 +36,7 @@
 	// unreportedDrops counts the lines dropped since the last EventLinesDropped.
 	unreportedDrops int64
 	draining        bool
-	// drained is signalled when the queue is empty, and when Sync times out.
+	// drained is signaled when the queue is empty, and when Sync times out.
 	drained *sync.Cond
 	drainer conc.WaitGroup
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -21,12 +21,12 @@
 //     goroutines and the version of the targets;
 //   - for a gateway: see GatewayStats and UsageReports.
 //
-// Request series are labelled by class and reason only, and the number of values
-// of both is bounded: values past MaxClasses or MaxReasons are counted together
-// as "other". Customers aren't a label: 400 customers in 60 classes would make
-// 24,000 series per metric in each of 410 processes, more than collectors handle
-// well, and would disclose customers' names to the monitoring system. Use the
-// logs and the timeline for questions about one customer.
+// Request series are labeled by class and reason only, and the number of values of
+// both is bounded: values past MaxClasses or MaxReasons are counted together as
+// "other". Customers aren't a label: 400 customers in 60 classes would make 24,000
+// series per metric in each of 410 processes, more than collectors handle well, and
+// would disclose customers' names to the monitoring system. Use the logs and the
+// timeline for questions about one customer.
 //
 // Start reading at Metrics.
 package metrics
@@ -53,8 +53,7 @@
 // otherLabel is the label value for all names past a limit.
 const otherLabel = "other"
 
-// Metrics holds the metrics of one process. All methods may be called
-// concurrently.
+// Metrics holds the metrics of one process. It is safe for concurrent use.
 type Metrics struct {
 	registry gometrics.Registry
 	goodput  goodput
--- a/policy/adaptive_headroom.go
+++ b/policy/adaptive_headroom.go
@@ -42,11 +42,11 @@
 // AdaptiveHeadroom computes the share of the servers' slots that each urgency level leaves
 // free for more urgent levels, from what was refused recently at all gateways.
 //
-// It guards against two neighbouring levels whose bursts coincide: whichever request arrives
-// first takes a freed slot, and the more urgent level is refused as often as the other. With
-// headroom, the slots of less urgent streams that end go to the more urgent level. Fixed
-// reservations would have to be as large and would be unused whenever nothing urgent arrives.
-// Headroom doesn't help when the urgent traffic alone exceeds capacity.
+// It guards against two neighboring levels whose bursts coincide: whichever request arrives first
+// takes a freed slot, and the more urgent level is refused as often as the other. With headroom,
+// the slots of less urgent streams that end go to the more urgent level. Fixed reservations would
+// have to be as large and would be unused whenever nothing urgent arrives. Headroom doesn't help
+// when the urgent traffic alone exceeds capacity.
 //
 // Refusals are a late signal. Streams hold their slots for seconds, so an urgent burst fills
 // the servers only two or three seconds after it began, and the less urgent requests admitted
--- a/policy/decision.go
+++ b/policy/decision.go
@@ -12,8 +12,8 @@
 	// RetryAfter is the time after which a retry is expected to succeed; set if the ticket
 	// is refused.
 	RetryAfter time.Duration
-	// Displaced lists the IDs of waiting tickets that were removed from the full queue in
-	// favour of this one. They are refused at once and never run; Scheduler.RetryAfter
-	// returns the time after which to retry them.
+	// Displaced lists the IDs of waiting tickets that were removed from the full queue in favor of
+	// this one. They are refused at once and never run; Scheduler.RetryAfter returns the time after
+	// which to retry them.
 	Displaced []string
 }
--- a/policy/preemption.go
+++ b/policy/preemption.go
@@ -22,10 +22,10 @@
 // Preemption handles a burst of urgent requests on engines that are full of long
 // responses: once the reserved slots are used up, waiting for a response to end
 // takes longer than the whole target. A run is cancelled if the probability that
-// another one ends in time is below 999 in 1,000, with run ends modelled as a
+// another one ends in time is below 999 in 1,000, with run ends modeled as a
 // Poisson process at the measured service rate. One is also cancelled when an
-// urgent run is delayed inside the engine because the limit was too high. Only
-// runs marked as preemptible are cancelled, and none that was granted under the
+// urgent run is delayed inside the engine because the limit was too high. Only runs
+// marked as preemptible are cancelled, and none that was granted under the
 // starvation guarantee.
 //
 // With preemption the reserved slots can be lent to other runs in the meantime.
--- a/policy/queued_ticket.go
+++ b/policy/queued_ticket.go
@@ -24,7 +24,7 @@
 	// to wait.
 	late bool
 	// customer is the queue that holds the ticket; prev and next are its
-	// neighbours there.
+	// neighbors there.
 	customer *customerQueue
 	prev     *queuedTicket
 	next     *queuedTicket
--- a/policy/reserve.go
+++ b/policy/reserve.go
@@ -34,7 +34,7 @@
 // recently, since one run after another would be cancelled.
 //
 // The top tier may exceed the limit by the number of reserved slots, so that runs of other
-// tiers that can't be cancelled don't delay it. Engines honour priority, and one run too many
+// tiers that can't be cancelled don't delay it. Engines honor priority, and one run too many
 // slows the others only a little.
 func (s *Scheduler) canStart(now time.Time, w *queuedTicket) bool {
 	limit := s.limiter.limit
--- a/policy/slot_contention_test.go
+++ b/policy/slot_contention_test.go
@@ -23,8 +23,8 @@
 	return sim
 }
 
-// Guards against neighbouring urgency levels filling the servers side by side: more urgent
-// requests that fit must be admitted, and less urgent ones get the rest.
+// Guards against neighboring urgency levels filling the servers side by side: more urgent requests
+// that fit must be admitted, and less urgent ones get the rest.
 func TestUrgentFindSlotsBesideLessUrgent(t *testing.T) {
 	sim := simulateSlotShortage()
 	questions, summaries := sim.arrived["question"], sim.arrived["summary"]
--- a/testbed/e2e/zone_test.go
+++ b/testbed/e2e/zone_test.go
@@ -59,11 +59,11 @@
 	stream := client.Chat.Completions.NewStreaming(ctx, params(streamTokens))
 	defer stream.Close()
 	var collected openai.ChatCompletionAccumulator
-	signalled := false
+	signaled := false
 	for stream.Next() {
 		collected.AddChunk(stream.Current())
-		if !signalled {
-			signalled = true
+		if !signaled {
+			signaled = true
 			started <- struct{}{}
 		}
 	}
--- a/testbed/gateway/soak_test.go
+++ b/testbed/gateway/soak_test.go
@@ -30,7 +30,7 @@
 type soak struct {
 	t       *testing.T
 	fixture *gateway.Fixture
-	// mu guards the fields below; no other lock is taken while it is held.
+	// mu guards the fields below; no other lock is acquired while it is held.
 	mu         sync.Mutex
 	random     *rand.Rand
 	executions map[string]int
@@ -73,7 +73,7 @@
 	return s.random.IntN(n)
 }
 
-// injectFaults changes the behaviour of the servers and the store at random until a time.
+// injectFaults changes the behavior of the servers and the store at random until a time.
 func (s *soak) injectFaults(servers []*gateway.Server, deadline time.Time) {
 	scripts := []gateway.Script{s.respond, s.respond, s.respond, gateway.Reject(503), s.recorded(gateway.CloseConnection), s.recorded(gateway.Hang), s.recorded(gateway.Fail(500)), s.recorded(s.closeMidResponse), s.recorded(s.respondTwice)}
 	faults := []rowstore.Fault{rowstore.NoFault, rowstore.NoFault, rowstore.Unavailable, rowstore.Reset, rowstore.StaleFeeds, rowstore.Unresponsive}
--- a/testbed/rounds/draw.go
+++ b/testbed/rounds/draw.go
@@ -21,8 +21,8 @@
 
 // series is one layer of the stacked bars: the requests with one outcome.
 type series struct {
-	name   string
-	colour color.RGBA
+	name      string
+	fillColor color.RGBA
 	// count returns the number of requests with the outcome.
 	count func(Outcome) int
 }
@@ -50,7 +50,7 @@
 		if err != nil {
 			return errors.Wrap(ErrDraw, err.Error())
 		}
-		bars.Color, bars.LineStyle.Width = s.colour, 0
+		bars.Color, bars.LineStyle.Width = s.fillColor, 0
 		if previous != nil {
 			bars.StackOn(previous)
 		}
